--- a/claim/table.go
+++ b/claim/table.go
@@ -12,7 +12,10 @@
 )
 
 // Key identifies a claim: the calling service, and the text of its Idempotency-Key.
-type Key struct{ Caller, Text string }
+type Key struct {
+	Caller string `msgpack:"Caller"`
+	Text   string `msgpack:"Text"`
+}
 
 // Print is the fingerprint of a request: a digest that a repeat must share.
 type Print [32]byte
--- a/cmd/planner/read.go
+++ b/cmd/planner/read.go
@@ -26,12 +26,18 @@
 		return s, json.Unmarshal(b, &s)
 	}
 	var state struct {
-		Cores     []membership.Seat
-		Self      membership.Seat
-		Directory struct{ Nodes []membership.Node }
+		Cores     []membership.Seat `json:"cores"`
+		Self      membership.Seat   `json:"self"`
+		Directory struct {
+			Nodes []membership.Node `json:"nodes"`
+		} `json:"directory"`
+	}
+	var words struct {
+		Emptied []string `json:"emptied"`
+	}
+	var windows struct {
+		Coming []window.Occurrence `json:"coming"`
 	}
-	var words struct{ Emptied []string }
-	var windows struct{ Coming []window.Occurrence }
 	for path, into := range map[string]any{"/v1/state": &state, "/v1/localities": &words, "/v1/windows": &windows} {
 		b, status, err := get(o.Core, path)
 		if err != nil {
--- a/consensus/mark.go
+++ b/consensus/mark.go
@@ -7,8 +7,8 @@
 
 // Mark orders accepted words: by the epoch that wrote them, then by stamp.
 type Mark struct {
-	Epoch uint64 `msgpack:"e"`
-	Stamp uint64 `msgpack:"s"`
+	Epoch uint64 `msgpack:"e" json:"Epoch"`
+	Stamp uint64 `msgpack:"s" json:"Stamp"`
 }
 
 // Compare orders two marks.
--- /dev/null
+++ b/core/golden_test.go
@@ -0,0 +1,25 @@
+package core
+
+import (
+	"slices"
+	"testing"
+
+	"curlewwalk/metrics"
+	"curlewwalk/proof/golden"
+	"curlewwalk/wire"
+)
+
+// What operators read and other cores are answered is what it has always been.
+func TestGoldenDocuments(t *testing.T) {
+	for name, sample := range map[string]any{"written": &written{}, "faulty": &faulty{}, "state": &state{}, "windows": &windows{}} {
+		t.Run(name, func(t *testing.T) { golden.Value(t, golden.JSON, name+".json", sample) })
+	}
+	golden.Value(t, golden.Msgpack, "seat-response.msgpack", &heed{})
+}
+
+// The metrics have the names and labels that they have always had.
+func TestGoldenMetrics(t *testing.T) {
+	n := &Node{}
+	all := slices.Concat(n.consensusMetrics(), n.membershipMetrics(), n.feedMetrics(), metrics.Wire(&wire.Counts{}, &wire.Counts{}))
+	golden.Metrics(t, "metrics.txt", all)
+}
--- a/proof/fleet/operate.go
+++ b/proof/fleet/operate.go
@@ -41,7 +41,9 @@
 	}
 	r.Stamp, _ = strconv.ParseUint(resp.Header.Get("Curlewwalk-Stamp"), 10, 64)
 	r.Generation, _ = strconv.ParseUint(resp.Header.Get("Curlewwalk-Edition"), 10, 64)
-	var out struct{ Taken string }
+	var out struct {
+		Taken string `json:"taken"`
+	}
 	json.Unmarshal(r.Body, &out)
 	r.Taken = out.Taken
 	return r, nil
--- a/proof/fleet/tree.go
+++ b/proof/fleet/tree.go
@@ -2,23 +2,31 @@
 
 // Tree is what is read of GET /v1/traces.
 type Tree struct {
-	Spans   int
-	Whole   bool
-	Roots   []Branch
-	Unasked []int
+	Spans   int      `json:"spans"`
+	Whole   bool     `json:"whole"`
+	Roots   []Branch `json:"roots"`
+	Unasked []int    `json:"unasked"`
 }
 
 // Branch is one span of a tree.
 type Branch struct {
-	Span, Parent, Service, Caller, Link string
-	Route                               string `json:"way"`
-	Candidates, Missing                 []string
-	Events                              []struct {
-		Kind, Node, Outcome, Reason string
-		Counter                     uint64
-		Status                      int
-	}
-	Children []Branch
+	Span       string   `json:"span"`
+	Parent     string   `json:"parent"`
+	Service    string   `json:"service"`
+	Caller     string   `json:"caller"`
+	Link       string   `json:"link"`
+	Route      string   `json:"way"`
+	Candidates []string `json:"candidates"`
+	Missing    []string `json:"missing"`
+	Events     []struct {
+		Kind    string `json:"kind"`
+		Node    string `json:"node"`
+		Outcome string `json:"outcome"`
+		Reason  string `json:"reason"`
+		Counter uint64 `json:"counter"`
+		Status  int    `json:"status"`
+	} `json:"events"`
+	Children []Branch `json:"children"`
 }
 
 // find looks for a span.
--- /dev/null
+++ b/proof/golden/fill.go
@@ -0,0 +1,104 @@
+package golden
+
+import (
+	"fmt"
+	"hash/crc32"
+	"reflect"
+	"strings"
+	"time"
+)
+
+// maxDepth bounds how often a type that contains itself is filled again.
+const maxDepth = 8
+
+// Fill sets every exported field that value points to, through structs, pointers, slices,
+// arrays and maps, to a value that is not zero. What a field is set to depends only on the
+// path of keys that leads to it, as the struct tags of that name give them: Go names and the
+// order of fields don't matter. A slice or map gets one element, so that its encoding
+// has one order.
+func Fill(value any, tag string) {
+	f := filler{tag: tag}
+	f.fill(reflect.ValueOf(value).Elem(), "", 0)
+}
+
+type filler struct{ tag string }
+
+func (f filler) fill(v reflect.Value, path string, depth int) {
+	if depth > maxDepth {
+		return
+	}
+	number := crc32.ChecksumIEEE([]byte(path))%100 + 1
+	switch v.Kind() {
+	case reflect.Bool:
+		v.SetBool(true)
+	case reflect.String:
+		v.SetString(path)
+	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
+		v.SetInt(int64(number))
+	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
+		v.SetUint(uint64(number))
+	case reflect.Float32, reflect.Float64:
+		v.SetFloat(float64(number) + 0.5)
+	case reflect.Pointer:
+		v.Set(reflect.New(v.Type().Elem()))
+		f.fill(v.Elem(), path, depth+1)
+	case reflect.Array:
+		for i := range v.Len() {
+			f.fill(v.Index(i), path, depth)
+		}
+	case reflect.Slice:
+		f.fillSlice(v, path, depth)
+	case reflect.Map:
+		f.fillMap(v, path, depth)
+	case reflect.Struct:
+		f.fillStruct(v, path, depth)
+	default:
+		panic(fmt.Sprintf("%s: a sample of %v can't be made", path, v.Type()))
+	}
+}
+
+func (f filler) fillSlice(v reflect.Value, path string, depth int) {
+	if v.Type().Name() == "RawMessage" {
+		v.SetBytes([]byte("7")) // a whole value in JSON and in MessagePack alike
+		return
+	}
+	if v.Type().Elem().Kind() == reflect.Uint8 {
+		v.SetBytes([]byte(path))
+		return
+	}
+	v.Set(reflect.MakeSlice(v.Type(), 1, 1))
+	f.fill(v.Index(0), path, depth+1)
+}
+
+func (f filler) fillMap(v reflect.Value, path string, depth int) {
+	key, element := reflect.New(v.Type().Key()).Elem(), reflect.New(v.Type().Elem()).Elem()
+	f.fill(key, path, depth+1)
+	f.fill(element, path, depth+1)
+	v.Set(reflect.MakeMap(v.Type()))
+	v.SetMapIndex(key, element)
+}
+
+func (f filler) fillStruct(v reflect.Value, path string, depth int) {
+	if v.Type() == reflect.TypeFor[time.Time]() {
+		v.Set(reflect.ValueOf(time.Date(2026, 12, 2, 9, 30, 0, 0, time.UTC)))
+		return
+	}
+	for i := range v.NumField() {
+		field := v.Type().Field(i)
+		if !field.IsExported() && !field.Anonymous {
+			continue
+		}
+		key, _, _ := strings.Cut(field.Tag.Get(f.tag), ",")
+		switch {
+		case key == "-":
+			continue
+		case key == "" && field.Anonymous:
+			key = path // the fields of an embedded struct stand beside those around it
+		case key == "":
+			key = path + "." + field.Name
+		default:
+			key = path + "." + key
+		}
+		f.fill(v.Field(i), strings.TrimPrefix(key, "."), depth)
+	}
+}
--- /dev/null
+++ b/proof/golden/settings.go
@@ -0,0 +1,40 @@
+package golden
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+	"testing"
+
+	"github.com/jessevdk/go-flags"
+)
+
+// Settings checks the names, kinds and defaults of settings, a pointer to a struct with tags
+// as go-flags reads them.
+func Settings(t *testing.T, name string, set any) {
+	t.Helper()
+	parser := flags.NewNamedParser("program", flags.None)
+	group, err := parser.AddGroup("settings", "", set)
+	if err != nil {
+		t.Fatal(err)
+	}
+	lines := options(group)
+	slices.Sort(lines)
+	Check(t, name, []byte(strings.Join(lines, "\n")+"\n"))
+}
+
+// options lists the options of a group and those within it, a line each.
+func options(group *flags.Group) (lines []string) {
+	for _, o := range group.Options() {
+		short := ""
+		if o.ShortName != 0 {
+			short = string(o.ShortName)
+		}
+		lines = append(lines, fmt.Sprintf("long=%s short=%s ini=%s kind=%s default=%q choices=%q required=%v",
+			o.LongName, short, o.Field().Tag.Get("ini-name"), o.Field().Type.Kind(), o.Default, o.Choices, o.Required))
+	}
+	for _, inner := range group.Groups() {
+		lines = append(lines, options(inner)...)
+	}
+	return lines
+}
--- /dev/null
+++ b/proof/golden/settings_test.go
@@ -0,0 +1,15 @@
+package golden_test
+
+import (
+	"testing"
+
+	"curlewwalk/proof/golden"
+	"curlewwalk/settings"
+)
+
+// Every setting has the names and the default that it has always had.
+func TestSettings(t *testing.T) {
+	for name, set := range map[string]any{"core": &settings.Core{}, "sidecar": &settings.Sidecar{}} {
+		golden.Settings(t, "settings/"+name+".txt", set)
+	}
+}
--- a/proof/soak/judge.go
+++ b/proof/soak/judge.go
@@ -19,17 +19,21 @@
 	Size   int             `json:"sidecars"`
 	Broken []ledger.Breach `json:"broken,omitempty"`
 	// Skipped counts entries that found what they would strike in trouble already.
-	Entries, Skipped int
-	Sent             int `json:"sent"`
+	Entries int `json:"Entries"`
+	Skipped int `json:"Skipped"`
+	Sent    int `json:"sent"`
 	// Ends counts requests by how they ended for their clients.
 	Ends map[standin.End]int `json:"ends"`
 	// Reused counts requests on connections that had carried another one, Whole those of
 	// them that were cut after they had been sent.
-	Reused, ReusedCut int
+	Reused    int `json:"Reused"`
+	ReusedCut int `json:"ReusedCut"`
 	// Departures counts backends that left in order; Configurations those acknowledged.
-	Departures, Configurations int
+	Departures     int `json:"Departures"`
+	Configurations int `json:"Configurations"`
 	// HalfMS and MostMS are how long answered requests took: half of them, 999 of 1000.
-	HalfMS, MostMS int64
+	HalfMS int64 `json:"HalfMS"`
+	MostMS int64 `json:"MostMS"`
 	// Stories tell of the requests of the first breaches.
 	Stories []string `json:"-"`
 }
--- /dev/null
+++ b/relay/golden_test.go
@@ -0,0 +1,44 @@
+package relay
+
+import (
+	"bytes"
+	"os"
+	"testing"
+	"time"
+
+	"curlewwalk/custody"
+	"curlewwalk/proof/golden"
+	"curlewwalk/routing"
+)
+
+// What clients are told of a request that was not answered is what it has always been.
+func TestGoldenRefusal(t *testing.T) {
+	golden.Value(t, golden.JSON, "refusal.json", &refusal{})
+	r := ownResponse(503, routing.NotRun, "a reason", "0123456789abcdef", time.Second)
+	golden.Check(t, "own-response.body", r.Body)
+}
+
+// A response that is kept for an Idempotency-Key reads back as it was, and is the same bytes.
+func TestGoldenKeptResponse(t *testing.T) {
+	var r Response
+	golden.Fill(&r, golden.Msgpack.Tag)
+	r.Status = 201
+	golden.Check(t, "kept-response.msgpack", r.pack(true))
+	stored, err := os.ReadFile(golden.Path("kept-response.msgpack"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	read, ok := unpack(stored)
+	if !ok || !bytes.Equal(read.pack(true), stored) {
+		t.Errorf("%+v", read)
+	}
+
+	var entry custody.Entry
+	golden.Fill(&entry, golden.Msgpack.Tag)
+	entry.Response = r.pack(true)
+	encoded, err := golden.Msgpack.Marshal(&entry)
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Check(t, "entry-with-response.msgpack", encoded)
+}
--- a/relay/response.go
+++ b/relay/response.go
@@ -14,12 +14,12 @@
 
 // Response is the answer to a request as its client gets it.
 type Response struct {
-	Status int
-	Header http.Header
+	Status int         `msgpack:"Status"`
+	Header http.Header `msgpack:"Header"`
 	// Trailer follows the body.
-	Trailer http.Header
-	Body    []byte
-	Fate    routing.Fate
+	Trailer http.Header  `msgpack:"Trailer"`
+	Body    []byte       `msgpack:"Body"`
+	Fate    routing.Fate `msgpack:"Fate"`
 }
 
 // Farewell is what a stopping sidecar answers on an idle connection, in a dialect.
--- a/settings/reload.go
+++ b/settings/reload.go
@@ -6,7 +6,7 @@
 )
 
 // reloadable names the settings that a SIGHUP puts in force.
-var reloadable = []string{"Seeds", "Drain"}
+var reloadable = []string{"seed", "drain"}
 
 // Reloaded tells what the last SIGHUP came to.
 type Reloaded struct {
@@ -22,15 +22,16 @@
 	a, b := reflect.ValueOf(old), reflect.ValueOf(next)
 	for i := range a.NumField() {
 		f, x, y := a.Type().Field(i), a.Field(i).Interface(), b.Field(i).Interface()
+		name := f.Tag.Get("long")
 		switch {
 		case f.Anonymous:
 			in := Compare(x, y)
 			r.Applied, r.Restart = append(r.Applied, in.Applied...), append(r.Restart, in.Restart...)
 		case reflect.DeepEqual(x, y):
-		case slices.Contains(reloadable, f.Name):
-			r.Applied = append(r.Applied, f.Tag.Get("long"))
+		case slices.Contains(reloadable, name):
+			r.Applied = append(r.Applied, name)
 		default:
-			r.Restart = append(r.Restart, f.Tag.Get("long"))
+			r.Restart = append(r.Restart, name)
 		}
 	}
 	return r
--- /dev/null
+++ b/sidecar/golden_test.go
@@ -0,0 +1,25 @@
+package sidecar
+
+import (
+	"slices"
+	"testing"
+
+	"curlewwalk/metrics"
+	"curlewwalk/proof/golden"
+	"curlewwalk/relay"
+	"curlewwalk/wire"
+)
+
+// What operators and backends read is what it has always been.
+func TestGoldenDocuments(t *testing.T) {
+	for name, sample := range map[string]any{"announced": &announced{}, "backend": &entryView{}, "stats": &stats{}} {
+		t.Run(name, func(t *testing.T) { golden.Value(t, golden.JSON, name+".json", sample) })
+	}
+}
+
+// The metrics have the names and labels that they have always had.
+func TestGoldenMetrics(t *testing.T) {
+	n := &Node{near: &relay.Near{}}
+	all := slices.Concat(n.trafficMetrics(), n.controlMetrics(), n.traceMetrics(), metrics.Wire(&wire.Counts{}, &wire.Counts{}))
+	golden.Metrics(t, "metrics.txt", all)
+}
--- /dev/null
+++ b/wire/golden_test.go
@@ -0,0 +1,41 @@
+package wire
+
+import (
+	"bytes"
+	"os"
+	"reflect"
+	"testing"
+
+	"curlewwalk/proof/golden"
+	"curlewwalk/trace"
+)
+
+// A frame, with and without a span, is the bytes that it has always been.
+func TestGoldenFrame(t *testing.T) {
+	golden.Value(t, golden.Msgpack, "message.msgpack", &message{})
+	var m message
+	golden.Fill(&m, golden.Msgpack.Tag)
+	span, _, traced := trace.CutPrefix(append([]byte{0xc1, 'B', '3', 1}, bytes.Repeat([]byte{0, 0, 0, 0, 0, 0, 0, 9}, 5)...))
+	if !traced {
+		t.Fatal("no span")
+	}
+	for name, s := range map[string]trace.Span{"frame": {}, "frame-with-span": span} {
+		sealed, err := encode(s, m)
+		if err != nil {
+			t.Fatal(err)
+		}
+		golden.Check(t, name, sealed)
+		stored, err := os.ReadFile(golden.Path(name))
+		if err != nil {
+			t.Fatal(err)
+		}
+		payload, err := readFrame(bytes.NewReader(stored), MaxFrame)
+		if err != nil {
+			t.Fatal(err)
+		}
+		got, traced, read, err := decode(payload)
+		if err != nil || traced == s.IsZero() || got.Trace != s.Trace || !reflect.DeepEqual(read, m) {
+			t.Errorf("%s: %+v %v %+v %v", name, got, traced, read, err)
+		}
+	}
+}
