--- a/cmd/planner/golden_test.go
+++ b/cmd/planner/golden_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"curlewwalk/proof/golden"
+	"curlewwalk/tests/golden"
 )
 
 // The planner's flags have the names and defaults that they have always had.
--- a/cmd/planner/main.go
+++ b/cmd/planner/main.go
@@ -11,7 +11,7 @@
 
 	"github.com/jessevdk/go-flags"
 
-	"curlewwalk/plan"
+	"curlewwalk/internal/plan"
 )
 
 type options struct {
--- a/cmd/planner/read.go
+++ b/cmd/planner/read.go
@@ -8,9 +8,9 @@
 	"os"
 	"time"
 
-	"curlewwalk/membership"
-	"curlewwalk/plan"
-	"curlewwalk/window"
+	"curlewwalk/internal/maintenance"
+	"curlewwalk/internal/membership"
+	"curlewwalk/internal/plan"
 )
 
 // read takes the state from a file or from a live core.
@@ -36,7 +36,7 @@
 		Emptied []string `json:"emptied"`
 	}
 	var windows struct {
-		Coming []window.Occurrence `json:"coming"`
+		Coming []maintenance.Occurrence `json:"coming"`
 	}
 	for path, into := range map[string]any{"/v1/state": &state, "/v1/localities": &words, "/v1/windows": &windows} {
 		b, status, err := get(o.Core, path)
--- a/cmd/sidecar/main.go
+++ b/cmd/sidecar/main.go
@@ -5,13 +5,13 @@
 import (
 	"os"
 
-	"curlewwalk/process"
-	"curlewwalk/settings"
-	"curlewwalk/sidecar"
+	"curlewwalk/internal/dataplane"
+	"curlewwalk/internal/process"
+	"curlewwalk/internal/settings"
 )
 
 func main() {
 	set, exit := settings.ReadSidecar(os.Args[1:])
 	process.Exit(exit)
-	sidecar.New(set, nil).Run(func() (settings.Sidecar, settings.Exit) { return settings.ReadSidecar(os.Args[1:]) })
+	dataplane.New(set, nil).Run(func() (settings.Sidecar, settings.Exit) { return settings.ReadSidecar(os.Args[1:]) })
 }
--- a/launch/citations_test.go
+++ b/internal/actor/citations_test.go
@@ -1,4 +1,4 @@
-package launch
+package actor
 
 import (
 	"io/fs"
@@ -46,7 +46,7 @@
 
 // What sources and pages cite of the design page is there, and no number twice.
 func TestCitations(t *testing.T) {
-	page, err := os.ReadFile("../docs/DESIGN.md")
+	page, err := os.ReadFile("../../docs/DESIGN.md")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -57,11 +57,11 @@
 		}
 	}
 	files, seen := 0, 0
-	err = filepath.WalkDir("..", func(path string, d fs.DirEntry, err error) error {
+	err = filepath.WalkDir("../..", func(path string, d fs.DirEntry, err error) error {
 		if err != nil {
 			return err
 		}
-		rel, _ := filepath.Rel("..", path)
+		rel, _ := filepath.Rel("../..", path)
 		if d.IsDir() {
 			if slices.Contains([]string{".git", "target", "journal"}, rel) {
 				return filepath.SkipDir
@@ -69,7 +69,7 @@
 			return nil
 		}
 		// This file has wrong ones on purpose.
-		if !strings.HasSuffix(rel, ".go") && !strings.HasSuffix(rel, ".md") || rel == "launch/citations_test.go" {
+		if !strings.HasSuffix(rel, ".go") && !strings.HasSuffix(rel, ".md") || rel == "internal/actor/citations_test.go" {
 			return nil
 		}
 		text, err := os.ReadFile(path)
--- a/launch/dispatcher.go
+++ b/internal/actor/dispatcher.go
@@ -1,4 +1,4 @@
-package launch
+package actor
 
 import (
 	"context"
--- a/launch/launch_test.go
+++ b/internal/actor/launch_test.go
@@ -1,4 +1,4 @@
-package launch
+package actor
 
 import (
 	"context"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"curlewwalk/trace"
+	"curlewwalk/internal/trace"
 )
 
 // What a worker starts, goroutines and actors' work alike, has the worker's
--- a/launch/launcher.go
+++ b/internal/actor/launcher.go
@@ -1,7 +1,7 @@
-// Package launch is the one place where goroutines start. It is the thread
+// Package actor is the one place where goroutines start. It is the thread
 // factory of the tracing design: whatever it starts gets its own copy of the
 // span that its parent held. (DESIGN 2.3)
-package launch
+package actor
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 
 	"github.com/asynkron/protoactor-go/actor"
 
-	"curlewwalk/trace"
+	"curlewwalk/internal/trace"
 )
 
 // Launcher starts every goroutine and every actor of a process.
--- a/launch/mailbox.go
+++ b/internal/actor/mailbox.go
@@ -1,11 +1,11 @@
-package launch
+package actor
 
 import (
 	"context"
 
 	"github.com/asynkron/protoactor-go/actor"
 
-	"curlewwalk/trace"
+	"curlewwalk/internal/trace"
 )
 
 // Mailbox is the address of a part that runs as an actor.
--- a/launch/rules_test.go
+++ b/internal/actor/rules_test.go
@@ -1,4 +1,4 @@
-package launch
+package actor
 
 import (
 	"go/ast"
@@ -11,13 +11,13 @@
 // Goroutines start here only, and no process starts another, shares memory with
 // one or goes round the runtime.
 func TestRules(t *testing.T) {
-	got, err := packages.Load(&packages.Config{Mode: packages.NeedName | packages.NeedFiles | packages.NeedSyntax | packages.NeedTypes | packages.NeedImports, Dir: ".."}, "curlewwalk/...")
+	got, err := packages.Load(&packages.Config{Mode: packages.NeedName | packages.NeedFiles | packages.NeedSyntax | packages.NeedTypes | packages.NeedImports, Dir: "../.."}, "curlewwalk/...")
 	if err != nil {
 		t.Fatal(err)
 	}
 	seen, starts := 0, 0
 	for _, p := range got {
-		if strings.HasPrefix(p.PkgPath, "curlewwalk/proof") {
+		if strings.HasPrefix(p.PkgPath, "curlewwalk/tests") {
 			continue
 		}
 		seen++
@@ -32,7 +32,7 @@
 			ast.Inspect(file, func(n ast.Node) bool {
 				switch n := n.(type) {
 				case *ast.GoStmt:
-					if starts++; p.PkgPath != "curlewwalk/launch" {
+					if starts++; p.PkgPath != "curlewwalk/internal/actor" {
 						t.Errorf("%s starts a goroutine", p.Fset.Position(n.Pos()))
 					}
 				case *ast.SelectorExpr:
--- a/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -22,11 +22,11 @@
 // allowed are the packages that handle calendar times; passers are what hands
 // wall clocks on outside of them.
 var (
-	allowed = []string{"curlewwalk/clock", "curlewwalk/window"}
+	allowed = []string{"curlewwalk/internal/clock", "curlewwalk/internal/maintenance"}
 	passers = map[string][]string{
-		"curlewwalk/membership": {"Wall"},
-		"curlewwalk/plan":       {"String"}, // of a window that is shown
-		"curlewwalk/core":       {"seat", "wall", "windows"},
+		"curlewwalk/internal/membership":   {"Wall"},
+		"curlewwalk/internal/plan":         {"String"}, // of a window that is shown
+		"curlewwalk/internal/controlplane": {"seat", "wall", "windows"},
 	}
 )
 
@@ -61,7 +61,7 @@
 					}
 					full := fn.FullName()
 					method, onTime := strings.CutPrefix(full, "(time.Time).")
-					made := slices.Contains([]string{"time.Unix", "time.UnixMilli", "time.UnixMicro", "time.Date", "time.Parse", "time.ParseInLocation", "curlewwalk/clock.Wall"}, full)
+					made := slices.Contains([]string{"time.Unix", "time.UnixMilli", "time.UnixMicro", "time.Date", "time.Parse", "time.ParseInLocation", "curlewwalk/internal/clock.Wall"}, full)
 					if onTime && slices.Contains(readers, method) || made || strings.HasSuffix(full, "FileInfo).ModTime") {
 						out = append(out, p.Fset.Position(n.Pos()).String()+": "+full)
 					}
@@ -90,7 +90,7 @@
 	t.Helper()
 	got, err := packages.Load(&packages.Config{
 		Mode: packages.NeedName | packages.NeedFiles | packages.NeedSyntax | packages.NeedTypes | packages.NeedTypesInfo | packages.NeedDeps | packages.NeedImports,
-		Dir:  "..", Overlay: overlay,
+		Dir:  "../..", Overlay: overlay,
 	}, pattern)
 	if err != nil {
 		t.Fatal(err)
@@ -99,7 +99,7 @@
 		for _, e := range p.Errors {
 			t.Fatal(e)
 		}
-		if !strings.HasPrefix(p.PkgPath, "curlewwalk/proof") && !slices.Contains(allowed, p.PkgPath) {
+		if !strings.HasPrefix(p.PkgPath, "curlewwalk/tests") && !slices.Contains(allowed, p.PkgPath) {
 			all = append(all, p)
 		}
 	}
@@ -121,7 +121,7 @@
 	}
 	var roster *packages.Package
 	for _, p := range packs {
-		if p.PkgPath == "curlewwalk/roster" {
+		if p.PkgPath == "curlewwalk/internal/dataplane/endpoints" {
 			roster = p
 		}
 	}
@@ -130,9 +130,9 @@
 		"func _() int64 { return time.Now().Unix() }", "func _(t time.Time) string { return t.String() }",
 		"func _() time.Time { return time.Unix(1, 2) }", "func _() time.Time { return time.Now().Round(0) }", "type _ struct { T time.Time `msgpack:\"t\"` }",
 	} {
-		text := "package roster\nimport \"time\"\n" + bad + "\n"
+		text := "package endpoints\nimport \"time\"\n" + bad + "\n"
 		found := 0
-		for _, p := range load(t, "curlewwalk/roster", map[string][]byte{strings.TrimSuffix(file, ".go") + "_added.go": []byte(text)}) {
+		for _, p := range load(t, "curlewwalk/internal/dataplane/endpoints", map[string][]byte{strings.TrimSuffix(file, ".go") + "_added.go": []byte(text)}) {
 			found += len(uses(p))
 		}
 		if found != 1 {
--- a/desired/closure.go
+++ b/internal/config/closure.go
@@ -1,4 +1,4 @@
-package desired
+package config
 
 // Closure notes that a maintenance window, while it goes on, has a zone
 // emptied; or, waived, that an operator took it back meanwhile.
--- a/desired/cold.go
+++ b/internal/config/cold.go
@@ -1,4 +1,4 @@
-package desired
+package config
 
 // Cold says that a backend bears less for a while after its start.
 //
--- a/desired/contract.go
+++ b/internal/config/contract.go
@@ -1,4 +1,4 @@
-package desired
+package config
 
 // Contract is the promise for one kind of request.
 //
--- a/desired/fault.go
+++ b/internal/config/fault.go
@@ -1,4 +1,4 @@
-package desired
+package config
 
 // Fault is one thing wrong with a configuration.
 type Fault struct {
--- a/desired/fuzz_test.go
+++ b/internal/config/fuzz_test.go
@@ -1,12 +1,12 @@
-package desired_test
+package config_test
 
 import (
 	"bytes"
 	"encoding/json"
 	"testing"
 
-	"curlewwalk/desired"
-	"curlewwalk/routing"
+	"curlewwalk/internal/config"
+	"curlewwalk/internal/dataplane/routing"
 )
 
 // FuzzParse: whatever is sent as a configuration, it is taken whole or its faults are
@@ -24,20 +24,20 @@
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
-		st, faults, ok := desired.Parse(b)
+		st, faults, ok := config.Parse(b)
 		if ok != json.Valid(b) {
 			t.Errorf("JSON: %v", ok)
 		}
 		if !ok || len(faults) > 0 {
 			return
 		}
-		table, ok := routing.NewTable(desired.Word{Stamp: 1, DesiredStamp: 1, Desired: b})
+		table, ok := routing.NewTable(config.Word{Stamp: 1, DesiredStamp: 1, Desired: b})
 		if !ok {
 			t.Fatal("what was found good can't be put in force")
 		}
 		table.Match("x", "/a/b", "GET")
 		out := st.Bytes()
-		again, faults, ok := desired.Parse(out)
+		again, faults, ok := config.Parse(out)
 		if !ok || len(faults) > 0 || !bytes.Equal(again.Bytes(), out) {
 			t.Errorf("%s is written back as %s: %v", b, out, faults)
 		}
--- a/desired/generate.go
+++ b/internal/config/generate.go
@@ -1,3 +1,3 @@
-package desired
+package config
 
 //go:generate go tool easyjson .
--- a/desired/limits.go
+++ b/internal/config/limits.go
@@ -1,4 +1,4 @@
-package desired
+package config
 
 // Limits bound what clients may send; a zero is no word on it.
 //
--- a/desired/member.go
+++ b/internal/config/member.go
@@ -1,4 +1,4 @@
-package desired
+package config
 
 // Member is a slot with the disk that has it: each disk gets a slot of its own, and
 // no slot is used twice. (DESIGN 6.5)
--- a/desired/portion.go
+++ b/internal/config/portion.go
@@ -1,4 +1,4 @@
-package desired
+package config
 
 // Portion is a service's part of a way's requests.
 //
--- a/desired/route.go
+++ b/internal/config/route.go
@@ -1,4 +1,4 @@
-package desired
+package config
 
 // Route is one route: which requests go to which service, under which contract.
 //
--- a/desired/service.go
+++ b/internal/config/service.go
@@ -1,4 +1,4 @@
-package desired
+package config
 
 // Service says what holds for a service, whichever way leads to it.
 //
--- a/desired/spot.go
+++ b/internal/config/spot.go
@@ -1,4 +1,4 @@
-package desired
+package config
 
 import "strconv"
 
--- a/desired/state.go
+++ b/internal/config/state.go
@@ -1,6 +1,6 @@
-// Package desired holds the operator's desired state and its checks.
+// Package config holds the operator's desired state and its checks.
 // (DESIGN 5)
-package desired
+package config
 
 import "github.com/mailru/easyjson/jwriter"
 
--- a/desired/version.go
+++ b/internal/config/version.go
@@ -1,11 +1,11 @@
-package desired
+package config
 
 import (
 	"crypto/sha256"
 
 	"github.com/vmihailenco/msgpack/v5"
 
-	"curlewwalk/delta"
+	"curlewwalk/internal/delta"
 )
 
 // Fingerprint tells versions of a document apart: it is a cryptographic digest.
--- a/desired/versions.go
+++ b/internal/config/versions.go
@@ -1,4 +1,4 @@
-package desired
+package config
 
 // The newest few versions are kept, and at least two of them however large they are.
 const (
--- a/core/applicant.go
+++ b/internal/controlplane/applicant.go
@@ -1,12 +1,12 @@
-package core
+package controlplane
 
 import (
 	"context"
 	"time"
 
-	"curlewwalk/consensus"
-	"curlewwalk/membership"
-	"curlewwalk/wire"
+	"curlewwalk/internal/controlplane/consensus"
+	"curlewwalk/internal/membership"
+	"curlewwalk/internal/transport"
 )
 
 // applyEvery is how often a core without a seat asks for one.
@@ -48,5 +48,5 @@
 		}
 		to = live[0].Addr
 	}
-	n.p.Net.Call(ctx, to, wire.Control, consensus.KindSeat, a)
+	n.p.Net.Call(ctx, to, transport.Control, consensus.KindSeat, a)
 }
--- a/core/await_test.go
+++ b/internal/controlplane/await_test.go
@@ -1,18 +1,18 @@
-package core
+package controlplane
 
 import (
 	"context"
 	"log/slog"
 	"testing"
 
-	"curlewwalk/consensus"
-	"curlewwalk/launch"
+	"curlewwalk/internal/actor"
+	"curlewwalk/internal/controlplane/consensus"
 )
 
 // Whoever gives an order learns that its outcome is not known when its time is over,
 // though the order goes on.
 func TestAwait(t *testing.T) {
-	l := launch.New(slog.New(slog.DiscardHandler), func(name string, cause any, _ []byte) { t.Errorf("%s: %v", name, cause) })
+	l := actor.New(slog.New(slog.DiscardHandler), func(name string, cause any, _ []byte) { t.Errorf("%s: %v", name, cause) })
 	ctx, giveUp := context.WithCancel(t.Context())
 	release, done := make(chan struct{}), make(chan error, 1)
 	order := func(ctx context.Context) consensus.Answer {
--- a/consensus/acceptor.go
+++ b/internal/controlplane/consensus/acceptor.go
@@ -5,7 +5,7 @@
 	"encoding/binary"
 	"maps"
 
-	"curlewwalk/desired"
+	"curlewwalk/internal/config"
 )
 
 // Acceptor is one core's share of the register. On answers with the next state;
@@ -15,11 +15,11 @@
 	// Founded is how many static slots there are; zero where slots come and go.
 	// Founders are those that it began with there, for one of them.
 	Founded  int
-	Founders []desired.Member
+	Founders []config.Member
 	Phase    Phase
 	Promised uint64
 	Mark     Mark
-	Word     desired.Word
+	Word     config.Word
 	// Seats is the highest incarnation known of each slot.
 	Seats map[int]Chair
 	// Settled is the highest stamp known to be held by a majority; not on disk.
@@ -85,7 +85,7 @@
 	return v.Phase == Established && (b.Act == Sit || b.From.holds(v.Seats[b.From.Slot]))
 }
 
-func (v Acceptor) accept(m Mark, w desired.Word) Acceptor {
+func (v Acceptor) accept(m Mark, w config.Word) Acceptor {
 	v.Mark, v.Word, v.WordDirty = m, w, true
 	v.Promised = max(v.Promised, m.Epoch)
 	return v.named()
@@ -230,7 +230,7 @@
 // them. (DESIGN 6.5)
 func (v Acceptor) Founder(slot int, addrs []string) Acceptor {
 	for i, a := range addrs {
-		v.Founders = append(v.Founders, desired.Member{Slot: i + 1, ID: founderID(a), Addr: a})
+		v.Founders = append(v.Founders, config.Member{Slot: i + 1, ID: founderID(a), Addr: a})
 	}
 	v.Self, v.Phase, v.OathDirty = From{Slot: slot, Inc: 1, ID: founderID(addrs[slot-1])}, Established, true
 	return v
--- a/consensus/answer.go
+++ b/internal/controlplane/consensus/answer.go
@@ -1,6 +1,6 @@
 package consensus
 
-import "curlewwalk/desired"
+import "curlewwalk/internal/config"
 
 // Result is what became of an order.
 type Result string
@@ -21,7 +21,7 @@
 
 // Answer ends an order.
 type Answer struct {
-	ID     uint64       `msgpack:"i"`
-	Result Result       `msgpack:"r"`
-	Word   desired.Word `msgpack:"w"`
+	ID     uint64      `msgpack:"i"`
+	Result Result      `msgpack:"r"`
+	Word   config.Word `msgpack:"w"`
 }
--- a/consensus/ballot.go
+++ b/internal/controlplane/consensus/ballot.go
@@ -1,6 +1,6 @@
 package consensus
 
-import "curlewwalk/desired"
+import "curlewwalk/internal/config"
 
 // Act is what a ballot asks of an acceptor.
 type Act string
@@ -17,9 +17,9 @@
 
 // Ballot is a message to an acceptor.
 type Ballot struct {
-	From  From         `msgpack:"f"`
-	Act   Act          `msgpack:"a"`
-	Epoch uint64       `msgpack:"e"`
-	Mark  Mark         `msgpack:"m"`
-	Word  desired.Word `msgpack:"w"`
+	From  From        `msgpack:"f"`
+	Act   Act         `msgpack:"a"`
+	Epoch uint64      `msgpack:"e"`
+	Mark  Mark        `msgpack:"m"`
+	Word  config.Word `msgpack:"w"`
 }
--- a/consensus/closure_test.go
+++ b/internal/controlplane/consensus/closure_test.go
@@ -5,20 +5,20 @@
 	"testing"
 	"time"
 
-	"curlewwalk/desired"
+	"curlewwalk/internal/config"
 )
 
 // seated is an acceptor of a set that holds a word.
-func seated(slot int, m Mark, w desired.Word) Acceptor {
+func seated(slot int, m Mark, w config.Word) Acceptor {
 	return Acceptor{Self: From{Slot: slot, Inc: 1, ID: uint64(100 + slot)}, Phase: Established, Promised: m.Epoch, Mark: m, Word: w, Settled: m.Stamp, Founders: set(1, 2, 3)}
 }
 
 // A proposer that was left behind asks those of each set that it hears of, and proposes
 // nothing before majorities of the newest have promised.
 func TestPrepareClosesOverSets(t *testing.T) {
-	first := desired.Word{Stamp: 1, Desired: []byte("old")}
-	second := desired.Word{Stamp: 3, Desired: []byte("old"), Slots: set(2, 3, 4), Top: 4}
-	third := desired.Word{Stamp: 6, Desired: []byte("new"), Slots: set(3, 4, 5), Top: 5}
+	first := config.Word{Stamp: 1, Desired: []byte("old")}
+	second := config.Word{Stamp: 3, Desired: []byte("old"), Slots: set(2, 3, 4), Top: 4}
+	third := config.Word{Stamp: 6, Desired: []byte("new"), Slots: set(3, 4, 5), Top: 5}
 	acceptors := map[int]Acceptor{1: seated(1, Mark{10, 1}, first), 2: seated(2, Mark{10, 3}, second)}
 	for s := 3; s <= 5; s++ {
 		acceptors[s] = seated(s, Mark{11, 6}, third)
@@ -112,7 +112,7 @@
 // A change that does not fit what the proposer holds is judged under a new epoch: what it
 // holds may have been overtaken.
 func TestChangeOnOvertakenWord(t *testing.T) {
-	v := seated(1, Mark{}, desired.Word{})
+	v := seated(1, Mark{}, config.Word{})
 	v.Founders = set(1)
 	c := &Proposer{}
 	now := time.Second
--- a/consensus/conflict_test.go
+++ b/internal/controlplane/consensus/conflict_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"curlewwalk/desired"
-	"curlewwalk/vault"
+	"curlewwalk/internal/config"
+	"curlewwalk/internal/storage"
 )
 
 // unsettled lets a proposer's proposal reach one acceptor only: it is left half done.
@@ -198,7 +198,7 @@
 // What was taken under which number outlives a restart; of a word from before there was
 // a record, what the operator sent tells it.
 func TestTakenNumbersOnDisk(t *testing.T) {
-	v, err := vault.Open(t.TempDir())
+	v, err := storage.Open(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -250,9 +250,9 @@
 }
 
 // loaded is a word as it comes back from disk.
-func loaded(t *testing.T, w desired.Word) desired.Word {
+func loaded(t *testing.T, w config.Word) config.Word {
 	t.Helper()
-	v, err := vault.Open(t.TempDir())
+	v, err := storage.Open(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/consensus/denied_test.go
+++ b/internal/controlplane/consensus/denied_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"curlewwalk/desired"
+	"curlewwalk/internal/config"
 )
 
 // rehearse puts what a proposer wants to acceptors, which answer at once, and returns the
@@ -35,7 +35,7 @@
 // proposer on duty goes on under its own epoch while majorities are left without that core,
 // and takes a higher one once they are not.
 func TestPromiseOfOneDisturbsNothing(t *testing.T) {
-	word := desired.Word{Stamp: 2, DesiredStamp: 2}
+	word := config.Word{Stamp: 2, DesiredStamp: 2}
 	acceptors := map[int]Acceptor{}
 	for slot := 1; slot <= 3; slot++ {
 		acceptors[slot] = seated(slot, Mark{1 << 16, 2}, word)
--- a/consensus/disk.go
+++ b/internal/controlplane/consensus/disk.go
@@ -8,8 +8,8 @@
 
 	"github.com/rotisserie/eris"
 
-	"curlewwalk/desired"
-	"curlewwalk/vault"
+	"curlewwalk/internal/config"
+	"curlewwalk/internal/storage"
 )
 
 // The kinds of file. (DESIGN 6.1)
@@ -25,7 +25,7 @@
 
 // Disk keeps an acceptor in a vault.
 type Disk struct {
-	Vault *vault.Vault
+	Vault *storage.Vault
 	oaths uint64
 }
 
@@ -38,9 +38,9 @@
 	Seats    map[int]Chair `json:"seats"`
 	// Slot, Founded and Founders are not in the files of older versions: their
 	// settings say them.
-	Slot     *int             `json:"slot,omitempty"`
-	Founded  int              `json:"founded,omitempty"`
-	Founders []desired.Member `json:"founders,omitempty"`
+	Slot     *int            `json:"slot,omitempty"`
+	Founded  int             `json:"founded,omitempty"`
+	Founders []config.Member `json:"founders,omitempty"`
 }
 
 // wordHead is the first line of a word's file; the operator's bytes follow.
@@ -49,20 +49,20 @@
 	DesiredStamp uint64   `json:"desired_stamp"`
 	Emptied      []string `json:"emptied"`
 
-	CalendarStamp uint64            `json:"calendar_stamp,omitempty"`
-	Calendar      []byte            `json:"calendar,omitempty"`
-	Closures      []desired.Closure `json:"closures,omitempty"`
+	CalendarStamp uint64           `json:"calendar_stamp,omitempty"`
+	Calendar      []byte           `json:"calendar,omitempty"`
+	Closures      []config.Closure `json:"closures,omitempty"`
 
-	Generation uint64          `json:"edition,omitempty"`
-	Sent       []byte          `json:"sent,omitempty"`
-	Taken      []desired.Taken `json:"taken,omitempty"`
+	Generation uint64         `json:"edition,omitempty"`
+	Sent       []byte         `json:"sent,omitempty"`
+	Taken      []config.Taken `json:"taken,omitempty"`
 
-	Evacuations []desired.Evacuation `json:"evacuations,omitempty"`
-	Forgotten   uint64               `json:"forgotten,omitempty"`
+	Evacuations []config.Evacuation `json:"evacuations,omitempty"`
+	Forgotten   uint64              `json:"forgotten,omitempty"`
 
-	Slots    []desired.Member `json:"slots,omitempty"`
-	Formerly []desired.Member `json:"formerly,omitempty"`
-	Top      int              `json:"top,omitempty"`
+	Slots    []config.Member `json:"slots,omitempty"`
+	Formerly []config.Member `json:"formerly,omitempty"`
+	Top      int             `json:"top,omitempty"`
 }
 
 // Load reads an acceptor. One whose newest files can't be read whole has lost what
@@ -103,7 +103,7 @@
 			return d.lose(s, oathName)
 		}
 		v.Mark = h.Mark
-		v.Word = desired.Word{
+		v.Word = config.Word{
 			Stamp: h.Stamp, DesiredStamp: h.DesiredStamp, Emptied: h.Emptied, Desired: body,
 			CalendarStamp: h.CalendarStamp, Calendar: h.Calendar, Closures: h.Closures,
 			Generation: h.Generation, Sent: h.Sent, Taken: h.Taken,
--- a/consensus/disk_model_test.go
+++ b/internal/controlplane/consensus/disk_model_test.go
@@ -9,8 +9,8 @@
 	"strings"
 	"testing"
 
-	"curlewwalk/desired"
-	"curlewwalk/vault"
+	"curlewwalk/internal/config"
+	"curlewwalk/internal/storage"
 )
 
 // errEnd ends a run of the program: the process is gone.
@@ -31,7 +31,7 @@
 	file     *inode
 }
 
-// modelFiles is a folder with exactly the promises of vault.Files. It ends the process
+// modelFiles is a folder with exactly the promises of storage.Files. It ends the process
 // after so many steps, a step being a write of one byte or a call of anything else.
 type modelFiles struct {
 	now, lasting map[string]*inode
@@ -57,7 +57,7 @@
 	return nil
 }
 
-func (m *modelFiles) Create(name string) (vault.File, error) {
+func (m *modelFiles) Create(name string) (storage.File, error) {
 	if err := m.step(); err != nil {
 		return nil, err
 	}
@@ -217,7 +217,7 @@
 		stamp++
 		mark, text := Mark{Epoch: epoch, Stamp: stamp}, fmt.Sprint("word ", stamp, " of ", epoch)
 		d.words[mark] = text
-		w := desired.Word{Stamp: stamp, Desired: []byte(text)}
+		w := config.Word{Stamp: stamp, Desired: []byte(text)}
 		out = append(out, Ballot{Act: Propose, Epoch: epoch, Mark: mark, Word: w}, Ballot{Act: Settle, Epoch: epoch, Mark: mark, Word: w})
 	}
 	return out
@@ -226,7 +226,7 @@
 // live loads an acceptor and has it take ballots until something fails; what failed to be
 // saved it never told, and it goes on as it was, as the keeper does.
 func (d *diskModel) live(files *modelFiles, ballots []Ballot) (loaded bool, err error) {
-	disk := &Disk{Vault: vault.On(files)}
+	disk := &Disk{Vault: storage.On(files)}
 	v, err := disk.Load(d.start)
 	if err != nil {
 		return false, err
@@ -250,7 +250,7 @@
 // identity it holds and promises no less; lost says that it may have another.
 func (d *diskModel) check(next *modelFiles, lost bool, where string) {
 	d.seen++
-	v, err := (&Disk{Vault: vault.On(next)}).Load(d.start)
+	v, err := (&Disk{Vault: storage.On(next)}).Load(d.start)
 	if err != nil {
 		d.t.Fatalf("%s: %v", where, err)
 	}
@@ -343,7 +343,7 @@
 			d.check(copied(m), true, where)
 			steps := func() int {
 				m := copied(m)
-				(&Disk{Vault: vault.On(m)}).Load(d.start)
+				(&Disk{Vault: storage.On(m)}).Load(d.start)
 				return m.steps
 			}()
 			if depth == 0 {
@@ -353,7 +353,7 @@
 			for end := range steps {
 				m := copied(m)
 				m.end = end
-				(&Disk{Vault: vault.On(m)}).Load(d.start)
+				(&Disk{Vault: storage.On(m)}).Load(d.start)
 				now := fmt.Sprint(slices.Sorted(maps.Keys(m.now)), len(m.pending))
 				if now == last && end%16 != 0 {
 					continue // in the middle of a write of a file that is not read
--- a/consensus/evacuation_test.go
+++ b/internal/controlplane/consensus/evacuation_test.go
@@ -5,7 +5,7 @@
 	"slices"
 	"testing"
 
-	"curlewwalk/desired"
+	"curlewwalk/internal/config"
 )
 
 // asOf is an order on a zone that came while a stamp was the newest.
@@ -105,11 +105,11 @@
 // The record of orders on zones is bounded; a copy older than what was dropped from
 // it is left without effect, and one that came since is carried out.
 func TestEvacuationsAreBounded(t *testing.T) {
-	w := desired.Word{}
-	for n := 1; n <= 3*desired.EvacuationsMost; n++ {
+	w := config.Word{}
+	for n := 1; n <= 3*config.EvacuationsMost; n++ {
 		w = next(w, Order{Kind: Empty, Zone: fmt.Sprint("zone-", n)})
 	}
-	if len(w.Evacuations) != desired.EvacuationsMost || w.Forgotten != 2*desired.EvacuationsMost {
+	if len(w.Evacuations) != config.EvacuationsMost || w.Forgotten != 2*config.EvacuationsMost {
 		t.Fatalf("%d on record, forgotten up to %d", len(w.Evacuations), w.Forgotten)
 	}
 	for since, want := range map[uint64]Result{w.Forgotten - 1: Overtaken, w.Forgotten: ""} {
@@ -121,7 +121,7 @@
 
 // What is on record of zones outlives a restart.
 func TestEvacuationsOnDisk(t *testing.T) {
-	w := next(desired.Word{Stamp: 4, Forgotten: 2}, Order{Kind: Empty, Zone: "west"})
+	w := next(config.Word{Stamp: 4, Forgotten: 2}, Order{Kind: Empty, Zone: "west"})
 	got := loaded(t, w)
 	if at, known := got.EvacuatedAt("west"); !known || at != 5 {
 		t.Errorf("west at %d, %v", at, known)
--- a/consensus/generation_test.go
+++ b/internal/controlplane/consensus/generation_test.go
@@ -7,8 +7,8 @@
 	"github.com/google/go-cmp/cmp"
 	"github.com/google/go-cmp/cmp/cmpopts"
 
-	"curlewwalk/desired"
-	"curlewwalk/vault"
+	"curlewwalk/internal/config"
+	"curlewwalk/internal/storage"
 )
 
 // bench is proposers and acceptors without a wire.
@@ -94,7 +94,7 @@
 }
 
 // newest is the word that a majority holds.
-func (b *bench) newest() desired.Word {
+func (b *bench) newest() config.Word {
 	votes := map[int]Vote{}
 	for i := range b.acceptors {
 		_, votes[i+1] = b.acceptors[i].On(Ballot{Act: Read})
@@ -111,7 +111,7 @@
 	return ok
 }
 
-func (b *bench) expect(id uint64, want Result) desired.Word {
+func (b *bench) expect(id uint64, want Result) config.Word {
 	b.t.Helper()
 	a, ok := b.answers[id]
 	if !ok || a.Result != want {
@@ -128,7 +128,7 @@
 // number keeps the number and clears what was sent.
 func TestGenerations(t *testing.T) {
 	b := newBench(t, 3)
-	put := func(slot int, o Order) desired.Word {
+	put := func(slot int, o Order) config.Word {
 		t.Helper()
 		id := b.give(slot, o)
 		b.rest()
@@ -282,7 +282,7 @@
 // A word's generation, and what was sent, are read back from disk; a file from
 // before there were generations is read.
 func TestGenerationOnDisk(t *testing.T) {
-	v, err := vault.Open(t.TempDir())
+	v, err := storage.Open(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -293,7 +293,7 @@
 	}
 	acceptor.Phase, acceptor.Self.Inc = Established, 1
 	acceptor.Mark = Mark{Epoch: 2, Stamp: 3}
-	acceptor.Word = desired.Word{Stamp: 3, DesiredStamp: 3, Generation: 9, Desired: []byte("{\n}\n"), Sent: []byte("a\n\x00b")}
+	acceptor.Word = config.Word{Stamp: 3, DesiredStamp: 3, Generation: 9, Desired: []byte("{\n}\n"), Sent: []byte("a\n\x00b")}
 	acceptor.OathDirty, acceptor.WordDirty = true, true
 	if err := d.Save(acceptor); err != nil {
 		t.Fatal(err)
--- a/consensus/golden_disk_test.go
+++ b/internal/controlplane/consensus/golden_disk_test.go
@@ -9,16 +9,16 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"curlewwalk/desired"
-	"curlewwalk/proof/golden"
-	"curlewwalk/vault"
+	"curlewwalk/internal/config"
+	"curlewwalk/internal/storage"
+	"curlewwalk/tests/golden"
 )
 
 // goldenData is the golden data folder of a core.
 const goldenData = "data"
 
 // newcomer is who takes the place of the third founder.
-var newcomer = desired.Member{Slot: 4, ID: 44, Addr: "10.0.0.4:7000"}
+var newcomer = config.Member{Slot: 4, ID: 44, Addr: "10.0.0.4:7000"}
 
 // history is a system of three founders, the first of which writes all orders and has a disk.
 // A fourth core comes later.
@@ -33,7 +33,7 @@
 }
 
 func newHistory(t *testing.T, dir string) *history {
-	v, err := vault.Open(dir)
+	v, err := storage.Open(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -164,7 +164,7 @@
 	lived := newHistory(t, t.TempDir())
 	lived.live()
 
-	v, err := vault.Open(dir)
+	v, err := storage.Open(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/consensus/golden_test.go
+++ b/internal/controlplane/consensus/golden_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"curlewwalk/proof/golden"
+	"curlewwalk/tests/golden"
 )
 
 // A ballot that has its configuration as a difference is the bytes that it has always been.
--- a/consensus/keeper.go
+++ b/internal/controlplane/consensus/keeper.go
@@ -8,9 +8,9 @@
 	"sync/atomic"
 	"time"
 
-	"curlewwalk/desired"
-	"curlewwalk/launch"
-	"curlewwalk/wire"
+	"curlewwalk/internal/actor"
+	"curlewwalk/internal/config"
+	"curlewwalk/internal/transport"
 )
 
 // The kinds on the wire.
@@ -45,16 +45,16 @@
 // Keeper runs the acceptor and the proposer of one core on one thread, next to its
 // disk. (DESIGN 6)
 type Keeper struct {
-	Net      *wire.Net
-	Launcher *launch.Launcher
+	Net      *transport.Net
+	Launcher *actor.Launcher
 	Log      *slog.Logger
 	Peers    Peers
 	// Settled is told of each newly settled word.
-	Settled func(ctx context.Context, w desired.Word)
+	Settled func(ctx context.Context, w config.Word)
 	// Turned is told when the core has become able or unable; it must not wait.
 	Turned func()
 
-	box      *launch.Mailbox
+	box      *actor.Mailbox
 	disk     *Disk
 	acceptor Acceptor
 	proposer *Proposer
@@ -126,7 +126,7 @@
 )
 
 // NewKeeper loads the acceptor from disk and starts the keeper's actor.
-func NewKeeper(l *launch.Launcher, d *Disk, s Start) (*Keeper, error) {
+func NewKeeper(l *actor.Launcher, d *Disk, s Start) (*Keeper, error) {
 	v, err := d.Load(s)
 	if err != nil {
 		return nil, err
@@ -223,7 +223,7 @@
 func (k *Keeper) note(h Health) { k.health.Store(&h) }
 
 // Ballot handles a ballot from the wire.
-func (k *Keeper) Ballot(ctx context.Context, in wire.Request) (any, string) {
+func (k *Keeper) Ballot(ctx context.Context, in transport.Request) (any, string) {
 	var b Ballot
 	if !in.Into(&b) {
 		return nil, "not a ballot"
@@ -237,12 +237,12 @@
 func (k *Keeper) vote(ctx context.Context, b Ballot) *Vote {
 	ctx, cancel := context.WithTimeout(ctx, voteLimit)
 	defer cancel()
-	v, _ := launch.Ask(ctx, k.box, func(r chan<- *Vote) any { return msgBallot{b, r} })
+	v, _ := actor.Ask(ctx, k.box, func(r chan<- *Vote) any { return msgBallot{b, r} })
 	return v
 }
 
 // Order handles an order that another core passed on.
-func (k *Keeper) Order(ctx context.Context, in wire.Request) (any, string) {
+func (k *Keeper) Order(ctx context.Context, in transport.Request) (any, string) {
 	var o Order
 	if !in.Into(&o) {
 		return nil, "not an order"
@@ -263,7 +263,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, orderLimit+time.Second)
 	defer cancel()
-	if a, ok := launch.Ask(ctx, k.box, func(r chan<- Answer) any { return msgOrder{o, r} }); ok {
+	if a, ok := actor.Ask(ctx, k.box, func(r chan<- Answer) any { return msgOrder{o, r} }); ok {
 		return a
 	}
 	return Answer{Result: Unknown}
@@ -278,10 +278,10 @@
 
 // ReadBack reads the newest word from a majority, and has it mended first if
 // the majority does not hold it yet. (DESIGN 6.4)
-func (k *Keeper) ReadBack(ctx context.Context, refresh func(ctx context.Context) Answer) (desired.Word, bool) {
+func (k *Keeper) ReadBack(ctx context.Context, refresh func(ctx context.Context) Answer) (config.Word, bool) {
 	top, held, ok := k.newest(ctx, Read)
 	if !ok {
-		return desired.Word{}, false
+		return config.Word{}, false
 	}
 	if held {
 		return top.Word, true
@@ -316,7 +316,7 @@
 	defer cancel()
 	var v Vote
 	self := k.Acceptor().Self
-	if k.Net.Call(ctx, addr, wire.Control, KindBallot, Ballot{From: self, Act: Read}).Into(&v) && v.Settled == v.Mark.Stamp {
+	if k.Net.Call(ctx, addr, transport.Control, KindBallot, Ballot{From: self, Act: Read}).Into(&v) && v.Settled == v.Mark.Stamp {
 		k.vote(ctx, Ballot{From: self, Act: Settle, Epoch: v.Mark.Epoch, Mark: v.Mark, Word: v.Word})
 	}
 }
@@ -342,10 +342,10 @@
 	defer more.Stop()
 	far := partial
 	own := k.Acceptor().Sets()
-	in, open, asked := make(chan *Vote), 0, []desired.Member{}
-	ask := func(set []desired.Member) {
+	in, open, asked := make(chan *Vote), 0, []config.Member{}
+	ask := func(set []config.Member) {
 		for _, s := range set {
-			if slices.ContainsFunc(asked, func(a desired.Member) bool { return same(a, s) }) {
+			if slices.ContainsFunc(asked, func(a config.Member) bool { return same(a, s) }) {
 				continue
 			}
 			asked = append(asked, s)
@@ -388,7 +388,7 @@
 }
 
 // put brings a ballot to one member.
-func (k *Keeper) put(ctx context.Context, m desired.Member, b Ballot) *Vote {
+func (k *Keeper) put(ctx context.Context, m config.Member, b Ballot) *Vote {
 	self := k.Acceptor().Self
 	if m.Slot == self.Slot && (m.ID == 0 || m.ID == self.ID) {
 		return k.vote(ctx, b)
@@ -568,7 +568,7 @@
 }
 
 // tell passes a settled word on, if it is newer than what was.
-func (k *Keeper) tell(ctx context.Context, w desired.Word) {
+func (k *Keeper) tell(ctx context.Context, w config.Word) {
 	if w.Stamp <= k.told {
 		return
 	}
--- a/consensus/keeper_test.go
+++ b/internal/controlplane/consensus/keeper_test.go
@@ -8,10 +8,10 @@
 	"testing"
 	"time"
 
-	"curlewwalk/desired"
-	"curlewwalk/launch"
-	"curlewwalk/vault"
-	"curlewwalk/wire"
+	"curlewwalk/internal/actor"
+	"curlewwalk/internal/config"
+	"curlewwalk/internal/storage"
+	"curlewwalk/internal/transport"
 )
 
 // slow is an acceptor on the wire that grants a seat at once and is late to say so.
@@ -21,7 +21,7 @@
 	late     time.Duration
 }
 
-func (s *slow) ballot(ctx context.Context, in wire.Request) (any, string) {
+func (s *slow) ballot(ctx context.Context, in transport.Request) (any, string) {
 	var b Ballot
 	if !in.Into(&b) {
 		return nil, "not a ballot"
@@ -57,10 +57,10 @@
 func TestSeatGrantedSlowly(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
-	l := launch.New(slog.New(slog.DiscardHandler), func(name string, cause any, stack []byte) { t.Errorf("%s: %v\n%s", name, cause, stack) })
+	l := actor.New(slog.New(slog.DiscardHandler), func(name string, cause any, stack []byte) { t.Errorf("%s: %v\n%s", name, cause, stack) })
 	peers, others := addresses{}, []*slow{}
 	for slot := 1; slot <= 2; slot++ {
-		v := seated(slot, Mark{4, 2}, desired.Word{Stamp: 2, DesiredStamp: 2})
+		v := seated(slot, Mark{4, 2}, config.Word{Stamp: 2, DesiredStamp: 2})
 		v.Founded, v.Settled = 3, 2
 		v.Seats = map[int]Chair{1: {Inc: 1, ID: 1}, 2: {Inc: 1, ID: 2}, 3: {Inc: 1, ID: 77}}
 		v.Self = From{Slot: slot, Inc: 1, ID: uint64(slot)}
@@ -70,11 +70,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		h := &wire.Host{Launcher: l, Listener: ln, Own: wire.Greeting{Version: wire.Version, Node: ln.Addr().String()}, Handlers: map[string]wire.Handler{KindBallot: s.ballot}}
+		h := &transport.Host{Launcher: l, Listener: ln, Own: transport.Greeting{Version: transport.Version, Node: ln.Addr().String()}, Handlers: map[string]transport.Handler{KindBallot: s.ballot}}
 		l.Go(ctx, "host", h.Run)
 		peers[slot] = ln.Addr().String()
 	}
-	disk, err := vault.Open(t.TempDir())
+	disk, err := storage.Open(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -82,8 +82,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	k.Net, k.Log, k.Peers = wire.NewNet(l, wire.Greeting{Version: wire.Version, Node: "new"}, nil), slog.New(slog.DiscardHandler), peers
-	k.Settled, k.Confirmed = func(context.Context, desired.Word) {}, func(context.Context, time.Time) {}
+	k.Net, k.Log, k.Peers = transport.NewNet(l, transport.Greeting{Version: transport.Version, Node: "new"}, nil), slog.New(slog.DiscardHandler), peers
+	k.Settled, k.Confirmed = func(context.Context, config.Word) {}, func(context.Context, time.Time) {}
 	l.Go(ctx, "net", k.Net.Run)
 	l.Go(ctx, "keeper", k.Run)
 	for k.Acceptor().Phase != Established {
--- a/consensus/named_test.go
+++ b/internal/controlplane/consensus/named_test.go
@@ -3,8 +3,8 @@
 import (
 	"testing"
 
-	"curlewwalk/desired"
-	"curlewwalk/vault"
+	"curlewwalk/internal/config"
+	"curlewwalk/internal/storage"
 )
 
 // A newcomer lost power between the sync of the word that names it and the sync of its
@@ -12,7 +12,7 @@
 func TestNamedBeforePowerWasLost(t *testing.T) {
 	dir := t.TempDir()
 	open := func() (*Disk, Acceptor) {
-		v, err := vault.Open(dir)
+		v, err := storage.Open(dir)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -24,7 +24,7 @@
 		return d, acceptor
 	}
 	disk, newcomer := open()
-	word := desired.Word{Stamp: 5, Desired: []byte("{}"), Slots: append(set(1, 2), desired.Member{Slot: 4, ID: newcomer.Self.ID}), Top: 4}
+	word := config.Word{Stamp: 5, Desired: []byte("{}"), Slots: append(set(1, 2), config.Member{Slot: 4, ID: newcomer.Self.ID}), Top: 4}
 	propose := Ballot{From: From{Slot: 1, Inc: 1, ID: 101}, Act: Propose, Epoch: 9, Mark: Mark{9, 5}, Word: word}
 	named, vote := newcomer.On(propose)
 	if !vote.OK || named.Self.Slot != 4 {
--- a/consensus/order.go
+++ b/internal/controlplane/consensus/order.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"curlewwalk/desired"
+	"curlewwalk/internal/config"
 )
 
 // OrderKind is what an operator wants done to the word.
@@ -44,9 +44,9 @@
 	IfMatch *uint64 `msgpack:"m"`
 	// Seat is who comes with a Reseat, Out the slot that goes; zero for none. Of is
 	// the set that it was decided on.
-	Seat desired.Member   `msgpack:"sm"`
-	Out  int              `msgpack:"ou,omitempty"`
-	Of   []desired.Member `msgpack:"of,omitempty"`
+	Seat config.Member   `msgpack:"sm"`
+	Out  int             `msgpack:"ou,omitempty"`
+	Of   []config.Member `msgpack:"of,omitempty"`
 	// Brief says that of the word the answer needs only its numbers.
 	Brief bool          `msgpack:"br,omitempty"`
 	Until time.Duration `msgpack:"-"`
--- a/consensus/outcome.go
+++ b/internal/controlplane/consensus/outcome.go
@@ -1,11 +1,11 @@
 package consensus
 
-import "curlewwalk/desired"
+import "curlewwalk/internal/config"
 
 // Outcome is what the proposer wants done.
 type Outcome struct {
 	// Ballot goes to every member in To.
 	Ballot *Ballot
-	To     []desired.Member
+	To     []config.Member
 	Answer *Answer
 }
--- a/consensus/patched.go
+++ b/internal/controlplane/consensus/patched.go
@@ -4,8 +4,8 @@
 	"context"
 	"sync"
 
-	"curlewwalk/desired"
-	"curlewwalk/wire"
+	"curlewwalk/internal/config"
+	"curlewwalk/internal/transport"
 )
 
 // What holds a whole word is told as a difference from a word that the other one holds,
@@ -25,16 +25,16 @@
 
 // patchedBallot is a ballot without its word, and the word as a difference.
 type patchedBallot struct {
-	Ballot Ballot        `msgpack:"b"`
-	Patch  desired.Patch `msgpack:"p"`
+	Ballot Ballot       `msgpack:"b"`
+	Patch  config.Patch `msgpack:"p"`
 }
 
 // exchange remembers recent words, and which of them the others said that they hold. It
 // only saves bytes: what it has wrong is found out by digest, and told whole.
 type exchange struct {
 	mu    sync.Mutex
-	words desired.Versions
-	marks map[Mark]desired.Fingerprint
+	words config.Versions
+	marks map[Mark]config.Fingerprint
 	held  map[string]Mark // by address
 }
 
@@ -59,8 +59,8 @@
 }
 
 // add remembers a word under its mark.
-func (e *exchange) add(m Mark, w desired.Word) (v desired.Version, ok bool) {
-	v, err := desired.NewVersion(w)
+func (e *exchange) add(m Mark, w config.Word) (v config.Version, ok bool) {
+	v, err := config.NewVersion(w)
 	if err != nil {
 		return v, false
 	}
@@ -68,7 +68,7 @@
 	defer e.mu.Unlock()
 	e.words.Add(v)
 	if e.marks == nil || len(e.marks) >= knownMarks {
-		e.marks = map[Mark]desired.Fingerprint{}
+		e.marks = map[Mark]config.Fingerprint{}
 	}
 	e.marks[m] = v.Fingerprint
 	return v, true
@@ -90,32 +90,32 @@
 		return patchedBallot{}, false
 	}
 	p, short := e.words.Tell(target, base)
-	b.Word = desired.Word{}
+	b.Word = config.Word{}
 	return patchedBallot{Ballot: b, Patch: p}, short
 }
 
 // order tells an order by its difference from a word that is held here.
-func (e *exchange) order(o Order, m Mark, held desired.Word) (desired.Patch, bool) {
-	target, err := desired.NewVersion(o)
+func (e *exchange) order(o Order, m Mark, held config.Word) (config.Patch, bool) {
+	target, err := config.NewVersion(o)
 	base, ok := e.add(m, held)
 	if err != nil || !ok {
-		return desired.Patch{}, false
+		return config.Patch{}, false
 	}
 	return target.Against(base)
 }
 
 // apply makes what a patch tells, of the words of late or of the one held now.
-func (e *exchange) apply(p desired.Patch, own Acceptor) (desired.Version, bool) {
+func (e *exchange) apply(p config.Patch, own Acceptor) (config.Version, bool) {
 	if v, ok := e.applied(p); ok {
 		return v, true
 	}
 	if _, ok := e.add(own.Mark, own.Word); !ok {
-		return desired.Version{}, false
+		return config.Version{}, false
 	}
 	return e.applied(p)
 }
 
-func (e *exchange) applied(p desired.Patch) (desired.Version, bool) {
+func (e *exchange) applied(p config.Patch) (config.Version, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.words.Apply(p)
@@ -125,24 +125,24 @@
 // make one from, and whole if that is not so or turns out not to be so.
 func (k *Keeper) ask(ctx context.Context, addr string, b Ballot) (v Vote, ok bool) {
 	if p, can := k.exchange.ballot(addr, b); can {
-		r := k.Net.Call(ctx, addr, wire.Control, KindPatchedBallot, p)
+		r := k.Net.Call(ctx, addr, transport.Control, KindPatchedBallot, p)
 		if ok = r.Into(&v); ok {
 			k.exchange.note(addr, v.Mark)
 			return v, true
 		}
-		if r.Fate != wire.Answered {
+		if r.Fate != transport.Answered {
 			return v, false
 		}
 		k.exchange.forget(addr)
 	}
-	if ok = k.Net.Call(ctx, addr, wire.Control, KindBallot, b).Into(&v); ok {
+	if ok = k.Net.Call(ctx, addr, transport.Control, KindBallot, b).Into(&v); ok {
 		k.exchange.note(addr, v.Mark)
 	}
 	return v, ok
 }
 
 // patchedBallot handles a ballot whose word is told as a difference.
-func (k *Keeper) patchedBallot(ctx context.Context, in wire.Request) (any, string) {
+func (k *Keeper) patchedBallot(ctx context.Context, in transport.Request) (any, string) {
 	var p patchedBallot
 	if !in.Into(&p) {
 		return nil, faultVote
@@ -162,21 +162,21 @@
 }
 
 // Forward has another core carry an order out.
-func (k *Keeper) Forward(ctx context.Context, addr string, o Order) wire.Response {
+func (k *Keeper) Forward(ctx context.Context, addr string, o Order) transport.Response {
 	o.Brief = o.Kind != Refresh
 	own := k.Acceptor()
 	if p, can := k.exchange.order(o, own.Mark, own.Word); can {
-		r := k.Net.Call(ctx, addr, wire.Control, KindPatchedOrder, p)
-		if r.Fate != wire.Answered || r.Fault != faultBase && !r.UnknownKind() {
+		r := k.Net.Call(ctx, addr, transport.Control, KindPatchedOrder, p)
+		if r.Fate != transport.Answered || r.Fault != faultBase && !r.UnknownKind() {
 			return r // it may have been carried out
 		}
 	}
-	return k.Net.Call(ctx, addr, wire.Control, KindOrder, o)
+	return k.Net.Call(ctx, addr, transport.Control, KindOrder, o)
 }
 
 // patchedOrder handles an order that is told as a difference.
-func (k *Keeper) patchedOrder(ctx context.Context, in wire.Request) (any, string) {
-	var p desired.Patch
+func (k *Keeper) patchedOrder(ctx context.Context, in transport.Request) (any, string) {
+	var p config.Patch
 	if !in.Into(&p) {
 		return nil, faultOrder
 	}
@@ -195,14 +195,14 @@
 // asked so.
 func (a Answer) told(o Order) Answer {
 	if w := a.Word; o.Brief {
-		a.Word = desired.Word{Stamp: w.Stamp, DesiredStamp: w.DesiredStamp, CalendarStamp: w.CalendarStamp, Generation: w.Generation}
+		a.Word = config.Word{Stamp: w.Stamp, DesiredStamp: w.DesiredStamp, CalendarStamp: w.CalendarStamp, Generation: w.Generation}
 	}
 	return a
 }
 
 // Handlers are what a keeper answers, by kind.
-func (k *Keeper) Handlers() map[string]wire.Handler {
-	return map[string]wire.Handler{
+func (k *Keeper) Handlers() map[string]transport.Handler {
+	return map[string]transport.Handler{
 		KindBallot: k.Ballot, KindOrder: k.Order,
 		KindPatchedBallot: k.patchedBallot, KindPatchedOrder: k.patchedOrder,
 	}
--- a/consensus/patched_test.go
+++ b/internal/controlplane/consensus/patched_test.go
@@ -9,16 +9,16 @@
 	"testing"
 	"time"
 
-	"curlewwalk/desired"
-	"curlewwalk/launch"
-	"curlewwalk/vault"
-	"curlewwalk/wire"
+	"curlewwalk/internal/actor"
+	"curlewwalk/internal/config"
+	"curlewwalk/internal/storage"
+	"curlewwalk/internal/transport"
 )
 
 // member is one keeper on the wire, whose version may be an older one.
 type member struct {
 	*Keeper
-	host *wire.Host
+	host *transport.Host
 	end  context.CancelFunc
 }
 
@@ -26,7 +26,7 @@
 type trio struct {
 	t       *testing.T
 	ctx     context.Context
-	l       *launch.Launcher
+	l       *actor.Launcher
 	peers   addresses
 	members map[int]*member
 	dirs    [4]string // by slot
@@ -44,7 +44,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 60*time.Second)
 	r := &trio{
 		t: t, ctx: ctx, peers: addresses{}, members: map[int]*member{},
-		l: launch.New(slog.New(slog.DiscardHandler), func(name string, cause any, stack []byte) { t.Errorf("%s: %v\n%s", name, cause, stack) }),
+		l: actor.New(slog.New(slog.DiscardHandler), func(name string, cause any, stack []byte) { t.Errorf("%s: %v\n%s", name, cause, stack) }),
 	}
 	for slot := 1; slot <= 3; slot++ {
 		r.dirs[slot] = t.TempDir()
@@ -73,7 +73,7 @@
 // start starts a member on its disk; old is one that knows no differences.
 func (r *trio) start(slot int, old bool) {
 	r.t.Helper()
-	v, err := vault.Open(r.dirs[slot])
+	v, err := storage.Open(r.dirs[slot])
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -86,10 +86,10 @@
 		r.t.Fatal(err)
 	}
 	ctx, end := context.WithCancel(r.ctx)
-	own := wire.Greeting{Version: wire.Version, Node: r.peers[slot]}
-	k.Net, k.Log, k.Peers = wire.NewNet(r.l, own, nil), slog.New(slog.DiscardHandler), one{r.peers, slot == 1}
-	k.Settled, k.Confirmed = func(context.Context, desired.Word) {}, func(context.Context, time.Time) {}
-	h := &wire.Host{Launcher: r.l, Own: own, Handlers: k.Handlers()}
+	own := transport.Greeting{Version: transport.Version, Node: r.peers[slot]}
+	k.Net, k.Log, k.Peers = transport.NewNet(r.l, own, nil), slog.New(slog.DiscardHandler), one{r.peers, slot == 1}
+	k.Settled, k.Confirmed = func(context.Context, config.Word) {}, func(context.Context, time.Time) {}
+	h := &transport.Host{Launcher: r.l, Own: own, Handlers: k.Handlers()}
 	if old {
 		delete(h.Handlers, KindPatchedBallot)
 		delete(h.Handlers, KindPatchedOrder)
@@ -133,7 +133,7 @@
 	}
 	if got := r.members[from].Forward(r.ctx, r.peers[1], o); !got.Into(&a) {
 		a.Result = Unknown
-		if got.Fate == wire.Answered {
+		if got.Fate == transport.Answered {
 			r.t.Fatalf("fault %q", got.Fault)
 		}
 	}
--- a/consensus/proposer.go
+++ b/internal/controlplane/consensus/proposer.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"curlewwalk/desired"
+	"curlewwalk/internal/config"
 )
 
 const (
@@ -34,17 +34,17 @@
 	Self    From
 	Founded int
 
-	founders []desired.Member
+	founders []config.Member
 	sets     Sets // of the own acceptor
-	asked    []desired.Member
+	asked    []config.Member
 	opened   time.Duration // when this round of votes was
 	phase    proposerPhase
 	epoch    uint64 // zero: none held
 	known    uint64 // the highest epoch heard of
 	mark     Mark
-	word     desired.Word
+	word     config.Word
 	base     Mark
-	held     desired.Word
+	held     config.Word
 	own      bool // the proposal is the first order's, not a half-done one's
 	orders   []Order
 	votes    map[int]Vote
@@ -58,7 +58,7 @@
 func (c *Proposer) Take(o Order, now time.Duration) []Outcome {
 	o.at = now
 	if o.Kind == Put && o.Generation != 0 && o.Digest == nil {
-		o.Digest = desired.Digest(o.Sent, o.Bytes)
+		o.Digest = config.Digest(o.Sent, o.Bytes)
 	}
 	c.orders = append(c.orders, o)
 	return c.proceed(now)
@@ -92,7 +92,7 @@
 	case !self || !sets.Quorum(votes):
 		return c.further(v.Sets.Union())
 	case c.phase == probing:
-		if s := c.orders[0].Seat; s.Slot != 0 && !has([]desired.Member{s}, votes[s.Slot].From) {
+		if s := c.orders[0].Seat; s.Slot != 0 && !has([]config.Member{s}, votes[s.Slot].From) {
 			return nil
 		}
 		c.orders[0].proposed = c.mark
@@ -283,7 +283,7 @@
 // and a number that was passed over, or taken too long ago to be known, is acknowledged
 // and changes nothing. What is held is settled, so no later word can tell otherwise.
 // (DESIGN 6.3)
-func repeated(held desired.Word, o Order) Result {
+func repeated(held config.Word, o Order) Result {
 	if same, known := held.TakenAs(o.Generation, o.Digest); known && !same {
 		return Conflict
 	}
@@ -293,7 +293,7 @@
 // superseded ends an order on a zone if another, or this one, was taken there since
 // it came. One that asked for the same makes it good as well; one that asked for the
 // opposite is newer, and stays. (DESIGN 6.3)
-func superseded(held desired.Word, o Order) (Result, bool) {
+func superseded(held config.Word, o Order) (Result, bool) {
 	bound := o.IfMatch == nil || *o.IfMatch == held.DesiredStamp
 	if o.Since == nil || o.Kind != Empty && o.Kind != TakeBack || !bound {
 		return "", false
@@ -309,7 +309,7 @@
 }
 
 // does tells whether a held word is what the order asked for.
-func does(w desired.Word, o Order) bool {
+func does(w config.Word, o Order) bool {
 	switch o.Kind {
 	case Put:
 		return w.DesiredStamp == w.Stamp && bytes.Equal(w.Desired, o.Bytes) && (o.Generation == 0 || w.Generation == o.Generation)
@@ -328,7 +328,7 @@
 }
 
 // next is the word that an order makes of the one before.
-func next(w desired.Word, o Order) desired.Word {
+func next(w config.Word, o Order) config.Word {
 	w.Stamp++
 	w.Emptied, w.Closures = slices.Clone(w.Emptied), slices.Clone(w.Closures)
 	open := func() { w.Emptied = slices.DeleteFunc(w.Emptied, func(l string) bool { return l == o.Zone }) }
@@ -353,9 +353,9 @@
 		}
 		w = w.Evacuate(o.Zone)
 	case Begin:
-		w.Closures = append(w.Closures, desired.Closure{Zone: o.Zone, Window: o.Window})
+		w.Closures = append(w.Closures, config.Closure{Zone: o.Zone, Window: o.Window})
 	case End:
-		w.Closures = slices.DeleteFunc(w.Closures, func(c desired.Closure) bool { return c.Window == o.Window })
+		w.Closures = slices.DeleteFunc(w.Closures, func(c config.Closure) bool { return c.Window == o.Window })
 	}
 	return w
 }
@@ -363,7 +363,7 @@
 // prepared: a majority promised; the highest word among them is proposed again
 // under the own epoch, which finishes whatever was left half done.
 func (c *Proposer) prepared(votes map[int]Vote, now time.Duration) []Outcome {
-	c.base, c.held = Mark{}, desired.Word{}
+	c.base, c.held = Mark{}, config.Word{}
 	for _, v := range votes {
 		if c.base.Compare(v.Mark) < 0 {
 			c.base, c.held = v.Mark, v.Word
@@ -406,22 +406,22 @@
 }
 
 // self is the own acceptor, as far as no set names it.
-func (c *Proposer) self() []desired.Member {
+func (c *Proposer) self() []config.Member {
 	if has(c.sets.Union(), c.Self) {
 		return nil
 	}
-	return []desired.Member{{Slot: c.Self.Slot, ID: c.Self.ID}}
+	return []config.Member{{Slot: c.Self.Slot, ID: c.Self.ID}}
 }
 
 // setsOf are the sets of a word.
-func (c *Proposer) setsOf(w desired.Word) Sets {
+func (c *Proposer) setsOf(w config.Word) Sets {
 	return Acceptor{Word: w, Founded: c.Founded, Founders: c.founders}.Sets()
 }
 
 // further puts the current ballot to members that a vote has told of as well.
-func (c *Proposer) further(told []desired.Member) []Outcome {
-	more := slices.DeleteFunc(told, func(m desired.Member) bool {
-		return slices.ContainsFunc(c.asked, func(a desired.Member) bool { return same(a, m) })
+func (c *Proposer) further(told []config.Member) []Outcome {
+	more := slices.DeleteFunc(told, func(m config.Member) bool {
+		return slices.ContainsFunc(c.asked, func(a config.Member) bool { return same(a, m) })
 	})
 	if c.phase != preparing || len(more) == 0 {
 		return nil
@@ -433,7 +433,7 @@
 // send puts the current ballot to every slot that has not voted for it.
 func (c *Proposer) send(now time.Duration) []Outcome {
 	c.sent = now
-	to := slices.DeleteFunc(slices.Clone(c.asked), func(m desired.Member) bool { _, ok := c.votes[m.Slot]; return ok })
+	to := slices.DeleteFunc(slices.Clone(c.asked), func(m config.Member) bool { _, ok := c.votes[m.Slot]; return ok })
 	return []Outcome{{Ballot: c.ballot(), To: to}}
 }
 
--- a/consensus/sets.go
+++ b/internal/controlplane/consensus/sets.go
@@ -4,47 +4,47 @@
 	"cmp"
 	"slices"
 
-	"curlewwalk/desired"
+	"curlewwalk/internal/config"
 )
 
 // Sets are the sets of slots that decide: the one in force and, while a change
 // of it is the newest change, the one before. (DESIGN 6.5)
 type Sets struct {
-	Now    []desired.Member `msgpack:"n,omitempty" json:"now"`
-	Before []desired.Member `msgpack:"b,omitempty" json:"before,omitempty"`
+	Now    []config.Member `msgpack:"n,omitempty" json:"now"`
+	Before []config.Member `msgpack:"b,omitempty" json:"before,omitempty"`
 }
 
 // static is the set of n slots whose disks are told apart by incarnation.
-func static(n int) []desired.Member {
-	var out []desired.Member
+func static(n int) []config.Member {
+	var out []config.Member
 	for s := 1; s <= n; s++ {
-		out = append(out, desired.Member{Slot: s})
+		out = append(out, config.Member{Slot: s})
 	}
 	return out
 }
 
 // each lists the sets that there are.
-func (s Sets) each() [][]desired.Member {
+func (s Sets) each() [][]config.Member {
 	if len(s.Before) > 0 {
-		return [][]desired.Member{s.Now, s.Before}
+		return [][]config.Member{s.Now, s.Before}
 	}
-	return [][]desired.Member{s.Now}
+	return [][]config.Member{s.Now}
 }
 
 // Union lists all members of any of the sets.
-func (s Sets) Union() []desired.Member { return union(s.Now, s.Before) }
+func (s Sets) Union() []config.Member { return union(s.Now, s.Before) }
 
-func union(sets ...[]desired.Member) []desired.Member {
+func union(sets ...[]config.Member) []config.Member {
 	out := slices.Concat(sets...)
-	slices.SortFunc(out, func(a, b desired.Member) int { return cmp.Or(cmp.Compare(a.Slot, b.Slot), cmp.Compare(a.ID, b.ID)) })
+	slices.SortFunc(out, func(a, b config.Member) int { return cmp.Or(cmp.Compare(a.Slot, b.Slot), cmp.Compare(a.ID, b.ID)) })
 	return slices.CompactFunc(out, same)
 }
 
 // same tells whether two are one disk in one slot.
-func same(a, b desired.Member) bool { return a.Slot == b.Slot && a.ID == b.ID }
+func same(a, b config.Member) bool { return a.Slot == b.Slot && a.ID == b.ID }
 
 // Slots lists the slots of a set.
-func Slots(set []desired.Member) []int {
+func Slots(set []config.Member) []int {
 	var out []int
 	for _, m := range set {
 		out = append(out, m.Slot)
@@ -53,12 +53,12 @@
 }
 
 // has tells whether a set has a sender among its members.
-func has(set []desired.Member, f From) bool {
-	return slices.ContainsFunc(set, func(m desired.Member) bool { return m.Slot == f.Slot && (m.ID == 0 || m.ID == f.ID) })
+func has(set []config.Member, f From) bool {
+	return slices.ContainsFunc(set, func(m config.Member) bool { return m.Slot == f.Slot && (m.ID == 0 || m.ID == f.ID) })
 }
 
 // in counts the votes that came from members of a set.
-func in(set []desired.Member, votes map[int]Vote) int {
+func in(set []config.Member, votes map[int]Vote) int {
 	n := 0
 	for _, v := range votes {
 		if has(set, v.From) {
--- a/consensus/sets_test.go
+++ b/internal/controlplane/consensus/sets_test.go
@@ -3,13 +3,13 @@
 import (
 	"testing"
 
-	"curlewwalk/desired"
-	"curlewwalk/vault"
+	"curlewwalk/internal/config"
+	"curlewwalk/internal/storage"
 )
 
-func set(slots ...int) (out []desired.Member) {
+func set(slots ...int) (out []config.Member) {
 	for _, s := range slots {
-		out = append(out, desired.Member{Slot: s, ID: uint64(100 + s)})
+		out = append(out, config.Member{Slot: s, ID: uint64(100 + s)})
 	}
 	return out
 }
@@ -59,12 +59,12 @@
 // comes again.
 func TestChange(t *testing.T) {
 	now := set(1, 2, 3)
-	come := Order{Kind: Reseat, Seat: desired.Member{Slot: 4, ID: 104}, Of: now}
-	w := change(desired.Word{Stamp: 1}, now, come)
+	come := Order{Kind: Reseat, Seat: config.Member{Slot: 4, ID: 104}, Of: now}
+	w := change(config.Word{Stamp: 1}, now, come)
 	if len(w.Slots) != 4 || len(w.Formerly) != 3 || w.Top != 4 {
 		t.Errorf("%+v", w)
 	}
-	swap := Order{Kind: Reseat, Seat: desired.Member{Slot: 5, ID: 105}, Out: 2, Of: w.Slots}
+	swap := Order{Kind: Reseat, Seat: config.Member{Slot: 5, ID: 105}, Out: 2, Of: w.Slots}
 	x := change(sealed(w), w.Slots, swap)
 	if s := Slots(x.Slots); len(s) != 4 || s[1] != 3 || s[3] != 5 || len(x.Formerly) != 4 || x.Top != 5 {
 		t.Errorf("%+v", x)
@@ -74,17 +74,17 @@
 	}
 	for _, c := range []struct {
 		name string
-		held desired.Word
-		now  []desired.Member
+		held config.Word
+		now  []config.Member
 		o    Order
 		want Result
 	}{
-		{"to be done", desired.Word{}, now, come, ""},
+		{"to be done", config.Word{}, now, come, ""},
 		{"done", w, w.Slots, come, Taken},
 		{"decided on another set", x, x.Slots, swapOf(come, now, 6), NotTaken},
-		{"a slot used before", desired.Word{Slots: now, Top: 4}, now, come, NotTaken},
-		{"the last one", desired.Word{}, set(1), Order{Kind: Reseat, Out: 1, Of: set(1)}, NotTaken},
-		{"another order", desired.Word{}, now, Order{Kind: Put}, ""},
+		{"a slot used before", config.Word{Slots: now, Top: 4}, now, come, NotTaken},
+		{"the last one", config.Word{}, set(1), Order{Kind: Reseat, Out: 1, Of: set(1)}, NotTaken},
+		{"another order", config.Word{}, now, Order{Kind: Put}, ""},
 	} {
 		ans, done := judgeReseat(c.held, c.now, c.o)
 		if done != (c.want != "") || done && ans.Result != c.want {
@@ -93,7 +93,7 @@
 	}
 }
 
-func swapOf(o Order, of []desired.Member, slot int) Order {
+func swapOf(o Order, of []config.Member, slot int) Order {
 	o.Of, o.Seat.Slot, o.Seat.ID = of, slot, uint64(100+slot)
 	return o
 }
@@ -120,7 +120,7 @@
 func TestStart(t *testing.T) {
 	founders := []string{"a", "b", "c"}
 	open := func() Disk {
-		v, err := vault.Open(t.TempDir())
+		v, err := storage.Open(t.TempDir())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -150,7 +150,7 @@
 	}
 	d = open()
 	v := load(&d, Start{})
-	w := desired.Word{Stamp: 1, Slots: []desired.Member{{Slot: 1, ID: 7}, {Slot: 4, ID: v.Self.ID}}, Formerly: []desired.Member{{Slot: 1, ID: 7}}, Top: 4}
+	w := config.Word{Stamp: 1, Slots: []config.Member{{Slot: 1, ID: 7}, {Slot: 4, ID: v.Self.ID}}, Formerly: []config.Member{{Slot: 1, ID: 7}}, Top: 4}
 	m := Mark{Epoch: stride + 1, Stamp: 1}
 	v, vote := v.On(Ballot{Act: Propose, Epoch: m.Epoch, Mark: m, Word: w})
 	if !vote.OK || vote.From.Slot != 4 || v.Phase != Seeking {
--- a/consensus/state.go
+++ b/internal/controlplane/consensus/state.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"curlewwalk/desired"
+	"curlewwalk/internal/config"
 )
 
 // What follows lets an exploration of all interleavings tell states apart: copies that
@@ -89,7 +89,7 @@
 
 // AppendWord appends an encoding of what orders about configurations and the set of
 // slots make of a word.
-func AppendWord(b []byte, w desired.Word) []byte {
+func AppendWord(b []byte, w config.Word) []byte {
 	b = appendNumbers(b, w.Stamp, w.DesiredStamp, w.Generation, uint64(w.Top), uint64(len(w.Desired)), uint64(len(w.Taken)))
 	b = append(b, w.Desired...)
 	for _, t := range w.Taken {
@@ -122,7 +122,7 @@
 
 func appendFrom(b []byte, f From) []byte { return appendNumbers(b, uint64(f.Slot), f.Inc, f.ID) }
 
-func appendMembers(b []byte, set []desired.Member) []byte {
+func appendMembers(b []byte, set []config.Member) []byte {
 	b = appendNumbers(b, uint64(len(set)))
 	for _, m := range set {
 		b = appendNumbers(b, uint64(m.Slot), m.ID)
--- a/consensus/transition_test.go
+++ b/internal/controlplane/consensus/transition_test.go
@@ -9,10 +9,10 @@
 	"testing"
 	"time"
 
-	"curlewwalk/desired"
-	"curlewwalk/launch"
-	"curlewwalk/vault"
-	"curlewwalk/wire"
+	"curlewwalk/internal/actor"
+	"curlewwalk/internal/config"
+	"curlewwalk/internal/storage"
+	"curlewwalk/internal/transport"
 )
 
 // gate holds up or fails what is written while it is shut.
@@ -33,7 +33,7 @@
 type harness struct {
 	*Keeper
 	ctx       context.Context
-	vault     *vault.Vault
+	vault     *storage.Vault
 	told      chan uint64    // stamps of settled words
 	sure      chan time.Time // as of when the keeper was sure
 	acceptors map[int]*slow
@@ -52,12 +52,12 @@
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	t.Cleanup(cancel)
-	l := launch.New(slog.New(slog.DiscardHandler), func(name string, cause any, stack []byte) { t.Errorf("%s: %v\n%s", name, cause, stack) })
+	l := actor.New(slog.New(slog.DiscardHandler), func(name string, cause any, stack []byte) { t.Errorf("%s: %v\n%s", name, cause, stack) })
 	b := &harness{ctx: ctx, told: make(chan uint64, 64), sure: make(chan time.Time, 1024), acceptors: map[int]*slow{}}
-	members := []desired.Member{{Slot: 1, ID: 1}}
+	members := []config.Member{{Slot: 1, ID: 1}}
 	peers := addresses{}
 	for slot := 2; slot <= 3; slot++ {
-		m := desired.Member{Slot: slot, ID: uint64(slot), Addr: "127.0.0.1:1"} // nobody listens
+		m := config.Member{Slot: slot, ID: uint64(slot), Addr: "127.0.0.1:1"} // nobody listens
 		if _, ok := others[slot]; ok {
 			ln, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
@@ -65,7 +65,7 @@
 			}
 			s := &slow{}
 			b.acceptors[slot] = s
-			h := &wire.Host{Launcher: l, Listener: ln, Own: wire.Greeting{Version: wire.Version, Node: ln.Addr().String()}, Handlers: map[string]wire.Handler{KindBallot: s.ballot}}
+			h := &transport.Host{Launcher: l, Listener: ln, Own: transport.Greeting{Version: transport.Version, Node: ln.Addr().String()}, Handlers: map[string]transport.Handler{KindBallot: s.ballot}}
 			l.Go(ctx, "host", h.Run)
 			m.Addr = ln.Addr().String()
 		}
@@ -73,13 +73,13 @@
 		members = append(members, m)
 	}
 	holds := func(slot int, m Mark) Acceptor {
-		w := desired.Word{Stamp: m.Stamp, DesiredStamp: m.Stamp, Slots: members, Top: 3}
+		w := config.Word{Stamp: m.Stamp, DesiredStamp: m.Stamp, Slots: members, Top: 3}
 		return Acceptor{Self: From{Slot: slot, Inc: 1, ID: uint64(slot)}, Phase: Established, Promised: m.Epoch, Mark: m, Word: w, OathDirty: true, WordDirty: true}
 	}
 	for slot, m := range others {
 		b.acceptors[slot].acceptor = holds(slot, m)
 	}
-	v, err := vault.Open(t.TempDir())
+	v, err := storage.Open(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -90,8 +90,8 @@
 	if b.Keeper, err = NewKeeper(l, &Disk{Vault: v}, Start{}); err != nil {
 		t.Fatal(err)
 	}
-	b.Net, b.Log, b.Peers = wire.NewNet(l, wire.Greeting{Version: wire.Version, Node: "own"}, nil), slog.New(slog.DiscardHandler), b
-	b.Settled = func(_ context.Context, w desired.Word) { b.told <- w.Stamp }
+	b.Net, b.Log, b.Peers = transport.NewNet(l, transport.Greeting{Version: transport.Version, Node: "own"}, nil), slog.New(slog.DiscardHandler), b
+	b.Settled = func(_ context.Context, w config.Word) { b.told <- w.Stamp }
 	b.Confirmed = func(_ context.Context, at time.Time) { b.sure <- at }
 	l.Go(ctx, "net", b.Net.Run)
 	return b
@@ -152,7 +152,7 @@
 	g := b.shut()
 	epoch := uint64(2<<17 + 1)
 	votes := make(chan *Vote, 3)
-	word := func(stamp uint64) desired.Word {
+	word := func(stamp uint64) config.Word {
 		w := b.Acceptor().Word
 		w.Stamp = stamp
 		return w
--- a/consensus/usher.go
+++ b/internal/controlplane/consensus/usher.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"curlewwalk/desired"
+	"curlewwalk/internal/config"
 )
 
 const (
@@ -40,7 +40,7 @@
 
 // Look takes which slots of the set have live cores. One that slept knows of nobody
 // for how long it was away.
-func (u Usher) Look(set []desired.Member, places map[int]Place, now time.Duration) Usher {
+func (u Usher) Look(set []config.Member, places map[int]Place, now time.Duration) Usher {
 	old := u.absent
 	if u.looked == 0 || now-u.looked > woken {
 		old = nil
@@ -72,8 +72,8 @@
 	if v.Founded > 0 || len(set) == 0 {
 		return Order{}, false // a system of static slots has none to give
 	}
-	o := Order{Kind: Reseat, Of: set, Seat: desired.Member{Slot: max(v.Word.Top, set[len(set)-1].Slot) + 1, ID: a.ID, Addr: a.Addr}}
-	if o.Seat.Slot > MostSlots || slices.ContainsFunc(set, func(m desired.Member) bool { return m.ID == a.ID }) {
+	o := Order{Kind: Reseat, Of: set, Seat: config.Member{Slot: max(v.Word.Top, set[len(set)-1].Slot) + 1, ID: a.ID, Addr: a.Addr}}
+	if o.Seat.Slot > MostSlots || slices.ContainsFunc(set, func(m config.Member) bool { return m.ID == a.ID }) {
 		return o, false
 	}
 	live, gone := 0, 0
--- a/consensus/usher_test.go
+++ b/internal/controlplane/consensus/usher_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"curlewwalk/desired"
+	"curlewwalk/internal/config"
 )
 
 // hall is what the core on duty of three knows: all live, unless a test says else.
@@ -13,7 +13,7 @@
 	places := map[int]Place{}
 	for s := 1; s <= n; s++ {
 		addr := string(rune('a' + s - 1))
-		v.Founders = append(v.Founders, desired.Member{Slot: s, ID: uint64(s), Addr: addr})
+		v.Founders = append(v.Founders, config.Member{Slot: s, ID: uint64(s), Addr: addr})
 		places[s] = Place{Addr: addr, Live: true}
 	}
 	v.Self = From{Slot: 1, Inc: 1, ID: 1}
--- a/core/control.go
+++ b/internal/controlplane/control.go
@@ -1,4 +1,4 @@
-package core
+package controlplane
 
 import (
 	"context"
@@ -8,16 +8,16 @@
 	"strings"
 	"time"
 
-	"curlewwalk/collect"
-	"curlewwalk/consensus"
-	"curlewwalk/contract"
-	"curlewwalk/desired"
-	"curlewwalk/feed"
-	"curlewwalk/membership"
-	"curlewwalk/process"
-	"curlewwalk/routing"
-	"curlewwalk/trace"
-	"curlewwalk/wire"
+	"curlewwalk/internal/config"
+	"curlewwalk/internal/controlplane/consensus"
+	"curlewwalk/internal/dataplane/routing"
+	"curlewwalk/internal/membership"
+	"curlewwalk/internal/process"
+	"curlewwalk/internal/retrybudget"
+	"curlewwalk/internal/trace"
+	"curlewwalk/internal/tracestore"
+	"curlewwalk/internal/transport"
+	"curlewwalk/internal/watch"
 )
 
 const (
@@ -40,8 +40,8 @@
 
 // faulty is the response of a configuration that does not check.
 type faulty struct {
-	Error  string          `json:"error"`
-	Faults []desired.Fault `json:"faults"`
+	Error  string         `json:"error"`
+	Faults []config.Fault `json:"faults"`
 }
 
 // state is what GET /v1/state shows.
@@ -55,7 +55,7 @@
 	Duty      int                     `json:"duty"`
 	Cores     []membership.Seat       `json:"cores"`
 	Live      []int                   `json:"live"`
-	Directory feed.State              `json:"directory"`
+	Directory watch.State             `json:"directory"`
 }
 
 // control serves a core's /v1, /live and /ready.
@@ -104,7 +104,7 @@
 	case err.Status == http.StatusRequestEntityTooLarge:
 		process.JSON(w, http.StatusUnprocessableEntity, faulty{
 			Error:  what + " does not check",
-			Faults: []desired.Fault{{Path: path, Message: err.Message}},
+			Faults: []config.Fault{{Path: path, Message: err.Message}},
 		})
 	default:
 		process.Error(w, err.Status, err.Message)
@@ -113,7 +113,7 @@
 }
 
 func (n *Node) putDesired(w http.ResponseWriter, r *http.Request) {
-	bytes, ok := body(w, r, "configuration", "$", desired.MaxBytes)
+	bytes, ok := body(w, r, "configuration", "$", config.MaxBytes)
 	if !ok {
 		return
 	}
@@ -143,8 +143,8 @@
 func (n *Node) zone(kind consensus.OrderKind) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		name := r.PathValue("name")
-		if !desired.IsName(name) {
-			process.JSON(w, http.StatusUnprocessableEntity, faulty{Error: "no locality", Faults: []desired.Fault{{Path: name, Message: "must be " + desired.NameForm}}})
+		if !config.IsName(name) {
+			process.JSON(w, http.StatusUnprocessableEntity, faulty{Error: "no locality", Faults: []config.Fault{{Path: name, Message: "must be " + config.NameForm}}})
 			return
 		}
 		if m, ok := ifMatch(w, r); ok {
@@ -197,7 +197,7 @@
 }
 
 // read reads the newest word back from a majority.
-func (n *Node) read(w http.ResponseWriter, r *http.Request) (desired.Word, bool) {
+func (n *Node) read(w http.ResponseWriter, r *http.Request) (config.Word, bool) {
 	word, ok := n.Read(r.Context())
 	if !ok {
 		w.Header().Set("Retry-After", "1")
@@ -241,7 +241,7 @@
 		process.Error(w, http.StatusServiceUnavailable, "no configuration is known")
 		return
 	}
-	process.JSON(w, http.StatusOK, contract.Answer{Whole: st.Open, Budgets: table.Pages(n.directory.Budgets())})
+	process.JSON(w, http.StatusOK, retrybudget.Answer{Whole: st.Open, Budgets: table.Pages(n.directory.Budgets())})
 }
 
 // getDrain reports what still runs in a zone, and since when nothing does. A core
@@ -279,8 +279,8 @@
 			if slot == own {
 				addr, known = n.set.Advertise, true
 			}
-			var b collect.Batch
-			got := known && n.p.Net.Call(ctx, addr, wire.Control, collect.KindTrace, collect.Query{Trace: id}).Into(&b)
+			var b tracestore.Batch
+			got := known && n.p.Net.Call(ctx, addr, transport.Control, tracestore.KindTrace, tracestore.Query{Trace: id}).Into(&b)
 			parts <- part{slot: slot, events: b.Events, ok: got}
 		})
 	}
@@ -293,7 +293,7 @@
 			unasked = append(unasked, p.slot)
 		}
 	}
-	t := collect.Build(id, events)
+	t := tracestore.Build(id, events)
 	t.Unasked, t.Whole = unasked, t.Whole && len(unasked) == 0
 	status := http.StatusOK
 	if t.Spans == 0 {
--- a/core/door.go
+++ b/internal/controlplane/door.go
@@ -1,32 +1,32 @@
-package core
+package controlplane
 
 import (
 	"context"
 	"fmt"
 
-	"curlewwalk/consensus"
-	"curlewwalk/desired"
-	"curlewwalk/launch"
+	"curlewwalk/internal/actor"
+	"curlewwalk/internal/config"
+	"curlewwalk/internal/controlplane/consensus"
 )
 
 // What an operator may ask of a core, in whatever dialect. An order that was begun goes
 // on though whoever gave it goes away. (DESIGN 18)
 
 // Put has a configuration put, unless it has faults: then nothing is done.
-func (n *Node) Put(ctx context.Context, e Generation) (consensus.Answer, []desired.Fault) {
-	if len(e.Desired) > desired.MaxBytes || len(e.Sent) > desired.MaxBytes {
-		return consensus.Answer{Result: consensus.NotTaken}, []desired.Fault{{Path: "$", Message: fmt.Sprintf("over %d bytes", desired.MaxBytes)}}
+func (n *Node) Put(ctx context.Context, e Generation) (consensus.Answer, []config.Fault) {
+	if len(e.Desired) > config.MaxBytes || len(e.Sent) > config.MaxBytes {
+		return consensus.Answer{Result: consensus.NotTaken}, []config.Fault{{Path: "$", Message: fmt.Sprintf("over %d bytes", config.MaxBytes)}}
 	}
-	_, faults, ok := desired.Parse(e.Desired)
+	_, faults, ok := config.Parse(e.Desired)
 	if !ok {
-		faults = []desired.Fault{{Path: "$", Message: "not JSON"}}
+		faults = []config.Fault{{Path: "$", Message: "not JSON"}}
 	}
 	if len(faults) > 0 {
 		return consensus.Answer{Result: consensus.NotTaken}, faults
 	}
 	o := consensus.Order{Kind: consensus.Put, Bytes: e.Desired, Generation: e.Number, Sent: e.Sent, IfMatch: e.IfMatch}
 	if e.Number != 0 {
-		o.Digest = desired.Digest(e.Sent, e.Desired)
+		o.Digest = config.Digest(e.Sent, e.Desired)
 	}
 	a := n.obey(ctx, o)
 	if a.Result == consensus.Conflict {
@@ -69,7 +69,7 @@
 
 // await carries out an order that goes on though whoever gave it goes away, and returns
 // its answer, or that it is not known when ctx ends before.
-func await(ctx context.Context, l *launch.Launcher, order func(ctx context.Context) consensus.Answer) consensus.Answer {
+func await(ctx context.Context, l *actor.Launcher, order func(ctx context.Context) consensus.Answer) consensus.Answer {
 	answer := make(chan consensus.Answer, 1)
 	l.Go(context.WithoutCancel(ctx), "order", func(ctx context.Context) { answer <- order(ctx) })
 	select {
@@ -81,7 +81,7 @@
 }
 
 // Read reads the newest word back from a majority; false if none answers.
-func (n *Node) Read(ctx context.Context) (desired.Word, bool) {
+func (n *Node) Read(ctx context.Context) (config.Word, bool) {
 	word, ok := n.keeper.ReadBack(ctx, n.refresh)
 	if ok {
 		n.counters.reads.Add("answered")
--- a/core/door_test.go
+++ b/internal/controlplane/door_test.go
@@ -1,19 +1,19 @@
-package core
+package controlplane
 
 import (
 	"testing"
 
-	"curlewwalk/consensus"
-	"curlewwalk/desired"
+	"curlewwalk/internal/config"
+	"curlewwalk/internal/controlplane/consensus"
 )
 
 // A newcomer is ready only once the set that names it is in force by itself; a member
 // stays ready while later changes go on, and a struck one is not ready.
 func TestLacksSeat(t *testing.T) {
-	before := []desired.Member{{Slot: 1, ID: 1}, {Slot: 2, ID: 2}, {Slot: 3, ID: 3}}
-	now := append(before[:2:2], desired.Member{Slot: 4, ID: 4})
-	changing := desired.Word{Slots: now, Formerly: before}
-	changed := desired.Word{Slots: now}
+	before := []config.Member{{Slot: 1, ID: 1}, {Slot: 2, ID: 2}, {Slot: 3, ID: 3}}
+	now := append(before[:2:2], config.Member{Slot: 4, ID: 4})
+	changing := config.Word{Slots: now, Formerly: before}
+	changed := config.Word{Slots: now}
 	newcomer, struck := consensus.From{Slot: 4, Inc: 1, ID: 4}, consensus.From{Slot: 3, Inc: 1, ID: 3}
 	for _, c := range []struct {
 		name     string
--- a/core/generation.go
+++ b/internal/controlplane/generation.go
@@ -1,4 +1,4 @@
-package core
+package controlplane
 
 // Generation is a configuration with the operator's own number.
 type Generation struct {
--- a/core/golden_test.go
+++ b/internal/controlplane/golden_test.go
@@ -1,12 +1,12 @@
-package core
+package controlplane
 
 import (
 	"slices"
 	"testing"
 
-	"curlewwalk/metrics"
-	"curlewwalk/proof/golden"
-	"curlewwalk/wire"
+	"curlewwalk/internal/metrics"
+	"curlewwalk/internal/transport"
+	"curlewwalk/tests/golden"
 )
 
 // What operators read and other cores are answered is what it has always been.
@@ -20,6 +20,6 @@
 // The metrics have the names and labels that they have always had.
 func TestGoldenMetrics(t *testing.T) {
 	n := &Node{}
-	all := slices.Concat(n.consensusMetrics(), n.membershipMetrics(), n.feedMetrics(), metrics.Wire(&wire.Counts{}, &wire.Counts{}))
+	all := slices.Concat(n.consensusMetrics(), n.membershipMetrics(), n.feedMetrics(), metrics.Wire(&transport.Counts{}, &transport.Counts{}))
 	golden.Metrics(t, "metrics.txt", all)
 }
--- a/core/leave.go
+++ b/internal/controlplane/leave.go
@@ -1,10 +1,10 @@
-package core
+package controlplane
 
 import (
 	"context"
 	"time"
 
-	"curlewwalk/consensus"
+	"curlewwalk/internal/controlplane/consensus"
 )
 
 const (
--- a/core/metrics.go
+++ b/internal/controlplane/metrics.go
@@ -1,4 +1,4 @@
-package core
+package controlplane
 
 import (
 	"context"
@@ -6,9 +6,9 @@
 	"sync/atomic"
 	"time"
 
-	"curlewwalk/consensus"
-	"curlewwalk/feed"
-	"curlewwalk/metrics"
+	"curlewwalk/internal/controlplane/consensus"
+	"curlewwalk/internal/metrics"
+	"curlewwalk/internal/watch"
 )
 
 // stateWait is how long a scrape waits for the directory. (ours)
@@ -88,13 +88,13 @@
 
 func (n *Node) feedMetrics() []*metrics.Metric {
 	return []*metrics.Metric{
-		metrics.Gauge("feed_sequence", "Number of the newest change in this core's feed; it starts anew with the process.", nil, n.ofDirectory(func(s feed.State) float64 {
+		metrics.Gauge("feed_sequence", "Number of the newest change in this core's feed; it starts anew with the process.", nil, n.ofDirectory(func(s watch.State) float64 {
 			return float64(s.Place)
 		})),
-		metrics.Gauge("feed_ready", "Whether the feed is served: not while the core is still being told of the sidecars.", nil, n.ofDirectory(func(s feed.State) float64 {
+		metrics.Gauge("feed_ready", "Whether the feed is served: not while the core is still being told of the sidecars.", nil, n.ofDirectory(func(s watch.State) float64 {
 			return metrics.Bool(s.Open)
 		})),
-		metrics.Gauge("sidecars_known", "Sidecars that this core hears.", nil, n.ofDirectory(func(s feed.State) float64 {
+		metrics.Gauge("sidecars_known", "Sidecars that this core hears.", nil, n.ofDirectory(func(s watch.State) float64 {
 			return float64(len(s.Nodes))
 		})),
 		metrics.Gauge("sidecars_behind", "Sidecars that have an older configuration in force than the newest one here.", nil, n.ofDirectory(behind)),
@@ -103,7 +103,7 @@
 
 // ofDirectory reads a value of the directory's state; none if the directory
 // doesn't answer in time.
-func (n *Node) ofDirectory(value func(s feed.State) float64) metrics.Read {
+func (n *Node) ofDirectory(value func(s watch.State) float64) metrics.Read {
 	return func(emit metrics.Emit) {
 		ctx, cancel := context.WithTimeout(n.p.Life, stateWait)
 		defer cancel()
@@ -114,7 +114,7 @@
 }
 
 // behind counts the sidecars with an older configuration than the directory's.
-func behind(s feed.State) float64 {
+func behind(s watch.State) float64 {
 	count := 0
 	for _, node := range s.Nodes {
 		if node.Stamp < s.Stamp {
--- a/core/node.go
+++ b/internal/controlplane/node.go
@@ -1,5 +1,5 @@
-// Package core puts the parts of the control plane together. (DESIGN 1)
-package core
+// Package controlplane puts the parts of the control plane together. (DESIGN 1)
+package controlplane
 
 import (
 	"context"
@@ -10,16 +10,16 @@
 	"sync/atomic"
 	"time"
 
-	"curlewwalk/clock"
-	"curlewwalk/collect"
-	"curlewwalk/consensus"
-	"curlewwalk/desired"
-	"curlewwalk/feed"
-	"curlewwalk/membership"
-	"curlewwalk/process"
-	"curlewwalk/settings"
-	"curlewwalk/vault"
-	"curlewwalk/wire"
+	"curlewwalk/internal/clock"
+	"curlewwalk/internal/config"
+	"curlewwalk/internal/controlplane/consensus"
+	"curlewwalk/internal/membership"
+	"curlewwalk/internal/process"
+	"curlewwalk/internal/settings"
+	"curlewwalk/internal/storage"
+	"curlewwalk/internal/tracestore"
+	"curlewwalk/internal/transport"
+	"curlewwalk/internal/watch"
 )
 
 // writeLimit is how long an order may take, wherever it is carried out.
@@ -37,9 +37,9 @@
 	p         *process.Process
 	set       settings.Core
 	keeper    *consensus.Keeper
-	directory *feed.Directory
+	directory *watch.Directory
 	seeker    *membership.Seeker
-	store     *collect.Store
+	store     *tracestore.Store
 	warden    *warden
 	usher     *usher
 	reload    *process.Reloader
@@ -51,9 +51,9 @@
 
 // New puts the parts together and opens the addresses.
 func New(set settings.Core, doors Doors) *Node {
-	p := process.New("core", set.Common)
-	n := &Node{p: p, set: set, store: collect.NewStore(), seeker: membership.NewSeeker(), directory: feed.NewDirectory(p.Launcher, p.Boot)}
-	v, err := vault.Open(set.Data)
+	p := process.New("controlplane", set.Common)
+	n := &Node{p: p, set: set, store: tracestore.NewStore(), seeker: membership.NewSeeker(), directory: watch.NewDirectory(p.Launcher, p.Boot)}
+	v, err := storage.Open(set.Data)
 	if err != nil {
 		p.Fail("data", err)
 	}
@@ -63,7 +63,7 @@
 	n.warden = &warden{n: n}
 	n.keeper.Net, n.keeper.Log, n.keeper.Peers = p.Net, p.Log, n
 	n.usher = newUsher(n)
-	n.keeper.Settled = func(ctx context.Context, w desired.Word) { n.directory.Settled(ctx, w) }
+	n.keeper.Settled = func(ctx context.Context, w config.Word) { n.directory.Settled(ctx, w) }
 	n.keeper.Confirmed, n.keeper.Turned = n.confirmed, n.seeker.Hasten
 	n.seeker.Own = func() membership.Heartbeat { return membership.Heartbeat{Seat: n.told()} }
 	n.seeker.Addr, n.seeker.Net, n.seeker.Launcher, n.seeker.Heard = set.Advertise, p.Net, p.Launcher, n.heard
@@ -72,11 +72,11 @@
 	n.reload.Apply(set.Common)
 
 	p.Host.Handlers[membership.KindHeartbeat] = n.heartbeat
-	p.Host.Handlers[feed.KindFollow] = n.directory.Answer
+	p.Host.Handlers[watch.KindFollow] = n.directory.Answer
 	maps.Copy(p.Host.Handlers, n.keeper.Handlers())
 	p.Host.Handlers[consensus.KindSeat] = n.usher.asked
-	p.Host.Handlers[collect.KindPublish] = n.store.Publish
-	p.Host.Handlers[collect.KindTrace] = n.store.Trace
+	p.Host.Handlers[tracestore.KindPublish] = n.store.Publish
+	p.Host.Handlers[tracestore.KindTrace] = n.store.Trace
 	p.Host.Listener = p.Listen("wire", set.Wire)
 	n.web = p.Serve(p.Listen("control", set.Control), n.control())
 	for name, run := range map[string]func(context.Context){
@@ -150,7 +150,7 @@
 }
 
 // heartbeat answers another process.
-func (n *Node) heartbeat(ctx context.Context, in wire.Request) (any, string) {
+func (n *Node) heartbeat(ctx context.Context, in transport.Request) (any, string) {
 	var h membership.Heartbeat
 	if !in.Into(&h) {
 		return nil, "not a heartbeat"
@@ -232,7 +232,7 @@
 	switch r := n.keeper.Forward(ctx, c.Addr, o); {
 	case r.Into(&a):
 		return a
-	case r.Fate == wire.Unsent:
+	case r.Fate == transport.Unsent:
 		return n.lead(ctx, o) // it is gone; the epoch settles who is right
 	}
 	return consensus.Answer{Result: consensus.Unknown}
--- a/core/usher.go
+++ b/internal/controlplane/usher.go
@@ -1,14 +1,14 @@
-package core
+package controlplane
 
 import (
 	"context"
 	"slices"
 	"time"
 
-	"curlewwalk/consensus"
-	"curlewwalk/launch"
-	"curlewwalk/membership"
-	"curlewwalk/wire"
+	"curlewwalk/internal/actor"
+	"curlewwalk/internal/controlplane/consensus"
+	"curlewwalk/internal/membership"
+	"curlewwalk/internal/transport"
 )
 
 // seatLimit is how long a core that asks for a seat waits for the answer.
@@ -22,7 +22,7 @@
 // the set of slots changed. (DESIGN 6.5)
 type usher struct {
 	n     *Node
-	box   *launch.Mailbox
+	box   *actor.Mailbox
 	value consensus.Usher
 	start time.Time
 	busy  bool          // an order for a change is under way
@@ -66,7 +66,7 @@
 
 // asked answers a core that asks for a seat; what is not for this core is passed on
 // to the one on duty.
-func (u *usher) asked(ctx context.Context, in wire.Request) (any, string) {
+func (u *usher) asked(ctx context.Context, in transport.Request) (any, string) {
 	var a consensus.Asker
 	if !in.Into(&a) {
 		return nil, "does not ask for a seat"
@@ -79,7 +79,7 @@
 			return nil, "not on duty"
 		}
 		a.Passed = true
-		if !u.n.p.Net.Call(ctx, duty.Addr, wire.Control, consensus.KindSeat, a).Into(&h) {
+		if !u.n.p.Net.Call(ctx, duty.Addr, transport.Control, consensus.KindSeat, a).Into(&h) {
 			return nil, "the core on duty does not answer"
 		}
 		return h, ""
--- a/core/warden.go
+++ b/internal/controlplane/warden.go
@@ -1,12 +1,12 @@
-package core
+package controlplane
 
 import (
 	"context"
 	"time"
 
-	"curlewwalk/clock"
-	"curlewwalk/consensus"
-	"curlewwalk/window"
+	"curlewwalk/internal/clock"
+	"curlewwalk/internal/controlplane/consensus"
+	"curlewwalk/internal/maintenance"
 )
 
 // wardEvery is how often the core on duty looks at the maintenance windows.
@@ -16,7 +16,7 @@
 // while this core is on duty: through orders like an operator's. (DESIGN 17)
 type warden struct {
 	n        *Node
-	calendar window.Calendar
+	calendar maintenance.Calendar
 	stamp    uint64 // of the calendar
 }
 
@@ -46,7 +46,7 @@
 		w.calendar, _ = read(st.Word.Calendar)
 		w.stamp = st.Word.CalendarStamp
 	}
-	for _, s := range window.Decide(w.calendar, st.Word.Closures, w.n.wall()) {
+	for _, s := range maintenance.Decide(w.calendar, st.Word.Closures, w.n.wall()) {
 		o := consensus.Order{Kind: consensus.End, Zone: s.Zone, Window: s.Window}
 		if s.Begin {
 			o.Kind = consensus.Begin
--- a/core/windows.go
+++ b/internal/controlplane/windows.go
@@ -1,14 +1,14 @@
-package core
+package controlplane
 
 import (
 	"net/http"
 	"strings"
 	"time"
 
-	"curlewwalk/consensus"
-	"curlewwalk/desired"
-	"curlewwalk/process"
-	"curlewwalk/window"
+	"curlewwalk/internal/config"
+	"curlewwalk/internal/controlplane/consensus"
+	"curlewwalk/internal/maintenance"
+	"curlewwalk/internal/process"
 )
 
 // ahead is how far coming windows are shown.
@@ -19,25 +19,25 @@
 	Stamp uint64    `json:"stamp"`
 	Now   time.Time `json:"now"`
 	// Noted are the windows that the word has noted as going on.
-	Noted []desired.Closure `json:"noted"`
+	Noted []config.Closure `json:"noted"`
 	// Coming are those of the next week, and those that go on.
-	Coming []window.Occurrence `json:"coming"`
+	Coming []maintenance.Occurrence `json:"coming"`
 }
 
 // read reads a calendar; an empty one has no windows.
-func read(b []byte) (window.Calendar, []desired.Fault) {
+func read(b []byte) (maintenance.Calendar, []config.Fault) {
 	if len(b) == 0 {
-		return window.Calendar{}, nil
+		return maintenance.Calendar{}, nil
 	}
-	return window.Parse(b)
+	return maintenance.Parse(b)
 }
 
 func (n *Node) putWindows(w http.ResponseWriter, r *http.Request) {
-	b, ok := body(w, r, "calendar", "line 1", window.MaxBytes)
+	b, ok := body(w, r, "calendar", "line 1", maintenance.MaxBytes)
 	if !ok {
 		return
 	}
-	if _, faults := window.Parse(b); len(faults) > 0 {
+	if _, faults := maintenance.Parse(b); len(faults) > 0 {
 		process.JSON(w, http.StatusUnprocessableEntity, faulty{Error: "calendar does not check", Faults: faults})
 		return
 	}
@@ -64,7 +64,7 @@
 	}
 	c, _ := read(word.Calendar)
 	now := n.wall()
-	out := windows{Stamp: word.CalendarStamp, Now: now, Noted: []desired.Closure{}, Coming: []window.Occurrence{}}
+	out := windows{Stamp: word.CalendarStamp, Now: now, Noted: []config.Closure{}, Coming: []maintenance.Occurrence{}}
 	out.Noted, out.Coming = append(out.Noted, word.Closures...), append(out.Coming, c.Between(now, now.Add(ahead))...)
 	process.JSON(w, http.StatusOK, out)
 }
--- a/lineage/book.go
+++ b/internal/dataplane/causality/book.go
@@ -1,4 +1,4 @@
-package lineage
+package causality
 
 import (
 	"cmp"
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"curlewwalk/trace"
+	"curlewwalk/internal/trace"
 )
 
 const (
--- a/lineage/book_test.go
+++ b/internal/dataplane/causality/book_test.go
@@ -1,4 +1,4 @@
-package lineage
+package causality
 
 import (
 	"container/heap"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"curlewwalk/trace"
+	"curlewwalk/internal/trace"
 )
 
 var runs = flag.Int("runs", 3000, "inquiries in a run of TestShareRight")
--- a/lineage/cause.go
+++ b/internal/dataplane/causality/cause.go
@@ -1,9 +1,9 @@
-package lineage
+package causality
 
 import (
 	"time"
 
-	"curlewwalk/trace"
+	"curlewwalk/internal/trace"
 )
 
 // Cause is what an outgoing call was tied to. A zero Parent means a new root.
--- a/lineage/habit.go
+++ b/internal/dataplane/causality/habit.go
@@ -1,4 +1,4 @@
-package lineage
+package causality
 
 import (
 	"math"
--- a/lineage/keeper.go
+++ b/internal/dataplane/causality/keeper.go
@@ -1,10 +1,10 @@
-package lineage
+package causality
 
 import (
 	"context"
 	"time"
 
-	"curlewwalk/trace"
+	"curlewwalk/internal/trace"
 )
 
 // Keeper runs a Book. Its loop is the only one to touch it.
--- a/lineage/keeper_test.go
+++ b/internal/dataplane/causality/keeper_test.go
@@ -1,11 +1,11 @@
-package lineage
+package causality
 
 import (
 	"context"
 	"testing"
 	"time"
 
-	"curlewwalk/trace"
+	"curlewwalk/internal/trace"
 )
 
 // What is still running when the process's parts have ended can end as well.
--- a/lineage/mingled.go
+++ b/internal/dataplane/causality/mingled.go
@@ -1,9 +1,9 @@
-package lineage
+package causality
 
 import (
 	"time"
 
-	"curlewwalk/trace"
+	"curlewwalk/internal/trace"
 )
 
 const (
--- a/lineage/mingled_test.go
+++ b/internal/dataplane/causality/mingled_test.go
@@ -1,11 +1,11 @@
-package lineage
+package causality
 
 import (
 	"math/rand/v2"
 	"testing"
 	"time"
 
-	"curlewwalk/trace"
+	"curlewwalk/internal/trace"
 )
 
 // A backend of nine slots gets clients' requests of its own kind, and at the same address
--- a/lineage/open.go
+++ b/internal/dataplane/causality/open.go
@@ -1,11 +1,11 @@
-// Package lineage ties a backend's outgoing calls to the requests that caused
+// Package causality ties a backend's outgoing calls to the requests that caused
 // them, though backends pass nothing along. (DESIGN 2.5)
-package lineage
+package causality
 
 import (
 	"time"
 
-	"curlewwalk/trace"
+	"curlewwalk/internal/trace"
 )
 
 // Open is a request that a backend is working on.
--- a/sidecar/control.go
+++ b/internal/dataplane/control.go
@@ -1,4 +1,4 @@
-package sidecar
+package dataplane
 
 import (
 	"context"
@@ -7,13 +7,13 @@
 	"net/http"
 	"time"
 
-	"curlewwalk/contract"
-	"curlewwalk/launch"
-	"curlewwalk/membership"
-	"curlewwalk/process"
-	"curlewwalk/relay"
-	"curlewwalk/roster"
-	"curlewwalk/trace"
+	"curlewwalk/internal/actor"
+	"curlewwalk/internal/dataplane/endpoints"
+	"curlewwalk/internal/dataplane/proxy"
+	"curlewwalk/internal/membership"
+	"curlewwalk/internal/process"
+	"curlewwalk/internal/retrybudget"
+	"curlewwalk/internal/trace"
 )
 
 func listen(addr string) (net.Listener, error) { return net.Listen("tcp", addr) }
@@ -48,8 +48,8 @@
 	ClaimAge string            `json:"claim_age"`
 	Claimed  bool              `json:"claimed"`
 	Cores    []membership.Seat `json:"cores"`
-	Near     relay.Totals      `json:"near"`
-	Far      relay.Totals      `json:"far"`
+	Near     proxy.Totals      `json:"near"`
+	Far      proxy.Totals      `json:"far"`
 	Trace    trace.QueueStats  `json:"trace_queue"`
 	Draining bool              `json:"draining"`
 	// Closed tells that requests of clients are refused.
@@ -85,7 +85,7 @@
 }
 
 func (n *Node) live(ctx context.Context) (bool, string) {
-	_, ok := launch.Ask(ctx, n.steward.box, func(r chan<- bool) any { return msgLive{r} })
+	_, ok := actor.Ask(ctx, n.steward.box, func(r chan<- bool) any { return msgLive{r} })
 	return ok, "control thread"
 }
 
@@ -108,17 +108,17 @@
 }
 
 // Announce takes a backend's word; ok is false if it could not be taken in time.
-func (n *Node) Announce(ctx context.Context, a roster.Announcement) (faults []string, ok bool) {
-	return launch.Ask(ctx, n.steward.box, func(c chan<- []string) any { return msgAnnounce{a, c} })
+func (n *Node) Announce(ctx context.Context, a endpoints.Announcement) (faults []string, ok bool) {
+	return actor.Ask(ctx, n.steward.box, func(c chan<- []string) any { return msgAnnounce{a, c} })
 }
 
 // Leave takes that a backend is leaving; known is false if there is none such.
 func (n *Node) Leave(ctx context.Context, instance string) (known, ok bool) {
-	return launch.Ask(ctx, n.steward.box, func(c chan<- bool) any { return msgLeave{instance, c} })
+	return actor.Ask(ctx, n.steward.box, func(c chan<- bool) any { return msgLeave{instance, c} })
 }
 
 func (n *Node) announce(w http.ResponseWriter, r *http.Request) {
-	var a roster.Announcement
+	var a endpoints.Announcement
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, 64<<10)).Decode(&a); err != nil {
 		process.Error(w, http.StatusBadRequest, "not an announcement: "+err.Error())
 		return
@@ -162,7 +162,7 @@
 // a core has told the sums lately.
 func (n *Node) budgets(w http.ResponseWriter, _ *http.Request) {
 	sums, whole := n.steward.budgets.Sums()
-	process.JSON(w, http.StatusOK, contract.Answer{Whole: whole, Budgets: n.steward.table.Load().Pages(sums)})
+	process.JSON(w, http.StatusOK, retrybudget.Answer{Whole: whole, Budgets: n.steward.table.Load().Pages(sums)})
 }
 
 func (n *Node) stats() stats {
--- a/sidecar/departures.go
+++ b/internal/dataplane/departures.go
@@ -1,9 +1,9 @@
-package sidecar
+package dataplane
 
 import (
 	"sync/atomic"
 
-	"curlewwalk/roster"
+	"curlewwalk/internal/dataplane/endpoints"
 )
 
 // departures counts and tells what own backends said of leaving, and the announcements
@@ -46,7 +46,7 @@
 }
 
 // announced compares a roster before and after an announcement.
-func (d *departures) announced(a roster.Announcement, before, after roster.Roster) {
+func (d *departures) announced(a endpoints.Announcement, before, after endpoints.Roster) {
 	entry, _ := before.Entry(a.Instance)
 	switch {
 	case before.Departed(a.Instance) && !a.Leaving:
--- a/roster/announcement.go
+++ b/internal/dataplane/endpoints/announcement.go
@@ -1,6 +1,6 @@
-// Package roster keeps a sidecar's own backends and is the last gate before a
+// Package endpoints keeps a sidecar's own backends and is the last gate before a
 // backend. (DESIGN 9)
-package roster
+package endpoints
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"net/netip"
 	"time"
 
-	"curlewwalk/desired"
+	"curlewwalk/internal/config"
 )
 
 // Announcement is what a backend says of itself about once a beat.
@@ -50,8 +50,8 @@
 	if a.Instance == "" || len(a.Instance) > 128 {
 		f.add("instance: must have 1 to 128 bytes")
 	}
-	if !desired.IsName(a.Service) {
-		f.add("service: %q must be %s", a.Service, desired.NameForm)
+	if !config.IsName(a.Service) {
+		f.add("service: %q must be %s", a.Service, config.NameForm)
 	}
 	if addr, err := netip.ParseAddrPort(a.Address); err != nil || addr.Port() == 0 {
 		f.add("address: %q is no IP address and port", a.Address)
@@ -59,8 +59,8 @@
 	if a.Capacity < 1 || a.Capacity > mostCapacity {
 		f.add("capacity: %d is not from 1 to %d", a.Capacity, mostCapacity)
 	}
-	if a.Zone != "" && !desired.IsName(a.Zone) {
-		f.add("locality: %q must be %s", a.Zone, desired.NameForm)
+	if a.Zone != "" && !config.IsName(a.Zone) {
+		f.add("locality: %q must be %s", a.Zone, config.NameForm)
 	}
 	if a.Warmup == nil {
 		return 1, 0, 0, f
--- a/roster/entry.go
+++ b/internal/dataplane/endpoints/entry.go
@@ -1,10 +1,10 @@
-package roster
+package endpoints
 
 import (
 	"cmp"
 	"time"
 
-	"curlewwalk/membership"
+	"curlewwalk/internal/membership"
 )
 
 // Entry is one own backend in a snapshot.
--- a/roster/line_test.go
+++ b/internal/dataplane/endpoints/line_test.go
@@ -1,4 +1,4 @@
-package roster
+package endpoints
 
 import (
 	"math/rand/v2"
--- a/roster/roster.go
+++ b/internal/dataplane/endpoints/roster.go
@@ -1,4 +1,4 @@
-package roster
+package endpoints
 
 import (
 	"cmp"
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"curlewwalk/membership"
+	"curlewwalk/internal/membership"
 )
 
 // Roster is an immutable table of own backends by instance.
--- a/sidecar/golden_test.go
+++ b/internal/dataplane/golden_test.go
@@ -1,13 +1,13 @@
-package sidecar
+package dataplane
 
 import (
 	"slices"
 	"testing"
 
-	"curlewwalk/metrics"
-	"curlewwalk/proof/golden"
-	"curlewwalk/relay"
-	"curlewwalk/wire"
+	"curlewwalk/internal/dataplane/proxy"
+	"curlewwalk/internal/metrics"
+	"curlewwalk/internal/transport"
+	"curlewwalk/tests/golden"
 )
 
 // What operators and backends read is what it has always been.
@@ -19,7 +19,7 @@
 
 // The metrics have the names and labels that they have always had.
 func TestGoldenMetrics(t *testing.T) {
-	n := &Node{near: &relay.Near{}}
-	all := slices.Concat(n.trafficMetrics(), n.controlMetrics(), n.traceMetrics(), metrics.Wire(&wire.Counts{}, &wire.Counts{}))
+	n := &Node{near: &proxy.Near{}}
+	all := slices.Concat(n.trafficMetrics(), n.controlMetrics(), n.traceMetrics(), metrics.Wire(&transport.Counts{}, &transport.Counts{}))
 	golden.Metrics(t, "metrics.txt", all)
 }
--- a/claim/claims.go
+++ b/internal/dataplane/idempotency/claims.go
@@ -1,7 +1,7 @@
-// Package claim keeps track of requests by their Idempotency-Key, so that a repeat
+// Package idempotency keeps track of requests by their Idempotency-Key, so that a repeat
 // never runs beside or after the first request: it gets that one's response.
 // (DESIGN 10.3)
-package claim
+package idempotency
 
 import (
 	"context"
--- a/claim/table_test.go
+++ b/internal/dataplane/idempotency/table_test.go
@@ -1,4 +1,4 @@
-package claim
+package idempotency
 
 import (
 	"fmt"
--- a/claim/verdict.go
+++ b/internal/dataplane/idempotency/verdict.go
@@ -1,4 +1,4 @@
-package claim
+package idempotency
 
 // Verdict is what a claim came to.
 type Verdict int
--- a/custody/choose.go
+++ b/internal/dataplane/keyreplication/choose.go
@@ -1,11 +1,11 @@
-package custody
+package keyreplication
 
 import (
 	"slices"
 
-	"curlewwalk/claim"
-	"curlewwalk/membership"
-	"curlewwalk/rendezvous"
+	"curlewwalk/internal/dataplane/idempotency"
+	"curlewwalk/internal/membership"
+	"curlewwalk/internal/rendezvous"
 )
 
 // Holders is how many nodes hold each claim.
@@ -18,7 +18,7 @@
 
 // Choose ranks the nodes that may hold a claim: by rendezvous hashing, one of
 // each other zone before a second of any.
-func Choose(own, zone string, key claim.Key, nodes []membership.Node) (out []membership.Node) {
+func Choose(own, zone string, key idempotency.Key, nodes []membership.Node) (out []membership.Node) {
 	ranked := rendezvous.Rank(own+" "+key.Caller+" "+key.Text, nodes, func(n membership.Node) string { return n.Addr })
 	seen := map[string]bool{zone: true}
 	var rest []membership.Node
--- a/custody/custody_test.go
+++ b/internal/dataplane/keyreplication/custody_test.go
@@ -1,4 +1,4 @@
-package custody
+package keyreplication
 
 import (
 	"fmt"
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"curlewwalk/claim"
-	"curlewwalk/membership"
+	"curlewwalk/internal/dataplane/idempotency"
+	"curlewwalk/internal/membership"
 )
 
 // Holders are of other zones than the owner's and of different ones, as long
@@ -20,12 +20,12 @@
 	moved := 0
 	for i := range 200 {
 		key := fmt.Sprint("key-", i)
-		got := Choose("node-0", "locality-0", claim.Key{Text: key}, nodes)
+		got := Choose("node-0", "locality-0", idempotency.Key{Text: key}, nodes)
 		if len(got) != 11 || got[0].Zone == "locality-0" || got[1].Zone == "locality-0" || got[0].Zone == got[1].Zone {
 			t.Fatalf("%s: %v", key, got[:2])
 		}
 		gone := append(append([]membership.Node{}, nodes[:5]...), nodes[6:]...)
-		less := Choose("node-0", "locality-0", claim.Key{Text: key}, gone)
+		less := Choose("node-0", "locality-0", idempotency.Key{Text: key}, gone)
 		if got[0].Addr != "node-5" && got[1].Addr != "node-5" {
 			if less[0].Addr != got[0].Addr || less[1].Addr != got[1].Addr {
 				t.Errorf("%s moved though node-5 did not hold it", key)
@@ -65,7 +65,7 @@
 				m = nil
 				delete(known, text)
 			}
-			e := Entry{Owner: "o", Boot: boot, Key: claim.Key{Text: text}, For: time.Minute}
+			e := Entry{Owner: "o", Boot: boot, Key: idempotency.Key{Text: text}, For: time.Minute}
 			switch rng.IntN(4) {
 			case 0: // settle or give up what is held by this boot
 				if m == nil || m.boot != boot {
@@ -115,7 +115,7 @@
 	}
 	big := NewHoldings()
 	for i := range 3 * mostOf / (1 << 20) {
-		e := Entry{Owner: "o", N: 1, Key: claim.Key{Text: fmt.Sprint(i)}, For: time.Minute, Response: make([]byte, 1<<20)}
+		e := Entry{Owner: "o", N: 1, Key: idempotency.Key{Text: fmt.Sprint(i)}, For: time.Minute, Response: make([]byte, 1<<20)}
 		if !big.Take(e, 0).Taken || big.bytes > mostOf {
 			t.Fatalf("entry %d: %d bytes are held", i, big.bytes)
 		}
@@ -135,7 +135,7 @@
 func TestLacking(t *testing.T) {
 	nodes := []membership.Node{{Addr: "a", Boot: 1}, {Addr: "b", Boot: 1}, {Addr: "c", Boot: 1}}
 	tr := NewTrusts("o", "north")
-	e := Entry{Owner: "o", Boot: 7, N: 1, Key: claim.Key{Text: "k"}, For: time.Minute}
+	e := Entry{Owner: "o", Boot: 7, N: 1, Key: idempotency.Key{Text: "k"}, For: time.Minute}
 	ranked := Choose("o", "north", e.Key, nodes)
 	tr.Held(e, ranked[0], 0)
 	if got := tr.Lacking(nodes, 9, 0); len(got) != 1 || got[0].To.Addr != ranked[1].Addr {
--- a/custody/entry.go
+++ b/internal/dataplane/keyreplication/entry.go
@@ -1,12 +1,12 @@
-// Package custody keeps what a missing node should have had: the claims on
+// Package keyreplication keeps what a missing node should have had: the claims on
 // Idempotency-Keys, held by others and handed over when it comes back.
 // (DESIGN 10.4)
-package custody
+package keyreplication
 
 import (
 	"time"
 
-	"curlewwalk/claim"
+	"curlewwalk/internal/dataplane/idempotency"
 )
 
 // The kinds on the wire.
@@ -24,8 +24,8 @@
 	Boot  uint64 `msgpack:"b"`
 	N     uint64 `msgpack:"n"`
 
-	Key   claim.Key   `msgpack:"k"`
-	Print claim.Print `msgpack:"p"`
+	Key   idempotency.Key   `msgpack:"k"`
+	Print idempotency.Print `msgpack:"p"`
 	// For is how long it is to be held from now on.
 	For time.Duration `msgpack:"f"`
 	// Response is set once the request has ended.
--- a/custody/holder.go
+++ b/internal/dataplane/keyreplication/holder.go
@@ -1,11 +1,11 @@
-package custody
+package keyreplication
 
 import (
 	"context"
 	"sync/atomic"
 	"time"
 
-	"curlewwalk/wire"
+	"curlewwalk/internal/transport"
 )
 
 // Holder runs Holdings. Its loop is the only one to touch them.
@@ -38,8 +38,8 @@
 func (h *Holder) Count() (held, settled int64) { return h.held.Load(), h.settled.Load() }
 
 // answer has the loop answer a call whose body is a Q.
-func answer[Q, A any](h *Holder, fn func(held *Holdings, q Q, now time.Duration) A) wire.Handler {
-	return func(ctx context.Context, in wire.Request) (any, string) {
+func answer[Q, A any](h *Holder, fn func(held *Holdings, q Q, now time.Duration) A) transport.Handler {
+	return func(ctx context.Context, in transport.Request) (any, string) {
 		var q Q
 		if !in.Into(&q) {
 			return nil, "not of this kind"
@@ -55,8 +55,8 @@
 }
 
 // Handlers answer the calls of owners.
-func (h *Holder) Handlers() map[string]wire.Handler {
-	return map[string]wire.Handler{
+func (h *Holder) Handlers() map[string]transport.Handler {
+	return map[string]transport.Handler{
 		KindHold: answer(h, func(held *Holdings, e Entry, now time.Duration) Held { return held.Take(e, now) }),
 		KindRelease: answer(h, func(held *Holdings, e Entry, _ time.Duration) Held {
 			held.Release(e)
--- a/custody/holdings.go
+++ b/internal/dataplane/keyreplication/holdings.go
@@ -1,9 +1,9 @@
-package custody
+package keyreplication
 
 import (
 	"time"
 
-	"curlewwalk/claim"
+	"curlewwalk/internal/dataplane/idempotency"
 )
 
 const (
@@ -21,7 +21,7 @@
 
 type place struct {
 	owner string
-	key   claim.Key
+	key   idempotency.Key
 }
 
 type kept struct {
--- a/custody/owner.go
+++ b/internal/dataplane/keyreplication/owner.go
@@ -1,4 +1,4 @@
-package custody
+package keyreplication
 
 import (
 	"context"
@@ -7,10 +7,10 @@
 	"sync/atomic"
 	"time"
 
-	"curlewwalk/claim"
-	"curlewwalk/launch"
-	"curlewwalk/membership"
-	"curlewwalk/wire"
+	"curlewwalk/internal/actor"
+	"curlewwalk/internal/dataplane/idempotency"
+	"curlewwalk/internal/membership"
+	"curlewwalk/internal/transport"
 )
 
 const (
@@ -39,8 +39,8 @@
 	View func() *membership.View
 	// Known tells whether the view means anything yet.
 	Known    func() bool
-	Net      *wire.Net
-	Launcher *launch.Launcher
+	Net      *transport.Net
+	Launcher *actor.Launcher
 	// Restore is handed each claim of an earlier boot.
 	Restore func(ctx context.Context, e Entry)
 
@@ -104,7 +104,7 @@
 		if o.Ready() {
 			tick.Reset(membership.Beat)
 		}
-		if time.Since(known) < claim.HeldFor {
+		if time.Since(known) < idempotency.HeldFor {
 			o.gather(ctx, asked, time.Since(known))
 		}
 		o.repair(ctx)
@@ -157,7 +157,7 @@
 // handover gets what one node holds.
 func (o *Owner) handover(ctx context.Context, n membership.Node) bool {
 	var got Handed
-	if !o.Net.Call(ctx, n.Addr, wire.Control, KindHandover, Handover{Owner: o.Own, Boot: o.Boot}).Into(&got) {
+	if !o.Net.Call(ctx, n.Addr, transport.Control, KindHandover, Handover{Owner: o.Own, Boot: o.Boot}).Into(&got) {
 		return false
 	}
 	for _, e := range got.Entries {
@@ -192,8 +192,8 @@
 // Entrust has a new claim held by two others, or by all if there are fewer. If
 // an earlier boot had laid it, known is that claim; ok is false if it could not
 // be entrusted: then the request must not run.
-func (o *Owner) Entrust(ctx context.Context, key claim.Key, print claim.Print, left time.Duration) (t Trust, known *Entry, ok bool) {
-	t.Entry = Entry{Owner: o.Own, Boot: o.Boot, N: o.next.Add(1), Key: key, Print: print, For: left + claim.HeldFor}
+func (o *Owner) Entrust(ctx context.Context, key idempotency.Key, print idempotency.Print, left time.Duration) (t Trust, known *Entry, ok bool) {
+	t.Entry = Entry{Owner: o.Own, Boot: o.Boot, N: o.next.Add(1), Key: key, Print: print, For: left + idempotency.HeldFor}
 	others := o.others()
 	want := min(Holders, len(others))
 	if want == 0 {
@@ -231,7 +231,7 @@
 
 // hold asks a node to hold a claim; one that does not answer comes last for a while.
 func (o *Owner) hold(ctx context.Context, n membership.Node, e Entry) (h Held, ok bool) {
-	if ok = o.Net.Call(ctx, n.Addr, wire.Control, KindHold, e).Into(&h); !ok {
+	if ok = o.Net.Call(ctx, n.Addr, transport.Control, KindHold, e).Into(&h); !ok {
 		o.shun(n.Addr)
 	}
 	return h, ok
@@ -278,14 +278,14 @@
 	case len(response) > largest:
 		return // the claim stands without it
 	default:
-		kind, t.Response, t.For = KindHold, response, claim.HeldFor
+		kind, t.Response, t.For = KindHold, response, idempotency.HeldFor
 		o.with(func(all *Trusts, now time.Duration) { all.Settle(t.Entry, now) })
 	}
 	for _, addr := range t.by {
 		o.Launcher.Go(context.WithoutCancel(ctx), "custody", func(ctx context.Context) {
 			ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 			defer cancel()
-			o.Net.Call(ctx, addr, wire.Control, kind, t.Entry)
+			o.Net.Call(ctx, addr, transport.Control, kind, t.Entry)
 		})
 	}
 }
--- a/custody/trusts.go
+++ b/internal/dataplane/keyreplication/trusts.go
@@ -1,17 +1,17 @@
-package custody
+package keyreplication
 
 import (
 	"time"
 
-	"curlewwalk/claim"
-	"curlewwalk/membership"
+	"curlewwalk/internal/dataplane/idempotency"
+	"curlewwalk/internal/membership"
 )
 
 // Trusts is a decision value: which of an owner's claims are held by whom, and
 // what must be entrusted anew because a holder has gone. (DESIGN 10.4)
 type Trusts struct {
 	own, zone string
-	held      map[claim.Key]*trust
+	held      map[idempotency.Key]*trust
 	bytes     int // of responses
 }
 
@@ -29,7 +29,7 @@
 
 // NewTrusts makes the trusts of an owner.
 func NewTrusts(own, zone string) *Trusts {
-	return &Trusts{own: own, zone: zone, held: map[claim.Key]*trust{}}
+	return &Trusts{own: own, zone: zone, held: map[idempotency.Key]*trust{}}
 }
 
 // Held takes that a node holds a claim, in the state that e tells.
@@ -63,7 +63,7 @@
 	x.Entry, x.until = e, now+e.For
 }
 
-func (t *Trusts) forget(key claim.Key) {
+func (t *Trusts) forget(key idempotency.Key) {
 	if x := t.held[key]; x != nil {
 		t.bytes -= len(x.Response)
 		delete(t.held, key)
--- a/sidecar/metrics.go
+++ b/internal/dataplane/metrics.go
@@ -1,12 +1,12 @@
-package sidecar
+package dataplane
 
 import (
 	"net/http"
 	"time"
 
-	"curlewwalk/metrics"
-	"curlewwalk/relay"
-	"curlewwalk/routing"
+	"curlewwalk/internal/dataplane/proxy"
+	"curlewwalk/internal/dataplane/routing"
+	"curlewwalk/internal/metrics"
 )
 
 // metrics serves the sidecar's metrics. The client side takes requests from
@@ -24,12 +24,12 @@
 	side := []string{"side"}
 	return []*metrics.Metric{
 		metrics.Counter("route_requests_total", "Requests of callers that a route took, by outcome.", []string{"route", "outcome"}, n.near.Routes.Read),
-		metrics.Counter("requests_total", "Requests of callers, and attempts for own backends, that have ended, by outcome.", []string{"side", "outcome"}, n.bySide(func(t relay.Totals, emit metrics.Emit, side string) {
+		metrics.Counter("requests_total", "Requests of callers, and attempts for own backends, that have ended, by outcome.", []string{"side", "outcome"}, n.bySide(func(t proxy.Totals, emit metrics.Emit, side string) {
 			emit(float64(t.Answered), side, string(routing.Answered))
 			emit(float64(t.NotRun), side, string(routing.NotRun))
 			emit(float64(t.Unknown), side, string(routing.Unknown))
 		})),
-		metrics.Gauge("requests_in_flight", "Requests of callers, and attempts for own backends, that are open.", side, n.bySide(func(t relay.Totals, emit metrics.Emit, side string) {
+		metrics.Gauge("requests_in_flight", "Requests of callers, and attempts for own backends, that are open.", side, n.bySide(func(t proxy.Totals, emit metrics.Emit, side string) {
 			emit(float64(t.Open), side)
 		})),
 		metrics.Counter("retries_total", "Attempts beyond a request's first.", nil, metrics.Value(func() float64 {
@@ -63,7 +63,7 @@
 }
 
 // bySide reads the totals of both sides.
-func (n *Node) bySide(read func(t relay.Totals, emit metrics.Emit, side string)) metrics.Read {
+func (n *Node) bySide(read func(t proxy.Totals, emit metrics.Emit, side string)) metrics.Read {
 	return func(emit metrics.Emit) {
 		read(n.near.Counts.Read(), emit, "client")
 		read(n.far.Counts.Read(), emit, "server")
--- a/sidecar/new.go
+++ b/internal/dataplane/new.go
@@ -1,4 +1,4 @@
-package sidecar
+package dataplane
 
 import (
 	"context"
@@ -7,25 +7,25 @@
 	"runtime/debug"
 	"time"
 
-	"curlewwalk/claim"
-	"curlewwalk/custody"
-	"curlewwalk/feed"
-	"curlewwalk/launch"
-	"curlewwalk/lineage"
-	"curlewwalk/membership"
-	"curlewwalk/process"
-	"curlewwalk/relay"
-	"curlewwalk/roster"
-	"curlewwalk/routing"
-	"curlewwalk/settings"
-	"curlewwalk/trace"
-	"curlewwalk/wire"
+	"curlewwalk/internal/actor"
+	"curlewwalk/internal/dataplane/causality"
+	"curlewwalk/internal/dataplane/endpoints"
+	"curlewwalk/internal/dataplane/idempotency"
+	"curlewwalk/internal/dataplane/keyreplication"
+	"curlewwalk/internal/dataplane/proxy"
+	"curlewwalk/internal/dataplane/routing"
+	"curlewwalk/internal/membership"
+	"curlewwalk/internal/process"
+	"curlewwalk/internal/settings"
+	"curlewwalk/internal/trace"
+	"curlewwalk/internal/transport"
+	"curlewwalk/internal/watch"
 )
 
 // New puts the parts together and opens the addresses.
 func New(set settings.Sidecar, doors *Doors) *Node {
 	p := process.New("sidecar", set.Common)
-	n := &Node{p: p, set: set, queue: trace.NewQueue(set.Advertise, p.Boot, set.TraceQueue), dialect: relay.Plain{}}
+	n := &Node{p: p, set: set, queue: trace.NewQueue(set.Advertise, p.Boot, set.TraceQueue), dialect: proxy.Plain{}}
 	if doors != nil {
 		n.dialect = doors.Dialect
 	}
@@ -33,8 +33,8 @@
 		debug.SetMemoryLimit(set.Memory << 20 * 85 / 100)
 	}
 	n.addControl()
-	calls := lineage.NewKeeper()
-	claims := claim.New(func(r relay.Response) int { return len(r.Body) })
+	calls := causality.NewKeeper()
+	claims := idempotency.New(func(r proxy.Response) int { return len(r.Body) })
 	n.addNear(calls, claims)
 	n.addFar(calls)
 	rollcall := n.newRollcall()
@@ -60,7 +60,7 @@
 	set, p := n.set, n.p
 	n.seeker = membership.NewSeeker()
 	n.steward = newSteward(p.Launcher, set.Advertise, p.Boot, set.Zone, set.ExtraAttempts, n.seeker.Hasten)
-	n.steward.roster.Store(&roster.Roster{Pace: roster.Pace{Beat: set.Beat}, Started: time.Now()})
+	n.steward.roster.Store(&endpoints.Roster{Pace: endpoints.Pace{Beat: set.Beat}, Started: time.Now()})
 	n.steward.departures.notice = p.Notice
 	n.steward.climb = routing.Climb{For: set.Ramp, From: set.RampFrom}
 	n.seeker.Own = func() membership.Heartbeat { node := n.steward.node(); return membership.Heartbeat{Node: &node} }
@@ -75,18 +75,18 @@
 }
 
 // addNear adds the side beside the callers, with what it keeps of keys.
-func (n *Node) addNear(calls *lineage.Keeper, claims *claim.Claims[relay.Response]) {
+func (n *Node) addNear(calls *causality.Keeper, claims *idempotency.Claims[proxy.Response]) {
 	set, p := n.set, n.p
-	n.near = &relay.Near{
+	n.near = &proxy.Near{
 		Zone: set.Zone, Table: n.table, View: n.view, Net: p.Net, Launcher: p.Launcher, Queue: n.queue, Log: p.Log,
 		Lineage: calls, Claims: claims, RetryBudgets: n.steward.retryBudgets, Budgets: n.steward.budgets, Costs: routing.NewCosts(),
 		Draining: n.shut, StopsAt: n.stopsAt, Unsure: n.unsure, Behind: n.behind,
 		Home: set.Caller, Dialect: n.dialect, Shun: set.Shun, Hold: set.Hold, ComeBack: set.ComeBack, Late: set.Late, Crossing: set.Crossing,
-		Bodies: &relay.Bodies{Most: set.MaxBody, All: set.BodyMemory},
+		Bodies: &proxy.Bodies{Most: set.MaxBody, All: set.BodyMemory},
 	}
 	n.near.Life, n.giveUp = context.WithCancelCause(p.Life)
-	n.holder = custody.NewHolder()
-	n.near.Custody = &custody.Owner{
+	n.holder = keyreplication.NewHolder()
+	n.near.Custody = &keyreplication.Owner{
 		Own: set.Advertise, Boot: p.Boot, Zone: set.Zone, View: n.view, Net: p.Net, Launcher: p.Launcher,
 		Known: n.known, Restore: n.near.Restore,
 	}
@@ -98,12 +98,12 @@
 }
 
 // addFar adds the side beside the own backends.
-func (n *Node) addFar(calls *lineage.Keeper) {
-	n.far = relay.NewFar(n.p.Life, n.p.Launcher)
+func (n *Node) addFar(calls *causality.Keeper) {
+	n.far = proxy.NewFar(n.p.Life, n.p.Launcher)
 	n.far.Boot, n.far.Table, n.far.Queue, n.far.Lineage, n.far.Draining = n.p.Boot, n.table, n.queue, calls, n.draining.Load
 	n.far.Claimed, n.far.Dialect, n.far.Halving = n.claimed, n.dialect, n.set.Halving
-	n.far.Bodies = &relay.Bodies{Most: n.set.MaxBody, All: n.set.BodyMemory}
-	n.far.Roster = func() roster.Roster { return *n.steward.roster.Load() }
+	n.far.Bodies = &proxy.Bodies{Most: n.set.MaxBody, All: n.set.BodyMemory}
+	n.far.Roster = func() endpoints.Roster { return *n.steward.roster.Load() }
 }
 
 // newRollcall makes the part that asks the other sidecars when no core is heard.
@@ -120,13 +120,13 @@
 }
 
 // newFollower makes the part that follows a core's feed.
-func (n *Node) newFollower() *feed.Follower {
-	return &feed.Follower{
+func (n *Node) newFollower() *watch.Follower {
+	return &watch.Follower{
 		Own: n.set.Advertise, Zone: n.set.Zone, Seats: n.seeker.Seats, Net: n.p.Net, Hasten: n.seeker.Hasten,
-		Take: func(ctx context.Context, c membership.Seat, news feed.News, asked time.Time) {
+		Take: func(ctx context.Context, c membership.Seat, news watch.News, asked time.Time) {
 			// No more is asked for before it is in force: of words that come faster
 			// than that, the core then tells the newest only. (DESIGN 8.2)
-			launch.Ask(ctx, n.steward.box, func(r chan<- bool) any { return msgNews{c, news, asked, r} })
+			actor.Ask(ctx, n.steward.box, func(r chan<- bool) any { return msgNews{c, news, asked, r} })
 		},
 	}
 }
@@ -136,12 +136,12 @@
 	handlers := n.p.Host.Handlers
 	maps.Copy(handlers, n.holder.Handlers())
 	handlers[membership.KindHeartbeat] = n.heartbeat
-	handlers[membership.KindProbe] = func(context.Context, wire.Request) (any, string) {
+	handlers[membership.KindProbe] = func(context.Context, transport.Request) (any, string) {
 		return membership.Probe{Boot: n.p.Boot, Inc: n.steward.inc.Load()}, ""
 	}
 	handlers[membership.KindGossip] = rollcall.Answer
-	handlers[relay.KindAttempt] = n.far.Attempt
-	handlers[relay.KindRecall] = n.far.Recall
+	handlers[proxy.KindAttempt] = n.far.Attempt
+	handlers[proxy.KindRecall] = n.far.Recall
 }
 
 // listen opens the addresses.
--- a/sidecar/node.go
+++ b/internal/dataplane/node.go
@@ -1,5 +1,5 @@
-// Package sidecar puts the parts of the data plane together. (DESIGN 1)
-package sidecar
+// Package dataplane puts the parts of the data plane together. (DESIGN 1)
+package dataplane
 
 import (
 	"context"
@@ -9,16 +9,16 @@
 	"sync/atomic"
 	"time"
 
-	"curlewwalk/collect"
-	"curlewwalk/custody"
-	"curlewwalk/membership"
-	"curlewwalk/process"
-	"curlewwalk/relay"
-	"curlewwalk/rendezvous"
-	"curlewwalk/roster"
-	"curlewwalk/settings"
-	"curlewwalk/trace"
-	"curlewwalk/wire"
+	"curlewwalk/internal/dataplane/endpoints"
+	"curlewwalk/internal/dataplane/keyreplication"
+	"curlewwalk/internal/dataplane/proxy"
+	"curlewwalk/internal/membership"
+	"curlewwalk/internal/process"
+	"curlewwalk/internal/rendezvous"
+	"curlewwalk/internal/settings"
+	"curlewwalk/internal/trace"
+	"curlewwalk/internal/tracestore"
+	"curlewwalk/internal/transport"
 )
 
 // linger is how long a drained sidecar takes at most to say farewell on its clients'
@@ -39,7 +39,7 @@
 // Doors are how others than the project's own speak to a sidecar. (DESIGN 18)
 type Doors struct {
 	// Dialect words what callers and backends say.
-	Dialect relay.Dialect
+	Dialect proxy.Dialect
 	// Open opens further addresses.
 	Open func(n *Node)
 }
@@ -50,12 +50,12 @@
 	set      settings.Sidecar
 	steward  *steward
 	seeker   *membership.Seeker
-	near     *relay.Near
-	far      *relay.Far
-	holder   *custody.Holder
+	near     *proxy.Near
+	far      *proxy.Far
+	holder   *keyreplication.Holder
 	queue    *trace.Queue
 	outgoing *outgoing
-	dialect  relay.Dialect
+	dialect  proxy.Dialect
 	// draining: not ready, and no new attempts. closed: no new requests either.
 	draining, closed atomic.Bool
 	// giveUpAt is when what is open will be answered, of a node that is being stopped; nil
@@ -85,14 +85,14 @@
 // that there is none. (DESIGN 7.2, 7.4)
 func (n *Node) claimed() bool {
 	now := time.Now()
-	return n.steward.claim.Age(now) <= roster.ClaimFor || n.steward.agreed.Age(now) <= roster.ClaimFor && n.seeker.Seats().NoMajority(now)
+	return n.steward.claim.Age(now) <= endpoints.ClaimFor || n.steward.agreed.Age(now) <= endpoints.ClaimFor && n.seeker.Seats().NoMajority(now)
 }
 
 // unsure tells whether a newer word may have been in force elsewhere for so long that
 // this sidecar's saying that there is no such way would be wrong. (DESIGN 7.2)
 func (n *Node) unsure() bool {
 	now := time.Now()
-	return n.steward.claim.Age(now) > sureFor && (n.steward.agreed.Age(now) > roster.ClaimFor || !n.seeker.Seats().NoMajority(now))
+	return n.steward.claim.Age(now) > sureFor && (n.steward.agreed.Age(now) > endpoints.ClaimFor || !n.seeker.Seats().NoMajority(now))
 }
 
 // behind tells whether this sidecar must not choose routes by what it knows: a live core
@@ -121,7 +121,7 @@
 }
 
 // heartbeat answers another process.
-func (n *Node) heartbeat(_ context.Context, in wire.Request) (any, string) {
+func (n *Node) heartbeat(_ context.Context, in transport.Request) (any, string) {
 	var h membership.Heartbeat
 	if !in.Into(&h) {
 		return nil, "not a heartbeat"
@@ -147,6 +147,6 @@
 func (n *Node) publish(ctx context.Context, collector string, batch []trace.Event) bool {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	var t collect.Taken
-	return n.p.Net.Call(ctx, collector, wire.Control, collect.KindPublish, collect.Batch{Events: slices.Clone(batch)}).Into(&t)
+	var t tracestore.Taken
+	return n.p.Net.Call(ctx, collector, transport.Control, tracestore.KindPublish, tracestore.Batch{Events: slices.Clone(batch)}).Into(&t)
 }
--- a/sidecar/outgoing.go
+++ b/internal/dataplane/outgoing.go
@@ -1,4 +1,4 @@
-package sidecar
+package dataplane
 
 import (
 	"context"
@@ -6,9 +6,9 @@
 	"net/netip"
 	"sync"
 
-	"curlewwalk/process"
-	"curlewwalk/relay"
-	"curlewwalk/rendezvous"
+	"curlewwalk/internal/dataplane/proxy"
+	"curlewwalk/internal/process"
+	"curlewwalk/internal/rendezvous"
 )
 
 const (
@@ -24,7 +24,7 @@
 // restarted in between. (DESIGN 9.3)
 type outgoing struct {
 	p     *process.Process
-	near  *relay.Near
+	near  *proxy.Near
 	host  netip.Addr
 	fixed map[string]string
 	// known lists the services that this node knows of.
--- a/relay/answers_test.go
+++ b/internal/dataplane/proxy/answers_test.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"context"
@@ -12,8 +12,8 @@
 	"testing"
 	"time"
 
-	"curlewwalk/routing"
-	"curlewwalk/wire"
+	"curlewwalk/internal/dataplane/routing"
+	"curlewwalk/internal/transport"
 )
 
 // A backend that resets the connection at any point of an exchange leaves unknown what
@@ -88,8 +88,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			attempts := 0
-			p := newPairWith(t, plainly, func(h map[string]wire.Handler) {
-				h[KindAttempt] = func(_ context.Context, in wire.Request) (any, string) {
+			p := newPairWith(t, plainly, func(h map[string]transport.Handler) {
+				h[KindAttempt] = func(_ context.Context, in transport.Request) (any, string) {
 					var attempt Attempt
 					in.Into(&attempt)
 					attempts++
@@ -99,7 +99,7 @@
 					}
 					return out, ""
 				}
-				h[KindRecall] = func(context.Context, wire.Request) (any, string) { return nil, "not known" }
+				h[KindRecall] = func(context.Context, transport.Request) (any, string) { return nil, "not known" }
 			})
 			c := p.client(t)
 			c.say("POST /once/x HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\n\r\nx")
@@ -128,12 +128,12 @@
 			defer cancel()
 			attempt.ID, attempt.Service, attempt.Instance, attempt.Boot, attempt.Left, attempt.Aim = "odd", "desk", "a", 7, time.Second, time.Second
 			node := p.near.View().Nodes()[0].Addr
-			r := p.near.Net.Call(ctx, node, wire.Traffic, KindAttempt, attempt)
-			if r.Fate != wire.Answered || r.Fault == "" {
+			r := p.near.Net.Call(ctx, node, transport.Traffic, KindAttempt, attempt)
+			if r.Fate != transport.Answered || r.Fault == "" {
 				t.Errorf("%+v", r)
 			}
 			var rc AttemptResponse
-			if r := p.near.Net.Call(ctx, node, wire.Control, KindRecall, Recall{ID: "odd", Boot: 7}); !r.Into(&rc) || rc.Fate != routing.NotRun {
+			if r := p.near.Net.Call(ctx, node, transport.Control, KindRecall, Recall{ID: "odd", Boot: 7}); !r.Into(&rc) || rc.Fate != routing.NotRun {
 				t.Errorf("recalled: %+v", rc)
 			}
 			if len(p.uris()) > 0 {
@@ -167,16 +167,16 @@
 	for _, heard := range []bool{true, false} {
 		t.Run(fmt.Sprintf("recall heard %v", heard), func(t *testing.T) {
 			came, woken, ended := make(chan struct{}, 9), make(chan struct{}), make(chan AttemptResponse, 9)
-			p := newPairWith(t, plainly, func(h map[string]wire.Handler) {
+			p := newPairWith(t, plainly, func(h map[string]transport.Handler) {
 				attempt, recall := h[KindAttempt], h[KindRecall]
-				h[KindAttempt] = func(ctx context.Context, in wire.Request) (any, string) {
+				h[KindAttempt] = func(ctx context.Context, in transport.Request) (any, string) {
 					came <- struct{}{}
 					<-woken
 					rc, fault := attempt(ctx, in)
 					ended <- rc.(AttemptResponse)
 					return rc, fault
 				}
-				h[KindRecall] = func(ctx context.Context, in wire.Request) (any, string) {
+				h[KindRecall] = func(ctx context.Context, in transport.Request) (any, string) {
 					if !heard {
 						<-woken
 					}
--- a/relay/attempt.go
+++ b/internal/dataplane/proxy/attempt.go
@@ -1,6 +1,6 @@
-// Package relay carries requests: the near side asks the decision object and
+// Package proxy carries requests: the near side asks the decision object and
 // obeys, the far side passes attempts through the gate to the backend. (DESIGN 4, 10)
-package relay
+package proxy
 
 import (
 	"net/http"
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"curlewwalk/routing"
+	"curlewwalk/internal/dataplane/routing"
 )
 
 // KindAttempt and KindRecall are kinds on the wire.
--- a/relay/bench_test.go
+++ b/internal/dataplane/proxy/bench_test.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"bufio"
@@ -13,8 +13,8 @@
 	"testing"
 	"time"
 
-	"curlewwalk/roster"
-	"curlewwalk/routing"
+	"curlewwalk/internal/dataplane/endpoints"
+	"curlewwalk/internal/dataplane/routing"
 )
 
 // standInVar tells the test binary to be a backend in a process of its own, so that
@@ -57,7 +57,7 @@
 	w := newBench(b, plainly)
 	w.entry.Address = strings.TrimSpace(addr)
 	attempt := Attempt{ID: "x", Body: []byte(strings.Repeat("x", 200)), Header: http.Header{"Content-Type": {"text/plain"}, "Accept": {"*/*"}}, Left: time.Minute}
-	open := func() roster.Refusal { return roster.Open }
+	open := func() endpoints.Refusal { return endpoints.Open }
 	before := cpu()
 	b.ResetTimer()
 	for range b.N {
--- a/relay/client_test.go
+++ b/internal/dataplane/proxy/client_test.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"go/ast"
@@ -18,12 +18,12 @@
 // what may not be repeated would be, out of sight.
 func TestNoHiddenRepeats(t *testing.T) {
 	found := 0
-	err := filepath.WalkDir("..", func(path string, d fs.DirEntry, err error) error {
-		rel, _ := filepath.Rel("..", path)
+	err := filepath.WalkDir("../../..", func(path string, d fs.DirEntry, err error) error {
+		rel, _ := filepath.Rel("../../..", path)
 		switch {
 		case err != nil:
 			return err
-		case d.IsDir() && (rel == "proof" || strings.HasPrefix(d.Name(), ".") && rel != "."):
+		case d.IsDir() && (rel == "tests" || strings.HasPrefix(d.Name(), ".") && rel != "."):
 			return filepath.SkipDir
 		case d.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go"):
 			return nil
--- a/relay/cold_test.go
+++ b/internal/dataplane/proxy/cold_test.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"context"
@@ -6,11 +6,11 @@
 	"testing"
 	"time"
 
-	"curlewwalk/desired"
-	"curlewwalk/lineage"
-	"curlewwalk/roster"
-	"curlewwalk/routing"
-	"curlewwalk/trace"
+	"curlewwalk/internal/config"
+	"curlewwalk/internal/dataplane/causality"
+	"curlewwalk/internal/dataplane/endpoints"
+	"curlewwalk/internal/dataplane/routing"
+	"curlewwalk/internal/trace"
 )
 
 // A cold backend is let have its service's rate over any second, from the sidecar's
@@ -20,11 +20,11 @@
 	b := newBench(t, plainly)
 	f := b.far
 	f.Draining, f.Claimed = func() bool { return false }, func() bool { return true }
-	f.Lineage = lineage.NewKeeper()
+	f.Lineage = causality.NewKeeper()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	f.links.launcher.Go(ctx, "lineage", f.Lineage.Run)
-	table, ok := routing.NewTable(desired.Word{Stamp: 1, DesiredStamp: 1, Desired: []byte(`{"ways": [{"name": "w", "prefix": "/", "service": "desk", "contract": "c"}],
+	table, ok := routing.NewTable(config.Word{Stamp: 1, DesiredStamp: 1, Desired: []byte(`{"ways": [{"name": "w", "prefix": "/", "service": "desk", "contract": "c"}],
 		"contracts": [{"name": "c", "rank": 1, "aim": "1s", "expiry": "2s"}],
 		"services": [{"name": "desk", "connections": 6, "cold": {"for": "5s", "rate": 4}}]}`)})
 	if !ok {
@@ -32,11 +32,11 @@
 	}
 	f.Table = func() *routing.Table { return table }
 	announce := func(left string) {
-		r, faults := roster.Roster{}.Announce(roster.Announcement{Instance: "a", Service: "desk", Address: b.entry.Address, Capacity: 20, Warmup: &roster.Warmup{Left: left}}, "north", time.Now())
+		r, faults := endpoints.Roster{}.Announce(endpoints.Announcement{Instance: "a", Service: "desk", Address: b.entry.Address, Capacity: 20, Warmup: &endpoints.Warmup{Left: left}}, "north", time.Now())
 		if len(faults) > 0 {
 			t.Fatal(faults)
 		}
-		f.Roster = func() roster.Roster { return r }
+		f.Roster = func() endpoints.Roster { return r }
 	}
 	n := 0
 	put := func() AttemptResponse {
@@ -51,7 +51,7 @@
 			switch {
 			case rc.Fate == routing.Answered:
 				count++
-			case rc.Fate != routing.NotRun || rc.Reason != string(roster.Full) || rc.Back <= 0 || rc.Reached:
+			case rc.Fate != routing.NotRun || rc.Reason != string(endpoints.Full) || rc.Back <= 0 || rc.Reached:
 				t.Fatalf("%+v", rc)
 			}
 		}
--- a/relay/counts.go
+++ b/internal/dataplane/proxy/counts.go
@@ -1,10 +1,10 @@
-package relay
+package proxy
 
 import (
 	"sync/atomic"
 	"time"
 
-	"curlewwalk/routing"
+	"curlewwalk/internal/dataplane/routing"
 )
 
 // Counts are a side's running totals, for /v1/stats.
--- a/relay/departure_test.go
+++ b/internal/dataplane/proxy/departure_test.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"context"
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
-	"curlewwalk/membership"
-	"curlewwalk/roster"
-	"curlewwalk/wire"
+	"curlewwalk/internal/dataplane/endpoints"
+	"curlewwalk/internal/membership"
+	"curlewwalk/internal/transport"
 )
 
 // promptly bounds what must follow from a client's leaving. It is well below the 3 s that a
@@ -116,8 +116,8 @@
 				v.say(v.id, "ok")
 				return true
 			})
-			table, _ := roster.Roster{}.Announce(roster.Announcement{Instance: "a", Service: "desk", Address: p.entry.Address, Capacity: 1}, "north", time.Now())
-			p.far.Roster = func() roster.Roster { return table }
+			table, _ := endpoints.Roster{}.Announce(endpoints.Announcement{Instance: "a", Service: "desk", Address: p.entry.Address, Capacity: 1}, "north", time.Now())
+			p.far.Roster = func() endpoints.Roster { return table }
 			first, second := p.client(t), p.client(t)
 			first.say("POST /once/first HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n")
 			<-came
@@ -186,7 +186,7 @@
 	attempt.Service, attempt.Instance, attempt.Boot = "desk", "a", 7
 	attempt.Left, attempt.Aim = 3*time.Second, 3*time.Second
 	node := p.near.View().Nodes()[0].Addr
-	go p.near.Net.Call(context.Background(), node, wire.Traffic, KindAttempt, attempt)
+	go p.near.Net.Call(context.Background(), node, transport.Traffic, KindAttempt, attempt)
 }
 
 // get asks for a path on a connection of its own.
--- a/relay/dialect.go
+++ b/internal/dataplane/proxy/dialect.go
@@ -1,10 +1,10 @@
-package relay
+package proxy
 
 import (
 	"net/http"
 	"time"
 
-	"curlewwalk/routing"
+	"curlewwalk/internal/dataplane/routing"
 )
 
 // Dialect is how the callers and backends of a sidecar word what they say. The
--- a/relay/far.go
+++ b/internal/dataplane/proxy/far.go
@@ -1,24 +1,24 @@
-package relay
+package proxy
 
 import (
 	"context"
 	"time"
 
-	"curlewwalk/launch"
-	"curlewwalk/lineage"
-	"curlewwalk/roster"
-	"curlewwalk/routing"
-	"curlewwalk/trace"
-	"curlewwalk/wire"
+	"curlewwalk/internal/actor"
+	"curlewwalk/internal/dataplane/causality"
+	"curlewwalk/internal/dataplane/endpoints"
+	"curlewwalk/internal/dataplane/routing"
+	"curlewwalk/internal/trace"
+	"curlewwalk/internal/transport"
 )
 
 // Far is the executor beside the backend. It alone admits. (DESIGN 9)
 type Far struct {
 	Boot    uint64
-	Roster  func() roster.Roster
+	Roster  func() endpoints.Roster
 	Table   func() *routing.Table
 	Queue   *trace.Queue
-	Lineage *lineage.Keeper
+	Lineage *causality.Keeper
 	// Claimed tells whether this sidecar may admit.
 	Claimed func() bool
 	// Draining tells whether new attempts are still taken.
@@ -36,7 +36,7 @@
 }
 
 // NewFar makes the far side and starts its ledger.
-func NewFar(ctx context.Context, l *launch.Launcher) *Far {
+func NewFar(ctx context.Context, l *actor.Launcher) *Far {
 	f := &Far{started: time.Now(), ledger: newLedgerKeeper()}
 	l.Go(ctx, "ledger", f.ledger.run)
 	f.links = newLinks(ctx, l, func(p place) bool { return f.Roster().Stands(p.instance, p.address) })
@@ -44,7 +44,7 @@
 }
 
 // most is how many connections an own backend may have at a time.
-func (f *Far) most(e roster.Entry) int {
+func (f *Far) most(e endpoints.Entry) int {
 	if s, _ := f.Table().Service(e.Service); s.Connections > 0 {
 		return min(s.Connections, e.Capacity)
 	}
@@ -52,7 +52,7 @@
 }
 
 // cold is the rate a second that an own backend bears now, if it is cold.
-func (f *Far) cold(e roster.Entry, at time.Time) (rate float64, ok bool) {
+func (f *Far) cold(e endpoints.Entry, at time.Time) (rate float64, ok bool) {
 	rate = f.Table().ColdRate(e.Service)
 	return rate, rate > 0 && e.Cold(at)
 }
@@ -65,7 +65,7 @@
 func (f *Far) Reused() int64 { return f.links.reused.Load() }
 
 // Limit is how many requests an own backend may run at a time now.
-func (f *Far) Limit(e roster.Entry, at time.Time) int64 {
+func (f *Far) Limit(e endpoints.Entry, at time.Time) int64 {
 	t := f.Table()
 	up := at.Sub(f.started)
 	limit := min(e.Limit(t.Ramp(e.Zone, at), up < f.Halving && t.Fresh(up), at), int64(f.most(e)))
@@ -76,7 +76,7 @@
 }
 
 // Attempt handles an attempt.
-func (f *Far) Attempt(ctx context.Context, in wire.Request) (any, string) {
+func (f *Far) Attempt(ctx context.Context, in transport.Request) (any, string) {
 	var attempt Attempt
 	if !in.Into(&attempt) || !attempt.valid() {
 		return nil, "not a leg" // and never begun, as a recall will tell
@@ -106,16 +106,16 @@
 }
 
 // check asks the gate. It is asked first, and again before the write.
-func (f *Far) check(ctx context.Context, attempt *Attempt) (roster.Entry, roster.Refusal) {
+func (f *Far) check(ctx context.Context, attempt *Attempt) (endpoints.Entry, endpoints.Refusal) {
 	switch {
 	case attempt.Boot != f.Boot:
-		return roster.Entry{}, roster.WrongBoot
+		return endpoints.Entry{}, endpoints.WrongBoot
 	case ctx.Err() != nil:
-		return roster.Entry{}, refusalOf(ctx)
+		return endpoints.Entry{}, refusalOf(ctx)
 	case !f.Claimed():
-		return roster.Entry{}, roster.Lapsed
+		return endpoints.Entry{}, endpoints.Lapsed
 	}
-	return f.Roster().Check(roster.Ask{Service: attempt.Service, Instance: attempt.Instance}, f.Table().Emptied, time.Now())
+	return f.Roster().Check(endpoints.Ask{Service: attempt.Service, Instance: attempt.Instance}, f.Table().Emptied, time.Now())
 }
 
 func deadline(ctx context.Context) time.Time {
--- a/relay/fuzz_test.go
+++ b/internal/dataplane/proxy/fuzz_test.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"bufio"
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"curlewwalk/routing"
+	"curlewwalk/internal/dataplane/routing"
 )
 
 // FuzzBackendAnswer: whatever a backend writes behind a request, and then closes, the
--- a/relay/golden_test.go
+++ b/internal/dataplane/proxy/golden_test.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"bytes"
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
-	"curlewwalk/custody"
-	"curlewwalk/proof/golden"
-	"curlewwalk/routing"
+	"curlewwalk/internal/dataplane/keyreplication"
+	"curlewwalk/internal/dataplane/routing"
+	"curlewwalk/tests/golden"
 )
 
 // What clients are told of a request that was not answered is what it has always been.
@@ -33,7 +33,7 @@
 		t.Errorf("%+v", read)
 	}
 
-	var entry custody.Entry
+	var entry keyreplication.Entry
 	golden.Fill(&entry, golden.Msgpack.Tag)
 	entry.Response = r.pack(true)
 	encoded, err := golden.Msgpack.Marshal(&entry)
--- a/relay/guard.go
+++ b/internal/dataplane/proxy/guard.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"net"
@@ -6,7 +6,7 @@
 
 	"github.com/rotisserie/eris"
 
-	"curlewwalk/roster"
+	"curlewwalk/internal/dataplane/endpoints"
 )
 
 var errShut = eris.New("the gate was shut before the write")
@@ -21,9 +21,9 @@
 
 // guard is asked immediately before the first byte goes to a backend.
 type guard struct {
-	check func() roster.Refusal
+	check func() endpoints.Refusal
 	state atomic.Int32
-	why   atomic.Pointer[roster.Refusal]
+	why   atomic.Pointer[endpoints.Refusal]
 	// begun tells the writer that a byte was taken.
 	begun bool
 }
@@ -33,7 +33,7 @@
 	if g.state.Load() == guardWrote {
 		return true
 	}
-	if why := g.check(); why != roster.Open {
+	if why := g.check(); why != endpoints.Open {
 		g.why.Store(&why)
 		return false
 	}
--- a/relay/guard_test.go
+++ b/internal/dataplane/proxy/guard_test.go
@@ -1,17 +1,17 @@
-package relay
+package proxy
 
 import (
 	"sync"
 	"testing"
 
-	"curlewwalk/roster"
+	"curlewwalk/internal/dataplane/endpoints"
 )
 
 // Either the write goes first or the attempt is shut first, never both, however the
 // two meet; and an attempt that is shut while the gate is still being asked is not
 // written, whatever the gate says.
 func TestGuard(t *testing.T) {
-	open := func() roster.Refusal { return roster.Open }
+	open := func() endpoints.Refusal { return endpoints.Open }
 	wrote, shut := 0, 0
 	for range 20000 {
 		g := &guard{check: open}
@@ -32,18 +32,18 @@
 	t.Logf("written first %d times, shut first %d", wrote, shut)
 
 	g := &guard{}
-	g.check = func() roster.Refusal {
+	g.check = func() endpoints.Refusal {
 		if !g.shut() {
 			t.Error("it could not be shut before the write")
 		}
-		return roster.Open
+		return endpoints.Open
 	}
 	if g.pass() {
 		t.Error("it was written after it was shut")
 	}
 
-	g = &guard{check: func() roster.Refusal { return roster.LeavingNow }}
-	if g.pass() || *g.why.Load() != roster.LeavingNow || !g.shut() || g.pass() {
+	g = &guard{check: func() endpoints.Refusal { return endpoints.LeavingNow }}
+	if g.pass() || *g.why.Load() != endpoints.LeavingNow || !g.shut() || g.pass() {
 		t.Error("a shut gate let a write through")
 	}
 }
--- a/relay/keyed.go
+++ b/internal/dataplane/proxy/keyed.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"bytes"
@@ -8,9 +8,9 @@
 	"net/http"
 	"time"
 
-	"curlewwalk/claim"
-	"curlewwalk/custody"
-	"curlewwalk/routing"
+	"curlewwalk/internal/dataplane/idempotency"
+	"curlewwalk/internal/dataplane/keyreplication"
+	"curlewwalk/internal/dataplane/routing"
 )
 
 // claimed runs the request under its Idempotency-Key, if it has one.
@@ -25,19 +25,19 @@
 		// An earlier life of this node may have run what this repeats.
 		return n.own(q, http.StatusServiceUnavailable, routing.Unknown, "claims on keys are still being handed over to this node", time.Second)
 	}
-	key := claim.Key{Caller: q.caller, Text: text}
-	fingerprint := claim.Print(sha256.Sum256(bytes.Join([][]byte{[]byte(q.attempt.Method), []byte(q.attempt.Host), []byte(q.attempt.URI), q.attempt.Body}, []byte{0})))
+	key := idempotency.Key{Caller: q.caller, Text: text}
+	fingerprint := idempotency.Print(sha256.Sum256(bytes.Join([][]byte{[]byte(q.attempt.Method), []byte(q.attempt.Host), []byte(q.attempt.URI), q.attempt.Body}, []byte{0})))
 	verdict, rc, err := n.Claims.Lay(ctx, key, fingerprint)
 	switch {
-	case err != nil && verdict == claim.Repeat:
+	case err != nil && verdict == idempotency.Repeat:
 		return n.own(q, http.StatusGatewayTimeout, routing.Unknown, "expired while the first inquiry of this key was running", time.Second)
-	case verdict == claim.Crowded:
+	case verdict == idempotency.Crowded:
 		return n.own(q, http.StatusServiceUnavailable, routing.NotRun, "too many keys are claimed", time.Second)
-	case verdict == claim.Gone:
+	case verdict == idempotency.Gone:
 		return n.own(q, http.StatusBadGateway, routing.Unknown, "the first inquiry of this key has ended; its answer is kept no longer", time.Second)
-	case verdict == claim.Clash:
+	case verdict == idempotency.Clash:
 		return n.own(q, http.StatusUnprocessableEntity, routing.NotRun, "this key was used for another inquiry", 0)
-	case verdict == claim.Repeat:
+	case verdict == idempotency.Repeat:
 		n.Counts.Joined.Add(1)
 		return rc
 	}
@@ -61,13 +61,13 @@
 }
 
 // Restore takes a claim of an earlier life of this node. (DESIGN 10.4)
-func (n *Near) Restore(ctx context.Context, e custody.Entry) {
+func (n *Near) Restore(ctx context.Context, e keyreplication.Entry) {
 	n.Claims.Restore(ctx, e.Key, e.Print, n.restored(e))
 }
 
 // restored is the response of such a claim. Whether one without a response ran,
 // nobody knows.
-func (n *Near) restored(e custody.Entry) Response {
+func (n *Near) restored(e keyreplication.Entry) Response {
 	rc, ok := unpack(e.Response)
 	if !ok {
 		rc = n.word(http.StatusBadGateway, routing.Unknown, "this node was restarted before the first inquiry of this key was answered", "", time.Second)
--- a/relay/ledger.go
+++ b/internal/dataplane/proxy/ledger.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"context"
--- a/relay/links.go
+++ b/internal/dataplane/proxy/links.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"context"
@@ -8,8 +8,8 @@
 	"sync/atomic"
 	"time"
 
-	"curlewwalk/launch"
-	"curlewwalk/roster"
+	"curlewwalk/internal/actor"
+	"curlewwalk/internal/dataplane/endpoints"
 )
 
 // place is where a backend stands.
@@ -19,7 +19,7 @@
 // at for a moment; one sweeper closes what nobody wants any more. (DESIGN 10.6)
 type links struct {
 	life     context.Context
-	launcher *launch.Launcher
+	launcher *actor.Launcher
 	// stands tells whether a backend may still be sent something there.
 	stands func(place) bool
 
@@ -37,13 +37,13 @@
 	used int
 }
 
-func newLinks(life context.Context, l *launch.Launcher, stands func(place) bool) *links {
+func newLinks(life context.Context, l *actor.Launcher, stands func(place) bool) *links {
 	return &links{life: life, launcher: l, stands: stands, shelves: map[place]*shelf{}}
 }
 
 // take gives a link to a backend, of which at most so many are open at a time: one
 // that was idle for less than so long, or a fresh one.
-func (ls *links) take(ctx context.Context, e roster.Entry, most int, idle time.Duration) (*link, error) {
+func (ls *links) take(ctx context.Context, e endpoints.Entry, most int, idle time.Duration) (*link, error) {
 	at := place{e.Instance, e.Address}
 	old := ls.reserve(at, most, idle)
 	if old != nil {
--- a/relay/links_test.go
+++ b/internal/dataplane/proxy/links_test.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"net"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"curlewwalk/routing"
+	"curlewwalk/internal/dataplane/routing"
 )
 
 // Nobody there: not run, and no place is lost by it.
--- a/relay/near.go
+++ b/internal/dataplane/proxy/near.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"cmp"
@@ -8,17 +8,17 @@
 	"net/http"
 	"time"
 
-	"curlewwalk/claim"
-	"curlewwalk/contract"
-	"curlewwalk/custody"
-	"curlewwalk/desired"
-	"curlewwalk/launch"
-	"curlewwalk/lineage"
-	"curlewwalk/membership"
-	"curlewwalk/metrics"
-	"curlewwalk/routing"
-	"curlewwalk/trace"
-	"curlewwalk/wire"
+	"curlewwalk/internal/actor"
+	"curlewwalk/internal/config"
+	"curlewwalk/internal/dataplane/causality"
+	"curlewwalk/internal/dataplane/idempotency"
+	"curlewwalk/internal/dataplane/keyreplication"
+	"curlewwalk/internal/dataplane/routing"
+	"curlewwalk/internal/membership"
+	"curlewwalk/internal/metrics"
+	"curlewwalk/internal/retrybudget"
+	"curlewwalk/internal/trace"
+	"curlewwalk/internal/transport"
 )
 
 // Near is the executor beside the caller.
@@ -26,16 +26,16 @@
 	Zone         string
 	Table        func() *routing.Table
 	View         func() *membership.View
-	Net          *wire.Net
-	Launcher     *launch.Launcher
+	Net          *transport.Net
+	Launcher     *actor.Launcher
 	Queue        *trace.Queue
 	Log          *slog.Logger
-	Lineage      *lineage.Keeper
-	Claims       *claim.Claims[Response]
-	Custody      *custody.Owner
+	Lineage      *causality.Keeper
+	Claims       *idempotency.Claims[Response]
+	Custody      *keyreplication.Owner
 	Bodies       *Bodies
-	RetryBudgets *contract.RetryBudgets
-	Budgets      *contract.Budgets
+	RetryBudgets *retrybudget.RetryBudgets
+	Budgets      *retrybudget.Budgets
 	Costs        *routing.Costs
 	// Life ends when the node has to answer whatever is still open, with ErrStopping as its
 	// cause if it is being stopped.
@@ -72,13 +72,13 @@
 // request is one client's request on its way.
 type request struct {
 	caller   string
-	route    desired.Route
-	contract desired.Contract
+	route    config.Route
+	contract config.Contract
 	deadline time.Time
 	begun    time.Time
 	aim      time.Time
 	span     trace.Span
-	cause    lineage.Cause
+	cause    causality.Cause
 	traced   bool // the client itself sent identifiers
 	// left is how long the client will wait; zero if it does not say.
 	left    time.Duration
@@ -197,9 +197,9 @@
 }
 
 // match finds a request's route and contract, or how it is refused.
-func (n *Near) match(r *http.Request) (desired.Route, desired.Contract, *Response) {
-	refuse := func(status int, reason string, back time.Duration) (desired.Route, desired.Contract, *Response) {
-		return desired.Route{}, desired.Contract{}, n.refuse(status, reason, back)
+func (n *Near) match(r *http.Request) (config.Route, config.Contract, *Response) {
+	refuse := func(status int, reason string, back time.Duration) (config.Route, config.Contract, *Response) {
+		return config.Route{}, config.Contract{}, n.refuse(status, reason, back)
 	}
 	if n.Behind != nil && n.Behind() {
 		return refuse(http.StatusServiceUnavailable, "a newer configuration is in force, and not known here yet", n.back())
--- a/relay/pair_test.go
+++ b/internal/dataplane/proxy/pair_test.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"bufio"
@@ -14,15 +14,15 @@
 	"testing"
 	"time"
 
-	"curlewwalk/contract"
-	"curlewwalk/desired"
-	"curlewwalk/launch"
-	"curlewwalk/lineage"
-	"curlewwalk/membership"
-	"curlewwalk/roster"
-	"curlewwalk/routing"
-	"curlewwalk/trace"
-	"curlewwalk/wire"
+	"curlewwalk/internal/actor"
+	"curlewwalk/internal/config"
+	"curlewwalk/internal/dataplane/causality"
+	"curlewwalk/internal/dataplane/endpoints"
+	"curlewwalk/internal/dataplane/routing"
+	"curlewwalk/internal/membership"
+	"curlewwalk/internal/retrybudget"
+	"curlewwalk/internal/trace"
+	"curlewwalk/internal/transport"
 )
 
 // pair is a near side, a far side and a stand-in backend, with a connection between them:
@@ -43,7 +43,7 @@
 
 func newPair(t testing.TB, speak func(v visit) bool) *pair {
 	t.Helper()
-	return newPairWith(t, speak, func(map[string]wire.Handler) {})
+	return newPairWith(t, speak, func(map[string]transport.Handler) {})
 }
 
 // connections is a listener that keeps what it accepted.
@@ -73,24 +73,24 @@
 }
 
 // newPairWith lets a test stand between the two sides.
-func newPairWith(t testing.TB, speak func(v visit) bool, between func(map[string]wire.Handler)) *pair {
+func newPairWith(t testing.TB, speak func(v visit) bool, between func(map[string]transport.Handler)) *pair {
 	t.Helper()
 	p := &pair{bench: newBench(t, speak)}
 	ctx, cancel := context.WithCancel(context.Background())
-	l := launch.New(slog.New(slog.DiscardHandler), func(name string, cause any, stack []byte) { t.Errorf("%s: %v\n%s", name, cause, stack) })
-	table, ok := routing.NewTable(desired.Word{Stamp: 1, DesiredStamp: 1, Desired: []byte(pairConfiguration)})
+	l := actor.New(slog.New(slog.DiscardHandler), func(name string, cause any, stack []byte) { t.Errorf("%s: %v\n%s", name, cause, stack) })
+	table, ok := routing.NewTable(config.Word{Stamp: 1, DesiredStamp: 1, Desired: []byte(pairConfiguration)})
 	if !ok {
 		t.Fatal("the configuration is not taken")
 	}
 	no := func() bool { return false }
 	queue := trace.NewQueue("near", 1, 16)
-	lin := lineage.NewKeeper()
+	lin := causality.NewKeeper()
 
 	f := p.far
 	f.Boot, f.Queue, f.Lineage, f.Draining, f.Claimed = 7, queue, lin, no, func() bool { return true }
 	f.Table = func() *routing.Table { return table }
-	f.Roster = func() roster.Roster {
-		r, _ := roster.Roster{}.Announce(roster.Announcement{Instance: "a", Service: "desk", Address: p.entry.Address, Capacity: 8}, "north", time.Now())
+	f.Roster = func() endpoints.Roster {
+		r, _ := endpoints.Roster{}.Announce(endpoints.Announcement{Instance: "a", Service: "desk", Address: p.entry.Address, Capacity: 8}, "north", time.Now())
 		return r
 	}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -99,17 +99,17 @@
 	}
 	kept := &connections{Listener: listener}
 	p.cut = kept.cut
-	handlers := map[string]wire.Handler{KindAttempt: f.Attempt, KindRecall: f.Recall}
+	handlers := map[string]transport.Handler{KindAttempt: f.Attempt, KindRecall: f.Recall}
 	between(handlers)
-	host := &wire.Host{Launcher: l, Listener: kept, Handlers: handlers}
+	host := &transport.Host{Launcher: l, Listener: kept, Handlers: handlers}
 	node := membership.Node{Addr: listener.Addr().String(), Boot: 7, Zone: "north", Backends: []membership.Backend{
 		{Instance: "a", Service: "desk", Address: p.entry.Address, Zone: "north", Capacity: 8, Share: 1},
 	}}
 	view := membership.NewView(map[string]membership.Node{node.Addr: node}, nil)
 	p.near = &Near{
-		Zone: "north", Table: f.Table, View: func() *membership.View { return view }, Net: wire.NewNet(l, wire.Greeting{}, nil),
+		Zone: "north", Table: f.Table, View: func() *membership.View { return view }, Net: transport.NewNet(l, transport.Greeting{}, nil),
 		Launcher: l, Queue: queue, Log: slog.New(slog.DiscardHandler), Lineage: lin, Bodies: &Bodies{Most: 1 << 20, All: 8 << 20},
-		RetryBudgets: contract.NewRetryBudgets("near", 20), Budgets: contract.NewBudgets(), Costs: routing.NewCosts(), Life: ctx,
+		RetryBudgets: retrybudget.NewRetryBudgets("near", 20), Budgets: retrybudget.NewBudgets(), Costs: routing.NewCosts(), Life: ctx,
 		Draining: no, Dialect: told{}, Shun: time.Millisecond, ComeBack: 100 * time.Millisecond,
 	}
 	l.Go(ctx, "lineage", lin.Run)
--- a/relay/read.go
+++ b/internal/dataplane/proxy/read.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"errors"
@@ -8,7 +8,7 @@
 	"os"
 	"time"
 
-	"curlewwalk/routing"
+	"curlewwalk/internal/dataplane/routing"
 )
 
 // reserve takes room for a request's body, which must be given back, or tells why there is
--- a/relay/recall.go
+++ b/internal/dataplane/proxy/recall.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"context"
@@ -9,9 +9,9 @@
 
 	"github.com/rotisserie/eris"
 
-	"curlewwalk/roster"
-	"curlewwalk/routing"
-	"curlewwalk/wire"
+	"curlewwalk/internal/dataplane/endpoints"
+	"curlewwalk/internal/dataplane/routing"
+	"curlewwalk/internal/transport"
 )
 
 // ErrStopping ends the context of what is still open when a sidecar's time to stop is over.
@@ -102,7 +102,7 @@
 }
 
 // Recall handles a recall.
-func (f *Far) Recall(_ context.Context, in wire.Request) (any, string) {
+func (f *Far) Recall(_ context.Context, in transport.Request) (any, string) {
 	var q Recall
 	if !in.Into(&q) {
 		return nil, "not a recall"
@@ -115,13 +115,13 @@
 }
 
 // refusalOf tells why an attempt whose context has ended is not gone on with.
-func refusalOf(ctx context.Context) roster.Refusal {
+func refusalOf(ctx context.Context) endpoints.Refusal {
 	cause := context.Cause(ctx)
 	switch {
 	case errors.Is(cause, errRecalled):
-		return roster.Recalled
+		return endpoints.Recalled
 	case errors.Is(cause, ErrStopping):
-		return roster.Draining
+		return endpoints.Draining
 	}
-	return roster.Expired
+	return endpoints.Expired
 }
--- a/relay/refused_test.go
+++ b/internal/dataplane/proxy/refused_test.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"context"
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
-	"curlewwalk/launch"
-	"curlewwalk/routing"
-	"curlewwalk/trace"
+	"curlewwalk/internal/actor"
+	"curlewwalk/internal/dataplane/routing"
+	"curlewwalk/internal/trace"
 )
 
 // An attempt that comes a second time, while the first is being run, and is refused by
@@ -16,7 +16,7 @@
 func TestRefusedTwin(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	l := launch.New(slog.New(slog.DiscardHandler), func(name string, cause any, _ []byte) { t.Errorf("%s: %v", name, cause) })
+	l := actor.New(slog.New(slog.DiscardHandler), func(name string, cause any, _ []byte) { t.Errorf("%s: %v", name, cause) })
 	f := NewFar(ctx, l)
 	f.Bodies, f.Draining = &Bodies{}, func() bool { return true }
 	if !f.ledger.ask(ctx, f.ledger.begin, "first") {
--- a/relay/response.go
+++ b/internal/dataplane/proxy/response.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"encoding/json"
@@ -8,8 +8,8 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
-	"curlewwalk/routing"
-	"curlewwalk/wire"
+	"curlewwalk/internal/dataplane/routing"
+	"curlewwalk/internal/transport"
 )
 
 // Response is the answer to a request as its client gets it.
@@ -43,7 +43,7 @@
 
 // unpack reads such a response.
 func unpack(b []byte) (r Response, ok bool) {
-	ok = wire.Unpack(b, &r) == nil && r.Status >= 200 && r.Status <= 999
+	ok = transport.Unpack(b, &r) == nil && r.Status >= 200 && r.Status <= 999
 	return r, ok
 }
 
--- a/relay/run.go
+++ b/internal/dataplane/proxy/run.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"context"
@@ -6,11 +6,11 @@
 	"math/rand/v2"
 	"time"
 
-	"curlewwalk/membership"
-	"curlewwalk/roster"
-	"curlewwalk/routing"
-	"curlewwalk/trace"
-	"curlewwalk/wire"
+	"curlewwalk/internal/dataplane/endpoints"
+	"curlewwalk/internal/dataplane/routing"
+	"curlewwalk/internal/membership"
+	"curlewwalk/internal/trace"
+	"curlewwalk/internal/transport"
 )
 
 // run asks the decision and obeys, attempt by attempt.
@@ -108,7 +108,7 @@
 	t.Load.Attempts.Add(1)
 	sent := time.Now()
 	over := q.client.during(func() { n.recallLater(ctx, t.Node, attempt) })
-	r := n.Net.Call(ctx, t.Node, wire.Traffic, KindAttempt, attempt)
+	r := n.Net.Call(ctx, t.Node, transport.Traffic, KindAttempt, attempt)
 	over()
 	t.Load.Attempts.Add(-1)
 	if r.Traced {
@@ -117,14 +117,14 @@
 	l := routing.Attempt{Target: t, Fate: routing.Unknown, Reason: "lost on the way", Reached: true}
 	var rc AttemptResponse
 	switch {
-	case r.Fate == wire.Unsent:
+	case r.Fate == transport.Unsent:
 		l.Fate, l.Reason, l.Reached = routing.NotRun, "node could not be reached", false
 		t.Load.Shun(n.Shun)
 	case r.Into(&rc) && rc.of(&attempt):
-		l.Fate, l.Reason, l.Reached, l.Back, l.Expired = rc.Fate, rc.Reason, rc.Reached, rc.Back, rc.Reason == string(roster.Expired)
-		l.Lapsed = rc.Fate == routing.NotRun && rc.Reason == string(roster.Lapsed)
+		l.Fate, l.Reason, l.Reached, l.Back, l.Expired = rc.Fate, rc.Reason, rc.Reached, rc.Back, rc.Reason == string(endpoints.Expired)
+		l.Lapsed = rc.Fate == routing.NotRun && rc.Reason == string(endpoints.Lapsed)
 		t.Load.Tell(rc.Open)
-		if rc.Fate != routing.Answered && rc.Reason != string(roster.Full) && rc.Reason != string(roster.Recalled) {
+		if rc.Fate != routing.Answered && rc.Reason != string(endpoints.Full) && rc.Reason != string(endpoints.Recalled) {
 			t.Load.Shun(n.Shun)
 		}
 	default:
@@ -168,6 +168,6 @@
 func (n *Near) askRecall(ctx context.Context, node string, attempt Attempt, wait time.Duration) (rc AttemptResponse, ok bool) {
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
-	ok = n.Net.Call(ctx, node, wire.Control, KindRecall, Recall{ID: attempt.ID, Boot: attempt.Boot}).Into(&rc)
+	ok = n.Net.Call(ctx, node, transport.Control, KindRecall, Recall{ID: attempt.ID, Boot: attempt.Boot}).Into(&rc)
 	return rc, ok && rc.of(&attempt)
 }
--- a/relay/standin_test.go
+++ b/internal/dataplane/proxy/standin_test.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"bufio"
@@ -14,12 +14,12 @@
 	"testing"
 	"time"
 
-	"curlewwalk/desired"
-	"curlewwalk/launch"
-	"curlewwalk/membership"
-	"curlewwalk/roster"
-	"curlewwalk/routing"
-	"curlewwalk/trace"
+	"curlewwalk/internal/actor"
+	"curlewwalk/internal/config"
+	"curlewwalk/internal/dataplane/endpoints"
+	"curlewwalk/internal/dataplane/routing"
+	"curlewwalk/internal/membership"
+	"curlewwalk/internal/trace"
 )
 
 // told is a dialect of backends that name the request they answer.
@@ -61,7 +61,7 @@
 // is false; then it closes.
 type bench struct {
 	far   *Far
-	entry roster.Entry
+	entry endpoints.Entry
 	opens atomic.Int64
 	mu    sync.Mutex
 	ran   map[string]int
@@ -107,14 +107,14 @@
 		}
 	}()
 	ctx, cancel := context.WithCancel(context.Background())
-	l := launch.New(slog.New(slog.DiscardHandler), func(name string, cause any, _ []byte) { t.Errorf("%s: %v", name, cause) })
+	l := actor.New(slog.New(slog.DiscardHandler), func(name string, cause any, _ []byte) { t.Errorf("%s: %v", name, cause) })
 	f := NewFar(ctx, l)
 	f.Bodies, f.Dialect = &Bodies{Most: 1 << 20, All: 1 << 30}, told{}
 	f.links.stands = func(place) bool { return true }
-	table, _ := routing.NewTable(desired.Word{})
+	table, _ := routing.NewTable(config.Word{})
 	f.Table = func() *routing.Table { return table }
 	b.far = f
-	b.entry = roster.Entry{Backend: membership.Backend{Instance: "a", Address: ln.Addr().String(), Capacity: 8}}
+	b.entry = endpoints.Entry{Backend: membership.Backend{Instance: "a", Address: ln.Addr().String(), Capacity: 8}}
 	t.Cleanup(func() {
 		cancel()
 		ln.Close()
@@ -127,7 +127,7 @@
 var attempts atomic.Int64
 
 // put puts an attempt to the backend, as carry does.
-func (b *bench) put(attempt Attempt, check func() roster.Refusal) AttemptResponse {
+func (b *bench) put(attempt Attempt, check func() endpoints.Refusal) AttemptResponse {
 	if attempt.ID == "" {
 		attempt.ID = fmt.Sprint("leg-", attempts.Add(1))
 	}
@@ -141,7 +141,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), attempt.Left)
 	defer cancel()
 	if check == nil {
-		check = func() roster.Refusal { return roster.Open }
+		check = func() endpoints.Refusal { return endpoints.Open }
 	}
 	g := &guard{check: check}
 	rc := b.far.exchange(ctx, b.entry, &attempt, trace.Root(), g)
--- a/sidecar/report_limit.go
+++ b/internal/dataplane/report_limit.go
@@ -1,4 +1,4 @@
-package sidecar
+package dataplane
 
 import "time"
 
--- a/routing/attempt.go
+++ b/internal/dataplane/routing/attempt.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"curlewwalk/membership"
+	"curlewwalk/internal/membership"
 )
 
 // Fate is what is known of an attempt.
--- a/routing/costs.go
+++ b/internal/dataplane/routing/costs.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"curlewwalk/membership"
+	"curlewwalk/internal/membership"
 )
 
 // Costs are what a sidecar has learned of its ways, by backend. Many threads
--- a/routing/decision.go
+++ b/internal/dataplane/routing/decision.go
@@ -6,8 +6,8 @@
 	"net/http"
 	"time"
 
-	"curlewwalk/desired"
-	"curlewwalk/membership"
+	"curlewwalk/internal/config"
+	"curlewwalk/internal/membership"
 )
 
 const (
@@ -32,7 +32,7 @@
 // it and tells it what came of each attempt. (DESIGN 4.2)
 type Decision struct {
 	// Way has as its Service the one that was picked for the request.
-	Route    desired.Route
+	Route    config.Route
 	Deadline time.Time
 	Zone     string
 	Rand     *rand.Rand
--- a/routing/index.go
+++ b/internal/dataplane/routing/index.go
@@ -6,7 +6,7 @@
 	"unicode"
 	"unicode/utf8"
 
-	"curlewwalk/desired"
+	"curlewwalk/internal/config"
 )
 
 // index finds ways by host and longest prefix. (DESIGN 4.1)
@@ -18,19 +18,19 @@
 // group is the ways of one host, as long as it was written.
 type group struct {
 	host    int
-	lengths []int                      // of its prefixes, the longest first
-	routes  map[string][]desired.Route // by prefix, those with methods first
+	lengths []int                     // of its prefixes, the longest first
+	routes  map[string][]config.Route // by prefix, those with methods first
 }
 
 // newIndex takes ways in the order in which they win.
-func newIndex(routes []desired.Route) index {
+func newIndex(routes []config.Route) index {
 	x := index{hosts: map[string][]*group{}}
 	for _, w := range routes {
 		key := fold(w.Host)
 		list := x.hosts[key]
 		// The order has the longer hosts first, and of each the longer prefixes.
 		if len(list) == 0 || list[len(list)-1].host != len(w.Host) {
-			list = append(list, &group{host: len(w.Host), routes: map[string][]desired.Route{}})
+			list = append(list, &group{host: len(w.Host), routes: map[string][]config.Route{}})
 			x.hosts[key] = list
 		}
 		g := list[len(list)-1]
@@ -42,7 +42,7 @@
 	return x
 }
 
-func (x *index) find(host, path, method string) *desired.Route {
+func (x *index) find(host, path, method string) *config.Route {
 	for _, key := range [2]string{fold(host), ""} {
 		for _, g := range x.hosts[key] {
 			if w := g.find(path, method); w != nil {
@@ -53,7 +53,7 @@
 	return nil
 }
 
-func (g *group) find(path, method string) *desired.Route {
+func (g *group) find(path, method string) *config.Route {
 	for _, n := range g.lengths {
 		if n > len(path) {
 			continue
--- a/routing/index_test.go
+++ b/internal/dataplane/routing/index_test.go
@@ -12,11 +12,11 @@
 	"github.com/google/go-cmp/cmp"
 	"github.com/google/go-cmp/cmp/cmpopts"
 
-	"curlewwalk/desired"
+	"curlewwalk/internal/config"
 )
 
 // linear looks through all ways, in the order in which they win.
-func linear(t *Table, host, path, method string) (desired.Route, bool) {
+func linear(t *Table, host, path, method string) (config.Route, bool) {
 	if h, _, err := net.SplitHostPort(host); err == nil {
 		host = h
 	}
@@ -26,16 +26,16 @@
 			return w, true
 		}
 	}
-	return desired.Route{}, false
+	return config.Route{}, false
 }
 
 // tableOf builds a table of ways under one contract.
-func tableOf(t testing.TB, routes []desired.Route) *Table {
-	st := desired.State{Routes: routes}
+func tableOf(t testing.TB, routes []config.Route) *Table {
+	st := config.State{Routes: routes}
 	if err := json.Unmarshal([]byte(`{"contracts":[{"name":"c","aim":"1s","expiry":"2s","rank":1}]}`), &st); err != nil {
 		t.Fatal(err)
 	}
-	table, ok := NewTable(desired.Word{Stamp: 1, DesiredStamp: 1, Desired: st.Bytes()})
+	table, ok := NewTable(config.Word{Stamp: 1, DesiredStamp: 1, Desired: st.Bytes()})
 	if !ok {
 		t.Fatalf("no table of %s", st.Bytes())
 	}
@@ -52,10 +52,10 @@
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 3))
 		type key struct{ host, prefix, method string }
-		var routes []desired.Route
+		var routes []config.Route
 		taken := map[key]bool{}
 		for i := range 1 + rng.IntN(40) {
-			w := desired.Route{Name: fmt.Sprint("w", i), Host: one(rng, hosts), Prefix: "/" + one(rng, parts) + one(rng, parts), Service: "s", Contract: "c"}
+			w := config.Route{Name: fmt.Sprint("w", i), Host: one(rng, hosts), Prefix: "/" + one(rng, parts) + one(rng, parts), Service: "s", Contract: "c"}
 			for _, m := range methods {
 				if rng.IntN(4) == 0 {
 					w.Methods = append(w.Methods, m)
@@ -89,7 +89,7 @@
 			}
 			want, wantOK := linear(table, host, path, method)
 			got, _, ok := table.Match(host, path, method)
-			if d := cmp.Diff(want, got, cmpopts.IgnoreUnexported(desired.Stray{})); ok != wantOK || d != "" {
+			if d := cmp.Diff(want, got, cmpopts.IgnoreUnexported(config.Stray{})); ok != wantOK || d != "" {
 				t.Fatalf("seed %d: %s %q %q: %s", seed, method, host, path, d)
 			}
 			if ok {
@@ -120,9 +120,9 @@
 func BenchmarkMatch(b *testing.B) {
 	for _, n := range []int{30, 310, 3000} {
 		for _, hosts := range []int{1, 50} {
-			var routes []desired.Route
+			var routes []config.Route
 			for i := range n {
-				routes = append(routes, desired.Route{Name: fmt.Sprint("w", i), Host: fmt.Sprintf("host-%d.example", i%hosts), Prefix: fmt.Sprintf("/part-%d/of/it", i), Service: "s", Contract: "c"})
+				routes = append(routes, config.Route{Name: fmt.Sprint("w", i), Host: fmt.Sprintf("host-%d.example", i%hosts), Prefix: fmt.Sprintf("/part-%d/of/it", i), Service: "s", Contract: "c"})
 			}
 			table := tableOf(b, routes)
 			b.Run(fmt.Sprintf("%d ways of %d hosts", n, hosts), func(b *testing.B) {
@@ -140,14 +140,14 @@
 // BenchmarkNewTable makes the table of a word, reading included.
 func BenchmarkNewTable(b *testing.B) {
 	for _, n := range []int{310, 3000} {
-		st := desired.State{}
+		st := config.State{}
 		if err := json.Unmarshal([]byte(`{"contracts":[{"name":"c","aim":"1s","expiry":"2s","rank":1}]}`), &st); err != nil {
 			b.Fatal(err)
 		}
 		for i := range n {
-			st.Routes = append(st.Routes, desired.Route{Name: fmt.Sprint("w", i), Host: fmt.Sprintf("host-%d.example", i%50), Prefix: fmt.Sprintf("/part-%d/of/it", i), Service: "s", Contract: "c"})
+			st.Routes = append(st.Routes, config.Route{Name: fmt.Sprint("w", i), Host: fmt.Sprintf("host-%d.example", i%50), Prefix: fmt.Sprintf("/part-%d/of/it", i), Service: "s", Contract: "c"})
 		}
-		w := desired.Word{Stamp: 1, DesiredStamp: 1, Desired: st.Bytes()}
+		w := config.Word{Stamp: 1, DesiredStamp: 1, Desired: st.Bytes()}
 		b.Run(fmt.Sprintf("%d ways", n), func(b *testing.B) {
 			for range b.N {
 				if _, ok := NewTable(w); !ok {
--- a/routing/lapsed_test.go
+++ b/internal/dataplane/routing/lapsed_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"curlewwalk/desired"
-	"curlewwalk/membership"
+	"curlewwalk/internal/config"
+	"curlewwalk/internal/membership"
 )
 
 // Where no sidecar is sure of the newest word, a request is refused at once, after two
@@ -21,7 +21,7 @@
 			takes time.Duration
 		}{"north", 10 * time.Millisecond}
 	}
-	table, _ := NewTable(desired.Word{})
+	table, _ := NewTable(config.Word{})
 	for name, c := range map[string]struct {
 		unsure   bool
 		sure     int // the how manieth sidecar that is asked admits; 0: none
@@ -34,7 +34,7 @@
 	} {
 		s, now := newSite(at), time.Now()
 		d := Decision{
-			Route: desired.Route{Name: "w", Service: "s"}, Deadline: now.Add(time.Minute), Zone: "north", Rand: rand.New(rand.NewPCG(1, 1)),
+			Route: config.Route{Name: "w", Service: "s"}, Deadline: now.Add(time.Minute), Zone: "north", Rand: rand.New(rand.NewPCG(1, 1)),
 			Means: Means{
 				Aim: now.Add(time.Second), Room: time.Minute, Patience: time.Minute, Late: true, Hold: now.Add(time.Minute),
 				Cost:   func(target membership.Target) Cost { return s.costs.Of("w", target) },
--- a/routing/order.go
+++ b/internal/dataplane/routing/order.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"curlewwalk/membership"
+	"curlewwalk/internal/membership"
 )
 
 // Order is what the executor must do next: send an attempt, wait and ask again, or end the
--- a/routing/pick.go
+++ b/internal/dataplane/routing/pick.go
@@ -1,10 +1,10 @@
 package routing
 
-import "curlewwalk/desired"
+import "curlewwalk/internal/config"
 
 // Pick chooses the service of a way for one request: by weight, where the way is
 // split. draw tells a number from 0 to below n. (DESIGN 4.1)
-func Pick(w desired.Route, draw func(n int) int) string {
+func Pick(w config.Route, draw func(n int) int) string {
 	if len(w.Split) == 0 {
 		return w.Service
 	}
--- a/routing/pick_test.go
+++ b/internal/dataplane/routing/pick_test.go
@@ -6,17 +6,17 @@
 	"testing"
 	"time"
 
-	"curlewwalk/desired"
-	"curlewwalk/membership"
+	"curlewwalk/internal/config"
+	"curlewwalk/internal/membership"
 )
 
 // A split's services get their parts; one of no weight gets nothing.
 func TestPick(t *testing.T) {
-	if got := Pick(desired.Route{Service: "one"}, nil); got != "one" {
+	if got := Pick(config.Route{Service: "one"}, nil); got != "one" {
 		t.Errorf("without a split: %q", got)
 	}
 	rng := rand.New(rand.NewPCG(1, 1))
-	w, got := desired.Route{Split: []desired.Portion{{Service: "none"}, {Service: "most", Weight: 95}, {Service: "few", Weight: 5}, {Service: "never"}}}, map[string]int{}
+	w, got := config.Route{Split: []config.Portion{{Service: "none"}, {Service: "most", Weight: 95}, {Service: "few", Weight: 5}, {Service: "never"}}}, map[string]int{}
 	for range 20000 {
 		got[Pick(w, rng.IntN)]++
 	}
@@ -32,11 +32,11 @@
 		nodes[name] = membership.Node{Addr: name, Backends: []membership.Backend{{Instance: name, Service: "s", Capacity: 1, Share: 1}}}
 	}
 	view := membership.NewView(nodes, nil)
-	table, _ := NewTable(desired.Word{})
+	table, _ := NewTable(config.Word{})
 	for attempts, want := range map[int]int{0: 3, 1: 1, 2: 2, 5: 5, 10: 6} {
 		now := time.Now()
 		d := Decision{
-			Route: desired.Route{Name: "w", Service: "s", Attempts: attempts}, Deadline: now.Add(time.Second), Rand: rand.New(rand.NewPCG(1, 1)),
+			Route: config.Route{Name: "w", Service: "s", Attempts: attempts}, Deadline: now.Add(time.Second), Rand: rand.New(rand.NewPCG(1, 1)),
 			Means: Means{Cost: func(membership.Target) Cost { return Cost{} }, Spend: func() bool { return true }},
 		}
 		for {
@@ -57,7 +57,7 @@
 
 // What is said of services and clients is to be had; a table of nothing has none.
 func TestSaid(t *testing.T) {
-	table, ok := NewTable(desired.Word{Stamp: 1, DesiredStamp: 1, Desired: []byte(`{"contracts": [{"name":"c","aim":"1s","expiry":"2s","rank":1}],
+	table, ok := NewTable(config.Word{Stamp: 1, DesiredStamp: 1, Desired: []byte(`{"contracts": [{"name":"c","aim":"1s","expiry":"2s","rank":1}],
 		"services": [{"name":"b","connections":7},{"name":"a"},{"name":"z"}], "limits": {"body_bytes": 9},
 		"ways": [{"name":"w","prefix":"/","split":[{"service":"b","weight":1},{"service":"a","weight":1}],"contract":"c"}]}`)})
 	if !ok {
@@ -69,7 +69,7 @@
 	if got := table.Services(); len(got) != 3 || table.Limits().BodyBytes != 9 {
 		t.Errorf("%v, %+v", got, table.Limits())
 	}
-	none, _ := NewTable(desired.Word{})
+	none, _ := NewTable(config.Word{})
 	if _, ok := none.Service("b"); ok || none.Limits().IsDefined() || len(none.Services()) != 0 {
 		t.Error("a table of nothing says something")
 	}
--- a/routing/spend.go
+++ b/internal/dataplane/routing/spend.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"curlewwalk/membership"
+	"curlewwalk/internal/membership"
 )
 
 // Means is what a request may spend of its contract's budget, and what is known
--- a/routing/spend_test.go
+++ b/internal/dataplane/routing/spend_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"curlewwalk/desired"
-	"curlewwalk/membership"
+	"curlewwalk/internal/config"
+	"curlewwalk/internal/membership"
 )
 
 // site is a view with places of a service, and what was learned of them.
@@ -42,11 +42,11 @@
 // refused.
 func (s *site) picks(left, patience time.Duration) map[string]int {
 	out := map[string]int{}
-	table, _ := NewTable(desired.Word{})
+	table, _ := NewTable(config.Word{})
 	for seed := range uint64(400) {
 		now := time.Now()
 		d := Decision{
-			Route: desired.Route{Name: "w", Service: "s"}, Deadline: now.Add(left), Zone: "north", Rand: rand.New(rand.NewPCG(seed, 1)),
+			Route: config.Route{Name: "w", Service: "s"}, Deadline: now.Add(left), Zone: "north", Rand: rand.New(rand.NewPCG(seed, 1)),
 			Means: Means{
 				Aim: now.Add(100 * time.Millisecond), Room: 900 * time.Millisecond, Patience: patience, Crossing: s.crossing,
 				Cost: func(t membership.Target) Cost { return s.costs.Of("w", t) }, Spend: func() bool { return true },
--- a/routing/table.go
+++ b/internal/dataplane/routing/table.go
@@ -9,18 +9,18 @@
 	"slices"
 	"time"
 
-	"curlewwalk/contract"
-	"curlewwalk/desired"
+	"curlewwalk/internal/config"
+	"curlewwalk/internal/retrybudget"
 )
 
 // Table is the immutable snapshot of ways and contracts under one stamp.
 type Table struct {
 	Stamp     uint64
-	routes    []desired.Route
+	routes    []config.Route
 	index     index
-	contracts map[string]desired.Contract
-	services  map[string]desired.Service
-	limits    desired.Limits
+	contracts map[string]config.Contract
+	services  map[string]config.Service
+	limits    config.Limits
 	emptied   map[string]bool
 	// Climb is how zones are taken back. It is set before After is called.
 	Climb Climb
@@ -53,19 +53,19 @@
 }
 
 // NewTable builds the table of a word; false if its bytes do not check.
-func NewTable(w desired.Word) (*Table, bool) {
-	t := &Table{Stamp: w.Stamp, Climb: UsualClimb, contracts: map[string]desired.Contract{}, emptied: map[string]bool{}}
+func NewTable(w config.Word) (*Table, bool) {
+	t := &Table{Stamp: w.Stamp, Climb: UsualClimb, contracts: map[string]config.Contract{}, emptied: map[string]bool{}}
 	for _, l := range w.Shut() {
 		t.emptied[l] = true
 	}
 	if w.DesiredStamp == 0 {
 		return t, true
 	}
-	st, faults, ok := desired.Parse(w.Desired)
+	st, faults, ok := config.Parse(w.Desired)
 	if !ok || len(faults) > 0 {
 		return nil, false
 	}
-	t.routes, t.limits, t.services = st.Routes, st.Limits, map[string]desired.Service{}
+	t.routes, t.limits, t.services = st.Routes, st.Limits, map[string]config.Service{}
 	for _, s := range st.Services {
 		t.services[s.Name] = s
 	}
@@ -73,7 +73,7 @@
 		t.contracts[c.Name] = c
 	}
 	// The closest match stands first: host, then longer prefix, then method.
-	slices.SortStableFunc(t.routes, func(a, b desired.Route) int {
+	slices.SortStableFunc(t.routes, func(a, b config.Route) int {
 		return cmp.Or(cmp.Compare(len(b.Host), len(a.Host)), cmp.Compare(len(b.Prefix), len(a.Prefix)), cmp.Compare(min(1, len(b.Methods)), min(1, len(a.Methods))))
 	})
 	t.index = newIndex(t.routes)
@@ -81,19 +81,19 @@
 }
 
 // Match finds the way of a request and its contract.
-func (t *Table) Match(host, path, method string) (desired.Route, desired.Contract, bool) {
+func (t *Table) Match(host, path, method string) (config.Route, config.Contract, bool) {
 	if h, _, err := net.SplitHostPort(host); err == nil {
 		host = h
 	}
 	w := t.index.find(host, path, method)
 	if w == nil {
-		return desired.Route{}, desired.Contract{}, false
+		return config.Route{}, config.Contract{}, false
 	}
 	return *w, t.contracts[w.Contract], true
 }
 
 // Service is what the operator said of a service; false if nothing.
-func (t *Table) Service(name string) (desired.Service, bool) {
+func (t *Table) Service(name string) (config.Service, bool) {
 	s, ok := t.services[name]
 	return s, ok
 }
@@ -108,7 +108,7 @@
 }
 
 // Limits bound what clients may send.
-func (t *Table) Limits() desired.Limits { return t.limits }
+func (t *Table) Limits() config.Limits { return t.limits }
 
 // Services lists the services that ways lead to, and those that something was
 // said of.
@@ -139,11 +139,11 @@
 }
 
 // Pages shows the budget of each contract, given the tallies.
-func (t *Table) Pages(sums map[string]contract.Tally) []contract.Page {
-	out := []contract.Page{}
+func (t *Table) Pages(sums map[string]retrybudget.Tally) []retrybudget.Page {
+	out := []retrybudget.Page{}
 	for _, name := range slices.Sorted(maps.Keys(t.contracts)) {
 		c := t.contracts[name]
-		out = append(out, contract.NewPage(name, c.Rank, c.Aim.Duration, c.Deadline.Duration, sums[name]))
+		out = append(out, retrybudget.NewPage(name, c.Rank, c.Aim.Duration, c.Deadline.Duration, sums[name]))
 	}
 	return out
 }
--- a/sidecar/steward.go
+++ b/internal/dataplane/steward.go
@@ -1,4 +1,4 @@
-package sidecar
+package dataplane
 
 import (
 	"context"
@@ -7,40 +7,40 @@
 	"sync/atomic"
 	"time"
 
-	"curlewwalk/contract"
-	"curlewwalk/desired"
-	"curlewwalk/feed"
-	"curlewwalk/launch"
-	"curlewwalk/membership"
-	"curlewwalk/roster"
-	"curlewwalk/routing"
+	"curlewwalk/internal/actor"
+	"curlewwalk/internal/config"
+	"curlewwalk/internal/dataplane/endpoints"
+	"curlewwalk/internal/dataplane/routing"
+	"curlewwalk/internal/membership"
+	"curlewwalk/internal/retrybudget"
+	"curlewwalk/internal/watch"
 )
 
 // steward is the one thread of control state. It swaps whole the snapshots
 // that traffic reads. (DESIGN 1.3)
 type steward struct {
-	box          *launch.Mailbox
+	box          *actor.Mailbox
 	addr         string
 	boot         uint64
 	zone         string
 	hasten       func()
-	retryBudgets *contract.RetryBudgets
-	budgets      *contract.Budgets
+	retryBudgets *retrybudget.RetryBudgets
+	budgets      *retrybudget.Budgets
 	watcher      *membership.Watcher
 	inc          atomic.Uint64
-	sleep        roster.Sleep
+	sleep        endpoints.Sleep
 
-	copy *feed.Copy
+	copy *watch.Copy
 
-	roster atomic.Pointer[roster.Roster]
+	roster atomic.Pointer[endpoints.Roster]
 	table  atomic.Pointer[routing.Table]
 	view   atomic.Pointer[membership.View]
 	shown  atomic.Pointer[follows]
-	claim  roster.Claim
+	claim  endpoints.Claim
 	// agreed is the claim that a roll call gives while no majority of cores lives.
-	agreed roster.Claim
+	agreed endpoints.Claim
 	// spoken is the word that the table was made of.
-	spoken atomic.Pointer[desired.Word]
+	spoken atomic.Pointer[config.Word]
 	// report limits how often new configurations hasten heartbeats.
 	report reportLimit
 	// climb is how zones are taken back.
@@ -61,7 +61,7 @@
 
 type (
 	msgAnnounce struct {
-		a     roster.Announcement
+		a     endpoints.Announcement
 		reply chan<- []string
 	}
 	msgLeave struct {
@@ -74,7 +74,7 @@
 	msgHeld struct{ rev uint64 }
 	msgNews struct {
 		core  membership.Seat
-		n     feed.News
+		n     watch.News
 		asked time.Time
 		taken chan<- bool
 	}
@@ -85,12 +85,12 @@
 	msgLive  struct{ reply chan<- bool }
 )
 
-func newSteward(l *launch.Launcher, addr string, boot uint64, zone string, extraAttempts int, hasten func()) *steward {
-	s := &steward{addr: addr, boot: boot, zone: zone, hasten: hasten, copy: feed.NewCopy()}
+func newSteward(l *actor.Launcher, addr string, boot uint64, zone string, extraAttempts int, hasten func()) *steward {
+	s := &steward{addr: addr, boot: boot, zone: zone, hasten: hasten, copy: watch.NewCopy()}
 	s.watcher = membership.NewWatcher()
-	s.retryBudgets, s.budgets = contract.NewRetryBudgets(addr, extraAttempts), contract.NewBudgets()
-	s.roster.Store(&roster.Roster{})
-	t, _ := routing.NewTable(desired.Word{})
+	s.retryBudgets, s.budgets = retrybudget.NewRetryBudgets(addr, extraAttempts), retrybudget.NewBudgets()
+	s.roster.Store(&endpoints.Roster{})
+	t, _ := routing.NewTable(config.Word{})
 	s.table.Store(t)
 	s.view.Store(membership.NewView(nil, nil))
 	s.shown.Store(&follows{})
@@ -118,7 +118,7 @@
 
 // run keeps time until ctx ends.
 func (s *steward) run(ctx context.Context) {
-	tick, pulse := time.NewTicker(membership.Beat), time.NewTicker(roster.Pulse)
+	tick, pulse := time.NewTicker(membership.Beat), time.NewTicker(endpoints.Pulse)
 	defer tick.Stop()
 	defer pulse.Stop()
 	for {
@@ -197,7 +197,7 @@
 
 // acknowledge answers a backend: at once, unless it has just said that it leaves, which a
 // core must hold first.
-func (s *steward) acknowledge(before, after roster.Roster, now time.Time, answer func()) {
+func (s *steward) acknowledge(before, after endpoints.Roster, now time.Time, answer func()) {
 	if !after.DepartedSince(before) {
 		answer()
 		return
@@ -205,7 +205,7 @@
 	s.held.add(after.Rev, now, answer)
 }
 
-func (s *steward) swapRoster(next roster.Roster) {
+func (s *steward) swapRoster(next endpoints.Roster) {
 	next = next.Shade(s.table.Load().ColdRate, time.Now())
 	changed := next.Rev != s.roster.Load().Rev
 	s.roster.Store(&next)
@@ -221,7 +221,7 @@
 	s.view.Store(membership.NewView(s.copy.Nodes, s.view.Load()))
 }
 
-func (s *steward) take(core membership.Seat, n feed.News) {
+func (s *steward) take(core membership.Seat, n watch.News) {
 	word, changed := s.copy.Take(n)
 	if word != nil {
 		s.word(*word)
@@ -250,7 +250,7 @@
 }
 
 // word puts a word in force.
-func (s *steward) word(w desired.Word) {
+func (s *steward) word(w config.Word) {
 	if t, ok := routing.NewTable(w); ok {
 		t.Climb = s.climb
 		t.After(s.table.Load(), time.Now())
--- a/sidecar/steward_test.go
+++ b/internal/dataplane/steward_test.go
@@ -1,19 +1,19 @@
-package sidecar
+package dataplane
 
 import (
 	"fmt"
 	"log/slog"
 	"testing"
 
-	"curlewwalk/launch"
-	"curlewwalk/membership"
+	"curlewwalk/internal/actor"
+	"curlewwalk/internal/membership"
 )
 
 // What a round of the roll call found is taken as one message; the view isn't made anew
 // for what is known already, and no earlier process's death takes a later one out.
 // (DESIGN 7.4)
 func TestFound(t *testing.T) {
-	l := launch.New(slog.New(slog.DiscardHandler), func(name string, cause any, stack []byte) { t.Errorf("%s: %v\n%s", name, cause, stack) })
+	l := actor.New(slog.New(slog.DiscardHandler), func(name string, cause any, stack []byte) { t.Errorf("%s: %v\n%s", name, cause, stack) })
 	s := newSteward(l, "10.0.0.1:7020", 1, "north", 0, func() {})
 	var found membership.Found
 	for i := range 199 {
@@ -22,7 +22,7 @@
 	}
 	send := func(f membership.Found) *membership.View {
 		s.box.Send(t.Context(), msgFound{f})
-		if _, ok := launch.Ask(t.Context(), s.box, func(r chan<- bool) any { return msgLive{r} }); !ok {
+		if _, ok := actor.Ask(t.Context(), s.box, func(r chan<- bool) any { return msgLive{r} }); !ok {
 			t.Fatal("no answer")
 		}
 		return s.view.Load()
@@ -43,10 +43,10 @@
 // A backend's word of leaving is answered once a core holds it; what an earlier process at
 // this address had acknowledged binds this one. (DESIGN 9.1)
 func TestLeavingIsHeld(t *testing.T) {
-	l := launch.New(slog.New(slog.DiscardHandler), func(name string, cause any, stack []byte) { t.Errorf("%s: %v\n%s", name, cause, stack) })
+	l := actor.New(slog.New(slog.DiscardHandler), func(name string, cause any, stack []byte) { t.Errorf("%s: %v\n%s", name, cause, stack) })
 	s := newSteward(l, "10.0.0.1:7020", 1, "north", 0, func() {})
 	settle := func() {
-		if _, ok := launch.Ask(t.Context(), s.box, func(r chan<- bool) any { return msgLive{r} }); !ok {
+		if _, ok := actor.Ask(t.Context(), s.box, func(r chan<- bool) any { return msgLive{r} }); !ok {
 			t.Fatal("no answer")
 		}
 	}
--- a/sidecar/stop.go
+++ b/internal/dataplane/stop.go
@@ -1,4 +1,4 @@
-package sidecar
+package dataplane
 
 import (
 	"context"
@@ -6,8 +6,8 @@
 	"os"
 	"time"
 
-	"curlewwalk/process"
-	"curlewwalk/relay"
+	"curlewwalk/internal/dataplane/proxy"
+	"curlewwalk/internal/process"
 )
 
 // stop drains: unready at once, nothing new, what was handed over finishes.
@@ -32,13 +32,13 @@
 	n.awaitIdle(ctx, giveUpAt)
 	givenUp, attempts := n.near.Counts.Open.Load(), n.far.Counts.Open.Load()
 	n.far.RefuseWaiting()
-	n.giveUp(relay.ErrStopping)
+	n.giveUp(proxy.ErrStopping)
 	n.awaitAnswered(ctx)
 	// A client may be writing on an idle connection just as it is closed, and could
 	// not know whether that was read: so it is told first, on the connection.
 	parting, over := context.WithTimeout(ctx, linger)
 	defer over()
-	goodbye := relay.Farewell(n.near.Dialect)
+	goodbye := proxy.Farewell(n.near.Dialect)
 	farewell := process.Farewell(goodbye.Header, goodbye.Body)
 	n.webs[1].Part(parting, farewell)
 	n.outgoing.part(parting, farewell)
@@ -85,7 +85,7 @@
 // reportStop prints what became of the requests that came since the warning: the ring and
 // the metrics end with the process. givenUp counts the requests of callers that were open
 // when the time was over, attempts the ones for own backends.
-func (n *Node) reportStop(warned time.Time, before relay.Totals, givenUp, attempts int64) {
+func (n *Node) reportStop(warned time.Time, before proxy.Totals, givenUp, attempts int64) {
 	total := n.near.Counts.Read()
 	fmt.Fprintf(os.Stdout, "stopped after=%v asked=%d answered=%d not-run=%d unknown=%d given-up=%d attempts-given-up=%d\n",
 		time.Since(warned).Round(time.Millisecond), total.Requests-before.Requests, total.Answered-before.Answered,
--- a/window/calendar.go
+++ b/internal/maintenance/calendar.go
@@ -1,6 +1,6 @@
-// Package window reads maintenance windows from iCalendar files and decides what
+// Package maintenance reads maintenance windows from iCalendar files and decides what
 // they ask for. (DESIGN 17)
-package window
+package maintenance
 
 import (
 	"bytes"
--- a/window/occurrence.go
+++ b/internal/maintenance/occurrence.go
@@ -1,4 +1,4 @@
-package window
+package maintenance
 
 import "time"
 
--- a/window/window_test.go
+++ b/internal/maintenance/window_test.go
@@ -1,4 +1,4 @@
-package window
+package maintenance
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"curlewwalk/desired"
+	"curlewwalk/internal/config"
 )
 
 // file makes a calendar of events' lines.
@@ -84,7 +84,7 @@
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 17))
 		begun, ended := map[string]int{}, map[string]int{}
-		var w, stale desired.Word
+		var w, stale config.Word
 		now := time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC)
 		for range 400 {
 			now = now.Add(time.Duration(rng.Int64N(int64(2 * time.Minute))))
@@ -98,10 +98,10 @@
 				switch {
 				case s.Begin && !w.Noted(s.Window):
 					begun[s.Window]++
-					w.Closures = append(append([]desired.Closure{}, w.Closures...), desired.Closure{Zone: s.Zone, Window: s.Window})
+					w.Closures = append(append([]config.Closure{}, w.Closures...), config.Closure{Zone: s.Zone, Window: s.Window})
 				case !s.Begin && w.Noted(s.Window):
 					ended[s.Window]++
-					var left []desired.Closure
+					var left []config.Closure
 					for _, n := range w.Closures {
 						if n.Window != s.Window {
 							left = append(left, n)
--- a/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"curlewwalk/desired"
+	"curlewwalk/internal/config"
 )
 
 // KindGossip is the call's kind on the wire.
@@ -38,7 +38,7 @@
 	Peers []Peer `msgpack:"p,omitempty"`
 	// Word is the answerer's, if it was asked for and is newer than the asker's; without
 	// its configuration if the asker has that one.
-	Word *desired.Word `msgpack:"w,omitempty"`
+	Word *config.Word `msgpack:"w,omitempty"`
 	// Nodes are those that were asked for, as far as the answerer has them.
 	Nodes []Node `msgpack:"n,omitempty"`
 	// Know is set if the answerer knows other seats of cores than the asker.
--- a/membership/heartbeat.go
+++ b/internal/membership/heartbeat.go
@@ -1,6 +1,6 @@
 package membership
 
-import "curlewwalk/contract"
+import "curlewwalk/internal/retrybudget"
 
 // Heartbeat is how processes find and tell one another: who calls, and whom it
 // knows. The response is a Heartbeat too. To one that has shown that it understands
@@ -30,8 +30,8 @@
 	Departed []string `msgpack:"de,omitempty"`
 	// Sums asks for Budgets, the sums over all nodes, in a core's response to a
 	// sidecar.
-	Sums    bool                      `msgpack:"su,omitempty"`
-	Budgets map[string]contract.Tally `msgpack:"bu,omitempty"`
+	Sums    bool                         `msgpack:"su,omitempty"`
+	Budgets map[string]retrybudget.Tally `msgpack:"bu,omitempty"`
 }
 
 // Rev is the boot and the revision of the sidecar that it tells of, whole or by its pulse;
--- a/membership/node.go
+++ b/internal/membership/node.go
@@ -1,6 +1,6 @@
 package membership
 
-import "curlewwalk/contract"
+import "curlewwalk/internal/retrybudget"
 
 // Node is one sidecar's soft state. Rev counts changes within a boot.
 type Node struct {
@@ -19,7 +19,7 @@
 	// Open counts what runs and waits at own backends, by zone.
 	Open map[string]int64 `msgpack:"op,omitempty" json:"open,omitempty"`
 	// Budgets is the node's own tally by contract; it changes without Rev.
-	Budgets map[string]contract.Tally `msgpack:"bu,omitempty" json:"budgets,omitempty"`
+	Budgets map[string]retrybudget.Tally `msgpack:"bu,omitempty" json:"budgets,omitempty"`
 	// Turn numbers what the node tells within a boot, so that nothing overtaken is
 	// taken for news; zero of an older version.
 	Turn uint `msgpack:"t,omitempty" json:"-"`
--- a/membership/pulse.go
+++ b/internal/membership/pulse.go
@@ -1,6 +1,6 @@
 package membership
 
-import "curlewwalk/contract"
+import "curlewwalk/internal/retrybudget"
 
 // Pulse is what changes of a node without Rev, told to a core that has the node in
 // that boot and revision. It is whole each time, so what was lost or overtaken
@@ -22,7 +22,7 @@
 
 // Tallies are a node's own, by contract; without any, it has none.
 type Tallies struct {
-	Budgets map[string]contract.Tally `msgpack:"b,omitempty"`
+	Budgets map[string]retrybudget.Tally `msgpack:"b,omitempty"`
 }
 
 // Pulse is the node's; with its tallies if they are due.
--- a/membership/rollcall.go
+++ b/internal/membership/rollcall.go
@@ -6,10 +6,10 @@
 	"sync/atomic"
 	"time"
 
-	"curlewwalk/desired"
-	"curlewwalk/launch"
-	"curlewwalk/rendezvous"
-	"curlewwalk/wire"
+	"curlewwalk/internal/actor"
+	"curlewwalk/internal/config"
+	"curlewwalk/internal/rendezvous"
+	"curlewwalk/internal/transport"
 )
 
 const (
@@ -28,15 +28,15 @@
 // a majority of cores lives. (DESIGN 7.4)
 type Rollcall struct {
 	Own      string
-	Net      *wire.Net
-	Launcher *launch.Launcher
+	Net      *transport.Net
+	Launcher *actor.Launcher
 	// Node is this node's soft state, its stamp included; View all it knows.
 	Node func() Node
 	View func() *View
 	// Seats are the cores that it knows of.
 	Seats func() Seats
 	// Word is its word, if there is one.
-	Word func() *desired.Word
+	Word func() *config.Word
 	// Seeds are asked while no other node is known.
 	Seeds func() []string
 	// News is how old the news from the cores is.
@@ -57,7 +57,7 @@
 // Found is what a round brought.
 type Found struct {
 	// Word is the newest that was told, if any was newer than the own one.
-	Word *desired.Word
+	Word *config.Word
 	// Nodes are soft states that differ from the own view, Dead the boots of nodes
 	// whose processes are gone.
 	Nodes []Node
@@ -95,7 +95,7 @@
 }
 
 // Answer handles a Gossip call.
-func (c *Rollcall) Answer(_ context.Context, in wire.Request) (any, string) {
+func (c *Rollcall) Answer(_ context.Context, in transport.Request) (any, string) {
 	var q Gossip
 	if !in.Into(&q) {
 		return nil, "not a gossip"
@@ -119,7 +119,7 @@
 }
 
 // word is what a fetch is answered.
-func (c *Rollcall) word(f Fetch) *desired.Word {
+func (c *Rollcall) word(f Fetch) *config.Word {
 	w := c.Word()
 	if w == nil || !f.Word || w.Stamp <= f.Stamp {
 		return nil
@@ -182,7 +182,7 @@
 		c.Launcher.Go(ctx, "gossip", func(ctx context.Context) {
 			g := gossiped{addr: addr, asked: c.now()}
 			var a Gossiped
-			r := c.Net.Call(ctx, addr, wire.Control, KindGossip, q)
+			r := c.Net.Call(ctx, addr, transport.Control, KindGossip, q)
 			if g.refused = r.Refused; r.Into(&a) {
 				g.answer = &a
 			}
--- a/membership/rollcall_test.go
+++ b/internal/membership/rollcall_test.go
@@ -11,9 +11,9 @@
 	"testing"
 	"time"
 
-	"curlewwalk/desired"
-	"curlewwalk/launch"
-	"curlewwalk/wire"
+	"curlewwalk/internal/actor"
+	"curlewwalk/internal/config"
+	"curlewwalk/internal/transport"
 )
 
 // caller is a sidecar of a fleet without cores, as far as the roll call goes.
@@ -21,10 +21,10 @@
 	*Rollcall
 	mu    sync.Mutex // of what follows, up to the host
 	nodes map[string]Node
-	word  *desired.Word
+	word  *config.Word
 	takes int
 	sure  time.Time
-	host  *wire.Host
+	host  *transport.Host
 	clock *clock
 	end   context.CancelFunc // of its process
 	view  *View              // of nodes, if they have not changed since
@@ -42,7 +42,7 @@
 // coreless is a fleet of sidecars that all find that no majority of cores lives.
 func coreless(t *testing.T, size int) []*caller {
 	ctx, cancel := context.WithCancel(t.Context())
-	l := launch.New(slog.New(slog.DiscardHandler), func(name string, cause any, stack []byte) { t.Errorf("%s: %v\n%s", name, cause, stack) })
+	l := actor.New(slog.New(slog.DiscardHandler), func(name string, cause any, stack []byte) { t.Errorf("%s: %v\n%s", name, cause, stack) })
 	t.Cleanup(func() {
 		cancel()
 		<-l.Idle()
@@ -57,8 +57,8 @@
 		}
 		c := &caller{Rollcall: NewRollcall(), nodes: map[string]Node{}}
 		c.Own, c.now, c.within, c.clock = ln.Addr().String(), watch.now, time.Minute, watch
-		own := wire.Greeting{Version: wire.Version, Node: c.Own}
-		c.Net, c.Launcher = wire.NewNet(l, own, nil), l
+		own := transport.Greeting{Version: transport.Version, Node: c.Own}
+		c.Net, c.Launcher = transport.NewNet(l, own, nil), l
 		self := Node{Addr: c.Own, Boot: uint64(i) + 1<<60, Rev: 3, Zone: "north", Backends: []Backend{{Service: "orders", Instance: "orders-" + ip, Address: ip + ":8000", Zone: "north", Capacity: 9}}}
 		c.nodes[c.Own] = self
 		c.Node = func() Node {
@@ -79,7 +79,7 @@
 		}
 		core := Seat{Slot: 1, Slots: 1, Addr: "127.0.0.1:1", Set: []int{1}}
 		c.Seats = func() Seats { return Seats{}.Hear(core, noon.Add(-time.Hour)).Refused(core.Addr, watch.now()) }
-		c.Word = func() *desired.Word {
+		c.Word = func() *config.Word {
 			c.mu.Lock()
 			defer c.mu.Unlock()
 			return c.word
@@ -102,7 +102,7 @@
 			}
 		}
 		c.Sure = func(asOf time.Time) { c.sure = asOf }
-		c.host = &wire.Host{Own: own, Launcher: l, Listener: ln, Handlers: map[string]wire.Handler{KindGossip: c.Answer}}
+		c.host = &transport.Host{Own: own, Launcher: l, Listener: ln, Handlers: map[string]transport.Handler{KindGossip: c.Answer}}
 		var life context.Context
 		life, c.end = context.WithCancel(ctx)
 		l.Go(life, "net", c.Net.Run)
@@ -115,7 +115,7 @@
 // round lets each of a fleet ask once, and returns what one did on average: the calls,
 // and the bytes of these and their responses.
 func round(t *testing.T, fleet []*caller) (calls, bytes float64) {
-	before := map[*caller]wire.Count{}
+	before := map[*caller]transport.Count{}
 	for _, c := range fleet {
 		before[c], c.takes = c.Net.Counts.Read()[KindGossip], 0
 	}
@@ -147,7 +147,7 @@
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			fleet := coreless(t, size)
 			for _, c := range fleet {
-				c.word = &desired.Word{Stamp: 7}
+				c.word = &config.Word{Stamp: 7}
 				for _, o := range fleet {
 					c.met(o.nodes[o.Own])
 				}
@@ -197,12 +197,12 @@
 	late := fleet[len(fleet)-1]
 	late.Seeds = func() []string { return []string{fleet[0].Own} }
 	for _, c := range fleet[:len(fleet)-1] {
-		c.word = &desired.Word{Stamp: 7}
+		c.word = &config.Word{Stamp: 7}
 		for _, o := range fleet[:len(fleet)-1] {
 			c.met(o.nodes[o.Own])
 		}
 	}
-	fleet[5].word = &desired.Word{Stamp: 8, Desired: []byte(strings.Repeat("x", 60000))}
+	fleet[5].word = &config.Word{Stamp: 8, Desired: []byte(strings.Repeat("x", 60000))}
 	for range 8 {
 		round(t, fleet)
 	}
@@ -218,14 +218,14 @@
 func TestRollcallOfTheDead(t *testing.T) {
 	fleet := coreless(t, 11)
 	for _, c := range fleet {
-		c.word = &desired.Word{Stamp: 7}
+		c.word = &config.Word{Stamp: 7}
 		for _, o := range fleet {
 			c.met(o.nodes[o.Own])
 		}
 	}
 	// Six are cut off, as if their answers were lost.
 	for _, c := range fleet[5:] {
-		c.host.Handlers[KindGossip] = func(context.Context, wire.Request) (any, string) { return nil, "lost" }
+		c.host.Handlers[KindGossip] = func(context.Context, transport.Request) (any, string) { return nil, "lost" }
 	}
 	for range 6 {
 		round(t, fleet[:5])
@@ -255,12 +255,12 @@
 	fleet := coreless(t, 5)
 	configuration := []byte(strings.Repeat("x", 60000))
 	for _, c := range fleet {
-		c.word = &desired.Word{Stamp: 8, DesiredStamp: 7, Desired: configuration}
+		c.word = &config.Word{Stamp: 8, DesiredStamp: 7, Desired: configuration}
 		for _, o := range fleet {
 			c.met(o.nodes[o.Own])
 		}
 	}
-	fleet[0].word = &desired.Word{Stamp: 7, DesiredStamp: 7, Desired: configuration}
+	fleet[0].word = &config.Word{Stamp: 7, DesiredStamp: 7, Desired: configuration}
 	fleet[1].word = nil
 	for i, most := range []uint64{5000, 70000} {
 		before := fleet[i].Net.Counts.Read()[KindGossip]
--- a/membership/seeker.go
+++ b/internal/membership/seeker.go
@@ -7,9 +7,9 @@
 	"sync/atomic"
 	"time"
 
-	"curlewwalk/launch"
-	"curlewwalk/rendezvous"
-	"curlewwalk/wire"
+	"curlewwalk/internal/actor"
+	"curlewwalk/internal/rendezvous"
+	"curlewwalk/internal/transport"
 )
 
 // Beat is the rhythm in which soft state is told again.
@@ -26,8 +26,8 @@
 type Seeker struct {
 	Own      func() Heartbeat
 	Addr     string
-	Net      *wire.Net
-	Launcher *launch.Launcher
+	Net      *transport.Net
+	Launcher *actor.Launcher
 	// Heard is told of each seat that spoke for itself; it must not wait.
 	Heard func(ctx context.Context, c Seat)
 	// Told, if set, is handed what was told and the response to it, before whoever
@@ -194,7 +194,7 @@
 		call, cancel := context.WithTimeout(ctx, Silence/2)
 		defer cancel()
 		var h Heartbeat
-		r := s.Net.Call(call, addr, wire.Control, KindHeartbeat, e.told)
+		r := s.Net.Call(call, addr, transport.Control, KindHeartbeat, e.told)
 		if e.refused = r.Refused; r.Into(&h) {
 			if e.response = &h; s.Told != nil {
 				s.Told(ctx, e.told, h)
--- a/membership/watch.go
+++ b/internal/membership/watch.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"curlewwalk/rendezvous"
+	"curlewwalk/internal/rendezvous"
 )
 
 const (
--- a/membership/watcher.go
+++ b/internal/membership/watcher.go
@@ -6,8 +6,8 @@
 	"sync/atomic"
 	"time"
 
-	"curlewwalk/launch"
-	"curlewwalk/wire"
+	"curlewwalk/internal/actor"
+	"curlewwalk/internal/transport"
 )
 
 // KindProbe is the call's kind on the wire.
@@ -23,8 +23,8 @@
 type Watcher struct {
 	Own      string
 	View     func() *View
-	Net      *wire.Net
-	Launcher *launch.Launcher
+	Net      *transport.Net
+	Launcher *actor.Launcher
 	// Changed is told when the accusations have changed.
 	Changed func()
 
@@ -72,7 +72,7 @@
 					call, cancel := context.WithTimeout(ctx, Beat)
 					defer cancel()
 					var a Probe
-					r := w.Net.Call(call, addr, wire.Control, KindProbe, Probe{})
+					r := w.Net.Call(call, addr, transport.Control, KindProbe, Probe{})
 					p := probed{addr: addr, refused: r.Refused}
 					if r.Into(&a) && a.Boot == n.Boot {
 						p.answer = &a
--- a/plan/moves.go
+++ b/internal/plan/moves.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"curlewwalk/window"
+	"curlewwalk/internal/maintenance"
 )
 
 // Moves is what a change would move.
@@ -33,7 +33,7 @@
 
 // Coming is a maintenance window and what it would move.
 type Coming struct {
-	window.Occurrence
+	maintenance.Occurrence
 	Capacity []Capacity `json:"capacity"`
 	AtRisk   []Risk     `json:"at_risk"`
 }
--- a/plan/plan.go
+++ b/internal/plan/plan.go
@@ -8,10 +8,10 @@
 	"slices"
 	"strings"
 
-	"curlewwalk/desired"
-	"curlewwalk/membership"
-	"curlewwalk/rendezvous"
-	"curlewwalk/trace"
+	"curlewwalk/internal/config"
+	"curlewwalk/internal/membership"
+	"curlewwalk/internal/rendezvous"
+	"curlewwalk/internal/trace"
 )
 
 // samples is how many traces the share that moves is drawn from.
@@ -19,7 +19,7 @@
 
 // side is the fleet before or after the change.
 type side struct {
-	state   desired.State
+	state   config.State
 	emptied []string
 	nodes   []membership.Node
 	cores   []membership.Seat
@@ -27,7 +27,7 @@
 
 // Make works out what a change of a snapshot would move. The faults are those
 // of the input: then nothing was worked out.
-func Make(s Snapshot, c Change) (m Moves, faults []desired.Fault) {
+func Make(s Snapshot, c Change) (m Moves, faults []config.Fault) {
 	before := side{emptied: s.Emptied, nodes: s.Nodes, cores: s.Cores}
 	if s.Desired != "" {
 		if before.state, faults = parse([]byte(s.Desired), "snapshot"); len(faults) > 0 {
@@ -48,15 +48,15 @@
 	}
 	for _, a := range c.Lose {
 		if !slices.ContainsFunc(s.Nodes, func(n membership.Node) bool { return n.Addr == a }) && !slices.ContainsFunc(s.Cores, func(x membership.Seat) bool { return x.Addr == a }) {
-			faults = append(faults, desired.Fault{Path: a, Message: "no such node or core"})
+			faults = append(faults, config.Fault{Path: a, Message: "no such node or core"})
 		}
 	}
 	if len(faults) > 0 {
 		return m, faults
 	}
-	m.Routes = differ(before.state.Routes, after.state.Routes, func(w desired.Route) string { return w.Name })
-	m.Contracts = differ(before.state.Contracts, after.state.Contracts, func(k desired.Contract) string { return k.Name })
-	m.Services = differ(before.state.Services, after.state.Services, func(x desired.Service) string { return x.Name })
+	m.Routes = differ(before.state.Routes, after.state.Routes, func(w config.Route) string { return w.Name })
+	m.Contracts = differ(before.state.Contracts, after.state.Contracts, func(k config.Contract) string { return k.Name })
+	m.Services = differ(before.state.Services, after.state.Services, func(x config.Service) string { return x.Name })
 	m.Limits = text(before.state.Limits) != text(after.state.Limits)
 	m.Capacity = capacities(before, after)
 	m.AtRisk = risks(before, after)
@@ -69,10 +69,10 @@
 	return m, nil
 }
 
-func parse(b []byte, what string) (desired.State, []desired.Fault) {
-	st, faults, ok := desired.Parse(b)
+func parse(b []byte, what string) (config.State, []config.Fault) {
+	st, faults, ok := config.Parse(b)
 	if !ok {
-		faults = []desired.Fault{{Path: what, Message: "not JSON"}}
+		faults = []config.Fault{{Path: what, Message: "not JSON"}}
 	}
 	return st, faults
 }
--- a/plan/plan_test.go
+++ b/internal/plan/plan_test.go
@@ -4,7 +4,7 @@
 	"strings"
 	"testing"
 
-	"curlewwalk/membership"
+	"curlewwalk/internal/membership"
 )
 
 // What is said of services and clients moves too; a service that only has a part
