--- a/plan/snapshot.go
+++ b/internal/plan/snapshot.go
@@ -3,8 +3,8 @@
 package plan
 
 import (
-	"curlewwalk/membership"
-	"curlewwalk/window"
+	"curlewwalk/internal/maintenance"
+	"curlewwalk/internal/membership"
 )
 
 // Snapshot is what a plan starts from: a core's state, from a live core or a
@@ -15,5 +15,5 @@
 	Nodes   []membership.Node `json:"nodes"`
 	Cores   []membership.Seat `json:"cores"`
 	// Windows are the coming maintenance windows.
-	Windows []window.Occurrence `json:"windows,omitempty"`
+	Windows []maintenance.Occurrence `json:"windows,omitempty"`
 }
--- a/process/process.go
+++ b/internal/process/process.go
@@ -15,23 +15,23 @@
 	"syscall"
 	"time"
 
-	"curlewwalk/launch"
-	"curlewwalk/ring"
-	"curlewwalk/settings"
-	"curlewwalk/wire"
+	"curlewwalk/internal/actor"
+	"curlewwalk/internal/ringlog"
+	"curlewwalk/internal/settings"
+	"curlewwalk/internal/transport"
 )
 
 // Process is the frame that a program hangs its parts in.
 type Process struct {
 	Name string
 	Boot uint64
-	Ring *ring.Ring
+	Ring *ringlog.Ring
 	Log  *slog.Logger
 	// notices prints to standard output.
 	notices  *slog.Logger
-	Launcher *launch.Launcher
-	Net      *wire.Net
-	Host     *wire.Host
+	Launcher *actor.Launcher
+	Net      *transport.Net
+	Host     *transport.Host
 	// Life ends all parts.
 	Life context.Context
 	end  context.CancelFunc
@@ -61,18 +61,18 @@
 	if s.Echo {
 		echo = os.Stderr
 	}
-	r := ring.New(s.LogLines, echo)
+	r := ringlog.New(s.LogLines, echo)
 	p := &Process{Name: name, Boot: rand.Uint64(), Ring: r, Log: slog.New(r), notices: slog.New(slog.NewTextHandler(os.Stdout, nil)), signals: make(chan os.Signal, 4)}
 	signal.Notify(p.signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	p.Life, p.end = context.WithCancel(context.Background())
-	p.Launcher = launch.New(p.Log, p.broken)
-	own := wire.Greeting{Version: wire.Version, Node: s.Advertise, Boot: p.Boot}
+	p.Launcher = actor.New(p.Log, p.broken)
+	own := transport.Greeting{Version: transport.Version, Node: s.Advertise, Boot: p.Boot}
 	var from net.IP
 	if ap := netip.MustParseAddrPort(s.Wire); !ap.Addr().IsUnspecified() {
 		from = ap.Addr().AsSlice()
 	}
-	p.Net = wire.NewNet(p.Launcher, own, from)
-	p.Host = &wire.Host{Own: own, Launcher: p.Launcher, Handlers: map[string]wire.Handler{}}
+	p.Net = transport.NewNet(p.Launcher, own, from)
+	p.Host = &transport.Host{Own: own, Launcher: p.Launcher, Handlers: map[string]transport.Handler{}}
 	return p
 }
 
--- a/process/process_test.go
+++ b/internal/process/process_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"curlewwalk/settings"
+	"curlewwalk/internal/settings"
 )
 
 // A signal that comes before a process waits for one, when it serves already, does not end
--- a/process/reload.go
+++ b/internal/process/reload.go
@@ -5,8 +5,8 @@
 	"sync/atomic"
 	"time"
 
-	"curlewwalk/membership"
-	"curlewwalk/settings"
+	"curlewwalk/internal/membership"
+	"curlewwalk/internal/settings"
 )
 
 // Reloader puts in force what a SIGHUP can, and shows what it could not.
--- a/process/stop_test.go
+++ b/internal/process/stop_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"curlewwalk/launch"
+	"curlewwalk/internal/actor"
 )
 
 // testFarewell is what a stopping server of these tests says.
@@ -36,7 +36,7 @@
 	t.Helper()
 	life, end := context.WithTimeout(context.Background(), 20*time.Second)
 	t.Cleanup(end)
-	launcher := launch.New(slog.New(slog.DiscardHandler), func(name string, cause any, stack []byte) { t.Errorf("%s: %v\n%s", name, cause, stack) })
+	launcher := actor.New(slog.New(slog.DiscardHandler), func(name string, cause any, stack []byte) { t.Errorf("%s: %v\n%s", name, cause, stack) })
 	t.Cleanup(launcher.Stop)
 	p := &Process{Life: life, Launcher: launcher}
 	web := p.Serve(ln, h)
@@ -146,7 +146,7 @@
 // nearly over when the parts are ended.
 func TestEndIsBounded(t *testing.T) {
 	life, end := context.WithCancel(context.Background())
-	launcher := launch.New(slog.New(slog.DiscardHandler), func(name string, cause any, stack []byte) { t.Errorf("%s: %v\n%s", name, cause, stack) })
+	launcher := actor.New(slog.New(slog.DiscardHandler), func(name string, cause any, stack []byte) { t.Errorf("%s: %v\n%s", name, cause, stack) })
 	p := &Process{Life: life, end: end, Launcher: launcher}
 	stuck := make(chan struct{})
 	defer close(stuck)
--- a/contract/retry_budget.go
+++ b/internal/retrybudget/retry_budget.go
@@ -1,6 +1,6 @@
-// Package contract keeps the contracts: what may be spent on extra attempts.
+// Package retrybudget keeps the contracts: what may be spent on extra attempts.
 // (DESIGN 15)
-package contract
+package retrybudget
 
 import "sync/atomic"
 
--- a/contract/retry_budgets.go
+++ b/internal/retrybudget/retry_budgets.go
@@ -1,11 +1,11 @@
-package contract
+package retrybudget
 
 import (
 	"maps"
 	"sync/atomic"
 	"time"
 
-	"curlewwalk/rendezvous"
+	"curlewwalk/internal/rendezvous"
 )
 
 // Allowance is the allowance where the settings give none. (ours)
--- a/contract/tally.go
+++ b/internal/retrybudget/tally.go
@@ -1,4 +1,4 @@
-package contract
+package retrybudget
 
 import "time"
 
--- a/ring/ring.go
+++ b/internal/ringlog/ring.go
@@ -1,6 +1,6 @@
-// Package ring is the log: a ring in memory that is written out when something
+// Package ringlog is the log: a ring in memory that is written out when something
 // goes wrong. (DESIGN 12)
-package ring
+package ringlog
 
 import (
 	"bytes"
--- a/settings/checker.go
+++ b/internal/settings/checker.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"curlewwalk/desired"
+	"curlewwalk/internal/config"
 )
 
 // checker collects what is wrong with settings.
@@ -54,8 +54,8 @@
 }
 
 func (c *checker) common(s *Common) {
-	if !desired.IsName(s.Zone) {
-		c.bad("locality", s.Zone, desired.NameForm)
+	if !config.IsName(s.Zone) {
+		c.bad("locality", s.Zone, config.NameForm)
 	}
 	c.address("wire", s.Wire, true)
 	c.address("advertise", s.Advertise, false)
--- a/settings/core.go
+++ b/internal/settings/core.go
@@ -27,7 +27,7 @@
 // is to end at once, with which code and text.
 func ReadCore(args []string, groups ...Group) (Core, Exit) {
 	var s Core
-	exit := read("core", &s, &s.Common, args, groups, s.check)
+	exit := read("controlplane", &s, &s.Common, args, groups, s.check)
 	// Whoever founds the system can be asked for the others as well.
 	for _, founder := range s.Founders {
 		if !slices.Contains(s.Seeds, founder) {
--- a/settings/docs_test.go
+++ b/internal/settings/docs_test.go
@@ -21,7 +21,7 @@
 
 // Each setting has its line in the operators' page.
 func TestEachSettingIsTold(t *testing.T) {
-	page, err := os.ReadFile("../docs/OPERATING.md")
+	page, err := os.ReadFile("../../docs/OPERATING.md")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/settings/sidecar.go
+++ b/internal/settings/sidecar.go
@@ -4,11 +4,11 @@
 	"fmt"
 	"time"
 
-	"curlewwalk/wire"
+	"curlewwalk/internal/transport"
 )
 
 // largestBody leaves room in a frame for an attempt's headers and trailers.
-const largestBody = wire.MaxFrame - 4<<20
+const largestBody = transport.MaxFrame - 4<<20
 
 // usualBodies are the bytes of bodies held at a time, unless the settings say less.
 const usualBodies = 256 << 20 // (ours)
--- a/vault/folder.go
+++ b/internal/storage/folder.go
@@ -1,4 +1,4 @@
-package vault
+package storage
 
 import (
 	"os"
--- a/vault/plain.go
+++ b/internal/storage/plain.go
@@ -1,6 +1,6 @@
 //go:build !proof
 
-package vault
+package storage
 
 // trouble is none outside of proofs.
 func trouble() func() error { return nil }
--- a/vault/vault.go
+++ b/internal/storage/vault.go
@@ -1,6 +1,6 @@
-// Package vault keeps versions as plain files: one file a version, written
+// Package storage keeps versions as plain files: one file a version, written
 // aside, synced, renamed, and the folder synced. (DESIGN 6.1)
-package vault
+package storage
 
 import (
 	"bytes"
--- a/collect/store.go
+++ b/internal/tracestore/store.go
@@ -1,13 +1,13 @@
-// Package collect is the trace collector of a core: it stores the events of finished
+// Package tracestore is the trace collector of a core: it stores the events of finished
 // spans and builds the tree of a trace. (DESIGN 2.6)
-package collect
+package tracestore
 
 import (
 	"context"
 	"slices"
 
-	"curlewwalk/trace"
-	"curlewwalk/wire"
+	"curlewwalk/internal/trace"
+	"curlewwalk/internal/transport"
 )
 
 // Message kinds on the wire.
@@ -63,7 +63,7 @@
 }
 
 // Publish handles a Batch from the wire.
-func (s *Store) Publish(ctx context.Context, in wire.Request) (any, string) {
+func (s *Store) Publish(ctx context.Context, in transport.Request) (any, string) {
 	var b Batch
 	if !in.Into(&b) {
 		return nil, "not a batch"
@@ -77,7 +77,7 @@
 }
 
 // Trace handles a Query from the wire.
-func (s *Store) Trace(ctx context.Context, in wire.Request) (any, string) {
+func (s *Store) Trace(ctx context.Context, in transport.Request) (any, string) {
 	var q Query
 	if !in.Into(&q) {
 		return nil, "not a query"
--- a/collect/traces.go
+++ b/internal/tracestore/traces.go
@@ -1,6 +1,6 @@
-package collect
+package tracestore
 
-import "curlewwalk/trace"
+import "curlewwalk/internal/trace"
 
 const (
 	// maxTraces bounds the traces that a core keeps.
--- a/collect/tree.go
+++ b/internal/tracestore/tree.go
@@ -1,10 +1,10 @@
-package collect
+package tracestore
 
 import (
 	"cmp"
 	"slices"
 
-	"curlewwalk/trace"
+	"curlewwalk/internal/trace"
 )
 
 // Tree is a whole trace as an operator reads it.
--- a/collect/tree_test.go
+++ b/internal/tracestore/tree_test.go
@@ -1,11 +1,11 @@
-package collect
+package tracestore
 
 import (
 	"math/rand/v2"
 	"testing"
 	"time"
 
-	"curlewwalk/trace"
+	"curlewwalk/internal/trace"
 )
 
 // events makes the events of a root with two children, each on its own node
--- a/wire/calls.go
+++ b/internal/transport/calls.go
@@ -1,9 +1,9 @@
-package wire
+package transport
 
 import (
 	"time"
 
-	"curlewwalk/trace"
+	"curlewwalk/internal/trace"
 )
 
 // longFrame is the length from which a frame is written beside the connection's thread, so
--- a/wire/connection.go
+++ b/internal/transport/connection.go
@@ -1,4 +1,4 @@
-package wire
+package transport
 
 import (
 	"bufio"
@@ -10,8 +10,8 @@
 	"github.com/rotisserie/eris"
 	"github.com/vmihailenco/msgpack/v5"
 
-	"curlewwalk/launch"
-	"curlewwalk/trace"
+	"curlewwalk/internal/actor"
+	"curlewwalk/internal/trace"
 )
 
 const (
@@ -56,11 +56,11 @@
 }
 
 // Dial opens a connection and exchanges greetings.
-func Dial(ctx context.Context, l *launch.Launcher, from net.IP, addr string, own Greeting) (*Connection, error) {
+func Dial(ctx context.Context, l *actor.Launcher, from net.IP, addr string, own Greeting) (*Connection, error) {
 	return dial(ctx, l, from, addr, own, &Counts{})
 }
 
-func dial(ctx context.Context, l *launch.Launcher, from net.IP, addr string, own Greeting, count *Counts) (*Connection, error) {
+func dial(ctx context.Context, l *actor.Launcher, from net.IP, addr string, own Greeting, count *Counts) (*Connection, error) {
 	d := net.Dialer{Timeout: time.Second}
 	if from != nil {
 		d.LocalAddr = &net.TCPAddr{IP: from}
--- a/wire/counts.go
+++ b/internal/transport/counts.go
@@ -1,4 +1,4 @@
-package wire
+package transport
 
 import (
 	"sync"
--- a/wire/fate.go
+++ b/internal/transport/fate.go
@@ -1,4 +1,4 @@
-package wire
+package transport
 
 // Fate is what is known of a call.
 type Fate int
--- a/wire/frame.go
+++ b/internal/transport/frame.go
@@ -1,6 +1,6 @@
-// Package wire carries messages between the system's own processes: msgpack
+// Package transport carries messages between the system's own processes: msgpack
 // in checked frames over TCP connections. (DESIGN 3)
-package wire
+package transport
 
 import (
 	"encoding/binary"
--- a/wire/fuzz_test.go
+++ b/internal/transport/fuzz_test.go
@@ -1,4 +1,4 @@
-package wire
+package transport
 
 import (
 	"bytes"
@@ -7,7 +7,7 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
-	"curlewwalk/trace"
+	"curlewwalk/internal/trace"
 )
 
 // FuzzPayload: whatever a payload holds, it is a message or an error; a message is
--- a/wire/golden_test.go
+++ b/internal/transport/golden_test.go
@@ -1,4 +1,4 @@
-package wire
+package transport
 
 import (
 	"bytes"
@@ -6,8 +6,8 @@
 	"reflect"
 	"testing"
 
-	"curlewwalk/proof/golden"
-	"curlewwalk/trace"
+	"curlewwalk/internal/trace"
+	"curlewwalk/tests/golden"
 )
 
 // A frame, with and without a span, is the bytes that it has always been.
--- a/wire/greeting.go
+++ b/internal/transport/greeting.go
@@ -1,4 +1,4 @@
-package wire
+package transport
 
 // Version is the version of our messages, told in the greeting.
 const Version = 1
--- a/wire/host.go
+++ b/internal/transport/host.go
@@ -1,4 +1,4 @@
-package wire
+package transport
 
 import (
 	"bufio"
@@ -7,8 +7,8 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
-	"curlewwalk/launch"
-	"curlewwalk/trace"
+	"curlewwalk/internal/actor"
+	"curlewwalk/internal/trace"
 )
 
 // Request is a call that arrived, for a handler.
@@ -28,7 +28,7 @@
 type Host struct {
 	Own      Greeting
 	Handlers map[string]Handler
-	Launcher *launch.Launcher
+	Launcher *actor.Launcher
 	// Listener is where connections come in.
 	Listener net.Listener
 	// Counts are the calls that came and the responses sent, by kind.
--- a/wire/hostile_test.go
+++ b/internal/transport/hostile_test.go
@@ -1,4 +1,4 @@
-package wire
+package transport
 
 import (
 	"bytes"
@@ -15,7 +15,7 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
-	"curlewwalk/trace"
+	"curlewwalk/internal/trace"
 )
 
 // listing is a message body with a list, whose length the sender tells.
--- a/wire/message.go
+++ b/internal/transport/message.go
@@ -1,9 +1,9 @@
-package wire
+package transport
 
 import (
 	"github.com/vmihailenco/msgpack/v5"
 
-	"curlewwalk/trace"
+	"curlewwalk/internal/trace"
 )
 
 // message is what a frame holds, after the trace prefix if there is one.
--- a/wire/net.go
+++ b/internal/transport/net.go
@@ -1,4 +1,4 @@
-package wire
+package transport
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 	"syscall"
 	"time"
 
-	"curlewwalk/launch"
+	"curlewwalk/internal/actor"
 )
 
 // Net keeps one connection for each lane to each address and opens them on
@@ -17,7 +17,7 @@
 type Net struct {
 	own  Greeting
 	from net.IP
-	l    *launch.Launcher
+	l    *actor.Launcher
 	open atomic.Pointer[map[line]*Connection]
 	want chan want
 	made chan dialled
@@ -54,7 +54,7 @@
 }
 
 // NewNet makes a Net; from is the local address that dials come from.
-func NewNet(l *launch.Launcher, own Greeting, from net.IP) *Net {
+func NewNet(l *actor.Launcher, own Greeting, from net.IP) *Net {
 	n := &Net{own: own, from: from, l: l, want: make(chan want), made: make(chan dialled), gone: make(chan *Connection)}
 	n.open.Store(&map[line]*Connection{})
 	return n
--- a/wire/pressure_test.go
+++ b/internal/transport/pressure_test.go
@@ -1,4 +1,4 @@
-package wire
+package transport
 
 import (
 	"bufio"
@@ -9,7 +9,7 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
-	"curlewwalk/trace"
+	"curlewwalk/internal/trace"
 )
 
 // narrow is a listener whose connections hold little that nobody has read.
--- a/wire/receipt.go
+++ b/internal/transport/receipt.go
@@ -1,11 +1,11 @@
-package wire
+package transport
 
 import (
 	"strings"
 
 	"github.com/vmihailenco/msgpack/v5"
 
-	"curlewwalk/trace"
+	"curlewwalk/internal/trace"
 )
 
 // Response is the outcome of a call, as a value.
--- a/wire/silent_test.go
+++ b/internal/transport/silent_test.go
@@ -1,4 +1,4 @@
-package wire
+package transport
 
 import (
 	"bufio"
@@ -13,7 +13,7 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
-	"curlewwalk/trace"
+	"curlewwalk/internal/trace"
 )
 
 // A caller whose time is over is answered at once, also while the connection is held up by
--- a/wire/wire_test.go
+++ b/internal/transport/wire_test.go
@@ -1,4 +1,4 @@
-package wire
+package transport
 
 import (
 	"bufio"
@@ -12,19 +12,19 @@
 	"github.com/google/go-cmp/cmp"
 	"github.com/vmihailenco/msgpack/v5"
 
-	"curlewwalk/launch"
-	"curlewwalk/trace"
+	"curlewwalk/internal/actor"
+	"curlewwalk/internal/trace"
 )
 
-func begin(t *testing.T) (context.Context, *launch.Launcher) {
+func begin(t *testing.T) (context.Context, *actor.Launcher) {
 	return beginFor(t, 10*time.Second)
 }
 
 // beginFor is begin for a test that may take a time of its own.
-func beginFor(t *testing.T, limit time.Duration) (context.Context, *launch.Launcher) {
+func beginFor(t *testing.T, limit time.Duration) (context.Context, *actor.Launcher) {
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	t.Cleanup(cancel)
-	return ctx, launch.New(slog.New(slog.DiscardHandler), func(name string, cause any, stack []byte) { t.Errorf("%s: %v\n%s", name, cause, stack) })
+	return ctx, actor.New(slog.New(slog.DiscardHandler), func(name string, cause any, stack []byte) { t.Errorf("%s: %v\n%s", name, cause, stack) })
 }
 
 func uncounted(string, int) {}
@@ -36,7 +36,7 @@
 	Trace string `msgpack:"tr"`
 }
 
-func host(t *testing.T, ctx context.Context, l *launch.Launcher) *Host {
+func host(t *testing.T, ctx context.Context, l *actor.Launcher) *Host {
 	h := &Host{Launcher: l, Own: Greeting{Version: Version, Node: "host"}, Handlers: map[string]Handler{
 		"echo": func(ctx context.Context, q Request) (any, string) {
 			var e echo
--- a/feed/choice.go
+++ b/internal/watch/choice.go
@@ -1,12 +1,12 @@
-package feed
+package watch
 
 import (
 	"cmp"
 	"slices"
 	"time"
 
-	"curlewwalk/membership"
-	"curlewwalk/rendezvous"
+	"curlewwalk/internal/membership"
+	"curlewwalk/internal/rendezvous"
 )
 
 const (
--- a/feed/choice_test.go
+++ b/internal/watch/choice_test.go
@@ -1,11 +1,11 @@
-package feed
+package watch
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"curlewwalk/membership"
+	"curlewwalk/internal/membership"
 )
 
 var beginning = time.Unix(1000, 0)
--- a/feed/copy.go
+++ b/internal/watch/copy.go
@@ -1,8 +1,8 @@
-package feed
+package watch
 
 import (
-	"curlewwalk/desired"
-	"curlewwalk/membership"
+	"curlewwalk/internal/config"
+	"curlewwalk/internal/membership"
 )
 
 // Copy is what a node has of the feeds that it followed: a decision value that
@@ -17,7 +17,7 @@
 
 // Take takes news. word is set if there is one to be put in force; changed tells
 // whether nodes came, went or changed.
-func (c *Copy) Take(n News) (word *desired.Word, changed bool) {
+func (c *Copy) Take(n News) (word *config.Word, changed bool) {
 	if n.Snapshot {
 		clear(c.Nodes)
 	}
@@ -38,7 +38,7 @@
 
 // Newer takes a word from anywhere; false if it is none newer than what was taken
 // before: a node never goes back.
-func (c *Copy) Newer(w desired.Word) bool {
+func (c *Copy) Newer(w config.Word) bool {
 	if w.Stamp <= c.stamp {
 		return false
 	}
--- a/feed/departed.go
+++ b/internal/watch/departed.go
@@ -1,9 +1,9 @@
-package feed
+package watch
 
 import (
 	"time"
 
-	"curlewwalk/membership"
+	"curlewwalk/internal/membership"
 )
 
 // mostDeparted bounds how many departed instances a core remembers in all: those of the
--- a/feed/departed_test.go
+++ b/internal/watch/departed_test.go
@@ -1,4 +1,4 @@
-package feed
+package watch
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"curlewwalk/membership"
+	"curlewwalk/internal/membership"
 )
 
 // What a sidecar told of departures is told to the next process at its address, by a core
--- a/feed/directory.go
+++ b/internal/watch/directory.go
@@ -1,4 +1,4 @@
-package feed
+package watch
 
 import (
 	"context"
@@ -6,17 +6,17 @@
 	"sync/atomic"
 	"time"
 
-	"curlewwalk/contract"
-	"curlewwalk/desired"
-	"curlewwalk/launch"
-	"curlewwalk/membership"
-	"curlewwalk/wire"
+	"curlewwalk/internal/actor"
+	"curlewwalk/internal/config"
+	"curlewwalk/internal/membership"
+	"curlewwalk/internal/retrybudget"
+	"curlewwalk/internal/transport"
 )
 
 // Directory runs a Feed on a core's control thread and lets followers wait
 // for news. (DESIGN 8.1)
 type Directory struct {
-	box   *launch.Mailbox
+	box   *actor.Mailbox
 	feed  *Feed
 	start time.Time
 	held  []follower
@@ -24,7 +24,7 @@
 	// sure is as of when no newer word had been acknowledged; zero if never.
 	sure time.Time
 	// budgets are the sums over all nodes, for whoever heartbeats.
-	budgets atomic.Pointer[map[string]contract.Tally]
+	budgets atomic.Pointer[map[string]retrybudget.Tally]
 	accused atomic.Pointer[map[string]uint64]
 }
 
@@ -64,7 +64,7 @@
 		p     membership.Pulse
 		reply chan<- bool
 	}
-	msgSettled struct{ w desired.Word }
+	msgSettled struct{ w config.Word }
 	msgSure    struct{ at time.Time }
 	msgTick    struct{}
 	msgFollow  struct {
@@ -85,13 +85,13 @@
 	Place uint64            `json:"place"`
 	Open  bool              `json:"open"`
 	Nodes []membership.Node `json:"nodes"`
-	Word  desired.Word      `json:"-"`
+	Word  config.Word       `json:"-"`
 }
 
 // NewDirectory starts the directory's actor.
-func NewDirectory(l *launch.Launcher, boot uint64) *Directory {
+func NewDirectory(l *actor.Launcher, boot uint64) *Directory {
 	d := &Directory{feed: New(boot, 0), start: time.Now()}
-	d.budgets.Store(&map[string]contract.Tally{})
+	d.budgets.Store(&map[string]retrybudget.Tally{})
 	d.accused.Store(&map[string]uint64{})
 	d.box = l.Spawn("directory", d.on)
 	return d
@@ -114,24 +114,24 @@
 // Told takes a node's own word, and returns the departures that earlier processes at its
 // address told of and that it doesn't.
 func (d *Directory) Told(ctx context.Context, n membership.Node) (departed []string) {
-	departed, _ = launch.Ask(ctx, d.box, func(r chan<- []string) any { return msgNode{n, r} })
+	departed, _ = actor.Ask(ctx, d.box, func(r chan<- []string) any { return msgNode{n, r} })
 	return departed
 }
 
 // Felt takes a node's pulse; false if the node has to be told whole.
 func (d *Directory) Felt(ctx context.Context, p membership.Pulse) bool {
-	known, ok := launch.Ask(ctx, d.box, func(r chan<- bool) any { return msgPulse{p, r} })
+	known, ok := actor.Ask(ctx, d.box, func(r chan<- bool) any { return msgPulse{p, r} })
 	return known || !ok
 }
 
 // Settled takes a majority-held word.
-func (d *Directory) Settled(ctx context.Context, w desired.Word) { d.box.Send(ctx, msgSettled{w}) }
+func (d *Directory) Settled(ctx context.Context, w config.Word) { d.box.Send(ctx, msgSettled{w}) }
 
 // Sure takes that no newer word had been acknowledged as of a moment.
 func (d *Directory) Sure(ctx context.Context, at time.Time) { d.box.Send(ctx, msgSure{at}) }
 
 // Budgets are the sums over all nodes.
-func (d *Directory) Budgets() map[string]contract.Tally { return *d.budgets.Load() }
+func (d *Directory) Budgets() map[string]retrybudget.Tally { return *d.budgets.Load() }
 
 // Accused is the incarnation in which others accuse a node, if they do.
 func (d *Directory) Accused(addr string) (uint64, bool) {
@@ -141,29 +141,29 @@
 
 // State shows the directory.
 func (d *Directory) State(ctx context.Context) (State, bool) {
-	return launch.Ask(ctx, d.box, func(r chan<- State) any { return msgState{r} })
+	return actor.Ask(ctx, d.box, func(r chan<- State) any { return msgState{r} })
 }
 
 // Drain reports on a zone.
 func (d *Directory) Drain(ctx context.Context, zone string) (Drain, bool) {
-	return launch.Ask(ctx, d.box, func(r chan<- Drain) any { return msgDrain{zone, r} })
+	return actor.Ask(ctx, d.box, func(r chan<- Drain) any { return msgDrain{zone, r} })
 }
 
 // InForce waits until all nodes have a stamp in force, for a second at most, or
 // at least most of them, for three, and lists those that do not; ok is false if
 // that is not known. (DESIGN 6.6)
 func (d *Directory) InForce(ctx context.Context, stamp uint64) (behind []string, ok bool) {
-	behind, ok = launch.Ask(ctx, d.box, func(r chan<- []string) any { return msgForce{stamp, r} })
+	behind, ok = actor.Ask(ctx, d.box, func(r chan<- []string) any { return msgForce{stamp, r} })
 	return behind, ok && behind != nil
 }
 
 // Answer handles a Follow call.
-func (d *Directory) Answer(ctx context.Context, in wire.Request) (any, string) {
+func (d *Directory) Answer(ctx context.Context, in transport.Request) (any, string) {
 	var q Follow
 	if !in.Into(&q) {
 		return nil, "not a follow"
 	}
-	n, ok := launch.Ask(ctx, d.box, func(r chan<- *News) any { return msgFollow{q, r} })
+	n, ok := actor.Ask(ctx, d.box, func(r chan<- *News) any { return msgFollow{q, r} })
 	if !ok || n == nil {
 		return nil, "not settled in"
 	}
@@ -190,7 +190,7 @@
 		d.sure = m.at
 	case msgTick:
 		d.feed.Tick(now)
-		sums := contract.Merge(d.feed.Budgets())
+		sums := retrybudget.Merge(d.feed.Budgets())
 		d.budgets.Store(&sums)
 		accused := d.feed.Accused()
 		d.accused.Store(&accused)
--- a/feed/feed.go
+++ b/internal/watch/feed.go
@@ -1,13 +1,13 @@
-package feed
+package watch
 
 import (
 	"maps"
 	"slices"
 	"time"
 
-	"curlewwalk/contract"
-	"curlewwalk/desired"
-	"curlewwalk/membership"
+	"curlewwalk/internal/config"
+	"curlewwalk/internal/membership"
+	"curlewwalk/internal/retrybudget"
 )
 
 const (
@@ -30,10 +30,10 @@
 	ID    uint64
 	place uint64
 	items []Item // items[i] has number place-len(items)+1+i
-	word  *desired.Word
+	word  *config.Word
 	// version is that word's; versions are those of late, to tell differences from.
-	version  desired.Version
-	versions desired.Versions
+	version  config.Version
+	versions config.Versions
 	nodes    map[string]membership.Node
 	heard    map[string]time.Duration
 	// emptySince is since when an emptied zone has nothing open.
@@ -57,7 +57,7 @@
 }
 
 // Settled takes a majority-held word; true if it is news.
-func (f *Feed) Settled(w desired.Word) bool {
+func (f *Feed) Settled(w config.Word) bool {
 	if f.word != nil && w.Stamp <= f.word.Stamp {
 		return false
 	}
@@ -67,7 +67,7 @@
 			f.items[i] = Item{} // nobody needs it any more, however far behind
 		}
 	}
-	f.version, _ = desired.NewVersion(w)
+	f.version, _ = config.NewVersion(w)
 	f.versions.Add(f.version)
 	f.word = &w
 	f.add(Item{Word: &w})
@@ -171,7 +171,7 @@
 	if i < 0 || len(has) != len(f.version.Fingerprint) {
 		return items
 	}
-	base := desired.Fingerprint(has)
+	base := config.Fingerprint(has)
 	if base == f.version.Fingerprint {
 		return slices.Delete(items, i, i+1)
 	}
@@ -182,7 +182,7 @@
 }
 
 // Word is the newest majority-held word, if any.
-func (f *Feed) Word() *desired.Word { return f.word }
+func (f *Feed) Word() *config.Word { return f.word }
 
 // Nodes lists the known nodes by address.
 func (f *Feed) Nodes() []membership.Node {
@@ -194,7 +194,7 @@
 }
 
 // Budgets lists each node's newest tally.
-func (f *Feed) Budgets() (out []map[string]contract.Tally) {
+func (f *Feed) Budgets() (out []map[string]retrybudget.Tally) {
 	for _, n := range f.nodes {
 		out = append(out, n.Budgets)
 	}
--- a/feed/feed_test.go
+++ b/internal/watch/feed_test.go
@@ -1,4 +1,4 @@
-package feed
+package watch
 
 import (
 	"fmt"
@@ -8,8 +8,8 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"curlewwalk/desired"
-	"curlewwalk/membership"
+	"curlewwalk/internal/config"
+	"curlewwalk/internal/membership"
 )
 
 // A follower that asks now and then, across two cores, lost answers, freezes
@@ -79,7 +79,7 @@
 			}
 			if rng.IntN(30) == 0 {
 				told++
-				w := desired.Word{Stamp: told - rng.Uint64N(min(told, 3))}
+				w := config.Word{Stamp: told - rng.Uint64N(min(told, 3))}
 				cores[rng.IntN(2)].Settled(w)
 			}
 			switch rng.IntN(40) {
@@ -99,14 +99,14 @@
 // without what sidecars do not need; the others are not kept.
 func TestNewestWordOnly(t *testing.T) {
 	f, c := New(1, 0), NewCopy()
-	f.Settled(desired.Word{Stamp: 1})
+	f.Settled(config.Word{Stamp: 1})
 	n, _ := f.Since(Follow{})
 	place := Follow{Feed: n.Feed, Place: n.Place}
 	if w, _ := c.Take(n); w == nil || w.Stamp != 1 {
 		t.Errorf("%+v", w)
 	}
 	for s := range uint64(50) {
-		f.Settled(desired.Word{Stamp: s + 2, Desired: []byte("{}"), Sent: []byte("sent")})
+		f.Settled(config.Word{Stamp: s + 2, Desired: []byte("{}"), Sent: []byte("sent")})
 		f.Told(membership.Node{Addr: fmt.Sprint("node-", s)}, 0)
 	}
 	n, fresh := f.Since(place)
@@ -160,7 +160,7 @@
 func TestDrainSince(t *testing.T) {
 	f := New(1, 0)
 	f.Tick(5 * time.Second)
-	f.Settled(desired.Word{Stamp: 1, Emptied: []string{"west"}})
+	f.Settled(config.Word{Stamp: 1, Emptied: []string{"west"}})
 	if d := f.Drain("west", 5*time.Second); !d.Done || d.For != "0s" {
 		t.Errorf("at once: %+v", d)
 	}
--- a/feed/follower.go
+++ b/internal/watch/follower.go
@@ -1,12 +1,12 @@
-package feed
+package watch
 
 import (
 	"context"
 	"math/rand/v2"
 	"time"
 
-	"curlewwalk/membership"
-	"curlewwalk/wire"
+	"curlewwalk/internal/membership"
+	"curlewwalk/internal/transport"
 )
 
 // holdFor is how long a core may hold a Follow.
@@ -17,7 +17,7 @@
 	Own    string
 	Zone   string
 	Seats  func() membership.Seats
-	Net    *wire.Net
+	Net    *transport.Net
 	Hasten func()
 	// Take is handed each piece of news in order, with the core it came from.
 	// What the core was sure of counts from when it was asked.
@@ -70,7 +70,7 @@
 func (f *Follower) ask(ctx context.Context, core membership.Seat, place Follow, patience time.Duration) (n News, ok bool) {
 	ctx, cancel := context.WithTimeout(ctx, patience)
 	defer cancel()
-	ok = f.Net.Call(ctx, core.Addr, wire.Feed, KindFollow, place).Into(&n)
+	ok = f.Net.Call(ctx, core.Addr, transport.Feed, KindFollow, place).Into(&n)
 	return n, ok
 }
 
--- a/feed/holding.go
+++ b/internal/watch/holding.go
@@ -1,10 +1,10 @@
-package feed
+package watch
 
-import "curlewwalk/desired"
+import "curlewwalk/internal/config"
 
 // Holding is the configuration that a follower was told last, to be told the next one by
 // its difference. It is a decision value that one thread owns. (DESIGN 8.3)
-type Holding struct{ version desired.Version }
+type Holding struct{ version config.Version }
 
 // Asks completes a question with what the follower holds.
 func (h *Holding) Asks(q Follow) Follow {
@@ -20,7 +20,7 @@
 func (h *Holding) Read(n *News) bool {
 	for i := range n.Items {
 		if !h.item(&n.Items[i]) {
-			h.version = desired.Version{}
+			h.version = config.Version{}
 			return false
 		}
 	}
@@ -29,14 +29,14 @@
 
 func (h *Holding) item(it *Item) bool {
 	if it.Word != nil {
-		h.version, _ = desired.NewVersion(*it.Word)
+		h.version, _ = config.NewVersion(*it.Word)
 		return true
 	}
 	if it.Patch == nil {
 		return true
 	}
 	next, ok := h.version.Apply(*it.Patch)
-	var w desired.Word
+	var w config.Word
 	if !ok || next.Into(&w) != nil {
 		return false
 	}
--- a/feed/holding_test.go
+++ b/internal/watch/holding_test.go
@@ -1,4 +1,4 @@
-package feed
+package watch
 
 import (
 	"bytes"
@@ -9,12 +9,12 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
-	"curlewwalk/desired"
-	"curlewwalk/membership"
+	"curlewwalk/internal/config"
+	"curlewwalk/internal/membership"
 )
 
 // configured is a word with 60 routes, of which one depends on its stamp.
-func configured(stamp uint64) desired.Word {
+func configured(stamp uint64) config.Word {
 	var b strings.Builder
 	for i := range uint64(60) {
 		n := uint64(0)
@@ -23,7 +23,7 @@
 		}
 		fmt.Fprintf(&b, `{"name":"route-%d","host":"h%d.example","prefix":"/p%d/","service":"svc-%d","legs":%d},`, i, i%7, i*i, i%3, n)
 	}
-	return desired.Word{Stamp: stamp, DesiredStamp: stamp, Desired: []byte(b.String()), Sent: []byte("what the operator sent")}
+	return config.Word{Stamp: stamp, DesiredStamp: stamp, Desired: []byte(b.String()), Sent: []byte("what the operator sent")}
 }
 
 // told is news as it comes over the wire, and its bytes.
@@ -42,7 +42,7 @@
 	Holding
 	place Follow
 	copy  *Copy
-	word  desired.Word
+	word  config.Word
 }
 
 func (r *reader) take(t *testing.T, f *Feed) (size int, read bool) {
--- a/feed/item.go
+++ b/internal/watch/item.go
@@ -1,19 +1,19 @@
-// Package feed is how news reaches the data plane: a numbered feed that nodes
+// Package watch is how news reaches the data plane: a numbered feed that nodes
 // follow from a place on, starting from a snapshot. (DESIGN 8)
-package feed
+package watch
 
 import (
-	"curlewwalk/desired"
-	"curlewwalk/membership"
+	"curlewwalk/internal/config"
+	"curlewwalk/internal/membership"
 )
 
 // Item is one change.
 type Item struct {
-	Word *desired.Word    `msgpack:"w,omitempty"`
+	Word *config.Word     `msgpack:"w,omitempty"`
 	Node *membership.Node `msgpack:"n,omitempty"`
 	Gone string           `msgpack:"g,omitempty"`
 	// Patch stands for Word, towards a follower that told what it has.
-	Patch *desired.Patch `msgpack:"p,omitempty"`
+	Patch *config.Patch `msgpack:"p,omitempty"`
 }
 
 // overtaken tells whether the item was a word that a newer one came after.
--- a/feed/news.go
+++ b/internal/watch/news.go
@@ -1,4 +1,4 @@
-package feed
+package watch
 
 import "time"
 
--- a/feed/talk_test.go
+++ b/internal/watch/talk_test.go
@@ -1,4 +1,4 @@
-package feed
+package watch
 
 import (
 	"fmt"
@@ -11,8 +11,8 @@
 	"github.com/google/go-cmp/cmp"
 	"github.com/google/go-cmp/cmp/cmpopts"
 
-	"curlewwalk/contract"
-	"curlewwalk/membership"
+	"curlewwalk/internal/membership"
+	"curlewwalk/internal/retrybudget"
 )
 
 // teller is a sidecar that heartbeats one core.
@@ -124,7 +124,7 @@
 		s.node.Stamp++
 		s.node.Open = map[string]int64{"west": k.rng.Int64N(3)}
 		s.node.Accuses = []membership.Accusation{{Addr: "x", Inc: s.node.Stamp}}[:k.rng.IntN(2)]
-		s.node.Budgets = map[string]contract.Tally{"c": {N: int64(s.node.Stamp)}}
+		s.node.Budgets = map[string]retrybudget.Tally{"c": {N: int64(s.node.Stamp)}}
 	default:
 		if len(k.letters) < 20 && k.rng.IntN(2) == 0 {
 			k.letters = append(k.letters, k.tell(s, k.rng.IntN(4) == 0))
--- a/proof/cmd/day/main.go
+++ b/tests/cmd/day/main.go
@@ -10,8 +10,8 @@
 
 	"github.com/jessevdk/go-flags"
 
-	"curlewwalk/proof/day"
-	"curlewwalk/proof/fleet"
+	"curlewwalk/tests/day"
+	"curlewwalk/tests/fleet"
 )
 
 func main() {
@@ -30,7 +30,7 @@
 		fmt.Fprintln(os.Stderr, err)
 	}
 	if err != nil || !ok {
-		fmt.Printf("replay: go run ./proof/cmd/day --deployment %s --seed %d --events %d --only %q\n", opt.Deployment, opt.Seed, opt.Events, opt.Only)
+		fmt.Printf("replay: go run ./tests/cmd/day --deployment %s --seed %d --events %d --only %q\n", opt.Deployment, opt.Seed, opt.Events, opt.Only)
 		os.Exit(1)
 	}
 }
--- a/proof/cmd/fleet/main.go
+++ b/tests/cmd/fleet/main.go
@@ -10,8 +10,8 @@
 
 	"github.com/jessevdk/go-flags"
 
-	"curlewwalk/proof/fleet"
-	"curlewwalk/proof/ledger"
+	"curlewwalk/tests/fleet"
+	"curlewwalk/tests/ledger"
 )
 
 type options struct {
--- a/proof/cmd/model/main.go
+++ b/tests/cmd/modelcheck/main.go
@@ -1,4 +1,4 @@
-// Command model explores the long runs of proof/model and prints what each came to. It
+// Command modelcheck explores the long runs of tests/modelcheck and prints what each came to. It
 // ends with 1 if an invariant is broken.
 package main
 
@@ -9,7 +9,7 @@
 
 	"github.com/jessevdk/go-flags"
 
-	"curlewwalk/proof/model"
+	"curlewwalk/tests/modelcheck"
 )
 
 func main() {
@@ -21,13 +21,13 @@
 		os.Exit(2)
 	}
 	broken := false
-	for _, r := range model.Long {
+	for _, r := range modelcheck.Long {
 		if opt.Only != "" && r.Name != opt.Only {
 			continue
 		}
 		r.States = opt.States
 		begin := time.Now()
-		res := model.Explore(r.Scenario, r.Bounds)
+		res := modelcheck.Explore(r.Scenario, r.Bounds)
 		fmt.Printf("%s %s in %v: %s\n", r.Name, r.Bounds, time.Since(begin).Round(time.Second), res)
 		if res.Broken != "" {
 			broken = true
--- a/proof/cmd/defects/main.go
+++ b/tests/cmd/mutation/main.go
@@ -1,4 +1,4 @@
-// Command defects puts each deliberate defect into scratch copies of the tree, runs
+// Command mutation puts each deliberate defect into scratch copies of the tree, runs
 // the proof that must catch it there, and tells which are caught.
 package main
 
@@ -11,7 +11,7 @@
 
 	"github.com/jessevdk/go-flags"
 
-	"curlewwalk/proof/defects"
+	"curlewwalk/tests/mutation"
 )
 
 func main() {
@@ -36,7 +36,7 @@
 // try puts the defects that have only in them into so many copies of the tree, and
 // counts those that were tried and those that were not caught.
 func try(only string, copies int) (tried, missed int, err error) {
-	work := make(chan defects.Defect)
+	work := make(chan mutation.Defect)
 	results := make(chan bool)
 	var workers sync.WaitGroup
 	for range copies {
@@ -52,7 +52,7 @@
 		})
 	}
 	go func() {
-		for _, d := range defects.All {
+		for _, d := range mutation.All {
 			if strings.Contains(d.File+" "+d.Test+" "+d.Line, only) {
 				work <- d
 			}
@@ -80,7 +80,7 @@
 }
 
 // caught tries one defect in a copy and prints what came of it.
-func caught(d defects.Defect, root string) bool {
+func caught(d mutation.Defect, root string) bool {
 	ok, said, err := d.Caught(root)
 	switch {
 	case err != nil:
--- a/proof/cmd/soak/main.go
+++ b/tests/cmd/soak/main.go
@@ -16,9 +16,9 @@
 
 	"github.com/jessevdk/go-flags"
 
-	"curlewwalk/proof/fleet"
-	"curlewwalk/proof/ledger"
-	"curlewwalk/proof/soak"
+	"curlewwalk/tests/fleet"
+	"curlewwalk/tests/ledger"
+	"curlewwalk/tests/soak"
 )
 
 // options are the command line.
@@ -171,7 +171,7 @@
 		plan = soak.Shorten(ctx, plan, rules, bin, opt.Shorten, os.Stdout)
 	}
 	fmt.Println(plan.Text())
-	fmt.Printf("again: go run ./proof/cmd/soak --deployment %s --seed %d --for %v --size %d --only %q\n", plan.Deployment, plan.Seed, opt.For, opt.Size, opt.Only)
+	fmt.Printf("again: go run ./tests/cmd/soak --deployment %s --seed %d --for %v --size %d --only %q\n", plan.Deployment, plan.Seed, opt.For, opt.Size, opt.Only)
 }
 
 // keep adds a result to a file, if there is one.
--- a/proof/day/day.go
+++ b/tests/day/day.go
@@ -15,9 +15,9 @@
 	"sync"
 	"time"
 
-	"curlewwalk/proof/fleet"
-	"curlewwalk/proof/ledger"
-	"curlewwalk/proof/standin"
+	"curlewwalk/tests/fakes"
+	"curlewwalk/tests/fleet"
+	"curlewwalk/tests/ledger"
 )
 
 const (
@@ -44,12 +44,12 @@
 	slowest  time.Duration              // return of service after a fault
 	spread   time.Duration              // slowest configuration in force
 	back     map[string][]time.Duration // return of service, by kind of request and of its word
-	standing map[*standin.Backend]int   // running backends by machine
+	standing map[*fakes.Backend]int     // running backends by machine
 }
 
 // New lays a day out over a fleet that is not started yet.
 func New(f *fleet.Fleet, seed uint64, out io.Writer) *Day {
-	return &Day{F: f, Out: out, rng: rand.New(rand.NewPCG(seed, 11)), acked: map[uint64][]byte{}, standing: map[*standin.Backend]int{}, back: map[string][]time.Duration{}}
+	return &Day{F: f, Out: out, rng: rand.New(rand.NewPCG(seed, 11)), acked: map[uint64][]byte{}, standing: map[*fakes.Backend]int{}, back: map[string][]time.Duration{}}
 }
 
 // Run runs it with so many events and returns what must never happen and did.
--- a/proof/day/events.go
+++ b/tests/day/events.go
@@ -9,8 +9,8 @@
 	"syscall"
 	"time"
 
-	"curlewwalk/proof/fleet"
-	"curlewwalk/proof/standin"
+	"curlewwalk/tests/fakes"
+	"curlewwalk/tests/fleet"
 )
 
 type event struct {
@@ -165,7 +165,7 @@
 	return p.Ready(d.ctx)
 }
 
-func (d *Day) anyBackend() (*standin.Backend, int) {
+func (d *Day) anyBackend() (*fakes.Backend, int) {
 	i := d.rng.IntN(len(d.standing))
 	for _, b := range d.F.Backends { // in the order of their start, so that a seed repeats
 		if machine, ok := d.standing[b]; ok {
--- a/proof/day/returns.go
+++ b/tests/day/returns.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"curlewwalk/proof/standin"
+	"curlewwalk/tests/fakes"
 )
 
 // checkAgain is how long a check that failed waits before it is made again.
@@ -24,7 +24,7 @@
 }
 
 // untilServed waits until one request of a plan succeeds from a machine.
-func (w *returnWait) untilServed(machine int, p standin.Plan) {
+func (w *returnWait) untilServed(machine int, p fakes.Plan) {
 	d := w.day
 	d.serial++
 	caller := d.F.NewCaller(machine, 1)
--- a/proof/await_test.go
+++ b/tests/e2e/await_test.go
@@ -1,4 +1,4 @@
-package proof
+package e2e
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 	"net/http"
 	"sync/atomic"
 
-	"curlewwalk/proof/fleet"
+	"curlewwalk/tests/fleet"
 )
 
 // awaitRuns waits until a count has come to at least n.
--- a/proof/body_test.go
+++ b/tests/e2e/body_test.go
@@ -1,4 +1,4 @@
-package proof
+package e2e
 
 import (
 	"bytes"
--- a/proof/budget_test.go
+++ b/tests/e2e/budget_test.go
@@ -1,11 +1,11 @@
-package proof
+package e2e
 
 import (
 	"context"
 	"net/http"
 	"testing"
 
-	"curlewwalk/proof/fleet"
+	"curlewwalk/tests/fleet"
 )
 
 // budgets is what is read of GET /v1/budgets.
--- a/proof/custody_test.go
+++ b/tests/e2e/custody_test.go
@@ -1,4 +1,4 @@
-package proof
+package e2e
 
 import (
 	"bytes"
@@ -10,8 +10,8 @@
 	"sync/atomic"
 	"testing"
 
-	"curlewwalk/proof/fleet"
-	"curlewwalk/proof/standin"
+	"curlewwalk/tests/fakes"
+	"curlewwalk/tests/fleet"
 )
 
 // keyed is a fleet of some machines with one backend, of orders, on the last;
@@ -33,7 +33,7 @@
 	must(t, f.Relay())
 	must(t, f.Start(ctx))
 	k := &keyed{Fleet: f, t: t, ctx: ctx, running: make(chan struct{}, 9), release: make(chan struct{})}
-	b := &standin.Backend{
+	b := &fakes.Backend{
 		Instance: "one", Service: "orders", Zone: f.Zone(machines - 1), Capacity: 9, Control: f.Sidecars[machines-1].Control,
 		Ledger: f.Ledger, Client: f.Client, Handle: http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 			io.Copy(io.Discard, q.Body)
@@ -213,7 +213,7 @@
 	f, ctx := start(t, small())
 	load, stop := context.WithCancel(ctx)
 	var wg sync.WaitGroup
-	var callers []*standin.Caller
+	var callers []*fakes.Caller
 	for _, c := range f.Callers() {
 		c.Keyed, c.Rate = true, 30
 		callers = append(callers, c)
--- a/proof/cut_test.go
+++ b/tests/e2e/cut_test.go
@@ -1,4 +1,4 @@
-package proof
+package e2e
 
 import (
 	"bytes"
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"curlewwalk/proof/fleet"
+	"curlewwalk/tests/fleet"
 )
 
 // The core on duty is cut off together with a machine: the others go on, the
--- a/proof/cutoff_test.go
+++ b/tests/e2e/cutoff_test.go
@@ -1,4 +1,4 @@
-package proof
+package e2e
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"curlewwalk/proof/fleet"
+	"curlewwalk/tests/fleet"
 )
 
 // questioner asks one core again and again what an operator may ask, and judges each
--- a/proof/day_test.go
+++ b/tests/e2e/day_test.go
@@ -1,14 +1,14 @@
-package proof
+package e2e
 
 import (
 	"testing"
 
-	"curlewwalk/proof/day"
-	"curlewwalk/proof/fleet"
+	"curlewwalk/tests/day"
+	"curlewwalk/tests/fleet"
 )
 
 // A short day of a small fleet: some of the brief's failures in seeded order
-// under load, a last one, and the reading back. Whole days are proof/cmd/day.
+// under load, a last one, and the reading back. Whole days are tests/cmd/day.
 func TestShortDay(t *testing.T) {
 	t.Parallel()
 	f, err := fleet.New(small(), bin)
--- a/proof/duty_test.go
+++ b/tests/e2e/duty_test.go
@@ -1,4 +1,4 @@
-package proof
+package e2e
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"curlewwalk/proof/fleet"
+	"curlewwalk/tests/fleet"
 )
 
 // changes has numbered configurations put to some cores in turn, one every interval,
--- a/proof/equal_numbers_test.go
+++ b/tests/e2e/equal_numbers_test.go
@@ -1,4 +1,4 @@
-package proof
+package e2e
 
 import (
 	"context"
@@ -6,7 +6,7 @@
 	"slices"
 	"testing"
 
-	"curlewwalk/proof/fleet"
+	"curlewwalk/tests/fleet"
 )
 
 // Two operators race with one configuration each under the same number, each at a core of
--- a/proof/evacuation_test.go
+++ b/tests/e2e/evacuation_test.go
@@ -1,4 +1,4 @@
-package proof
+package e2e
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"curlewwalk/proof/fleet"
+	"curlewwalk/tests/fleet"
 )
 
 // An order on a zone that waits at a frozen core while its caller goes elsewhere, has
--- a/proof/follow_test.go
+++ b/tests/e2e/follow_test.go
@@ -1,11 +1,11 @@
-package proof
+package e2e
 
 import (
 	"context"
 	"slices"
 	"testing"
 
-	"curlewwalk/proof/fleet"
+	"curlewwalk/tests/fleet"
 )
 
 // A core that is cut off from the other cores, but from no sidecar, answers those that
--- a/proof/gate_test.go
+++ b/tests/e2e/gate_test.go
@@ -1,4 +1,4 @@
-package proof
+package e2e
 
 import (
 	"bufio"
@@ -14,9 +14,9 @@
 	"testing"
 	"time"
 
-	"curlewwalk/feed"
-	"curlewwalk/proof/fault"
-	"curlewwalk/proof/fleet"
+	"curlewwalk/internal/watch"
+	"curlewwalk/tests/faultproxy"
+	"curlewwalk/tests/fleet"
 )
 
 // While an emptied zone still runs something, the report says so.
@@ -34,20 +34,20 @@
 	recv(r, running)
 	reply, err := r.Operate(r.ctx, r.Cores[0], "PUT", "/v1/localities/south/emptied", nil)
 	must(t, err)
-	shows := func(want func(d feed.Drain) bool) {
+	shows := func(want func(d watch.Drain) bool) {
 		t.Helper()
 		must(t, awaitPage(r.ctx, func(ctx context.Context) bool {
-			var d feed.Drain
+			var d watch.Drain
 			_, err := r.Cores[0].Get(ctx, "/v1/localities/south", &d)
 			return err == nil && d.Stamp == reply.Stamp && len(d.Behind) == 0 && want(d)
 		}))
 	}
-	shows(func(d feed.Drain) bool { return d.Open == 1 && !d.Done && d.For == "" })
+	shows(func(d watch.Drain) bool { return d.Open == 1 && !d.Done && d.For == "" })
 	close(release)
 	if a := recv(r, first); a.StatusCode != 200 {
 		t.Errorf("what ran there got %d", a.StatusCode)
 	}
-	shows(func(d feed.Drain) bool { return d.Open == 0 && d.Done && d.For != "" })
+	shows(func(d watch.Drain) bool { return d.Open == 0 && d.Done && d.For != "" })
 }
 
 // A client that writes on an idle connection just as its sidecar ends gets an answer
@@ -162,7 +162,7 @@
 	}
 	addr := old.Addr()
 	old.Kill()
-	ln, err := fault.Bind(addr)
+	ln, err := faultproxy.Bind(addr)
 	must(t, err)
 	srv := &http.Server{Handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) { strays.Add(1) })}
 	defer srv.Close()
@@ -227,7 +227,7 @@
 	mark := f.Backends[0].Runs.Load()
 	must(t, awaitRuns(ctx, f.Backends[0].Runs.Load, mark+50))
 	must(t, awaitPage(ctx, func(ctx context.Context) bool {
-		var d feed.Drain
+		var d watch.Drain
 		_, err := f.Cores[1].Get(ctx, "/v1/localities/west", &d)
 		return err == nil && d.Emptied && d.Done && d.For != "" && d.Open == 0
 	}))
--- a/proof/generation_test.go
+++ b/tests/e2e/generation_test.go
@@ -1,4 +1,4 @@
-package proof
+package e2e
 
 import (
 	"bytes"
@@ -8,18 +8,18 @@
 	"testing"
 	"time"
 
-	"curlewwalk/desired"
-	"curlewwalk/proof/fleet"
+	"curlewwalk/internal/config"
+	"curlewwalk/tests/fleet"
 )
 
 // many is a configuration of n ways, told from others by a number.
 func many(n, number int) []byte {
-	st := desired.State{Contracts: []desired.Contract{{Name: "c", Aim: desired.Duration{Duration: time.Second}, Deadline: desired.Duration{Duration: 2 * time.Second}, Rank: 1}}}
+	st := config.State{Contracts: []config.Contract{{Name: "c", Aim: config.Duration{Duration: time.Second}, Deadline: config.Duration{Duration: 2 * time.Second}, Rank: 1}}}
 	for i := range n {
-		st.Services = append(st.Services, desired.Service{Name: fmt.Sprint("s", i), Connections: number})
-		st.Routes = append(st.Routes, desired.Route{
+		st.Services = append(st.Services, config.Service{Name: fmt.Sprint("s", i), Connections: number})
+		st.Routes = append(st.Routes, config.Route{
 			Name: fmt.Sprint("w", i), Prefix: fmt.Sprint("/", i), Contract: "c",
-			Split: []desired.Portion{{Service: fmt.Sprint("s", i), Weight: 95}, {Service: "s0", Weight: 5}}[:min(2, 1+i)],
+			Split: []config.Portion{{Service: fmt.Sprint("s", i), Weight: 95}, {Service: "s0", Weight: 5}}[:min(2, 1+i)],
 		})
 	}
 	return st.Bytes()
--- a/proof/leave_test.go
+++ b/tests/e2e/leave_test.go
@@ -1,4 +1,4 @@
-package proof
+package e2e
 
 import (
 	"context"
@@ -8,18 +8,18 @@
 	"testing"
 	"time"
 
-	"curlewwalk/proof/fleet"
-	"curlewwalk/proof/standin"
+	"curlewwalk/tests/fakes"
+	"curlewwalk/tests/fleet"
 )
 
 // A client that leaves ends the whole tree of calls that works for it: each backend's
 // connection is closed, which ends its own calls, and so on down.
 func TestLeavingEndsTheTree(t *testing.T) {
 	t.Parallel()
-	deep := standin.Plan{Name: "deep", Method: "GET", Prefix: "/deep/", Service: "store", Aim: time.Second, Deadline: 10 * time.Second, Rank: 1, Repeatable: true}
+	deep := fakes.Plan{Name: "deep", Method: "GET", Prefix: "/deep/", Service: "store", Aim: time.Second, Deadline: 10 * time.Second, Rank: 1, Repeatable: true}
 	top := look
 	top.Deadline = 10 * time.Second
-	f, ctx := start(t, fleet.Size{Name: "rig", Cores: 1, Machines: 2, Zones: []string{"north", "south"}, Capacity: 9, Plans: []standin.Plan{top, deep}})
+	f, ctx := start(t, fleet.Size{Name: "rig", Cores: 1, Machines: 2, Zones: []string{"north", "south"}, Capacity: 9, Plans: []fakes.Plan{top, deep}})
 	r := &rig{Fleet: f, t: t, ctx: ctx}
 	reached, ended := make(chan string, 9), make(chan string, 9)
 	run := func(name string, calls func(ctx context.Context)) http.Handler {
--- a/proof/leaving_test.go
+++ b/tests/e2e/leaving_test.go
@@ -1,17 +1,17 @@
-package proof
+package e2e
 
 import (
 	"context"
 	"testing"
 	"time"
 
-	"curlewwalk/proof/fleet"
-	"curlewwalk/proof/standin"
+	"curlewwalk/tests/fakes"
+	"curlewwalk/tests/fleet"
 )
 
 // leavers is a fleet of two machines with a backend of a service on each: one that will
 // leave, on machine 1, and one that stays.
-func leavers(t *testing.T) (f *fleet.Fleet, ctx context.Context, leaver *standin.Backend) {
+func leavers(t *testing.T) (f *fleet.Fleet, ctx context.Context, leaver *fakes.Backend) {
 	t.Helper()
 	size := small()
 	size.Machines, size.Backends = 2, nil
@@ -30,10 +30,10 @@
 
 // serveOn sends requests one after the other for a while, at both machines, with the
 // leaver's late beats among them.
-func serveOn(ctx context.Context, t *testing.T, f *fleet.Fleet, leaver *standin.Backend) {
+func serveOn(ctx context.Context, t *testing.T, f *fleet.Fleet, leaver *fakes.Backend) {
 	t.Helper()
 	survey := f.Size.Plans[2]
-	callers := []*standin.Caller{f.NewCaller(0, 1), f.NewCaller(1, 2)}
+	callers := []*fakes.Caller{f.NewCaller(0, 1), f.NewCaller(1, 2)}
 	for from := time.Now(); time.Since(from) < lateFor; {
 		for _, c := range callers {
 			c.Once(ctx, survey)
@@ -47,9 +47,9 @@
 // just said that it has gone.
 func TestLateBeat(t *testing.T) {
 	t.Parallel()
-	words := map[string]func(b *standin.Backend, ctx context.Context) error{
-		"leaving": (*standin.Backend).Leave,
-		"gone":    (*standin.Backend).Depart,
+	words := map[string]func(b *fakes.Backend, ctx context.Context) error{
+		"leaving": (*fakes.Backend).Leave,
+		"gone":    (*fakes.Backend).Depart,
 	}
 	for word, say := range words {
 		t.Run(word, func(t *testing.T) {
--- a/proof/loss_test.go
+++ b/tests/e2e/loss_test.go
@@ -1,4 +1,4 @@
-package proof
+package e2e
 
 import (
 	"bytes"
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"curlewwalk/proof/fleet"
+	"curlewwalk/tests/fleet"
 )
 
 // load has clients on all machines send until the test says stop.
--- a/proof/main_test.go
+++ b/tests/e2e/main_test.go
@@ -1,5 +1,5 @@
-// Package proof tests whole programs over loopback sockets. (DESIGN 14)
-package proof
+// Package e2e tests whole programs over loopback sockets. (DESIGN 14)
+package e2e
 
 import (
 	"context"
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
-	"curlewwalk/proof/fleet"
-	"curlewwalk/proof/ledger"
+	"curlewwalk/tests/fleet"
+	"curlewwalk/tests/ledger"
 )
 
 var bin fleet.Binaries
--- a/proof/metrics_test.go
+++ b/tests/e2e/metrics_test.go
@@ -1,4 +1,4 @@
-package proof
+package e2e
 
 import (
 	"net/http"
@@ -118,7 +118,7 @@
 // types linted.
 func agree(t *testing.T, got map[string]*dto.MetricFamily, program string) {
 	t.Helper()
-	page, err := os.ReadFile("../docs/OPERATING.md")
+	page, err := os.ReadFile("../../docs/OPERATING.md")
 	must(t, err)
 	var want, own []string
 	for _, row := range documented.FindAllStringSubmatch(string(page), -1) {
--- a/proof/overload_test.go
+++ b/tests/e2e/overload_test.go
@@ -1,4 +1,4 @@
-package proof
+package e2e
 
 import (
 	"context"
@@ -8,9 +8,9 @@
 	"testing"
 	"time"
 
-	"curlewwalk/proof/fleet"
-	"curlewwalk/proof/ledger"
-	"curlewwalk/proof/standin"
+	"curlewwalk/tests/fakes"
+	"curlewwalk/tests/fleet"
+	"curlewwalk/tests/ledger"
 )
 
 // Under overload, with clients that ask again at once, the higher rank keeps
@@ -27,7 +27,7 @@
 	callers := f.Callers()
 	for _, c := range callers {
 		c.Retry = 2
-		c.Saw = func(p standin.Plan, a ledger.Answered, _ time.Duration) {
+		c.Saw = func(p fakes.Plan, a ledger.Answered, _ time.Duration) {
 			mu.Lock()
 			defer mu.Unlock()
 			sent[p.Rank]++
@@ -53,7 +53,7 @@
 	r := newRig(t)
 	started := time.Now()
 	var open, peak atomic.Int64
-	b := &standin.Backend{
+	b := &fakes.Backend{
 		Instance: "cold", Service: "desk", Zone: r.Zone(1), Capacity: 10, Share: 0.4, Control: r.Sidecars[1].Control,
 		Ledger: r.Ledger, Client: r.Client, Handle: http.HandlerFunc(func(_ http.ResponseWriter, _ *http.Request) {
 			n := open.Add(1)
--- a/proof/path_test.go
+++ b/tests/e2e/path_test.go
@@ -1,11 +1,11 @@
-package proof
+package e2e
 
 import (
 	"testing"
 
 	"github.com/google/go-cmp/cmp"
 
-	"curlewwalk/proof/fleet"
+	"curlewwalk/tests/fleet"
 )
 
 // The whole path at the size of either deployment: each kind of request goes
--- a/proof/restart_test.go
+++ b/tests/e2e/restart_test.go
@@ -1,10 +1,10 @@
-package proof
+package e2e
 
 import (
 	"syscall"
 	"testing"
 
-	"curlewwalk/proof/fleet"
+	"curlewwalk/tests/fleet"
 )
 
 // Every process is restarted in turn under load, with reloads and changes of
@@ -70,10 +70,10 @@
 // all the while, and nothing handed over is dropped.
 func TestVersionsInTurn(t *testing.T) {
 	t.Parallel()
-	old, err := fleet.BuildWith("..", earlier)
+	old, err := fleet.BuildWith("../..", earlier)
 	must(t, err)
 	t.Cleanup(old.Remove)
-	next, err := fleet.BuildWith("..", later)
+	next, err := fleet.BuildWith("../..", later)
 	must(t, err)
 	t.Cleanup(next.Remove)
 	f, ctx := begin(t, small())
--- a/proof/rig_test.go
+++ b/tests/e2e/rig_test.go
@@ -1,4 +1,4 @@
-package proof
+package e2e
 
 import (
 	"bytes"
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"curlewwalk/proof/fleet"
-	"curlewwalk/proof/standin"
+	"curlewwalk/tests/fakes"
+	"curlewwalk/tests/fleet"
 )
 
 // rig is a fleet of one core and two machines for tests with backends of their
@@ -27,29 +27,29 @@
 
 // The two ways of a rig: an order must run once, a look may be repeated.
 var (
-	once = standin.Plan{Name: "once", Method: "POST", Prefix: "/once/", Service: "desk", Aim: time.Second, Deadline: 3 * time.Second, Rank: 1, Work: time.Millisecond, Body: 50}
-	head = standin.Plan{Name: "head", Method: "HEAD", Prefix: "/look/", Service: "desk", Aim: time.Second, Deadline: 3 * time.Second, Rank: 1, Repeatable: true}
-	look = standin.Plan{Name: "look", Method: "GET", Prefix: "/look/", Service: "desk", Aim: time.Second, Deadline: 3 * time.Second, Rank: 1, Work: time.Millisecond, Repeatable: true}
+	once = fakes.Plan{Name: "once", Method: "POST", Prefix: "/once/", Service: "desk", Aim: time.Second, Deadline: 3 * time.Second, Rank: 1, Work: time.Millisecond, Body: 50}
+	head = fakes.Plan{Name: "head", Method: "HEAD", Prefix: "/look/", Service: "desk", Aim: time.Second, Deadline: 3 * time.Second, Rank: 1, Repeatable: true}
+	look = fakes.Plan{Name: "look", Method: "GET", Prefix: "/look/", Service: "desk", Aim: time.Second, Deadline: 3 * time.Second, Rank: 1, Work: time.Millisecond, Repeatable: true}
 )
 
 func newRig(t *testing.T) *rig {
-	f, ctx := start(t, fleet.Size{Name: "rig", Cores: 1, Machines: 2, Zones: []string{"north", "south"}, Capacity: 9, Plans: []standin.Plan{once, look, head}})
+	f, ctx := start(t, fleet.Size{Name: "rig", Cores: 1, Machines: 2, Zones: []string{"north", "south"}, Capacity: 9, Plans: []fakes.Plan{once, look, head}})
 	return &rig{Fleet: f, t: t, ctx: ctx}
 }
 
 // backend starts a backend on a machine that answers by h, and waits until the
 // sidecars of the rig know as many as there are.
-func (r *rig) backend(machine int, h http.Handler) *standin.Backend {
+func (r *rig) backend(machine int, h http.Handler) *fakes.Backend {
 	r.t.Helper()
 	return r.backendOf("desk", machine, h)
 }
 
 // backendOf is backend for a service.
-func (r *rig) backendOf(service string, machine int, h http.Handler) *standin.Backend {
+func (r *rig) backendOf(service string, machine int, h http.Handler) *fakes.Backend {
 	r.t.Helper()
 	n := r.known
 	r.known++
-	b := &standin.Backend{
+	b := &fakes.Backend{
 		Instance: fmt.Sprintf("%s-%d", service, n), Service: service, Zone: r.Zone(machine), Capacity: 9,
 		Control: r.Sidecars[machine].Control, Plans: r.Size.Plans, Ledger: r.Ledger, Client: r.Client, Handle: h,
 	}
--- a/proof/seats_test.go
+++ b/tests/e2e/seats_test.go
@@ -1,4 +1,4 @@
-package proof
+package e2e
 
 import (
 	"bytes"
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"curlewwalk/proof/fleet"
+	"curlewwalk/tests/fleet"
 )
 
 // comers is a fleet of cores without static seats.
--- a/proof/stop_test.go
+++ b/tests/e2e/stop_test.go
@@ -1,4 +1,4 @@
-package proof
+package e2e
 
 import (
 	"bufio"
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"curlewwalk/proof/fleet"
+	"curlewwalk/tests/fleet"
 )
 
 // sidecarStats is the part of GET /v1/stats that these tests read.
--- a/proof/trace_test.go
+++ b/tests/e2e/trace_test.go
@@ -1,4 +1,4 @@
-package proof
+package e2e
 
 import (
 	"context"
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"curlewwalk/proof/fleet"
-	"curlewwalk/proof/standin"
+	"curlewwalk/tests/fakes"
+	"curlewwalk/tests/fleet"
 )
 
 // The whole tree of a request and of the calls that it causes, from any core:
@@ -84,7 +84,7 @@
 		p.Args("--trace-queue=16")
 	}
 	must(t, f.Start(ctx))
-	plan := standin.Plan{Name: "stock-read", Method: "GET", Prefix: "/stock/", Service: "stock", Deadline: time.Second, Work: time.Millisecond}
+	plan := fakes.Plan{Name: "stock-read", Method: "GET", Prefix: "/stock/", Service: "stock", Deadline: time.Second, Work: time.Millisecond}
 	for _, stop := range []struct {
 		how  string
 		what func(p *fleet.Program)
--- a/proof/watch_test.go
+++ b/tests/e2e/watch_test.go
@@ -1,11 +1,11 @@
-package proof
+package e2e
 
 import (
 	"context"
 	"testing"
 	"time"
 
-	"curlewwalk/proof/fleet"
+	"curlewwalk/tests/fleet"
 )
 
 // knows tells whether a sidecar has a node in its view.
--- a/proof/window_test.go
+++ b/tests/e2e/window_test.go
@@ -1,4 +1,4 @@
-package proof
+package e2e
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"curlewwalk/proof/fleet"
+	"curlewwalk/tests/fleet"
 )
 
 // calendar is a file with one window a zone, by how many seconds from now on
--- a/proof/woken_test.go
+++ b/tests/e2e/woken_test.go
@@ -1,4 +1,4 @@
-package proof
+package e2e
 
 import (
 	"bytes"
@@ -11,9 +11,9 @@
 	"testing"
 	"time"
 
-	"curlewwalk/proof/fault"
-	"curlewwalk/proof/fleet"
-	"curlewwalk/proof/standin"
+	"curlewwalk/tests/fakes"
+	"curlewwalk/tests/faultproxy"
+	"curlewwalk/tests/fleet"
 )
 
 // A sidecar is frozen with beats of a backend piled up in its sockets, while
@@ -22,7 +22,7 @@
 func TestWokenWithOldBeats(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
-	b := &standin.Backend{
+	b := &fakes.Backend{
 		Instance: "old", Service: "desk", Zone: r.Zone(1), Capacity: 9, Control: r.Sidecars[1].Control,
 		Ledger: r.Ledger, Client: r.Client, Handle: http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}),
 	}
@@ -43,7 +43,7 @@
 	}
 	addr := b.Addr()
 	b.Kill()
-	ln, err := fault.Bind(addr)
+	ln, err := faultproxy.Bind(addr)
 	must(t, err)
 	var strays atomic.Int64
 	srv := &http.Server{Handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) { strays.Add(1) })}
--- a/proof/word_test.go
+++ b/tests/e2e/word_test.go
@@ -1,4 +1,4 @@
-package proof
+package e2e
 
 import (
 	"bytes"
@@ -14,8 +14,8 @@
 	"testing"
 	"time"
 
-	"curlewwalk/desired"
-	"curlewwalk/proof/fleet"
+	"curlewwalk/internal/config"
+	"curlewwalk/tests/fleet"
 )
 
 // coresOnly is a fleet without machines.
@@ -242,8 +242,8 @@
 			"$.contracts[0].aim", "$.contracts[1].name", "$.contracts[1].aim", "$.contracts[1].expiry", "$.contracts[1].rank",
 			"$.ways[0].service", "$.ways[0].prefix", "$.ways[0].contract",
 		},
-		`{"ways":[{"name":1,"prefix":"/","service":"s","contract":2}]}`:                       {"$.ways[0].name", "$.ways[0].contract"},
-		`{"ways":[], "contracts":[{"name":"` + strings.Repeat("x", desired.MaxBytes) + `"}]}`: {"$"},
+		`{"ways":[{"name":1,"prefix":"/","service":"s","contract":2}]}`:                      {"$.ways[0].name", "$.ways[0].contract"},
+		`{"ways":[], "contracts":[{"name":"` + strings.Repeat("x", config.MaxBytes) + `"}]}`: {"$"},
 	} {
 		r, err := f.Operate(ctx, f.Cores[0], "PUT", "/v1/desired", []byte(body))
 		must(t, err)
--- a/proof/standin/again_test.go
+++ b/tests/fakes/again_test.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"bufio"
@@ -13,7 +13,7 @@
 	"sync/atomic"
 	"testing"
 
-	"curlewwalk/proof/ledger"
+	"curlewwalk/tests/ledger"
 )
 
 var (
--- a/proof/standin/backend.go
+++ b/tests/fakes/backend.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"bytes"
@@ -13,8 +13,8 @@
 	"sync/atomic"
 	"time"
 
-	"curlewwalk/proof/fault"
-	"curlewwalk/proof/ledger"
+	"curlewwalk/tests/faultproxy"
+	"curlewwalk/tests/ledger"
 )
 
 // Backend is one backend instance on a machine.
@@ -55,7 +55,7 @@
 
 // Start listens on addr and announces itself until stopped.
 func (b *Backend) Start(addr string) error {
-	ln, err := fault.Bind(addr)
+	ln, err := faultproxy.Bind(addr)
 	if err != nil {
 		return err
 	}
--- a/proof/standin/caller.go
+++ b/tests/fakes/caller.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 	"sync/atomic"
 	"time"
 
-	"curlewwalk/proof/ledger"
+	"curlewwalk/tests/ledger"
 )
 
 // Caller is a client on one machine. It sends at a rate, whatever comes back.
--- a/proof/standin/count.go
+++ b/tests/fakes/count.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"context"
--- a/proof/standin/message.go
+++ b/tests/fakes/message.go
@@ -1,6 +1,6 @@
-// Package standin has the callers and backends of test fleets. They keep their
+// Package fakes has the callers and backends of test fleets. They keep their
 // own records and pass no tracing along.
-package standin
+package fakes
 
 import (
 	"crypto/sha256"
--- a/proof/standin/send.go
+++ b/tests/fakes/send.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"bytes"
@@ -11,7 +11,7 @@
 	"syscall"
 	"time"
 
-	"curlewwalk/proof/ledger"
+	"curlewwalk/tests/ledger"
 )
 
 // send puts one request to a sidecar, checks the answer and records both.
--- a/proof/standin/series.go
+++ b/tests/fakes/series.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"bufio"
@@ -14,7 +14,7 @@
 	"os"
 	"time"
 
-	"curlewwalk/proof/ledger"
+	"curlewwalk/tests/ledger"
 )
 
 // Series is a client that keeps its connection and uses it until that ends: it sends the
--- a/proof/fault/bind.go
+++ b/tests/faultproxy/bind.go
@@ -1,4 +1,4 @@
-package fault
+package faultproxy
 
 import (
 	"errors"
--- a/proof/fault/relay.go
+++ b/tests/faultproxy/relay.go
@@ -1,6 +1,6 @@
-// Package fault has relays that stand on advertised addresses while processes
+// Package faultproxy has relays that stand on advertised addresses while processes
 // bind elsewhere, and cut, stall or refuse what passes. (DESIGN 14.4)
-package fault
+package faultproxy
 
 import (
 	"context"
--- a/proof/fleet/binaries.go
+++ b/tests/fleet/binaries.go
@@ -38,7 +38,7 @@
 		}
 		args = append(args, "-overlay", overlay)
 	}
-	out, err := exec.Command("go", append(args, "curlewwalk/cmd/core", "curlewwalk/cmd/sidecar", "curlewwalk/cmd/planner")...).CombinedOutput()
+	out, err := exec.Command("go", append(args, "curlewwalk/cmd/controlplane", "curlewwalk/cmd/sidecar", "curlewwalk/cmd/planner")...).CombinedOutput()
 	if err != nil {
 		return "", fmt.Errorf("build: %w\n%s", err, out)
 	}
--- a/proof/fleet/fleet.go
+++ b/tests/fleet/fleet.go
@@ -12,9 +12,9 @@
 	"sync"
 	"time"
 
-	"curlewwalk/proof/fault"
-	"curlewwalk/proof/ledger"
-	"curlewwalk/proof/standin"
+	"curlewwalk/tests/fakes"
+	"curlewwalk/tests/faultproxy"
+	"curlewwalk/tests/ledger"
 )
 
 // Fleet is a running fleet.
@@ -25,12 +25,12 @@
 	Dir      string
 	Cores    []*Program
 	Sidecars []*Program
-	Backends []*standin.Backend
+	Backends []*fakes.Backend
 	Ledger   *ledger.Ledger
 	Client   *http.Client
-	First    uint64                  // stamp of the configuration that Start put
-	Net      *fault.Net              // set if relays stand between the machines
-	relays   map[string]*fault.Relay // by machine
+	First    uint64                       // stamp of the configuration that Start put
+	Net      *faultproxy.Net              // set if relays stand between the machines
+	relays   map[string]*faultproxy.Relay // by machine
 }
 
 // ports on every machine
@@ -56,7 +56,7 @@
 	}
 	f := &Fleet{
 		Size: size, Site: site, Bin: bin, Dir: dir, Ledger: ledger.New(),
-		Client: standin.NewClient(),
+		Client: fakes.NewClient(),
 	}
 	for i := range size.Cores {
 		f.Cores = append(f.Cores, f.NewCore(i+1, f.CoreIP(i+1), filepath.Join(dir, fmt.Sprintf("core-%d", i+1))))
@@ -89,13 +89,13 @@
 
 // NewCore lays a core out for a slot, at any address and data folder.
 func (f *Fleet) NewCore(slot int, ip, data string) *Program {
-	return f.program(fmt.Sprintf("core-%d", slot), "core", ip, f.Zone(slot-1), fmt.Sprintf("--slot=%d", slot), fmt.Sprintf("--slots=%d", f.Size.Cores), "--data="+data)
+	return f.program(fmt.Sprintf("core-%d", slot), "controlplane", ip, f.Zone(slot-1), fmt.Sprintf("--slot=%d", slot), fmt.Sprintf("--slots=%d", f.Size.Cores), "--data="+data)
 }
 
 // NewComer lays a core out that has no static seat: the nth machine of cores, which
 // asks the others for one. With founders it is of a system's first start.
 func (f *Fleet) NewComer(n int, data string, founders ...string) *Program {
-	p := f.program(fmt.Sprintf("core-%d", n), "core", f.CoreIP(n), f.Zone(n-1), "--data="+data)
+	p := f.program(fmt.Sprintf("core-%d", n), "controlplane", f.CoreIP(n), f.Zone(n-1), "--data="+data)
 	f.Cores = append(f.Cores, p)
 	if len(founders) > 0 {
 		p.Args("--first")
@@ -164,7 +164,7 @@
 // Relay puts a relay before every process, so that machines can be cut off.
 // It comes before Start.
 func (f *Fleet) Relay() error {
-	f.Net, f.relays = fault.NewNet(), map[string]*fault.Relay{}
+	f.Net, f.relays = faultproxy.NewNet(), map[string]*faultproxy.Relay{}
 	for _, p := range f.Programs() {
 		if err := f.RelayBefore(p); err != nil {
 			return err
@@ -230,7 +230,7 @@
 }
 
 // Blackout kills all that stands in one zone, backends included.
-func (f *Fleet) Blackout(zone string) (dead []*Program, gone []*standin.Backend) {
+func (f *Fleet) Blackout(zone string) (dead []*Program, gone []*fakes.Backend) {
 	for i, p := range f.Sidecars {
 		if f.Zone(i) == zone {
 			dead = append(dead, p)
@@ -268,14 +268,14 @@
 }
 
 // StartBackend starts a backend on the nth machine.
-func (f *Fleet) StartBackend(n int, service, instance string, port int) (*standin.Backend, error) {
+func (f *Fleet) StartBackend(n int, service, instance string, port int) (*fakes.Backend, error) {
 	return f.StartBackendOn(at(f.Site.IP(n), port), n, service, instance, 0)
 }
 
 // StartBackendOn starts a backend at an address of the nth machine; share is
 // how warm it says that it is, zero for warm.
-func (f *Fleet) StartBackendOn(addr string, n int, service, instance string, share float64) (*standin.Backend, error) {
-	b := &standin.Backend{
+func (f *Fleet) StartBackendOn(addr string, n int, service, instance string, share float64) (*fakes.Backend, error) {
+	b := &fakes.Backend{
 		Instance: instance, Service: service, Zone: f.Zone(n), Capacity: f.Size.Capacity, Share: share, Slow: f.Size.Slow[f.Zone(n)],
 		Control: f.Sidecars[n].Control, Plans: f.Size.Plans, Ledger: f.Ledger, Client: f.Client,
 	}
@@ -360,12 +360,12 @@
 }
 
 // NewCaller makes a client on the nth machine.
-func (f *Fleet) NewCaller(n int, rate float64) *standin.Caller {
-	return &standin.Caller{Name: fmt.Sprintf("caller-%d", n), Addr: f.Requests(n), Zone: f.Zone(n), Rate: rate, Plans: f.Size.Plans, Ledger: f.Ledger, Client: f.Client, Seed: uint64(n)}
+func (f *Fleet) NewCaller(n int, rate float64) *fakes.Caller {
+	return &fakes.Caller{Name: fmt.Sprintf("caller-%d", n), Addr: f.Requests(n), Zone: f.Zone(n), Rate: rate, Plans: f.Size.Plans, Ledger: f.Ledger, Client: f.Client, Seed: uint64(n)}
 }
 
 // Load has clients on all machines send at the fleet's rate until ctx ends.
-func (f *Fleet) Load(ctx context.Context, callers ...*standin.Caller) {
+func (f *Fleet) Load(ctx context.Context, callers ...*fakes.Caller) {
 	var wg sync.WaitGroup
 	for _, c := range callers {
 		wg.Go(func() { c.Run(ctx) })
@@ -374,8 +374,8 @@
 }
 
 // Callers makes a client for every machine, sharing the fleet's rate.
-func (f *Fleet) Callers() []*standin.Caller {
-	var out []*standin.Caller
+func (f *Fleet) Callers() []*fakes.Caller {
+	var out []*fakes.Caller
 	for i := range f.Sidecars {
 		out = append(out, f.NewCaller(i, f.Size.Rate/float64(len(f.Sidecars))))
 	}
--- a/proof/fleet/report.go
+++ b/tests/fleet/report.go
@@ -8,8 +8,8 @@
 	"sync"
 	"time"
 
-	"curlewwalk/proof/ledger"
-	"curlewwalk/proof/standin"
+	"curlewwalk/tests/fakes"
+	"curlewwalk/tests/ledger"
 )
 
 // Report sums up what callers saw.
@@ -26,7 +26,7 @@
 }
 
 // Saw takes one answer.
-func (r *Report) Saw(p standin.Plan, a ledger.Answered, took time.Duration) {
+func (r *Report) Saw(p fakes.Plan, a ledger.Answered, took time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.plans == nil {
--- a/proof/golden/documents_test.go
+++ b/tests/golden/documents_test.go
@@ -4,31 +4,31 @@
 	"os"
 	"testing"
 
-	"curlewwalk/collect"
-	"curlewwalk/contract"
-	"curlewwalk/desired"
-	"curlewwalk/feed"
-	"curlewwalk/membership"
-	"curlewwalk/plan"
-	"curlewwalk/proof/golden"
-	"curlewwalk/roster"
-	"curlewwalk/routing"
-	"curlewwalk/settings"
+	"curlewwalk/internal/config"
+	"curlewwalk/internal/dataplane/endpoints"
+	"curlewwalk/internal/dataplane/routing"
+	"curlewwalk/internal/membership"
+	"curlewwalk/internal/plan"
+	"curlewwalk/internal/retrybudget"
+	"curlewwalk/internal/settings"
+	"curlewwalk/internal/tracestore"
+	"curlewwalk/internal/watch"
+	"curlewwalk/tests/golden"
 )
 
 // The documents for operators and backends, and the planner's, have the keys that they have
 // always had. Those of types that are not exported are in their packages' own tests.
 func TestDocuments(t *testing.T) {
 	for name, sample := range map[string]any{
-		"announcement":   &roster.Announcement{},
+		"announcement":   &endpoints.Announcement{},
 		"node":           &membership.Node{},
-		"budgets":        &contract.Answer{},
+		"budgets":        &retrybudget.Answer{},
 		"cost":           &routing.CostPage{},
-		"evacuation":     &feed.Drain{},
-		"directory":      &feed.State{},
-		"trace":          &collect.Tree{},
+		"evacuation":     &watch.Drain{},
+		"directory":      &watch.State{},
+		"trace":          &tracestore.Tree{},
 		"reload":         &settings.Reloaded{},
-		"fault":          &desired.Fault{},
+		"fault":          &config.Fault{},
 		"planner-state":  &plan.Snapshot{},
 		"planner-result": &plan.Moves{},
 	} {
@@ -40,14 +40,14 @@
 // it always has been.
 func TestConfiguration(t *testing.T) {
 	const name = "documents/configuration.json"
-	var whole desired.State
+	var whole config.State
 	golden.Fill(&whole, golden.JSON.Tag)
 	golden.Check(t, name, whole.Bytes())
 	stored, err := os.ReadFile(golden.Path(name))
 	if err != nil {
 		t.Fatal(err)
 	}
-	read, _, ok := desired.Parse(stored)
+	read, _, ok := config.Parse(stored)
 	if !ok {
 		t.Fatal("the golden file is not read")
 	}
--- a/proof/golden/live_test.go
+++ b/tests/golden/live_test.go
@@ -12,10 +12,10 @@
 	"testing"
 	"time"
 
-	"curlewwalk/core"
-	"curlewwalk/proof/golden"
-	"curlewwalk/settings"
-	"curlewwalk/sidecar"
+	"curlewwalk/internal/controlplane"
+	"curlewwalk/internal/dataplane"
+	"curlewwalk/internal/settings"
+	"curlewwalk/tests/golden"
 )
 
 // freePort is an address that nothing listens at.
@@ -88,13 +88,13 @@
 		return settings.Common{Zone: "north", Wire: wire, Advertise: wire, Control: freePort(t), LogLines: 100}
 	}
 	coreSet := settings.Core{Common: common(), Slot: 1, Slots: 1, GoneAfter: time.Second, Data: t.TempDir()}
-	core.New(coreSet, nil)
+	controlplane.New(coreSet, nil)
 	sidecarSet := settings.Sidecar{
 		Common: common(), Requests: freePort(t), MaxBody: 1 << 20, BodyMemory: 1 << 24, ComeBack: time.Second,
 		ExtraAttempts: 20, Beat: 500 * time.Millisecond, Shun: time.Second, Ramp: time.Second, RampFrom: 0.2, TraceQueue: 100, NoKeys: true,
 	}
 	sidecarSet.Seeds = []string{coreSet.Wire}
-	sidecar.New(sidecarSet, nil)
+	dataplane.New(sidecarSet, nil)
 
 	lines := map[string]bool{}
 	look := func(program, method, control, path, body string, status int) {
--- a/proof/golden/settings_test.go
+++ b/tests/golden/settings_test.go
@@ -3,8 +3,8 @@
 import (
 	"testing"
 
-	"curlewwalk/proof/golden"
-	"curlewwalk/settings"
+	"curlewwalk/internal/settings"
+	"curlewwalk/tests/golden"
 )
 
 // Every setting has the names and the default that it has always had.
--- a/proof/messages/messages_test.go
+++ b/tests/messages/messages_test.go
@@ -10,18 +10,18 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
-	"curlewwalk/claim"
-	"curlewwalk/collect"
-	"curlewwalk/consensus"
-	"curlewwalk/contract"
-	"curlewwalk/custody"
-	"curlewwalk/desired"
-	"curlewwalk/feed"
-	"curlewwalk/membership"
-	"curlewwalk/relay"
-	"curlewwalk/routing"
-	"curlewwalk/trace"
-	"curlewwalk/wire"
+	"curlewwalk/internal/config"
+	"curlewwalk/internal/controlplane/consensus"
+	"curlewwalk/internal/dataplane/idempotency"
+	"curlewwalk/internal/dataplane/keyreplication"
+	"curlewwalk/internal/dataplane/proxy"
+	"curlewwalk/internal/dataplane/routing"
+	"curlewwalk/internal/membership"
+	"curlewwalk/internal/retrybudget"
+	"curlewwalk/internal/trace"
+	"curlewwalk/internal/tracestore"
+	"curlewwalk/internal/transport"
+	"curlewwalk/internal/watch"
 )
 
 // kind is one kind of message: how it may look, and what becomes of it.
@@ -36,7 +36,7 @@
 func of[M any](name string, sample M, act func(m M)) kind {
 	return kind{name, sample, func(b []byte) bool {
 		var m M
-		if wire.Unpack(b, &m) != nil {
+		if transport.Unpack(b, &m) != nil {
 			return false
 		}
 		act(m)
@@ -48,40 +48,40 @@
 	backend = membership.Backend{Instance: "i", Service: "s", Address: "127.0.0.1:1", Zone: "north", Capacity: 4, Share: 1}
 	node    = membership.Node{
 		Addr: "127.0.0.1:2", Boot: 7, Rev: 3, Zone: "north", Stamp: 5, Backends: []membership.Backend{backend}, Inc: 1,
-		Accuses: []membership.Accusation{{Addr: "127.0.0.1:3"}}, Open: map[string]int64{"north": 1}, Budgets: map[string]contract.Tally{"c": {}}, Turn: 2,
+		Accuses: []membership.Accusation{{Addr: "127.0.0.1:3"}}, Open: map[string]int64{"north": 1}, Budgets: map[string]retrybudget.Tally{"c": {}}, Turn: 2,
 	}
 	seat = membership.Seat{Slot: 2, Slots: 3, Addr: "127.0.0.1:4", Boot: 9, Zone: "north", Established: true, Set: []int{1, 2, 3}, Held: 4, Mark: 8}
 	peer = membership.Peer{Addr: node.Addr, Boot: 7, Rev: 3, Said: &membership.Statement{Age: 20, Stamp: 5, Alone: true}}
-	word = desired.Word{Stamp: 5, DesiredStamp: 4, Desired: []byte(`{}`), Emptied: []string{"north"}, Slots: []desired.Member{{Slot: 1, ID: 11}, {Slot: 2, ID: 12}}, Top: 2}
+	word = config.Word{Stamp: 5, DesiredStamp: 4, Desired: []byte(`{}`), Emptied: []string{"north"}, Slots: []config.Member{{Slot: 1, ID: 11}, {Slot: 2, ID: 12}}, Top: 2}
 	mark = consensus.Mark{Epoch: 65537, Stamp: 5}
 	from = consensus.From{Slot: 1}
 )
 
 // kinds are all that are registered on the wire, each way.
 var kinds = []kind{
-	of("greeting", wire.Greeting{Version: 1, Node: "n", Boot: 7}, func(wire.Greeting) {}),
+	of("greeting", transport.Greeting{Version: 1, Node: "n", Boot: 7}, func(transport.Greeting) {}),
 	of(membership.KindHeartbeat, membership.Heartbeat{Node: &node, Seat: &seat, Know: []membership.Seat{seat}, Digest: 3, Have: 8}, heartbeat),
 	of(membership.KindProbe, membership.Probe{Boot: 7, Inc: 1}, probe),
 	of(membership.KindGossip, membership.Gossip{Own: peer, Digest: 3, Fetch: &membership.Fetch{Nodes: []string{"x"}, Word: true, Stamp: 4}}, func(membership.Gossip) {}),
 	of("gossiped", membership.Gossiped{Peers: []membership.Peer{peer}, Word: &word, Nodes: []membership.Node{node}, Know: []membership.Seat{seat}}, gossiped),
-	of(feed.KindFollow, feed.Follow{Feed: 1, Place: 1, Wait: time.Second}, follow),
-	of("news", feed.News{Feed: 1, Place: 2, Snapshot: true, Items: []feed.Item{{Word: &word}, {Node: &node}, {Gone: "x"}}, Age: time.Second}, news),
+	of(watch.KindFollow, watch.Follow{Feed: 1, Place: 1, Wait: time.Second}, follow),
+	of("news", watch.News{Feed: 1, Place: 2, Snapshot: true, Items: []watch.Item{{Word: &word}, {Node: &node}, {Gone: "x"}}, Age: time.Second}, news),
 	of(consensus.KindBallot, consensus.Ballot{From: from, Act: consensus.Propose, Epoch: 65537, Mark: mark, Word: word}, ballot),
 	of("vote", consensus.Vote{From: from, Act: consensus.Prepare, OK: true, Mark: mark, Word: word, Seats: map[int]consensus.Chair{1: {Inc: 1}}}, vote),
 	of(consensus.KindOrder, consensus.Order{ID: 1, Kind: consensus.Empty, Zone: "north"}, func(consensus.Order) {}),
-	of(consensus.KindPatchedOrder, desired.Patch{Difference: []byte{8, 1, 2, 3, 4}}, patched),
+	of(consensus.KindPatchedOrder, config.Patch{Difference: []byte{8, 1, 2, 3, 4}}, patched),
 	of("answer", consensus.Answer{ID: 1, Result: consensus.Taken}, func(consensus.Answer) {}),
 	of(consensus.KindSeat, consensus.Asker{ID: 5, Addr: "127.0.0.1:5", Zone: "north"}, asker),
-	of(collect.KindPublish, collect.Batch{Events: []trace.Event{{Trace: trace.Root().Trace, Route: "w"}}}, batch),
-	of(collect.KindTrace, collect.Query{Trace: trace.Root().Trace}, func(collect.Query) {}),
-	of(custody.KindHold, custody.Entry{Owner: "o", Boot: 1, N: 1, Key: claim.Key{Text: "k"}, For: time.Minute, Response: []byte("r")}, hold),
-	of("held", custody.Held{Taken: true, Known: &custody.Entry{Owner: "o"}}, func(custody.Held) {}),
-	of(custody.KindHandover, custody.Handover{Owner: "o", Boot: 2}, func(q custody.Handover) { custody.NewHoldings().Handover(q, 0) }),
-	of("handed", custody.Handed{Entries: []custody.Entry{{Owner: "o", N: 1}}}, handed),
-	of(relay.KindAttempt, relay.Attempt{ID: "x", Service: "s", Instance: "i", Boot: 7, Method: "GET", URI: "/", Left: time.Second}, func(relay.Attempt) {}),
-	of("leg receipt", relay.AttemptResponse{ID: "x", Fate: routing.Answered, Status: 200, Body: []byte("ok")}, func(relay.AttemptResponse) {}),
-	of(relay.KindRecall, relay.Recall{ID: "x", Boot: 7}, func(relay.Recall) {}),
-	of("receipt", relay.Response{Status: 200, Body: []byte("ok"), Fate: routing.Answered}, func(relay.Response) {}),
+	of(tracestore.KindPublish, tracestore.Batch{Events: []trace.Event{{Trace: trace.Root().Trace, Route: "w"}}}, batch),
+	of(tracestore.KindTrace, tracestore.Query{Trace: trace.Root().Trace}, func(tracestore.Query) {}),
+	of(keyreplication.KindHold, keyreplication.Entry{Owner: "o", Boot: 1, N: 1, Key: idempotency.Key{Text: "k"}, For: time.Minute, Response: []byte("r")}, hold),
+	of("held", keyreplication.Held{Taken: true, Known: &keyreplication.Entry{Owner: "o"}}, func(keyreplication.Held) {}),
+	of(keyreplication.KindHandover, keyreplication.Handover{Owner: "o", Boot: 2}, func(q keyreplication.Handover) { keyreplication.NewHoldings().Handover(q, 0) }),
+	of("handed", keyreplication.Handed{Entries: []keyreplication.Entry{{Owner: "o", N: 1}}}, handed),
+	of(proxy.KindAttempt, proxy.Attempt{ID: "x", Service: "s", Instance: "i", Boot: 7, Method: "GET", URI: "/", Left: time.Second}, func(proxy.Attempt) {}),
+	of("leg receipt", proxy.AttemptResponse{ID: "x", Fate: routing.Answered, Status: 200, Body: []byte("ok")}, func(proxy.AttemptResponse) {}),
+	of(proxy.KindRecall, proxy.Recall{ID: "x", Boot: 7}, func(proxy.Recall) {}),
+	of("receipt", proxy.Response{Status: 200, Body: []byte("ok"), Fate: routing.Answered}, func(proxy.Response) {}),
 }
 
 func see(nodes ...membership.Node) {
@@ -100,7 +100,7 @@
 	seats.NoMajority(now)
 	seats.Wall(now, 1, now)
 	seats.Answer(h, &seat, seats.Digest(&seat))
-	f := feed.New(1, 0)
+	f := watch.New(1, 0)
 	if h.Node != nil {
 		f.Told(*h.Node, 0)
 		f.Departed(*h.Node, 0)
@@ -110,9 +110,9 @@
 	}
 	f.Tick(time.Second)
 	f.Accused()
-	contract.Merge(f.Budgets())
+	retrybudget.Merge(f.Budgets())
 	f.Drain("north", time.Second)
-	budgets := contract.NewBudgets()
+	budgets := retrybudget.NewBudgets()
 	budgets.Hear(h.Budgets)
 	budgets.Sums()
 }
@@ -132,14 +132,14 @@
 	s.Tell(peer, view, now.Add(membership.Beat))
 	s.Highest(1)
 	s.Sure("127.0.0.1:9", 5, []string{node.Addr}, now)
-	c := feed.NewCopy()
+	c := watch.NewCopy()
 	c.Meet(g.Nodes, map[string]uint64{node.Addr: 7})
 	see(g.Nodes...)
 	heartbeat(membership.Heartbeat{Know: g.Know})
 	inForce(g.Word)
 }
 
-func inForce(w *desired.Word) {
+func inForce(w *config.Word) {
 	if w == nil {
 		return
 	}
@@ -149,8 +149,8 @@
 	}
 }
 
-func follow(q feed.Follow) {
-	f := feed.New(1, 0)
+func follow(q watch.Follow) {
+	f := watch.New(1, 0)
 	f.Told(node, 0)
 	f.Settled(word)
 	for _, feedID := range []uint64{q.Feed, 1} {
@@ -159,8 +159,8 @@
 	}
 }
 
-func news(n feed.News) {
-	c := feed.NewCopy()
+func news(n watch.News) {
+	c := watch.NewCopy()
 	word, _ := c.Take(n)
 	inForce(word)
 	c.Take(n)
@@ -182,15 +182,15 @@
 	consensus.Top(map[int]consensus.Vote{1: v}, acceptor().Sets())
 }
 
-func patched(p desired.Patch) {
-	base, err := desired.NewVersion(word)
+func patched(p config.Patch) {
+	base, err := config.NewVersion(word)
 	if err != nil {
 		panic(err)
 	}
 	base.Apply(p)
 	p.Base = base.Fingerprint
 	base.Apply(p)
-	var kept desired.Versions
+	var kept config.Versions
 	kept.Add(base)
 	kept.Apply(p)
 }
@@ -201,25 +201,25 @@
 	u.Seat(a, acceptor(), map[int]consensus.Place{1: {Addr: a.Addr}}, 2*time.Second)
 }
 
-func batch(b collect.Batch) {
+func batch(b tracestore.Batch) {
 	for _, e := range b.Events {
-		collect.Build(e.Trace, b.Events)
+		tracestore.Build(e.Trace, b.Events)
 	}
 }
 
-func hold(e custody.Entry) {
-	h := custody.NewHoldings()
+func hold(e keyreplication.Entry) {
+	h := keyreplication.NewHoldings()
 	h.Take(e, 0)
 	h.Take(e, time.Second)
-	h.Handover(custody.Handover{Owner: e.Owner}, time.Second)
+	h.Handover(keyreplication.Handover{Owner: e.Owner}, time.Second)
 	h.Release(e)
 	if n, settled := h.Count(); n < 0 || settled < 0 || settled > n {
 		panic("the count of claims is wrong")
 	}
 }
 
-func handed(h custody.Handed) {
-	t := custody.NewTrusts("o", "north")
+func handed(h keyreplication.Handed) {
+	t := keyreplication.NewTrusts("o", "north")
 	for _, e := range h.Entries {
 		t.Held(e, node, 0)
 		t.Settle(e, time.Second)
@@ -237,7 +237,7 @@
 			continue
 		}
 		again := reflect.New(reflect.TypeOf(k.sample))
-		if err := wire.Unpack(b, again.Interface()); err != nil {
+		if err := transport.Unpack(b, again.Interface()); err != nil {
 			t.Errorf("%s: %v", k.name, err)
 		}
 		for cut := range b {
--- a/proof/model/check.go
+++ b/tests/modelcheck/check.go
@@ -1,12 +1,12 @@
-package model
+package modelcheck
 
 import (
 	"encoding/binary"
 	"fmt"
 	"slices"
 
-	"curlewwalk/consensus"
-	"curlewwalk/desired"
+	"curlewwalk/internal/config"
+	"curlewwalk/internal/controlplane/consensus"
 )
 
 // view identifies what check looks at.
@@ -82,7 +82,7 @@
 
 // isQuorum counts anew: members whose own disk has voted.
 func isQuorum(sets consensus.Sets, votes map[int]consensus.Vote) bool {
-	for _, set := range [][]desired.Member{sets.Now, sets.Before} {
+	for _, set := range [][]config.Member{sets.Now, sets.Before} {
 		n := 0
 		for _, m := range set {
 			if v, ok := votes[m.Slot]; ok && v.From.ID == m.ID {
--- a/proof/model/explore.go
+++ b/tests/modelcheck/explore.go
@@ -1,9 +1,9 @@
-// Package model explores every interleaving of a bounded system of cores: deliveries in
+// Package modelcheck explores every interleaving of a bounded system of cores: deliveries in
 // any order, losses, doubled messages, crashes with each outcome of an unsynced write,
 // lost disks, timeouts. The decisions are the production's (consensus.Acceptor,
 // consensus.Proposer, the sets of slots); only messages, disks and time are the model's.
 // States that behave alike from there on are merged. (DESIGN 14.9)
-package model
+package modelcheck
 
 import "fmt"
 
--- a/proof/model/look.go
+++ b/tests/modelcheck/look.go
@@ -1,9 +1,9 @@
-package model
+package modelcheck
 
 import (
 	"slices"
 
-	"curlewwalk/consensus"
+	"curlewwalk/internal/controlplane/consensus"
 )
 
 // look is a quorum read under way: a node asks all others, each answers at a moment of its
--- a/proof/model/model_test.go
+++ b/tests/modelcheck/model_test.go
@@ -1,4 +1,4 @@
-package model
+package modelcheck
 
 import (
 	"flag"
--- a/proof/model/scenario.go
+++ b/tests/modelcheck/scenario.go
@@ -1,8 +1,8 @@
-package model
+package modelcheck
 
 import (
-	"curlewwalk/consensus"
-	"curlewwalk/desired"
+	"curlewwalk/internal/config"
+	"curlewwalk/internal/controlplane/consensus"
 )
 
 // Scenario is what is explored: who founds the system, who may come, whose disk may be
@@ -37,7 +37,7 @@
 	set := v.Sets().Now
 	o := consensus.Order{Kind: consensus.Reseat, Of: set, Out: g.Goes}
 	if g.Comes != "" {
-		o.Seat = desired.Member{Slot: max(v.Word.Top, set[len(set)-1].Slot) + 1, ID: s.nodes[s.at(g.Comes)].memory.Self.ID, Addr: g.Comes}
+		o.Seat = config.Member{Slot: max(v.Word.Top, set[len(set)-1].Slot) + 1, ID: s.nodes[s.at(g.Comes)].memory.Self.ID, Addr: g.Comes}
 	}
 	return o
 }
@@ -75,7 +75,7 @@
 	Bounds
 }
 
-// Short are the runs of CI, Long those of proof/cmd/model. A run without a depth is
+// Short are the runs of CI, Long those of tests/cmd/modelcheck. A run without a depth is
 // exhaustive.
 var (
 	Short = []Run{
--- a/proof/model/state.go
+++ b/tests/modelcheck/state.go
@@ -1,4 +1,4 @@
-package model
+package modelcheck
 
 import (
 	"bytes"
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"curlewwalk/consensus"
+	"curlewwalk/internal/controlplane/consensus"
 )
 
 // digest identifies a state, or a part of one.
--- a/proof/model/step.go
+++ b/tests/modelcheck/step.go
@@ -1,4 +1,4 @@
-package model
+package modelcheck
 
 import (
 	"bytes"
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
-	"curlewwalk/consensus"
-	"curlewwalk/desired"
+	"curlewwalk/internal/config"
+	"curlewwalk/internal/controlplane/consensus"
 )
 
 // later is beyond every limit of the proposer's.
@@ -165,7 +165,7 @@
 	}
 	s.save(m.to, acceptor)
 	s.settles(acceptor)
-	if v := vote.By(desired.Member{Slot: m.slot, ID: m.id}); v != nil && m.ballot.Act != consensus.Settle {
+	if v := vote.By(config.Member{Slot: m.slot, ID: m.id}); v != nil && m.ballot.Act != consensus.Settle {
 		s.post(message{from: m.to, to: m.from, vote: v})
 	}
 }
@@ -220,7 +220,7 @@
 
 // takeOwn has a node's own acceptor take its proposer's ballot, and the proposer the vote, at once:
 // both are one core's, and no other message need come between.
-func (s *state) takeOwn(at int, b consensus.Ballot, m desired.Member) {
+func (s *state) takeOwn(at int, b consensus.Ballot, m config.Member) {
 	acceptor, vote := s.nodes[at].memory.On(b)
 	s.save(at, acceptor)
 	s.settles(acceptor)
@@ -231,7 +231,7 @@
 
 // member is the node that is asked for a member: the own one, or whoever is at the
 // member's address now.
-func (s *state) member(at int, m desired.Member) int {
+func (s *state) member(at int, m config.Member) int {
 	if self := s.nodes[at].memory.Self; self.Slot == m.Slot && self.ID == m.ID {
 		return at
 	}
@@ -283,7 +283,7 @@
 	}
 }
 
-func wordDigest(w desired.Word) digest { return digestOf(consensus.AppendWord(nil, w)) }
+func wordDigest(w config.Word) digest { return digestOf(consensus.AppendWord(nil, w)) }
 
 func (s *state) settles(v consensus.Acceptor) {
 	if v.Settled != 0 && v.Settled == v.Mark.Stamp {
@@ -292,7 +292,7 @@
 }
 
 // settle notes a word that somebody takes for settled: one under each stamp.
-func (s *state) settle(stamp uint64, w desired.Word) {
+func (s *state) settle(stamp uint64, w config.Word) {
 	is := wordDigest(w)
 	old, ok := s.settled[stamp]
 	switch {
--- a/proof/defects/defect.go
+++ b/tests/mutation/defect.go
@@ -1,6 +1,6 @@
-// Package defects has deliberate defects, each of which a named proof must catch.
+// Package mutation has deliberate defects, each of which a named proof must catch.
 // They are only ever applied to a scratch copy. (DESIGN 14.6)
-package defects
+package mutation
 
 import (
 	"encoding/json"
--- /dev/null
+++ b/tests/mutation/soak.go
@@ -0,0 +1,29 @@
+package mutation
+
+// ofSoak are those that the soak must find within ten seeds, one for each of its checks.
+var ofSoak = []Defect{
+	soaked(leaving, "DRAIN", "internal/dataplane/endpoints/late.go", "return !a.Leaving", "return false"),
+	soaked(altered, "ROUTE", "internal/dataplane/endpoints/late.go", "return r.displaced.Has(a.Instance) && r.heldByAnother(a, now)", "return false"),
+	soaked(altered, "UNASKED", "internal/dataplane/proxy/dialect.go", "h.Del(HeaderCaller)", ""),
+	soaked(twice, "TWICE", "internal/dataplane/routing/decision.go", "past.fate == Unknown && !d.Route.Repeatable", "false"),
+	soaked(notRun, "REFUSED", "internal/dataplane/proxy/ledger.go", "return v.refused", "return v.refused || true"),
+	soaked(whole, "MIXED", "internal/dataplane/proxy/exchange.go", "case err != nil:\n\t\treturn nil, nil, \"backend's answer was cut short\"", "case err != nil && false:"),
+	soaked(extra, "BUDGET", "internal/retrybudget/retry_budget.go", "if have < price {", "if have < -1<<40 {"),
+	soaked(emptied, "EVAC", "internal/dataplane/routing/table.go", "return t.emptied[zone] }", "return t.emptied[zone] && false }"),
+	soaked(force, "CONFIG", "internal/watch/feed.go", "\tf.word = &w\n\tf.add(Item{Word: &w})", "\tf.word = &w"),
+	soaked(readBack, "CONFIG", "internal/controlplane/door.go", "word, ok := n.keeper.ReadBack(ctx, n.refresh)", "word, ok := n.keeper.Acceptor().Word, ctx.Err() == nil"),
+	soaked(force, "DENIED", "internal/dataplane/proxy/near.go", "return refuse(http.StatusServiceUnavailable, \"no configuration is known here yet\", time.Second)", "return refuse(http.StatusNotFound, \"no way takes this inquiry\", 0)"),
+	soaked(returns, "DUTY", "internal/controlplane/door.go", "if !n.keeper.Connected() || n.keeper.Woken() {", "if n.keeper.Connected() || n.keeper.Woken() {"),
+	soaked(returns, "RECOVER", "internal/watch/feed.go", "SettleIn = 700 * time.Millisecond", "SettleIn = 17 * time.Second"),
+	soaked(left, "GONE", "internal/dataplane/proxy/near.go", "return watchClient(r.Context())", "return ignoreClient()"),
+	soaked(dropped, "LOST", "internal/dataplane/stop.go", "giveUpAt := warned.Add(drain - min(toAnswer, drain/4))", "giveUpAt := warned.Add(drain / 50)"),
+	soaked(dropped, "STOP", "internal/dataplane/stop.go", "\tn.p.End()\n", "\tn.p.End()\n\tselect {}\n"),
+}
+
+// soaked is a defect that breaks a rule in the soak.
+func soaked(line, rule, file, old, changed string) Defect {
+	return Defect{
+		Line: line, File: file, Old: old, New: changed, Package: "./proof/soak", Test: "TestSeeds",
+		Args: []string{"-timeout=30m", "-args", "-first=1", "-seeds=10", "-length=25s", "-machines=8", "-rule=" + rule},
+	}
+}
--- a/proof/simulator/attempt.go
+++ b/tests/simulation/attempt.go
@@ -1,16 +1,16 @@
-package simulator
+package simulation
 
 import (
 	"fmt"
 	"math/rand/v2"
 	"time"
 
-	"curlewwalk/claim"
-	"curlewwalk/custody"
-	"curlewwalk/desired"
-	"curlewwalk/membership"
-	"curlewwalk/relay"
-	"curlewwalk/routing"
+	"curlewwalk/internal/config"
+	"curlewwalk/internal/dataplane/idempotency"
+	"curlewwalk/internal/dataplane/keyreplication"
+	"curlewwalk/internal/dataplane/proxy"
+	"curlewwalk/internal/dataplane/routing"
+	"curlewwalk/internal/membership"
 )
 
 // Attempts is a run of the life of attempts and keys: sidecars that claim, entrust, decide,
@@ -44,10 +44,10 @@
 	ready    bool
 	next     uint64
 	attempts int
-	claims   *claim.Table[attemptAnswer]
-	ledger   *relay.Ledger
-	held     *custody.Holdings
-	trusts   *custody.Trusts
+	claims   *idempotency.Table[attemptAnswer]
+	ledger   *proxy.Ledger
+	held     *keyreplication.Holdings
+	trusts   *keyreplication.Trusts
 }
 
 // attemptAnswer is what a client gets.
@@ -59,7 +59,7 @@
 // NewAttempts lays a run out: some nodes, backends on the last two.
 func NewAttempts(seed uint64, nodes int) *Attempts {
 	l := &Attempts{rng: rand.New(rand.NewPCG(seed, 19)), base: time.Now(), runs: map[string]int{}, denied: map[string]bool{}}
-	l.table, _ = routing.NewTable(desired.Word{})
+	l.table, _ = routing.NewTable(config.Word{})
 	for i := range nodes {
 		n := &attemptNode{Node: membership.Node{Addr: fmt.Sprintf("node-%d", i), Zone: fmt.Sprintf("locality-%d", i%3)}}
 		if i >= nodes-2 {
@@ -81,9 +81,9 @@
 func (l *Attempts) boot(n *attemptNode) {
 	n.up, n.ready = true, false
 	n.Boot = l.rng.Uint64()
-	n.claims = claim.NewTable(func(attemptAnswer) int { return 1 })
-	n.ledger, n.held = relay.NewLedger(), custody.NewHoldings()
-	n.trusts = custody.NewTrusts(n.Addr, n.Zone)
+	n.claims = idempotency.NewTable(func(attemptAnswer) int { return 1 })
+	n.ledger, n.held = proxy.NewLedger(), keyreplication.NewHoldings()
+	n.trusts = keyreplication.NewTrusts(n.Addr, n.Zone)
 }
 
 // see renews everybody's view: all that live.
@@ -221,9 +221,9 @@
 		}
 		left++
 		l.call(n, o, 400*time.Millisecond, func(reply func(any)) {
-			reply(o.held.Handover(custody.Handover{Owner: n.Addr, Boot: n.Boot}, l.now))
+			reply(o.held.Handover(keyreplication.Handover{Owner: n.Addr, Boot: n.Boot}, l.now))
 		}, func(answer any, _ bool) {
-			got, ok := answer.(custody.Handed)
+			got, ok := answer.(keyreplication.Handed)
 			if !ok {
 				left = -1 // ask all again
 				return
@@ -247,10 +247,10 @@
 
 // repair entrusts anew what holders that have gone had held.
 func (l *Attempts) repair(n *attemptNode) {
-	for _, lack := range n.trusts.Lacking(custody.Others(l.view, n.Addr), 1000, l.now) {
+	for _, lack := range n.trusts.Lacking(keyreplication.Others(l.view, n.Addr), 1000, l.now) {
 		o := l.node(lack.To.Addr)
 		l.call(n, o, 150*time.Millisecond, func(reply func(any)) { reply(o.held.Take(lack.Entry, l.now)) }, func(answer any, _ bool) {
-			if h, ok := answer.(custody.Held); ok && h.Taken {
+			if h, ok := answer.(keyreplication.Held); ok && h.Taken {
 				n.trusts.Held(lack.Entry, lack.To, l.now)
 			}
 		})
@@ -260,14 +260,14 @@
 // repaired tells whether every claim is held as it should be.
 func (l *Attempts) repaired() bool {
 	for _, n := range l.nodes {
-		if len(n.trusts.Lacking(custody.Others(l.view, n.Addr), 1, l.now)) > 0 {
+		if len(n.trusts.Lacking(keyreplication.Others(l.view, n.Addr), 1, l.now)) > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-func restored(e custody.Entry) attemptAnswer {
+func restored(e keyreplication.Entry) attemptAnswer {
 	if e.Response == nil {
 		return attemptAnswer{Fate: routing.Unknown}
 	}
@@ -348,7 +348,7 @@
 	l.Broken = append(l.Broken, fmt.Sprintf("%v: ", l.now)+fmt.Sprintf(format, args...))
 }
 
-// request is what relay.Near does with one.
+// request is what proxy.Near does with one.
 func (l *Attempts) request(n *attemptNode, id, name string, keyed bool, got func(attemptAnswer)) {
 	if !keyed {
 		l.attempts(n, id, name, got)
@@ -358,16 +358,16 @@
 		got(attemptAnswer{Fate: routing.Unknown})
 		return
 	}
-	key := claim.Key{Text: id}
+	key := idempotency.Key{Text: id}
 	var lay func()
 	lay = func() {
-		n.claims.Lay(key, claim.Print{}, l.now, func(a claim.Answer[attemptAnswer]) {
+		n.claims.Lay(key, idempotency.Print{}, l.now, func(a idempotency.Answer[attemptAnswer]) {
 			switch {
 			case a.Again:
 				l.on(n, lay)
-			case a.Verdict == claim.Repeat:
+			case a.Verdict == idempotency.Repeat:
 				got(a.Response)
-			case a.Verdict == claim.First:
+			case a.Verdict == idempotency.First:
 				l.entrust(n, key, id, name, func(a attemptAnswer, keep bool) {
 					n.claims.Finish(key, a, keep, l.now)
 					got(a)
@@ -381,11 +381,11 @@
 }
 
 // entrust has two others hold a claim, then runs its request.
-func (l *Attempts) entrust(n *attemptNode, key claim.Key, id, name string, done func(a attemptAnswer, keep bool)) {
+func (l *Attempts) entrust(n *attemptNode, key idempotency.Key, id, name string, done func(a attemptAnswer, keep bool)) {
 	n.next++
-	e := custody.Entry{Owner: n.Addr, Boot: n.Boot, N: n.next, Key: key, For: 10*time.Second + claim.HeldFor}
-	ranked := custody.Choose(n.Addr, n.Zone, key, custody.Others(l.view, n.Addr))
-	want := min(custody.Holders, len(ranked))
+	e := keyreplication.Entry{Owner: n.Addr, Boot: n.Boot, N: n.next, Key: key, For: 10*time.Second + idempotency.HeldFor}
+	ranked := keyreplication.Choose(n.Addr, n.Zone, key, keyreplication.Others(l.view, n.Addr))
+	want := min(keyreplication.Holders, len(ranked))
 	var by []*attemptNode
 	asked, over := 0, false
 	var ask func()
@@ -393,7 +393,7 @@
 		if told := e; release {
 			n.trusts.Drop(told)
 		} else {
-			told.Response, told.For = response, claim.HeldFor
+			told.Response, told.For = response, idempotency.HeldFor
 			n.trusts.Settle(told, l.now)
 		}
 		for _, o := range by {
@@ -423,7 +423,7 @@
 		o := l.node(ranked[asked].Addr)
 		asked++
 		l.call(n, o, 150*time.Millisecond, func(reply func(any)) { reply(o.held.Take(e, l.now)) }, func(answer any, _ bool) {
-			h, ok := answer.(custody.Held)
+			h, ok := answer.(keyreplication.Held)
 			switch {
 			case over:
 			case ok && h.Known != nil:
@@ -451,11 +451,11 @@
 	}
 }
 
-// attempts asks the decision and obeys, as relay.Near.run does.
+// attempts asks the decision and obeys, as proxy.Near.run does.
 func (l *Attempts) attempts(n *attemptNode, id, name string, got func(attemptAnswer)) {
 	deadline := l.now + 2*time.Second
 	d := &routing.Decision{
-		Route: desired.Route{Name: "w", Service: "s"}, Deadline: l.base.Add(deadline), Zone: n.Zone, Rand: l.rng,
+		Route: config.Route{Name: "w", Service: "s"}, Deadline: l.base.Add(deadline), Zone: n.Zone, Rand: l.rng,
 		Means: routing.Means{Cost: func(membership.Target) routing.Cost { return routing.Cost{} }, Spend: func() bool { return true }},
 	}
 	last := ""
@@ -471,14 +471,14 @@
 			return
 		}
 		n.attempts++
-		attempt := relay.Attempt{ID: fmt.Sprintf("%s/%d/%s", n.Addr, n.attempts, name), Boot: o.Target.Boot, Left: deadline - l.now}
+		attempt := proxy.Attempt{ID: fmt.Sprintf("%s/%d/%s", n.Addr, n.attempts, name), Boot: o.Target.Boot, Left: deadline - l.now}
 		far := l.node(o.Target.Node)
 		told := func(fate routing.Fate) {
 			d.Tell(routing.Attempt{Target: o.Target, Fate: fate, Reason: "simulated"})
 			next()
 		}
 		l.call(n, far, deadline-l.now, func(reply func(any)) { l.far(far, attempt, id, name, reply) }, func(answer any, unsent bool) {
-			rc, ok := answer.(relay.AttemptResponse)
+			rc, ok := answer.(proxy.AttemptResponse)
 			switch {
 			case unsent:
 				told(routing.NotRun)
@@ -502,39 +502,39 @@
 	next()
 }
 
-// far is what relay.Far does with an attempt; a backend goes on whatever happens to
+// far is what proxy.Far does with an attempt; a backend goes on whatever happens to
 // its sidecar once it was written to.
-func (l *Attempts) far(n *attemptNode, attempt relay.Attempt, id, name string, reply func(any)) {
+func (l *Attempts) far(n *attemptNode, attempt proxy.Attempt, id, name string, reply func(any)) {
 	refuse := func() {
 		fate := routing.NotRun
 		if !n.ledger.Refuse(attempt.ID, l.now) {
 			fate = routing.Unknown
 		}
-		reply(relay.AttemptResponse{ID: attempt.ID, Fate: fate})
+		reply(proxy.AttemptResponse{ID: attempt.ID, Fate: fate})
 	}
 	if attempt.Boot != n.Boot || l.rng.IntN(12) == 0 { // another boot, or full
 		refuse()
 		return
 	}
 	if !n.ledger.Begin(attempt.ID, l.now) {
-		reply(relay.AttemptResponse{ID: attempt.ID, Fate: routing.Unknown})
+		reply(proxy.AttemptResponse{ID: attempt.ID, Fate: routing.Unknown})
 		return
 	}
 	began := l.now
 	l.after(l.some(20*time.Millisecond), func() { // the backend is dialled
 		l.on(n, func() {
 			if l.now-began > attempt.Left || l.rng.IntN(20) == 0 {
-				reply(relay.AttemptResponse{ID: attempt.ID, Fate: routing.NotRun}) // shut before the write
+				reply(proxy.AttemptResponse{ID: attempt.ID, Fate: routing.NotRun}) // shut before the write
 				return
 			}
 			l.ran(id, name)
 			l.after(l.some(60*time.Millisecond), func() {
 				l.on(n, func() {
 					if l.rng.IntN(20) == 0 {
-						reply(relay.AttemptResponse{ID: attempt.ID, Fate: routing.Unknown}) // its answer is lost
+						reply(proxy.AttemptResponse{ID: attempt.ID, Fate: routing.Unknown}) // its answer is lost
 						return
 					}
-					reply(relay.AttemptResponse{ID: attempt.ID, Fate: routing.Answered, Body: []byte(id)})
+					reply(proxy.AttemptResponse{ID: attempt.ID, Fate: routing.Answered, Body: []byte(id)})
 				})
 			})
 		})
--- a/proof/simulator/claim.go
+++ b/tests/simulation/claim.go
@@ -1,15 +1,15 @@
-package simulator
+package simulation
 
 import (
 	"fmt"
 	"math/rand/v2"
 	"time"
 
-	"curlewwalk/consensus"
-	"curlewwalk/desired"
-	"curlewwalk/feed"
-	"curlewwalk/membership"
-	"curlewwalk/roster"
+	"curlewwalk/internal/config"
+	"curlewwalk/internal/controlplane/consensus"
+	"curlewwalk/internal/dataplane/endpoints"
+	"curlewwalk/internal/membership"
+	"curlewwalk/internal/watch"
 )
 
 // Claims is a run of the claims: cores that look at one another and pass words
@@ -39,7 +39,7 @@
 	frozen   time.Duration
 	cut      int
 	accepted uint64
-	feed     *feed.Feed
+	feed     *watch.Feed
 	sure     time.Duration // as of when; negative if never
 	open     bool          // a look waits for its stamp to be settled
 	lookAt   time.Duration
@@ -51,11 +51,11 @@
 	frozen time.Duration
 	cut    int
 	core   int
-	place  feed.Follow
+	place  watch.Follow
 	stamp  uint64
-	claim  roster.Claim
+	claim  endpoints.Claim
 	heard  time.Duration // news from a core
-	agreed roster.Claim
+	agreed endpoints.Claim
 	said   membership.Statements // what it heard of itself and others
 }
 
@@ -66,7 +66,7 @@
 		c.dead = 10*time.Second + c.some(40*time.Second)
 	}
 	for i := range cores {
-		c.cores = append(c.cores, &claimCore{feed: feed.New(uint64(i)*1000+1, 0), sure: -1})
+		c.cores = append(c.cores, &claimCore{feed: watch.New(uint64(i)*1000+1, 0), sure: -1})
 	}
 	for i := range sides {
 		c.sides = append(c.sides, &claimSide{addr: fmt.Sprint(i), core: i % cores})
@@ -269,7 +269,7 @@
 				}
 				// The settled word of that stamp comes some time.
 				if top > 0 && len(c.settled) >= int(top) {
-					k.feed.Settled(desired.Word{Stamp: top})
+					k.feed.Settled(config.Word{Stamp: top})
 				}
 				c.confirm(k)
 			})
@@ -292,7 +292,7 @@
 	asked, at := c.now, s.core
 	k := c.cores[at]
 	if c.rng.IntN(40) == 0 {
-		s.core, s.place = c.rng.IntN(len(c.cores)), feed.Follow{}
+		s.core, s.place = c.rng.IntN(len(c.cores)), watch.Follow{}
 		return
 	}
 	c.pass(&s.cut, &k.cut, &k.frozen, func() {
@@ -309,7 +309,7 @@
 			if s.core != at {
 				return
 			}
-			s.place = feed.Follow{Feed: n.Feed, Place: n.Place}
+			s.place = watch.Follow{Feed: n.Feed, Place: n.Place}
 			for _, it := range n.Items {
 				if it.Word != nil {
 					s.stamp = max(s.stamp, it.Word.Stamp)
@@ -325,16 +325,16 @@
 func (c *Claims) admit(s *claimSide) {
 	now := c.base.Add(c.now)
 	switch {
-	case s.claim.Age(now) <= roster.ClaimFor:
+	case s.claim.Age(now) <= endpoints.ClaimFor:
 		c.Admitted++
-	case s.agreed.Age(now) <= roster.ClaimFor && c.alone(s):
+	case s.agreed.Age(now) <= endpoints.ClaimFor && c.alone(s):
 		c.Agreed++
 	default:
 		c.Lapsed++
 		return
 	}
 	for i := s.stamp; i < uint64(len(c.acked)); i++ {
-		if at := c.settled; c.acked[i] != 0 && c.now-at[i] > roster.ClaimFor {
+		if at := c.settled; c.acked[i] != 0 && c.now-at[i] > endpoints.ClaimFor {
 			if c.gone() && c.untold[i+1] {
 				c.Untold++
 				continue
--- a/proof/simulator/clock.go
+++ b/tests/simulation/clock.go
@@ -1,7 +1,7 @@
-// Package simulator drives the production decision values through seeded
+// Package simulation drives the production decision values through seeded
 // failures: time, messages and disks are simulated, the decisions are not.
 // (DESIGN 14.3)
-package simulator
+package simulation
 
 import (
 	"container/heap"
--- a/proof/simulator/history.go
+++ b/tests/simulation/history.go
@@ -1,10 +1,10 @@
-package simulator
+package simulation
 
 import (
 	"time"
 
-	"curlewwalk/consensus"
-	"curlewwalk/desired"
+	"curlewwalk/internal/config"
+	"curlewwalk/internal/controlplane/consensus"
 )
 
 // Call is an operator's call with what it was answered.
@@ -55,7 +55,7 @@
 }
 
 // read records what a read that began at a moment shows.
-func (h *History) read(from time.Duration, w desired.Word, now time.Duration) {
+func (h *History) read(from time.Duration, w config.Word, now time.Duration) {
 	h.calls = append(h.calls, &Call{Generation: w.Generation, Text: string(w.Desired), From: from, To: now})
 }
 
--- a/proof/simulator/history_test.go
+++ b/tests/simulation/history_test.go
@@ -1,4 +1,4 @@
-package simulator
+package simulation
 
 import (
 	"math"
@@ -8,7 +8,7 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"curlewwalk/consensus"
+	"curlewwalk/internal/controlplane/consensus"
 )
 
 // configuration is the state of the model that histories are held against: one value,
--- a/proof/simulator/line_test.go
+++ b/tests/simulation/line_test.go
@@ -1,21 +1,21 @@
-package simulator
+package simulation
 
 import (
 	"math/rand/v2"
 	"testing"
 	"time"
 
-	"curlewwalk/desired"
-	"curlewwalk/membership"
-	"curlewwalk/roster"
-	"curlewwalk/routing"
+	"curlewwalk/internal/config"
+	"curlewwalk/internal/dataplane/endpoints"
+	"curlewwalk/internal/dataplane/routing"
+	"curlewwalk/internal/membership"
 )
 
 // A cold backend with everybody coming at once, whose sidecar is killed again and
 // again while its runs go on, never runs more than one and a half times what it
 // can bear at that moment; in between it is used.
 func TestColdThroughKills(t *testing.T) {
-	table, ok := routing.NewTable(desired.Word{Stamp: 1, DesiredStamp: 1, Desired: []byte(`{"contracts": [{"name":"c","aim":"1s","expiry":"4s","rank":1}], "ways": [{"name":"w","prefix":"/","service":"s","contract":"c"}]}`)})
+	table, ok := routing.NewTable(config.Word{Stamp: 1, DesiredStamp: 1, Desired: []byte(`{"contracts": [{"name":"c","aim":"1s","expiry":"4s","rank":1}], "ways": [{"name":"w","prefix":"/","service":"s","contract":"c"}]}`)})
 	if !ok {
 		t.Fatal("no table")
 	}
@@ -26,9 +26,9 @@
 		base := time.Now()
 		var q clock
 		some := func(d time.Duration) time.Duration { return time.Duration(rng.Int64N(int64(d) + 1)) }
-		e := roster.Entry{Backend: membership.Backend{Capacity: 20, Share: 0.2}, Heard: base}
+		e := endpoints.Entry{Backend: membership.Backend{Capacity: 20, Share: 0.2}, Heard: base}
 		running := 0
-		var line *roster.Line
+		var line *endpoints.Line
 		var life int
 		var since time.Duration
 		waiting := map[uint64]func(){}
@@ -37,9 +37,9 @@
 			e.Share = min(1, 0.2+0.8*float64(q.now)/float64(20*time.Second))
 			return e.Limit(1, table.Fresh(q.now-since), base.Add(q.now))
 		}
-		boot := func() { line, since, waiting = &roster.Line{}, q.now, map[uint64]func(){}; life++ }
+		boot := func() { line, since, waiting = &endpoints.Line{}, q.now, map[uint64]func(){}; life++ }
 		boot()
-		shift := func(s roster.Shift) {
+		shift := func(s endpoints.Shift) {
 			for _, id := range s.Run {
 				waiting[id]()
 				delete(waiting, id)
@@ -55,7 +55,7 @@
 				ran++
 				bear := 20 * e.Share
 				if most = max(most, float64(running)/bear); float64(running) > 1.5*bear+1 {
-					t.Errorf("seed %d at %v: %d run, it can bear %.1f; replay: go test ./proof/simulator -run TestColdThroughKills -first %d -seeds 1", seed, q.now, running, bear, seed)
+					t.Errorf("seed %d at %v: %d run, it can bear %.1f; replay: go test ./tests/simulation -run TestColdThroughKills -first %d -seeds 1", seed, q.now, running, bear, seed)
 				}
 				took := longest - some(longest/4)
 				q.after(took, func() {
@@ -65,11 +65,11 @@
 					}
 				})
 			}
-			v, id, _, s := line.Ask(roster.Bid{Rank: 1 + rng.IntN(3), Route: "w", Left: 4 * time.Second}, limit(), q.now)
+			v, id, _, s := line.Ask(endpoints.Bid{Rank: 1 + rng.IntN(3), Route: "w", Left: 4 * time.Second}, limit(), q.now)
 			switch v {
-			case roster.Run:
+			case endpoints.Run:
 				run()
-			case roster.Wait:
+			case endpoints.Wait:
 				waiting[id] = run
 			}
 			shift(s)
--- a/proof/simulator/losses.go
+++ b/tests/simulation/losses.go
@@ -1,10 +1,10 @@
-package simulator
+package simulation
 
 import (
 	"slices"
 	"time"
 
-	"curlewwalk/consensus"
+	"curlewwalk/internal/controlplane/consensus"
 )
 
 const (
--- a/proof/simulator/member.go
+++ b/tests/simulation/member.go
@@ -1,4 +1,4 @@
-package simulator
+package simulation
 
 import (
 	"bytes"
@@ -9,10 +9,10 @@
 	"strings"
 	"time"
 
-	"curlewwalk/desired"
-	"curlewwalk/feed"
-	"curlewwalk/membership"
-	"curlewwalk/rendezvous"
+	"curlewwalk/internal/config"
+	"curlewwalk/internal/membership"
+	"curlewwalk/internal/rendezvous"
+	"curlewwalk/internal/watch"
 )
 
 // Members is a run of membership, feed and following: sidecars that heartbeat, probe,
@@ -47,7 +47,7 @@
 	memberHost
 	slot int
 	boot uint64
-	feed *feed.Feed
+	feed *watch.Feed
 	word uint64 // settled here
 }
 
@@ -58,12 +58,12 @@
 	seats membership.Seats
 	talks map[string]membership.Talk
 	turn  uint
-	copy  *feed.Copy
+	copy  *watch.Copy
 	stamp uint64
 	core  *memberCore
 	boot  uint64 // of the core that is followed
-	place feed.Follow
-	has   feed.Holding
+	place watch.Follow
+	has   watch.Holding
 	bad   map[string]time.Duration
 }
 
@@ -89,7 +89,7 @@
 
 func (m *Members) bootCore(c *memberCore) {
 	c.up, c.boot = true, m.rng.Uint64()
-	c.feed = feed.New(c.boot, m.now)
+	c.feed = watch.New(c.boot, m.now)
 	if c.word > 0 { // it was on its disk
 		c.feed.Settled(wordOf(c.word))
 	}
@@ -101,8 +101,8 @@
 	s.up, s.stamp, s.core = true, 0, nil
 	s.node = membership.Node{Addr: s.addr, Boot: m.rng.Uint64()}
 	m.change(s)
-	s.watch, s.seats, s.copy, s.bad = membership.NewWatch(s.addr), membership.Seats{}, feed.NewCopy(), map[string]time.Duration{}
-	s.has = feed.Holding{}
+	s.watch, s.seats, s.copy, s.bad = membership.NewWatch(s.addr), membership.Seats{}, watch.NewCopy(), map[string]time.Duration{}
+	s.has = watch.Holding{}
 	s.talks, s.turn = map[string]membership.Talk{}, 0
 	m.every(&s.memberHost, membership.Beat, func() { m.heartbeat(s) })
 	m.every(&s.memberHost, membership.Beat, func() { m.probe(s) })
@@ -260,7 +260,7 @@
 	slices.SortStableFunc(live, func(a, b membership.Seat) int { return int(s.bad[a.Addr]/1e6) - int(s.bad[b.Addr]/1e6) })
 	c := m.cores[live[0].Slot-1]
 	if s.core != c || s.boot != live[0].Boot {
-		s.core, s.boot, s.place = c, live[0].Boot, feed.Follow{}
+		s.core, s.boot, s.place = c, live[0].Boot, watch.Follow{}
 		m.Led++
 	}
 	at, asked := s.place, s.has.Asks(s.place)
@@ -272,7 +272,7 @@
 		n, _ := c.feed.Since(asked)
 		return n
 	}, func(answer any, _ bool) {
-		n, ok := answer.(feed.News)
+		n, ok := answer.(watch.News)
 		if !ok {
 			s.bad[c.addr] = m.now
 			return
@@ -290,7 +290,7 @@
 			m.Unread++
 			return // it asks for the whole next
 		}
-		s.place = feed.Follow{Feed: n.Feed, Place: n.Place}
+		s.place = watch.Follow{Feed: n.Feed, Place: n.Place}
 		if w, _ := s.copy.Take(n); w != nil {
 			if w.Stamp < s.stamp {
 				m.wrong("%s went from stamp %d back to %d", s.addr, s.stamp, w.Stamp)
@@ -316,9 +316,9 @@
 }
 
 // wordOf is the word of a stamp; words differ in a small part.
-func wordOf(stamp uint64) desired.Word {
+func wordOf(stamp uint64) config.Word {
 	text := strings.Repeat("a route that stays as it is; ", 10)
-	return desired.Word{Stamp: stamp, Desired: fmt.Appendf([]byte(text), "a route as of stamp %d; %s", stamp, text)}
+	return config.Word{Stamp: stamp, Desired: fmt.Appendf([]byte(text), "a route as of stamp %d; %s", stamp, text)}
 }
 
 // write settles a new word on one core that lives.
@@ -349,7 +349,7 @@
 		}
 	}
 	// A core that has just started listens for 1.2 s first; then 2 s.
-	m.run(m.until + feed.SettleIn + 2*time.Second)
+	m.run(m.until + watch.SettleIn + 2*time.Second)
 	m.agree("2 s after all was whole", false)
 	m.run(m.until + 8*time.Second)
 	m.agree("8 s after all was whole", true)
--- a/proof/simulator/operators.go
+++ b/tests/simulation/operators.go
@@ -1,4 +1,4 @@
-package simulator
+package simulation
 
 import (
 	"bytes"
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"curlewwalk/consensus"
-	"curlewwalk/desired"
+	"curlewwalk/internal/config"
+	"curlewwalk/internal/controlplane/consensus"
 )
 
 const (
@@ -156,7 +156,7 @@
 }
 
 // settled takes note of a settled word.
-func (o *Operators) settled(w desired.Word) {
+func (o *Operators) settled(w config.Word) {
 	for _, t := range w.Taken {
 		if old, ok := o.taken[t.Generation]; ok && !bytes.Equal(old, t.Digest) {
 			o.r.broken("two configurations were taken under %d", t.Generation)
@@ -167,7 +167,7 @@
 		}
 	}
 	if w.Sent != nil {
-		if d, ok := o.taken[w.Generation]; !ok || !bytes.Equal(d, desired.Digest(w.Sent, nil)) {
+		if d, ok := o.taken[w.Generation]; !ok || !bytes.Equal(d, config.Digest(w.Sent, nil)) {
 			o.r.broken("%q is in force under %d, and another is on record", w.Sent, w.Generation)
 		}
 	}
@@ -182,12 +182,12 @@
 		return
 	}
 	for _, text := range o.acked[number] {
-		if !bytes.Equal(digest, desired.Digest(text, nil)) {
+		if !bytes.Equal(digest, config.Digest(text, nil)) {
 			o.r.broken("%q was acknowledged, and another was taken under %d", text, number)
 		}
 	}
 	for _, text := range o.refused[number] {
-		if bytes.Equal(digest, desired.Digest(text, nil)) {
+		if bytes.Equal(digest, config.Digest(text, nil)) {
 			o.r.broken("%q was refused, and it was taken", text)
 		}
 	}
--- a/proof/simulator/register.go
+++ b/tests/simulation/register.go
@@ -1,4 +1,4 @@
-package simulator
+package simulation
 
 import (
 	"bytes"
@@ -6,9 +6,9 @@
 	"math/rand/v2"
 	"time"
 
-	"curlewwalk/consensus"
-	"curlewwalk/desired"
-	"curlewwalk/membership"
+	"curlewwalk/internal/config"
+	"curlewwalk/internal/controlplane/consensus"
+	"curlewwalk/internal/membership"
 )
 
 // Faults says which failures a run brings about.
@@ -79,7 +79,7 @@
 	asking      bool // no seat is static: cores ask for them
 	founders    []string
 	begun       map[uint64][]consensus.Sets // of proposals, by stamp
-	word        desired.Word                // the highest that was settled
+	word        config.Word                 // the highest that was settled
 	// number is the highest that any operator used; Operators are those that race.
 	number    uint64
 	Operators *Operators
@@ -309,8 +309,8 @@
 // of, and gathers those.
 func (r *Register) spread(c *core, b consensus.Ballot, others bool, votes map[int]consensus.Vote, heard func(consensus.Vote)) {
 	asked := map[int]bool{}
-	var ask func(set []desired.Member)
-	ask = func(set []desired.Member) {
+	var ask func(set []config.Member)
+	ask = func(set []config.Member) {
 		for _, s := range set {
 			if asked[s.Slot] || others && s.Slot == b.From.Slot {
 				continue
@@ -327,7 +327,7 @@
 }
 
 // put brings a ballot to a slot, and its vote back, through what may happen.
-func (r *Register) put(from *core, m desired.Member, b consensus.Ballot, back func(consensus.Vote)) {
+func (r *Register) put(from *core, m config.Member, b consensus.Ballot, back func(consensus.Vote)) {
 	if b.Mark.Stamp > r.word.Stamp && len(b.Word.Slots) > 0 {
 		r.begun[b.Mark.Stamp] = append(r.begun[b.Mark.Stamp], consensus.Sets{Now: b.Word.Slots, Before: b.Word.Formerly})
 	}
@@ -356,7 +356,7 @@
 }
 
 // find is the core that one takes for a member.
-func (r *Register) find(from *core, m desired.Member) *core {
+func (r *Register) find(from *core, m config.Member) *core {
 	slot := m.Slot
 	if from.acceptor.Self.Slot == slot && (m.ID == 0 || m.ID == from.acceptor.Self.ID) {
 		return from
@@ -419,7 +419,7 @@
 	r.check(v.Word, fmt.Sprintf("core %d", c.acceptor.Self.Slot))
 }
 
-func (r *Register) check(w desired.Word, who string) {
+func (r *Register) check(w config.Word, who string) {
 	is := fmt.Appendf(nil, "%s %v", w.Desired, w.Slots)
 	if old, ok := r.settled[w.Stamp]; ok && !bytes.Equal(old, is) {
 		r.broken("%s has %q for stamp %d that was %q", who, is, w.Stamp, old)
@@ -500,7 +500,7 @@
 		return
 	}
 	least, generation, begun := r.acked, r.generation, r.now
-	got := func(w desired.Word) {
+	got := func(w config.Word) {
 		r.Reads++
 		r.History.read(begun, w, r.now)
 		r.check(w, "a reader")
--- a/proof/simulator/simulator_test.go
+++ b/tests/simulation/simulator_test.go
@@ -1,4 +1,4 @@
-package simulator
+package simulation
 
 import (
 	"flag"
@@ -34,7 +34,7 @@
 				}
 			}
 			if len(r.Broken) > 0 {
-				t.Errorf("replay: go test ./proof/simulator -run TestRegister -first %d -seeds 1", seed)
+				t.Errorf("replay: go test ./tests/simulation -run TestRegister -first %d -seeds 1", seed)
 			}
 			told.check(t, seed, r)
 			operators.add(r.Operators)
@@ -63,7 +63,7 @@
 				}
 			}
 			if len(c.Broken) > 0 {
-				t.Errorf("replay: go test ./proof/simulator -run TestClaims -first %d -seeds 1", seed)
+				t.Errorf("replay: go test ./tests/simulation -run TestClaims -first %d -seeds 1", seed)
 			}
 			admitted, agreed, lapsed, untold = admitted+c.Admitted, agreed+c.Agreed, lapsed+c.Lapsed, untold+c.Untold
 		}
@@ -89,7 +89,7 @@
 				}
 			}
 			if len(l.Broken) > 0 {
-				t.Errorf("replay: go test ./proof/simulator -run TestLegs -first %d -seeds 1", seed)
+				t.Errorf("replay: go test ./tests/simulation -run TestLegs -first %d -seeds 1", seed)
 			}
 			sum.Sent, sum.Ran, sum.Answered, sum.NotRun = sum.Sent+l.Sent, sum.Ran+l.Ran, sum.Answered+l.Answered, sum.NotRun+l.NotRun
 			sum.Unknown, sum.Kills, sum.Again = sum.Unknown+l.Unknown, sum.Kills+l.Kills, sum.Again+l.Again
@@ -116,7 +116,7 @@
 				}
 			}
 			if len(m.Broken) > 0 {
-				t.Errorf("replay: go test ./proof/simulator -run TestMembers -first %d -seeds 1", seed)
+				t.Errorf("replay: go test ./tests/simulation -run TestMembers -first %d -seeds 1", seed)
 			}
 			sum.Words, sum.Accused, sum.Refuted, sum.Led = sum.Words+m.Words, sum.Accused+m.Accused, sum.Refuted+m.Refuted, sum.Led+m.Led
 			sum.Short, sum.Whole = sum.Short+m.Short, sum.Whole+m.Whole
@@ -153,7 +153,7 @@
 				}
 			}
 			if len(r.Broken) > 0 {
-				t.Errorf("replay: go test ./proof/simulator -run TestSlots -first %d -seeds 1", seed)
+				t.Errorf("replay: go test ./tests/simulation -run TestSlots -first %d -seeds 1", seed)
 			}
 			told.check(t, seed, r)
 			sum.Acked, sum.Reads, sum.Kills, sum.Swaps, sum.Joins = sum.Acked+r.Acked, sum.Reads+r.Reads, sum.Kills+r.Kills, sum.Swaps+r.Swaps, sum.Joins+r.Joins
@@ -190,7 +190,7 @@
 				t.Errorf("seed %d with %d cores: %s", seed, size, b)
 			}
 			if len(l.Broken) > 0 {
-				t.Errorf("replay: go test ./proof/simulator -run TestSecondLoss -first %d -seeds 1", seed)
+				t.Errorf("replay: go test ./tests/simulation -run TestSecondLoss -first %d -seeds 1", seed)
 			}
 			lost, planned, slowest = lost+l.Lost, planned+l.Planned, max(slowest, l.Slowest)
 		}
--- a/proof/simulator/slots.go
+++ b/tests/simulation/slots.go
@@ -1,4 +1,4 @@
-package simulator
+package simulation
 
 import (
 	"fmt"
@@ -6,9 +6,9 @@
 	"slices"
 	"time"
 
-	"curlewwalk/consensus"
-	"curlewwalk/desired"
-	"curlewwalk/membership"
+	"curlewwalk/internal/config"
+	"curlewwalk/internal/controlplane/consensus"
+	"curlewwalk/internal/membership"
 )
 
 // epochOfTime is when simulated runs begin, for what counts in wall time.
@@ -194,7 +194,7 @@
 }
 
 // grew counts changes of the set.
-func (r *Register) grew(w desired.Word) {
+func (r *Register) grew(w config.Word) {
 	switch {
 	case len(w.Formerly) == 0:
 	case len(w.Slots) > len(w.Formerly):
@@ -221,7 +221,7 @@
 		}
 	}
 	for _, s := range sets {
-		for _, set := range [][]desired.Member{s.Now, s.Before} {
+		for _, set := range [][]config.Member{s.Now, s.Before} {
 			n := 0
 			for _, m := range set {
 				if slices.ContainsFunc(r.cores, func(c *core) bool {
--- a/proof/soak/backends.go
+++ b/tests/soak/backends.go
@@ -7,8 +7,8 @@
 	"sync"
 	"time"
 
-	"curlewwalk/proof/ledger"
-	"curlewwalk/proof/standin"
+	"curlewwalk/tests/fakes"
+	"curlewwalk/tests/ledger"
 )
 
 // standUp starts a new backend at a place, at an address or, if that is empty, a new one.
@@ -18,7 +18,7 @@
 	if addr == "" {
 		addr = fmt.Sprintf("%s:%d", f.Site.IP(p.number), 8000+p.serial)
 	}
-	b := &standin.Backend{
+	b := &fakes.Backend{
 		Instance: fmt.Sprintf("%s-%d-%d", service, p.number, p.serial), Service: service, Zone: f.Zone(p.number), Capacity: f.Size.Capacity,
 		Control: f.Sidecars[p.number].Control, Plans: f.Size.Plans, Ledger: f.Ledger, Client: f.Client, Counts: (p.serial+p.number)%3 != 0,
 	}
@@ -125,7 +125,7 @@
 
 // sayLeaving says that a backend leaves until that is acknowledged, or for as long as
 // backends wait for it.
-func (r *Run) sayLeaving(ctx context.Context, b *standin.Backend, e Entry) (acknowledged bool) {
+func (r *Run) sayLeaving(ctx context.Context, b *fakes.Backend, e Entry) (acknowledged bool) {
 	gone := e.How == howGone || e.How == howAddress
 	if gone {
 		b.Silence()
@@ -148,7 +148,7 @@
 }
 
 // lateBeat sends a beat from before a backend said that it leaves.
-func (r *Run) lateBeat(ctx context.Context, b *standin.Backend, after time.Duration, send func(context.Context) error) {
+func (r *Run) lateBeat(ctx context.Context, b *fakes.Backend, after time.Duration, send func(context.Context) error) {
 	wait(ctx, after)
 	call, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
@@ -161,7 +161,7 @@
 const workOff = 8 * time.Second
 
 // endInOrder says that a backend has gone and ends it once it works on nothing.
-func (r *Run) endInOrder(ctx context.Context, b *standin.Backend, e Entry) {
+func (r *Run) endInOrder(ctx context.Context, b *fakes.Backend, e Entry) {
 	if e.How == howLeaving {
 		b.Say(ctx, true)
 	}
@@ -173,7 +173,7 @@
 }
 
 // end ends a backend; what it still works on is cut.
-func (r *Run) end(b *standin.Backend) {
+func (r *Run) end(b *fakes.Backend) {
 	if b.Open() > 0 {
 		defer r.troubles.begin(Trouble{Kind: kindCrash, How: "its work was not over", Machines: nil})()
 	}
--- a/proof/soak/breaches.go
+++ b/tests/soak/breaches.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"sync"
 
-	"curlewwalk/proof/ledger"
+	"curlewwalk/tests/ledger"
 )
 
 // The rules that the soak judges beside the ledger's.
--- a/proof/soak/clients.go
+++ b/tests/soak/clients.go
@@ -10,17 +10,17 @@
 	"sync"
 	"time"
 
-	"curlewwalk/proof/fleet"
-	"curlewwalk/proof/standin"
+	"curlewwalk/tests/fakes"
+	"curlewwalk/tests/fleet"
 )
 
 // requests keeps how requests went for their clients.
 type requests struct {
 	mu  sync.Mutex
-	all []standin.Exchange
+	all []fakes.Exchange
 }
 
-func (q *requests) saw(x standin.Exchange) {
+func (q *requests) saw(x fakes.Exchange) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.all = append(q.all, x)
@@ -44,9 +44,9 @@
 // clientPause is the longest pause of a client between two requests.
 const clientPause = 60 * time.Millisecond
 
-func (r *Run) series(machine int, name string) *standin.Series {
+func (r *Run) series(machine int, name string) *fakes.Series {
 	f := r.Fleet
-	return &standin.Series{
+	return &fakes.Series{
 		Name: name, Zone: f.Zone(machine), Addr: f.Requests(machine), Plans: f.Size.Plans, Leaves: r.Plan.Leaves, Pause: clientPause,
 		Ledger: f.Ledger, Saw: r.requests.saw, Rand: rand.New(rand.NewPCG(r.Plan.Seed, uint64(len(name))<<32+uint64(machine)<<8+uint64(name[len(name)-1]))),
 	}
@@ -54,8 +54,8 @@
 
 // reportPlan is of requests that may be repeated and take long: what is done for clients that
 // leave them, and what is open at the end of a stop, shows with them.
-func reportPlan(size fleet.Size) standin.Plan {
-	return standin.Plan{
+func reportPlan(size fleet.Size) fakes.Plan {
+	return fakes.Plan{
 		Name: "report", Method: http.MethodGet, Prefix: "/report/", Service: size.Backends[1], Repeatable: true,
 		Aim: 1200 * time.Millisecond, Deadline: 8 * time.Second, Rank: 4, Share: 0.06, Work: 1200 * time.Millisecond,
 	}
@@ -65,7 +65,7 @@
 const markEvery = 250 * time.Millisecond
 
 // askMarks sends requests on routes of the newest configurations, and of some before.
-func (r *Run) askMarks(ctx context.Context, s *standin.Series) {
+func (r *Run) askMarks(ctx context.Context, s *fakes.Series) {
 	mark := markPlan(r.Fleet.Size)
 	for ; ctx.Err() == nil; wait(ctx, markEvery) {
 		newest := r.operator.last(time.Now())
@@ -108,7 +108,7 @@
 	for _, p := range r.Fleet.Size.Plans {
 		served := p.Share == 0
 		for !served && time.Now().Before(until) && ctx.Err() == nil {
-			served = s.Ask(ctx, p).End == standin.EndAnswered
+			served = s.Ask(ctx, p).End == fakes.EndAnswered
 			wait(ctx, 50*time.Millisecond)
 		}
 		if !served && ctx.Err() == nil {
--- a/proof/soak/judge.go
+++ b/tests/soak/judge.go
@@ -8,8 +8,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"curlewwalk/proof/ledger"
-	"curlewwalk/proof/standin"
+	"curlewwalk/tests/fakes"
+	"curlewwalk/tests/ledger"
 )
 
 // Result is how a run went.
@@ -23,7 +23,7 @@
 	Skipped int `json:"Skipped"`
 	Sent    int `json:"sent"`
 	// Ends counts requests by how they ended for their clients.
-	Ends map[standin.End]int `json:"ends"`
+	Ends map[fakes.End]int `json:"ends"`
 	// Reused counts requests on connections that had carried another one, Whole those of
 	// them that were cut after they had been sent.
 	Reused    int `json:"Reused"`
@@ -48,7 +48,7 @@
 	r.judgeMarks(all)
 	r.judgeDenied(all)
 	r.judgeLeavers()
-	res := &Result{Plan: r.Plan, Seed: r.Plan.Seed, Size: len(r.Fleet.Sidecars), Entries: len(r.Plan.Entries), Skipped: r.skipped, Sent: len(all), Ends: map[standin.End]int{}}
+	res := &Result{Plan: r.Plan, Seed: r.Plan.Seed, Size: len(r.Fleet.Sidecars), Entries: len(r.Plan.Entries), Skipped: r.skipped, Sent: len(all), Ends: map[fakes.End]int{}}
 	res.Broken = append(slices.Clone(r.found.all), slices.DeleteFunc(verdict.Broken, r.excused)...)
 	res.count(all)
 	for _, b := range r.Fleet.Backends {
@@ -73,7 +73,7 @@
 	if b.Rule != ledger.RuleDrain {
 		return false
 	}
-	i := slices.IndexFunc(r.requests.all, func(x standin.Exchange) bool { return x.ID == b.ID })
+	i := slices.IndexFunc(r.requests.all, func(x fakes.Exchange) bool { return x.ID == b.ID })
 	runs, _ := r.Fleet.Ledger.Runs(b.ID)
 	if i < 0 || len(runs) == 0 {
 		return false // a call of a backend's own: what took it is not known here
@@ -102,16 +102,16 @@
 const longest = 60_000
 
 // count counts requests by how they ended, and how long answers took.
-func (res *Result) count(all []standin.Exchange) {
+func (res *Result) count(all []fakes.Exchange) {
 	took := hdrhistogram.New(1, longest, 3)
 	for _, x := range all {
 		res.Ends[x.End]++
-		if x.End == standin.EndAnswered {
+		if x.End == fakes.EndAnswered {
 			took.RecordValue(min(longest, max(1, x.Ended.Sub(x.Sent).Milliseconds())))
 		}
 		if x.Reused {
 			res.Reused++
-			if x.End == standin.EndCut {
+			if x.End == fakes.EndCut {
 				res.ReusedCut++
 			}
 		}
@@ -120,19 +120,19 @@
 }
 
 // host is the machine that a request was sent to.
-func host(x standin.Exchange) string {
+func host(x fakes.Exchange) string {
 	ip, _, _ := net.SplitHostPort(x.Addr)
 	return ip
 }
 
 // judgeLost judges requests around planned work that ended without an answer, or with one of
 // the sidecar's own while their backend was working on them.
-func (r *Run) judgeLost(all []standin.Exchange) {
+func (r *Run) judgeLost(all []fakes.Exchange) {
 	for _, x := range all {
-		if x.End == standin.EndRefused {
+		if x.End == fakes.EndRefused {
 			r.judgeBrokenOff(x)
 		}
-		if x.End != standin.EndCut || x.Whole.IsZero() || x.Ended.Sub(x.Sent) >= x.Deadline {
+		if x.End != fakes.EndCut || x.Whole.IsZero() || x.Ended.Sub(x.Sent) >= x.Deadline {
 			continue
 		}
 		runs, _ := r.Fleet.Ledger.Runs(x.ID)
@@ -145,7 +145,7 @@
 }
 
 // judgeBrokenOff judges an answer of a stopping sidecar's own to a request that ran.
-func (r *Run) judgeBrokenOff(x standin.Exchange) {
+func (r *Run) judgeBrokenOff(x fakes.Exchange) {
 	stops := r.troubles.stopped(host(x), x.Sent, x.Ended)
 	if len(stops) == 0 || r.troubles.unplanned(x.Sent, x.Ended) || x.Ended.Sub(x.Sent) >= x.Deadline-deadlineSlack {
 		return
@@ -168,10 +168,10 @@
 
 // judgeKept judges requests from kept connections that were passed on by a machine in touch
 // to a backend and got no answer.
-func (r *Run) judgeKept(all []standin.Exchange) {
-	var cut []standin.Exchange
+func (r *Run) judgeKept(all []fakes.Exchange) {
+	var cut []fakes.Exchange
 	for _, x := range all {
-		if x.End != standin.EndCut || !x.Reused || x.Whole.IsZero() || x.Ended.Sub(x.Sent) >= x.Deadline {
+		if x.End != fakes.EndCut || !x.Reused || x.Whole.IsZero() || x.Ended.Sub(x.Sent) >= x.Deadline {
 			continue
 		}
 		if runs, _ := r.Fleet.Ledger.Runs(x.ID); len(runs) > 0 && r.troubles.inTouch(host(x), x.Sent, x.Ended) {
@@ -199,11 +199,11 @@
 }
 
 // judgeGone judges what was done for clients that had left.
-func (r *Run) judgeGone(all []standin.Exchange) {
+func (r *Run) judgeGone(all []fakes.Exchange) {
 	var g gone
 	for _, x := range all {
 		until := x.Ended.Add(goneAfter)
-		if x.End == standin.EndLeft && r.troubles.inTouch(host(x), x.Sent, until) {
+		if x.End == fakes.EndLeft && r.troubles.inTouch(host(x), x.Sent, until) {
 			r.countGone(&g, x, until)
 		}
 	}
@@ -217,7 +217,7 @@
 
 // countGone takes one request, whose client had left so long before until. Machines that are
 // not in touch may not have heard of it.
-func (r *Run) countGone(g *gone, x standin.Exchange, until time.Time) {
+func (r *Run) countGone(g *gone, x fakes.Exchange, until time.Time) {
 	runs, work := r.Fleet.Ledger.Runs(x.ID)
 	touch := func(instance string) bool { return r.troubles.inTouch(r.machineOf(instance), x.Sent, until) }
 	for _, run := range runs {
@@ -239,17 +239,17 @@
 }
 
 // judgeMarks judges which configuration sidecars went by.
-func (r *Run) judgeMarks(all []standin.Exchange) {
-	seen := map[string]standin.Exchange{} // by machine, the newest that was seen in force
+func (r *Run) judgeMarks(all []fakes.Exchange) {
+	seen := map[string]fakes.Exchange{} // by machine, the newest that was seen in force
 	for _, x := range all {
 		number, ok := markNumber(x.Plan)
-		if !ok || x.End != standin.EndAnswered && x.Status != http.StatusNotFound {
+		if !ok || x.End != fakes.EndAnswered && x.Status != http.StatusNotFound {
 			continue
 		}
 		if r.troubles.inTouch(host(x), x.Sent, x.Ended) {
 			r.judgeMark(x, number, seen)
 		}
-		if x.End == standin.EndAnswered {
+		if x.End == fakes.EndAnswered {
 			if before, _ := markNumber(seen[host(x)].Plan); number >= before {
 				seen[host(x)] = x
 			}
@@ -259,7 +259,7 @@
 
 // judgeMark judges one of them: some configuration that may be in force must allow what was
 // done with the request.
-func (r *Run) judgeMark(x standin.Exchange, number uint64, seen map[string]standin.Exchange) {
+func (r *Run) judgeMark(x fakes.Exchange, number uint64, seen map[string]fakes.Exchange) {
 	oldest, newest := r.operator.newest(x.Sent.Add(-apply)).number, r.operator.last(x.Ended)
 	has, lacks := false, false
 	for version := max(1, oldest); version <= newest; version++ {
@@ -269,7 +269,7 @@
 			lacks = true
 		}
 	}
-	served := x.End == standin.EndAnswered
+	served := x.End == fakes.EndAnswered
 	if served && !has || !served && !lacks {
 		r.find(ruleConfig, x.ID, "%s at %s got %d on the route of configuration %d, %d to %d may be in force", x.ID, host(x), x.Status, number, oldest, newest)
 		return
@@ -290,10 +290,10 @@
 }
 
 // judgeDenied judges refusals for good of what every configuration allows.
-func (r *Run) judgeDenied(all []standin.Exchange) {
+func (r *Run) judgeDenied(all []fakes.Exchange) {
 	denied, example := 0, ""
 	for _, x := range all {
-		if _, mark := markNumber(x.Plan); mark || x.End != standin.EndRefused {
+		if _, mark := markNumber(x.Plan); mark || x.End != fakes.EndRefused {
 			continue
 		}
 		switch x.Status {
--- a/proof/soak/operator.go
+++ b/tests/soak/operator.go
@@ -11,8 +11,8 @@
 	"sync"
 	"time"
 
-	"curlewwalk/proof/fleet"
-	"curlewwalk/proof/standin"
+	"curlewwalk/tests/fakes"
+	"curlewwalk/tests/fleet"
 )
 
 // The headers of an operator's own number of a configuration.
@@ -25,8 +25,8 @@
 const markPrefix = "/mark/"
 
 // markPlan is what backends make of requests on those routes: they go to the first service.
-func markPlan(size fleet.Size) standin.Plan {
-	return standin.Plan{Name: "mark", Method: http.MethodGet, Prefix: markPrefix, Service: size.Backends[0], Repeatable: true, Aim: time.Second, Deadline: 3 * time.Second, Rank: 1, Work: time.Millisecond}
+func markPlan(size fleet.Size) fakes.Plan {
+	return fakes.Plan{Name: "mark", Method: http.MethodGet, Prefix: markPrefix, Service: size.Backends[0], Repeatable: true, Aim: time.Second, Deadline: 3 * time.Second, Rank: 1, Work: time.Millisecond}
 }
 
 // configuration is one that an operator sent.
--- a/proof/soak/plan.go
+++ b/tests/soak/plan.go
@@ -12,7 +12,7 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"curlewwalk/proof/fleet"
+	"curlewwalk/tests/fleet"
 )
 
 // Plan is what happens in a run. A plan with the same deployment, size and entries brings the
--- a/proof/soak/processes.go
+++ b/tests/soak/processes.go
@@ -11,7 +11,7 @@
 	"syscall"
 	"time"
 
-	"curlewwalk/proof/fleet"
+	"curlewwalk/tests/fleet"
 )
 
 // The ways in which a process is stopped.
--- a/proof/soak/run.go
+++ b/tests/soak/run.go
@@ -10,8 +10,8 @@
 	"sync/atomic"
 	"time"
 
-	"curlewwalk/proof/fleet"
-	"curlewwalk/proof/standin"
+	"curlewwalk/tests/fakes"
+	"curlewwalk/tests/fleet"
 )
 
 // Run is one run of a plan.
@@ -41,7 +41,7 @@
 	mu      sync.Mutex // held by whoever changes the backend
 	number  int
 	serial  int
-	current atomic.Pointer[standin.Backend]
+	current atomic.Pointer[fakes.Backend]
 }
 
 // stopAfter are the settings of a stop, as on the users' platform: what is open ends within
@@ -51,7 +51,7 @@
 // New lays a run out.
 func New(p Plan, bin fleet.Binaries, out io.Writer) (*Run, error) {
 	size := p.size()
-	size.Plans = slices.Concat([]standin.Plan{reportPlan(size)}, size.Plans, []standin.Plan{markPlan(size)})
+	size.Plans = slices.Concat([]fakes.Plan{reportPlan(size)}, size.Plans, []fakes.Plan{markPlan(size)})
 	f, err := fleet.New(size, bin)
 	if err != nil {
 		return nil, err
--- a/proof/soak/shorten.go
+++ b/tests/soak/shorten.go
@@ -6,8 +6,8 @@
 	"io"
 	"slices"
 
-	"curlewwalk/proof/fleet"
-	"curlewwalk/proof/ledger"
+	"curlewwalk/tests/fleet"
+	"curlewwalk/tests/ledger"
 )
 
 // Shorten takes entries out of a plan while it still breaks a rule that it broke, for so many
--- a/proof/soak/soak_test.go
+++ b/tests/soak/soak_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"curlewwalk/proof/fleet"
-	"curlewwalk/proof/ledger"
+	"curlewwalk/tests/fleet"
+	"curlewwalk/tests/ledger"
 )
 
 // The flags choose what TestSeeds plays: by itself, a short run of a few seeds.
--- a/proof/soak/story.go
+++ b/tests/soak/story.go
@@ -6,8 +6,8 @@
 	"slices"
 	"strings"
 
-	"curlewwalk/proof/ledger"
-	"curlewwalk/proof/standin"
+	"curlewwalk/tests/fakes"
+	"curlewwalk/tests/ledger"
 )
 
 const (
@@ -21,7 +21,7 @@
 // those had said, what was in trouble, and the processes' own lines on those that ran it.
 func (r *Run) story(b ledger.Breach) string {
 	out := []string{b.String()}
-	i := slices.IndexFunc(r.requests.all, func(x standin.Exchange) bool { return x.ID == b.ID })
+	i := slices.IndexFunc(r.requests.all, func(x fakes.Exchange) bool { return x.ID == b.ID })
 	if i < 0 {
 		return b.String()
 	}
--- a/proof/soak/table.go
+++ b/tests/soak/table.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"io"
 
-	"curlewwalk/proof/ledger"
-	"curlewwalk/proof/standin"
+	"curlewwalk/tests/fakes"
+	"curlewwalk/tests/ledger"
 )
 
 // Table prints results, a line each.
@@ -33,8 +33,8 @@
 		broken = fmt.Sprint(counts)
 	}
 	fmt.Fprintf(t.out, "%-12s %6d %5d %7d %8d %8d %7d %6d %6d %6d %6d %7d %7d  %s\n",
-		r.Plan.Deployment, r.Seed, r.Size, r.Entries-r.Skipped, r.Sent, r.Ends[standin.EndAnswered], r.Ends[standin.EndRefused],
-		r.Ends[standin.EndCut], r.Ends[standin.EndLeft], r.Departures, r.Configurations, r.HalfMS, r.MostMS, broken)
+		r.Plan.Deployment, r.Seed, r.Size, r.Entries-r.Skipped, r.Sent, r.Ends[fakes.EndAnswered], r.Ends[fakes.EndRefused],
+		r.Ends[fakes.EndCut], r.Ends[fakes.EndLeft], r.Departures, r.Configurations, r.HalfMS, r.MostMS, broken)
 }
 
 // Played is how many results there were.
--- a/proof/soak/zones.go
+++ b/tests/soak/zones.go
@@ -8,7 +8,7 @@
 	"strconv"
 	"time"
 
-	"curlewwalk/proof/fleet"
+	"curlewwalk/tests/fleet"
 )
 
 // loseZone has a zone lose power, its backends with it; all comes back, the backends as new
