--- a/cmd/planner/read.go
+++ b/cmd/planner/read.go
@@ -26,8 +26,8 @@
 		return s, json.Unmarshal(b, &s)
 	}
 	var state struct {
-		Cores     []membership.Seat `json:"cores"`
-		Self      membership.Seat   `json:"self"`
+		Cores     []membership.Replica `json:"cores"`
+		Self      membership.Replica   `json:"self"`
 		Directory struct {
 			Nodes []membership.Node `json:"nodes"`
 		} `json:"directory"`
@@ -65,13 +65,13 @@
 }
 
 // withSelf puts the core that was asked among those that it knows, by slot.
-func withSelf(cores []membership.Seat, self membership.Seat) (out []membership.Seat) {
+func withSelf(cores []membership.Replica, self membership.Replica) (out []membership.Replica) {
 	placed := false
 	for _, c := range cores {
-		if !placed && self.Slot <= c.Slot {
+		if !placed && self.MemberID <= c.MemberID {
 			out, placed = append(out, self), true
 		}
-		if c.Slot != self.Slot {
+		if c.MemberID != self.MemberID {
 			out = append(out, c)
 		}
 	}
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -11,28 +11,28 @@
 	"golang.org/x/tools/go/packages"
 )
 
-// readers are what reads or writes the wall clock's side of a time. What only
+// wallClockMethods are what reads or writes the wall clock's side of a time. What only
 // compares and subtracts times goes by the monotonic clock.
-var readers = []string{
+var wallClockMethods = []string{
 	"Unix", "UnixMilli", "UnixMicro", "UnixNano", "Format", "AppendFormat", "String", "Date", "Clock", "Year", "Month", "Day",
 	"Hour", "Minute", "Second", "Nanosecond", "Weekday", "YearDay", "ISOWeek", "Round", "Truncate", "UTC", "Local", "In", "Location", "Zone",
 	"MarshalJSON", "MarshalText", "MarshalBinary", "GobEncode", "GoString",
 }
 
-// allowed are the packages that handle calendar times; passers are what hands
+// exemptPackages are the packages that handle calendar times; passers are what hands
 // wall clocks on outside of them.
 var (
-	allowed = []string{"curlewwalk/internal/clock", "curlewwalk/internal/maintenance"}
-	passers = map[string][]string{
-		"curlewwalk/internal/membership":   {"Wall"},
+	exemptPackages     = []string{"curlewwalk/internal/clock", "curlewwalk/internal/maintenance"}
+	exemptDeclarations = map[string][]string{
+		"curlewwalk/internal/membership":   {"MedianClock"},
 		"curlewwalk/internal/plan":         {"String"}, // of a window that is shown
 		"curlewwalk/internal/controlplane": {"seat", "wall", "windows"},
 	}
 )
 
-// uses lists where a package reads the wall clock, tells it, or makes a time of
+// wallClockUses lists where a package reads the wall clock, tells it, or makes a time of
 // one.
-func uses(p *packages.Package) (out []string) {
+func wallClockUses(p *packages.Package) (out []string) {
 	told := func(f *ast.Field) {
 		if f.Tag == nil {
 			return
@@ -47,7 +47,7 @@
 	}
 	for _, file := range p.Syntax {
 		for _, d := range file.Decls {
-			if slices.Contains(passers[p.PkgPath], name(d)) {
+			if slices.Contains(exemptDeclarations[p.PkgPath], declaredName(d)) {
 				continue
 			}
 			ast.Inspect(d, func(n ast.Node) bool {
@@ -62,7 +62,7 @@
 					full := fn.FullName()
 					method, onTime := strings.CutPrefix(full, "(time.Time).")
 					made := slices.Contains([]string{"time.Unix", "time.UnixMilli", "time.UnixMicro", "time.Date", "time.Parse", "time.ParseInLocation", "curlewwalk/internal/clock.Wall"}, full)
-					if onTime && slices.Contains(readers, method) || made || strings.HasSuffix(full, "FileInfo).ModTime") {
+					if onTime && slices.Contains(wallClockMethods, method) || made || strings.HasSuffix(full, "FileInfo).ModTime") {
 						out = append(out, p.Fset.Position(n.Pos()).String()+": "+full)
 					}
 				}
@@ -73,8 +73,8 @@
 	return out
 }
 
-// name is what a declaration declares: a function or one type.
-func name(d ast.Decl) string {
+// declaredName is what a declaration declares: a function or one type.
+func declaredName(d ast.Decl) string {
 	switch d := d.(type) {
 	case *ast.FuncDecl:
 		return d.Name.Name
@@ -86,7 +86,7 @@
 	return ""
 }
 
-func load(t *testing.T, pattern string, overlay map[string][]byte) (all []*packages.Package) {
+func loadPackages(t *testing.T, pattern string, overlay map[string][]byte) (all []*packages.Package) {
 	t.Helper()
 	got, err := packages.Load(&packages.Config{
 		Mode: packages.NeedName | packages.NeedFiles | packages.NeedSyntax | packages.NeedTypes | packages.NeedTypesInfo | packages.NeedDeps | packages.NeedImports,
@@ -99,7 +99,7 @@
 		for _, e := range p.Errors {
 			t.Fatal(e)
 		}
-		if !strings.HasPrefix(p.PkgPath, "curlewwalk/tests") && !slices.Contains(allowed, p.PkgPath) {
+		if !strings.HasPrefix(p.PkgPath, "curlewwalk/tests") && !slices.Contains(exemptPackages, p.PkgPath) {
 			all = append(all, p)
 		}
 	}
@@ -109,13 +109,13 @@
 // Nothing but this package, the windows and what hands clocks to them reads a
 // wall clock: so no jump of one can move any other decision. The check itself is
 // seen to find each kind of use.
-func TestOnePlace(t *testing.T) {
-	packs := load(t, "curlewwalk/...", nil)
+func TestWallClockIsReadInOnePlace(t *testing.T) {
+	packs := loadPackages(t, "curlewwalk/...", nil)
 	if len(packs) < 20 {
 		t.Fatalf("only %d packages were looked at", len(packs))
 	}
 	for _, p := range packs {
-		for _, u := range uses(p) {
+		for _, u := range wallClockUses(p) {
 			t.Error(u)
 		}
 	}
@@ -132,8 +132,8 @@
 	} {
 		text := "package endpoints\nimport \"time\"\n" + bad + "\n"
 		found := 0
-		for _, p := range load(t, "curlewwalk/internal/dataplane/endpoints", map[string][]byte{strings.TrimSuffix(file, ".go") + "_added.go": []byte(text)}) {
-			found += len(uses(p))
+		for _, p := range loadPackages(t, "curlewwalk/internal/dataplane/endpoints", map[string][]byte{strings.TrimSuffix(file, ".go") + "_added.go": []byte(text)}) {
+			found += len(wallClockUses(p))
 		}
 		if found != 1 {
 			t.Errorf("%s: found %d times", bad, found)
--- a/internal/config/bench_test.go
+++ b/internal/config/bench_test.go
@@ -5,7 +5,7 @@
 // BenchmarkParse reads configurations as big as ours come.
 func BenchmarkParse(b *testing.B) {
 	for name, n := range map[string]int{"310": 310, "3000": 3000} {
-		text := big(n).Bytes()
+		text := sampleConfiguration(n).Bytes()
 		b.Run(name, func(b *testing.B) {
 			b.SetBytes(int64(len(text)))
 			for range b.N {
--- a/internal/config/desired_easyjson.go
+++ b/internal/config/config_easyjson.go
@@ -17,7 +17,7 @@
 	_ easyjson.Marshaler
 )
 
-func easyjsonDced91f4DecodeCurlewwalkDesired(in *jlexer.Lexer, out *Route) {
+func easyjson6615c02eDecodeCurlewwalkInternalConfig(in *jlexer.Lexer, out *WeightedService) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -31,101 +31,17 @@
 		key := in.UnsafeFieldName(false)
 		in.WantColon()
 		switch key {
-		case "name":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Name = string(in.String())
-			}
-		case "host":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Host = string(in.String())
-			}
-		case "prefix":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Prefix = string(in.String())
-			}
-		case "methods":
-			if in.IsNull() {
-				in.Skip()
-				out.Methods = nil
-			} else {
-				in.Delim('[')
-				if out.Methods == nil {
-					if !in.IsDelim(']') {
-						out.Methods = make([]string, 0, 4)
-					} else {
-						out.Methods = []string{}
-					}
-				} else {
-					out.Methods = (out.Methods)[:0]
-				}
-				for !in.IsDelim(']') {
-					var v1 string
-					if in.IsNull() {
-						in.Skip()
-					} else {
-						v1 = string(in.String())
-					}
-					out.Methods = append(out.Methods, v1)
-					in.WantComma()
-				}
-				in.Delim(']')
-			}
 		case "service":
 			if in.IsNull() {
 				in.Skip()
 			} else {
 				out.Service = string(in.String())
 			}
-		case "split":
-			if in.IsNull() {
-				in.Skip()
-				out.Split = nil
-			} else {
-				in.Delim('[')
-				if out.Split == nil {
-					if !in.IsDelim(']') {
-						out.Split = make([]Portion, 0, 1)
-					} else {
-						out.Split = []Portion{}
-					}
-				} else {
-					out.Split = (out.Split)[:0]
-				}
-				for !in.IsDelim(']') {
-					var v2 Portion
-					if in.IsNull() {
-						in.Skip()
-					} else {
-						(v2).UnmarshalEasyJSON(in)
-					}
-					out.Split = append(out.Split, v2)
-					in.WantComma()
-				}
-				in.Delim(']')
-			}
-		case "contract":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Contract = string(in.String())
-			}
-		case "repeatable":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Repeatable = bool(in.Bool())
-			}
-		case "legs":
+		case "weight":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Attempts = int(in.Int())
+				out.Weight = int(in.Int())
 			}
 		default:
 			out.UnmarshalUnknown(in, key)
@@ -137,100 +53,123 @@
 		in.Consumed()
 	}
 }
-func easyjsonDced91f4EncodeCurlewwalkDesired(out *jwriter.Writer, in Route) {
+func easyjson6615c02eEncodeCurlewwalkInternalConfig(out *jwriter.Writer, in WeightedService) {
 	out.RawByte('{')
 	first := true
 	_ = first
 	{
-		const prefix string = ",\"name\":"
+		const prefix string = ",\"service\":"
 		out.RawString(prefix[1:])
-		out.String(string(in.Name))
-	}
-	if in.Host != "" {
-		const prefix string = ",\"host\":"
-		out.RawString(prefix)
-		out.String(string(in.Host))
+		out.String(string(in.Service))
 	}
 	{
-		const prefix string = ",\"prefix\":"
+		const prefix string = ",\"weight\":"
 		out.RawString(prefix)
-		out.String(string(in.Prefix))
+		out.Int(int(in.Weight))
 	}
-	if len(in.Methods) != 0 {
-		const prefix string = ",\"methods\":"
-		out.RawString(prefix)
-		{
-			out.RawByte('[')
-			for v3, v4 := range in.Methods {
-				if v3 > 0 {
-					out.RawByte(',')
-				}
-				out.String(string(v4))
-			}
-			out.RawByte(']')
+	out.RawByte('}')
+}
+
+// MarshalJSON supports json.Marshaler interface
+func (v WeightedService) MarshalJSON() ([]byte, error) {
+	w := jwriter.Writer{}
+	easyjson6615c02eEncodeCurlewwalkInternalConfig(&w, v)
+	return w.Buffer.BuildBytes(), w.Error
+}
+
+// MarshalEasyJSON supports easyjson.Marshaler interface
+func (v WeightedService) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjson6615c02eEncodeCurlewwalkInternalConfig(w, v)
+}
+
+// UnmarshalJSON supports json.Unmarshaler interface
+func (v *WeightedService) UnmarshalJSON(data []byte) error {
+	r := jlexer.Lexer{Data: data}
+	easyjson6615c02eDecodeCurlewwalkInternalConfig(&r, v)
+	return r.Error()
+}
+
+// UnmarshalEasyJSON supports easyjson.Unmarshaler interface
+func (v *WeightedService) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjson6615c02eDecodeCurlewwalkInternalConfig(l, v)
+}
+func easyjson6615c02eDecodeCurlewwalkInternalConfig1(in *jlexer.Lexer, out *SlowStart) {
+	isTopLevel := in.IsStart()
+	if in.IsNull() {
+		if isTopLevel {
+			in.Consumed()
 		}
+		in.Skip()
+		return
 	}
-	if in.Service != "" {
-		const prefix string = ",\"service\":"
-		out.RawString(prefix)
-		out.String(string(in.Service))
-	}
-	if len(in.Split) != 0 {
-		const prefix string = ",\"split\":"
-		out.RawString(prefix)
-		{
-			out.RawByte('[')
-			for v5, v6 := range in.Split {
-				if v5 > 0 {
-					out.RawByte(',')
-				}
-				(v6).MarshalEasyJSON(out)
+	in.Delim('{')
+	for !in.IsDelim('}') {
+		key := in.UnsafeFieldName(false)
+		in.WantColon()
+		switch key {
+		case "for":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				(out.Period).UnmarshalEasyJSON(in)
 			}
-			out.RawByte(']')
+		case "rate":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.RequestsPerSecond = float64(in.Float64())
+			}
+		default:
+			out.UnmarshalUnknown(in, key)
 		}
+		in.WantComma()
 	}
-	{
-		const prefix string = ",\"contract\":"
-		out.RawString(prefix)
-		out.String(string(in.Contract))
+	in.Delim('}')
+	if isTopLevel {
+		in.Consumed()
 	}
-	if in.Repeatable {
-		const prefix string = ",\"repeatable\":"
-		out.RawString(prefix)
-		out.Bool(bool(in.Repeatable))
+}
+func easyjson6615c02eEncodeCurlewwalkInternalConfig1(out *jwriter.Writer, in SlowStart) {
+	out.RawByte('{')
+	first := true
+	_ = first
+	{
+		const prefix string = ",\"for\":"
+		out.RawString(prefix[1:])
+		(in.Period).MarshalEasyJSON(out)
 	}
-	if in.Attempts != 0 {
-		const prefix string = ",\"legs\":"
+	{
+		const prefix string = ",\"rate\":"
 		out.RawString(prefix)
-		out.Int(int(in.Attempts))
+		out.Float64(float64(in.RequestsPerSecond))
 	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Route) MarshalJSON() ([]byte, error) {
+func (v SlowStart) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjsonDced91f4EncodeCurlewwalkDesired(&w, v)
+	easyjson6615c02eEncodeCurlewwalkInternalConfig1(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Route) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonDced91f4EncodeCurlewwalkDesired(w, v)
+func (v SlowStart) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjson6615c02eEncodeCurlewwalkInternalConfig1(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Route) UnmarshalJSON(data []byte) error {
+func (v *SlowStart) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjsonDced91f4DecodeCurlewwalkDesired(&r, v)
+	easyjson6615c02eDecodeCurlewwalkInternalConfig1(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Route) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonDced91f4DecodeCurlewwalkDesired(l, v)
+func (v *SlowStart) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjson6615c02eDecodeCurlewwalkInternalConfig1(l, v)
 }
-func easyjsonDced91f4DecodeCurlewwalkDesired1(in *jlexer.Lexer, out *State) {
+func easyjson6615c02eDecodeCurlewwalkInternalConfig2(in *jlexer.Lexer, out *Service) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -244,92 +183,31 @@
 		key := in.UnsafeFieldName(false)
 		in.WantColon()
 		switch key {
-		case "ways":
+		case "name":
 			if in.IsNull() {
 				in.Skip()
-				out.Routes = nil
 			} else {
-				in.Delim('[')
-				if out.Routes == nil {
-					if !in.IsDelim(']') {
-						out.Routes = make([]Route, 0, 0)
-					} else {
-						out.Routes = []Route{}
-					}
-				} else {
-					out.Routes = (out.Routes)[:0]
-				}
-				for !in.IsDelim(']') {
-					var v7 Route
-					if in.IsNull() {
-						in.Skip()
-					} else {
-						(v7).UnmarshalEasyJSON(in)
-					}
-					out.Routes = append(out.Routes, v7)
-					in.WantComma()
-				}
-				in.Delim(']')
+				out.Name = string(in.String())
 			}
-		case "contracts":
+		case "connections":
 			if in.IsNull() {
 				in.Skip()
-				out.Contracts = nil
 			} else {
-				in.Delim('[')
-				if out.Contracts == nil {
-					if !in.IsDelim(']') {
-						out.Contracts = make([]Contract, 0, 0)
-					} else {
-						out.Contracts = []Contract{}
-					}
-				} else {
-					out.Contracts = (out.Contracts)[:0]
-				}
-				for !in.IsDelim(']') {
-					var v8 Contract
-					if in.IsNull() {
-						in.Skip()
-					} else {
-						(v8).UnmarshalEasyJSON(in)
-					}
-					out.Contracts = append(out.Contracts, v8)
-					in.WantComma()
-				}
-				in.Delim(']')
+				out.MaxConnections = int(in.Int())
 			}
-		case "services":
+		case "cold":
 			if in.IsNull() {
 				in.Skip()
-				out.Services = nil
+				out.SlowStart = nil
 			} else {
-				in.Delim('[')
-				if out.Services == nil {
-					if !in.IsDelim(']') {
-						out.Services = make([]Service, 0, 1)
-					} else {
-						out.Services = []Service{}
-					}
-				} else {
-					out.Services = (out.Services)[:0]
+				if out.SlowStart == nil {
+					out.SlowStart = new(SlowStart)
 				}
-				for !in.IsDelim(']') {
-					var v9 Service
-					if in.IsNull() {
-						in.Skip()
-					} else {
-						(v9).UnmarshalEasyJSON(in)
-					}
-					out.Services = append(out.Services, v9)
-					in.WantComma()
+				if in.IsNull() {
+					in.Skip()
+				} else {
+					(*out.SlowStart).UnmarshalEasyJSON(in)
 				}
-				in.Delim(']')
-			}
-		case "limits":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				(out.Limits).UnmarshalEasyJSON(in)
 			}
 		default:
 			out.UnmarshalUnknown(in, key)
@@ -341,88 +219,52 @@
 		in.Consumed()
 	}
 }
-func easyjsonDced91f4EncodeCurlewwalkDesired1(out *jwriter.Writer, in State) {
+func easyjson6615c02eEncodeCurlewwalkInternalConfig2(out *jwriter.Writer, in Service) {
 	out.RawByte('{')
 	first := true
 	_ = first
 	{
-		const prefix string = ",\"ways\":"
+		const prefix string = ",\"name\":"
 		out.RawString(prefix[1:])
-		if in.Routes == nil && (out.Flags&jwriter.NilSliceAsEmpty) == 0 {
-			out.RawString("null")
-		} else {
-			out.RawByte('[')
-			for v10, v11 := range in.Routes {
-				if v10 > 0 {
-					out.RawByte(',')
-				}
-				(v11).MarshalEasyJSON(out)
-			}
-			out.RawByte(']')
-		}
-	}
-	{
-		const prefix string = ",\"contracts\":"
-		out.RawString(prefix)
-		if in.Contracts == nil && (out.Flags&jwriter.NilSliceAsEmpty) == 0 {
-			out.RawString("null")
-		} else {
-			out.RawByte('[')
-			for v12, v13 := range in.Contracts {
-				if v12 > 0 {
-					out.RawByte(',')
-				}
-				(v13).MarshalEasyJSON(out)
-			}
-			out.RawByte(']')
-		}
+		out.String(string(in.Name))
 	}
-	if len(in.Services) != 0 {
-		const prefix string = ",\"services\":"
+	if in.MaxConnections != 0 {
+		const prefix string = ",\"connections\":"
 		out.RawString(prefix)
-		{
-			out.RawByte('[')
-			for v14, v15 := range in.Services {
-				if v14 > 0 {
-					out.RawByte(',')
-				}
-				(v15).MarshalEasyJSON(out)
-			}
-			out.RawByte(']')
-		}
+		out.Int(int(in.MaxConnections))
 	}
-	if (in.Limits).IsDefined() {
-		const prefix string = ",\"limits\":"
+	if in.SlowStart != nil {
+		const prefix string = ",\"cold\":"
 		out.RawString(prefix)
-		(in.Limits).MarshalEasyJSON(out)
+		(*in.SlowStart).MarshalEasyJSON(out)
 	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v State) MarshalJSON() ([]byte, error) {
+func (v Service) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjsonDced91f4EncodeCurlewwalkDesired1(&w, v)
+	easyjson6615c02eEncodeCurlewwalkInternalConfig2(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v State) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonDced91f4EncodeCurlewwalkDesired1(w, v)
+func (v Service) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjson6615c02eEncodeCurlewwalkInternalConfig2(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *State) UnmarshalJSON(data []byte) error {
+func (v *Service) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjsonDced91f4DecodeCurlewwalkDesired1(&r, v)
+	easyjson6615c02eDecodeCurlewwalkInternalConfig2(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *State) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonDced91f4DecodeCurlewwalkDesired1(l, v)
+func (v *Service) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjson6615c02eDecodeCurlewwalkInternalConfig2(l, v)
 }
-func easyjsonDced91f4DecodeCurlewwalkDesired2(in *jlexer.Lexer, out *Service) {
+func easyjson6615c02eDecodeCurlewwalkInternalConfig3(in *jlexer.Lexer, out *Route) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -440,27 +282,97 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Name = string(in.String())
+				out.Name = string(in.String())
+			}
+		case "host":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Host = string(in.String())
+			}
+		case "prefix":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Prefix = string(in.String())
+			}
+		case "methods":
+			if in.IsNull() {
+				in.Skip()
+				out.Methods = nil
+			} else {
+				in.Delim('[')
+				if out.Methods == nil {
+					if !in.IsDelim(']') {
+						out.Methods = make([]string, 0, 4)
+					} else {
+						out.Methods = []string{}
+					}
+				} else {
+					out.Methods = (out.Methods)[:0]
+				}
+				for !in.IsDelim(']') {
+					var v1 string
+					if in.IsNull() {
+						in.Skip()
+					} else {
+						v1 = string(in.String())
+					}
+					out.Methods = append(out.Methods, v1)
+					in.WantComma()
+				}
+				in.Delim(']')
+			}
+		case "service":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Service = string(in.String())
+			}
+		case "split":
+			if in.IsNull() {
+				in.Skip()
+				out.Split = nil
+			} else {
+				in.Delim('[')
+				if out.Split == nil {
+					if !in.IsDelim(']') {
+						out.Split = make([]WeightedService, 0, 1)
+					} else {
+						out.Split = []WeightedService{}
+					}
+				} else {
+					out.Split = (out.Split)[:0]
+				}
+				for !in.IsDelim(']') {
+					var v2 WeightedService
+					if in.IsNull() {
+						in.Skip()
+					} else {
+						(v2).UnmarshalEasyJSON(in)
+					}
+					out.Split = append(out.Split, v2)
+					in.WantComma()
+				}
+				in.Delim(']')
+			}
+		case "contract":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Contract = string(in.String())
 			}
-		case "connections":
+		case "repeatable":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Connections = int(in.Int())
+				out.Idempotent = bool(in.Bool())
 			}
-		case "cold":
+		case "legs":
 			if in.IsNull() {
 				in.Skip()
-				out.Cold = nil
 			} else {
-				if out.Cold == nil {
-					out.Cold = new(Cold)
-				}
-				if in.IsNull() {
-					in.Skip()
-				} else {
-					(*out.Cold).UnmarshalEasyJSON(in)
-				}
+				out.MaxAttempts = int(in.Int())
 			}
 		default:
 			out.UnmarshalUnknown(in, key)
@@ -472,7 +384,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonDced91f4EncodeCurlewwalkDesired2(out *jwriter.Writer, in Service) {
+func easyjson6615c02eEncodeCurlewwalkInternalConfig3(out *jwriter.Writer, in Route) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -481,119 +393,91 @@
 		out.RawString(prefix[1:])
 		out.String(string(in.Name))
 	}
-	if in.Connections != 0 {
-		const prefix string = ",\"connections\":"
+	if in.Host != "" {
+		const prefix string = ",\"host\":"
 		out.RawString(prefix)
-		out.Int(int(in.Connections))
+		out.String(string(in.Host))
 	}
-	if in.Cold != nil {
-		const prefix string = ",\"cold\":"
+	{
+		const prefix string = ",\"prefix\":"
 		out.RawString(prefix)
-		(*in.Cold).MarshalEasyJSON(out)
-	}
-	out.RawByte('}')
-}
-
-// MarshalJSON supports json.Marshaler interface
-func (v Service) MarshalJSON() ([]byte, error) {
-	w := jwriter.Writer{}
-	easyjsonDced91f4EncodeCurlewwalkDesired2(&w, v)
-	return w.Buffer.BuildBytes(), w.Error
-}
-
-// MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Service) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonDced91f4EncodeCurlewwalkDesired2(w, v)
-}
-
-// UnmarshalJSON supports json.Unmarshaler interface
-func (v *Service) UnmarshalJSON(data []byte) error {
-	r := jlexer.Lexer{Data: data}
-	easyjsonDced91f4DecodeCurlewwalkDesired2(&r, v)
-	return r.Error()
-}
-
-// UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Service) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonDced91f4DecodeCurlewwalkDesired2(l, v)
-}
-func easyjsonDced91f4DecodeCurlewwalkDesired3(in *jlexer.Lexer, out *Portion) {
-	isTopLevel := in.IsStart()
-	if in.IsNull() {
-		if isTopLevel {
-			in.Consumed()
-		}
-		in.Skip()
-		return
+		out.String(string(in.Prefix))
 	}
-	in.Delim('{')
-	for !in.IsDelim('}') {
-		key := in.UnsafeFieldName(false)
-		in.WantColon()
-		switch key {
-		case "service":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Service = string(in.String())
-			}
-		case "weight":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Weight = int(in.Int())
+	if len(in.Methods) != 0 {
+		const prefix string = ",\"methods\":"
+		out.RawString(prefix)
+		{
+			out.RawByte('[')
+			for v3, v4 := range in.Methods {
+				if v3 > 0 {
+					out.RawByte(',')
+				}
+				out.String(string(v4))
 			}
-		default:
-			out.UnmarshalUnknown(in, key)
+			out.RawByte(']')
 		}
-		in.WantComma()
 	}
-	in.Delim('}')
-	if isTopLevel {
-		in.Consumed()
-	}
-}
-func easyjsonDced91f4EncodeCurlewwalkDesired3(out *jwriter.Writer, in Portion) {
-	out.RawByte('{')
-	first := true
-	_ = first
-	{
+	if in.Service != "" {
 		const prefix string = ",\"service\":"
-		out.RawString(prefix[1:])
+		out.RawString(prefix)
 		out.String(string(in.Service))
 	}
+	if len(in.Split) != 0 {
+		const prefix string = ",\"split\":"
+		out.RawString(prefix)
+		{
+			out.RawByte('[')
+			for v5, v6 := range in.Split {
+				if v5 > 0 {
+					out.RawByte(',')
+				}
+				(v6).MarshalEasyJSON(out)
+			}
+			out.RawByte(']')
+		}
+	}
 	{
-		const prefix string = ",\"weight\":"
+		const prefix string = ",\"contract\":"
 		out.RawString(prefix)
-		out.Int(int(in.Weight))
+		out.String(string(in.Contract))
+	}
+	if in.Idempotent {
+		const prefix string = ",\"repeatable\":"
+		out.RawString(prefix)
+		out.Bool(bool(in.Idempotent))
+	}
+	if in.MaxAttempts != 0 {
+		const prefix string = ",\"legs\":"
+		out.RawString(prefix)
+		out.Int(int(in.MaxAttempts))
 	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Portion) MarshalJSON() ([]byte, error) {
+func (v Route) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjsonDced91f4EncodeCurlewwalkDesired3(&w, v)
+	easyjson6615c02eEncodeCurlewwalkInternalConfig3(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Portion) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonDced91f4EncodeCurlewwalkDesired3(w, v)
+func (v Route) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjson6615c02eEncodeCurlewwalkInternalConfig3(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Portion) UnmarshalJSON(data []byte) error {
+func (v *Route) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjsonDced91f4DecodeCurlewwalkDesired3(&r, v)
+	easyjson6615c02eDecodeCurlewwalkInternalConfig3(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Portion) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonDced91f4DecodeCurlewwalkDesired3(l, v)
+func (v *Route) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjson6615c02eDecodeCurlewwalkInternalConfig3(l, v)
 }
-func easyjsonDced91f4DecodeCurlewwalkDesired4(in *jlexer.Lexer, out *Limits) {
+func easyjson6615c02eDecodeCurlewwalkInternalConfig4(in *jlexer.Lexer, out *Limits) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -611,25 +495,25 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.HeaderBytes = int(in.Int())
+				out.MaxHeaderBytes = int(in.Int())
 			}
 		case "body_bytes":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.BodyBytes = int64(in.Int64())
+				out.MaxBodyBytes = int64(in.Int64())
 			}
 		case "header_wait":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				(out.HeaderWait).UnmarshalEasyJSON(in)
+				(out.ReadHeaderTimeout).UnmarshalEasyJSON(in)
 			}
 		case "idle":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				(out.Idle).UnmarshalEasyJSON(in)
+				(out.IdleTimeout).UnmarshalEasyJSON(in)
 			}
 		default:
 			out.UnmarshalUnknown(in, key)
@@ -641,17 +525,17 @@
 		in.Consumed()
 	}
 }
-func easyjsonDced91f4EncodeCurlewwalkDesired4(out *jwriter.Writer, in Limits) {
+func easyjson6615c02eEncodeCurlewwalkInternalConfig4(out *jwriter.Writer, in Limits) {
 	out.RawByte('{')
 	first := true
 	_ = first
-	if in.HeaderBytes != 0 {
+	if in.MaxHeaderBytes != 0 {
 		const prefix string = ",\"header_bytes\":"
 		first = false
 		out.RawString(prefix[1:])
-		out.Int(int(in.HeaderBytes))
+		out.Int(int(in.MaxHeaderBytes))
 	}
-	if in.BodyBytes != 0 {
+	if in.MaxBodyBytes != 0 {
 		const prefix string = ",\"body_bytes\":"
 		if first {
 			first = false
@@ -659,9 +543,9 @@
 		} else {
 			out.RawString(prefix)
 		}
-		out.Int64(int64(in.BodyBytes))
+		out.Int64(int64(in.MaxBodyBytes))
 	}
-	if (in.HeaderWait).IsDefined() {
+	if (in.ReadHeaderTimeout).IsDefined() {
 		const prefix string = ",\"header_wait\":"
 		if first {
 			first = false
@@ -669,9 +553,9 @@
 		} else {
 			out.RawString(prefix)
 		}
-		(in.HeaderWait).MarshalEasyJSON(out)
+		(in.ReadHeaderTimeout).MarshalEasyJSON(out)
 	}
-	if (in.Idle).IsDefined() {
+	if (in.IdleTimeout).IsDefined() {
 		const prefix string = ",\"idle\":"
 		if first {
 			first = false
@@ -679,7 +563,7 @@
 		} else {
 			out.RawString(prefix)
 		}
-		(in.Idle).MarshalEasyJSON(out)
+		(in.IdleTimeout).MarshalEasyJSON(out)
 	}
 	out.RawByte('}')
 }
@@ -687,27 +571,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Limits) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjsonDced91f4EncodeCurlewwalkDesired4(&w, v)
+	easyjson6615c02eEncodeCurlewwalkInternalConfig4(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Limits) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonDced91f4EncodeCurlewwalkDesired4(w, v)
+	easyjson6615c02eEncodeCurlewwalkInternalConfig4(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Limits) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjsonDced91f4DecodeCurlewwalkDesired4(&r, v)
+	easyjson6615c02eDecodeCurlewwalkInternalConfig4(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Limits) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonDced91f4DecodeCurlewwalkDesired4(l, v)
+	easyjson6615c02eDecodeCurlewwalkInternalConfig4(l, v)
 }
-func easyjsonDced91f4DecodeCurlewwalkDesired5(in *jlexer.Lexer, out *Contract) {
+func easyjson6615c02eDecodeCurlewwalkInternalConfig5(in *jlexer.Lexer, out *Contract) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -731,7 +615,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				(out.Aim).UnmarshalEasyJSON(in)
+				(out.LatencyTarget).UnmarshalEasyJSON(in)
 			}
 		case "expiry":
 			if in.IsNull() {
@@ -743,7 +627,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Rank = int(in.Int())
+				out.Priority = int(in.Int())
 			}
 		default:
 			out.UnmarshalUnknown(in, key)
@@ -755,7 +639,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonDced91f4EncodeCurlewwalkDesired5(out *jwriter.Writer, in Contract) {
+func easyjson6615c02eEncodeCurlewwalkInternalConfig5(out *jwriter.Writer, in Contract) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -767,7 +651,7 @@
 	{
 		const prefix string = ",\"aim\":"
 		out.RawString(prefix)
-		(in.Aim).MarshalEasyJSON(out)
+		(in.LatencyTarget).MarshalEasyJSON(out)
 	}
 	{
 		const prefix string = ",\"expiry\":"
@@ -777,7 +661,7 @@
 	{
 		const prefix string = ",\"rank\":"
 		out.RawString(prefix)
-		out.Int(int(in.Rank))
+		out.Int(int(in.Priority))
 	}
 	out.RawByte('}')
 }
@@ -785,27 +669,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Contract) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjsonDced91f4EncodeCurlewwalkDesired5(&w, v)
+	easyjson6615c02eEncodeCurlewwalkInternalConfig5(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Contract) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonDced91f4EncodeCurlewwalkDesired5(w, v)
+	easyjson6615c02eEncodeCurlewwalkInternalConfig5(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Contract) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjsonDced91f4DecodeCurlewwalkDesired5(&r, v)
+	easyjson6615c02eDecodeCurlewwalkInternalConfig5(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Contract) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonDced91f4DecodeCurlewwalkDesired5(l, v)
+	easyjson6615c02eDecodeCurlewwalkInternalConfig5(l, v)
 }
-func easyjsonDced91f4DecodeCurlewwalkDesired6(in *jlexer.Lexer, out *Cold) {
+func easyjson6615c02eDecodeCurlewwalkInternalConfig6(in *jlexer.Lexer, out *Configuration) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -819,17 +703,92 @@
 		key := in.UnsafeFieldName(false)
 		in.WantColon()
 		switch key {
-		case "for":
+		case "ways":
 			if in.IsNull() {
 				in.Skip()
+				out.Routes = nil
 			} else {
-				(out.For).UnmarshalEasyJSON(in)
+				in.Delim('[')
+				if out.Routes == nil {
+					if !in.IsDelim(']') {
+						out.Routes = make([]Route, 0, 0)
+					} else {
+						out.Routes = []Route{}
+					}
+				} else {
+					out.Routes = (out.Routes)[:0]
+				}
+				for !in.IsDelim(']') {
+					var v7 Route
+					if in.IsNull() {
+						in.Skip()
+					} else {
+						(v7).UnmarshalEasyJSON(in)
+					}
+					out.Routes = append(out.Routes, v7)
+					in.WantComma()
+				}
+				in.Delim(']')
 			}
-		case "rate":
+		case "contracts":
+			if in.IsNull() {
+				in.Skip()
+				out.Contracts = nil
+			} else {
+				in.Delim('[')
+				if out.Contracts == nil {
+					if !in.IsDelim(']') {
+						out.Contracts = make([]Contract, 0, 0)
+					} else {
+						out.Contracts = []Contract{}
+					}
+				} else {
+					out.Contracts = (out.Contracts)[:0]
+				}
+				for !in.IsDelim(']') {
+					var v8 Contract
+					if in.IsNull() {
+						in.Skip()
+					} else {
+						(v8).UnmarshalEasyJSON(in)
+					}
+					out.Contracts = append(out.Contracts, v8)
+					in.WantComma()
+				}
+				in.Delim(']')
+			}
+		case "services":
+			if in.IsNull() {
+				in.Skip()
+				out.Services = nil
+			} else {
+				in.Delim('[')
+				if out.Services == nil {
+					if !in.IsDelim(']') {
+						out.Services = make([]Service, 0, 1)
+					} else {
+						out.Services = []Service{}
+					}
+				} else {
+					out.Services = (out.Services)[:0]
+				}
+				for !in.IsDelim(']') {
+					var v9 Service
+					if in.IsNull() {
+						in.Skip()
+					} else {
+						(v9).UnmarshalEasyJSON(in)
+					}
+					out.Services = append(out.Services, v9)
+					in.WantComma()
+				}
+				in.Delim(']')
+			}
+		case "limits":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Rate = float64(in.Float64())
+				(out.Limits).UnmarshalEasyJSON(in)
 			}
 		default:
 			out.UnmarshalUnknown(in, key)
@@ -841,43 +800,84 @@
 		in.Consumed()
 	}
 }
-func easyjsonDced91f4EncodeCurlewwalkDesired6(out *jwriter.Writer, in Cold) {
+func easyjson6615c02eEncodeCurlewwalkInternalConfig6(out *jwriter.Writer, in Configuration) {
 	out.RawByte('{')
 	first := true
 	_ = first
 	{
-		const prefix string = ",\"for\":"
+		const prefix string = ",\"ways\":"
 		out.RawString(prefix[1:])
-		(in.For).MarshalEasyJSON(out)
+		if in.Routes == nil && (out.Flags&jwriter.NilSliceAsEmpty) == 0 {
+			out.RawString("null")
+		} else {
+			out.RawByte('[')
+			for v10, v11 := range in.Routes {
+				if v10 > 0 {
+					out.RawByte(',')
+				}
+				(v11).MarshalEasyJSON(out)
+			}
+			out.RawByte(']')
+		}
 	}
 	{
-		const prefix string = ",\"rate\":"
+		const prefix string = ",\"contracts\":"
+		out.RawString(prefix)
+		if in.Contracts == nil && (out.Flags&jwriter.NilSliceAsEmpty) == 0 {
+			out.RawString("null")
+		} else {
+			out.RawByte('[')
+			for v12, v13 := range in.Contracts {
+				if v12 > 0 {
+					out.RawByte(',')
+				}
+				(v13).MarshalEasyJSON(out)
+			}
+			out.RawByte(']')
+		}
+	}
+	if len(in.Services) != 0 {
+		const prefix string = ",\"services\":"
+		out.RawString(prefix)
+		{
+			out.RawByte('[')
+			for v14, v15 := range in.Services {
+				if v14 > 0 {
+					out.RawByte(',')
+				}
+				(v15).MarshalEasyJSON(out)
+			}
+			out.RawByte(']')
+		}
+	}
+	if (in.Limits).IsDefined() {
+		const prefix string = ",\"limits\":"
 		out.RawString(prefix)
-		out.Float64(float64(in.Rate))
+		(in.Limits).MarshalEasyJSON(out)
 	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Cold) MarshalJSON() ([]byte, error) {
+func (v Configuration) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjsonDced91f4EncodeCurlewwalkDesired6(&w, v)
+	easyjson6615c02eEncodeCurlewwalkInternalConfig6(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Cold) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonDced91f4EncodeCurlewwalkDesired6(w, v)
+func (v Configuration) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjson6615c02eEncodeCurlewwalkInternalConfig6(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Cold) UnmarshalJSON(data []byte) error {
+func (v *Configuration) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjsonDced91f4DecodeCurlewwalkDesired6(&r, v)
+	easyjson6615c02eDecodeCurlewwalkInternalConfig6(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Cold) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonDced91f4DecodeCurlewwalkDesired6(l, v)
+func (v *Configuration) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjson6615c02eDecodeCurlewwalkInternalConfig6(l, v)
 }
--- a/internal/config/state.go
+++ b/internal/config/configuration.go
@@ -4,11 +4,11 @@
 
 import "github.com/mailru/easyjson/jwriter"
 
-// State is one whole configuration.
+// Configuration is one whole configuration.
 //
 //easyjson:json
-type State struct {
-	Stray
+type Configuration struct {
+	UnknownFields
 	Routes    []Route    `json:"ways"`
 	Contracts []Contract `json:"contracts"`
 	Services  []Service  `json:"services,omitempty"`
@@ -16,9 +16,9 @@
 }
 
 // Bytes writes a configuration as Parse reads it.
-func (st State) Bytes() []byte {
+func (configuration Configuration) Bytes() []byte {
 	out := jwriter.Writer{Flags: jwriter.NilSliceAsEmpty}
-	st.MarshalEasyJSON(&out)
+	configuration.MarshalEasyJSON(&out)
 	b, _ := out.BuildBytes() // our writers never fail
 	return b
 }
--- a/internal/config/contract.go
+++ b/internal/config/contract.go
@@ -4,12 +4,12 @@
 //
 //easyjson:json
 type Contract struct {
-	Stray
+	UnknownFields
 	Name string `json:"name"`
-	// Aim is the time that answers should take.
-	Aim Duration `json:"aim"`
+	// LatencyTarget is the time that answers should take.
+	LatencyTarget Duration `json:"aim"`
 	// Deadline is when an answer is worth nothing any more.
 	Deadline Duration `json:"expiry"`
-	// Rank says who goes first when there is not enough; 1 is the highest.
-	Rank int `json:"rank"`
+	// Priority says who goes first when there is not enough; 1 is the highest.
+	Priority int `json:"rank"`
 }
--- a/internal/config/duration.go
+++ b/internal/config/duration.go
@@ -10,7 +10,7 @@
 // Duration is a time.Duration written as in "250ms".
 type Duration struct {
 	time.Duration
-	Bad string // what was written, when it is no duration
+	Invalid string // what was written, when it is no duration
 }
 
 // UnmarshalEasyJSON implements easyjson.Unmarshaler.
@@ -18,7 +18,7 @@
 	text := in.String()
 	v, err := time.ParseDuration(text)
 	if err != nil {
-		d.Bad = text
+		d.Invalid = text
 		return
 	}
 	d.Duration = v
@@ -29,4 +29,4 @@
 
 // IsDefined implements easyjson.Optional: where a duration may be left out, none
 // is written as none.
-func (d Duration) IsDefined() bool { return d.Duration != 0 || d.Bad != "" }
+func (d Duration) IsDefined() bool { return d.Duration != 0 || d.Invalid != "" }
--- a/internal/config/fuzz_test.go
+++ b/internal/config/fuzz_test.go
@@ -24,19 +24,19 @@
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
-		st, faults, ok := config.Parse(b)
+		configuration, faults, ok := config.Parse(b)
 		if ok != json.Valid(b) {
 			t.Errorf("JSON: %v", ok)
 		}
 		if !ok || len(faults) > 0 {
 			return
 		}
-		table, ok := routing.NewTable(config.Word{Stamp: 1, DesiredStamp: 1, Desired: b})
+		table, ok := routing.NewTable(config.ControlState{Revision: 1, ConfigurationRevision: 1, Configuration: b})
 		if !ok {
 			t.Fatal("what was found good can't be put in force")
 		}
 		table.Match("x", "/a/b", "GET")
-		out := st.Bytes()
+		out := configuration.Bytes()
 		again, faults, ok := config.Parse(out)
 		if !ok || len(faults) > 0 || !bytes.Equal(again.Bytes(), out) {
 			t.Errorf("%s is written back as %s: %v", b, out, faults)
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -4,17 +4,17 @@
 //
 //easyjson:json
 type Limits struct {
-	Stray
-	// HeaderBytes bounds a request's header, and BodyBytes its body.
-	HeaderBytes int   `json:"header_bytes,omitempty"`
-	BodyBytes   int64 `json:"body_bytes,omitempty"`
-	// HeaderWait is how long a header may take to come.
-	HeaderWait Duration `json:"header_wait,omitempty"`
-	// Idle is how long a connection may lie unused.
-	Idle Duration `json:"idle,omitempty"`
+	UnknownFields
+	// MaxHeaderBytes bounds a request's header, and BodyBytes its body.
+	MaxHeaderBytes int   `json:"header_bytes,omitempty"`
+	MaxBodyBytes   int64 `json:"body_bytes,omitempty"`
+	// ReadHeaderTimeout is how long a header may take to come.
+	ReadHeaderTimeout Duration `json:"header_wait,omitempty"`
+	// IdleTimeout is how long a connection may lie unused.
+	IdleTimeout Duration `json:"idle,omitempty"`
 }
 
 // IsDefined implements easyjson.Optional: limits without any are left out.
 func (l Limits) IsDefined() bool {
-	return l.HeaderBytes != 0 || l.BodyBytes != 0 || l.HeaderWait.IsDefined() || l.Idle.IsDefined()
+	return l.MaxHeaderBytes != 0 || l.MaxBodyBytes != 0 || l.ReadHeaderTimeout.IsDefined() || l.IdleTimeout.IsDefined()
 }
--- a/internal/config/route.go
+++ b/internal/config/route.go
@@ -4,28 +4,28 @@
 //
 //easyjson:json
 type Route struct {
-	Stray
+	UnknownFields
 	Name    string   `json:"name"`
 	Host    string   `json:"host,omitempty"`
 	Prefix  string   `json:"prefix"`
 	Methods []string `json:"methods,omitempty"`
 	// Service takes the requests; or Split divides them among several.
-	Service string    `json:"service,omitempty"`
-	Split   []Portion `json:"split,omitempty"`
+	Service string            `json:"service,omitempty"`
+	Split   []WeightedService `json:"split,omitempty"`
 	// Contract names the contract that the way's requests run under.
 	Contract string `json:"contract"`
-	// Repeatable says that running a request twice does no harm.
-	Repeatable bool `json:"repeatable,omitempty"`
-	// Attempts is how many attempts a request may have at most; 0 leaves it to us.
-	Attempts int `json:"legs,omitempty"`
+	// Idempotent says that running a request twice does no harm.
+	Idempotent bool `json:"repeatable,omitempty"`
+	// MaxAttempts is how many attempts a request may have at most; 0 leaves it to us.
+	MaxAttempts int `json:"legs,omitempty"`
 }
 
 // Services lists the services that the way leads to.
-func (w *Route) Services() (out []string) {
-	if w.Service != "" {
-		out = append(out, w.Service)
+func (route *Route) Services() (out []string) {
+	if route.Service != "" {
+		out = append(out, route.Service)
 	}
-	for _, p := range w.Split {
+	for _, p := range route.Split {
 		out = append(out, p.Service)
 	}
 	return out
--- a/internal/config/service.go
+++ b/internal/config/service.go
@@ -4,10 +4,10 @@
 //
 //easyjson:json
 type Service struct {
-	Stray
+	UnknownFields
 	Name string `json:"name"`
-	// Connections bounds those open to one backend; 0 is no bound.
-	Connections int `json:"connections,omitempty"`
-	// Cold says what its backends bear at their start, if that is less.
-	Cold *Cold `json:"cold,omitempty"`
+	// MaxConnections bounds those open to one backend; 0 is no bound.
+	MaxConnections int `json:"connections,omitempty"`
+	// SlowStart says what its backends bear at their start, if that is less.
+	SlowStart *SlowStart `json:"cold,omitempty"`
 }
--- a/internal/config/check_test.go
+++ b/internal/config/validate_test.go
@@ -8,7 +8,7 @@
 )
 
 // Faults are told by path, all in one go, wherever the JSON breaks the form.
-func TestFaultsByPath(t *testing.T) {
+func TestViolationsByPath(t *testing.T) {
 	for body, want := range map[string][]string{
 		`{}`: nil,
 		`{"contracts":[{"name":5,"aim":true,"expiry":"1s","rank":"high"}],"ways":[{"name":["x"],"repeatable":"yes"}]}`: {
@@ -23,8 +23,8 @@
 			t.Errorf("%s: not read as JSON", body)
 		}
 		paths := map[string]bool{}
-		for _, f := range faults {
-			paths[f.Path] = true
+		for _, violation := range faults {
+			paths[violation.Path] = true
 		}
 		for _, p := range want {
 			if !paths[p] {
@@ -38,7 +38,7 @@
 }
 
 // Each rule of splits, services and limits has its fault.
-func TestRules(t *testing.T) {
+func TestValidationRules(t *testing.T) {
 	head := `{"contracts":[{"name":"c","aim":"1ms","expiry":"1ms","rank":1}],`
 	route := func(rest string) string {
 		return head + `"ways":[{"name":"w","prefix":"/","contract":"c",` + rest + `}]}`
@@ -71,8 +71,8 @@
 	} {
 		_, faults, ok := Parse([]byte(body))
 		got := map[string]bool{}
-		for _, f := range faults {
-			got[f.Path] = true
+		for _, violation := range faults {
+			got[violation.Path] = true
 		}
 		expect := map[string]bool{}
 		for _, p := range want {
@@ -85,20 +85,20 @@
 }
 
 // Names that stand twice are found in objects of many names too.
-func TestDoubledAmongMany(t *testing.T) {
+func TestDuplicateNamesInLargeObjects(t *testing.T) {
 	text := "{"
-	for i := range 3 * few {
-		text += fmt.Sprintf("\"n%d\":{\"deep\":[0,{\"x\":1,\"x\":2}]},", i%(2*few))
+	for i := range 3 * linearSearchLimit {
+		text += fmt.Sprintf("\"n%d\":{\"deep\":[0,{\"x\":1,\"x\":2}]},", i%(2*linearSearchLimit))
 	}
-	sh := newShape([]byte(text + `"last":0}`))
+	sc := newScanner([]byte(text + `"last":0}`))
 	got := map[string]int{}
-	for _, f := range sh.doubled {
-		got[f.Path]++
+	for _, violation := range sc.duplicates {
+		got[violation.Path]++
 	}
-	for i := range 2 * few {
+	for i := range 2 * linearSearchLimit {
 		deep, top := fmt.Sprintf("$.n%d.deep[1].x", i), fmt.Sprintf("$.n%d", i)
 		wantDeep, wantTop := 1, 0
-		if i < few {
+		if i < linearSearchLimit {
 			wantDeep, wantTop = 2, 1
 		}
 		if got[deep] != wantDeep || got[top] != wantTop {
--- a/internal/config/version.go
+++ b/internal/config/version.go
@@ -11,7 +11,7 @@
 // Fingerprint tells versions of a document apart: it is a cryptographic digest.
 type Fingerprint [16]byte
 
-func fingerprintOf(b []byte) Fingerprint {
+func newFingerprint(b []byte) Fingerprint {
 	sum := sha256.Sum256(b)
 	return Fingerprint(sum[:16])
 }
@@ -26,11 +26,11 @@
 // NewVersion encodes a document, mostly a Word.
 func NewVersion(document any) (Version, error) {
 	b, err := msgpack.Marshal(document)
-	return Version{encoded: b, Fingerprint: fingerprintOf(b)}, err
+	return Version{encoded: b, Fingerprint: newFingerprint(b)}, err
 }
 
-// Into decodes the document.
-func (v Version) Into(document any) error { return msgpack.Unmarshal(v.encoded, document) }
+// Decode decodes the document.
+func (v Version) Decode(document any) error { return msgpack.Unmarshal(v.encoded, document) }
 
 // Size is the number of encoded bytes.
 func (v Version) Size() int { return len(v.encoded) }
@@ -41,18 +41,18 @@
 	// and of the one that it makes.
 	Base   Fingerprint `msgpack:"b"`
 	Result Fingerprint `msgpack:"r"`
-	// Difference is empty if the two are the same version.
-	Difference []byte `msgpack:"d,omitempty"`
+	// Delta is empty if the two are the same version.
+	Delta []byte `msgpack:"d,omitempty"`
 }
 
-// Against tells v as its difference from base. False if that is no shorter than a
+// DiffFrom tells v as its difference from base. False if that is no shorter than a
 // half of v.
-func (v Version) Against(base Version) (Patch, bool) {
+func (v Version) DiffFrom(base Version) (Patch, bool) {
 	p := Patch{Base: base.Fingerprint, Result: v.Fingerprint}
 	if base.Fingerprint != v.Fingerprint {
-		p.Difference = delta.Make(base.encoded, v.encoded)
+		p.Delta = delta.Diff(base.encoded, v.encoded)
 	}
-	return p, len(p.Difference) <= len(v.encoded)/2
+	return p, len(p.Delta) <= len(v.encoded)/2
 }
 
 // Apply makes the version that a patch tells. False if the patch was made from another
@@ -64,8 +64,8 @@
 	if p.Base == p.Result {
 		return v, true
 	}
-	b, err := delta.Apply(v.encoded, p.Difference)
-	if err != nil || fingerprintOf(b) != p.Result {
+	b, err := delta.Apply(v.encoded, p.Delta)
+	if err != nil || newFingerprint(b) != p.Result {
 		return Version{}, false
 	}
 	return Version{encoded: b, Fingerprint: p.Result}, true
--- a/internal/config/portion.go
+++ b/internal/config/weighted_service.go
@@ -1,10 +1,10 @@
 package config
 
-// Portion is a service's part of a way's requests.
+// WeightedService is a service's part of a way's requests.
 //
 //easyjson:json
-type Portion struct {
-	Stray
+type WeightedService struct {
+	UnknownFields
 	Service string `json:"service"`
 	// Weight counts against the sum of the way's weights.
 	Weight int `json:"weight"`
--- a/internal/controlplane/applicant.go
+++ b/internal/controlplane/applicant.go
@@ -26,8 +26,8 @@
 			return
 		case <-wait.C:
 		}
-		next := membership.Beat
-		if n.keeper.Acceptor().Phase == consensus.Seeking && !n.draining.Load() {
+		next := membership.HeartbeatInterval
+		if n.keeper.Acceptor().Phase == consensus.PhaseJoining && !n.draining.Load() {
 			n.ask(ctx)
 			next = applyEvery
 		}
@@ -37,16 +37,16 @@
 
 // ask asks the core on duty, or any that passes it on.
 func (n *Node) ask(ctx context.Context) {
-	a := consensus.Asker{ID: n.keeper.Acceptor().Self.ID, Addr: n.set.Advertise, Zone: n.set.Zone}
+	a := consensus.JoinRequest{DiskID: n.keeper.Acceptor().Self.DiskID, Addr: n.set.Advertise, Zone: n.set.Zone}
 	ctx, cancel := context.WithTimeout(ctx, seatLimit)
 	defer cancel()
 	to := n.duty().Addr
 	if to == n.set.Advertise {
-		live := n.seeker.Seats().Live(time.Now())
+		live := n.seeker.Replicas().Live(time.Now())
 		if len(live) == 0 {
 			return
 		}
 		to = live[0].Addr
 	}
-	n.p.Net.Call(ctx, to, transport.Control, consensus.KindSeat, a)
+	n.p.Net.Call(ctx, to, transport.Control, consensus.KindJoin, a)
 }
--- a/internal/controlplane/consensus/acceptor.go
+++ b/internal/controlplane/consensus/acceptor.go
@@ -11,251 +11,253 @@
 // Acceptor is one core's share of the register. On answers with the next state;
 // a state with Dirty set must be on disk before the vote is sent. (DESIGN 6.2)
 type Acceptor struct {
-	Self From
-	// Founded is how many static slots there are; zero where slots come and go.
+	Self Sender
+	// StaticSize is how many static slots there are; zero where slots come and go.
 	// Founders are those that it began with there, for one of them.
-	Founded  int
-	Founders []config.Member
-	Phase    Phase
-	Promised uint64
-	Mark     Mark
-	Word     config.Word
-	// Seats is the highest incarnation known of each slot.
-	Seats map[int]Chair
-	// Settled is the highest stamp known to be held by a majority; not on disk.
-	Settled uint64
-	// OathDirty and WordDirty say what must be saved.
-	OathDirty, WordDirty bool
+	StaticSize     int
+	InitialMembers []config.Member
+	Phase          Phase
+	Promised       uint64
+	Position       Position
+	State          config.ControlState
+	// Members is the highest incarnation known of each slot.
+	Members map[int]MemberRecord
+	// Committed is the highest stamp known to be held by a majority; not on disk.
+	Committed uint64
+	// PromiseDirty and StateDirty say what must be saved.
+	PromiseDirty, StateDirty bool
 }
 
 // Majority is how many of n slots decide.
 func Majority(n int) int { return n/2 + 1 }
 
-// On takes a ballot.
-func (v Acceptor) On(b Ballot) (Acceptor, Vote) {
-	v.OathDirty, v.WordDirty = false, false
-	ok := v.admit(b)
+// Step takes a ballot.
+func (a Acceptor) Step(message Message) (Acceptor, Reply) {
+	a.PromiseDirty, a.StateDirty = false, false
+	ok := a.admits(message)
 	switch {
 	case !ok:
-	case b.Act == Prepare:
+	case message.Type == MsgPrepare:
 		// An epoch belongs to one slot, so hearing it twice is no clash.
-		if ok = b.Epoch >= v.Promised; ok {
-			v.OathDirty = b.Epoch > v.Promised
-			v.Promised = b.Epoch
+		if ok = message.Term >= a.Promised; ok {
+			a.PromiseDirty = message.Term > a.Promised
+			a.Promised = message.Term
 		}
-	case b.Act == Propose:
+	case message.Type == MsgAccept:
 		// An overtaken proposal of the same epoch must not undo a later one.
 		// One that comes again is on disk already: a mark is of one word only.
-		if ok = b.Epoch >= v.Promised && b.Mark.Epoch == b.Epoch && b.Mark.Compare(v.Mark) >= 0; ok && b.Mark != v.Mark {
-			v = v.accept(b.Mark, b.Word)
+		if ok = message.Term >= a.Promised && message.Position.Term == message.Term && message.Position.Compare(a.Position) >= 0; ok && message.Position != a.Position {
+			a = a.accept(message.Position, message.State)
 		}
-	case b.Act == Settle:
+	case message.Type == MsgCommit:
 		// A settled word may be copied whatever was promised since: each later
 		// epoch has seen it. (DESIGN 6.4)
-		if v.Mark.Compare(b.Mark) < 0 {
-			v = v.accept(b.Mark, b.Word)
+		if a.Position.Compare(message.Position) < 0 {
+			a = a.accept(message.Position, message.State)
 		}
-		v = v.settle(b.Mark.Stamp)
-	case b.Act == Sit:
-		if ok = b.From.Inc > v.Seats[b.From.Slot].Inc; ok {
-			v = v.seat(map[int]Chair{b.From.Slot: {Inc: b.From.Inc, ID: b.From.ID}})
+		a = a.commit(message.Position.Revision)
+	case message.Type == MsgJoin:
+		if ok = message.Sender.Incarnation > a.Members[message.Sender.MemberID].Incarnation; ok {
+			a = a.recordMembers(map[int]MemberRecord{message.Sender.MemberID: {Incarnation: message.Sender.Incarnation, DiskID: message.Sender.DiskID}})
 		}
 	}
-	vote := Vote{
-		From: v.Self, Act: b.Act, Epoch: b.Epoch, OK: ok, Phase: v.Phase, Promised: v.Promised,
-		Mark: v.Mark, Settled: v.Settled, Seats: v.Seats, Sets: v.Sets(),
+	reply := Reply{
+		Sender: a.Self, Type: message.Type, Term: message.Term, Granted: ok, Phase: a.Phase, Promised: a.Promised,
+		Position: a.Position, Committed: a.Committed, Members: a.Members, MemberSets: a.MemberSets(),
 	}
-	if b.Act == Prepare || b.Act == Read || b.Act == Sit {
-		vote.Word = v.Word
+	if message.Type == MsgPrepare || message.Type == MsgRead || message.Type == MsgJoin {
+		reply.State = a.State
 	}
-	return v, vote
+	return a, reply
 }
 
-// admit refuses all but reads while not established, and whoever lost its seat.
-func (v Acceptor) admit(b Ballot) bool {
-	if b.Act == Read || b.Act == Look {
+// admits refuses all but reads while not established, and whoever lost its seat.
+func (a Acceptor) admits(message Message) bool {
+	if message.Type == MsgRead || message.Type == MsgReadIndex {
 		return true
 	}
-	if v.Phase == Seeking {
-		return b.Act != Sit
+	if a.Phase == PhaseJoining {
+		return message.Type != MsgJoin
 	}
-	if b.Act == Sit && v.Founded == 0 {
+	if message.Type == MsgJoin && a.StaticSize == 0 {
 		return false // slots that come and go are given by the word
 	}
-	return v.Phase == Established && (b.Act == Sit || b.From.holds(v.Seats[b.From.Slot]))
+	return a.Phase == PhaseEstablished && (message.Type == MsgJoin || message.Sender.isCurrent(a.Members[message.Sender.MemberID]))
 }
 
-func (v Acceptor) accept(m Mark, w config.Word) Acceptor {
-	v.Mark, v.Word, v.WordDirty = m, w, true
-	v.Promised = max(v.Promised, m.Epoch)
-	return v.named()
+func (a Acceptor) accept(position Position, state config.ControlState) Acceptor {
+	a.Position, a.State, a.StateDirty = position, state, true
+	a.Promised = max(a.Promised, position.Term)
+	return a.adoptMemberID()
 }
 
-// named gives an acceptor that seeks a seat the slot under which the held word names it.
-func (v Acceptor) named() Acceptor {
-	if v.Phase != Seeking {
-		return v
+// adoptMemberID gives an acceptor that seeks a seat the slot under which the held word names it.
+func (a Acceptor) adoptMemberID() Acceptor {
+	if a.Phase != PhaseJoining {
+		return a
 	}
-	for _, m := range v.Word.Slots {
-		if m.ID == v.Self.ID && m.Slot != v.Self.Slot {
-			v.Self, v.OathDirty = From{Slot: m.Slot, Inc: 1, ID: m.ID}, true
+	for _, m := range a.State.Members {
+		if m.DiskID == a.Self.DiskID && m.MemberID != a.Self.MemberID {
+			a.Self, a.PromiseDirty = Sender{MemberID: m.MemberID, Incarnation: 1, DiskID: m.DiskID}, true
 		}
 	}
-	return v
+	return a
 }
 
-func (v Acceptor) seat(seats map[int]Chair) Acceptor {
-	next := maps.Clone(v.Seats)
+func (a Acceptor) recordMembers(records map[int]MemberRecord) Acceptor {
+	next := maps.Clone(a.Members)
 	if next == nil {
-		next = map[int]Chair{}
+		next = map[int]MemberRecord{}
 	}
-	for s, c := range seats {
-		if c.Inc > next[s].Inc {
-			next[s], v.OathDirty = c, true
+	for id, record := range records {
+		if record.Incarnation > next[id].Incarnation {
+			next[id], a.PromiseDirty = record, true
 		}
 	}
-	v.Seats = next
-	return v
+	a.Members = next
+	return a
 }
 
-// Born decides whether an empty core may be established, from the votes that
+// Establish decides whether an empty core may be established, from the votes that
 // the other slots gave to a Read. All slots must answer, and none may hold a
 // word or have lost one. Those already born must have seen this very disk at
 // their birth: else it came in place of another, and takes its seat by Sit.
 // (DESIGN 6.5)
-func (v Acceptor) Born(votes map[int]Vote) (Acceptor, bool) {
-	if v.Phase != Virgin || len(votes) < v.Founded-1 {
-		return v, false
+func (a Acceptor) Establish(replies map[int]Reply) (Acceptor, bool) {
+	if a.Phase != PhaseEmpty || len(replies) < a.StaticSize-1 {
+		return a, false
 	}
-	chairs := map[int]Chair{v.Self.Slot: {Inc: 1, ID: v.Self.ID}}
-	promised := v.Promised
-	for s, o := range votes {
-		if o.Phase == Lost || o.Mark != (Mark{}) || o.Phase == Established && o.Seats[v.Self.Slot] != chairs[v.Self.Slot] {
-			return v, false
+	members := map[int]MemberRecord{a.Self.MemberID: {Incarnation: 1, DiskID: a.Self.DiskID}}
+	promised := a.Promised
+	for id, reply := range replies {
+		if reply.Phase == PhaseLost || reply.Position != (Position{}) || reply.Phase == PhaseEstablished && reply.Members[a.Self.MemberID] != members[a.Self.MemberID] {
+			return a, false
 		}
-		chairs[s] = Chair{Inc: max(1, o.From.Inc), ID: o.From.ID}
-		promised = max(promised, o.Promised)
+		members[id] = MemberRecord{Incarnation: max(1, reply.Sender.Incarnation), DiskID: reply.Sender.DiskID}
+		promised = max(promised, reply.Promised)
 	}
-	v.Phase, v.Promised, v.Self.Inc = Established, promised, 1
-	v = v.seat(chairs)
-	v.OathDirty = true
-	return v, true
+	a.Phase, a.Promised, a.Self.Incarnation = PhaseEstablished, promised, 1
+	a = a.recordMembers(members)
+	a.PromiseDirty = true
+	return a, true
 }
 
-// Claimant is the incarnation with which an empty core asks for its seat: one
+// NextIncarnation is the incarnation with which an empty core asks for its seat: one
 // more than any that the others know of. It may ask once a majority of the
 // established answer.
-func (v Acceptor) Claimant(votes map[int]Vote) (From, bool) {
-	inc := v.Self.Inc
-	for _, o := range votes {
-		inc = max(inc, o.Seats[v.Self.Slot].Inc)
+func (a Acceptor) NextIncarnation(replies map[int]Reply) (Sender, bool) {
+	incarnation := a.Self.Incarnation
+	for _, reply := range replies {
+		incarnation = max(incarnation, reply.Members[a.Self.MemberID].Incarnation)
 	}
-	return From{Slot: v.Self.Slot, Inc: inc + 1, ID: v.Self.ID}, len(Counted(votes)) >= Majority(v.Founded)
+	return Sender{MemberID: a.Self.MemberID, Incarnation: incarnation + 1, DiskID: a.Self.DiskID}, len(CurrentReplies(replies)) >= Majority(a.StaticSize)
 }
 
-// Seated decides whether an empty core has copied from a majority of the
+// CompleteJoin decides whether an empty core has copied from a majority of the
 // established, from the votes they gave to its Sit. (DESIGN 6.5)
-func (v Acceptor) Seated(self From, votes map[int]Vote) (Acceptor, bool) {
+func (a Acceptor) CompleteJoin(self Sender, replies map[int]Reply) (Acceptor, bool) {
 	// An acceptor that was swapped out itself may not know it: it does not count.
-	copied := Counted(votes)
-	maps.DeleteFunc(copied, func(_ int, o Vote) bool { return !o.OK })
-	if v.Phase == Established || len(copied) < Majority(v.Founded) {
-		return v, false
+	granted := CurrentReplies(replies)
+	maps.DeleteFunc(granted, func(_ int, reply Reply) bool { return !reply.Granted })
+	if a.Phase == PhaseEstablished || len(granted) < Majority(a.StaticSize) {
+		return a, false
 	}
-	v.Self = self
-	for _, o := range copied {
-		v = v.seat(o.Seats)
-		v.Promised = max(v.Promised, o.Promised)
-		if v.Mark.Compare(o.Mark) < 0 {
-			v = v.accept(o.Mark, o.Word)
+	a.Self = self
+	for _, reply := range granted {
+		a = a.recordMembers(reply.Members)
+		a.Promised = max(a.Promised, reply.Promised)
+		if a.Position.Compare(reply.Position) < 0 {
+			a = a.accept(reply.Position, reply.State)
 		}
-		v.Settled = max(v.Settled, o.Settled)
+		a.Committed = max(a.Committed, reply.Committed)
 	}
-	v.Phase = Established
-	v.OathDirty = true
-	return v, true
+	a.Phase = PhaseEstablished
+	a.PromiseDirty = true
+	return a, true
 }
 
-// Counted leaves the votes that may be counted: those of acceptors that still hold their seats as far as any of the votes says.
-func Counted(votes map[int]Vote) map[int]Vote {
-	out := map[int]Vote{}
-	for s, o := range votes {
-		ok := o.Phase == Established || o.Phase == Seeking
-		for _, p := range votes {
-			ok = ok && o.From.holds(p.Seats[o.From.Slot])
+// CurrentReplies leaves the votes that may be counted: those of acceptors that still hold their seats as far as any of the votes says.
+func CurrentReplies(replies map[int]Reply) map[int]Reply {
+	out := map[int]Reply{}
+	for id, reply := range replies {
+		ok := reply.Phase == PhaseEstablished || reply.Phase == PhaseJoining
+		for _, other := range replies {
+			ok = ok && reply.Sender.isCurrent(other.Members[reply.Sender.MemberID])
 		}
 		if ok {
-			out[s] = o
+			out[id] = reply
 		}
 	}
 	return out
 }
 
-// Newest finds the newest word among counted votes that are complete; held tells
+// NewestState finds the newest word among counted votes that are complete; held tells
 // whether majorities are known to hold it.
-func Newest(votes map[int]Vote, own Sets) (top Vote, held bool) {
-	top, sets := Top(votes, own)
-	same, settled := map[int]Vote{}, false
-	for s, v := range votes {
-		if v.Mark == top.Mark {
-			same[s] = v
-			settled = settled || v.Settled == v.Mark.Stamp
+func NewestState(replies map[int]Reply, own MemberSets) (highest Reply, committed bool) {
+	highest, sets := HighestReply(replies, own)
+	matching, known := map[int]Reply{}, false
+	for id, reply := range replies {
+		if reply.Position == highest.Position {
+			matching[id] = reply
+			known = known || reply.Committed == reply.Position.Revision
 		}
 	}
-	return top, settled || sets.Quorum(same)
+	return highest, known || sets.HasQuorum(matching)
 }
 
-// Sets are the sets that this acceptor knows of.
-func (v Acceptor) Sets() Sets {
+// MemberSets are the sets that this acceptor knows of.
+func (a Acceptor) MemberSets() MemberSets {
 	switch {
-	case len(v.Word.Slots) > 0:
-		return Sets{Now: v.Word.Slots, Before: v.Word.Formerly}
-	case v.Founded > 0:
-		return Sets{Now: static(v.Founded)}
+	case len(a.State.Members) > 0:
+		return MemberSets{Current: a.State.Members, Previous: a.State.PreviousMembers}
+	case a.StaticSize > 0:
+		return MemberSets{Current: staticMembers(a.StaticSize)}
 	}
-	return Sets{Now: v.Founders}
+	return MemberSets{Current: a.InitialMembers}
 }
 
-// Member tells whether the set in force, as far as this acceptor knows, names it.
-func (v Acceptor) Member() bool { return v.Phase == Established && has(v.Sets().Now, v.Self) }
+// IsMember tells whether the set in force, as far as this acceptor knows, names it.
+func (a Acceptor) IsMember() bool {
+	return a.Phase == PhaseEstablished && containsSender(a.MemberSets().Current, a.Self)
+}
 
-// Struck tells whether a settled word has struck its slot. While a majority of the
+// Removed tells whether a settled word has struck its slot. While a majority of the
 // set before is still needed, its vote is.
-func (v Acceptor) Struck() bool {
-	return v.Founded == 0 && v.Phase == Established && v.Settled == v.Mark.Stamp && !has(v.Sets().Union(), v.Self)
+func (a Acceptor) Removed() bool {
+	return a.StaticSize == 0 && a.Phase == PhaseEstablished && a.Committed == a.Position.Revision && !containsSender(a.MemberSets().Union(), a.Self)
 }
 
-// Founder is an empty core's first state as one of the founders, at the first start
+// AsInitialMember is an empty core's first state as one of the founders, at the first start
 // of a whole system. All know the identities of all, so no word is needed between
 // them. (DESIGN 6.5)
-func (v Acceptor) Founder(slot int, addrs []string) Acceptor {
-	for i, a := range addrs {
-		v.Founders = append(v.Founders, config.Member{Slot: i + 1, ID: founderID(a), Addr: a})
+func (a Acceptor) AsInitialMember(memberID int, addresses []string) Acceptor {
+	for i, addr := range addresses {
+		a.InitialMembers = append(a.InitialMembers, config.Member{MemberID: i + 1, DiskID: initialDiskID(addr), Addr: addr})
 	}
-	v.Self, v.Phase, v.OathDirty = From{Slot: slot, Inc: 1, ID: founderID(addrs[slot-1])}, Established, true
-	return v
+	a.Self, a.Phase, a.PromiseDirty = Sender{MemberID: memberID, Incarnation: 1, DiskID: initialDiskID(addresses[memberID-1])}, PhaseEstablished, true
+	return a
 }
 
-// founderID is the identity of the founder at an address.
-func founderID(addr string) uint64 {
+// initialDiskID is the identity of the founder at an address.
+func initialDiskID(addr string) uint64 {
 	sum := sha256.Sum256([]byte("curlewwalk founder " + addr))
 	return binary.BigEndian.Uint64(sum[:]) | 1
 }
 
-// Afresh is what becomes of an acceptor whose slot was struck: it seeks a seat under a
+// Rejoining is what becomes of an acceptor whose slot was struck: it seeks a seat under a
 // new identity. What it holds it may keep: no set yet counts what that identity says.
-func (v Acceptor) Afresh(id uint64) Acceptor {
-	v.Phase, v.Self, v.OathDirty = Seeking, From{ID: id}, true
-	return v
+func (a Acceptor) Rejoining(id uint64) Acceptor {
+	a.Phase, a.Self, a.PromiseDirty = PhaseJoining, Sender{DiskID: id}, true
+	return a
 }
 
-// settle notes that the held word is settled; one that it names has its seat by it.
+// commit notes that the held word is settled; one that it names has its seat by it.
 // The word may have been read from a disk that lost power before it took the slot.
-func (v Acceptor) settle(stamp uint64) Acceptor {
-	v.Settled = max(v.Settled, stamp)
-	v = v.named()
-	if v.Phase == Seeking && v.Settled == v.Mark.Stamp && v.Self.Slot != 0 && has(v.Sets().Now, v.Self) {
-		v.Phase, v.OathDirty = Established, true
+func (a Acceptor) commit(revision uint64) Acceptor {
+	a.Committed = max(a.Committed, revision)
+	a = a.adoptMemberID()
+	if a.Phase == PhaseJoining && a.Committed == a.Position.Revision && a.Self.MemberID != 0 && containsSender(a.MemberSets().Current, a.Self) {
+		a.Phase, a.PromiseDirty = PhaseEstablished, true
 	}
-	return v
+	return a
 }
--- a/internal/controlplane/consensus/conflict_test.go
+++ b/internal/controlplane/consensus/conflict_test.go
@@ -9,87 +9,87 @@
 	"curlewwalk/internal/storage"
 )
 
-// unsettled lets a proposer's proposal reach one acceptor only: it is left half done.
-func (b *bench) unsettled(slot, acceptor int) {
-	b.t.Helper()
-	for _, o := range b.sent[slot] {
-		if o.Ballot.Act != Propose {
-			b.t.Fatalf("%s is under way", o.Ballot.Act)
+// acceptWithoutCommit lets a proposer's proposal reach one acceptor only: it is left half done.
+func (network *proposerNetwork) acceptWithoutCommit(memberID, acceptor int) {
+	network.t.Helper()
+	for _, ready := range network.sent[memberID] {
+		if ready.Message.Type != MsgAccept {
+			network.t.Fatalf("%s is under way", ready.Message.Type)
 		}
-		b.acceptors[acceptor-1], _ = b.acceptors[acceptor-1].On(*o.Ballot)
+		network.acceptors[acceptor-1], _ = network.acceptors[acceptor-1].Step(*ready.Message)
 	}
-	b.sent[slot] = nil
+	network.sent[memberID] = nil
 }
 
 // One number stands for one configuration: the same bytes are acknowledged again at any
 // core, also after later ones; other bytes are refused, whoever sends them.
-func TestOneNumberOneConfiguration(t *testing.T) {
-	b := newBench(t, 3)
-	put := func(slot int, o Order, want Result) {
+func TestOneGenerationOneConfiguration(t *testing.T) {
+	network := newProposerNetwork(t, 3)
+	put := func(memberID int, command Command, want Outcome) {
 		t.Helper()
-		id := b.give(slot, o)
-		b.rest()
-		b.expect(id, want)
+		id := network.submit(memberID, command)
+		network.deliverAll()
+		network.expect(id, want)
 	}
-	put(1, generation(5, "five"), Taken)
-	for slot := 1; slot <= 3; slot++ {
-		put(slot, generation(5, "five"), Taken)
-		put(slot, generation(5, "other"), Conflict)
+	put(1, putGeneration(5, "five"), OutcomeCommitted)
+	for memberID := 1; memberID <= 3; memberID++ {
+		put(memberID, putGeneration(5, "five"), OutcomeCommitted)
+		put(memberID, putGeneration(5, "other"), OutcomeConflict)
 	}
-	put(2, generation(8, "eight"), Taken)
-	put(3, Order{Kind: Empty, Zone: "west"}, Taken)
-	put(3, Order{Kind: Put, Bytes: []byte("plain")}, Taken)
-	for slot := 1; slot <= 3; slot++ {
-		put(slot, generation(5, "five"), Taken)
-		put(slot, generation(5, "other"), Conflict)
-		put(slot, generation(8, "eight"), Taken)
-		put(slot, generation(8, "other"), Conflict)
-		put(slot, generation(6, "never taken"), Taken)
-		put(slot, generation(6, "nor this"), Taken)
+	put(2, putGeneration(8, "eight"), OutcomeCommitted)
+	put(3, Command{Kind: CommandEvacuate, Zone: "west"}, OutcomeCommitted)
+	put(3, Command{Kind: CommandPutConfiguration, Payload: []byte("plain")}, OutcomeCommitted)
+	for memberID := 1; memberID <= 3; memberID++ {
+		put(memberID, putGeneration(5, "five"), OutcomeCommitted)
+		put(memberID, putGeneration(5, "other"), OutcomeConflict)
+		put(memberID, putGeneration(8, "eight"), OutcomeCommitted)
+		put(memberID, putGeneration(8, "other"), OutcomeConflict)
+		put(memberID, putGeneration(6, "never taken"), OutcomeCommitted)
+		put(memberID, putGeneration(6, "nor this"), OutcomeCommitted)
 	}
-	if w := b.newest(); string(w.Desired) != "plain" || w.Generation != 8 {
-		t.Errorf("%+v", w)
+	if state := network.newestState(); string(state.Configuration) != "plain" || state.Generation != 8 {
+		t.Errorf("%+v", state)
 	}
 }
 
 // What the operator sent is what is compared, not the form that an adapter made of it.
-func TestConflictGoesByWhatWasSent(t *testing.T) {
-	b := newBench(t, 3)
-	put := func(desired, sent string, want Result) {
+func TestConflictComparesSubmittedBytes(t *testing.T) {
+	network := newProposerNetwork(t, 3)
+	put := func(desired, sent string, want Outcome) {
 		t.Helper()
-		id := b.give(1, Order{Kind: Put, Generation: 3, Bytes: []byte(desired), Sent: []byte(sent)})
-		b.rest()
-		b.expect(id, want)
+		id := network.submit(1, Command{Kind: CommandPutConfiguration, Generation: 3, Payload: []byte(desired), Submitted: []byte(sent)})
+		network.deliverAll()
+		network.expect(id, want)
 	}
-	put("a", "sent", Taken)
-	put("a", "sent", Taken)
-	put("a", "sent otherwise", Conflict)
-	put("a", "", Conflict)
+	put("a", "sent", OutcomeCommitted)
+	put("a", "sent", OutcomeCommitted)
+	put("a", "sent otherwise", OutcomeConflict)
+	put("a", "", OutcomeConflict)
 }
 
 // Two operators race under one number, at one core or at two, whichever way the ballots
 // fall among each other: one is taken and the other learns it, whichever core it asks.
-func TestEqualNumbersRace(t *testing.T) {
+func TestEqualGenerationsRace(t *testing.T) {
 	for steps := range 128 {
-		b := newBench(t, 3)
+		network := newProposerNetwork(t, 3)
 		second := 1 + steps>>6&1
-		one, two := b.give(1, generation(4, "one")), b.give(second, generation(4, "two"))
+		one, two := network.submit(1, putGeneration(4, "one")), network.submit(second, putGeneration(4, "two"))
 		for bit := range 6 {
-			b.step(1 + steps>>bit&1)
+			network.step(1 + steps>>bit&1)
 		}
 		for range 4 {
-			b.rest()
+			network.deliverAll()
 		}
-		w := b.newest()
-		wants := map[string]Result{"one": Taken, "two": Taken}
-		wants[map[string]string{"one": "two", "two": "one"}[string(w.Desired)]] = Conflict
-		b.expect(one, wants["one"])
-		b.expect(two, wants["two"])
-		for slot := 1; slot <= 3; slot++ {
+		state := network.newestState()
+		wants := map[string]Outcome{"one": OutcomeCommitted, "two": OutcomeCommitted}
+		wants[map[string]string{"one": "two", "two": "one"}[string(state.Configuration)]] = OutcomeConflict
+		network.expect(one, wants["one"])
+		network.expect(two, wants["two"])
+		for memberID := 1; memberID <= 3; memberID++ {
 			for text, want := range wants {
-				id := b.give(slot, generation(4, text))
-				b.rest()
-				b.expect(id, want)
+				id := network.submit(memberID, putGeneration(4, text))
+				network.deliverAll()
+				network.expect(id, want)
 			}
 		}
 		if t.Failed() {
@@ -100,65 +100,65 @@
 
 // Among those that wait for a higher one, two have its number: the other bytes are
 // refused; those of lower numbers, which nobody ever took, are acknowledged.
-func TestEqualNumbersPileUp(t *testing.T) {
-	b := newBench(t, 3)
-	first := b.give(1, generation(1, "1"))
-	for b.step(1) && b.proposed == 0 {
+func TestEqualGenerationsQueueUp(t *testing.T) {
+	network := newProposerNetwork(t, 3)
+	first := network.submit(1, putGeneration(1, "1"))
+	for network.step(1) && network.proposed == 0 {
 	}
-	low, one, two, same := b.give(1, generation(2, "low")), b.give(1, generation(3, "one")), b.give(1, generation(3, "two")), b.give(1, generation(3, "one"))
-	late := b.give(1, generation(1, "other"))
-	b.rest()
-	b.expect(first, Taken)
-	b.expect(low, Taken)
-	b.expect(one, Taken)
-	b.expect(two, Conflict)
-	b.expect(same, Taken)
-	b.expect(late, Conflict)
-	if b.proposed != 2 {
-		t.Errorf("%d words were proposed", b.proposed)
+	low, one, two, same := network.submit(1, putGeneration(2, "low")), network.submit(1, putGeneration(3, "one")), network.submit(1, putGeneration(3, "two")), network.submit(1, putGeneration(3, "one"))
+	late := network.submit(1, putGeneration(1, "other"))
+	network.deliverAll()
+	network.expect(first, OutcomeCommitted)
+	network.expect(low, OutcomeCommitted)
+	network.expect(one, OutcomeCommitted)
+	network.expect(two, OutcomeConflict)
+	network.expect(same, OutcomeCommitted)
+	network.expect(late, OutcomeConflict)
+	if network.proposed != 2 {
+		t.Errorf("%d words were proposed", network.proposed)
 	}
 }
 
 // An order that was left half done is found and finished by a later epoch, or it is
 // not; either way its own bytes are told from another's under the same number.
-func TestHalfDoneNumber(t *testing.T) {
+func TestUncommittedGeneration(t *testing.T) {
 	for _, found := range []bool{true, false} {
 		t.Run(fmt.Sprint(found), func(t *testing.T) {
-			b := newBench(t, 3)
-			first := b.give(1, Order{Kind: Empty, Zone: "west"})
-			b.rest()
-			b.expect(first, Taken)
-			one := b.give(1, generation(4, "one"))
-			b.unsettled(1, 1)
+			network := newProposerNetwork(t, 3)
+			first := network.submit(1, Command{Kind: CommandEvacuate, Zone: "west"})
+			network.deliverAll()
+			network.expect(first, OutcomeCommitted)
+			one := network.submit(1, putGeneration(4, "one"))
+			network.acceptWithoutCommit(1, 1)
 			asks := 2
 			if found {
 				asks = 1
 			}
 			// The duty changes. The next epoch asks slot 3 and the one that has the
 			// proposal, or slot 3 and the one that has not.
-			two := b.give(3, generation(4, "two"))
+			two := network.submit(3, putGeneration(4, "two"))
 			for range 8 {
-				sent := b.sent[3]
-				b.sent[3] = nil
-				for _, o := range sent {
+				sent := network.sent[3]
+				network.sent[3] = nil
+				for _, ready := range sent {
 					for _, s := range []int{3, asks} {
-						next, vote := b.acceptors[s-1].On(*o.Ballot)
-						b.acceptors[s-1] = next
-						b.obey(3, b.proposers[3].Hear(vote, b.now))
+						next, reply := network.acceptors[s-1].Step(*ready.Message)
+						network.acceptors[s-1] = next
+						network.handleReady(3, network.proposers[3].HandleReply(reply, network.now))
 					}
 				}
 			}
-			wantOne, wantTwo, held := Conflict, Taken, "two"
+			wantOne, wantTwo, held := OutcomeConflict, OutcomeCommitted, "two"
 			if found {
-				wantOne, wantTwo, held = Taken, Conflict, "one"
+				wantOne, wantTwo, held = OutcomeCommitted, OutcomeConflict, "one"
 			}
-			b.expect(two, wantTwo)
+			network.expect(two, wantTwo)
 			for range 3 {
-				b.rest()
+				network.deliverAll()
 			}
-			b.expect(one, wantOne)
-			if w := b.newest(); string(w.Desired) != held {
-				t.Errorf("%+v", w)
+			network.expect(one, wantOne)
+			if state := network.newestState(); string(state.Configuration) != held {
+				t.Errorf("%+v", state)
 			}
 		})
 	}
@@ -166,25 +166,25 @@
 
 // A number that was taken long ago is acknowledged whatever comes under it: no repeat of
 // a taken one is ever refused, and the record is bounded.
-func TestTakenNumbersAreBounded(t *testing.T) {
-	b := newBench(t, 1)
-	put := func(o Order, want Result) {
+func TestAcceptedGenerationsAreBounded(t *testing.T) {
+	network := newProposerNetwork(t, 1)
+	put := func(command Command, want Outcome) {
 		t.Helper()
-		id := b.give(1, o)
-		for b.step(1) {
+		id := network.submit(1, command)
+		for network.step(1) {
 		}
-		b.expect(id, want)
+		network.expect(id, want)
 	}
 	text := func(n uint64) string { return fmt.Sprint("configuration ", n) }
 	const most = 300
 	for n := uint64(1); n <= most; n++ {
-		put(generation(n, text(n)), Taken)
+		put(putGeneration(n, text(n)), OutcomeCommitted)
 	}
 	known := 0
 	for n := uint64(1); n <= most; n++ {
-		put(generation(n, text(n)), Taken)
-		id := b.give(1, generation(n, "other"))
-		if b.answers[id].Result == Conflict {
+		put(putGeneration(n, text(n)), OutcomeCommitted)
+		id := network.submit(1, putGeneration(n, "other"))
+		if network.results[id].Outcome == OutcomeConflict {
 			known++
 		} else if known > 0 {
 			t.Fatalf("%d is not known any more, and an older one is", n)
@@ -197,73 +197,73 @@
 
 // What was taken under which number outlives a restart; of a word from before there was
 // a record, what the operator sent tells it.
-func TestTakenNumbersOnDisk(t *testing.T) {
+func TestAcceptedGenerationsOnDisk(t *testing.T) {
 	v, err := storage.Open(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := newBench(t, 1)
-	put := func(o Order, want Result) {
+	network := newProposerNetwork(t, 1)
+	put := func(command Command, want Outcome) {
 		t.Helper()
-		id := b.give(1, o)
-		for b.step(1) {
+		id := network.submit(1, command)
+		for network.step(1) {
 		}
-		b.expect(id, want)
+		network.expect(id, want)
 	}
 	again := func() {
 		t.Helper()
-		acceptor, err := (&Disk{Vault: v}).Load(Start{Slot: 1, Slots: 1})
-		if err != nil || acceptor.Phase != Established {
+		acceptor, err := (&StateStore{Store: v}).Load(Bootstrap{MemberID: 1, StaticSize: 1})
+		if err != nil || acceptor.Phase != PhaseEstablished {
 			t.Fatal(acceptor.Phase, err)
 		}
-		b.acceptors[0], b.proposers[1] = acceptor, &Proposer{}
-		b.proposers[1].Follow(acceptor, b.now)
+		network.acceptors[0], network.proposers[1] = acceptor, &Proposer{}
+		network.proposers[1].FollowAcceptor(acceptor, network.now)
 	}
-	put(generation(3, "three"), Taken)
-	put(generation(4, "four"), Taken)
-	acceptor := b.acceptors[0]
-	acceptor.OathDirty, acceptor.WordDirty = true, true
-	if err := (&Disk{Vault: v}).Save(acceptor); err != nil {
+	put(putGeneration(3, "three"), OutcomeCommitted)
+	put(putGeneration(4, "four"), OutcomeCommitted)
+	acceptor := network.acceptors[0]
+	acceptor.PromiseDirty, acceptor.StateDirty = true, true
+	if err := (&StateStore{Store: v}).Save(acceptor); err != nil {
 		t.Fatal(err)
 	}
 	again()
-	put(generation(4, "four"), Taken)
-	put(generation(4, "other"), Conflict)
-	put(generation(3, "three"), Taken)
-	put(generation(3, "other"), Conflict)
+	put(putGeneration(4, "four"), OutcomeCommitted)
+	put(putGeneration(4, "other"), OutcomeConflict)
+	put(putGeneration(3, "three"), OutcomeCommitted)
+	put(putGeneration(3, "other"), OutcomeConflict)
 
 	old := "{\"epoch\":4000000,\"stamp\":9,\"desired_stamp\":9,\"emptied\":null,\"edition\":7,\"sent\":\"c2VudCBzZXZlbg==\"}\nseven"
-	if err := v.Save(kindWord, "00000000000004000000.00000000000000000009", []byte(old)); err != nil {
+	if err := v.Save(kindState, "00000000000004000000.00000000000000000009", []byte(old)); err != nil {
 		t.Fatal(err)
 	}
-	b.now += time.Minute
+	network.now += time.Minute
 	again()
-	put(generation(7, "seven"), Taken)
-	put(generation(7, "other"), Conflict)
-	put(generation(6, "six"), Taken)
+	put(putGeneration(7, "seven"), OutcomeCommitted)
+	put(putGeneration(7, "other"), OutcomeConflict)
+	put(putGeneration(6, "six"), OutcomeCommitted)
 	old = "{\"epoch\":5000000,\"stamp\":10,\"desired_stamp\":10,\"emptied\":null,\"edition\":7}\nput without a number"
-	if err := v.Save(kindWord, "00000000000005000000.00000000000000000010", []byte(old)); err != nil {
+	if err := v.Save(kindState, "00000000000005000000.00000000000000000010", []byte(old)); err != nil {
 		t.Fatal(err)
 	}
 	again()
-	put(generation(7, "seven"), Taken) // it can't be told any more
+	put(putGeneration(7, "seven"), OutcomeCommitted) // it can't be told any more
 }
 
-// loaded is a word as it comes back from disk.
-func loaded(t *testing.T, w config.Word) config.Word {
+// saveAndLoad is a word as it comes back from disk.
+func saveAndLoad(t *testing.T, state config.ControlState) config.ControlState {
 	t.Helper()
 	v, err := storage.Open(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
-	acceptor := seated(1, Mark{Epoch: 1, Stamp: w.Stamp}, w)
-	acceptor.OathDirty, acceptor.WordDirty = true, true
-	if err := (&Disk{Vault: v}).Save(acceptor); err != nil {
+	acceptor := establishedAcceptor(1, Position{Term: 1, Revision: state.Revision}, state)
+	acceptor.PromiseDirty, acceptor.StateDirty = true, true
+	if err := (&StateStore{Store: v}).Save(acceptor); err != nil {
 		t.Fatal(err)
 	}
-	got, err := (&Disk{Vault: v}).Load(Start{})
-	if err != nil || got.Phase != Established {
+	got, err := (&StateStore{Store: v}).Load(Bootstrap{})
+	if err != nil || got.Phase != PhaseEstablished {
 		t.Fatal(got.Phase, err)
 	}
-	return got.Word
+	return got.State
 }
--- a/internal/controlplane/consensus/generation_test.go
+++ b/internal/controlplane/consensus/generation_test.go
@@ -11,52 +11,52 @@
 	"curlewwalk/internal/storage"
 )
 
-// bench is proposers and acceptors without a wire.
-type bench struct {
+// proposerNetwork is proposers and acceptors without a wire.
+type proposerNetwork struct {
 	t         *testing.T
 	now       time.Duration
 	acceptors []Acceptor
 	proposers map[int]*Proposer
-	answers   map[uint64]Answer
+	results   map[uint64]CommandResult
 	seq       uint64
 	// sent are the ballots of each proposer that are on their way.
-	sent map[int][]Outcome
+	sent map[int][]Ready
 	// proposed counts the words that were proposed.
 	proposed int
 }
 
-func newBench(t *testing.T, slots int) *bench {
-	b := &bench{t: t, proposers: map[int]*Proposer{}, answers: map[uint64]Answer{}, sent: map[int][]Outcome{}}
-	chairs := map[int]Chair{}
+func newProposerNetwork(t *testing.T, slots int) *proposerNetwork {
+	network := &proposerNetwork{t: t, proposers: map[int]*Proposer{}, results: map[uint64]CommandResult{}, sent: map[int][]Ready{}}
+	members := map[int]MemberRecord{}
 	for s := 1; s <= slots; s++ {
-		chairs[s] = Chair{Inc: 1, ID: uint64(s)}
+		members[s] = MemberRecord{Incarnation: 1, DiskID: uint64(s)}
 	}
 	for s := 1; s <= slots; s++ {
-		self := From{Slot: s, Inc: 1, ID: uint64(s)}
-		b.acceptors = append(b.acceptors, Acceptor{Self: self, Founded: slots, Phase: Established, Seats: chairs})
-		b.proposers[s] = &Proposer{}
-		b.proposers[s].Follow(b.acceptors[s-1], 0)
+		self := Sender{MemberID: s, Incarnation: 1, DiskID: uint64(s)}
+		network.acceptors = append(network.acceptors, Acceptor{Self: self, StaticSize: slots, Phase: PhaseEstablished, Members: members})
+		network.proposers[s] = &Proposer{}
+		network.proposers[s].FollowAcceptor(network.acceptors[s-1], 0)
 	}
-	return b
+	return network
 }
 
-// give hands a proposer an order.
-func (b *bench) give(slot int, o Order) uint64 {
-	b.seq++
-	o.ID, o.Until = b.seq, b.now+3*time.Second
-	b.obey(slot, b.proposers[slot].Take(o, b.now))
-	return o.ID
+// submit hands a proposer an order.
+func (network *proposerNetwork) submit(memberID int, command Command) uint64 {
+	network.seq++
+	command.ID, command.Deadline = network.seq, network.now+3*time.Second
+	network.handleReady(memberID, network.proposers[memberID].Enqueue(command, network.now))
+	return command.ID
 }
 
-func (b *bench) obey(slot int, outs []Outcome) {
-	for _, o := range outs {
-		if o.Answer != nil {
-			b.answers[o.Answer.ID] = *o.Answer
+func (network *proposerNetwork) handleReady(memberID int, readies []Ready) {
+	for _, ready := range readies {
+		if ready.Result != nil {
+			network.results[ready.Result.ID] = *ready.Result
 		}
-		if o.Ballot != nil {
-			b.sent[slot] = append(b.sent[slot], o)
-			if o.Ballot.Act == Propose {
-				b.proposed++
+		if ready.Message != nil {
+			network.sent[memberID] = append(network.sent[memberID], ready)
+			if ready.Message.Type == MsgAccept {
+				network.proposed++
 			}
 		}
 	}
@@ -64,112 +64,112 @@
 
 // step lets a proposer's ballots so far come to the acceptors, and their votes back;
 // false if there were none.
-func (b *bench) step(slot int) bool {
-	sent := b.sent[slot]
-	b.sent[slot] = nil
-	for _, o := range sent {
-		for _, m := range o.To {
-			s := m.Slot
-			next, vote := b.acceptors[s-1].On(*o.Ballot)
-			b.acceptors[s-1] = next
-			b.obey(slot, b.proposers[slot].Hear(vote, b.now))
+func (network *proposerNetwork) step(memberID int) bool {
+	sent := network.sent[memberID]
+	network.sent[memberID] = nil
+	for _, ready := range sent {
+		for _, m := range ready.To {
+			s := m.MemberID
+			next, reply := network.acceptors[s-1].Step(*ready.Message)
+			network.acceptors[s-1] = next
+			network.handleReady(memberID, network.proposers[memberID].HandleReply(reply, network.now))
 		}
 	}
 	return len(sent) > 0
 }
 
-// rest lets all that is on its way come, and a second pass.
-func (b *bench) rest() {
+// deliverAll lets all that is on its way come, and a second pass.
+func (network *proposerNetwork) deliverAll() {
 	for range 10 {
-		for slot := range b.proposers {
-			for b.step(slot) {
+		for memberID := range network.proposers {
+			for network.step(memberID) {
 			}
 		}
-		b.now += 100 * time.Millisecond
-		for slot, c := range b.proposers {
-			c.Follow(b.acceptors[slot-1], b.now)
-			b.obey(slot, c.Tick(b.now))
+		network.now += 100 * time.Millisecond
+		for memberID, p := range network.proposers {
+			p.FollowAcceptor(network.acceptors[memberID-1], network.now)
+			network.handleReady(memberID, p.Tick(network.now))
 		}
 	}
 }
 
-// newest is the word that a majority holds.
-func (b *bench) newest() config.Word {
-	votes := map[int]Vote{}
-	for i := range b.acceptors {
-		_, votes[i+1] = b.acceptors[i].On(Ballot{Act: Read})
+// newestState is the word that a majority holds.
+func (network *proposerNetwork) newestState() config.ControlState {
+	replies := map[int]Reply{}
+	for i := range network.acceptors {
+		_, replies[i+1] = network.acceptors[i].Step(Message{Type: MsgRead})
 	}
-	top, held := Newest(votes, b.acceptors[0].Sets())
+	highest, held := NewestState(replies, network.acceptors[0].MemberSets())
 	if !held {
-		b.t.Fatal("no majority holds the newest word")
+		network.t.Fatal("no majority holds the newest word")
 	}
-	return top.Word
+	return highest.State
 }
 
-func (b *bench) has(id uint64) bool {
-	_, ok := b.answers[id]
+func (network *proposerNetwork) hasResult(id uint64) bool {
+	_, ok := network.results[id]
 	return ok
 }
 
-func (b *bench) expect(id uint64, want Result) config.Word {
-	b.t.Helper()
-	a, ok := b.answers[id]
-	if !ok || a.Result != want {
-		b.t.Errorf("order %d: %q, want %q", id, a.Result, want)
+func (network *proposerNetwork) expect(id uint64, want Outcome) config.ControlState {
+	network.t.Helper()
+	result, ok := network.results[id]
+	if !ok || result.Outcome != want {
+		network.t.Errorf("order %d: %q, want %q", id, result.Outcome, want)
 	}
-	return a.Word
+	return result.State
 }
 
-func generation(n uint64, text string) Order {
-	return Order{Kind: Put, Generation: n, Bytes: []byte(text), Sent: []byte("sent " + text)}
+func putGeneration(n uint64, text string) Command {
+	return Command{Kind: CommandPutConfiguration, Generation: n, Payload: []byte(text), Submitted: []byte("sent " + text)}
 }
 
 // A generation is taken once; one that is no higher changes nothing; one without a
 // number keeps the number and clears what was sent.
 func TestGenerations(t *testing.T) {
-	b := newBench(t, 3)
-	put := func(slot int, o Order) config.Word {
+	network := newProposerNetwork(t, 3)
+	put := func(memberID int, command Command) config.ControlState {
 		t.Helper()
-		id := b.give(slot, o)
-		b.rest()
-		return b.expect(id, Taken)
+		id := network.submit(memberID, command)
+		network.deliverAll()
+		return network.expect(id, OutcomeCommitted)
 	}
-	w := put(1, generation(5, "five"))
-	if w.Generation != 5 || string(w.Desired) != "five" || string(w.Sent) != "sent five" || w.DesiredStamp != w.Stamp {
-		t.Errorf("%+v", w)
+	state := put(1, putGeneration(5, "five"))
+	if state.Generation != 5 || string(state.Configuration) != "five" || string(state.Submitted) != "sent five" || state.ConfigurationRevision != state.Revision {
+		t.Errorf("%+v", state)
 	}
 	for n, text := range map[uint64]string{5: "five", 4: "other", 1: "other"} {
-		if again := put(1, generation(n, text)); again.Stamp != w.Stamp || string(again.Desired) != "five" {
+		if again := put(1, putGeneration(n, text)); again.Revision != state.Revision || string(again.Configuration) != "five" {
 			t.Errorf("edition %d after 5: %+v", n, again)
 		}
 	}
-	other := b.give(1, generation(5, "other"))
-	b.rest()
-	b.expect(other, Conflict)
-	stamp := w.DesiredStamp + 7
-	o := generation(5, "five")
-	o.IfMatch = &stamp
-	put(2, o) // repeated at another core, whatever it is bound to
-	o = generation(6, "six")
-	o.IfMatch = &stamp
-	id := b.give(2, o)
-	b.rest()
-	b.expect(id, Mismatch)
-	put(2, Order{Kind: Empty, Zone: "west"})
-	if w = b.newest(); w.Generation != 5 || string(w.Sent) != "sent five" {
-		t.Errorf("after another order: %+v", w)
-	}
-	put(3, Order{Kind: Put, Bytes: []byte("plain"), Sent: []byte("no")})
-	if w = b.newest(); w.Generation != 5 || w.Sent != nil || string(w.Desired) != "plain" {
-		t.Errorf("after one without a number: %+v", w)
-	}
-	put(1, generation(5, "five"))
-	if w = b.newest(); string(w.Desired) != "plain" {
-		t.Errorf("an old edition came back: %+v", w)
-	}
-	put(1, generation(6, "six"))
-	if w = b.newest(); w.Generation != 6 || string(w.Desired) != "six" {
-		t.Errorf("%+v", w)
+	other := network.submit(1, putGeneration(5, "other"))
+	network.deliverAll()
+	network.expect(other, OutcomeConflict)
+	revision := state.ConfigurationRevision + 7
+	command := putGeneration(5, "five")
+	command.IfMatch = &revision
+	put(2, command) // repeated at another core, whatever it is bound to
+	command = putGeneration(6, "six")
+	command.IfMatch = &revision
+	id := network.submit(2, command)
+	network.deliverAll()
+	network.expect(id, OutcomeMismatch)
+	put(2, Command{Kind: CommandEvacuate, Zone: "west"})
+	if state = network.newestState(); state.Generation != 5 || string(state.Submitted) != "sent five" {
+		t.Errorf("after another order: %+v", state)
+	}
+	put(3, Command{Kind: CommandPutConfiguration, Payload: []byte("plain"), Submitted: []byte("no")})
+	if state = network.newestState(); state.Generation != 5 || state.Submitted != nil || string(state.Configuration) != "plain" {
+		t.Errorf("after one without a number: %+v", state)
+	}
+	put(1, putGeneration(5, "five"))
+	if state = network.newestState(); string(state.Configuration) != "plain" {
+		t.Errorf("an old edition came back: %+v", state)
+	}
+	put(1, putGeneration(6, "six"))
+	if state = network.newestState(); state.Generation != 6 || string(state.Configuration) != "six" {
+		t.Errorf("%+v", state)
 	}
 }
 
@@ -177,104 +177,104 @@
 // generations are acknowledged, and the higher one is held.
 func TestGenerationsRace(t *testing.T) {
 	for steps := range 64 {
-		b := newBench(t, 3)
-		low, high := b.give(1, generation(1, "low")), b.give(2, generation(2, "high"))
+		network := newProposerNetwork(t, 3)
+		low, high := network.submit(1, putGeneration(1, "low")), network.submit(2, putGeneration(2, "high"))
 		for bit := range 6 {
-			b.step(1 + steps>>bit&1)
+			network.step(1 + steps>>bit&1)
 		}
 		for range 4 {
-			b.rest()
+			network.deliverAll()
 		}
-		b.expect(low, Taken)
-		b.expect(high, Taken)
-		if w := b.newest(); w.Generation != 2 || string(w.Desired) != "high" {
-			t.Errorf("steps %b: %+v", steps, w)
+		network.expect(low, OutcomeCommitted)
+		network.expect(high, OutcomeCommitted)
+		if state := network.newestState(); state.Generation != 2 || string(state.Configuration) != "high" {
+			t.Errorf("steps %b: %+v", steps, state)
 		}
 	}
 }
 
 // A generation whose ballots were lost, and that another proposer's word came in the
 // way of, is proposed again and not left in doubt.
-func TestGenerationOvertaken(t *testing.T) {
-	b := newBench(t, 3)
-	first := b.give(1, Order{Kind: Empty, Zone: "west"})
-	b.rest()
-	b.expect(first, Taken)
-	overtaken := b.give(1, generation(1, "one"))
-	b.sent[1] = nil
-	b.proposers[2].Follow(b.acceptors[1], b.now)
-	other := b.give(2, Order{Kind: Empty, Zone: "east"})
-	for b.step(2) {
-	}
-	b.expect(other, Taken)
-	if w := b.newest(); w.Generation != 0 || w.Stamp != 2 {
-		t.Errorf("%+v", w)
-	}
-	b.rest()
-	b.expect(overtaken, Taken)
-	if w := b.newest(); w.Generation != 1 || len(w.Emptied) != 2 {
-		t.Errorf("%+v", w)
+func TestGenerationSupersededInFlight(t *testing.T) {
+	network := newProposerNetwork(t, 3)
+	first := network.submit(1, Command{Kind: CommandEvacuate, Zone: "west"})
+	network.deliverAll()
+	network.expect(first, OutcomeCommitted)
+	overtaken := network.submit(1, putGeneration(1, "one"))
+	network.sent[1] = nil
+	network.proposers[2].FollowAcceptor(network.acceptors[1], network.now)
+	other := network.submit(2, Command{Kind: CommandEvacuate, Zone: "east"})
+	for network.step(2) {
+	}
+	network.expect(other, OutcomeCommitted)
+	if state := network.newestState(); state.Generation != 0 || state.Revision != 2 {
+		t.Errorf("%+v", state)
+	}
+	network.deliverAll()
+	network.expect(overtaken, OutcomeCommitted)
+	if state := network.newestState(); state.Generation != 1 || len(state.EvacuatedByOperator) != 2 {
+		t.Errorf("%+v", state)
 	}
 }
 
 // Of generations that pile up while one is being written, the highest only is
 // written; all are acknowledged, the others once that is settled.
-func TestGenerationsPileUp(t *testing.T) {
-	b := newBench(t, 3)
-	first := b.give(1, generation(1, "1"))
-	for b.step(1) && b.proposed == 0 {
+func TestGenerationsQueueUp(t *testing.T) {
+	network := newProposerNetwork(t, 3)
+	first := network.submit(1, putGeneration(1, "1"))
+	for network.step(1) && network.proposed == 0 {
 	}
 	var ids []uint64
 	for _, n := range []uint64{3, 2, 30, 4, 29} { // while the first is proposed
-		ids = append(ids, b.give(1, generation(n, "later")))
+		ids = append(ids, network.submit(1, putGeneration(n, "later")))
 	}
-	empty := b.give(1, Order{Kind: Empty, Zone: "west"})
-	stamp := uint64(1)
-	bound := generation(31, "bound")
-	bound.IfMatch = &stamp
-	mismatch := b.give(1, bound)
-	for !b.has(ids[2]) && b.step(1) {
+	empty := network.submit(1, Command{Kind: CommandEvacuate, Zone: "west"})
+	revision := uint64(1)
+	bound := putGeneration(31, "bound")
+	bound.IfMatch = &revision
+	mismatch := network.submit(1, bound)
+	for !network.hasResult(ids[2]) && network.step(1) {
 	}
-	b.expect(first, Taken)
-	if w := b.expect(ids[2], Taken); w.Generation != 30 || w.Stamp != 2 {
-		t.Errorf("%+v", w)
+	network.expect(first, OutcomeCommitted)
+	if state := network.expect(ids[2], OutcomeCommitted); state.Generation != 30 || state.Revision != 2 {
+		t.Errorf("%+v", state)
 	}
-	b.rest()
+	network.deliverAll()
 	for _, id := range append(ids, empty) {
-		b.expect(id, Taken)
+		network.expect(id, OutcomeCommitted)
 	}
-	b.expect(mismatch, Mismatch)
-	if w := b.newest(); w.Generation != 30 || w.Stamp != 3 || b.proposed != 3 {
-		t.Errorf("%d words were proposed, %+v", b.proposed, w)
+	network.expect(mismatch, OutcomeMismatch)
+	if state := network.newestState(); state.Generation != 30 || state.Revision != 3 || network.proposed != 3 {
+		t.Errorf("%d words were proposed, %+v", network.proposed, state)
 	}
 }
 
 // A generation that waits for a higher one is not acknowledged if that is not
 // settled in time: it was never proposed, so it surely was not taken.
-func TestGenerationsUnsettled(t *testing.T) {
-	b := newBench(t, 3)
-	first := b.give(1, generation(1, "1"))
-	for b.step(1) && b.proposed == 0 {
-	}
-	low := b.give(1, generation(2, "2"))
-	b.now += time.Second
-	high := b.give(1, generation(3, "3"))
-	for !b.has(first) {
-		b.step(1)
-	}
-	b.sent[1] = nil // the ballots for 3 are lost, and all that come after
+func TestGenerationsUncommitted(t *testing.T) {
+	network := newProposerNetwork(t, 3)
+	first := network.submit(1, putGeneration(1, "1"))
+	for network.step(1) && network.proposed == 0 {
+	}
+	low := network.submit(1, putGeneration(2, "2"))
+	network.now += time.Second
+	high := network.submit(1, putGeneration(3, "3"))
+	for !network.hasResult(first) {
+		network.step(1)
+	}
+	network.sent[1] = nil // the ballots for 3 are lost, and all that come after
 	for range 40 {
-		b.now += 50 * time.Millisecond
-		b.obey(1, b.proposers[1].Tick(b.now))
-		b.sent[1] = nil
-		if b.has(low) && !b.has(high) {
-			b.expect(low, NotTaken)
+		network.now += 50 * time.Millisecond
+		network.handleReady(1, network.proposers[1].Tick(network.now))
+		network.sent[1] = nil
+		if network.hasResult(low) && !network.hasResult(high) {
+			network.expect(low, OutcomeRejected)
 		}
 	}
-	b.rest()
-	b.rest()
-	b.expect(low, NotTaken)
-	if !b.has(high) {
+	network.deliverAll()
+	network.deliverAll()
+	network.expect(low, OutcomeRejected)
+	if !network.hasResult(high) {
 		t.Error("the higher one has no answer")
 	}
 }
@@ -286,27 +286,27 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := Disk{Vault: v}
-	acceptor, err := d.Load(Start{Slot: 1, Slots: 1})
+	store := StateStore{Store: v}
+	acceptor, err := store.Load(Bootstrap{MemberID: 1, StaticSize: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
-	acceptor.Phase, acceptor.Self.Inc = Established, 1
-	acceptor.Mark = Mark{Epoch: 2, Stamp: 3}
-	acceptor.Word = config.Word{Stamp: 3, DesiredStamp: 3, Generation: 9, Desired: []byte("{\n}\n"), Sent: []byte("a\n\x00b")}
-	acceptor.OathDirty, acceptor.WordDirty = true, true
-	if err := d.Save(acceptor); err != nil {
+	acceptor.Phase, acceptor.Self.Incarnation = PhaseEstablished, 1
+	acceptor.Position = Position{Term: 2, Revision: 3}
+	acceptor.State = config.ControlState{Revision: 3, ConfigurationRevision: 3, Generation: 9, Configuration: []byte("{\n}\n"), Submitted: []byte("a\n\x00b")}
+	acceptor.PromiseDirty, acceptor.StateDirty = true, true
+	if err := store.Save(acceptor); err != nil {
 		t.Fatal(err)
 	}
-	got, err := (&Disk{Vault: v}).Load(Start{Slot: 1, Slots: 1})
-	if diff := cmp.Diff(acceptor.Word, got.Word, cmpopts.EquateEmpty()); diff != "" || err != nil {
+	got, err := (&StateStore{Store: v}).Load(Bootstrap{MemberID: 1, StaticSize: 1})
+	if diff := cmp.Diff(acceptor.State, got.State, cmpopts.EquateEmpty()); diff != "" || err != nil {
 		t.Error(diff, err)
 	}
 	old := "{\"epoch\":4,\"stamp\":4,\"desired_stamp\":4,\"emptied\":[\"west\"]}\n{}"
-	if err := v.Save(kindWord, "00000000000000000004.00000000000000000004", []byte(old)); err != nil {
+	if err := v.Save(kindState, "00000000000000000004.00000000000000000004", []byte(old)); err != nil {
 		t.Fatal(err)
 	}
-	if got, err = (&Disk{Vault: v}).Load(Start{Slot: 1, Slots: 1}); err != nil || got.Word.Generation != 0 || string(got.Word.Desired) != "{}" || got.Word.DesiredStamp != 4 {
-		t.Errorf("%+v %v", got.Word, err)
+	if got, err = (&StateStore{Store: v}).Load(Bootstrap{MemberID: 1, StaticSize: 1}); err != nil || got.State.Generation != 0 || string(got.State.Configuration) != "{}" || got.State.ConfigurationRevision != 4 {
+		t.Errorf("%+v %v", got.State, err)
 	}
 }
--- a/internal/controlplane/consensus/golden_disk_test.go
+++ b/internal/controlplane/consensus/golden_disk_test.go
@@ -18,13 +18,13 @@
 const goldenData = "data"
 
 // newcomer is who takes the place of the third founder.
-var newcomer = config.Member{Slot: 4, ID: 44, Addr: "10.0.0.4:7000"}
+var newcomer = config.Member{MemberID: 4, DiskID: 44, Addr: "10.0.0.4:7000"}
 
 // history is a system of three founders, the first of which writes all orders and has a disk.
 // A fourth core comes later.
 type history struct {
 	t         *testing.T
-	disk      *Disk
+	disk      *StateStore
 	now       time.Duration
 	acceptors map[uint64]Acceptor // by identity
 	proposer  Proposer
@@ -37,58 +37,58 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &history{t: t, disk: &Disk{Vault: v}, acceptors: map[uint64]Acceptor{}}
+	h := &history{t: t, disk: &StateStore{Store: v}, acceptors: map[uint64]Acceptor{}}
 	founders := []string{"10.0.0.1:7000", "10.0.0.2:7000", "10.0.0.3:7000"}
-	own, err := h.disk.Load(Start{First: true, Founders: founders, Addr: founders[0]})
+	own, err := h.disk.Load(Bootstrap{NewCluster: true, InitialMembers: founders, AdvertiseAddr: founders[0]})
 	if err != nil {
 		t.Fatal(err)
 	}
-	h.acceptors[own.Self.ID] = own
+	h.acceptors[own.Self.DiskID] = own
 	for _, addr := range founders[1:] {
-		v := Start{First: true, Founders: founders, Addr: addr}.Empty(1)
-		h.acceptors[v.Self.ID] = v
+		acceptor := Bootstrap{NewCluster: true, InitialMembers: founders, AdvertiseAddr: addr}.InitialState(1)
+		h.acceptors[acceptor.Self.DiskID] = acceptor
 	}
-	h.acceptors[newcomer.ID] = Start{Addr: newcomer.Addr}.Empty(newcomer.ID)
-	h.proposer.Follow(own, 0)
+	h.acceptors[newcomer.DiskID] = Bootstrap{AdvertiseAddr: newcomer.Addr}.InitialState(newcomer.DiskID)
+	h.proposer.FollowAcceptor(own, 0)
 	return h
 }
 
 // own is the core with the disk.
-func (h *history) own() Acceptor { return h.acceptors[h.proposer.Self.ID] }
+func (h *history) own() Acceptor { return h.acceptors[h.proposer.Self.DiskID] }
 
 // write has an order carried out by all.
-func (h *history) write(o Order) {
+func (h *history) write(command Command) {
 	h.t.Helper()
 	h.orders++
 	h.now += time.Second
-	o.ID, o.Until = h.orders, h.now+time.Second
+	command.ID, command.Deadline = h.orders, h.now+time.Second
 	h.known = false
-	h.deliver(h.proposer.Take(o, h.now))
+	h.deliver(h.proposer.Enqueue(command, h.now))
 	if !h.known {
-		h.t.Fatalf("order %d, %s, has no answer", o.ID, o.Kind)
+		h.t.Fatalf("order %d, %s, has no answer", command.ID, command.Kind)
 	}
 }
 
 // deliver brings ballots to whom they are for, and their votes back.
-func (h *history) deliver(outcomes []Outcome) {
-	for _, o := range outcomes {
-		if o.Answer != nil {
-			if o.Answer.Result != Taken {
-				h.t.Fatalf("order %d: %s", o.Answer.ID, o.Answer.Result)
+func (h *history) deliver(outcomes []Ready) {
+	for _, ready := range outcomes {
+		if ready.Result != nil {
+			if ready.Result.Outcome != OutcomeCommitted {
+				h.t.Fatalf("order %d: %s", ready.Result.ID, ready.Result.Outcome)
 			}
 			h.known = true
 		}
-		for _, m := range o.To {
-			next, vote := h.acceptors[m.ID].On(*o.Ballot)
-			h.acceptors[m.ID] = next
-			if m.ID == h.proposer.Self.ID {
+		for _, m := range ready.To {
+			next, reply := h.acceptors[m.DiskID].Step(*ready.Message)
+			h.acceptors[m.DiskID] = next
+			if m.DiskID == h.proposer.Self.DiskID {
 				if err := h.disk.Save(next); err != nil {
 					h.t.Fatal(err)
 				}
-				h.proposer.Follow(next, h.now)
+				h.proposer.FollowAcceptor(next, h.now)
 			}
-			if v := vote.By(m); v != nil && o.Ballot.Act != Settle {
-				h.deliver(h.proposer.Hear(*v, h.now))
+			if reply := reply.FromMember(m); reply != nil && ready.Message.Type != MsgCommit {
+				h.deliver(h.proposer.HandleReply(*reply, h.now))
 			}
 		}
 	}
@@ -98,23 +98,23 @@
 // zones emptied and taken back, a calendar with a window that was waived, and a change
 // of the members, which is finished.
 func (h *history) live() {
-	since := func() *uint64 { settled := h.own().Settled; return &settled }
+	since := func() *uint64 { settled := h.own().Committed; return &settled }
 	for n := range uint64(12) {
 		text := fmt.Sprintf(`{"ways":[],"contracts":[{"name":"c%d","aim":"1s","expiry":"2s","rank":1}]}`, n)
-		h.write(Order{Kind: Put, Generation: 10 + n, Bytes: []byte(text), Sent: []byte(fmt.Sprintf(`{"generation":%d}`, 10+n))})
+		h.write(Command{Kind: CommandPutConfiguration, Generation: 10 + n, Payload: []byte(text), Submitted: []byte(fmt.Sprintf(`{"generation":%d}`, 10+n))})
 	}
 	for _, zone := range []string{"north", "south", "west"} {
-		h.write(Order{Kind: Empty, Zone: zone, Since: since()})
-	}
-	h.write(Order{Kind: TakeBack, Zone: "south", Since: since()})
-	h.write(Order{Kind: Calendar, Bytes: []byte("BEGIN:VCALENDAR\r\nEND:VCALENDAR\r\n")})
-	h.write(Order{Kind: Begin, Zone: "east", Window: "w1@2026-12-02"})
-	h.write(Order{Kind: Begin, Zone: "far", Window: "w2@2026-12-02"})
-	h.write(Order{Kind: TakeBack, Zone: "far", Since: since()})
-	set := h.own().Sets().Now
-	h.write(Order{Kind: Reseat, Of: set, Seat: newcomer, Out: 3})
-	h.write(Order{Kind: Put, Generation: 30, Bytes: []byte(`{"ways":[],"contracts":[]}`), Sent: []byte(`{"generation":30}`)})
-	h.write(Order{Kind: Empty, Zone: "east", Since: since()})
+		h.write(Command{Kind: CommandEvacuate, Zone: zone, SinceRevision: since()})
+	}
+	h.write(Command{Kind: CommandRevokeEvacuation, Zone: "south", SinceRevision: since()})
+	h.write(Command{Kind: CommandPutCalendar, Payload: []byte("BEGIN:VCALENDAR\r\nEND:VCALENDAR\r\n")})
+	h.write(Command{Kind: CommandBeginWindow, Zone: "east", Window: "w1@2026-12-02"})
+	h.write(Command{Kind: CommandBeginWindow, Zone: "far", Window: "w2@2026-12-02"})
+	h.write(Command{Kind: CommandRevokeEvacuation, Zone: "far", SinceRevision: since()})
+	members := h.own().MemberSets().Current
+	h.write(Command{Kind: CommandReconfigure, ExpectedMembers: members, Joining: newcomer, Leaving: 3})
+	h.write(Command{Kind: CommandPutConfiguration, Generation: 30, Payload: []byte(`{"ways":[],"contracts":[]}`), Submitted: []byte(`{"generation":30}`)})
+	h.write(Command{Kind: CommandEvacuate, Zone: "east", SinceRevision: since()})
 }
 
 // readFolder reads all files of a folder.
@@ -147,9 +147,9 @@
 	if diff := cmp.Diff(readFolder(t, golden.Path(goldenData)), written); diff != "" {
 		t.Error(diff)
 	}
-	w := h.own().Word
-	if len(w.Slots) != 3 || len(w.Formerly) != 0 || w.Top != 4 || len(w.Taken) < 10 || len(w.Emptied) != 3 || len(w.Closures) != 2 || len(w.Evacuations) < 5 || w.Generation != 30 {
-		t.Errorf("the files hold less than they should: %+v", w)
+	state := h.own().State
+	if len(state.Members) != 3 || len(state.PreviousMembers) != 0 || state.HighestMemberID != 4 || len(state.AcceptedGenerations) < 10 || len(state.EvacuatedByOperator) != 3 || len(state.Closures) != 2 || len(state.Evacuations) < 5 || state.Generation != 30 {
+		t.Errorf("the files hold less than they should: %+v", state)
 	}
 }
 
@@ -168,13 +168,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	disk := &Disk{Vault: v}
-	got, err := disk.Load(Start{})
+	disk := &StateStore{Store: v}
+	got, err := disk.Load(Bootstrap{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	want := lived.own()
-	want.Settled, want.OathDirty, want.WordDirty = 0, false, false // these are not on disk
+	want.Committed, want.PromiseDirty, want.StateDirty = 0, false, false // these are not on disk
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
@@ -182,17 +182,17 @@
 		t.Error("opening the folder changed it: ", cmp.Diff(before, after))
 	}
 
-	newestWord := newest(before, kindWord)
-	newestOath := newest(before, kindOath)
-	got.OathDirty, got.WordDirty = true, true
+	newestWord := newest(before, kindState)
+	newestOath := newest(before, kindPromise)
+	got.PromiseDirty, got.StateDirty = true, true
 	if err := disk.Save(got); err != nil {
 		t.Fatal(err)
 	}
 	after := readFolder(t, dir)
-	if name := newest(after, kindWord); name != newestWord || after[name] != before[name] {
+	if name := newest(after, kindState); name != newestWord || after[name] != before[name] {
 		t.Errorf("the configuration is written as %s, %q, not as %s, %q", name, after[name], newestWord, before[newestWord])
 	}
-	if name := newest(after, kindOath); name <= newestOath || after[name] != before[newestOath] {
+	if name := newest(after, kindPromise); name <= newestOath || after[name] != before[newestOath] {
 		t.Errorf("the promise is written as %s, %q, not as after %s, %q", name, after[name], newestOath, before[newestOath])
 	}
 }
--- a/internal/controlplane/consensus/phase.go
+++ b/internal/controlplane/consensus/phase.go
@@ -6,10 +6,10 @@
 // A virgin disk never held anything; a lost one is known to have held more
 // than can be read; an established one votes.
 const (
-	Virgin      Phase = "virgin"
-	Lost        Phase = "lost"
-	Established Phase = "established"
+	PhaseEmpty       Phase = "virgin"
+	PhaseLost        Phase = "lost"
+	PhaseEstablished Phase = "established"
 	// A seeking one has no seat that it knows of. It votes all the same, since its
 	// disk never lost anything; only sets that name it count that.
-	Seeking Phase = "seeking"
+	PhaseJoining Phase = "seeking"
 )
--- a/internal/controlplane/consensus/proposer.go
+++ b/internal/controlplane/consensus/proposer.go
@@ -10,450 +10,454 @@
 
 const (
 	resendAfter = 250 * time.Millisecond // (ours)
-	yieldFor    = 100 * time.Millisecond // (ours)
-	// comeWithin is how long those that a changed set needs may take to answer; other
+	termBackoff = 100 * time.Millisecond // (ours)
+	// probeTimeout is how long those that a changed set needs may take to answer; other
 	// orders wait meanwhile.
-	comeWithin = 500 * time.Millisecond // (ours)
-	// finishWithin is how long a proposal that no order waits for may take, such as the
+	probeTimeout = 500 * time.Millisecond // (ours)
+	// finishTimeout is how long a proposal that no order waits for may take, such as the
 	// one that ends a change of the set.
-	finishWithin = time.Second // (ours)
+	finishTimeout = time.Second // (ours)
 )
 
 type proposerPhase int
 
 const (
-	idle proposerPhase = iota
-	preparing
-	proposing
-	probing // whether what a changed set needs is there
+	proposerIdle proposerPhase = iota
+	proposerPreparing
+	proposerAccepting
+	proposerProbing // whether what a changed set needs is there
 )
 
 // Proposer writes the word on behalf of the duty core, one order at a time, under
 // an epoch that a majority has promised to. (DESIGN 6.3)
 type Proposer struct {
-	Self    From
-	Founded int
+	Self       Sender
+	StaticSize int
 
-	founders []config.Member
-	sets     Sets // of the own acceptor
-	asked    []config.Member
-	opened   time.Duration // when this round of votes was
-	phase    proposerPhase
-	epoch    uint64 // zero: none held
-	known    uint64 // the highest epoch heard of
-	mark     Mark
-	word     config.Word
-	base     Mark
-	held     config.Word
-	own      bool // the proposal is the first order's, not a half-done one's
-	orders   []Order
-	votes    map[int]Vote
-	against  map[int]Vote // of this round, for another epoch
-	sent     time.Duration
-	rest     time.Duration // no new epoch before this
-	began    time.Duration // when the epoch was asked for
+	initialMembers []config.Member
+	memberSets     MemberSets // of the own acceptor
+	recipients     []config.Member
+	phaseStarted   time.Duration // when this round of votes was
+	phase          proposerPhase
+	term           uint64 // zero: none held
+	highestTerm    uint64 // the highest epoch heard of
+	position       Position
+	state          config.ControlState
+	basePosition   Position
+	baseState      config.ControlState
+	forCommand     bool // the proposal is the first order's, not a half-done one's
+	commands       []Command
+	grants         map[int]Reply
+	rejections     map[int]Reply // of this round, for another epoch
+	lastSent       time.Duration
+	backoffUntil   time.Duration // no new epoch before this
+	termStarted    time.Duration // when the epoch was asked for
 }
 
-// Take queues an order.
-func (c *Proposer) Take(o Order, now time.Duration) []Outcome {
-	o.at = now
-	if o.Kind == Put && o.Generation != 0 && o.Digest == nil {
-		o.Digest = config.Digest(o.Sent, o.Bytes)
-	}
-	c.orders = append(c.orders, o)
-	return c.proceed(now)
+// Enqueue queues an order.
+func (p *Proposer) Enqueue(command Command, now time.Duration) []Ready {
+	command.enqueuedAt = now
+	if command.Kind == CommandPutConfiguration && command.Generation != 0 && command.Digest == nil {
+		command.Digest = config.SubmissionDigest(command.Submitted, command.Payload)
+	}
+	p.commands = append(p.commands, command)
+	return p.advance(now)
 }
 
-// Hear takes a vote.
-func (c *Proposer) Hear(v Vote, now time.Duration) []Outcome {
-	c.known = max(c.known, v.Promised)
-	if c.phase == idle || v.Epoch != c.epoch || (c.phase == preparing || c.phase == probing) != (v.Act == Prepare) || (c.phase == proposing) != (v.Act == Propose) {
+// HandleReply takes a vote.
+func (p *Proposer) HandleReply(reply Reply, now time.Duration) []Ready {
+	p.highestTerm = max(p.highestTerm, reply.Promised)
+	if p.phase == proposerIdle || reply.Term != p.term || (p.phase == proposerPreparing || p.phase == proposerProbing) != (reply.Type == MsgPrepare) || (p.phase == proposerAccepting) != (reply.Type == MsgAccept) {
 		return nil
 	}
-	if c.phase == proposing && v.OK && v.Mark != c.mark {
+	if p.phase == proposerAccepting && reply.Granted && reply.Position != p.position {
 		return nil // a late vote for an earlier word of this epoch
 	}
-	if !v.OK {
-		if v.Promised > c.epoch {
-			c.denied(v, now)
+	if !reply.Granted {
+		if reply.Promised > p.term {
+			p.handleRejection(reply, now)
 		}
 		return nil
 	}
-	c.votes[v.From.Slot] = v
-	votes := Counted(c.votes)
+	p.grants[reply.Sender.MemberID] = reply
+	replies := CurrentReplies(p.grants)
 	// The own promise must be on disk first: it keeps a restarted proposer from
 	// taking the same epoch again. (DESIGN 6.3)
-	_, self := votes[c.Self.Slot]
-	sets := c.setsOf(c.word)
-	if c.phase == preparing {
-		_, sets = Top(votes, c.sets)
+	_, self := replies[p.Self.MemberID]
+	sets := p.memberSetsOf(p.state)
+	if p.phase == proposerPreparing {
+		_, sets = HighestReply(replies, p.memberSets)
 	}
 	switch {
-	case !self || !sets.Quorum(votes):
-		return c.further(v.Sets.Union())
-	case c.phase == probing:
-		if s := c.orders[0].Seat; s.Slot != 0 && !has([]config.Member{s}, votes[s.Slot].From) {
+	case !self || !sets.HasQuorum(replies):
+		return p.extendRecipients(reply.MemberSets.Union())
+	case p.phase == proposerProbing:
+		if s := p.commands[0].Joining; s.MemberID != 0 && !containsSender([]config.Member{s}, replies[s.MemberID].Sender) {
 			return nil
 		}
-		c.orders[0].proposed = c.mark
-		return c.begin(proposing, now)
-	case c.phase == preparing:
-		return c.prepared(votes, now)
+		p.commands[0].proposedAt = p.position
+		return p.startPhase(proposerAccepting, now)
+	case p.phase == proposerPreparing:
+		return p.handlePrepared(replies, now)
 	}
-	return c.settled(now)
+	return p.handleCommitted(now)
 }
 
-// denied takes a vote for a higher epoch. While a proposal can still be settled without
+// handleRejection takes a vote for a higher epoch. While a proposal can still be settled without
 // that acceptor, the proposer goes on under its own: a core that was cut off with a promise
 // that nobody else gave comes back without a new epoch. (DESIGN 6.3)
-func (c *Proposer) denied(v Vote, now time.Duration) {
-	c.against[v.From.Slot] = v
-	_, self := c.against[c.Self.Slot]
-	if c.phase != proposing || self || !c.setsOf(c.word).reachable(c.against) {
-		c.drop(now)
+func (p *Proposer) handleRejection(reply Reply, now time.Duration) {
+	p.rejections[reply.Sender.MemberID] = reply
+	_, self := p.rejections[p.Self.MemberID]
+	if p.phase != proposerAccepting || self || !p.memberSetsOf(p.state).quorumReachable(p.rejections) {
+		p.abandonTerm(now)
 	}
 }
 
 // Tick lets time pass.
-func (c *Proposer) Tick(now time.Duration) []Outcome {
-	var out []Outcome
-	for i := 0; i < len(c.orders); i++ {
-		o := c.orders[i]
-		if now < o.Until {
+func (p *Proposer) Tick(now time.Duration) []Ready {
+	var out []Ready
+	for i := 0; i < len(p.commands); i++ {
+		command := p.commands[i]
+		if now < command.Deadline {
 			continue
 		}
-		res := NotTaken
-		if o.proposed != (Mark{}) {
-			res = Unknown
-			if i == 0 && c.phase == proposing && c.own {
-				c.drop(now) // the half-done word is found or superseded by the next epoch
+		outcome := OutcomeRejected
+		if command.proposedAt != (Position{}) {
+			outcome = OutcomeUnknown
+			if i == 0 && p.phase == proposerAccepting && p.forCommand {
+				p.abandonTerm(now) // the half-done word is found or superseded by the next epoch
 			}
 		}
-		if c.phase == probing && i == 0 {
-			c.phase = idle // nobody has its word
+		if p.phase == proposerProbing && i == 0 {
+			p.phase = proposerIdle // nobody has its word
 		}
-		out = append(out, Outcome{Answer: &Answer{ID: o.ID, Result: res}})
-		c.orders = slices.Delete(c.orders, i, i+1)
+		out = append(out, Ready{Result: &CommandResult{ID: command.ID, Outcome: outcome}})
+		p.commands = slices.Delete(p.commands, i, i+1)
 		i--
 	}
-	if c.phase == probing && now-c.opened >= comeWithin {
-		out = append(out, Outcome{Answer: &Answer{ID: c.orders[0].ID, Result: NotTaken}})
-		c.orders = c.orders[1:]
-		c.drop(now)
+	if p.phase == proposerProbing && now-p.phaseStarted >= probeTimeout {
+		out = append(out, Ready{Result: &CommandResult{ID: p.commands[0].ID, Outcome: OutcomeRejected}})
+		p.commands = p.commands[1:]
+		p.abandonTerm(now)
 	}
-	finishing := c.phase == proposing && !c.own && now-c.opened < finishWithin
-	if c.phase != idle && len(c.orders) == 0 && !finishing {
-		c.drop(now)
+	finishing := p.phase == proposerAccepting && !p.forCommand && now-p.phaseStarted < finishTimeout
+	if p.phase != proposerIdle && len(p.commands) == 0 && !finishing {
+		p.abandonTerm(now)
 	}
-	if c.phase != idle && now-c.sent >= resendAfter {
-		if len(c.against) > 0 {
-			c.drop(now) // it has to be majorities without them, and those don't answer
+	if p.phase != proposerIdle && now-p.lastSent >= resendAfter {
+		if len(p.rejections) > 0 {
+			p.abandonTerm(now) // it has to be majorities without them, and those don't answer
 		} else {
-			out = append(out, c.send(now)...)
+			out = append(out, p.broadcast(now)...)
 		}
 	}
-	return append(out, c.proceed(now)...)
+	return append(out, p.advance(now)...)
 }
 
-// GiveBack ends the orders that were not proposed: they surely never will be by this
+// RejectUnproposed ends the orders that were not proposed: they surely never will be by this
 // proposer, and another core may take them.
-func (c *Proposer) GiveBack() (out []Outcome) {
-	var kept []Order
-	for i, o := range c.orders {
-		if o.proposed != (Mark{}) {
-			kept = append(kept, o)
+func (p *Proposer) RejectUnproposed() (out []Ready) {
+	var kept []Command
+	for i, command := range p.commands {
+		if command.proposedAt != (Position{}) {
+			kept = append(kept, command)
 			continue
 		}
-		if i == 0 && c.phase == probing {
-			c.phase = idle // nobody has its word
+		if i == 0 && p.phase == proposerProbing {
+			p.phase = proposerIdle // nobody has its word
 		}
-		out = append(out, Outcome{Answer: &Answer{ID: o.ID, Result: NotTaken}})
+		out = append(out, Ready{Result: &CommandResult{ID: command.ID, Outcome: OutcomeRejected}})
 	}
-	c.orders = kept
+	p.commands = kept
 	return out
 }
 
-func (c *Proposer) drop(now time.Duration) {
-	c.phase, c.epoch = idle, 0
-	rank := 1
-	for _, m := range c.sets.Now {
-		if m.Slot < c.Self.Slot {
-			rank++
+func (p *Proposer) abandonTerm(now time.Duration) {
+	p.phase, p.term = proposerIdle, 0
+	position := 1
+	for _, m := range p.memberSets.Current {
+		if m.MemberID < p.Self.MemberID {
+			position++
 		}
 	}
-	c.rest = now + yieldFor*time.Duration(rank)
+	p.backoffUntil = now + termBackoff*time.Duration(position)
 }
 
-func (c *Proposer) proceed(now time.Duration) []Outcome {
-	var out []Outcome
-	for c.phase == idle && len(c.orders) > 0 {
-		if c.epoch == 0 {
-			if now < c.rest {
+func (p *Proposer) advance(now time.Duration) []Ready {
+	var out []Ready
+	for p.phase == proposerIdle && len(p.commands) > 0 {
+		if p.term == 0 {
+			if now < p.backoffUntil {
 				return out
 			}
-			c.epoch = epochAfter(c.known, c.Self.Slot, c.Founded)
-			c.began = now
-			return append(out, c.begin(preparing, now)...)
+			p.term = nextTerm(p.highestTerm, p.Self.MemberID, p.StaticSize)
+			p.termStarted = now
+			return append(out, p.startPhase(proposerPreparing, now)...)
 		}
-		c.overtake()
-		o := &c.orders[0]
-		ans, done := judgeReseat(c.held, c.setsOf(c.held).Now, *o)
+		p.prioritizeHighestGeneration()
+		command := &p.commands[0]
+		result, done := resolveReconfiguration(p.baseState, p.memberSetsOf(p.baseState).Current, *command)
 		if !done {
-			ans, done = c.judge(*o)
+			result, done = p.resolveWithoutWrite(*command)
 		}
 		if done {
-			if c.began < o.at && (o.Kind == Refresh || ans.Result == Mismatch || ans.Result == NotTaken) {
+			if p.termStarted < command.enqueuedAt && (command.Kind == CommandRefresh || result.Outcome == OutcomeMismatch || result.Outcome == OutcomeRejected) {
 				// What is held may have been overtaken under a later epoch: only
 				// an epoch begun since the order came proves it the newest.
-				c.epoch = 0
+				p.term = 0
 				continue
 			}
-			c.orders = c.orders[1:]
-			out = append(out, Outcome{Answer: &ans})
+			p.commands = p.commands[1:]
+			out = append(out, Ready{Result: &result})
 			continue
 		}
-		c.mark, c.word, c.own = Mark{Epoch: c.epoch, Stamp: c.held.Stamp + 1}, change(next(c.held, *o), c.setsOf(c.held).Now, *o), true
-		if o.Kind == Reseat {
+		p.position, p.state, p.forCommand = Position{Term: p.term, Revision: p.baseState.Revision + 1}, applyReconfiguration(applyCommand(p.baseState, *command), p.memberSetsOf(p.baseState).Current, *command), true
+		if command.Kind == CommandReconfigure {
 			// A change that its sets can't settle would hold up all that comes after: who
 			// is needed for it must be there, the newcomer above all.
-			return append(out, c.begin(probing, now)...)
+			return append(out, p.startPhase(proposerProbing, now)...)
 		}
-		o.proposed = c.mark
-		out = append(out, c.begin(proposing, now)...)
+		command.proposedAt = p.position
+		out = append(out, p.startPhase(proposerAccepting, now)...)
 	}
 	return out
 }
 
-// overtake has the highest of the generations that wait go before the first, if that
+// prioritizeHighestGeneration has the highest of the generations that wait go before the first, if that
 // is one: once it is settled, the others need no write. Whoever gave them has no
 // response yet, so any order among them is as good.
-func (c *Proposer) overtake() {
-	waits := func(o Order) bool { return o.Kind == Put && o.Generation != 0 && o.IfMatch == nil }
-	if !waits(c.orders[0]) {
+func (p *Proposer) prioritizeHighestGeneration() {
+	reorderable := func(command Command) bool {
+		return command.Kind == CommandPutConfiguration && command.Generation != 0 && command.IfMatch == nil
+	}
+	if !reorderable(p.commands[0]) {
 		return
 	}
-	top := 0
-	for i, o := range c.orders {
-		if waits(o) && o.Generation > c.orders[top].Generation {
-			top = i
+	highest := 0
+	for i, command := range p.commands {
+		if reorderable(command) && command.Generation > p.commands[highest].Generation {
+			highest = i
 		}
 	}
-	if first := c.orders[top]; top > 0 {
-		copy(c.orders[1:top+1], c.orders[:top])
-		c.orders[0] = first
+	if first := p.commands[highest]; highest > 0 {
+		copy(p.commands[1:highest+1], p.commands[:highest])
+		p.commands[0] = first
 	}
 }
 
-// judge ends an order that needs no write.
-func (c *Proposer) judge(o Order) (Answer, bool) {
-	ans := Answer{ID: o.ID, Result: Taken, Word: c.held}
-	if res, done := superseded(c.held, o); done {
-		ans.Result = res
-		return ans, true
+// resolveWithoutWrite ends an order that needs no write.
+func (p *Proposer) resolveWithoutWrite(command Command) (CommandResult, bool) {
+	result := CommandResult{ID: command.ID, Outcome: OutcomeCommitted, State: p.baseState}
+	if outcome, done := supersededEvacuation(p.baseState, command); done {
+		result.Outcome = outcome
+		return result, true
 	}
 	switch {
-	case o.Kind == Refresh:
-		return ans, true
-	case o.Kind == Begin && c.held.Noted(o.Window), o.Kind == End && !c.held.Noted(o.Window):
-		return ans, true // whoever had the duty before has seen to it
-	case o.Kind == Put && o.Generation != 0 && o.Generation <= c.held.Generation:
-		ans.Result = repeated(c.held, o)
-		return ans, true
-	case o.Kind == Put && o.Generation != 0 && o.proposed.Stamp != 0 && o.IfMatch == nil:
+	case command.Kind == CommandRefresh:
+		return result, true
+	case command.Kind == CommandBeginWindow && p.baseState.HasClosure(command.Window), command.Kind == CommandEndWindow && !p.baseState.HasClosure(command.Window):
+		return result, true // whoever had the duty before has seen to it
+	case command.Kind == CommandPutConfiguration && command.Generation != 0 && command.Generation <= p.baseState.Generation:
+		result.Outcome = repeatedGeneration(p.baseState, command)
+		return result, true
+	case command.Kind == CommandPutConfiguration && command.Generation != 0 && command.proposedAt.Revision != 0 && command.IfMatch == nil:
 		// Generations never fall, so it was not taken, and a word under a later epoch
 		// stands in its way for good: it is proposed once more.
-		return ans, false
-	case o.Since != nil && o.proposed.Stamp != 0 && o.IfMatch == nil:
-		return ans, false // it is not on record, so it was not taken, as above
-	case o.proposed.Stamp != 0 && c.held.Stamp > o.proposed.Stamp:
-		ans.Result = Unknown
-		return ans, true
-	case o.proposed.Stamp != 0 && c.held.Stamp == o.proposed.Stamp && does(c.held, o):
-		return ans, true
-	case o.IfMatch != nil && o.Kind == Calendar && *o.IfMatch != c.held.CalendarStamp,
-		o.IfMatch != nil && o.Kind != Calendar && *o.IfMatch != c.held.DesiredStamp:
-		ans.Result = Mismatch
-		return ans, true
-	}
-	return ans, false
+		return result, false
+	case command.SinceRevision != nil && command.proposedAt.Revision != 0 && command.IfMatch == nil:
+		return result, false // it is not on record, so it was not taken, as above
+	case command.proposedAt.Revision != 0 && p.baseState.Revision > command.proposedAt.Revision:
+		result.Outcome = OutcomeUnknown
+		return result, true
+	case command.proposedAt.Revision != 0 && p.baseState.Revision == command.proposedAt.Revision && satisfies(p.baseState, command):
+		return result, true
+	case command.IfMatch != nil && command.Kind == CommandPutCalendar && *command.IfMatch != p.baseState.CalendarRevision,
+		command.IfMatch != nil && command.Kind != CommandPutCalendar && *command.IfMatch != p.baseState.ConfigurationRevision:
+		result.Outcome = OutcomeMismatch
+		return result, true
+	}
+	return result, false
 }
 
-// repeated is what becomes of a configuration whose number is no higher than the one
+// repeatedGeneration is what becomes of a configuration whose number is no higher than the one
 // held: the bytes that were taken under it are acknowledged again, others are refused,
 // and a number that was passed over, or taken too long ago to be known, is acknowledged
 // and changes nothing. What is held is settled, so no later word can tell otherwise.
 // (DESIGN 6.3)
-func repeated(held config.Word, o Order) Result {
-	if same, known := held.TakenAs(o.Generation, o.Digest); known && !same {
-		return Conflict
+func repeatedGeneration(base config.ControlState, command Command) Outcome {
+	if same, known := base.LookupGeneration(command.Generation, command.Digest); known && !same {
+		return OutcomeConflict
 	}
-	return Taken
+	return OutcomeCommitted
 }
 
-// superseded ends an order on a zone if another, or this one, was taken there since
+// supersededEvacuation ends an order on a zone if another, or this one, was taken there since
 // it came. One that asked for the same makes it good as well; one that asked for the
 // opposite is newer, and stays. (DESIGN 6.3)
-func superseded(held config.Word, o Order) (Result, bool) {
-	bound := o.IfMatch == nil || *o.IfMatch == held.DesiredStamp
-	if o.Since == nil || o.Kind != Empty && o.Kind != TakeBack || !bound {
+func supersededEvacuation(base config.ControlState, command Command) (Outcome, bool) {
+	conditionHolds := command.IfMatch == nil || *command.IfMatch == base.ConfigurationRevision
+	if command.SinceRevision == nil || command.Kind != CommandEvacuate && command.Kind != CommandRevokeEvacuation || !conditionHolds {
 		return "", false
 	}
-	at, known := held.EvacuatedAt(o.Zone)
+	revision, known := base.EvacuationRevision(command.Zone)
 	switch {
-	case at <= *o.Since:
+	case revision <= *command.SinceRevision:
 		return "", false
-	case known && slices.Contains(held.Emptied, o.Zone) == (o.Kind == Empty):
-		return Taken, true
+	case known && slices.Contains(base.EvacuatedByOperator, command.Zone) == (command.Kind == CommandEvacuate):
+		return OutcomeCommitted, true
 	}
-	return Overtaken, true
+	return OutcomeSuperseded, true
 }
 
-// does tells whether a held word is what the order asked for.
-func does(w config.Word, o Order) bool {
-	switch o.Kind {
-	case Put:
-		return w.DesiredStamp == w.Stamp && bytes.Equal(w.Desired, o.Bytes) && (o.Generation == 0 || w.Generation == o.Generation)
-	case Calendar:
-		return w.CalendarStamp == w.Stamp && bytes.Equal(w.Calendar, o.Bytes)
-	case Empty:
-		return slices.Contains(w.Emptied, o.Zone)
-	case Begin:
-		return w.Noted(o.Window)
-	case End:
-		return !w.Noted(o.Window)
-	case Reseat:
+// satisfies tells whether a held word is what the order asked for.
+func satisfies(state config.ControlState, command Command) bool {
+	switch command.Kind {
+	case CommandPutConfiguration:
+		return state.ConfigurationRevision == state.Revision && bytes.Equal(state.Configuration, command.Payload) && (command.Generation == 0 || state.Generation == command.Generation)
+	case CommandPutCalendar:
+		return state.CalendarRevision == state.Revision && bytes.Equal(state.Calendar, command.Payload)
+	case CommandEvacuate:
+		return slices.Contains(state.EvacuatedByOperator, command.Zone)
+	case CommandBeginWindow:
+		return state.HasClosure(command.Window)
+	case CommandEndWindow:
+		return !state.HasClosure(command.Window)
+	case CommandReconfigure:
 		return false // judgeReseat looks at that
 	}
-	return !slices.Contains(w.Shut(), o.Zone)
+	return !slices.Contains(state.EvacuatedZones(), command.Zone)
 }
 
-// next is the word that an order makes of the one before.
-func next(w config.Word, o Order) config.Word {
-	w.Stamp++
-	w.Emptied, w.Closures = slices.Clone(w.Emptied), slices.Clone(w.Closures)
-	open := func() { w.Emptied = slices.DeleteFunc(w.Emptied, func(l string) bool { return l == o.Zone }) }
-	switch o.Kind {
-	case Put:
-		w.Desired, w.DesiredStamp, w.Sent = o.Bytes, w.Stamp, nil
-		if o.Generation != 0 {
-			w.Generation, w.Sent, w.Taken = o.Generation, o.Sent, w.Take(o.Generation, o.Digest)
+// applyCommand is the word that an order makes of the one before.
+func applyCommand(state config.ControlState, command Command) config.ControlState {
+	state.Revision++
+	state.EvacuatedByOperator, state.Closures = slices.Clone(state.EvacuatedByOperator), slices.Clone(state.Closures)
+	removeZone := func() {
+		state.EvacuatedByOperator = slices.DeleteFunc(state.EvacuatedByOperator, func(l string) bool { return l == command.Zone })
+	}
+	switch command.Kind {
+	case CommandPutConfiguration:
+		state.Configuration, state.ConfigurationRevision, state.Submitted = command.Payload, state.Revision, nil
+		if command.Generation != 0 {
+			state.Generation, state.Submitted, state.AcceptedGenerations = command.Generation, command.Submitted, state.AppendGeneration(command.Generation, command.Digest)
 		}
-	case Calendar:
-		w.Calendar, w.CalendarStamp = o.Bytes, w.Stamp
-	case Empty:
-		open()
-		w.Emptied = append(w.Emptied, o.Zone)
-		slices.Sort(w.Emptied)
-		w = w.Evacuate(o.Zone)
-	case TakeBack:
-		open()
-		for i := range w.Closures {
+	case CommandPutCalendar:
+		state.Calendar, state.CalendarRevision = command.Payload, state.Revision
+	case CommandEvacuate:
+		removeZone()
+		state.EvacuatedByOperator = append(state.EvacuatedByOperator, command.Zone)
+		slices.Sort(state.EvacuatedByOperator)
+		state = state.WithEvacuation(command.Zone)
+	case CommandRevokeEvacuation:
+		removeZone()
+		for i := range state.Closures {
 			// It stays noted, so that it is not begun again.
-			w.Closures[i].Waived = w.Closures[i].Waived || w.Closures[i].Zone == o.Zone
+			state.Closures[i].Waived = state.Closures[i].Waived || state.Closures[i].Zone == command.Zone
 		}
-		w = w.Evacuate(o.Zone)
-	case Begin:
-		w.Closures = append(w.Closures, config.Closure{Zone: o.Zone, Window: o.Window})
-	case End:
-		w.Closures = slices.DeleteFunc(w.Closures, func(c config.Closure) bool { return c.Window == o.Window })
+		state = state.WithEvacuation(command.Zone)
+	case CommandBeginWindow:
+		state.Closures = append(state.Closures, config.ZoneClosure{Zone: command.Zone, Window: command.Window})
+	case CommandEndWindow:
+		state.Closures = slices.DeleteFunc(state.Closures, func(c config.ZoneClosure) bool { return c.Window == command.Window })
 	}
-	return w
+	return state
 }
 
-// prepared: a majority promised; the highest word among them is proposed again
+// handlePrepared: a majority promised; the highest word among them is proposed again
 // under the own epoch, which finishes whatever was left half done.
-func (c *Proposer) prepared(votes map[int]Vote, now time.Duration) []Outcome {
-	c.base, c.held = Mark{}, config.Word{}
-	for _, v := range votes {
-		if c.base.Compare(v.Mark) < 0 {
-			c.base, c.held = v.Mark, v.Word
+func (p *Proposer) handlePrepared(replies map[int]Reply, now time.Duration) []Ready {
+	p.basePosition, p.baseState = Position{}, config.ControlState{}
+	for _, reply := range replies {
+		if p.basePosition.Compare(reply.Position) < 0 {
+			p.basePosition, p.baseState = reply.Position, reply.State
 		}
 	}
-	if c.base == (Mark{}) {
-		c.phase = idle
-		return c.proceed(now)
+	if p.basePosition == (Position{}) {
+		p.phase = proposerIdle
+		return p.advance(now)
 	}
-	c.mark, c.word, c.own = Mark{Epoch: c.epoch, Stamp: c.base.Stamp}, c.held, false
-	return c.begin(proposing, now)
+	p.position, p.state, p.forCommand = Position{Term: p.term, Revision: p.basePosition.Revision}, p.baseState, false
+	return p.startPhase(proposerAccepting, now)
 }
 
-// settled: a majority holds the proposal.
-func (c *Proposer) settled(now time.Duration) []Outcome {
-	c.base, c.held = c.mark, c.word
-	c.phase = idle
-	out := []Outcome{{Ballot: &Ballot{From: c.Self, Act: Settle, Epoch: c.epoch, Mark: c.mark, Word: c.word}, To: union(c.asked, c.sets.Union())}}
-	if c.own {
-		out = append(out, Outcome{Answer: &Answer{ID: c.orders[0].ID, Result: Taken, Word: c.word}})
-		c.orders = c.orders[1:]
-	}
-	if len(c.word.Formerly) > 0 {
+// handleCommitted: a majority holds the proposal.
+func (p *Proposer) handleCommitted(now time.Duration) []Ready {
+	p.basePosition, p.baseState = p.position, p.state
+	p.phase = proposerIdle
+	out := []Ready{{Message: &Message{Sender: p.Self, Type: MsgCommit, Term: p.term, Position: p.position, State: p.state}, To: unionMembers(p.recipients, p.memberSets.Union())}}
+	if p.forCommand {
+		out = append(out, Ready{Result: &CommandResult{ID: p.commands[0].ID, Outcome: OutcomeCommitted, State: p.state}})
+		p.commands = p.commands[1:]
+	}
+	if len(p.state.PreviousMembers) > 0 {
 		// Until the next word majorities of both sets are needed: it is written at once.
-		c.mark.Stamp++
-		c.word, c.own = sealed(c.word), false
-		return append(out, c.begin(proposing, now)...)
+		p.position.Revision++
+		p.state, p.forCommand = finalizeReconfiguration(p.state), false
+		return append(out, p.startPhase(proposerAccepting, now)...)
 	}
-	return append(out, c.proceed(now)...)
+	return append(out, p.advance(now)...)
 }
 
-// begin opens a new round of votes.
-func (c *Proposer) begin(p proposerPhase, now time.Duration) []Outcome {
-	c.phase, c.votes, c.against, c.opened = p, map[int]Vote{}, map[int]Vote{}, now
-	c.asked = union(c.sets.Union(), c.self())
-	if p != preparing {
-		c.asked = union(c.setsOf(c.word).Union(), c.self())
-	}
-	return c.send(now)
+// startPhase opens a new round of votes.
+func (p *Proposer) startPhase(phase proposerPhase, now time.Duration) []Ready {
+	p.phase, p.grants, p.rejections, p.phaseStarted = phase, map[int]Reply{}, map[int]Reply{}, now
+	p.recipients = unionMembers(p.memberSets.Union(), p.unlistedSelf())
+	if phase != proposerPreparing {
+		p.recipients = unionMembers(p.memberSetsOf(p.state).Union(), p.unlistedSelf())
+	}
+	return p.broadcast(now)
 }
 
-// self is the own acceptor, as far as no set names it.
-func (c *Proposer) self() []config.Member {
-	if has(c.sets.Union(), c.Self) {
+// unlistedSelf is the own acceptor, as far as no set names it.
+func (p *Proposer) unlistedSelf() []config.Member {
+	if containsSender(p.memberSets.Union(), p.Self) {
 		return nil
 	}
-	return []config.Member{{Slot: c.Self.Slot, ID: c.Self.ID}}
+	return []config.Member{{MemberID: p.Self.MemberID, DiskID: p.Self.DiskID}}
 }
 
-// setsOf are the sets of a word.
-func (c *Proposer) setsOf(w config.Word) Sets {
-	return Acceptor{Word: w, Founded: c.Founded, Founders: c.founders}.Sets()
+// memberSetsOf are the sets of a word.
+func (p *Proposer) memberSetsOf(state config.ControlState) MemberSets {
+	return Acceptor{State: state, StaticSize: p.StaticSize, InitialMembers: p.initialMembers}.MemberSets()
 }
 
-// further puts the current ballot to members that a vote has told of as well.
-func (c *Proposer) further(told []config.Member) []Outcome {
-	more := slices.DeleteFunc(told, func(m config.Member) bool {
-		return slices.ContainsFunc(c.asked, func(a config.Member) bool { return same(a, m) })
+// extendRecipients puts the current ballot to members that a vote has told of as well.
+func (p *Proposer) extendRecipients(learned []config.Member) []Ready {
+	more := slices.DeleteFunc(learned, func(m config.Member) bool {
+		return slices.ContainsFunc(p.recipients, func(a config.Member) bool { return sameMember(a, m) })
 	})
-	if c.phase != preparing || len(more) == 0 {
+	if p.phase != proposerPreparing || len(more) == 0 {
 		return nil
 	}
-	c.asked = union(c.asked, more)
-	return []Outcome{{Ballot: c.ballot(), To: more}}
+	p.recipients = unionMembers(p.recipients, more)
+	return []Ready{{Message: p.message(), To: more}}
 }
 
-// send puts the current ballot to every slot that has not voted for it.
-func (c *Proposer) send(now time.Duration) []Outcome {
-	c.sent = now
-	to := slices.DeleteFunc(slices.Clone(c.asked), func(m config.Member) bool { _, ok := c.votes[m.Slot]; return ok })
-	return []Outcome{{Ballot: c.ballot(), To: to}}
+// broadcast puts the current ballot to every slot that has not voted for it.
+func (p *Proposer) broadcast(now time.Duration) []Ready {
+	p.lastSent = now
+	to := slices.DeleteFunc(slices.Clone(p.recipients), func(m config.Member) bool { _, ok := p.grants[m.MemberID]; return ok })
+	return []Ready{{Message: p.message(), To: to}}
 }
 
-func (c *Proposer) ballot() *Ballot {
-	b := &Ballot{From: c.Self, Act: Prepare, Epoch: c.epoch}
-	switch c.phase {
-	case proposing:
-		b.Act, b.Mark, b.Word = Propose, c.mark, c.word
-	case probing:
-		b.Word.Slots, b.Word.Formerly, b.Mark = c.word.Slots, c.word.Formerly, c.mark // what it is for
-	}
-	return b
+func (p *Proposer) message() *Message {
+	message := &Message{Sender: p.Self, Type: MsgPrepare, Term: p.term}
+	switch p.phase {
+	case proposerAccepting:
+		message.Type, message.Position, message.State = MsgAccept, p.position, p.state
+	case proposerProbing:
+		message.State.Members, message.State.PreviousMembers, message.Position = p.state.Members, p.state.PreviousMembers, p.position // what it is for
+	}
+	return message
 }
 
-// Follow tells the proposer how the own acceptor stands. One without a seat can't go on
+// FollowAcceptor tells the proposer how the own acceptor stands. One without a seat can't go on
 // with what it began.
-func (c *Proposer) Follow(v Acceptor, now time.Duration) {
-	if v.Phase != Established && c.phase != idle {
-		c.drop(now)
+func (p *Proposer) FollowAcceptor(acceptor Acceptor, now time.Duration) {
+	if acceptor.Phase != PhaseEstablished && p.phase != proposerIdle {
+		p.abandonTerm(now)
 	}
-	c.Self, c.Founded, c.founders, c.sets = v.Self, v.Founded, v.Founders, v.Sets()
-	c.known = max(c.known, v.Promised)
+	p.Self, p.StaticSize, p.initialMembers, p.memberSets = acceptor.Self, acceptor.StaticSize, acceptor.InitialMembers, acceptor.MemberSets()
+	p.highestTerm = max(p.highestTerm, acceptor.Promised)
 }
--- /dev/null
+++ b/internal/controlplane/consensus/state_encoding.go
@@ -0,0 +1,173 @@
+package consensus
+
+import (
+	"encoding/binary"
+	"maps"
+	"slices"
+	"time"
+
+	"curlewwalk/internal/config"
+)
+
+// What follows lets an exploration of all interleavings tell states apart: copies that
+// share nothing, and canonical encodings. Two states of one encoding behave alike from
+// here on. (DESIGN 14.9)
+
+// Clone is a copy of the proposer that shares nothing that changes.
+func (p *Proposer) Clone() *Proposer {
+	out := *p
+	out.grants, out.rejections, out.commands = maps.Clone(p.grants), maps.Clone(p.rejections), slices.Clone(p.commands)
+	return &out
+}
+
+// AppendState appends an encoding of the proposer. Times are told as far as they matter to
+// somebody whose next look at the clock is far later than any limit of the proposer's.
+func (p *Proposer) AppendState(b []byte, now time.Duration) []byte {
+	b = appendSender(b, p.Self)
+	b = appendMembers(b, p.initialMembers)
+	b = appendMemberSets(b, p.memberSets)
+	b = appendMembers(b, p.recipients)
+	b = appendNumbers(b, uint64(p.phase), p.term, p.highestTerm)
+	b = appendPosition(b, p.position)
+	b = AppendControlState(b, p.state)
+	b = appendPosition(b, p.basePosition)
+	b = AppendControlState(b, p.baseState)
+	b = appendFlags(b, p.forCommand, now < p.backoffUntil)
+	b = appendNumbers(b, uint64(len(p.commands)))
+	for _, command := range p.commands {
+		b = appendNumbers(b, command.ID)
+		b = appendPosition(b, command.proposedAt)
+		b = appendFlags(b, p.termStarted < command.enqueuedAt)
+	}
+	if p.phase == proposerIdle {
+		return b // the votes of a round that is over count for nothing
+	}
+	return appendReplies(appendReplies(b, p.grants), p.rejections)
+}
+
+func appendReplies(b []byte, replies map[int]Reply) []byte {
+	b = appendNumbers(b, uint64(len(replies)))
+	for _, memberID := range slices.Sorted(maps.Keys(replies)) {
+		b = appendNumbers(b, uint64(memberID))
+		b = replies[memberID].AppendState(b)
+	}
+	return b
+}
+
+// AppendState appends an encoding of the acceptor.
+func (a Acceptor) AppendState(b []byte) []byte {
+	b = appendSender(b, a.Self)
+	b = append(b, a.Phase...)
+	b = appendMembers(b, a.InitialMembers)
+	b = appendNumbers(b, uint64(a.StaticSize), a.Promised, a.Committed)
+	b = appendPosition(b, a.Position)
+	b = AppendControlState(b, a.State)
+	return appendMemberRecords(b, a.Members)
+}
+
+// AppendState appends an encoding of the vote.
+func (r Reply) AppendState(b []byte) []byte {
+	b = appendSender(b, r.Sender)
+	b = append(b, r.Type...)
+	b = append(b, r.Phase...)
+	b = appendFlags(b, r.Granted)
+	b = appendNumbers(b, r.Term, r.Promised, r.Committed)
+	b = appendPosition(b, r.Position)
+	b = AppendControlState(b, r.State)
+	b = appendMemberRecords(b, r.Members)
+	return appendMemberSets(b, r.MemberSets)
+}
+
+// AppendState appends an encoding of the ballot.
+func (m Message) AppendState(b []byte) []byte {
+	b = appendSender(b, m.Sender)
+	b = append(b, m.Type...)
+	b = appendNumbers(b, m.Term)
+	b = appendPosition(b, m.Position)
+	return AppendControlState(b, m.State)
+}
+
+// AppendControlState appends an encoding of what orders about configurations and the set of
+// slots make of a word.
+func AppendControlState(b []byte, state config.ControlState) []byte {
+	b = appendNumbers(b, state.Revision, state.ConfigurationRevision, state.Generation, uint64(state.HighestMemberID), uint64(len(state.Configuration)), uint64(len(state.AcceptedGenerations)))
+	b = append(b, state.Configuration...)
+	for _, t := range state.AcceptedGenerations {
+		b = appendNumbers(b, t.Generation, uint64(len(t.Digest)))
+		b = append(b, t.Digest...)
+	}
+	b = appendMembers(b, state.Members)
+	return appendMembers(b, state.PreviousMembers)
+}
+
+func appendNumbers(b []byte, ns ...uint64) []byte {
+	for _, n := range ns {
+		b = binary.AppendUvarint(b, n)
+	}
+	return b
+}
+
+func appendFlags(b []byte, flags ...bool) []byte {
+	for _, f := range flags {
+		n := byte(0)
+		if f {
+			n = 1
+		}
+		b = append(b, n)
+	}
+	return b
+}
+
+func appendPosition(b []byte, position Position) []byte {
+	return appendNumbers(b, position.Term, position.Revision)
+}
+
+func appendSender(b []byte, sender Sender) []byte {
+	return appendNumbers(b, uint64(sender.MemberID), sender.Incarnation, sender.DiskID)
+}
+
+func appendMembers(b []byte, members []config.Member) []byte {
+	b = appendNumbers(b, uint64(len(members)))
+	for _, m := range members {
+		b = appendNumbers(b, uint64(m.MemberID), m.DiskID)
+	}
+	return b
+}
+
+func appendMemberSets(b []byte, s MemberSets) []byte {
+	return appendMembers(appendMembers(b, s.Current), s.Previous)
+}
+
+func appendMemberRecords(b []byte, members map[int]MemberRecord) []byte {
+	b = appendNumbers(b, uint64(len(members)))
+	for _, memberID := range slices.Sorted(maps.Keys(members)) {
+		b = appendNumbers(b, uint64(memberID), members[memberID].Incarnation, members[memberID].DiskID)
+	}
+	return b
+}
+
+// HoldsTerm tells whether the proposer goes on under an epoch.
+func (p *Proposer) HoldsTerm(term uint64) bool { return p.phase != proposerIdle && p.term == term }
+
+// CanAffect tells whether a vote can still change what the proposer does: it opens a refusal, or
+// belongs to the round of votes that is open, or to one that a change of the set may open
+// again under the same epoch.
+func (p *Proposer) CanAffect(reply Reply) bool {
+	if len(p.commands) == 0 && (p.phase == proposerIdle || p.forCommand) {
+		return false
+	}
+	if reply.Promised > p.highestTerm {
+		return true
+	}
+	if p.term == 0 || reply.Term != p.term {
+		return false
+	}
+	changes := slices.ContainsFunc(p.commands, func(command Command) bool { return command.Kind == CommandReconfigure })
+	switch reply.Type {
+	case MsgPrepare:
+		return p.phase == proposerPreparing || changes
+	case MsgAccept:
+		return p.phase == proposerAccepting && (!reply.Granted || reply.Position == p.position)
+	}
+	return false
+}
--- a/internal/controlplane/control.go
+++ b/internal/controlplane/control.go
@@ -29,8 +29,8 @@
 
 // written is the response of an operator's write.
 type written struct {
-	Stamp uint64           `json:"stamp,omitempty"`
-	Taken consensus.Result `json:"taken"`
+	Stamp uint64            `json:"stamp,omitempty"`
+	Taken consensus.Outcome `json:"taken"`
 	// InForce tells whether every sidecar that this core hears has it in force;
 	// Behind lists those that have not.
 	InForce *bool    `json:"in_force,omitempty"`
@@ -40,22 +40,22 @@
 
 // faulty is the response of a configuration that does not check.
 type faulty struct {
-	Error  string         `json:"error"`
-	Faults []config.Fault `json:"faults"`
+	Error  string                  `json:"error"`
+	Faults []config.FieldViolation `json:"faults"`
 }
 
 // state is what GET /v1/state shows.
 type state struct {
-	Self      membership.Seat         `json:"self"`
-	Phase     consensus.Phase         `json:"phase"`
-	Promised  uint64                  `json:"promised"`
-	Mark      consensus.Mark          `json:"mark"`
-	Slots     consensus.Sets          `json:"slots"`
-	Seats     map[int]consensus.Chair `json:"incarnations"`
-	Duty      int                     `json:"duty"`
-	Cores     []membership.Seat       `json:"cores"`
-	Live      []int                   `json:"live"`
-	Directory watch.State             `json:"directory"`
+	Self      membership.Replica             `json:"self"`
+	Phase     consensus.Phase                `json:"phase"`
+	Promised  uint64                         `json:"promised"`
+	Mark      consensus.Position             `json:"mark"`
+	Slots     consensus.MemberSets           `json:"slots"`
+	Seats     map[int]consensus.MemberRecord `json:"incarnations"`
+	Duty      int                            `json:"duty"`
+	Cores     []membership.Replica           `json:"cores"`
+	Live      []int                          `json:"live"`
+	Directory watch.Status                   `json:"directory"`
 }
 
 // control serves a core's /v1, /live and /ready.
@@ -66,8 +66,8 @@
 	mux.HandleFunc("GET /v1/desired", n.getDesired)
 	mux.HandleFunc("GET /v1/localities", n.getZones)
 	mux.HandleFunc("GET /v1/localities/{name}", n.getDrain)
-	mux.HandleFunc("PUT /v1/localities/{name}/emptied", n.zone(consensus.Empty))
-	mux.HandleFunc("DELETE /v1/localities/{name}/emptied", n.zone(consensus.TakeBack))
+	mux.HandleFunc("PUT /v1/localities/{name}/emptied", n.zone(consensus.CommandEvacuate))
+	mux.HandleFunc("DELETE /v1/localities/{name}/emptied", n.zone(consensus.CommandRevokeEvacuation))
 	mux.HandleFunc("PUT /v1/windows", n.putWindows)
 	mux.HandleFunc("GET /v1/windows", n.getWindows)
 	mux.HandleFunc("DELETE /v1/windows", func(w http.ResponseWriter, r *http.Request) {
@@ -82,17 +82,17 @@
 }
 
 func (n *Node) live(ctx context.Context) (bool, string) {
-	_, ok := n.directory.State(ctx)
+	_, ok := n.directory.Status(ctx)
 	return ok, "control thread"
 }
 
 func (n *Node) getState(w http.ResponseWriter, r *http.Request) {
 	v := n.keeper.Acceptor()
-	st := state{Self: n.seat(), Phase: v.Phase, Promised: v.Promised, Mark: v.Mark, Slots: v.Sets(), Seats: v.Seats, Duty: n.duty().Slot, Cores: n.seeker.Seats().Known()}
-	for _, c := range n.seeker.Seats().Live(time.Now()) {
-		st.Live = append(st.Live, c.Slot)
+	st := state{Self: n.seat(), Phase: v.Phase, Promised: v.Promised, Mark: v.Position, Slots: v.MemberSets(), Seats: v.Members, Duty: n.duty().MemberID, Cores: n.seeker.Replicas().Observed()}
+	for _, c := range n.seeker.Replicas().Live(time.Now()) {
+		st.Live = append(st.Live, c.MemberID)
 	}
-	st.Directory, _ = n.directory.State(r.Context())
+	st.Directory, _ = n.directory.Status(r.Context())
 	process.JSON(w, http.StatusOK, st)
 }
 
@@ -104,7 +104,7 @@
 	case err.Status == http.StatusRequestEntityTooLarge:
 		process.JSON(w, http.StatusUnprocessableEntity, faulty{
 			Error:  what + " does not check",
-			Faults: []config.Fault{{Path: path, Message: err.Message}},
+			Faults: []config.FieldViolation{{Path: path, Message: err.Message}},
 		})
 	default:
 		process.Error(w, err.Status, err.Message)
@@ -140,15 +140,15 @@
 	n.response(w, r, a)
 }
 
-func (n *Node) zone(kind consensus.OrderKind) http.HandlerFunc {
+func (n *Node) zone(kind consensus.CommandKind) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		name := r.PathValue("name")
-		if !config.IsName(name) {
-			process.JSON(w, http.StatusUnprocessableEntity, faulty{Error: "no locality", Faults: []config.Fault{{Path: name, Message: "must be " + config.NameForm}}})
+		if !config.IsValidName(name) {
+			process.JSON(w, http.StatusUnprocessableEntity, faulty{Error: "no locality", Faults: []config.FieldViolation{{Path: name, Message: "must be " + config.NameRules}}})
 			return
 		}
 		if m, ok := ifMatch(w, r); ok {
-			n.response(w, r, n.evacuate(r.Context(), consensus.Order{Kind: kind, Zone: name, IfMatch: m}))
+			n.response(w, r, n.evacuate(r.Context(), consensus.Command{Kind: kind, Zone: name, IfMatch: m}))
 		}
 	}
 }
@@ -167,22 +167,22 @@
 }
 
 // response tells what is known of an order that was carried out.
-func (n *Node) response(w http.ResponseWriter, r *http.Request, a consensus.Answer) {
-	out := written{Taken: a.Result, Stamp: a.Word.Stamp}
+func (n *Node) response(w http.ResponseWriter, r *http.Request, a consensus.CommandResult) {
+	out := written{Taken: a.Outcome, Stamp: a.State.Revision}
 	status := http.StatusOK
-	switch a.Result {
-	case consensus.Taken:
-		stamped(w, a.Word.Stamp)
-		behind, known := n.InForce(r.Context(), a.Word.Stamp)
+	switch a.Outcome {
+	case consensus.OutcomeCommitted:
+		stamped(w, a.State.Revision)
+		behind, known := n.InForce(r.Context(), a.State.Revision)
 		inForce := known && len(behind) == 0
 		out.InForce, out.Behind = &inForce, behind
-	case consensus.Mismatch:
-		status, out.Stamp, out.Error = http.StatusPreconditionFailed, a.Word.DesiredStamp, "the newest stamp is another one"
-	case consensus.Conflict:
+	case consensus.OutcomeMismatch:
+		status, out.Stamp, out.Error = http.StatusPreconditionFailed, a.State.ConfigurationRevision, "the newest stamp is another one"
+	case consensus.OutcomeConflict:
 		status, out.Stamp, out.Error = http.StatusConflict, 0, "another configuration was taken under its number"
 	default:
 		out.Error = "no majority of cores took it"
-		if a.Result == consensus.Overtaken {
+		if a.Outcome == consensus.OutcomeSuperseded {
 			out.Error = "a newer order on the locality was taken meanwhile"
 		}
 		status = http.StatusServiceUnavailable
@@ -197,59 +197,59 @@
 }
 
 // read reads the newest word back from a majority.
-func (n *Node) read(w http.ResponseWriter, r *http.Request) (config.Word, bool) {
-	word, ok := n.Read(r.Context())
+func (n *Node) read(w http.ResponseWriter, r *http.Request) (config.ControlState, bool) {
+	state, ok := n.Read(r.Context())
 	if !ok {
 		w.Header().Set("Retry-After", "1")
 		process.Error(w, http.StatusServiceUnavailable, "no majority of cores answers")
 	}
-	return word, ok
+	return state, ok
 }
 
 func (n *Node) getDesired(w http.ResponseWriter, r *http.Request) {
-	word, ok := n.read(w, r)
+	state, ok := n.read(w, r)
 	if !ok {
 		return
 	}
-	if word.DesiredStamp == 0 {
+	if state.ConfigurationRevision == 0 {
 		process.Error(w, http.StatusNotFound, "no configuration was ever put")
 		return
 	}
-	stamped(w, word.DesiredStamp)
-	if word.Generation != 0 {
-		w.Header().Set(headerGeneration, strconv.FormatUint(word.Generation, 10))
+	stamped(w, state.ConfigurationRevision)
+	if state.Generation != 0 {
+		w.Header().Set(headerGeneration, strconv.FormatUint(state.Generation, 10))
 	}
 	w.Header().Set("Content-Type", "application/json")
-	w.Write(word.Desired)
+	w.Write(state.Configuration)
 }
 
 func (n *Node) getZones(w http.ResponseWriter, r *http.Request) {
-	if word, ok := n.read(w, r); ok {
-		emptied := word.Shut()
+	if state, ok := n.read(w, r); ok {
+		emptied := state.EvacuatedZones()
 		if emptied == nil {
 			emptied = []string{}
 		}
-		process.JSON(w, http.StatusOK, map[string]any{"stamp": word.Stamp, "emptied": emptied, "windows": word.Closures})
+		process.JSON(w, http.StatusOK, map[string]any{"stamp": state.Revision, "emptied": emptied, "windows": state.Closures})
 	}
 }
 
 // getBudgets shows the budgets, summed over the nodes that this core hears.
 func (n *Node) getBudgets(w http.ResponseWriter, r *http.Request) {
-	st, ok := n.directory.State(r.Context())
-	table, good := routing.NewTable(st.Word)
+	st, ok := n.directory.Status(r.Context())
+	table, good := routing.NewTable(st.ControlState)
 	if !ok || !good {
 		process.Error(w, http.StatusServiceUnavailable, "no configuration is known")
 		return
 	}
-	process.JSON(w, http.StatusOK, retrybudget.Answer{Whole: st.Open, Budgets: table.Pages(n.directory.Budgets())})
+	process.JSON(w, http.StatusOK, retrybudget.Answer{Whole: st.Ready, Budgets: table.Pages(n.directory.Budgets())})
 }
 
 // getDrain reports what still runs in a zone, and since when nothing does. A core
 // that knows of no newer word, since it is cut off, reports nothing.
 func (n *Node) getDrain(w http.ResponseWriter, r *http.Request) {
-	newest, contact := n.keeper.Contact(r.Context())
-	d, ok := n.directory.Drain(r.Context(), r.PathValue("name"))
-	if !contact || !ok || d.Stamp < newest {
+	newest, contact := n.keeper.ReadIndex(r.Context())
+	d, ok := n.directory.DrainStatus(r.Context(), r.PathValue("name"))
+	if !contact || !ok || d.Revision < newest {
 		w.Header().Set("Retry-After", "1")
 		process.Error(w, http.StatusServiceUnavailable, "no majority of cores confirms what is known here")
 		return
@@ -271,7 +271,7 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), time.Second)
 	defer cancel()
-	set, own := n.slots(), n.keeper.Acceptor().Self.Slot
+	set, own := n.slots(), n.keeper.Acceptor().Self.MemberID
 	parts := make(chan part, len(set))
 	for _, slot := range set {
 		n.p.Launcher.Go(ctx, "trace-query", func(ctx context.Context) {
--- a/internal/controlplane/leave.go
+++ b/internal/controlplane/leave.go
@@ -27,15 +27,15 @@
 	left := false
 	for {
 		v := n.keeper.Acceptor()
-		o, ok := consensus.Leave(v)
+		o, ok := consensus.PlanLeave(v)
 		switch {
-		case left && v.Phase != consensus.Established:
+		case left && v.Phase != consensus.PhaseEstablished:
 			return // it has learnt that the set without it is in force
 		case !left && ok:
 			a := n.write(ctx, o)
-			left = a.Result == consensus.Taken
-			n.p.Log.Info("leaves the set of slots", "slot", v.Self.Slot, "taken", string(a.Result))
-		case !left && len(v.Sets().Before) == 0:
+			left = a.Outcome == consensus.OutcomeCommitted
+			n.p.Log.Info("leaves the set of slots", "slot", v.Self.MemberID, "taken", string(a.Outcome))
+		case !left && len(v.MemberSets().Previous) == 0:
 			return
 		}
 		select {
--- a/internal/controlplane/metrics.go
+++ b/internal/controlplane/metrics.go
@@ -25,16 +25,16 @@
 }
 
 // lead carries an order out on this core, and counts it.
-func (n *Node) lead(ctx context.Context, o consensus.Order) consensus.Answer {
-	a := n.keeper.Write(ctx, o)
-	n.counters.orders.Add(string(o.Kind), string(a.Result))
+func (n *Node) lead(ctx context.Context, o consensus.Command) consensus.CommandResult {
+	a := n.keeper.Submit(ctx, o)
+	n.counters.orders.Add(string(o.Kind), string(a.Outcome))
 	return a
 }
 
 // confirmed takes that as of a moment a quorum knew of no newer configuration.
 func (n *Node) confirmed(ctx context.Context, asOf time.Time) {
 	n.counters.renewals.Add(1)
-	n.directory.Sure(ctx, asOf)
+	n.directory.ObserveConfirmed(ctx, asOf)
 }
 
 // metrics serves the core's metrics.
@@ -52,15 +52,15 @@
 		metrics.Gauge("term", "Highest term (epoch) that this core has promised, and the one under which it accepted what it holds.", []string{"state"}, func(emit metrics.Emit) {
 			v := n.keeper.Acceptor()
 			emit(float64(v.Promised), "promised")
-			emit(float64(v.Mark.Epoch), "accepted")
+			emit(float64(v.Position.Term), "accepted")
 		}),
 		metrics.Gauge("configuration_version", "Version of the configuration that this core accepted, and of the newest that it knows a majority to hold.", []string{"state"}, func(emit metrics.Emit) {
 			v := n.keeper.Acceptor()
-			emit(float64(v.Mark.Stamp), "accepted")
-			emit(float64(v.Settled), "committed")
+			emit(float64(v.Position.Revision), "accepted")
+			emit(float64(v.Committed), "committed")
 		}),
 		metrics.Gauge("leader", "Whether this core is on duty by what it hears.", nil, metrics.Value(func() float64 {
-			return metrics.Bool(n.OnDuty())
+			return metrics.Bool(n.IsCoordinator())
 		})),
 		metrics.Counter("writes_total", "Writes that this core carried out as leader, by kind and result; kind reseat is a change of the membership.", []string{"kind", "result"}, n.counters.orders.Read),
 		metrics.Counter("quorum_reads_total", "Quorum reads of the configuration for operators, by outcome.", []string{"outcome"}, n.counters.reads.Read),
@@ -73,28 +73,28 @@
 func (n *Node) membershipMetrics() []*metrics.Metric {
 	return []*metrics.Metric{
 		metrics.Gauge("members", "Members of the set in force, and of the set before while that is still needed.", []string{"set"}, func(emit metrics.Emit) {
-			sets := n.keeper.Acceptor().Sets()
-			emit(float64(len(sets.Now)), "current")
-			emit(float64(len(sets.Before)), "previous")
+			sets := n.keeper.Acceptor().MemberSets()
+			emit(float64(len(sets.Current)), "current")
+			emit(float64(len(sets.Previous)), "previous")
 		}),
 		metrics.Gauge("member", "Whether this core is a member of the set in force.", nil, metrics.Value(func() float64 {
-			return metrics.Bool(n.keeper.Acceptor().Member())
+			return metrics.Bool(n.keeper.Acceptor().IsMember())
 		})),
 		metrics.Gauge("cores_live", "Other cores that are heard.", nil, metrics.Value(func() float64 {
-			return float64(len(n.seeker.Seats().Live(time.Now())))
+			return float64(len(n.seeker.Replicas().Live(time.Now())))
 		})),
 	}
 }
 
 func (n *Node) feedMetrics() []*metrics.Metric {
 	return []*metrics.Metric{
-		metrics.Gauge("feed_sequence", "Number of the newest change in this core's feed; it starts anew with the process.", nil, n.ofDirectory(func(s watch.State) float64 {
-			return float64(s.Place)
+		metrics.Gauge("feed_sequence", "Number of the newest change in this core's feed; it starts anew with the process.", nil, n.ofDirectory(func(s watch.Status) float64 {
+			return float64(s.Offset)
 		})),
-		metrics.Gauge("feed_ready", "Whether the feed is served: not while the core is still being told of the sidecars.", nil, n.ofDirectory(func(s watch.State) float64 {
-			return metrics.Bool(s.Open)
+		metrics.Gauge("feed_ready", "Whether the feed is served: not while the core is still being told of the sidecars.", nil, n.ofDirectory(func(s watch.Status) float64 {
+			return metrics.Bool(s.Ready)
 		})),
-		metrics.Gauge("sidecars_known", "Sidecars that this core hears.", nil, n.ofDirectory(func(s watch.State) float64 {
+		metrics.Gauge("sidecars_known", "Sidecars that this core hears.", nil, n.ofDirectory(func(s watch.Status) float64 {
 			return float64(len(s.Nodes))
 		})),
 		metrics.Gauge("sidecars_behind", "Sidecars that have an older configuration in force than the newest one here.", nil, n.ofDirectory(behind)),
@@ -103,21 +103,21 @@
 
 // ofDirectory reads a value of the directory's state; none if the directory
 // doesn't answer in time.
-func (n *Node) ofDirectory(value func(s watch.State) float64) metrics.Read {
+func (n *Node) ofDirectory(value func(s watch.Status) float64) metrics.Read {
 	return func(emit metrics.Emit) {
 		ctx, cancel := context.WithTimeout(n.p.Life, stateWait)
 		defer cancel()
-		if state, ok := n.directory.State(ctx); ok {
+		if state, ok := n.directory.Status(ctx); ok {
 			emit(value(state))
 		}
 	}
 }
 
 // behind counts the sidecars with an older configuration than the directory's.
-func behind(s watch.State) float64 {
+func behind(s watch.Status) float64 {
 	count := 0
 	for _, node := range s.Nodes {
-		if node.Stamp < s.Stamp {
+		if node.AppliedRevision < s.Revision {
 			count++
 		}
 	}
--- a/internal/controlplane/node.go
+++ b/internal/controlplane/node.go
@@ -36,9 +36,9 @@
 type Node struct {
 	p         *process.Process
 	set       settings.Core
-	keeper    *consensus.Keeper
-	directory *watch.Directory
-	seeker    *membership.Seeker
+	keeper    *consensus.Replica
+	directory *watch.Server
+	seeker    *membership.Discovery
 	store     *tracestore.Store
 	warden    *warden
 	usher     *usher
@@ -52,29 +52,29 @@
 // New puts the parts together and opens the addresses.
 func New(set settings.Core, doors Doors) *Node {
 	p := process.New("controlplane", set.Common)
-	n := &Node{p: p, set: set, store: tracestore.NewStore(), seeker: membership.NewSeeker(), directory: watch.NewDirectory(p.Launcher, p.Boot)}
+	n := &Node{p: p, set: set, store: tracestore.NewStore(), seeker: membership.NewDiscovery(), directory: watch.NewServer(p.Launcher, p.Boot)}
 	v, err := storage.Open(set.Data)
 	if err != nil {
 		p.Fail("data", err)
 	}
-	if n.keeper, err = consensus.NewKeeper(p.Launcher, &consensus.Disk{Vault: v}, start(set)); err != nil {
+	if n.keeper, err = consensus.NewReplica(p.Launcher, &consensus.StateStore{Store: v}, start(set)); err != nil {
 		p.Fail("data", err)
 	}
 	n.warden = &warden{n: n}
-	n.keeper.Net, n.keeper.Log, n.keeper.Peers = p.Net, p.Log, n
+	n.keeper.Client, n.keeper.Log, n.keeper.Peers = p.Net, p.Log, n
 	n.usher = newUsher(n)
-	n.keeper.Settled = func(ctx context.Context, w config.Word) { n.directory.Settled(ctx, w) }
-	n.keeper.Confirmed, n.keeper.Turned = n.confirmed, n.seeker.Hasten
-	n.seeker.Own = func() membership.Heartbeat { return membership.Heartbeat{Seat: n.told()} }
-	n.seeker.Addr, n.seeker.Net, n.seeker.Launcher, n.seeker.Heard = set.Advertise, p.Net, p.Launcher, n.heard
-	n.seeker.Hear(membership.Heartbeat{Know: remembered(n.keeper.Acceptor())})
+	n.keeper.OnCommit = func(ctx context.Context, state config.ControlState) { n.directory.ObserveCommitted(ctx, state) }
+	n.keeper.OnReadConfirmed, n.keeper.OnHealthChange = n.confirmed, n.seeker.HeartbeatNow
+	n.seeker.Local = func() membership.Heartbeat { return membership.Heartbeat{Replica: n.told()} }
+	n.seeker.Addr, n.seeker.Client, n.seeker.Actors, n.seeker.OnReplica = set.Advertise, p.Net, p.Launcher, n.heard
+	n.seeker.Receive(membership.Heartbeat{KnownReplicas: remembered(n.keeper.Acceptor())})
 	n.reload = &process.Reloader{Seeker: n.seeker}
 	n.reload.Apply(set.Common)
 
 	p.Host.Handlers[membership.KindHeartbeat] = n.heartbeat
-	p.Host.Handlers[watch.KindFollow] = n.directory.Answer
+	p.Host.Handlers[watch.KindWatch] = n.directory.HandleWatch
 	maps.Copy(p.Host.Handlers, n.keeper.Handlers())
-	p.Host.Handlers[consensus.KindSeat] = n.usher.asked
+	p.Host.Handlers[consensus.KindJoin] = n.usher.asked
 	p.Host.Handlers[tracestore.KindPublish] = n.store.Publish
 	p.Host.Handlers[tracestore.KindTrace] = n.store.Trace
 	p.Host.Listener = p.Listen("wire", set.Wire)
@@ -105,25 +105,25 @@
 func (n *Node) Process() *process.Process { return n.p }
 
 // seat is what this core tells of itself.
-func (n *Node) seat() membership.Seat {
+func (n *Node) seat() membership.Replica {
 	v := n.keeper.Acceptor()
-	s := membership.Seat{
-		Slot: v.Self.Slot, Addr: n.set.Advertise, Inc: v.Self.Inc, Boot: n.p.Boot,
-		Zone: n.set.Zone, Established: v.Phase == consensus.Established, Settled: v.Settled, Wall: clock.Wall().UnixNano(),
+	s := membership.Replica{
+		MemberID: v.Self.MemberID, Addr: n.set.Advertise, MemberIncarnation: v.Self.Incarnation, Incarnation: n.p.Boot,
+		Zone: n.set.Zone, Established: v.Phase == consensus.PhaseEstablished, CommittedRevision: v.Committed, WallClock: clock.Wall().UnixNano(),
 	}
-	sets := v.Sets()
-	s.Set, s.Slots, s.Held = consensus.Slots(sets.Now), len(sets.Now), v.Mark.Stamp
-	s.Unable = !n.keeper.Able()
-	if v.Settled < v.Mark.Stamp {
-		s.Before = consensus.Slots(sets.Before)
+	sets := v.MemberSets()
+	s.Members, s.MemberCount, s.AcceptedRevision = consensus.MemberIDs(sets.Current), len(sets.Current), v.Position.Revision
+	s.Ineligible = !n.keeper.Healthy()
+	if v.Committed < v.Position.Revision {
+		s.PreviousMembers = consensus.MemberIDs(sets.Previous)
 	}
-	return s.Marked()
+	return s.WithDigest()
 }
 
 // told is the seat that this core tells of: none while it has none.
-func (n *Node) told() *membership.Seat {
+func (n *Node) told() *membership.Replica {
 	s := n.seat()
-	if s.Slot == 0 || !s.Established && !n.set.Static() {
+	if s.MemberID == 0 || !s.Established && !n.set.Static() {
 		return nil
 	}
 	return &s
@@ -131,20 +131,20 @@
 
 // remembered are the members that a disk tells of: they are heartbeated first, whatever
 // the seeds are now.
-func remembered(v consensus.Acceptor) (out []membership.Seat) {
-	for _, m := range v.Sets().Union() {
-		if m.Addr != "" && m.ID != v.Self.ID {
-			out = append(out, membership.Seat{Slot: m.Slot, Addr: m.Addr})
+func remembered(v consensus.Acceptor) (out []membership.Replica) {
+	for _, m := range v.MemberSets().Union() {
+		if m.Addr != "" && m.DiskID != v.Self.DiskID {
+			out = append(out, membership.Replica{MemberID: m.MemberID, Addr: m.Addr})
 		}
 	}
 	return out
 }
 
 // start is what the settings say of this core's seat.
-func start(set settings.Core) consensus.Start {
-	s := consensus.Start{First: set.First, Founders: set.Founders, Addr: set.Advertise}
+func start(set settings.Core) consensus.Bootstrap {
+	s := consensus.Bootstrap{NewCluster: set.First, InitialMembers: set.Founders, AdvertiseAddr: set.Advertise}
 	if set.Static() {
-		s.Slot, s.Slots = set.Slot, set.Slots
+		s.MemberID, s.StaticSize = set.Slot, set.Slots
 	}
 	return s
 }
@@ -155,64 +155,64 @@
 	if !in.Into(&h) {
 		return nil, "not a heartbeat"
 	}
-	out, addr := n.seeker.Answer(h, n.told()), ""
+	out, addr := n.seeker.Respond(h, n.told()), ""
 	switch {
 	case h.Node != nil:
 		addr = h.Node.Addr
-		out.Departed = n.directory.Told(ctx, *h.Node)
-	case h.Pulse != nil:
-		addr = h.Pulse.Addr
-		out.Whole = !n.directory.Felt(ctx, *h.Pulse)
+		out.Departed = n.directory.ObserveNode(ctx, *h.Node)
+	case h.NodeStatus != nil:
+		addr = h.NodeStatus.Addr
+		out.RequestFull = !n.directory.ObserveStatus(ctx, *h.NodeStatus)
 	}
-	if addr != "" && (h.Sums || h.Digest == 0) { // an older version does not ask
+	if addr != "" && (h.WantBudgets || h.TableDigest == 0) { // an older version does not ask
 		out.Budgets = n.directory.Budgets()
 	}
-	if inc, ok := n.directory.Accused(addr); ok {
-		out.Accused = &inc
+	if inc, ok := n.directory.Suspected(addr); ok {
+		out.Suspected = &inc
 	}
 	return out, ""
 }
 
 // heard copies what another core has and this one lacks. (DESIGN 6.4)
-func (n *Node) heard(ctx context.Context, c membership.Seat) {
+func (n *Node) heard(ctx context.Context, c membership.Replica) {
 	v := n.keeper.Acceptor()
-	if (v.Phase == consensus.Established || v.Phase == consensus.Seeking) && c.Settled > v.Settled {
-		n.p.Launcher.Go(ctx, "catch", func(ctx context.Context) { n.keeper.Catch(ctx, c.Addr) })
+	if (v.Phase == consensus.PhaseEstablished || v.Phase == consensus.PhaseJoining) && c.CommittedRevision > v.Committed {
+		n.p.Launcher.Go(ctx, "catch", func(ctx context.Context) { n.keeper.CatchUp(ctx, c.Addr) })
 	}
 }
 
 // Addr implements consensus.Peers.
 func (n *Node) Addr(slot int) (string, bool) {
-	c, ok := n.seeker.Seats().At(slot)
+	c, ok := n.seeker.Replicas().Member(slot)
 	return c.Addr, ok
 }
 
 // duty is the first live and able core in the agreed order.
-func (n *Node) duty() membership.Seat {
-	return n.seeker.Seats().Duty(n.seat(), n.slots(), time.Now())
+func (n *Node) duty() membership.Replica {
+	return n.seeker.Replicas().Coordinator(n.seat(), n.slots(), time.Now())
 }
 
 // slots is the newest set of slots that this core knows of.
 func (n *Node) slots() []int {
 	v := n.keeper.Acceptor()
-	if set, _, held := n.seeker.Seats().Set(); len(set) > 0 && (held > v.Mark.Stamp || len(v.Sets().Now) == 0) {
+	if set, _, held := n.seeker.Replicas().Members(); len(set) > 0 && (held > v.Position.Revision || len(v.MemberSets().Current) == 0) {
 		return set
 	}
-	return consensus.Slots(v.Sets().Now)
+	return consensus.MemberIDs(v.MemberSets().Current)
 }
 
-// OnDuty implements consensus.Peers.
-func (n *Node) OnDuty() bool { return n.duty().Addr == n.set.Advertise }
+// IsCoordinator implements consensus.Peers.
+func (n *Node) IsCoordinator() bool { return n.duty().Addr == n.set.Advertise }
 
 // write carries an order out on the core on duty. One that was surely not taken, since
 // the duty has passed on meanwhile, goes to the core that has it now.
-func (n *Node) write(ctx context.Context, o consensus.Order) consensus.Answer {
+func (n *Node) write(ctx context.Context, o consensus.Command) consensus.CommandResult {
 	ctx, cancel := context.WithTimeout(ctx, writeLimit)
 	defer cancel()
 	for {
 		c := n.duty()
 		a := n.writeAt(ctx, c, o)
-		if a.Result != consensus.NotTaken || n.duty().Addr == c.Addr {
+		if a.Outcome != consensus.OutcomeRejected || n.duty().Addr == c.Addr {
 			return a
 		}
 		select {
@@ -224,23 +224,23 @@
 }
 
 // writeAt carries an order out on one core.
-func (n *Node) writeAt(ctx context.Context, c membership.Seat, o consensus.Order) consensus.Answer {
+func (n *Node) writeAt(ctx context.Context, c membership.Replica, o consensus.Command) consensus.CommandResult {
 	if c.Addr == n.set.Advertise {
 		return n.lead(ctx, o)
 	}
-	var a consensus.Answer
+	var a consensus.CommandResult
 	switch r := n.keeper.Forward(ctx, c.Addr, o); {
 	case r.Into(&a):
 		return a
 	case r.Fate == transport.Unsent:
 		return n.lead(ctx, o) // it is gone; the epoch settles who is right
 	}
-	return consensus.Answer{Result: consensus.Unknown}
+	return consensus.CommandResult{Outcome: consensus.OutcomeUnknown}
 }
 
 // refresh makes sure that a majority holds the newest word.
-func (n *Node) refresh(ctx context.Context) consensus.Answer {
-	return n.write(ctx, consensus.Order{Kind: consensus.Refresh})
+func (n *Node) refresh(ctx context.Context) consensus.CommandResult {
+	return n.write(ctx, consensus.Command{Kind: consensus.CommandRefresh})
 }
 
 // stop ends the core in order.
--- a/internal/controlplane/usher.go
+++ b/internal/controlplane/usher.go
@@ -23,7 +23,7 @@
 type usher struct {
 	n     *Node
 	box   *actor.Mailbox
-	value consensus.Usher
+	value consensus.Reconfigurer
 	start time.Time
 	busy  bool          // an order for a change is under way
 	rest  time.Duration // none before this
@@ -31,7 +31,7 @@
 
 type (
 	msgAsk struct {
-		a consensus.Asker
+		a consensus.JoinRequest
 	}
 	msgLook struct{}
 	msgDone struct{ taken bool }
@@ -45,14 +45,14 @@
 func newUsher(n *Node) *usher {
 	// A core counts as not live once it was unheard for Silence; the usher waits out
 	// the rest.
-	u := &usher{n: n, start: time.Now(), value: consensus.Usher{GoneFor: max(0, n.set.GoneAfter-membership.Silence)}}
+	u := &usher{n: n, start: time.Now(), value: consensus.Reconfigurer{RemovalDelay: max(0, n.set.GoneAfter-membership.ReplicaTimeout)}}
 	u.box = n.p.Launcher.Spawn("usher", u.on)
 	return u
 }
 
 // run looks in rhythm until ctx ends.
 func (u *usher) run(ctx context.Context) {
-	tick := time.NewTicker(membership.Beat)
+	tick := time.NewTicker(membership.HeartbeatInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -67,7 +67,7 @@
 // asked answers a core that asks for a seat; what is not for this core is passed on
 // to the one on duty.
 func (u *usher) asked(ctx context.Context, in transport.Request) (any, string) {
-	var a consensus.Asker
+	var a consensus.JoinRequest
 	if !in.Into(&a) {
 		return nil, "does not ask for a seat"
 	}
@@ -75,11 +75,11 @@
 	defer cancel()
 	if duty := u.n.duty(); duty.Addr != u.n.set.Advertise {
 		var h heed
-		if a.Passed {
+		if a.Forwarded {
 			return nil, "not on duty"
 		}
-		a.Passed = true
-		if !u.n.p.Net.Call(ctx, duty.Addr, transport.Control, consensus.KindSeat, a).Into(&h) {
+		a.Forwarded = true
+		if !u.n.p.Net.Call(ctx, duty.Addr, transport.Control, consensus.KindJoin, a).Into(&h) {
 			return nil, "the core on duty does not answer"
 		}
 		return h, ""
@@ -92,15 +92,15 @@
 	now, v := time.Since(u.start), u.n.keeper.Acceptor()
 	switch m := msg.(type) {
 	case msgAsk:
-		if v.Member() && u.n.OnDuty() {
-			if o, ok := u.value.Seat(m.a, v, u.places(), now); ok {
+		if v.IsMember() && u.n.IsCoordinator() {
+			if o, ok := u.value.PlanJoin(m.a, v, u.places(), now); ok {
 				u.order(ctx, o)
 			}
 		}
 	case msgLook:
-		u.value = u.value.Look(v.Sets().Now, u.places(), now)
-		if v.Member() && u.n.OnDuty() {
-			if o, ok := u.value.Strike(v, now); ok {
+		u.value = u.value.Observe(v.MemberSets().Current, u.places(), now)
+		if v.IsMember() && u.n.IsCoordinator() {
+			if o, ok := u.value.PlanRemoval(v, now); ok {
 				u.order(ctx, o)
 			}
 		}
@@ -112,35 +112,35 @@
 }
 
 // order has the set changed, one change at a time.
-func (u *usher) order(ctx context.Context, o consensus.Order) {
+func (u *usher) order(ctx context.Context, o consensus.Command) {
 	if u.busy || time.Since(u.start) < u.rest {
 		return
 	}
 	u.busy = true
 	u.n.p.Launcher.Go(ctx, "change-set", func(ctx context.Context) {
 		a := u.n.lead(ctx, o)
-		u.n.p.Log.Info("the set of slots", "comes", o.Seat.Slot, "at", o.Seat.Addr, "goes", o.Out, "taken", string(a.Result), "stamp", a.Word.Stamp)
-		u.box.Send(ctx, msgDone{a.Result == consensus.Taken})
+		u.n.p.Log.Info("the set of slots", "comes", o.Joining.MemberID, "at", o.Joining.Addr, "goes", o.Leaving, "taken", string(a.Outcome), "stamp", a.State.Revision)
+		u.box.Send(ctx, msgDone{a.Outcome == consensus.OutcomeCommitted})
 	})
 }
 
 // places tells of each slot whether its core is live; the own one is.
-func (u *usher) places() map[int]consensus.Place {
-	out := places(u.n.seeker.Seats())
-	if v := u.n.keeper.Acceptor(); v.Self.Slot != 0 {
-		out[v.Self.Slot] = consensus.Place{Addr: u.n.set.Advertise, Live: true}
+func (u *usher) places() map[int]consensus.MemberStatus {
+	out := places(u.n.seeker.Replicas())
+	if v := u.n.keeper.Acceptor(); v.Self.MemberID != 0 {
+		out[v.Self.MemberID] = consensus.MemberStatus{Addr: u.n.set.Advertise, Live: true}
 	}
 	return out
 }
 
-func places(s membership.Seats) map[int]consensus.Place {
+func places(s membership.ReplicaTable) map[int]consensus.MemberStatus {
 	now := time.Now()
 	live := s.Live(now)
-	out := map[int]consensus.Place{}
+	out := map[int]consensus.MemberStatus{}
 	for _, c := range s.All() {
-		out[c.Slot] = consensus.Place{
+		out[c.MemberID] = consensus.MemberStatus{
 			Addr: c.Addr,
-			Live: slices.ContainsFunc(live, func(l membership.Seat) bool { return l.Slot == c.Slot }),
+			Live: slices.ContainsFunc(live, func(l membership.Replica) bool { return l.MemberID == c.MemberID }),
 		}
 	}
 	return out
--- a/internal/controlplane/warden.go
+++ b/internal/controlplane/warden.go
@@ -29,7 +29,7 @@
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			if w.n.OnDuty() && w.n.keeper.Acceptor().Phase == consensus.Established {
+			if w.n.IsCoordinator() && w.n.keeper.Acceptor().Phase == consensus.PhaseEstablished {
 				w.look(ctx)
 			}
 		}
@@ -38,25 +38,25 @@
 
 // look orders what the windows ask for now.
 func (w *warden) look(ctx context.Context) {
-	st, ok := w.n.directory.State(ctx)
-	if !ok || st.Word.CalendarStamp == 0 && len(st.Word.Closures) == 0 {
+	st, ok := w.n.directory.Status(ctx)
+	if !ok || st.ControlState.CalendarRevision == 0 && len(st.ControlState.Closures) == 0 {
 		return
 	}
-	if st.Word.CalendarStamp != w.stamp {
-		w.calendar, _ = read(st.Word.Calendar)
-		w.stamp = st.Word.CalendarStamp
+	if st.ControlState.CalendarRevision != w.stamp {
+		w.calendar, _ = read(st.ControlState.Calendar)
+		w.stamp = st.ControlState.CalendarRevision
 	}
-	for _, s := range maintenance.Decide(w.calendar, st.Word.Closures, w.n.wall()) {
-		o := consensus.Order{Kind: consensus.End, Zone: s.Zone, Window: s.Window}
+	for _, s := range maintenance.Decide(w.calendar, st.ControlState.Closures, w.n.wall()) {
+		o := consensus.Command{Kind: consensus.CommandEndWindow, Zone: s.Zone, Window: s.Window}
 		if s.Begin {
-			o.Kind = consensus.Begin
+			o.Kind = consensus.CommandBeginWindow
 		}
 		a := w.n.lead(ctx, o)
-		w.n.p.Log.Info("a maintenance window", "step", string(o.Kind), "locality", s.Zone, "window", s.Window, "taken", string(a.Result))
+		w.n.p.Log.Info("a maintenance window", "step", string(o.Kind), "locality", s.Zone, "window", s.Window, "taken", string(a.Outcome))
 	}
 }
 
 // wall is the middle one of the cores' wall clocks.
 func (n *Node) wall() time.Time {
-	return n.seeker.Seats().Wall(clock.Wall(), n.keeper.Acceptor().Self.Slot, time.Now())
+	return n.seeker.Replicas().MedianClock(clock.Wall(), n.keeper.Acceptor().Self.MemberID, time.Now())
 }
--- a/internal/controlplane/windows.go
+++ b/internal/controlplane/windows.go
@@ -19,13 +19,13 @@
 	Stamp uint64    `json:"stamp"`
 	Now   time.Time `json:"now"`
 	// Noted are the windows that the word has noted as going on.
-	Noted []config.Closure `json:"noted"`
+	Noted []config.ZoneClosure `json:"noted"`
 	// Coming are those of the next week, and those that go on.
 	Coming []maintenance.Occurrence `json:"coming"`
 }
 
 // read reads a calendar; an empty one has no windows.
-func read(b []byte) (maintenance.Calendar, []config.Fault) {
+func read(b []byte) (maintenance.Calendar, []config.FieldViolation) {
 	if len(b) == 0 {
 		return maintenance.Calendar{}, nil
 	}
@@ -47,24 +47,24 @@
 // calendar has a calendar put; an empty one has no windows.
 func (n *Node) calendar(w http.ResponseWriter, r *http.Request, b []byte) {
 	if m, ok := ifMatch(w, r); ok {
-		n.response(w, r, n.obey(r.Context(), consensus.Order{Kind: consensus.Calendar, Bytes: b, IfMatch: m}))
+		n.response(w, r, n.obey(r.Context(), consensus.Command{Kind: consensus.CommandPutCalendar, Payload: b, IfMatch: m}))
 	}
 }
 
 func (n *Node) getWindows(w http.ResponseWriter, r *http.Request) {
-	word, ok := n.read(w, r)
+	state, ok := n.read(w, r)
 	if !ok {
 		return
 	}
 	if strings.Contains(r.Header.Get("Accept"), "text/calendar") {
-		stamped(w, word.CalendarStamp)
+		stamped(w, state.CalendarRevision)
 		w.Header().Set("Content-Type", "text/calendar; charset=utf-8")
-		w.Write(word.Calendar)
+		w.Write(state.Calendar)
 		return
 	}
-	c, _ := read(word.Calendar)
+	c, _ := read(state.Calendar)
 	now := n.wall()
-	out := windows{Stamp: word.CalendarStamp, Now: now, Noted: []config.Closure{}, Coming: []maintenance.Occurrence{}}
-	out.Noted, out.Coming = append(out.Noted, word.Closures...), append(out.Coming, c.Between(now, now.Add(ahead))...)
+	out := windows{Stamp: state.CalendarRevision, Now: now, Noted: []config.ZoneClosure{}, Coming: []maintenance.Occurrence{}}
+	out.Noted, out.Coming = append(out.Noted, state.Closures...), append(out.Coming, c.Between(now, now.Add(ahead))...)
 	process.JSON(w, http.StatusOK, out)
 }
--- a/internal/dataplane/control.go
+++ b/internal/dataplane/control.go
@@ -39,19 +39,19 @@
 
 // stats is what GET /v1/stats shows.
 type stats struct {
-	Node     string            `json:"node"`
-	Boot     uint64            `json:"boot"`
-	Zone     string            `json:"locality"`
-	Stamp    uint64            `json:"stamp"`
-	Follows  follows           `json:"follows"`
-	NewsAge  string            `json:"news_age"`
-	ClaimAge string            `json:"claim_age"`
-	Claimed  bool              `json:"claimed"`
-	Cores    []membership.Seat `json:"cores"`
-	Near     proxy.Totals      `json:"near"`
-	Far      proxy.Totals      `json:"far"`
-	Trace    trace.QueueStats  `json:"trace_queue"`
-	Draining bool              `json:"draining"`
+	Node     string               `json:"node"`
+	Boot     uint64               `json:"boot"`
+	Zone     string               `json:"locality"`
+	Stamp    uint64               `json:"stamp"`
+	Follows  follows              `json:"follows"`
+	NewsAge  string               `json:"news_age"`
+	ClaimAge string               `json:"claim_age"`
+	Claimed  bool                 `json:"claimed"`
+	Cores    []membership.Replica `json:"cores"`
+	Near     proxy.Totals         `json:"near"`
+	Far      proxy.Totals         `json:"far"`
+	Trace    trace.QueueStats     `json:"trace_queue"`
+	Draining bool                 `json:"draining"`
 	// Closed tells that requests of clients are refused.
 	Closed bool `json:"closed"`
 	// Held counts the claims on keys that this node holds for others, Settled those
@@ -170,7 +170,7 @@
 	held, settled := n.holder.Count()
 	return stats{
 		Node: n.set.Advertise, Boot: n.p.Boot, Zone: n.set.Zone, Stamp: n.steward.table.Load().Stamp, Follows: f,
-		NewsAge: time.Since(f.Since).String(), ClaimAge: n.steward.claim.Age(time.Now()).String(), Claimed: n.claimed(), Cores: n.seeker.Seats().Known(), Near: n.near.Counts.Read(), Far: n.far.Counts.Read(),
+		NewsAge: time.Since(f.Since).String(), ClaimAge: n.steward.claim.Age(time.Now()).String(), Claimed: n.claimed(), Cores: n.seeker.Replicas().Observed(), Near: n.near.Counts.Read(), Far: n.far.Counts.Read(),
 		Trace: n.queue.Stats(), Draining: n.draining.Load(), Closed: n.closed.Load(), ExtraAttempts: n.steward.retryBudgets.Held(),
 		Held: held, Settled: settled, HandedOver: n.near.Custody.Ready(), Bodies: [2]int64{n.near.Bodies.Held(), n.far.Bodies.Held()},
 	}
--- a/internal/dataplane/endpoints/announcement.go
+++ b/internal/dataplane/endpoints/announcement.go
@@ -50,8 +50,8 @@
 	if a.Instance == "" || len(a.Instance) > 128 {
 		f.add("instance: must have 1 to 128 bytes")
 	}
-	if !config.IsName(a.Service) {
-		f.add("service: %q must be %s", a.Service, config.NameForm)
+	if !config.IsValidName(a.Service) {
+		f.add("service: %q must be %s", a.Service, config.NameRules)
 	}
 	if addr, err := netip.ParseAddrPort(a.Address); err != nil || addr.Port() == 0 {
 		f.add("address: %q is no IP address and port", a.Address)
@@ -59,8 +59,8 @@
 	if a.Capacity < 1 || a.Capacity > mostCapacity {
 		f.add("capacity: %d is not from 1 to %d", a.Capacity, mostCapacity)
 	}
-	if a.Zone != "" && !config.IsName(a.Zone) {
-		f.add("locality: %q must be %s", a.Zone, config.NameForm)
+	if a.Zone != "" && !config.IsValidName(a.Zone) {
+		f.add("locality: %q must be %s", a.Zone, config.NameRules)
 	}
 	if a.Warmup == nil {
 		return 1, 0, 0, f
--- a/internal/dataplane/endpoints/drip_test.go
+++ b/internal/dataplane/endpoints/drip_test.go
@@ -71,19 +71,19 @@
 		return r.Shade(func(string) float64 { return 20 }, begin.Add(at))
 	}
 	r := say(Roster{}, "5s", 0)
-	if got := r.Backends()[0].Share; got != 0.2 {
+	if got := r.Backends()[0].CapacityShare; got != 0.2 {
 		t.Errorf("cold: %v", got)
 	}
 	rev := r.Rev
 	r = say(r, "4.5s", 500*time.Millisecond)
-	if r.Rev != rev || r.Backends()[0].Share != 0.2 {
+	if r.Rev != rev || r.Backends()[0].CapacityShare != 0.2 {
 		t.Errorf("a beat changed it: %d, %v", r.Rev-rev, r.Backends())
 	}
 	if e := r.Entries()[0]; !e.Cold(begin.Add(4900*time.Millisecond)) || e.Cold(begin.Add(5100*time.Millisecond)) {
 		t.Error("it is cold for another time than it said")
 	}
 	r = r.Shade(func(string) float64 { return 20 }, begin.Add(6*time.Second))
-	if r.Backends()[0].Share != 1 || r.Rev != rev+1 {
+	if r.Backends()[0].CapacityShare != 1 || r.Rev != rev+1 {
 		t.Errorf("warm: %v", r.Backends())
 	}
 	r = say(r, "", 6500*time.Millisecond)
--- a/internal/dataplane/endpoints/entry.go
+++ b/internal/dataplane/endpoints/entry.go
@@ -30,7 +30,7 @@
 
 // ShareAt is the part of its capacity that the backend can bear at a time.
 func (e Entry) ShareAt(now time.Time) float64 {
-	share := cmp.Or(e.share, e.Share)
+	share := cmp.Or(e.share, e.CapacityShare)
 	if e.ramp <= 0 {
 		return share
 	}
--- a/internal/dataplane/endpoints/gate.go
+++ b/internal/dataplane/endpoints/gate.go
@@ -35,7 +35,7 @@
 		return e, NoBackend
 	case now.Sub(e.Heard) > r.Pace.Fresh():
 		return e, Stale
-	case e.Leaving:
+	case e.Draining:
 		return e, LeavingNow
 	case emptied(e.Zone):
 		return e, Emptied
@@ -46,5 +46,5 @@
 // Stands tells whether an instance still has an address and is not leaving.
 func (r Roster) Stands(instance, address string) bool {
 	e, ok := r.entries[instance]
-	return ok && e.Address == address && !e.Leaving
+	return ok && e.Address == address && !e.Draining
 }
--- a/internal/dataplane/endpoints/late.go
+++ b/internal/dataplane/endpoints/late.go
@@ -22,10 +22,10 @@
 	if r.entries[a.Instance].Overtakes(a) {
 		return true
 	}
-	if r.departures.Has(a.Instance) {
+	if r.departures.Contains(a.Instance) {
 		return !a.Leaving
 	}
-	return r.displaced.Has(a.Instance) && r.heldByAnother(a, now)
+	return r.displaced.Contains(a.Instance) && r.heldByAnother(a, now)
 }
 
 // heldByAnother tells whether another instance has the address, was heard lately, and again
--- a/internal/dataplane/endpoints/overtaken_test.go
+++ b/internal/dataplane/endpoints/overtaken_test.go
@@ -19,14 +19,14 @@
 	r, _ = r.Announce(gone, "north", now)
 	for _, after := range []time.Duration{time.Millisecond, 3 * time.Second} {
 		next, _ := r.Announce(late, "north", now.Add(after))
-		if e := next.entries["a"]; !e.Leaving || e.Heard != now {
+		if e := next.entries["a"]; !e.Draining || e.Heard != now {
 			t.Errorf("after %v an overtaken beat was taken: %+v", after, e)
 		}
 	}
 	late.Count = 0
 	for _, after := range []time.Duration{time.Millisecond, 3 * time.Second} {
 		next, _ := r.Announce(late, "north", now.Add(after))
-		if e := next.entries["a"]; !e.Leaving || e.Heard != now {
+		if e := next.entries["a"]; !e.Draining || e.Heard != now {
 			t.Errorf("after %v one that does not count was taken: %+v", after, e)
 		}
 	}
--- a/internal/dataplane/endpoints/roster.go
+++ b/internal/dataplane/endpoints/roster.go
@@ -45,19 +45,19 @@
 		return r.doubt(a), nil
 	}
 	e := Entry{Heard: now, ramp: ramp, share: share, coldUntil: now.Add(left), Desk: old.Desk, count: a.Count, Backend: membership.Backend{
-		Instance: a.Instance, Service: a.Service, Address: a.Address, Capacity: a.Capacity, Share: share,
-		Zone: cmp.Or(a.Zone, home), Leaving: a.Leaving || r.draining,
+		Instance: a.Instance, Service: a.Service, Address: a.Address, Capacity: a.Capacity, CapacityShare: share,
+		Zone: cmp.Or(a.Zone, home), Draining: a.Leaving || r.draining,
 	}}
 	if e.Desk == nil || old.Address != a.Address || old.Service != a.Service {
 		e.Desk = NewDesk()
 	}
 	e.again = known && (old.again || r.heardAgain(old, a, now))
 	if old.share == share {
-		e.Share = old.Share // as it is shaded
+		e.CapacityShare = old.CapacityShare // as it is shaded
 	}
 	next := r.with(e)
-	if a.Leaving && !r.departures.Has(a.Instance) {
-		next.departures, _ = r.departures.With(a.Instance)
+	if a.Leaving && !r.departures.Contains(a.Instance) {
+		next.departures, _ = r.departures.Add(a.Instance)
 		next.Rev++
 	}
 	if !known || old.Backend != e.Backend {
@@ -73,7 +73,7 @@
 	maps.DeleteFunc(next.entries, func(_ string, other Entry) bool {
 		taken := other.Address == e.Address && other.Instance != e.Instance
 		if taken {
-			next.displaced, _ = next.displaced.With(other.Instance)
+			next.displaced, _ = next.displaced.Add(other.Instance)
 		}
 		return taken
 	})
@@ -93,7 +93,7 @@
 
 // Depart takes that instances have said that they leave, whether they are known or not.
 func (r Roster) Depart(instances ...string) Roster {
-	departures, changed := r.departures.With(instances...)
+	departures, changed := r.departures.Add(instances...)
 	if !changed {
 		return r
 	}
@@ -102,7 +102,7 @@
 	next.Rev++
 	for _, instance := range instances {
 		if e, known := next.entries[instance]; known {
-			e.Leaving = true
+			e.Draining = true
 			next.entries[instance] = e
 		}
 	}
@@ -110,7 +110,7 @@
 }
 
 // Departed tells whether an instance has said that it leaves.
-func (r Roster) Departed(instance string) bool { return r.departures.Has(instance) }
+func (r Roster) Departed(instance string) bool { return r.departures.Contains(instance) }
 
 // DepartedSince tells whether an instance has said that it leaves since an earlier roster.
 func (r Roster) DepartedSince(earlier Roster) bool {
@@ -119,7 +119,7 @@
 
 // DepartedNewest lists the departures that are told to the cores.
 func (r Roster) DepartedNewest() []string {
-	return r.departures.Newest(membership.DeparturesTold).List()
+	return r.departures.Newest(membership.MaxReportedDepartures).List()
 }
 
 // Drain has all backends told as leaving: the sidecar is stopping. Their own words stand as
@@ -128,7 +128,7 @@
 	next := r.copy()
 	next.draining = true
 	for instance, e := range next.entries {
-		e.Leaving = true
+		e.Draining = true
 		next.entries[instance] = e
 	}
 	next.Rev++
@@ -159,8 +159,8 @@
 		if n := rate(e.Service); n > 0 && e.Cold(now) {
 			share = min(share, n*shadeFor/float64(e.Capacity))
 		}
-		if e.Share != share {
-			e.Share = share
+		if e.CapacityShare != share {
+			e.CapacityShare = share
 			next.entries[k] = e
 			next.Rev = r.Rev + 1
 		}
--- a/internal/dataplane/keyreplication/custody_test.go
+++ b/internal/dataplane/keyreplication/custody_test.go
@@ -133,7 +133,7 @@
 // What a holder that has gone, or come back in another boot, had held lacks one; the
 // next in order is asked. Nothing is asked for what is held, given up or over.
 func TestLacking(t *testing.T) {
-	nodes := []membership.Node{{Addr: "a", Boot: 1}, {Addr: "b", Boot: 1}, {Addr: "c", Boot: 1}}
+	nodes := []membership.Node{{Addr: "a", Incarnation: 1}, {Addr: "b", Incarnation: 1}, {Addr: "c", Incarnation: 1}}
 	tr := NewTrusts("o", "north")
 	e := Entry{Owner: "o", Boot: 7, N: 1, Key: idempotency.Key{Text: "k"}, For: time.Minute}
 	ranked := Choose("o", "north", e.Key, nodes)
@@ -148,7 +148,7 @@
 	e.Response = []byte("r")
 	tr.Settle(e, 10*time.Second)
 	reborn := []membership.Node{ranked[0], ranked[1], ranked[2]}
-	reborn[0].Boot = 2
+	reborn[0].Incarnation = 2
 	if got := tr.Lacking(reborn, 9, 20*time.Second); len(got) != 1 || got[0].To.Addr != ranked[0].Addr || string(got[0].Response) != "r" || got[0].For != 50*time.Second {
 		t.Errorf("after another boot: %+v", got)
 	}
--- a/internal/dataplane/keyreplication/owner.go
+++ b/internal/dataplane/keyreplication/owner.go
@@ -102,7 +102,7 @@
 		}
 		o.settled.Store(o.Ready() && time.Since(known) > settleIn)
 		if o.Ready() {
-			tick.Reset(membership.Beat)
+			tick.Reset(membership.HeartbeatInterval)
 		}
 		if time.Since(known) < idempotency.HeldFor {
 			o.gather(ctx, asked, time.Since(known))
@@ -115,14 +115,14 @@
 func (o *Owner) gather(ctx context.Context, asked map[string]uint64, known time.Duration) {
 	var left []membership.Node
 	for _, n := range o.others() {
-		if asked[n.Addr] != n.Boot {
+		if asked[n.Addr] != n.Incarnation {
 			left = append(left, n)
 		}
 	}
 	missing := 0
 	for i, ok := range each(ctx, o, left, askWait, func(ctx context.Context, n membership.Node) bool { return o.handover(ctx, n) }) {
 		if ok {
-			asked[left[i].Addr] = left[i].Boot
+			asked[left[i].Addr] = left[i].Incarnation
 		} else {
 			missing++
 		}
@@ -134,7 +134,7 @@
 
 // repair entrusts anew what holders that have gone had held.
 func (o *Owner) repair(ctx context.Context) {
-	for begin := time.Now(); time.Since(begin) < membership.Beat/2; {
+	for begin := time.Now(); time.Since(begin) < membership.HeartbeatInterval/2; {
 		var lacks []Lack
 		o.with(func(t *Trusts, now time.Duration) { lacks = t.Lacking(o.answering(), repairAtOnce, now) })
 		taken := each(ctx, o, lacks, holdWait, func(ctx context.Context, l Lack) bool {
--- a/internal/dataplane/keyreplication/trusts.go
+++ b/internal/dataplane/keyreplication/trusts.go
@@ -43,7 +43,7 @@
 	if x.Response == nil {
 		t.note(x, e, now)
 	}
-	x.by[by.Addr] = by.Boot
+	x.by[by.Addr] = by.Incarnation
 }
 
 // Settle takes what was answered under a claim.
@@ -82,7 +82,7 @@
 func (t *Trusts) Lacking(nodes []membership.Node, most int, now time.Duration) (out []Lack) {
 	boots := map[string]uint64{}
 	for _, n := range nodes {
-		boots[n.Addr] = n.Boot
+		boots[n.Addr] = n.Incarnation
 	}
 	for key, x := range t.held {
 		if now >= x.until {
--- a/internal/dataplane/metrics.go
+++ b/internal/dataplane/metrics.go
@@ -87,7 +87,7 @@
 			}
 		}),
 		metrics.Gauge("cores_live", "Cores that are heard.", nil, metrics.Value(func() float64 {
-			return float64(len(n.seeker.Seats().Live(time.Now())))
+			return float64(len(n.seeker.Replicas().Live(time.Now())))
 		})),
 		metrics.Gauge("sidecars_known", "Sidecars in this one's view, itself included.", nil, metrics.Value(func() float64 {
 			return float64(len(n.steward.view.Load().Nodes()))
