--- a/internal/dataplane/new.go
+++ b/internal/dataplane/new.go
@@ -58,19 +58,19 @@
 // addControl adds the parts that know of other processes.
 func (n *Node) addControl() {
 	set, p := n.set, n.p
-	n.seeker = membership.NewSeeker()
-	n.steward = newSteward(p.Launcher, set.Advertise, p.Boot, set.Zone, set.ExtraAttempts, n.seeker.Hasten)
+	n.seeker = membership.NewDiscovery()
+	n.steward = newSteward(p.Launcher, set.Advertise, p.Boot, set.Zone, set.ExtraAttempts, n.seeker.HeartbeatNow)
 	n.steward.roster.Store(&endpoints.Roster{Pace: endpoints.Pace{Beat: set.Beat}, Started: time.Now()})
 	n.steward.departures.notice = p.Notice
 	n.steward.climb = routing.Climb{For: set.Ramp, From: set.RampFrom}
-	n.seeker.Own = func() membership.Heartbeat { node := n.steward.node(); return membership.Heartbeat{Node: &node} }
-	n.seeker.Addr, n.seeker.Net, n.seeker.Launcher = set.Advertise, p.Net, p.Launcher
-	n.seeker.Told = n.steward.told
-	n.seeker.Heard = func(context.Context, membership.Seat) {}
+	n.seeker.Local = func() membership.Heartbeat { node := n.steward.node(); return membership.Heartbeat{Node: &node} }
+	n.seeker.Addr, n.seeker.Client, n.seeker.Actors = set.Advertise, p.Net, p.Launcher
+	n.seeker.OnResponse = n.steward.told
+	n.seeker.OnReplica = func(context.Context, membership.Replica) {}
 	n.reload = &process.Reloader{Seeker: n.seeker}
 	n.reload.Apply(set.Common)
 	watcher := n.steward.watcher
-	watcher.Own, watcher.Net, watcher.Launcher, watcher.Changed = set.Advertise, p.Net, p.Launcher, n.seeker.Hasten
+	watcher.Addr, watcher.Client, watcher.Actors, watcher.OnChange = set.Advertise, p.Net, p.Launcher, n.seeker.HeartbeatNow
 	watcher.View = n.view
 }
 
@@ -107,23 +107,23 @@
 }
 
 // newRollcall makes the part that asks the other sidecars when no core is heard.
-func (n *Node) newRollcall() *membership.Rollcall {
-	rollcall := membership.NewRollcall()
-	rollcall.Own, rollcall.Net, rollcall.Launcher, rollcall.Node, rollcall.View = n.set.Advertise, n.p.Net, n.p.Launcher, n.steward.node, n.view
-	rollcall.Seats, rollcall.Word, rollcall.Seeds = n.seeker.Seats, n.steward.spoken.Load, n.seeker.Seeds
-	rollcall.News, rollcall.Sure = n.steward.news, n.steward.agreed.Renew
-	rollcall.Take = func(ctx context.Context, f membership.Found) {
-		n.seeker.Hear(membership.Heartbeat{Know: f.Know})
+func (n *Node) newRollcall() *membership.Gossiper {
+	rollcall := membership.NewGossiper()
+	rollcall.Addr, rollcall.Client, rollcall.Actors, rollcall.Node, rollcall.View = n.set.Advertise, n.p.Net, n.p.Launcher, n.steward.node, n.view
+	rollcall.Replicas, rollcall.State, rollcall.Seeds = n.seeker.Replicas, n.steward.spoken.Load, n.seeker.Seeds
+	rollcall.UpdateAge, rollcall.OnConfirmed = n.steward.news, n.steward.agreed.Renew
+	rollcall.OnUpdate = func(ctx context.Context, f membership.GossipUpdate) {
+		n.seeker.Receive(membership.Heartbeat{KnownReplicas: f.KnownReplicas})
 		n.steward.box.Send(ctx, msgFound{f})
 	}
 	return rollcall
 }
 
 // newFollower makes the part that follows a core's feed.
-func (n *Node) newFollower() *watch.Follower {
-	return &watch.Follower{
-		Own: n.set.Advertise, Zone: n.set.Zone, Seats: n.seeker.Seats, Net: n.p.Net, Hasten: n.seeker.Hasten,
-		Take: func(ctx context.Context, c membership.Seat, news watch.News, asked time.Time) {
+func (n *Node) newFollower() *watch.Watcher {
+	return &watch.Watcher{
+		Addr: n.set.Advertise, Zone: n.set.Zone, Replicas: n.seeker.Replicas, Client: n.p.Net, HeartbeatNow: n.seeker.HeartbeatNow,
+		OnUpdates: func(ctx context.Context, c membership.Replica, news watch.Updates, asked time.Time) {
 			// No more is asked for before it is in force: of words that come faster
 			// than that, the core then tells the newest only. (DESIGN 8.2)
 			actor.Ask(ctx, n.steward.box, func(r chan<- bool) any { return msgNews{c, news, asked, r} })
@@ -132,14 +132,14 @@
 }
 
 // addHandlers adds what other processes may ask.
-func (n *Node) addHandlers(rollcall *membership.Rollcall) {
+func (n *Node) addHandlers(rollcall *membership.Gossiper) {
 	handlers := n.p.Host.Handlers
 	maps.Copy(handlers, n.holder.Handlers())
 	handlers[membership.KindHeartbeat] = n.heartbeat
 	handlers[membership.KindProbe] = func(context.Context, transport.Request) (any, string) {
-		return membership.Probe{Boot: n.p.Boot, Inc: n.steward.inc.Load()}, ""
+		return membership.Probe{Incarnation: n.p.Boot, Refutation: n.steward.inc.Load()}, ""
 	}
-	handlers[membership.KindGossip] = rollcall.Answer
+	handlers[membership.KindGossip] = rollcall.HandleGossip
 	handlers[proxy.KindAttempt] = n.far.Attempt
 	handlers[proxy.KindRecall] = n.far.Recall
 }
--- a/internal/dataplane/node.go
+++ b/internal/dataplane/node.go
@@ -49,7 +49,7 @@
 	p        *process.Process
 	set      settings.Sidecar
 	steward  *steward
-	seeker   *membership.Seeker
+	seeker   *membership.Discovery
 	near     *proxy.Near
 	far      *proxy.Far
 	holder   *keyreplication.Holder
@@ -85,14 +85,14 @@
 // that there is none. (DESIGN 7.2, 7.4)
 func (n *Node) claimed() bool {
 	now := time.Now()
-	return n.steward.claim.Age(now) <= endpoints.ClaimFor || n.steward.agreed.Age(now) <= endpoints.ClaimFor && n.seeker.Seats().NoMajority(now)
+	return n.steward.claim.Age(now) <= endpoints.ClaimFor || n.steward.agreed.Age(now) <= endpoints.ClaimFor && n.seeker.Replicas().QuorumLost(now)
 }
 
 // unsure tells whether a newer word may have been in force elsewhere for so long that
 // this sidecar's saying that there is no such way would be wrong. (DESIGN 7.2)
 func (n *Node) unsure() bool {
 	now := time.Now()
-	return n.steward.claim.Age(now) > sureFor && (n.steward.agreed.Age(now) > endpoints.ClaimFor || !n.seeker.Seats().NoMajority(now))
+	return n.steward.claim.Age(now) > sureFor && (n.steward.agreed.Age(now) > endpoints.ClaimFor || !n.seeker.Replicas().QuorumLost(now))
 }
 
 // behind tells whether this sidecar must not choose routes by what it knows: a live core
@@ -101,7 +101,7 @@
 // who admits is bound by its own claim. (DESIGN 7.2)
 func (n *Node) behind() bool {
 	now := time.Now()
-	return n.steward.claim.Age(now) > sureFor && n.seeker.Seats().SettledPast(n.steward.table.Load().Stamp, now)
+	return n.steward.claim.Age(now) > sureFor && n.seeker.Replicas().CommittedPast(n.steward.table.Load().Stamp, now)
 }
 
 // shut tells whether clients' requests are refused. The calls of an own backend belong
@@ -126,18 +126,18 @@
 	if !in.Into(&h) {
 		return nil, "not a heartbeat"
 	}
-	return n.seeker.Answer(h, nil), ""
+	return n.seeker.Respond(h, nil), ""
 }
 
 // collector is the first live core by rendezvous of the trace id, of those of the own
 // zone if there are any. (DESIGN 2.6)
 func (n *Node) collector(id trace.TraceID) (string, bool) {
-	live := n.seeker.Seats().Live(time.Now())
-	own := slices.DeleteFunc(slices.Clone(live), func(c membership.Seat) bool { return c.Zone != n.set.Zone })
+	live := n.seeker.Replicas().Live(time.Now())
+	own := slices.DeleteFunc(slices.Clone(live), func(c membership.Replica) bool { return c.Zone != n.set.Zone })
 	if len(own) > 0 {
 		live = own
 	}
-	live = rendezvous.Rank(id.String(), live, func(c membership.Seat) string { return fmt.Sprint(c.Slot) })
+	live = rendezvous.Rank(id.String(), live, func(c membership.Replica) string { return fmt.Sprint(c.MemberID) })
 	if len(live) == 0 {
 		return "", false
 	}
--- a/internal/dataplane/proxy/cold_test.go
+++ b/internal/dataplane/proxy/cold_test.go
@@ -24,7 +24,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	f.links.launcher.Go(ctx, "lineage", f.Lineage.Run)
-	table, ok := routing.NewTable(config.Word{Stamp: 1, DesiredStamp: 1, Desired: []byte(`{"ways": [{"name": "w", "prefix": "/", "service": "desk", "contract": "c"}],
+	table, ok := routing.NewTable(config.ControlState{Revision: 1, ConfigurationRevision: 1, Configuration: []byte(`{"ways": [{"name": "w", "prefix": "/", "service": "desk", "contract": "c"}],
 		"contracts": [{"name": "c", "rank": 1, "aim": "1s", "expiry": "2s"}],
 		"services": [{"name": "desk", "connections": 6, "cold": {"for": "5s", "rate": 4}}]}`)})
 	if !ok {
--- a/internal/dataplane/proxy/departure_test.go
+++ b/internal/dataplane/proxy/departure_test.go
@@ -64,7 +64,7 @@
 		if n := p.uris()["/look/x"]; n != 1 {
 			t.Errorf("it was sent %d times", n)
 		}
-		if p.near.View().Service("desk")[0].Load.Shunned() {
+		if p.near.View().Service("desk")[0].Load.Ejected() {
 			t.Error("its backend is shunned for what its client did")
 		}
 	})
--- a/internal/dataplane/proxy/far.go
+++ b/internal/dataplane/proxy/far.go
@@ -45,8 +45,8 @@
 
 // most is how many connections an own backend may have at a time.
 func (f *Far) most(e endpoints.Entry) int {
-	if s, _ := f.Table().Service(e.Service); s.Connections > 0 {
-		return min(s.Connections, e.Capacity)
+	if s, _ := f.Table().Service(e.Service); s.MaxConnections > 0 {
+		return min(s.MaxConnections, e.Capacity)
 	}
 	return e.Capacity
 }
--- a/internal/dataplane/proxy/near.go
+++ b/internal/dataplane/proxy/near.go
@@ -87,7 +87,9 @@
 }
 
 // room is how late the request may be at all.
-func (q *request) room() time.Duration { return q.contract.Deadline.Duration - q.contract.Aim.Duration }
+func (q *request) room() time.Duration {
+	return q.contract.Deadline.Duration - q.contract.LatencyTarget.Duration
+}
 
 // Handler serves requests of one caller: a backend service, or "" for clients.
 func (n *Near) Handler(caller string) http.Handler {
@@ -166,7 +168,7 @@
 	n.Dialect.Hear(r, trailer)
 	q.left = said.Left
 	q.attempt = Attempt{
-		Service: q.route.Service, Route: q.route.Name, Rank: q.contract.Rank, Repeatable: q.route.Repeatable,
+		Service: q.route.Service, Route: q.route.Name, Rank: q.contract.Priority, Repeatable: q.route.Idempotent,
 		Caller: cmp.Or(q.caller, n.Home), Method: r.Method, URI: r.RequestURI, Host: r.Host,
 		Header: header, Trailer: trailer, Body: body,
 	}
@@ -226,7 +228,7 @@
 func (n *Near) begin(ctx context.Context, q *request, h http.Header) {
 	told, traced := trace.ReadB3(h)
 	q.traced = traced
-	q.aim = q.begun.Add(q.contract.Aim.Duration)
+	q.aim = q.begun.Add(q.contract.LatencyTarget.Duration)
 	q.deadline = q.begun.Add(q.contract.Deadline.Duration)
 	if q.left > 0 && q.left < q.contract.Deadline.Duration {
 		q.deadline = q.begun.Add(q.left)
--- a/internal/dataplane/proxy/pair_test.go
+++ b/internal/dataplane/proxy/pair_test.go
@@ -78,7 +78,7 @@
 	p := &pair{bench: newBench(t, speak)}
 	ctx, cancel := context.WithCancel(context.Background())
 	l := actor.New(slog.New(slog.DiscardHandler), func(name string, cause any, stack []byte) { t.Errorf("%s: %v\n%s", name, cause, stack) })
-	table, ok := routing.NewTable(config.Word{Stamp: 1, DesiredStamp: 1, Desired: []byte(pairConfiguration)})
+	table, ok := routing.NewTable(config.ControlState{Revision: 1, ConfigurationRevision: 1, Configuration: []byte(pairConfiguration)})
 	if !ok {
 		t.Fatal("the configuration is not taken")
 	}
@@ -102,8 +102,8 @@
 	handlers := map[string]transport.Handler{KindAttempt: f.Attempt, KindRecall: f.Recall}
 	between(handlers)
 	host := &transport.Host{Launcher: l, Listener: kept, Handlers: handlers}
-	node := membership.Node{Addr: listener.Addr().String(), Boot: 7, Zone: "north", Backends: []membership.Backend{
-		{Instance: "a", Service: "desk", Address: p.entry.Address, Zone: "north", Capacity: 8, Share: 1},
+	node := membership.Node{Addr: listener.Addr().String(), Incarnation: 7, Zone: "north", Backends: []membership.Backend{
+		{Instance: "a", Service: "desk", Address: p.entry.Address, Zone: "north", Capacity: 8, CapacityShare: 1},
 	}}
 	view := membership.NewView(map[string]membership.Node{node.Addr: node}, nil)
 	p.near = &Near{
--- a/internal/dataplane/proxy/run.go
+++ b/internal/dataplane/proxy/run.go
@@ -40,7 +40,7 @@
 					"status", o.End.Status, "outcome", o.End.Fate, "reason", o.End.Reason, "legs", len(d.Attempts()))
 				rc = n.own(q, o.End.Status, o.End.Fate, o.End.Reason, o.End.RetryAfter)
 			}
-			n.Budgets.Ended(q.contract.Name, time.Since(q.begun), q.contract.Aim.Duration, q.contract.Deadline.Duration, rc.Fate == routing.Answered)
+			n.Budgets.Ended(q.contract.Name, time.Since(q.begun), q.contract.LatencyTarget.Duration, q.contract.Deadline.Duration, rc.Fate == routing.Answered)
 			note.Status, note.Outcome, note.Reason, note.Attempt = rc.Status, string(rc.Fate), o.End.Reason, len(d.Attempts())
 			n.Queue.Put(q.span, trace.ClientReceive, note)
 			return rc
@@ -74,7 +74,7 @@
 
 // hold is until when a request may be held for a place. (DESIGN 15.4)
 func (n *Near) hold(q *request) time.Time {
-	return q.begun.Add(time.Duration(n.Hold * float64(q.contract.Aim.Duration)))
+	return q.begun.Add(time.Duration(n.Hold * float64(q.contract.LatencyTarget.Duration)))
 }
 
 // crossing is the price of leaving the own zone, by how much would be carried.
@@ -102,7 +102,7 @@
 	}
 	attempt := q.attempt
 	attempt.ID = span.ID.String() + "/" + trace.NewID().String()
-	attempt.N, attempt.Instance, attempt.Boot, attempt.Patient = num, t.Instance, t.Boot, o.Patient
+	attempt.N, attempt.Instance, attempt.Boot, attempt.Patient = num, t.Instance, t.Incarnation, o.Patient
 	attempt.Left = time.Until(q.deadline) - grace
 	attempt.Aim = time.Until(q.aim) + n.Budgets.Patience(q.contract.Name, q.room()) - grace
 	t.Load.Attempts.Add(1)
@@ -119,16 +119,16 @@
 	switch {
 	case r.Fate == transport.Unsent:
 		l.Fate, l.Reason, l.Reached = routing.NotRun, "node could not be reached", false
-		t.Load.Shun(n.Shun)
+		t.Load.Eject(n.Shun)
 	case r.Into(&rc) && rc.of(&attempt):
 		l.Fate, l.Reason, l.Reached, l.Back, l.Expired = rc.Fate, rc.Reason, rc.Reached, rc.Back, rc.Reason == string(endpoints.Expired)
 		l.Lapsed = rc.Fate == routing.NotRun && rc.Reason == string(endpoints.Lapsed)
-		t.Load.Tell(rc.Open)
+		t.Load.Report(rc.Open)
 		if rc.Fate != routing.Answered && rc.Reason != string(endpoints.Full) && rc.Reason != string(endpoints.Recalled) {
-			t.Load.Shun(n.Shun)
+			t.Load.Eject(n.Shun)
 		}
 	default:
-		t.Load.Shun(n.Shun)
+		t.Load.Eject(n.Shun)
 		l = n.recall(ctx, l, attempt)
 	}
 	if expired := l.Expired || ctx.Err() != nil; expired || l.Fate == routing.Answered {
--- a/internal/dataplane/proxy/standin_test.go
+++ b/internal/dataplane/proxy/standin_test.go
@@ -111,7 +111,7 @@
 	f := NewFar(ctx, l)
 	f.Bodies, f.Dialect = &Bodies{Most: 1 << 20, All: 1 << 30}, told{}
 	f.links.stands = func(place) bool { return true }
-	table, _ := routing.NewTable(config.Word{})
+	table, _ := routing.NewTable(config.ControlState{})
 	f.Table = func() *routing.Table { return table }
 	b.far = f
 	b.entry = endpoints.Entry{Backend: membership.Backend{Instance: "a", Address: ln.Addr().String(), Capacity: 8}}
--- a/internal/dataplane/proxy/unsure_test.go
+++ b/internal/dataplane/proxy/unsure_test.go
@@ -13,7 +13,7 @@
 // That there is no way for a request is said only by who is sure of the newest
 // configuration; else it is refused as not run, with when to come back.
 func TestNoRouteWhileUnsure(t *testing.T) {
-	table, ok := routing.NewTable(config.Word{Stamp: 3, DesiredStamp: 3, Desired: []byte(`{"ways":[],"contracts":[]}`)})
+	table, ok := routing.NewTable(config.ControlState{Revision: 3, ConfigurationRevision: 3, Configuration: []byte(`{"ways":[],"contracts":[]}`)})
 	if !ok {
 		t.Fatal("no table")
 	}
@@ -38,7 +38,7 @@
 // A sidecar that is known to be behind chooses no route by its old configuration, be it one
 // that it has: the request is refused at once as not run, with when to come back.
 func TestNoRouteWhileBehind(t *testing.T) {
-	table, ok := routing.NewTable(config.Word{Stamp: 3, DesiredStamp: 3, Desired: []byte(
+	table, ok := routing.NewTable(config.ControlState{Revision: 3, ConfigurationRevision: 3, Configuration: []byte(
 		`{"ways":[{"name":"old","prefix":"/old/","service":"orders","contract":"c"}],"contracts":[{"name":"c","aim":"1s","expiry":"2s","rank":1}]}`,
 	)})
 	if !ok {
--- a/internal/dataplane/routing/decision.go
+++ b/internal/dataplane/routing/decision.go
@@ -132,10 +132,10 @@
 // exhausted tells whether no further attempt may be made: one may have run that
 // must not run twice, or there were as many as the route allows.
 func (d *Decision) exhausted(past history) bool {
-	if past.fate == Unknown && !d.Route.Repeatable {
+	if past.fate == Unknown && !d.Route.Idempotent {
 		return true
 	}
-	return past.reached >= cmp.Or(d.Route.Attempts, mostAttempts) || len(d.attempts) >= mostAsked
+	return past.reached >= cmp.Or(d.Route.MaxAttempts, mostAttempts) || len(d.attempts) >= mostAsked
 }
 
 // target chooses where the next attempt goes. A patient one was refused before and
@@ -181,8 +181,8 @@
 	var near, far, shunned []membership.Target
 	for _, c := range v.Service(d.Route.Service) {
 		switch {
-		case c.Leaving || t.Emptied(c.Zone) || d.tried(c):
-		case c.Load.Shunned():
+		case c.Draining || t.Emptied(c.Zone) || d.tried(c):
+		case c.Load.Ejected():
 			shunned = append(shunned, c)
 		case c.Zone == d.Zone:
 			near = append(near, c)
@@ -219,7 +219,7 @@
 
 // fill is the share of what a backend can bear that is taken.
 func fill(t membership.Target) float64 {
-	return float64(t.Load.Busy()) / max(1, float64(t.Capacity)*t.Share)
+	return float64(t.Load.EstimateOpen()) / max(1, float64(t.Capacity)*t.CapacityShare)
 }
 
 func (d *Decision) tried(t membership.Target) bool {
@@ -227,7 +227,7 @@
 		if i < d.again && !l.Reached && l.Fate == NotRun {
 			continue
 		}
-		if l.Target.Node == t.Node && l.Target.Instance == t.Instance && l.Target.Boot == t.Boot {
+		if l.Target.Node == t.Node && l.Target.Instance == t.Instance && l.Target.Incarnation == t.Incarnation {
 			return true
 		}
 	}
--- a/internal/dataplane/routing/index_test.go
+++ b/internal/dataplane/routing/index_test.go
@@ -31,13 +31,13 @@
 
 // tableOf builds a table of ways under one contract.
 func tableOf(t testing.TB, routes []config.Route) *Table {
-	st := config.State{Routes: routes}
-	if err := json.Unmarshal([]byte(`{"contracts":[{"name":"c","aim":"1s","expiry":"2s","rank":1}]}`), &st); err != nil {
+	configuration := config.Configuration{Routes: routes}
+	if err := json.Unmarshal([]byte(`{"contracts":[{"name":"c","aim":"1s","expiry":"2s","rank":1}]}`), &configuration); err != nil {
 		t.Fatal(err)
 	}
-	table, ok := NewTable(config.Word{Stamp: 1, DesiredStamp: 1, Desired: st.Bytes()})
+	table, ok := NewTable(config.ControlState{Revision: 1, ConfigurationRevision: 1, Configuration: configuration.Bytes()})
 	if !ok {
-		t.Fatalf("no table of %s", st.Bytes())
+		t.Fatalf("no table of %s", configuration.Bytes())
 	}
 	return table
 }
@@ -89,7 +89,7 @@
 			}
 			want, wantOK := linear(table, host, path, method)
 			got, _, ok := table.Match(host, path, method)
-			if d := cmp.Diff(want, got, cmpopts.IgnoreUnexported(config.Stray{})); ok != wantOK || d != "" {
+			if d := cmp.Diff(want, got, cmpopts.IgnoreUnexported(config.UnknownFields{})); ok != wantOK || d != "" {
 				t.Fatalf("seed %d: %s %q %q: %s", seed, method, host, path, d)
 			}
 			if ok {
@@ -140,17 +140,17 @@
 // BenchmarkNewTable makes the table of a word, reading included.
 func BenchmarkNewTable(b *testing.B) {
 	for _, n := range []int{310, 3000} {
-		st := config.State{}
-		if err := json.Unmarshal([]byte(`{"contracts":[{"name":"c","aim":"1s","expiry":"2s","rank":1}]}`), &st); err != nil {
+		configuration := config.Configuration{}
+		if err := json.Unmarshal([]byte(`{"contracts":[{"name":"c","aim":"1s","expiry":"2s","rank":1}]}`), &configuration); err != nil {
 			b.Fatal(err)
 		}
 		for i := range n {
-			st.Routes = append(st.Routes, config.Route{Name: fmt.Sprint("w", i), Host: fmt.Sprintf("host-%d.example", i%50), Prefix: fmt.Sprintf("/part-%d/of/it", i), Service: "s", Contract: "c"})
+			configuration.Routes = append(configuration.Routes, config.Route{Name: fmt.Sprint("w", i), Host: fmt.Sprintf("host-%d.example", i%50), Prefix: fmt.Sprintf("/part-%d/of/it", i), Service: "s", Contract: "c"})
 		}
-		w := config.Word{Stamp: 1, DesiredStamp: 1, Desired: st.Bytes()}
+		state := config.ControlState{Revision: 1, ConfigurationRevision: 1, Configuration: configuration.Bytes()}
 		b.Run(fmt.Sprintf("%d ways", n), func(b *testing.B) {
 			for range b.N {
-				if _, ok := NewTable(w); !ok {
+				if _, ok := NewTable(state); !ok {
 					b.Fatal("no table")
 				}
 			}
--- a/internal/dataplane/routing/lapsed_test.go
+++ b/internal/dataplane/routing/lapsed_test.go
@@ -21,7 +21,7 @@
 			takes time.Duration
 		}{"north", 10 * time.Millisecond}
 	}
-	table, _ := NewTable(config.Word{})
+	table, _ := NewTable(config.ControlState{})
 	for name, c := range map[string]struct {
 		unsure   bool
 		sure     int // the how manieth sidecar that is asked admits; 0: none
--- a/internal/dataplane/routing/pick_test.go
+++ b/internal/dataplane/routing/pick_test.go
@@ -16,7 +16,7 @@
 		t.Errorf("without a split: %q", got)
 	}
 	rng := rand.New(rand.NewPCG(1, 1))
-	w, got := config.Route{Split: []config.Portion{{Service: "none"}, {Service: "most", Weight: 95}, {Service: "few", Weight: 5}, {Service: "never"}}}, map[string]int{}
+	w, got := config.Route{Split: []config.WeightedService{{Service: "none"}, {Service: "most", Weight: 95}, {Service: "few", Weight: 5}, {Service: "never"}}}, map[string]int{}
 	for range 20000 {
 		got[Pick(w, rng.IntN)]++
 	}
@@ -29,14 +29,14 @@
 func TestAttempts(t *testing.T) {
 	nodes := map[string]membership.Node{}
 	for _, name := range []string{"a", "b", "c", "d", "e", "f"} {
-		nodes[name] = membership.Node{Addr: name, Backends: []membership.Backend{{Instance: name, Service: "s", Capacity: 1, Share: 1}}}
+		nodes[name] = membership.Node{Addr: name, Backends: []membership.Backend{{Instance: name, Service: "s", Capacity: 1, CapacityShare: 1}}}
 	}
 	view := membership.NewView(nodes, nil)
-	table, _ := NewTable(config.Word{})
+	table, _ := NewTable(config.ControlState{})
 	for attempts, want := range map[int]int{0: 3, 1: 1, 2: 2, 5: 5, 10: 6} {
 		now := time.Now()
 		d := Decision{
-			Route: config.Route{Name: "w", Service: "s", Attempts: attempts}, Deadline: now.Add(time.Second), Rand: rand.New(rand.NewPCG(1, 1)),
+			Route: config.Route{Name: "w", Service: "s", MaxAttempts: attempts}, Deadline: now.Add(time.Second), Rand: rand.New(rand.NewPCG(1, 1)),
 			Means: Means{Cost: func(membership.Target) Cost { return Cost{} }, Spend: func() bool { return true }},
 		}
 		for {
@@ -57,19 +57,19 @@
 
 // What is said of services and clients is to be had; a table of nothing has none.
 func TestSaid(t *testing.T) {
-	table, ok := NewTable(config.Word{Stamp: 1, DesiredStamp: 1, Desired: []byte(`{"contracts": [{"name":"c","aim":"1s","expiry":"2s","rank":1}],
+	table, ok := NewTable(config.ControlState{Revision: 1, ConfigurationRevision: 1, Configuration: []byte(`{"contracts": [{"name":"c","aim":"1s","expiry":"2s","rank":1}],
 		"services": [{"name":"b","connections":7},{"name":"a"},{"name":"z"}], "limits": {"body_bytes": 9},
 		"ways": [{"name":"w","prefix":"/","split":[{"service":"b","weight":1},{"service":"a","weight":1}],"contract":"c"}]}`)})
 	if !ok {
 		t.Fatal("no table")
 	}
-	if s, ok := table.Service("b"); !ok || s.Connections != 7 {
+	if s, ok := table.Service("b"); !ok || s.MaxConnections != 7 {
 		t.Errorf("b: %+v", s)
 	}
-	if got := table.Services(); len(got) != 3 || table.Limits().BodyBytes != 9 {
+	if got := table.Services(); len(got) != 3 || table.Limits().MaxBodyBytes != 9 {
 		t.Errorf("%v, %+v", got, table.Limits())
 	}
-	none, _ := NewTable(config.Word{})
+	none, _ := NewTable(config.ControlState{})
 	if _, ok := none.Service("b"); ok || none.Limits().IsDefined() || len(none.Services()) != 0 {
 		t.Error("a table of nothing says something")
 	}
--- a/internal/dataplane/routing/spend_test.go
+++ b/internal/dataplane/routing/spend_test.go
@@ -27,7 +27,7 @@
 ) *site {
 	s := &site{nodes: map[string]membership.Node{}, costs: NewCosts()}
 	for name, p := range places {
-		s.nodes[name] = membership.Node{Addr: name, Backends: []membership.Backend{{Instance: name, Service: "s", Zone: p.zone, Capacity: 4, Share: 1}}}
+		s.nodes[name] = membership.Node{Addr: name, Backends: []membership.Backend{{Instance: name, Service: "s", Zone: p.zone, Capacity: 4, CapacityShare: 1}}}
 	}
 	s.view = membership.NewView(s.nodes, nil)
 	for _, t := range s.view.Service("s") {
@@ -42,7 +42,7 @@
 // refused.
 func (s *site) picks(left, patience time.Duration) map[string]int {
 	out := map[string]int{}
-	table, _ := NewTable(config.Word{})
+	table, _ := NewTable(config.ControlState{})
 	for seed := range uint64(400) {
 		now := time.Now()
 		d := Decision{
@@ -119,7 +119,7 @@
 	} {
 		s := newSite(places)
 		s.crossing = 0.06
-		s.nodes["far"] = membership.Node{Addr: "far", Backends: []membership.Backend{{Instance: "far", Service: "s", Zone: "south", Capacity: 4, Share: 1}}}
+		s.nodes["far"] = membership.Node{Addr: "far", Backends: []membership.Backend{{Instance: "far", Service: "s", Zone: "south", Capacity: 4, CapacityShare: 1}}}
 		s.view = membership.NewView(s.nodes, nil)
 		for _, x := range s.view.Service("s") {
 			if x.Instance == "near" {
--- a/internal/dataplane/routing/table.go
+++ b/internal/dataplane/routing/table.go
@@ -53,23 +53,23 @@
 }
 
 // NewTable builds the table of a word; false if its bytes do not check.
-func NewTable(w config.Word) (*Table, bool) {
-	t := &Table{Stamp: w.Stamp, Climb: UsualClimb, contracts: map[string]config.Contract{}, emptied: map[string]bool{}}
-	for _, l := range w.Shut() {
+func NewTable(state config.ControlState) (*Table, bool) {
+	t := &Table{Stamp: state.Revision, Climb: UsualClimb, contracts: map[string]config.Contract{}, emptied: map[string]bool{}}
+	for _, l := range state.EvacuatedZones() {
 		t.emptied[l] = true
 	}
-	if w.DesiredStamp == 0 {
+	if state.ConfigurationRevision == 0 {
 		return t, true
 	}
-	st, faults, ok := config.Parse(w.Desired)
+	configuration, faults, ok := config.Parse(state.Configuration)
 	if !ok || len(faults) > 0 {
 		return nil, false
 	}
-	t.routes, t.limits, t.services = st.Routes, st.Limits, map[string]config.Service{}
-	for _, s := range st.Services {
+	t.routes, t.limits, t.services = configuration.Routes, configuration.Limits, map[string]config.Service{}
+	for _, s := range configuration.Services {
 		t.services[s.Name] = s
 	}
-	for _, c := range st.Contracts {
+	for _, c := range configuration.Contracts {
 		t.contracts[c.Name] = c
 	}
 	// The closest match stands first: host, then longer prefix, then method.
@@ -101,8 +101,8 @@
 // ColdRate is how many requests a second a cold backend of a service bears; 0 if the
 // operator said nothing of it.
 func (t *Table) ColdRate(service string) float64 {
-	if s := t.services[service]; s.Cold != nil {
-		return s.Cold.Rate
+	if s := t.services[service]; s.SlowStart != nil {
+		return s.SlowStart.RequestsPerSecond
 	}
 	return 0
 }
@@ -143,7 +143,7 @@
 	out := []retrybudget.Page{}
 	for _, name := range slices.Sorted(maps.Keys(t.contracts)) {
 		c := t.contracts[name]
-		out = append(out, retrybudget.NewPage(name, c.Rank, c.Aim.Duration, c.Deadline.Duration, sums[name]))
+		out = append(out, retrybudget.NewPage(name, c.Priority, c.LatencyTarget.Duration, c.Deadline.Duration, sums[name]))
 	}
 	return out
 }
--- a/internal/dataplane/routing/table_test.go
+++ b/internal/dataplane/routing/table_test.go
@@ -12,9 +12,9 @@
 func TestRamp(t *testing.T) {
 	base := time.Now()
 	at := func(s float64) time.Time { return base.Add(time.Duration(s * float64(time.Second))) }
-	table, _ := NewTable(config.Word{})
+	table, _ := NewTable(config.ControlState{})
 	put := func(stamp uint64, s float64, emptied ...string) {
-		next, ok := NewTable(config.Word{Stamp: stamp, Emptied: emptied})
+		next, ok := NewTable(config.ControlState{Revision: stamp, EvacuatedByOperator: emptied})
 		if !ok {
 			t.Fatal("no table")
 		}
@@ -47,7 +47,7 @@
 
 // The closest match wins: host, then longer prefix, then named methods.
 func TestMatch(t *testing.T) {
-	table, ok := NewTable(config.Word{Stamp: 1, DesiredStamp: 1, Desired: []byte(`{"contracts": [{"name":"c","aim":"1s","expiry":"2s","rank":1}], "ways": [
+	table, ok := NewTable(config.ControlState{Revision: 1, ConfigurationRevision: 1, Configuration: []byte(`{"contracts": [{"name":"c","aim":"1s","expiry":"2s","rank":1}], "ways": [
 		{"name":"all","prefix":"/","service":"s","contract":"c"},
 		{"name":"deep","prefix":"/a/b","service":"s","contract":"c"},
 		{"name":"post","prefix":"/a/b","methods":["POST"],"service":"s","contract":"c"},
--- a/internal/dataplane/steward.go
+++ b/internal/dataplane/steward.go
@@ -26,11 +26,11 @@
 	hasten       func()
 	retryBudgets *retrybudget.RetryBudgets
 	budgets      *retrybudget.Budgets
-	watcher      *membership.Watcher
+	watcher      *membership.Prober
 	inc          atomic.Uint64
 	sleep        endpoints.Sleep
 
-	copy *watch.Copy
+	copy *watch.Mirror
 
 	roster atomic.Pointer[endpoints.Roster]
 	table  atomic.Pointer[routing.Table]
@@ -40,7 +40,7 @@
 	// agreed is the claim that a roll call gives while no majority of cores lives.
 	agreed endpoints.Claim
 	// spoken is the word that the table was made of.
-	spoken atomic.Pointer[config.Word]
+	spoken atomic.Pointer[config.ControlState]
 	// report limits how often new configurations hasten heartbeats.
 	report reportLimit
 	// climb is how zones are taken back.
@@ -73,12 +73,12 @@
 	// msgHeld tells that a core has this node in a revision.
 	msgHeld struct{ rev uint64 }
 	msgNews struct {
-		core  membership.Seat
-		n     watch.News
+		core  membership.Replica
+		n     watch.Updates
 		asked time.Time
 		taken chan<- bool
 	}
-	msgFound struct{ f membership.Found }
+	msgFound struct{ f membership.GossipUpdate }
 	msgTick  struct{}
 	msgPulse struct{}
 	msgDrain struct{}
@@ -86,11 +86,11 @@
 )
 
 func newSteward(l *actor.Launcher, addr string, boot uint64, zone string, extraAttempts int, hasten func()) *steward {
-	s := &steward{addr: addr, boot: boot, zone: zone, hasten: hasten, copy: watch.NewCopy()}
-	s.watcher = membership.NewWatcher()
+	s := &steward{addr: addr, boot: boot, zone: zone, hasten: hasten, copy: watch.NewMirror()}
+	s.watcher = membership.NewProber()
 	s.retryBudgets, s.budgets = retrybudget.NewRetryBudgets(addr, extraAttempts), retrybudget.NewBudgets()
 	s.roster.Store(&endpoints.Roster{})
-	t, _ := routing.NewTable(config.Word{})
+	t, _ := routing.NewTable(config.ControlState{})
 	s.table.Store(t)
 	s.view.Store(membership.NewView(nil, nil))
 	s.shown.Store(&follows{})
@@ -103,14 +103,14 @@
 	if len(h.Departed) > 0 {
 		s.box.Send(ctx, msgDeparted{h.Departed})
 	}
-	if boot, rev := told.Rev(); boot == s.boot && !h.Whole && s.held.waiting.Load() {
+	if boot, rev := told.NodeVersion(); boot == s.boot && !h.RequestFull && s.held.waiting.Load() {
 		s.box.Send(ctx, msgHeld{rev})
 	}
 	if h.Budgets != nil {
 		s.budgets.Hear(h.Budgets)
 	}
-	for own := s.inc.Load(); h.Accused != nil && *h.Accused >= own; own = s.inc.Load() {
-		if s.inc.CompareAndSwap(own, *h.Accused+1) {
+	for own := s.inc.Load(); h.Suspected != nil && *h.Suspected >= own; own = s.inc.Load() {
+		if s.inc.CompareAndSwap(own, *h.Suspected+1) {
 			s.hasten()
 		}
 	}
@@ -118,7 +118,7 @@
 
 // run keeps time until ctx ends.
 func (s *steward) run(ctx context.Context) {
-	tick, pulse := time.NewTicker(membership.Beat), time.NewTicker(endpoints.Pulse)
+	tick, pulse := time.NewTicker(membership.HeartbeatInterval), time.NewTicker(endpoints.Pulse)
 	defer tick.Stop()
 	defer pulse.Stop()
 	for {
@@ -137,8 +137,8 @@
 func (s *steward) node() membership.Node {
 	r := s.roster.Load()
 	return membership.Node{
-		Addr: s.addr, Boot: s.boot, Rev: r.Rev, Zone: s.zone, Stamp: s.table.Load().Stamp, Backends: r.Backends(), Departed: r.DepartedNewest(), Inc: s.inc.Load(), Open: r.Open(),
-		Accuses: s.watcher.Accused(), Budgets: s.budgets.Own(),
+		Addr: s.addr, Incarnation: s.boot, Version: r.Rev, Zone: s.zone, AppliedRevision: s.table.Load().Stamp, Backends: r.Backends(), Departed: r.DepartedNewest(), Refutation: s.inc.Load(), OpenRequests: r.Open(),
+		Suspects: s.watcher.Suspects(), Budgets: s.budgets.Own(),
 	}
 }
 
@@ -221,15 +221,15 @@
 	s.view.Store(membership.NewView(s.copy.Nodes, s.view.Load()))
 }
 
-func (s *steward) take(core membership.Seat, n watch.News) {
-	word, changed := s.copy.Take(n)
+func (s *steward) take(core membership.Replica, n watch.Updates) {
+	word, changed := s.copy.Apply(n)
 	if word != nil {
 		s.word(*word)
 	}
 	if changed {
 		s.look()
 	}
-	s.shown.Store(&follows{Core: core.Addr, Slot: core.Slot, Stamp: s.table.Load().Stamp, Since: time.Now()})
+	s.shown.Store(&follows{Core: core.Addr, Slot: core.MemberID, Stamp: s.table.Load().Stamp, Since: time.Now()})
 }
 
 // news is how old the news from the cores is.
@@ -237,25 +237,25 @@
 
 // found takes what other sidecars have, while no core tells: one round's finds at a
 // time, so that the view is made anew once a round at most. (DESIGN 7.4)
-func (s *steward) found(f membership.Found, now time.Time) {
-	if f.Word != nil && s.copy.Newer(*f.Word) {
-		s.word(*f.Word)
+func (s *steward) found(f membership.GossipUpdate, now time.Time) {
+	if f.State != nil && s.copy.AdvanceTo(*f.State) {
+		s.word(*f.State)
 	}
-	if s.news(now) < membership.Silence {
+	if s.news(now) < membership.ReplicaTimeout {
 		return
 	}
-	if s.copy.Meet(f.Nodes, f.Dead) {
+	if s.copy.MergeNodes(f.Nodes, f.Dead) {
 		s.look()
 	}
 }
 
 // word puts a word in force.
-func (s *steward) word(w config.Word) {
-	if t, ok := routing.NewTable(w); ok {
+func (s *steward) word(state config.ControlState) {
+	if t, ok := routing.NewTable(state); ok {
 		t.Climb = s.climb
 		t.After(s.table.Load(), time.Now())
 		s.table.Store(t)
-		s.spoken.Store(&w)
+		s.spoken.Store(&state)
 		if s.report.changed(time.Now()) {
 			s.hasten()
 		}
--- a/internal/dataplane/steward_test.go
+++ b/internal/dataplane/steward_test.go
@@ -15,12 +15,12 @@
 func TestFound(t *testing.T) {
 	l := actor.New(slog.New(slog.DiscardHandler), func(name string, cause any, stack []byte) { t.Errorf("%s: %v\n%s", name, cause, stack) })
 	s := newSteward(l, "10.0.0.1:7020", 1, "north", 0, func() {})
-	var found membership.Found
+	var found membership.GossipUpdate
 	for i := range 199 {
 		addr := fmt.Sprintf("10.0.1.%d:7020", i)
-		found.Nodes = append(found.Nodes, membership.Node{Addr: addr, Boot: 1, Rev: 1, Backends: []membership.Backend{{Service: "orders", Instance: addr}}})
+		found.Nodes = append(found.Nodes, membership.Node{Addr: addr, Incarnation: 1, Version: 1, Backends: []membership.Backend{{Service: "orders", Instance: addr}}})
 	}
-	send := func(f membership.Found) *membership.View {
+	send := func(f membership.GossipUpdate) *membership.View {
 		s.box.Send(t.Context(), msgFound{f})
 		if _, ok := actor.Ask(t.Context(), s.box, func(r chan<- bool) any { return msgLive{r} }); !ok {
 			t.Fatal("no answer")
@@ -35,7 +35,7 @@
 		t.Error("the view was made again for what was known")
 	}
 	dead := map[string]uint64{found.Nodes[0].Addr: 1, found.Nodes[1].Addr: 7}
-	if got := len(send(membership.Found{Dead: dead}).Addrs()); got != 199 {
+	if got := len(send(membership.GossipUpdate{Dead: dead}).Addrs()); got != 199 {
 		t.Errorf("%d known; one died in its boot, of another an earlier process did", got)
 	}
 }
@@ -57,13 +57,13 @@
 		t.Errorf("%d answers before a core holds it", len(answered))
 	}
 	node := s.node()
-	if len(node.Departed) != 1 || node.Rev == 0 {
+	if len(node.Departed) != 1 || node.Version == 0 {
 		t.Errorf("it tells %+v", node)
 	}
-	for _, response := range []membership.Heartbeat{{Whole: true}, {}} {
+	for _, response := range []membership.Heartbeat{{RequestFull: true}, {}} {
 		s.told(t.Context(), membership.Heartbeat{Node: &node}, response)
 		settle()
-		if held := len(answered) == 1; held == response.Whole {
+		if held := len(answered) == 1; held == response.RequestFull {
 			t.Errorf("answered: %v, after %+v", held, response)
 		}
 	}
--- a/internal/delta/delta_test.go
+++ b/internal/delta/delta_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// document is like a configuration of so many routes.
-func document(routes int) []byte {
+// testDocument is like a configuration of so many routes.
+func testDocument(routes int) []byte {
 	var b strings.Builder
 	for i := range routes {
 		fmt.Fprintf(&b, `{"name":"route-%d","host":"h%d.example","prefix":"/p%d/","service":"svc-%d","legs":2},`, i, i%7, i*i, i%3)
@@ -17,8 +17,8 @@
 	return []byte(b.String())
 }
 
-// edited is a document with runs taken out, put in, changed and moved.
-func edited(rng *rand.Rand, doc []byte, edits int) []byte {
+// editDocument is a document with runs taken out, put in, changed and moved.
+func editDocument(rng *rand.Rand, doc []byte, edits int) []byte {
 	out := bytes.Clone(doc)
 	for range edits {
 		at := rng.IntN(len(out) + 1)
@@ -44,15 +44,15 @@
 func TestRoundTrip(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 2000 {
-		base := document(rng.IntN(30))
+		base := testDocument(rng.IntN(30))
 		if rng.IntN(10) == 0 {
 			base = nil
 		}
-		target := edited(rng, base, rng.IntN(6))
+		target := editDocument(rng, base, rng.IntN(6))
 		if rng.IntN(20) == 0 {
 			target = nil
 		}
-		d := Make(base, target)
+		d := Diff(base, target)
 		got, err := Apply(base, d)
 		if err != nil || !bytes.Equal(got, target) {
 			t.Fatalf("%v: made %q of %q by %q, want %q", err, got, base, d, target)
@@ -61,15 +61,15 @@
 }
 
 // A change of some routes costs about its own bytes, wherever they stand.
-func TestSmall(t *testing.T) {
-	base := document(60)
+func TestDiffIsSmall(t *testing.T) {
+	base := testDocument(60)
 	target := bytes.Replace(base, []byte("h3.example"), []byte("other.example"), 3)
 	target = append([]byte(`{"name":"added","host":"h","prefix":"/added/","service":"svc-9","legs":2},`), target...)
-	d := Make(base, target)
+	d := Diff(base, target)
 	if len(d) > 200 {
 		t.Errorf("%d bytes tell a change of %d", len(d), len(target))
 	}
-	if d := Make(base, base); len(d) > 5 {
+	if d := Diff(base, base); len(d) > 5 {
 		t.Errorf("%d bytes tell no change", len(d))
 	}
 }
@@ -77,28 +77,28 @@
 // A difference that was cut or altered makes something else or nothing, and never fails
 // otherwise.
 func FuzzApply(f *testing.F) {
-	base := document(20)
-	d := Make(base, edited(rand.New(rand.NewPCG(3, 4)), base, 4))
+	base := testDocument(20)
+	d := Diff(base, editDocument(rand.New(rand.NewPCG(3, 4)), base, 4))
 	f.Add(base, d)
 	f.Add([]byte{}, []byte{0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x01})
-	f.Add(base, []byte{copying | 20, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x01})
+	f.Add(base, []byte{opCopy | 20, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x01})
 	for i := range d {
 		f.Add(base, d[:i])
 	}
 	f.Fuzz(func(t *testing.T, base, difference []byte) {
-		if got, err := Apply(base, difference); err == nil && len(got) > most {
+		if got, err := Apply(base, difference); err == nil && len(got) > maxOutput {
 			t.Errorf("%d bytes of %d", len(got), len(difference))
 		}
-		if got, err := Apply(base, Make(base, difference)); err != nil || !bytes.Equal(got, difference) {
+		if got, err := Apply(base, Diff(base, difference)); err != nil || !bytes.Equal(got, difference) {
 			t.Errorf("%v: %q", err, got)
 		}
 	})
 }
 
-func BenchmarkMake(b *testing.B) {
-	base := document(120)
+func BenchmarkDiff(b *testing.B) {
+	base := testDocument(120)
 	target := append(bytes.Replace(base, []byte("h3.example"), []byte("other.example"), 1), []byte(`{"name":"added"}`)...)
 	for b.Loop() {
-		Make(base, target)
+		Diff(base, target)
 	}
 }
--- a/internal/maintenance/decide.go
+++ b/internal/maintenance/decide.go
@@ -15,7 +15,7 @@
 
 // Decide compares the windows that go on with those that the word has noted.
 // What is noted is never begun again, whoever decides. (DESIGN 17.1)
-func Decide(c Calendar, noted []config.Closure, now time.Time) (out []Step) {
+func Decide(c Calendar, noted []config.ZoneClosure, now time.Time) (out []Step) {
 	going := map[string]bool{}
 	known := map[string]bool{}
 	for _, n := range noted {
--- a/internal/maintenance/parse.go
+++ b/internal/maintenance/parse.go
@@ -16,7 +16,7 @@
 )
 
 // Parse reads and checks a file; the faults name its lines.
-func Parse(b []byte) (c Calendar, faults []config.Fault) {
+func Parse(b []byte) (c Calendar, faults []config.FieldViolation) {
 	p := &parser{lines: bytes.SplitAfter(b, []byte("\n"))}
 	if len(b) > MaxBytes {
 		p.fault(1, "the file is over %d bytes", MaxBytes)
@@ -55,11 +55,11 @@
 type parser struct {
 	lines  [][]byte
 	at     int // the line on which the event begins
-	faults []config.Fault
+	faults []config.FieldViolation
 }
 
 func (p *parser) fault(line int, format string, args ...any) {
-	p.faults = append(p.faults, config.Fault{Path: fmt.Sprintf("line %d", line), Message: fmt.Sprintf(format, args...)})
+	p.faults = append(p.faults, config.FieldViolation{Path: fmt.Sprintf("line %d", line), Message: fmt.Sprintf(format, args...)})
 }
 
 // broken is the first line that the library can't read: what stands before it
@@ -116,8 +116,8 @@
 		return s
 	}
 	ev.uid, ev.zone, ev.summary = text(ical.PropUID, true), text(ical.PropLocation, true), text(ical.PropSummary, false)
-	if ev.zone != "" && !config.IsName(ev.zone) {
-		p.fault(p.line(ical.PropLocation), "LOCATION %q: must be %s", ev.zone, config.NameForm)
+	if ev.zone != "" && !config.IsValidName(ev.zone) {
+		p.fault(p.line(ical.PropLocation), "LOCATION %q: must be %s", ev.zone, config.NameRules)
 	}
 	if e.Props.Get(ical.PropDateTimeStart) == nil {
 		p.fault(p.at, "the event has no DTSTART")
--- a/internal/maintenance/window_test.go
+++ b/internal/maintenance/window_test.go
@@ -84,35 +84,35 @@
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 17))
 		begun, ended := map[string]int{}, map[string]int{}
-		var w, stale config.Word
+		var state, stale config.ControlState
 		now := time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC)
 		for range 400 {
 			now = now.Add(time.Duration(rng.Int64N(int64(2 * time.Minute))))
-			see := w
+			see := state
 			if rng.IntN(3) == 0 {
 				see = stale // a new duty holder that has not heard the newest word
 			}
-			stale = w
+			stale = state
 			for _, s := range Decide(c, see.Closures, now) {
 				// The proposer judges by the newest word.
 				switch {
-				case s.Begin && !w.Noted(s.Window):
+				case s.Begin && !state.HasClosure(s.Window):
 					begun[s.Window]++
-					w.Closures = append(append([]config.Closure{}, w.Closures...), config.Closure{Zone: s.Zone, Window: s.Window})
-				case !s.Begin && w.Noted(s.Window):
+					state.Closures = append(append([]config.ZoneClosure{}, state.Closures...), config.ZoneClosure{Zone: s.Zone, Window: s.Window})
+				case !s.Begin && state.HasClosure(s.Window):
 					ended[s.Window]++
-					var left []config.Closure
-					for _, n := range w.Closures {
+					var left []config.ZoneClosure
+					for _, n := range state.Closures {
 						if n.Window != s.Window {
 							left = append(left, n)
 						}
 					}
-					w.Closures = left
+					state.Closures = left
 				}
 			}
 		}
-		if len(begun) < 3 || len(w.Closures) > 0 {
-			t.Fatalf("seed %d: begun %v, left %v", seed, begun, w.Closures)
+		if len(begun) < 3 || len(state.Closures) > 0 {
+			t.Fatalf("seed %d: begun %v, left %v", seed, begun, state.Closures)
 		}
 		for id, n := range begun {
 			if n != 1 || ended[id] != 1 {
--- a/internal/membership/departures.go
+++ b/internal/membership/departures.go
@@ -2,13 +2,13 @@
 
 import "slices"
 
-// MostDepartures is how many departures are remembered of a sidecar's backends: many more
+// MaxDepartures is how many departures are remembered of a sidecar's backends: many more
 // than leave a machine while their late announcements may still be under way. There is no
 // bound in time, since nobody tells how late an announcement may come. (ours)
-const MostDepartures = 256
+const MaxDepartures = 256
 
-// DeparturesTold is how many of them, the newest, a sidecar tells the cores. (ours)
-const DeparturesTold = 32
+// MaxReportedDepartures is how many of them, the newest, a sidecar tells the cores. (ours)
+const MaxReportedDepartures = 32
 
 // Departures are the instances that have said that they leave, the newest MostDepartures.
 // An instance is one life of a backend, so its word is final: no announcement that comes
@@ -17,11 +17,11 @@
 	instances []string // the oldest first
 }
 
-// Has tells whether an instance has said that it leaves.
-func (d Departures) Has(instance string) bool { return slices.Contains(d.instances, instance) }
+// Contains tells whether an instance has said that it leaves.
+func (d Departures) Contains(instance string) bool { return slices.Contains(d.instances, instance) }
 
-// With adds instances; changed is false if all of them were known.
-func (d Departures) With(instances ...string) (next Departures, changed bool) {
+// Add adds instances; changed is false if all of them were known.
+func (d Departures) Add(instances ...string) (next Departures, changed bool) {
 	added := slices.Clone(d.instances)
 	for _, instance := range instances {
 		if !slices.Contains(added, instance) {
@@ -31,7 +31,7 @@
 	if len(added) == len(d.instances) {
 		return d, false
 	}
-	return Departures{instances: added}.Newest(MostDepartures), true
+	return Departures{instances: added}.Newest(MaxDepartures), true
 }
 
 // Newest are the newest of them.
@@ -47,11 +47,11 @@
 	return d.instances[len(d.instances)-1]
 }
 
-// Count tells how many there are.
-func (d Departures) Count() int { return len(d.instances) }
+// Len tells how many there are.
+func (d Departures) Len() int { return len(d.instances) }
 
-// Beyond lists the instances that are not among others.
-func (d Departures) Beyond(others []string) []string {
+// Without lists the instances that are not among others.
+func (d Departures) Without(others []string) []string {
 	return slices.DeleteFunc(d.List(), func(instance string) bool { return slices.Contains(others, instance) })
 }
 
--- a/internal/membership/departures_test.go
+++ b/internal/membership/departures_test.go
@@ -10,21 +10,21 @@
 // Departures are bounded by number; the newest stay, and earlier values are as they were.
 func TestDepartures(t *testing.T) {
 	var d Departures
-	for i := range MostDepartures + 10 {
+	for i := range MaxDepartures + 10 {
 		before, have := d, len(d.List())
-		next, changed := d.With(fmt.Sprint(i))
-		if !changed || len(before.List()) != have || before.Has(fmt.Sprint(i)) {
+		next, changed := d.Add(fmt.Sprint(i))
+		if !changed || len(before.List()) != have || before.Contains(fmt.Sprint(i)) {
 			t.Fatalf("%d: changed %v, the earlier value has %d", i, changed, len(before.List()))
 		}
 		d = next
 	}
-	if got := len(d.List()); got != MostDepartures || d.Has("9") || !d.Has("10") {
+	if got := len(d.List()); got != MaxDepartures || d.Contains("9") || !d.Contains("10") {
 		t.Errorf("%d are kept", got)
 	}
-	if _, changed := d.With("10", fmt.Sprint(MostDepartures)); changed {
+	if _, changed := d.Add("10", fmt.Sprint(MaxDepartures)); changed {
 		t.Error("what is known changes it")
 	}
-	if got := d.Beyond(d.List()[1:]); cmp.Diff([]string{"10"}, got) != "" {
+	if got := d.Without(d.List()[1:]); cmp.Diff([]string{"10"}, got) != "" {
 		t.Errorf("beyond the others there are %v", got)
 	}
 }
--- a/internal/membership/heartbeat.go
+++ b/internal/membership/heartbeat.go
@@ -7,41 +7,41 @@
 // them, differences are told: a node's pulse, a seat's mark, and whom one knows
 // only while the digests differ. (DESIGN 7.1)
 type Heartbeat struct {
-	Node  *Node  `msgpack:"n,omitempty"`
-	Pulse *Pulse `msgpack:"p,omitempty"`
-	Seat  *Seat  `msgpack:"s,omitempty"`
-	// Same is told instead of the seat: the mark of the one told before. Wall is the
+	Node       *Node       `msgpack:"n,omitempty"`
+	NodeStatus *NodeStatus `msgpack:"p,omitempty"`
+	Replica    *Replica    `msgpack:"s,omitempty"`
+	// ReplicaDigest is told instead of the seat: the mark of the one told before. Wall is the
 	// core's wall clock then, if it is told to a core.
-	Same uint64 `msgpack:"sm,omitempty"`
-	Wall int64  `msgpack:"w,omitempty"`
-	// Have is the mark of the seat that the caller has of whom it heartbeats.
-	Have uint64 `msgpack:"hv,omitempty"`
-	Know []Seat `msgpack:"k,omitempty"`
-	// Digest is that of the seats that the teller knows. It is never zero: none is
+	ReplicaDigest uint64 `msgpack:"sm,omitempty"`
+	WallClock     int64  `msgpack:"w,omitempty"`
+	// KnownDigest is the mark of the seat that the caller has of whom it heartbeats.
+	KnownDigest   uint64    `msgpack:"hv,omitempty"`
+	KnownReplicas []Replica `msgpack:"k,omitempty"`
+	// TableDigest is that of the seats that the teller knows. It is never zero: none is
 	// told by a version that does not understand differences.
-	Digest uint64 `msgpack:"d,omitempty"`
-	// Whole is set in a response to one who told a difference from what is not known.
-	Whole bool `msgpack:"wh,omitempty"`
-	// Accused is set in a core's response to a sidecar that others accuse: the
+	TableDigest uint64 `msgpack:"d,omitempty"`
+	// RequestFull is set in a response to one who told a difference from what is not known.
+	RequestFull bool `msgpack:"wh,omitempty"`
+	// Suspected is set in a core's response to a sidecar that others accuse: the
 	// highest incarnation that they accuse.
-	Accused *uint64 `msgpack:"ac,omitempty"`
+	Suspected *uint64 `msgpack:"ac,omitempty"`
 	// Departed is set in a core's response to a sidecar that was told whole: instances
 	// that have said that they leave, to an earlier process there, and that it didn't tell.
 	Departed []string `msgpack:"de,omitempty"`
-	// Sums asks for Budgets, the sums over all nodes, in a core's response to a
+	// WantBudgets asks for Budgets, the sums over all nodes, in a core's response to a
 	// sidecar.
-	Sums    bool                         `msgpack:"su,omitempty"`
-	Budgets map[string]retrybudget.Tally `msgpack:"bu,omitempty"`
+	WantBudgets bool                         `msgpack:"su,omitempty"`
+	Budgets     map[string]retrybudget.Tally `msgpack:"bu,omitempty"`
 }
 
-// Rev is the boot and the revision of the sidecar that it tells of, whole or by its pulse;
+// NodeVersion is the boot and the revision of the sidecar that it tells of, whole or by its pulse;
 // zero if it tells of none.
-func (h Heartbeat) Rev() (boot, rev uint64) {
+func (h Heartbeat) NodeVersion() (incarnation, version uint64) {
 	switch {
 	case h.Node != nil:
-		return h.Node.Boot, h.Node.Rev
-	case h.Pulse != nil:
-		return h.Pulse.Boot, h.Pulse.Rev
+		return h.Node.Incarnation, h.Node.Version
+	case h.NodeStatus != nil:
+		return h.NodeStatus.Incarnation, h.NodeStatus.Version
 	}
 	return 0, 0
 }
--- a/internal/membership/load.go
+++ b/internal/membership/load.go
@@ -9,35 +9,35 @@
 type Load struct {
 	// Attempts counts our own attempts now open there.
 	Attempts atomic.Int64
-	// told is what the far sidecar said with its last response.
-	told atomic.Int64
-	// toldAt is when it did, after born.
-	toldAt atomic.Int64
-	// shunned is until when, after born, the target is left out.
-	shunned atomic.Int64
+	// reported is what the far sidecar said with its last response.
+	reported atomic.Int64
+	// reportedAt is when it did, after born.
+	reportedAt atomic.Int64
+	// ejectedUntil is until when, after born, the target is left out.
+	ejectedUntil atomic.Int64
 }
 
-var born = time.Now()
+var processStart = time.Now()
 
-// toldFor is how long a told load is worth something.
-const toldFor = 300 * time.Millisecond // (ours)
+// reportTTL is how long a told load is worth something.
+const reportTTL = 300 * time.Millisecond // (ours)
 
-// Tell takes the number of requests that the far sidecar had open.
-func (l *Load) Tell(open int) {
-	l.told.Store(int64(open))
-	l.toldAt.Store(int64(time.Since(born)))
+// Report takes the number of requests that the far sidecar had open.
+func (l *Load) Report(open int) {
+	l.reported.Store(int64(open))
+	l.reportedAt.Store(int64(time.Since(processStart)))
 }
 
-// Busy estimates the open requests at the backend.
-func (l *Load) Busy() int64 {
-	if time.Since(born)-time.Duration(l.toldAt.Load()) > toldFor {
+// EstimateOpen estimates the open requests at the backend.
+func (l *Load) EstimateOpen() int64 {
+	if time.Since(processStart)-time.Duration(l.reportedAt.Load()) > reportTTL {
 		return l.Attempts.Load()
 	}
-	return max(l.told.Load(), l.Attempts.Load())
+	return max(l.reported.Load(), l.Attempts.Load())
 }
 
-// Shun leaves the target out for a while: a passive sign, acted on locally.
-func (l *Load) Shun(d time.Duration) { l.shunned.Store(int64(time.Since(born) + d)) }
+// Eject leaves the target out for a while: a passive sign, acted on locally.
+func (l *Load) Eject(d time.Duration) { l.ejectedUntil.Store(int64(time.Since(processStart) + d)) }
 
-// Shunned tells whether the target is left out.
-func (l *Load) Shunned() bool { return int64(time.Since(born)) < l.shunned.Load() }
+// Ejected tells whether the target is left out.
+func (l *Load) Ejected() bool { return int64(time.Since(processStart)) < l.ejectedUntil.Load() }
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -15,8 +15,8 @@
 // Target is one backend behind its sidecar.
 type Target struct {
 	Backend
-	Node string
-	Boot uint64
+	Node        string
+	Incarnation uint64
 	// Load is shared by all snapshots that hold the same backend.
 	Load *Load
 }
@@ -39,8 +39,8 @@
 	return out
 }
 
-// some lists those of the nodes at some addresses that are known.
-func (v *View) some(addrs []string) []Node {
+// nodesAt lists those of the nodes at some addresses that are known.
+func (v *View) nodesAt(addrs []string) []Node {
 	var out []Node
 	for _, addr := range addrs {
 		if n, ok := v.nodes[addr]; ok {
@@ -64,7 +64,7 @@
 	for _, addr := range slices.Sorted(maps.Keys(nodes)) {
 		n := nodes[addr]
 		for _, b := range n.Backends {
-			t := Target{Backend: b, Node: n.Addr, Boot: n.Boot}
+			t := Target{Backend: b, Node: n.Addr, Incarnation: n.Incarnation}
 			if t.Load = loads[t.key()]; t.Load == nil {
 				t.Load = new(Load)
 			}
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -19,15 +19,15 @@
 
 // side is the fleet before or after the change.
 type side struct {
-	state   config.State
+	state   config.Configuration
 	emptied []string
 	nodes   []membership.Node
-	cores   []membership.Seat
+	cores   []membership.Replica
 }
 
 // Make works out what a change of a snapshot would move. The faults are those
 // of the input: then nothing was worked out.
-func Make(s Snapshot, c Change) (m Moves, faults []config.Fault) {
+func Make(s Snapshot, c Change) (m Moves, faults []config.FieldViolation) {
 	before := side{emptied: s.Emptied, nodes: s.Nodes, cores: s.Cores}
 	if s.Desired != "" {
 		if before.state, faults = parse([]byte(s.Desired), "snapshot"); len(faults) > 0 {
@@ -42,13 +42,13 @@
 	}
 	after.emptied = slices.DeleteFunc(append(slices.Clone(s.Emptied), c.Empty...), func(l string) bool { return slices.Contains(c.TakeBack, l) })
 	after.nodes = slices.DeleteFunc(slices.Clone(s.Nodes), func(n membership.Node) bool { return slices.Contains(c.Lose, n.Addr) })
-	after.cores = slices.DeleteFunc(slices.Clone(s.Cores), func(x membership.Seat) bool { return slices.Contains(c.Lose, x.Addr) })
+	after.cores = slices.DeleteFunc(slices.Clone(s.Cores), func(x membership.Replica) bool { return slices.Contains(c.Lose, x.Addr) })
 	for _, a := range c.Gain {
 		after.nodes = append(after.nodes, membership.Node{Addr: a})
 	}
 	for _, a := range c.Lose {
-		if !slices.ContainsFunc(s.Nodes, func(n membership.Node) bool { return n.Addr == a }) && !slices.ContainsFunc(s.Cores, func(x membership.Seat) bool { return x.Addr == a }) {
-			faults = append(faults, config.Fault{Path: a, Message: "no such node or core"})
+		if !slices.ContainsFunc(s.Nodes, func(n membership.Node) bool { return n.Addr == a }) && !slices.ContainsFunc(s.Cores, func(x membership.Replica) bool { return x.Addr == a }) {
+			faults = append(faults, config.FieldViolation{Path: a, Message: "no such node or core"})
 		}
 	}
 	if len(faults) > 0 {
@@ -69,12 +69,12 @@
 	return m, nil
 }
 
-func parse(b []byte, what string) (config.State, []config.Fault) {
-	st, faults, ok := config.Parse(b)
+func parse(b []byte, what string) (config.Configuration, []config.FieldViolation) {
+	configuration, faults, ok := config.Parse(b)
 	if !ok {
-		faults = []config.Fault{{Path: what, Message: "not JSON"}}
+		faults = []config.FieldViolation{{Path: what, Message: "not JSON"}}
 	}
-	return st, faults
+	return configuration, faults
 }
 
 // text is what is compared of a part of a configuration.
@@ -110,7 +110,7 @@
 	out := map[[2]string]int{}
 	for _, n := range s.nodes {
 		for _, b := range n.Backends {
-			if !b.Leaving && !slices.Contains(s.emptied, b.Zone) {
+			if !b.Draining && !slices.Contains(s.emptied, b.Zone) {
 				out[[2]string{b.Service, b.Zone}] += b.Capacity
 			}
 		}
@@ -163,7 +163,7 @@
 }
 
 // first is the core that ranks first for a key.
-func first(cores []membership.Seat, key string, name func(membership.Seat) string) string {
+func first(cores []membership.Replica, key string, name func(membership.Replica) string) string {
 	if len(cores) == 0 {
 		return "none"
 	}
@@ -172,8 +172,8 @@
 
 // follow works out what goes to other cores: followers, the duty, traces.
 func (m *Moves) follow(before, after side) {
-	addr := func(c membership.Seat) string { return c.Addr }
-	slot := func(c membership.Seat) string { return fmt.Sprint(c.Slot) }
+	addr := func(c membership.Replica) string { return c.Addr }
+	slot := func(c membership.Replica) string { return fmt.Sprint(c.MemberID) }
 	duty := func(s side) string {
 		if len(s.cores) == 0 {
 			return "none"
--- a/internal/process/reload.go
+++ b/internal/process/reload.go
@@ -11,7 +11,7 @@
 
 // Reloader puts in force what a SIGHUP can, and shows what it could not.
 type Reloader struct {
-	Seeker *membership.Seeker
+	Seeker *membership.Discovery
 	drain  atomic.Int64
 	last   atomic.Pointer[settings.Reloaded]
 }
--- a/internal/settings/checker.go
+++ b/internal/settings/checker.go
@@ -54,8 +54,8 @@
 }
 
 func (c *checker) common(s *Common) {
-	if !config.IsName(s.Zone) {
-		c.bad("locality", s.Zone, config.NameForm)
+	if !config.IsValidName(s.Zone) {
+		c.bad("locality", s.Zone, config.NameRules)
 	}
 	c.address("wire", s.Wire, true)
 	c.address("advertise", s.Advertise, false)
--- a/internal/storage/vault.go
+++ b/internal/storage/store.go
@@ -12,39 +12,39 @@
 	"github.com/rotisserie/eris"
 )
 
-// Vault is one data folder.
-type Vault struct {
-	files Files
-	// Before, if set, comes before each version is written, which fails as it does.
+// Store is one data folder.
+type Store struct {
+	directory Directory
+	// BeforeWrite, if set, comes before each version is written, which fails as it does.
 	// Proofs use it for disks in trouble.
-	Before func() error
+	BeforeWrite func() error
 }
 
 // Open makes the folder if need be.
-func Open(dir string) (*Vault, error) {
-	f, err := openFolder(dir)
+func Open(dir string) (*Store, error) {
+	d, err := openDirectory(dir)
 	if err != nil {
 		return nil, eris.Wrap(err, "data folder")
 	}
-	return &Vault{files: f, Before: trouble()}, nil
+	return &Store{directory: d, BeforeWrite: trouble()}, nil
 }
 
-// On is a vault in a folder of any making.
-func On(files Files) *Vault { return &Vault{files: files} }
+// NewStore is a vault in a folder of any making.
+func NewStore(files Directory) *Store { return &Store{directory: files} }
 
 // Save stores one version of a kind; it returns once the version is on disk.
 // Versions of a kind sort as text.
-func (v *Vault) Save(kind, version string, data []byte) error {
-	if v.Before != nil {
-		if err := v.Before(); err != nil {
+func (s *Store) Save(kind, version string, data []byte) error {
+	if s.BeforeWrite != nil {
+		if err := s.BeforeWrite(); err != nil {
 			return eris.Wrap(err, "write")
 		}
 	}
 	sum := sha256.Sum256(data)
 	body := append([]byte(hex.EncodeToString(sum[:])+"\n"), data...)
 	name := kind + "." + version
-	aside := name + ".aside"
-	f, err := v.files.Create(aside)
+	temporary := name + ".aside"
+	f, err := s.directory.Create(temporary)
 	if err != nil {
 		return eris.Wrap(err, "write aside")
 	}
@@ -58,24 +58,24 @@
 	if err != nil {
 		return eris.Wrap(err, "write aside")
 	}
-	if err := v.files.Rename(aside, name); err != nil {
+	if err := s.directory.Rename(temporary, name); err != nil {
 		return eris.Wrap(err, "rename")
 	}
-	return v.syncDir()
+	return s.syncDirectory()
 }
 
-func (v *Vault) syncDir() error { return eris.Wrap(v.files.Sync(), "sync folder") }
+func (s *Store) syncDirectory() error { return eris.Wrap(s.directory.Sync(), "sync folder") }
 
-// Newest reads the newest version of a kind. A version that does not match its
+// Latest reads the newest version of a kind. A version that does not match its
 // checksum is set aside and reported as torn: what came before it must not be
 // taken for the newest.
-func (v *Vault) Newest(kind string) (version string, data []byte, torn bool, err error) {
-	names, err := v.versions(kind)
+func (s *Store) Latest(kind string) (version string, data []byte, corrupt bool, err error) {
+	names, err := s.listVersions(kind)
 	if err != nil || len(names) == 0 {
 		return "", nil, false, err
 	}
 	version = names[len(names)-1]
-	body, err := v.files.Read(kind + "." + version)
+	body, err := s.directory.Read(kind + "." + version)
 	if err != nil {
 		return version, nil, false, eris.Wrap(err, "read")
 	}
@@ -87,30 +87,30 @@
 	return version, data, false, nil
 }
 
-// SetAside renames all but the newest keep versions of a kind, so that none is read
+// Quarantine renames all but the newest keep versions of a kind, so that none is read
 // again and all stay for the operator to look at.
-func (v *Vault) SetAside(kind string, keep int) error {
-	names, err := v.versions(kind)
+func (s *Store) Quarantine(kind string, keep int) error {
+	names, err := s.listVersions(kind)
 	if err != nil || len(names) <= keep {
 		return err
 	}
 	names = names[:len(names)-keep]
 	for _, n := range names {
-		if err := v.files.Rename(kind+"."+n, "torn-"+kind+"."+n); err != nil {
+		if err := s.directory.Rename(kind+"."+n, "torn-"+kind+"."+n); err != nil {
 			return eris.Wrap(err, "set aside")
 		}
 	}
-	return v.syncDir()
+	return s.syncDirectory()
 }
 
-// Thin removes all but the newest keep versions of a kind.
-func (v *Vault) Thin(kind string, keep int) error {
-	names, err := v.versions(kind)
+// Prune removes all but the newest keep versions of a kind.
+func (s *Store) Prune(kind string, keep int) error {
+	names, err := s.listVersions(kind)
 	if err != nil {
 		return err
 	}
 	for len(names) > keep {
-		if err := v.files.Remove(kind + "." + names[0]); err != nil {
+		if err := s.directory.Remove(kind + "." + names[0]); err != nil {
 			return eris.Wrap(err, "thin")
 		}
 		names = names[1:]
@@ -118,8 +118,8 @@
 	return nil
 }
 
-func (v *Vault) versions(kind string) ([]string, error) {
-	entries, err := v.files.List()
+func (s *Store) listVersions(kind string) ([]string, error) {
+	entries, err := s.directory.List()
 	if err != nil {
 		return nil, eris.Wrap(err, "list")
 	}
--- a/internal/watch/drain.go
+++ b/internal/watch/drain.go
@@ -5,65 +5,65 @@
 	"time"
 )
 
-// Drain is the report on a zone that is being emptied, or is.
-type Drain struct {
-	Zone    string `json:"locality"`
-	Emptied bool   `json:"emptied"`
-	Stamp   uint64 `json:"stamp"`
-	// Open is what still runs or waits there.
-	Open int64 `json:"open"`
-	// Behind lists the nodes that do not have the stamp in force yet.
-	Behind []string `json:"behind"`
+// DrainStatus is the report on a zone that is being emptied, or is.
+type DrainStatus struct {
+	Zone      string `json:"locality"`
+	Evacuated bool   `json:"emptied"`
+	Revision  uint64 `json:"stamp"`
+	// OpenRequests is what still runs or waits there.
+	OpenRequests int64 `json:"open"`
+	// LaggingNodes lists the nodes that do not have the stamp in force yet.
+	LaggingNodes []string `json:"behind"`
 	// Done is set once nothing is open and nobody is behind; For is since when.
-	Done bool   `json:"done"`
-	For  string `json:"done_for,omitempty"`
+	Done    bool   `json:"done"`
+	DoneFor string `json:"done_for,omitempty"`
 }
 
-// Drain reports on a zone.
-func (f *Feed) Drain(zone string, now time.Duration) Drain {
-	d := Drain{Zone: zone}
-	if f.word != nil {
-		d.Stamp, d.Emptied = f.word.Stamp, slices.Contains(f.word.Shut(), zone)
+// DrainStatus reports on a zone.
+func (log *EventLog) DrainStatus(zone string, now time.Duration) DrainStatus {
+	d := DrainStatus{Zone: zone}
+	if log.state != nil {
+		d.Revision, d.Evacuated = log.state.Revision, slices.Contains(log.state.EvacuatedZones(), zone)
 	}
-	for _, n := range f.nodes {
-		d.Open += n.Open[zone]
+	for _, n := range log.nodes {
+		d.OpenRequests += n.OpenRequests[zone]
 	}
-	d.Behind = f.Behind(d.Stamp)
-	if d.Done = d.Emptied && d.Open == 0 && len(d.Behind) == 0; d.Done {
-		since, ok := f.emptySince[zone]
+	d.LaggingNodes = log.LaggingNodes(d.Revision)
+	if d.Done = d.Evacuated && d.OpenRequests == 0 && len(d.LaggingNodes) == 0; d.Done {
+		since, ok := log.drainedSince[zone]
 		if !ok {
 			since = now // it has come about since the last tick
 		}
-		d.For = (now - since).String()
+		d.DoneFor = (now - since).String()
 	}
 	return d
 }
 
-// Behind lists the nodes that do not have a stamp in force yet.
-func (f *Feed) Behind(stamp uint64) []string {
+// LaggingNodes lists the nodes that do not have a stamp in force yet.
+func (log *EventLog) LaggingNodes(revision uint64) []string {
 	out := []string{}
-	for _, n := range f.Nodes() {
-		if n.Stamp < stamp {
+	for _, n := range log.Nodes() {
+		if n.AppliedRevision < revision {
 			out = append(out, n.Addr)
 		}
 	}
 	return out
 }
 
-// drained keeps since when each emptied zone is done.
-func (f *Feed) drained(now time.Duration) {
-	if f.word == nil {
+// updateDrainedZones keeps since when each emptied zone is done.
+func (log *EventLog) updateDrainedZones(now time.Duration) {
+	if log.state == nil {
 		return
 	}
 	since := map[string]time.Duration{}
-	for _, l := range f.word.Shut() {
-		if !f.Drain(l, now).Done {
+	for _, zone := range log.state.EvacuatedZones() {
+		if !log.DrainStatus(zone, now).Done {
 			continue
 		}
-		since[l] = now
-		if old, ok := f.emptySince[l]; ok {
-			since[l] = old
+		since[zone] = now
+		if old, ok := log.drainedSince[zone]; ok {
+			since[zone] = old
 		}
 	}
-	f.emptySince = since
+	log.drainedSince = since
 }
--- a/tests/e2e/gate_test.go
+++ b/tests/e2e/gate_test.go
@@ -34,20 +34,20 @@
 	recv(r, running)
 	reply, err := r.Operate(r.ctx, r.Cores[0], "PUT", "/v1/localities/south/emptied", nil)
 	must(t, err)
-	shows := func(want func(d watch.Drain) bool) {
+	shows := func(want func(d watch.DrainStatus) bool) {
 		t.Helper()
 		must(t, awaitPage(r.ctx, func(ctx context.Context) bool {
-			var d watch.Drain
+			var d watch.DrainStatus
 			_, err := r.Cores[0].Get(ctx, "/v1/localities/south", &d)
-			return err == nil && d.Stamp == reply.Stamp && len(d.Behind) == 0 && want(d)
+			return err == nil && d.Revision == reply.Stamp && len(d.LaggingNodes) == 0 && want(d)
 		}))
 	}
-	shows(func(d watch.Drain) bool { return d.Open == 1 && !d.Done && d.For == "" })
+	shows(func(d watch.DrainStatus) bool { return d.OpenRequests == 1 && !d.Done && d.DoneFor == "" })
 	close(release)
 	if a := recv(r, first); a.StatusCode != 200 {
 		t.Errorf("what ran there got %d", a.StatusCode)
 	}
-	shows(func(d watch.Drain) bool { return d.Open == 0 && d.Done && d.For != "" })
+	shows(func(d watch.DrainStatus) bool { return d.OpenRequests == 0 && d.Done && d.DoneFor != "" })
 }
 
 // A client that writes on an idle connection just as its sidecar ends gets an answer
@@ -227,9 +227,9 @@
 	mark := f.Backends[0].Runs.Load()
 	must(t, awaitRuns(ctx, f.Backends[0].Runs.Load, mark+50))
 	must(t, awaitPage(ctx, func(ctx context.Context) bool {
-		var d watch.Drain
+		var d watch.DrainStatus
 		_, err := f.Cores[1].Get(ctx, "/v1/localities/west", &d)
-		return err == nil && d.Emptied && d.Done && d.For != "" && d.Open == 0
+		return err == nil && d.Evacuated && d.Done && d.DoneFor != "" && d.OpenRequests == 0
 	}))
 	if now := f.Backends[3].Runs.Load(); now > closed {
 		t.Errorf("the emptied locality ran %d more after every sidecar had the word (%d before)", now-closed, closed-before)
--- a/tests/e2e/generation_test.go
+++ b/tests/e2e/generation_test.go
@@ -14,15 +14,15 @@
 
 // many is a configuration of n ways, told from others by a number.
 func many(n, number int) []byte {
-	st := config.State{Contracts: []config.Contract{{Name: "c", Aim: config.Duration{Duration: time.Second}, Deadline: config.Duration{Duration: 2 * time.Second}, Rank: 1}}}
+	configuration := config.Configuration{Contracts: []config.Contract{{Name: "c", LatencyTarget: config.Duration{Duration: time.Second}, Deadline: config.Duration{Duration: 2 * time.Second}, Priority: 1}}}
 	for i := range n {
-		st.Services = append(st.Services, config.Service{Name: fmt.Sprint("s", i), Connections: number})
-		st.Routes = append(st.Routes, config.Route{
+		configuration.Services = append(configuration.Services, config.Service{Name: fmt.Sprint("s", i), MaxConnections: number})
+		configuration.Routes = append(configuration.Routes, config.Route{
 			Name: fmt.Sprint("w", i), Prefix: fmt.Sprint("/", i), Contract: "c",
-			Split: []config.Portion{{Service: fmt.Sprint("s", i), Weight: 95}, {Service: "s0", Weight: 5}}[:min(2, 1+i)],
+			Split: []config.WeightedService{{Service: fmt.Sprint("s", i), Weight: 95}, {Service: "s0", Weight: 5}}[:min(2, 1+i)],
 		})
 	}
-	return st.Bytes()
+	return configuration.Bytes()
 }
 
 // Generations come through any core; an old one changes nothing, whoever repeats it,
--- a/tests/golden/constants_test.go
+++ b/tests/golden/constants_test.go
@@ -24,15 +24,15 @@
 func TestConstants(t *testing.T) {
 	for name, values := range map[string][]any{
 		"message-kinds": {
-			membership.KindHeartbeat, membership.KindProbe, membership.KindGossip, watch.KindFollow,
-			consensus.KindBallot, consensus.KindOrder, consensus.KindSeat, consensus.KindPatchedBallot, consensus.KindPatchedOrder,
+			membership.KindHeartbeat, membership.KindProbe, membership.KindGossip, watch.KindWatch,
+			consensus.KindMessage, consensus.KindCommand, consensus.KindJoin, consensus.KindDeltaMessage, consensus.KindDeltaCommand,
 			tracestore.KindPublish, tracestore.KindTrace, keyreplication.KindHold, keyreplication.KindRelease, keyreplication.KindHandover,
 			proxy.KindAttempt, proxy.KindRecall, transport.KindPing,
 		},
-		"acts":     {consensus.Prepare, consensus.Propose, consensus.Settle, consensus.Read, consensus.Look, consensus.Sit},
-		"phases":   {consensus.Virgin, consensus.Seeking, consensus.Lost, consensus.Established},
-		"results":  {consensus.Taken, consensus.NotTaken, consensus.Unknown, consensus.Mismatch, consensus.Conflict, consensus.Overtaken},
-		"orders":   {consensus.Put, consensus.Empty, consensus.TakeBack, consensus.Refresh, consensus.Calendar, consensus.Begin, consensus.End, consensus.Reseat},
+		"acts":     {consensus.MsgPrepare, consensus.MsgAccept, consensus.MsgCommit, consensus.MsgRead, consensus.MsgReadIndex, consensus.MsgJoin},
+		"phases":   {consensus.PhaseEmpty, consensus.PhaseJoining, consensus.PhaseLost, consensus.PhaseEstablished},
+		"results":  {consensus.OutcomeCommitted, consensus.OutcomeRejected, consensus.OutcomeUnknown, consensus.OutcomeMismatch, consensus.OutcomeConflict, consensus.OutcomeSuperseded},
+		"orders":   {consensus.CommandPutConfiguration, consensus.CommandEvacuate, consensus.CommandRevokeEvacuation, consensus.CommandRefresh, consensus.CommandPutCalendar, consensus.CommandBeginWindow, consensus.CommandEndWindow, consensus.CommandReconfigure},
 		"outcomes": {routing.Answered, routing.NotRun, routing.Unknown},
 		"headers":  {proxy.HeaderCaller, proxy.HeaderOutcome, proxy.HeaderKey, trace.HeaderTrace, trace.HeaderSpan, trace.HeaderParent},
 		"links":    {trace.LinkNone, trace.LinkProven, trace.LinkInferred},
--- a/tests/golden/documents_test.go
+++ b/tests/golden/documents_test.go
@@ -24,11 +24,11 @@
 		"node":           &membership.Node{},
 		"budgets":        &retrybudget.Answer{},
 		"cost":           &routing.CostPage{},
-		"evacuation":     &watch.Drain{},
-		"directory":      &watch.State{},
+		"evacuation":     &watch.DrainStatus{},
+		"directory":      &watch.Status{},
 		"trace":          &tracestore.Tree{},
 		"reload":         &settings.Reloaded{},
-		"fault":          &config.Fault{},
+		"fault":          &config.FieldViolation{},
 		"planner-state":  &plan.Snapshot{},
 		"planner-result": &plan.Moves{},
 	} {
@@ -40,7 +40,7 @@
 // it always has been.
 func TestConfiguration(t *testing.T) {
 	const name = "documents/configuration.json"
-	var whole config.State
+	var whole config.Configuration
 	golden.Fill(&whole, golden.JSON.Tag)
 	golden.Check(t, name, whole.Bytes())
 	stored, err := os.ReadFile(golden.Path(name))
--- a/tests/messages/messages_test.go
+++ b/tests/messages/messages_test.go
@@ -45,33 +45,33 @@
 }
 
 var (
-	backend = membership.Backend{Instance: "i", Service: "s", Address: "127.0.0.1:1", Zone: "north", Capacity: 4, Share: 1}
+	backend = membership.Backend{Instance: "i", Service: "s", Address: "127.0.0.1:1", Zone: "north", Capacity: 4, CapacityShare: 1}
 	node    = membership.Node{
-		Addr: "127.0.0.1:2", Boot: 7, Rev: 3, Zone: "north", Stamp: 5, Backends: []membership.Backend{backend}, Inc: 1,
-		Accuses: []membership.Accusation{{Addr: "127.0.0.1:3"}}, Open: map[string]int64{"north": 1}, Budgets: map[string]retrybudget.Tally{"c": {}}, Turn: 2,
+		Addr: "127.0.0.1:2", Incarnation: 7, Version: 3, Zone: "north", AppliedRevision: 5, Backends: []membership.Backend{backend}, Refutation: 1,
+		Suspects: []membership.Suspicion{{Addr: "127.0.0.1:3"}}, OpenRequests: map[string]int64{"north": 1}, Budgets: map[string]retrybudget.Tally{"c": {}}, Sequence: 2,
 	}
-	seat = membership.Seat{Slot: 2, Slots: 3, Addr: "127.0.0.1:4", Boot: 9, Zone: "north", Established: true, Set: []int{1, 2, 3}, Held: 4, Mark: 8}
-	peer = membership.Peer{Addr: node.Addr, Boot: 7, Rev: 3, Said: &membership.Statement{Age: 20, Stamp: 5, Alone: true}}
-	word = config.Word{Stamp: 5, DesiredStamp: 4, Desired: []byte(`{}`), Emptied: []string{"north"}, Slots: []config.Member{{Slot: 1, ID: 11}, {Slot: 2, ID: 12}}, Top: 2}
-	mark = consensus.Mark{Epoch: 65537, Stamp: 5}
-	from = consensus.From{Slot: 1}
+	seat = membership.Replica{MemberID: 2, MemberCount: 3, Addr: "127.0.0.1:4", Incarnation: 9, Zone: "north", Established: true, Members: []int{1, 2, 3}, AcceptedRevision: 4, Digest: 8}
+	peer = membership.Peer{Addr: node.Addr, Incarnation: 7, Version: 3, Status: &membership.PeerStatus{Age: 20, AppliedRevision: 5, QuorumLost: true}}
+	word = config.ControlState{Revision: 5, ConfigurationRevision: 4, Configuration: []byte(`{}`), EvacuatedByOperator: []string{"north"}, Members: []config.Member{{MemberID: 1, DiskID: 11}, {MemberID: 2, DiskID: 12}}, HighestMemberID: 2}
+	mark = consensus.Position{Term: 65537, Revision: 5}
+	from = consensus.Sender{MemberID: 1}
 )
 
 // kinds are all that are registered on the wire, each way.
 var kinds = []kind{
 	of("greeting", transport.Greeting{Version: 1, Node: "n", Boot: 7}, func(transport.Greeting) {}),
-	of(membership.KindHeartbeat, membership.Heartbeat{Node: &node, Seat: &seat, Know: []membership.Seat{seat}, Digest: 3, Have: 8}, heartbeat),
-	of(membership.KindProbe, membership.Probe{Boot: 7, Inc: 1}, probe),
-	of(membership.KindGossip, membership.Gossip{Own: peer, Digest: 3, Fetch: &membership.Fetch{Nodes: []string{"x"}, Word: true, Stamp: 4}}, func(membership.Gossip) {}),
-	of("gossiped", membership.Gossiped{Peers: []membership.Peer{peer}, Word: &word, Nodes: []membership.Node{node}, Know: []membership.Seat{seat}}, gossiped),
-	of(watch.KindFollow, watch.Follow{Feed: 1, Place: 1, Wait: time.Second}, follow),
-	of("news", watch.News{Feed: 1, Place: 2, Snapshot: true, Items: []watch.Item{{Word: &word}, {Node: &node}, {Gone: "x"}}, Age: time.Second}, news),
-	of(consensus.KindBallot, consensus.Ballot{From: from, Act: consensus.Propose, Epoch: 65537, Mark: mark, Word: word}, ballot),
-	of("vote", consensus.Vote{From: from, Act: consensus.Prepare, OK: true, Mark: mark, Word: word, Seats: map[int]consensus.Chair{1: {Inc: 1}}}, vote),
-	of(consensus.KindOrder, consensus.Order{ID: 1, Kind: consensus.Empty, Zone: "north"}, func(consensus.Order) {}),
-	of(consensus.KindPatchedOrder, config.Patch{Difference: []byte{8, 1, 2, 3, 4}}, patched),
-	of("answer", consensus.Answer{ID: 1, Result: consensus.Taken}, func(consensus.Answer) {}),
-	of(consensus.KindSeat, consensus.Asker{ID: 5, Addr: "127.0.0.1:5", Zone: "north"}, asker),
+	of(membership.KindHeartbeat, membership.Heartbeat{Node: &node, Replica: &seat, KnownReplicas: []membership.Replica{seat}, TableDigest: 3, KnownDigest: 8}, heartbeat),
+	of(membership.KindProbe, membership.Probe{Incarnation: 7, Refutation: 1}, probe),
+	of(membership.KindGossip, membership.GossipRequest{Sender: peer, Digest: 3, Fetch: &membership.Fetch{Nodes: []string{"x"}, State: true, Revision: 4}}, func(membership.GossipRequest) {}),
+	of("gossiped", membership.GossipResponse{Peers: []membership.Peer{peer}, State: &word, Nodes: []membership.Node{node}, KnownReplicas: []membership.Replica{seat}}, gossiped),
+	of(watch.KindWatch, watch.Request{LogID: 1, Offset: 1, Wait: time.Second}, follow),
+	of("news", watch.Updates{LogID: 1, Offset: 2, Snapshot: true, Events: []watch.Event{{State: &word}, {Node: &node}, {RemovedNode: "x"}}, Age: time.Second}, news),
+	of(consensus.KindMessage, consensus.Message{Sender: from, Type: consensus.MsgAccept, Term: 65537, Position: mark, State: word}, ballot),
+	of("vote", consensus.Reply{Sender: from, Type: consensus.MsgPrepare, Granted: true, Position: mark, State: word, Members: map[int]consensus.MemberRecord{1: {Incarnation: 1}}}, vote),
+	of(consensus.KindCommand, consensus.Command{ID: 1, Kind: consensus.CommandEvacuate, Zone: "north"}, func(consensus.Command) {}),
+	of(consensus.KindDeltaCommand, config.Patch{Delta: []byte{8, 1, 2, 3, 4}}, patched),
+	of("answer", consensus.CommandResult{ID: 1, Outcome: consensus.OutcomeCommitted}, func(consensus.CommandResult) {}),
+	of(consensus.KindJoin, consensus.JoinRequest{DiskID: 5, Addr: "127.0.0.1:5", Zone: "north"}, asker),
 	of(tracestore.KindPublish, tracestore.Batch{Events: []trace.Event{{Trace: trace.Root().Trace, Route: "w"}}}, batch),
 	of(tracestore.KindTrace, tracestore.Query{Trace: trace.Root().Trace}, func(tracestore.Query) {}),
 	of(keyreplication.KindHold, keyreplication.Entry{Owner: "o", Boot: 1, N: 1, Key: idempotency.Key{Text: "k"}, For: time.Minute, Response: []byte("r")}, hold),
@@ -94,92 +94,92 @@
 
 func heartbeat(h membership.Heartbeat) {
 	now := time.Now()
-	seats, _ := membership.Seats{}.Heard(h, now)
-	seats, _ = seats.Heard(h, now.Add(membership.Beat))
-	seats.Live(now)
-	seats.NoMajority(now)
-	seats.Wall(now, 1, now)
-	seats.Answer(h, &seat, seats.Digest(&seat))
-	f := watch.New(1, 0)
+	replicas, _ := membership.ReplicaTable{}.ObserveHeartbeat(h, now)
+	replicas, _ = replicas.ObserveHeartbeat(h, now.Add(membership.HeartbeatInterval))
+	replicas.Live(now)
+	replicas.QuorumLost(now)
+	replicas.MedianClock(now, 1, now)
+	replicas.Respond(h, &seat, replicas.Digest(&seat))
+	f := watch.NewEventLog(1, 0)
 	if h.Node != nil {
-		f.Told(*h.Node, 0)
-		f.Departed(*h.Node, 0)
+		f.ObserveNode(*h.Node, 0)
+		f.ObserveDepartures(*h.Node, 0)
 	}
-	if h.Pulse != nil {
-		f.Felt(*h.Pulse, time.Second)
+	if h.NodeStatus != nil {
+		f.ObserveStatus(*h.NodeStatus, time.Second)
 	}
 	f.Tick(time.Second)
-	f.Accused()
+	f.Suspected()
 	retrybudget.Merge(f.Budgets())
-	f.Drain("north", time.Second)
+	f.DrainStatus("north", time.Second)
 	budgets := retrybudget.NewBudgets()
 	budgets.Hear(h.Budgets)
 	budgets.Sums()
 }
 
 func probe(p membership.Probe) {
-	w := membership.NewWatch("127.0.0.1:2")
-	w.Membership([]string{"127.0.0.1:3"})
-	w.Probed("127.0.0.1:3", &p, false)
-	w.Accused(map[string]membership.Node{"127.0.0.1:3": {}})
+	w := membership.NewFailureDetector("127.0.0.1:2")
+	w.Monitored([]string{"127.0.0.1:3"})
+	w.ObserveProbe("127.0.0.1:3", &p, false)
+	w.Suspects(map[string]membership.Node{"127.0.0.1:3": {}})
 }
 
-func gossiped(g membership.Gossiped) {
+func gossiped(g membership.GossipResponse) {
 	now := time.Now()
-	s := membership.Statements{}.Hear("127.0.0.1:9", g.Peers, now, now)
+	s := membership.PeerStatusTable{}.Observe("127.0.0.1:9", g.Peers, now, now)
 	view := membership.NewView(map[string]membership.Node{node.Addr: node}, nil)
-	s.Lacking(view, g.Peers)
-	s.Tell(peer, view, now.Add(membership.Beat))
-	s.Highest(1)
-	s.Sure("127.0.0.1:9", 5, []string{node.Addr}, now)
-	c := watch.NewCopy()
-	c.Meet(g.Nodes, map[string]uint64{node.Addr: 7})
+	s.Outdated(view, g.Peers)
+	s.Report(peer, view, now.Add(membership.HeartbeatInterval))
+	s.NewestAbove(1)
+	s.ConfirmedAsOf("127.0.0.1:9", 5, []string{node.Addr}, now)
+	c := watch.NewMirror()
+	c.MergeNodes(g.Nodes, map[string]uint64{node.Addr: 7})
 	see(g.Nodes...)
-	heartbeat(membership.Heartbeat{Know: g.Know})
-	inForce(g.Word)
+	heartbeat(membership.Heartbeat{KnownReplicas: g.KnownReplicas})
+	inForce(g.State)
 }
 
-func inForce(w *config.Word) {
+func inForce(w *config.ControlState) {
 	if w == nil {
 		return
 	}
-	w.Shut()
+	w.EvacuatedZones()
 	if t, ok := routing.NewTable(*w); ok {
 		t.Match("x", "/", "GET")
 	}
 }
 
-func follow(q watch.Follow) {
-	f := watch.New(1, 0)
-	f.Told(node, 0)
-	f.Settled(word)
-	for _, feedID := range []uint64{q.Feed, 1} {
-		q.Feed = feedID
+func follow(q watch.Request) {
+	f := watch.NewEventLog(1, 0)
+	f.ObserveNode(node, 0)
+	f.ObserveCommitted(word)
+	for _, feedID := range []uint64{q.LogID, 1} {
+		q.LogID = feedID
 		f.Since(q)
 	}
 }
 
-func news(n watch.News) {
-	c := watch.NewCopy()
-	word, _ := c.Take(n)
+func news(n watch.Updates) {
+	c := watch.NewMirror()
+	word, _ := c.Apply(n)
 	inForce(word)
-	c.Take(n)
+	c.Apply(n)
 }
 
 func acceptor() consensus.Acceptor {
-	return consensus.Acceptor{Self: from, Mark: mark, Word: word, Seats: map[int]consensus.Chair{}}
+	return consensus.Acceptor{Self: from, Position: mark, State: word, Members: map[int]consensus.MemberRecord{}}
 }
 
-func ballot(b consensus.Ballot) {
-	next, _ := acceptor().On(b)
-	next, _ = next.On(b)
-	next.Sets()
-	inForce(&next.Word)
+func ballot(b consensus.Message) {
+	next, _ := acceptor().Step(b)
+	next, _ = next.Step(b)
+	next.MemberSets()
+	inForce(&next.State)
 }
 
-func vote(v consensus.Vote) {
-	v.By(word.Slots[0])
-	consensus.Top(map[int]consensus.Vote{1: v}, acceptor().Sets())
+func vote(v consensus.Reply) {
+	v.FromMember(word.Members[0])
+	consensus.HighestReply(map[int]consensus.Reply{1: v}, acceptor().MemberSets())
 }
 
 func patched(p config.Patch) {
@@ -190,15 +190,15 @@
 	base.Apply(p)
 	p.Base = base.Fingerprint
 	base.Apply(p)
-	var kept config.Versions
+	var kept config.VersionHistory
 	kept.Add(base)
 	kept.Apply(p)
 }
 
-func asker(a consensus.Asker) {
-	u := consensus.Usher{GoneFor: time.Second}
-	u = u.Look(word.Slots, nil, time.Second)
-	u.Seat(a, acceptor(), map[int]consensus.Place{1: {Addr: a.Addr}}, 2*time.Second)
+func asker(a consensus.JoinRequest) {
+	u := consensus.Reconfigurer{RemovalDelay: time.Second}
+	u = u.Observe(word.Members, nil, time.Second)
+	u.PlanJoin(a, acceptor(), map[int]consensus.MemberStatus{1: {Addr: a.Addr}}, 2*time.Second)
 }
 
 func batch(b tracestore.Batch) {
--- a/tests/modelcheck/check.go
+++ b/tests/modelcheck/check.go
@@ -29,24 +29,24 @@
 	for _, a := range s.acked {
 		stamp = max(stamp, a.stamp)
 	}
-	votes := make([]consensus.Vote, len(s.nodes))
+	votes := make([]consensus.Reply, len(s.nodes))
 	for i, n := range s.nodes {
-		_, votes[i] = n.memory.On(consensus.Ballot{Act: consensus.Read})
+		_, votes[i] = n.memory.Step(consensus.Message{Type: consensus.MsgRead})
 	}
 	for asker := range s.nodes {
-		own := s.nodes[asker].memory.Sets()
+		own := s.nodes[asker].memory.MemberSets()
 		for asked := 1; asked < 1<<len(s.nodes); asked++ {
 			got := s.votes(votes, asked, own)
-			counted := consensus.Counted(got)
-			if !consensus.Complete(counted, own) {
+			counted := consensus.CurrentReplies(got)
+			if !consensus.HasReadQuorum(counted, own) {
 				continue
 			}
-			top, sets := consensus.Top(counted, own)
+			top, sets := consensus.HighestReply(counted, own)
 			if !isQuorum(sets, counted) {
-				return fmt.Sprintf("node %d counts %v as majorities of %v and %v", asker+1, senders(counted), sets.Now, sets.Before)
+				return fmt.Sprintf("node %d counts %v as majorities of %v and %v", asker+1, senders(counted), sets.Current, sets.Previous)
 			}
-			if top.Mark.Stamp < stamp {
-				return fmt.Sprintf("node %d reads stamp %d from %v after %d was acknowledged", asker+1, top.Mark.Stamp, senders(counted), stamp)
+			if top.Position.Revision < stamp {
+				return fmt.Sprintf("node %d reads stamp %d from %v after %d was acknowledged", asker+1, top.Position.Revision, senders(counted), stamp)
 			}
 		}
 	}
@@ -55,12 +55,12 @@
 
 // votes are those of the nodes asked, each as the member that its address belongs to,
 // also where its disk is another by now.
-func (s *state) votes(all []consensus.Vote, asked int, own consensus.Sets) map[int]consensus.Vote {
-	out := map[int]consensus.Vote{}
+func (s *state) votes(all []consensus.Reply, asked int, own consensus.MemberSets) map[int]consensus.Reply {
+	out := map[int]consensus.Reply{}
 	known := own.Union()
 	for i := range all {
 		if asked&(1<<i) != 0 {
-			known = append(known, all[i].Sets.Union()...)
+			known = append(known, all[i].MemberSets.Union()...)
 		}
 	}
 	for i, v := range all {
@@ -71,9 +71,9 @@
 			if m.Addr != s.nodes[i].addr {
 				continue
 			}
-			v.From.Slot = m.Slot
-			if old, ok := out[m.Slot]; !ok || old.From.ID != m.ID {
-				out[m.Slot] = v
+			v.Sender.MemberID = m.MemberID
+			if old, ok := out[m.MemberID]; !ok || old.Sender.DiskID != m.DiskID {
+				out[m.MemberID] = v
 			}
 		}
 	}
@@ -81,11 +81,11 @@
 }
 
 // isQuorum counts anew: members whose own disk has voted.
-func isQuorum(sets consensus.Sets, votes map[int]consensus.Vote) bool {
-	for _, set := range [][]config.Member{sets.Now, sets.Before} {
+func isQuorum(sets consensus.MemberSets, votes map[int]consensus.Reply) bool {
+	for _, set := range [][]config.Member{sets.Current, sets.Previous} {
 		n := 0
 		for _, m := range set {
-			if v, ok := votes[m.Slot]; ok && v.From.ID == m.ID {
+			if v, ok := votes[m.MemberID]; ok && v.Sender.DiskID == m.DiskID {
 				n++
 			}
 		}
@@ -96,10 +96,10 @@
 	return true
 }
 
-func senders(votes map[int]consensus.Vote) (out []consensus.From) {
+func senders(votes map[int]consensus.Reply) (out []consensus.Sender) {
 	for _, v := range votes {
-		out = append(out, v.From)
+		out = append(out, v.Sender)
 	}
-	slices.SortFunc(out, func(a, b consensus.From) int { return a.Slot - b.Slot })
+	slices.SortFunc(out, func(a, b consensus.Sender) int { return a.MemberID - b.MemberID })
 	return out
 }
--- a/tests/modelcheck/look.go
+++ b/tests/modelcheck/look.go
@@ -14,16 +14,16 @@
 	// since is the highest stamp that was acknowledged before it began.
 	since uint64
 	// own are the sets that the asker knew of then.
-	own consensus.Sets
+	own consensus.MemberSets
 	// answered tells by bit which nodes have answered, votes what.
 	answered uint
-	votes    []consensus.Vote
+	votes    []consensus.Reply
 }
 
 // beginLook has a node ask for the newest word.
 func (s *state) beginLook(at int) {
 	s.left.Looks--
-	s.look = look{open: true, asker: at, own: s.nodes[at].memory.Sets(), votes: make([]consensus.Vote, len(s.nodes))}
+	s.look = look{open: true, asker: at, own: s.nodes[at].memory.MemberSets(), votes: make([]consensus.Reply, len(s.nodes))}
 	for _, a := range s.acked {
 		s.look.since = max(s.look.since, a.stamp)
 	}
@@ -34,7 +34,7 @@
 func (s *state) answerLook(at int) {
 	l := s.look
 	l.votes = slices.Clone(l.votes)
-	_, l.votes[at] = s.nodes[at].memory.On(consensus.Ballot{Act: consensus.Read})
+	_, l.votes[at] = s.nodes[at].memory.Step(consensus.Message{Type: consensus.MsgRead})
 	l.answered |= 1 << at
 	for came := uint(1); came <= l.answered; came++ {
 		if came&^l.answered == 0 && came&(1<<at) != 0 {
@@ -50,16 +50,16 @@
 // showLook checks what the answers that came show: nothing older than what had been
 // acknowledged before, and for settled only what is.
 func (s *state) showLook(l look, came uint) {
-	counted := consensus.Counted(s.votes(l.votes, int(came), l.own))
-	if !consensus.Complete(counted, l.own) {
+	counted := consensus.CurrentReplies(s.votes(l.votes, int(came), l.own))
+	if !consensus.HasReadQuorum(counted, l.own) {
 		return
 	}
-	top, held := consensus.Newest(counted, l.own)
-	if top.Mark.Stamp < l.since {
-		s.breaks("a look of node %d shows stamp %d after %d was acknowledged", l.asker+1, top.Mark.Stamp, l.since)
+	top, held := consensus.NewestState(counted, l.own)
+	if top.Position.Revision < l.since {
+		s.breaks("a look of node %d shows stamp %d after %d was acknowledged", l.asker+1, top.Position.Revision, l.since)
 	}
-	if held && top.Mark != (consensus.Mark{}) {
-		s.settle(top.Mark.Stamp, top.Word)
+	if held && top.Position != (consensus.Position{}) {
+		s.settle(top.Position.Revision, top.State)
 	}
 }
 
--- a/tests/modelcheck/scenario.go
+++ b/tests/modelcheck/scenario.go
@@ -29,15 +29,15 @@
 
 // order is what the proposer is given: a change of the set is decided on the set that the
 // node knows of.
-func (g Given) order(s *state) consensus.Order {
+func (g Given) order(s *state) consensus.Command {
 	if g.Comes == "" && g.Goes == 0 {
-		return consensus.Order{Kind: consensus.Put, Generation: g.Generation, Bytes: []byte(g.Text)}
+		return consensus.Command{Kind: consensus.CommandPutConfiguration, Generation: g.Generation, Payload: []byte(g.Text)}
 	}
 	v := s.nodes[g.Node].memory
-	set := v.Sets().Now
-	o := consensus.Order{Kind: consensus.Reseat, Of: set, Out: g.Goes}
+	set := v.MemberSets().Current
+	o := consensus.Command{Kind: consensus.CommandReconfigure, ExpectedMembers: set, Leaving: g.Goes}
 	if g.Comes != "" {
-		o.Seat = config.Member{Slot: max(v.Word.Top, set[len(set)-1].Slot) + 1, ID: s.nodes[s.at(g.Comes)].memory.Self.ID, Addr: g.Comes}
+		o.Joining = config.Member{MemberID: max(v.State.HighestMemberID, set[len(set)-1].MemberID) + 1, DiskID: s.nodes[s.at(g.Comes)].memory.Self.DiskID, Addr: g.Comes}
 	}
 	return o
 }
--- a/tests/modelcheck/state.go
+++ b/tests/modelcheck/state.go
@@ -43,8 +43,8 @@
 // message is a ballot on its way, or the vote that answers it.
 type message struct {
 	from, to int
-	ballot   *consensus.Ballot
-	vote     *consensus.Vote
+	ballot   *consensus.Message
+	vote     *consensus.Reply
 	slot     int // the member's that a ballot is meant for
 	id       uint64
 	key      digest
@@ -64,7 +64,7 @@
 
 // proposal is what an epoch's proposals under one stamp were, and by whom.
 type proposal struct {
-	mark consensus.Mark
+	mark consensus.Position
 	node int
 	word digest
 }
@@ -97,11 +97,11 @@
 	s := &state{scenario: &sc, left: b, open: 1<<len(sc.Orders) - 1, settled: map[uint64]digest{}}
 	s.left.Depth, s.left.States = 0, 0
 	for i := range sc.Founders {
-		v := consensus.Start{First: true, Founders: sc.Founders, Addr: sc.Founders[i]}.Empty(0)
+		v := consensus.Bootstrap{NewCluster: true, InitialMembers: sc.Founders, AdvertiseAddr: sc.Founders[i]}.InitialState(0)
 		s.nodes = append(s.nodes, boot(sc.Founders[i], v, 0))
 	}
 	for i, addr := range sc.Newcomers {
-		s.nodes = append(s.nodes, boot(addr, consensus.Start{}.Empty(newcomerID(i)), 0))
+		s.nodes = append(s.nodes, boot(addr, consensus.Bootstrap{}.InitialState(newcomerID(i)), 0))
 	}
 	return s
 }
@@ -119,11 +119,11 @@
 
 // boot starts a core from its disk.
 func boot(addr string, disk consensus.Acceptor, now time.Duration) *node {
-	disk.OathDirty, disk.WordDirty = false, false
+	disk.PromiseDirty, disk.StateDirty = false, false
 	n := &node{addr: addr, disk: disk, memory: disk, proposer: &consensus.Proposer{}, now: now}
-	n.memory.Settled = 0
-	n.memory.Promised = max(disk.Promised, disk.Mark.Epoch)
-	n.proposer.Follow(n.memory, now)
+	n.memory.Committed = 0
+	n.memory.Promised = max(disk.Promised, disk.Position.Term)
+	n.proposer.FollowAcceptor(n.memory, now)
 	return n.sealed()
 }
 
@@ -138,8 +138,8 @@
 	b = append(b, 0xff, byte(s.left.Crashes), byte(s.left.Timeouts), byte(s.left.Doubled), byte(s.left.Wiped), byte(s.left.Looks), byte(s.open), byte(s.drawn))
 	b = s.look.appendState(b)
 	for _, p := range s.proposals {
-		b = binary.AppendUvarint(b, p.mark.Epoch)
-		b = binary.AppendUvarint(b, p.mark.Stamp)
+		b = binary.AppendUvarint(b, p.mark.Term)
+		b = binary.AppendUvarint(b, p.mark.Revision)
 		b = append(append(b, byte(p.node)), p.word[:]...)
 	}
 	b = append(b, 0xff)
--- a/tests/modelcheck/step.go
+++ b/tests/modelcheck/step.go
@@ -50,9 +50,9 @@
 // String describes the message.
 func (m message) String() string {
 	if m.ballot != nil {
-		return fmt.Sprintf("from %d %s epoch %d mark %v slots %v", m.from+1, m.ballot.Act, m.ballot.Epoch, m.ballot.Mark, consensus.Slots(m.ballot.Word.Slots))
+		return fmt.Sprintf("from %d %s epoch %d mark %v slots %v", m.from+1, m.ballot.Type, m.ballot.Term, m.ballot.Position, consensus.MemberIDs(m.ballot.State.Members))
 	}
-	return fmt.Sprintf("from %d vote %s epoch %d ok %v promised %d holds %v", m.from+1, m.vote.Act, m.vote.Epoch, m.vote.OK, m.vote.Promised, m.vote.Mark)
+	return fmt.Sprintf("from %d vote %s epoch %d ok %v promised %d holds %v", m.from+1, m.vote.Type, m.vote.Term, m.vote.Granted, m.vote.Promised, m.vote.Position)
 }
 
 // events lists all that may happen next. A loss is a message that is never delivered, a
@@ -64,7 +64,7 @@
 			out = append(out, event{kind: double, node: m.to, n: i, what: &s.flight[i]})
 		}
 		if s.left.Crashes > 0 && m.ballot != nil {
-			if next, _ := s.nodes[m.to].memory.On(*m.ballot); next.WordDirty && next.OathDirty {
+			if next, _ := s.nodes[m.to].memory.Step(*m.ballot); next.StateDirty && next.PromiseDirty {
 				out = append(out, event{kind: tear, node: m.to, n: i, what: &s.flight[i]})
 			}
 		}
@@ -76,14 +76,14 @@
 		if s.left.Wiped > 0 && slices.Contains(s.scenario.Wiped, n.addr) {
 			out = append(out, event{kind: wipe, node: i})
 		}
-		if s.left.Timeouts > 0 && n.memory.Phase == consensus.Established {
+		if s.left.Timeouts > 0 && n.memory.Phase == consensus.PhaseEstablished {
 			out = append(out, event{kind: timeout, node: i})
 		}
 	}
 	out = append(out, s.looks()...)
 	for i, o := range s.scenario.Orders {
 		ready := !o.AfterWipe || s.drawn > 0
-		if s.open&(1<<i) != 0 && ready && s.nodes[o.Node].memory.Phase == consensus.Established {
+		if s.open&(1<<i) != 0 && ready && s.nodes[o.Node].memory.Phase == consensus.PhaseEstablished {
 			out = append(out, event{kind: give, node: o.Node, n: i})
 		}
 	}
@@ -93,7 +93,7 @@
 // looks lists what a look that is under way, or may begin, has happen next.
 func (s *state) looks() (out []event) {
 	for i, n := range s.nodes {
-		if !s.look.open && s.left.Looks > 0 && n.memory.Phase == consensus.Established {
+		if !s.look.open && s.left.Looks > 0 && n.memory.Phase == consensus.PhaseEstablished {
 			out = append(out, event{kind: ask, node: i})
 		}
 		if s.look.open && s.look.answered&(1<<i) == 0 {
@@ -121,11 +121,11 @@
 		next.nodes[e.node] = boot(n.addr, n.disk, n.now)
 	case wipe:
 		next.left.Wiped--
-		next.nodes[e.node] = boot(s.nodes[e.node].addr, consensus.Start{}.Empty(drawnID(s.drawn)), s.nodes[e.node].now)
+		next.nodes[e.node] = boot(s.nodes[e.node].addr, consensus.Bootstrap{}.InitialState(drawnID(s.drawn)), s.nodes[e.node].now)
 		next.drawn++
 	case timeout:
 		next.left.Timeouts--
-		next.proposer(e.node, func(n *node) []consensus.Outcome {
+		next.proposer(e.node, func(n *node) []consensus.Ready {
 			n.now += later
 			return n.proposer.Tick(n.now)
 		})
@@ -136,8 +136,8 @@
 	case give:
 		next.open &^= 1 << e.n
 		o := s.scenario.Orders[e.n].order(s)
-		o.ID, o.Until = uint64(e.n+1), never
-		next.proposer(e.node, func(n *node) []consensus.Outcome { return n.proposer.Take(o, n.now) })
+		o.ID, o.Deadline = uint64(e.n+1), never
+		next.proposer(e.node, func(n *node) []consensus.Ready { return n.proposer.Enqueue(o, n.now) })
 	}
 	next.forget()
 	return next
@@ -146,26 +146,26 @@
 // take has a node take a message.
 func (s *state) take(m message, torn bool) {
 	if m.vote != nil {
-		s.proposer(m.to, func(n *node) []consensus.Outcome {
-			if n.memory.Phase != consensus.Established {
+		s.proposer(m.to, func(n *node) []consensus.Ready {
+			if n.memory.Phase != consensus.PhaseEstablished {
 				return nil
 			}
-			return n.proposer.Hear(*m.vote, n.now)
+			return n.proposer.HandleReply(*m.vote, n.now)
 		})
 		return
 	}
 	old := s.nodes[m.to]
-	acceptor, vote := old.memory.On(*m.ballot)
+	acceptor, vote := old.memory.Step(*m.ballot)
 	if torn {
 		s.left.Crashes--
 		disk := old.disk
-		disk.Mark, disk.Word = acceptor.Mark, acceptor.Word
+		disk.Position, disk.State = acceptor.Position, acceptor.State
 		s.nodes[m.to] = boot(old.addr, disk, old.now)
 		return
 	}
 	s.save(m.to, acceptor)
 	s.settles(acceptor)
-	if v := vote.By(config.Member{Slot: m.slot, ID: m.id}); v != nil && m.ballot.Act != consensus.Settle {
+	if v := vote.FromMember(config.Member{MemberID: m.slot, DiskID: m.id}); v != nil && m.ballot.Type != consensus.MsgCommit {
 		s.post(message{from: m.to, to: m.from, vote: v})
 	}
 }
@@ -174,65 +174,65 @@
 func (s *state) save(at int, acceptor consensus.Acceptor) {
 	old := s.nodes[at]
 	n := &node{addr: old.addr, disk: old.disk, memory: acceptor, proposer: old.proposer.Clone(), now: old.now}
-	if acceptor.WordDirty {
-		n.disk.Mark, n.disk.Word = acceptor.Mark, acceptor.Word
+	if acceptor.StateDirty {
+		n.disk.Position, n.disk.State = acceptor.Position, acceptor.State
 	}
-	if acceptor.OathDirty {
-		n.disk.Self, n.disk.Phase, n.disk.Promised, n.disk.Seats = acceptor.Self, acceptor.Phase, acceptor.Promised, acceptor.Seats
+	if acceptor.PromiseDirty {
+		n.disk.Self, n.disk.Phase, n.disk.Promised, n.disk.Members = acceptor.Self, acceptor.Phase, acceptor.Promised, acceptor.Members
 	}
-	n.memory.WordDirty, n.memory.OathDirty = false, false
-	n.proposer.Follow(n.memory, n.now)
+	n.memory.StateDirty, n.memory.PromiseDirty = false, false
+	n.proposer.FollowAcceptor(n.memory, n.now)
 	s.nodes[at] = n.sealed()
-	if n.memory.Struck() {
-		s.save(at, n.memory.Afresh(drawnID(s.drawn)))
+	if n.memory.Removed() {
+		s.save(at, n.memory.Rejoining(drawnID(s.drawn)))
 		s.drawn++
 	}
 }
 
 // proposer lets a node's proposer do something, and carries out what it wants.
-func (s *state) proposer(at int, do func(*node) []consensus.Outcome) {
+func (s *state) proposer(at int, do func(*node) []consensus.Ready) {
 	n := *s.nodes[at]
 	n.proposer = n.proposer.Clone()
 	outs := do(&n)
 	s.nodes[at] = n.sealed()
 	for _, o := range outs {
-		if o.Answer != nil {
-			s.answer(*o.Answer)
+		if o.Result != nil {
+			s.answer(*o.Result)
 		}
-		if o.Ballot == nil {
+		if o.Message == nil {
 			continue
 		}
-		s.proposed(at, *o.Ballot)
+		s.proposed(at, *o.Message)
 		own := -1
 		for i, m := range o.To {
 			switch to := s.member(at, m); {
 			case to == at:
 				own = i
 			case to >= 0:
-				s.post(message{from: at, to: to, ballot: o.Ballot, slot: m.Slot, id: m.ID})
+				s.post(message{from: at, to: to, ballot: o.Message, slot: m.MemberID, id: m.DiskID})
 			}
 		}
 		if own >= 0 {
-			s.takeOwn(at, *o.Ballot, o.To[own])
+			s.takeOwn(at, *o.Message, o.To[own])
 		}
 	}
 }
 
 // takeOwn has a node's own acceptor take its proposer's ballot, and the proposer the vote, at once:
 // both are one core's, and no other message need come between.
-func (s *state) takeOwn(at int, b consensus.Ballot, m config.Member) {
-	acceptor, vote := s.nodes[at].memory.On(b)
+func (s *state) takeOwn(at int, b consensus.Message, m config.Member) {
+	acceptor, vote := s.nodes[at].memory.Step(b)
 	s.save(at, acceptor)
 	s.settles(acceptor)
-	if v := vote.By(m); v != nil && b.Act != consensus.Settle {
-		s.proposer(at, func(n *node) []consensus.Outcome { return n.proposer.Hear(*v, n.now) })
+	if v := vote.FromMember(m); v != nil && b.Type != consensus.MsgCommit {
+		s.proposer(at, func(n *node) []consensus.Ready { return n.proposer.HandleReply(*v, n.now) })
 	}
 }
 
 // member is the node that is asked for a member: the own one, or whoever is at the
 // member's address now.
 func (s *state) member(at int, m config.Member) int {
-	if self := s.nodes[at].memory.Self; self.Slot == m.Slot && self.ID == m.ID {
+	if self := s.nodes[at].memory.Self; self.MemberID == m.MemberID && self.DiskID == m.DiskID {
 		return at
 	}
 	return s.at(m.Addr)
@@ -243,17 +243,17 @@
 func (s *state) forget() {
 	heeded := func(m message) bool {
 		if m.vote != nil {
-			return s.nodes[m.to].proposer.Heeds(*m.vote)
+			return s.nodes[m.to].proposer.CanAffect(*m.vote)
 		}
 		to, b := s.nodes[m.to].memory, m.ballot
-		switch b.Act {
-		case consensus.Settle:
-			return to.Mark.Compare(b.Mark) < 0 || to.Settled < b.Mark.Stamp
-		case consensus.Propose:
-			stale := to.Promised > b.Epoch || to.Mark.Compare(b.Mark) > 0
-			return !stale || s.nodes[m.from].proposer.Holds(b.Epoch)
+		switch b.Type {
+		case consensus.MsgCommit:
+			return to.Position.Compare(b.Position) < 0 || to.Committed < b.Position.Revision
+		case consensus.MsgAccept:
+			stale := to.Promised > b.Term || to.Position.Compare(b.Position) > 0
+			return !stale || s.nodes[m.from].proposer.HoldsTerm(b.Term)
 		}
-		return to.Promised <= b.Epoch || s.nodes[m.from].proposer.Holds(b.Epoch)
+		return to.Promised <= b.Term || s.nodes[m.from].proposer.HoldsTerm(b.Term)
 	}
 	if slices.ContainsFunc(s.flight, func(m message) bool { return !heeded(m) }) {
 		s.flight = slices.DeleteFunc(slices.Clone(s.flight), func(m message) bool { return !heeded(m) })
@@ -261,17 +261,17 @@
 }
 
 // proposed notes a proposal: an epoch is one node's, and a mark one word's.
-func (s *state) proposed(at int, b consensus.Ballot) {
-	if b.Act == consensus.Settle {
-		s.settle(b.Mark.Stamp, b.Word)
+func (s *state) proposed(at int, b consensus.Message) {
+	if b.Type == consensus.MsgCommit {
+		s.settle(b.Position.Revision, b.State)
 	}
-	if b.Act != consensus.Propose {
+	if b.Type != consensus.MsgAccept {
 		return
 	}
-	p := proposal{mark: b.Mark, node: at, word: wordDigest(b.Word)}
+	p := proposal{mark: b.Position, node: at, word: wordDigest(b.State)}
 	for _, o := range s.proposals {
-		if o.mark.Epoch == p.mark.Epoch && o.node != p.node {
-			s.breaks("two proposers propose in epoch %d", p.mark.Epoch)
+		if o.mark.Term == p.mark.Term && o.node != p.node {
+			s.breaks("two proposers propose in epoch %d", p.mark.Term)
 		}
 		if o.mark == p.mark && o.word != p.word {
 			s.breaks("two words under mark %v", p.mark)
@@ -283,16 +283,16 @@
 	}
 }
 
-func wordDigest(w config.Word) digest { return digestOf(consensus.AppendWord(nil, w)) }
+func wordDigest(w config.ControlState) digest { return digestOf(consensus.AppendControlState(nil, w)) }
 
 func (s *state) settles(v consensus.Acceptor) {
-	if v.Settled != 0 && v.Settled == v.Mark.Stamp {
-		s.settle(v.Settled, v.Word)
+	if v.Committed != 0 && v.Committed == v.Position.Revision {
+		s.settle(v.Committed, v.State)
 	}
 }
 
 // settle notes a word that somebody takes for settled: one under each stamp.
-func (s *state) settle(stamp uint64, w config.Word) {
+func (s *state) settle(stamp uint64, w config.ControlState) {
 	is := wordDigest(w)
 	old, ok := s.settled[stamp]
 	switch {
@@ -305,29 +305,29 @@
 }
 
 // answer notes what an operator is told.
-func (s *state) answer(a consensus.Answer) {
+func (s *state) answer(a consensus.CommandResult) {
 	given := s.scenario.Orders[a.ID-1]
-	s.answered = append(s.answered, given.Name+" "+string(a.Result))
-	if a.Result != consensus.Taken {
-		if given.Generation != 0 && a.Result == consensus.Conflict {
+	s.answered = append(s.answered, given.Name+" "+string(a.Outcome))
+	if a.Outcome != consensus.OutcomeCommitted {
+		if given.Generation != 0 && a.Outcome == consensus.OutcomeConflict {
 			return
 		}
 		for _, o := range s.acked {
 			if given.Generation != 0 && o.generation == given.Generation && o.digest == given.Text {
-				s.breaks("number %d with %q was acknowledged, and its repeat is answered %s", o.generation, o.digest, a.Result)
+				s.breaks("number %d with %q was acknowledged, and its repeat is answered %s", o.generation, o.digest, a.Outcome)
 			}
 		}
 		return
 	}
-	s.settle(a.Word.Stamp, a.Word)
-	is := acked{generation: given.Generation, stamp: a.Word.Stamp, digest: given.Text}
+	s.settle(a.State.Revision, a.State)
+	is := acked{generation: given.Generation, stamp: a.State.Revision, digest: given.Text}
 	for _, o := range s.acked {
 		if is.generation != 0 && o.generation == is.generation && o.digest != is.digest {
 			s.breaks("number %d is acknowledged with %q and with %q", is.generation, o.digest, is.digest)
 		}
 	}
-	if given.Generation != 0 && a.Word.Generation == given.Generation && !bytes.Equal(a.Word.Desired, []byte(given.Text)) {
-		s.breaks("number %d with %q is acknowledged, and %q is held", given.Generation, given.Text, a.Word.Desired)
+	if given.Generation != 0 && a.State.Generation == given.Generation && !bytes.Equal(a.State.Configuration, []byte(given.Text)) {
+		s.breaks("number %d with %q is acknowledged, and %q is held", given.Generation, given.Text, a.State.Configuration)
 	}
 	s.acked = append(slices.Clone(s.acked), is)
 	slices.SortFunc(s.acked, func(a, b acked) int { return bytes.Compare([]byte(fmt.Sprint(a)), []byte(fmt.Sprint(b))) })
--- a/tests/simulation/attempt.go
+++ b/tests/simulation/attempt.go
@@ -59,11 +59,11 @@
 // NewAttempts lays a run out: some nodes, backends on the last two.
 func NewAttempts(seed uint64, nodes int) *Attempts {
 	l := &Attempts{rng: rand.New(rand.NewPCG(seed, 19)), base: time.Now(), runs: map[string]int{}, denied: map[string]bool{}}
-	l.table, _ = routing.NewTable(config.Word{})
+	l.table, _ = routing.NewTable(config.ControlState{})
 	for i := range nodes {
 		n := &attemptNode{Node: membership.Node{Addr: fmt.Sprintf("node-%d", i), Zone: fmt.Sprintf("locality-%d", i%3)}}
 		if i >= nodes-2 {
-			n.Backends = []membership.Backend{{Instance: fmt.Sprintf("s-%d", i), Service: "s", Zone: n.Zone, Capacity: 4, Share: 1}}
+			n.Backends = []membership.Backend{{Instance: fmt.Sprintf("s-%d", i), Service: "s", Zone: n.Zone, Capacity: 4, CapacityShare: 1}}
 		}
 		l.nodes = append(l.nodes, n)
 		l.boot(n)
@@ -80,7 +80,7 @@
 // boot starts a node with nothing in its memory.
 func (l *Attempts) boot(n *attemptNode) {
 	n.up, n.ready = true, false
-	n.Boot = l.rng.Uint64()
+	n.Incarnation = l.rng.Uint64()
 	n.claims = idempotency.NewTable(func(attemptAnswer) int { return 1 })
 	n.ledger, n.held = proxy.NewLedger(), keyreplication.NewHoldings()
 	n.trusts = keyreplication.NewTrusts(n.Addr, n.Zone)
@@ -221,7 +221,7 @@
 		}
 		left++
 		l.call(n, o, 400*time.Millisecond, func(reply func(any)) {
-			reply(o.held.Handover(keyreplication.Handover{Owner: n.Addr, Boot: n.Boot}, l.now))
+			reply(o.held.Handover(keyreplication.Handover{Owner: n.Addr, Boot: n.Incarnation}, l.now))
 		}, func(answer any, _ bool) {
 			got, ok := answer.(keyreplication.Handed)
 			if !ok {
@@ -383,7 +383,7 @@
 // entrust has two others hold a claim, then runs its request.
 func (l *Attempts) entrust(n *attemptNode, key idempotency.Key, id, name string, done func(a attemptAnswer, keep bool)) {
 	n.next++
-	e := keyreplication.Entry{Owner: n.Addr, Boot: n.Boot, N: n.next, Key: key, For: 10*time.Second + idempotency.HeldFor}
+	e := keyreplication.Entry{Owner: n.Addr, Boot: n.Incarnation, N: n.next, Key: key, For: 10*time.Second + idempotency.HeldFor}
 	ranked := keyreplication.Choose(n.Addr, n.Zone, key, keyreplication.Others(l.view, n.Addr))
 	want := min(keyreplication.Holders, len(ranked))
 	var by []*attemptNode
@@ -471,7 +471,7 @@
 			return
 		}
 		n.attempts++
-		attempt := proxy.Attempt{ID: fmt.Sprintf("%s/%d/%s", n.Addr, n.attempts, name), Boot: o.Target.Boot, Left: deadline - l.now}
+		attempt := proxy.Attempt{ID: fmt.Sprintf("%s/%d/%s", n.Addr, n.attempts, name), Boot: o.Target.Incarnation, Left: deadline - l.now}
 		far := l.node(o.Target.Node)
 		told := func(fate routing.Fate) {
 			d.Tell(routing.Attempt{Target: o.Target, Fate: fate, Reason: "simulated"})
@@ -488,7 +488,7 @@
 			default:
 				// Only the far side's word that the attempt never ran proves it.
 				l.call(n, far, 300*time.Millisecond, func(reply func(any)) {
-					reply(far.ledger.Refuse(attempt.ID, l.now) && attempt.Boot == far.Boot)
+					reply(far.ledger.Refuse(attempt.ID, l.now) && attempt.Boot == far.Incarnation)
 				}, func(answer any, _ bool) {
 					if proven, ok := answer.(bool); ok && proven {
 						told(routing.NotRun)
@@ -512,7 +512,7 @@
 		}
 		reply(proxy.AttemptResponse{ID: attempt.ID, Fate: fate})
 	}
-	if attempt.Boot != n.Boot || l.rng.IntN(12) == 0 { // another boot, or full
+	if attempt.Boot != n.Incarnation || l.rng.IntN(12) == 0 { // another boot, or full
 		refuse()
 		return
 	}
--- a/tests/simulation/claim.go
+++ b/tests/simulation/claim.go
@@ -39,7 +39,7 @@
 	frozen   time.Duration
 	cut      int
 	accepted uint64
-	feed     *watch.Feed
+	feed     *watch.EventLog
 	sure     time.Duration // as of when; negative if never
 	open     bool          // a look waits for its stamp to be settled
 	lookAt   time.Duration
@@ -51,12 +51,12 @@
 	frozen time.Duration
 	cut    int
 	core   int
-	place  watch.Follow
+	place  watch.Request
 	stamp  uint64
 	claim  endpoints.Claim
 	heard  time.Duration // news from a core
 	agreed endpoints.Claim
-	said   membership.Statements // what it heard of itself and others
+	said   membership.PeerStatusTable // what it heard of itself and others
 }
 
 // NewClaims lays a run out.
@@ -66,7 +66,7 @@
 		c.dead = 10*time.Second + c.some(40*time.Second)
 	}
 	for i := range cores {
-		c.cores = append(c.cores, &claimCore{feed: watch.New(uint64(i)*1000+1, 0), sure: -1})
+		c.cores = append(c.cores, &claimCore{feed: watch.NewEventLog(uint64(i)*1000+1, 0), sure: -1})
 	}
 	for i := range sides {
 		c.sides = append(c.sides, &claimSide{addr: fmt.Sprint(i), core: i % cores})
@@ -113,7 +113,7 @@
 	}
 	for _, k := range c.cores {
 		c.every(300*time.Millisecond, func() { c.when(k.frozen, func() { c.look(k) }) })
-		c.every(100*time.Millisecond, func() { c.when(k.frozen, func() { k.feed.Wake(c.now); k.feed.Tick(c.now) }) })
+		c.every(100*time.Millisecond, func() { c.when(k.frozen, func() { k.feed.DetectPause(c.now); k.feed.Tick(c.now) }) })
 	}
 	for _, s := range c.sides {
 		c.every(300*time.Millisecond, func() { c.when(s.frozen, func() { c.follow(s) }) })
@@ -218,7 +218,7 @@
 			continue
 		}
 		c.pass(&s.cut, &o.cut, &o.frozen, func() {
-			told, stamp := o.said.Tell(c.peer(o), membership.NewView(nil, nil), c.base.Add(c.now)), o.stamp
+			told, stamp := o.said.Report(c.peer(o), membership.NewView(nil, nil), c.base.Add(c.now)), o.stamp
 			c.pass(&o.cut, &s.cut, &s.frozen, func() {
 				if stamp > s.stamp {
 					c.fetch(s, o)
@@ -226,8 +226,8 @@
 				if c.now-begin > 400*time.Millisecond {
 					return // nobody waits for it any more
 				}
-				s.said = s.said.Hear(s.addr, told, c.base.Add(begin), c.base.Add(c.now))
-				if asOf, ok := s.said.Sure(s.addr, s.stamp, known, c.base.Add(c.now)); ok {
+				s.said = s.said.Observe(s.addr, told, c.base.Add(begin), c.base.Add(c.now))
+				if asOf, ok := s.said.ConfirmedAsOf(s.addr, s.stamp, known, c.base.Add(c.now)); ok {
 					s.agreed.Renew(asOf)
 				}
 			})
@@ -237,7 +237,7 @@
 
 // peer is what a sidecar tells of itself.
 func (c *Claims) peer(s *claimSide) membership.Peer {
-	return membership.Peer{Addr: s.addr, Boot: 1, Said: &membership.Statement{Stamp: s.stamp, Alone: c.alone(s)}}
+	return membership.Peer{Addr: s.addr, Incarnation: 1, Status: &membership.PeerStatus{AppliedRevision: s.stamp, QuorumLost: c.alone(s)}}
 }
 
 // fetch asks one sidecar for its word.
@@ -269,7 +269,7 @@
 				}
 				// The settled word of that stamp comes some time.
 				if top > 0 && len(c.settled) >= int(top) {
-					k.feed.Settled(config.Word{Stamp: top})
+					k.feed.ObserveCommitted(config.ControlState{Revision: top})
 				}
 				c.confirm(k)
 			})
@@ -279,8 +279,8 @@
 
 func (c *Claims) confirm(k *claimCore) {
 	var told uint64
-	if w := k.feed.Word(); w != nil {
-		told = w.Stamp
+	if w := k.feed.State(); w != nil {
+		told = w.Revision
 	}
 	if k.open && told >= k.lookTo {
 		k.open, k.sure = false, k.lookAt
@@ -292,12 +292,12 @@
 	asked, at := c.now, s.core
 	k := c.cores[at]
 	if c.rng.IntN(40) == 0 {
-		s.core, s.place = c.rng.IntN(len(c.cores)), watch.Follow{}
+		s.core, s.place = c.rng.IntN(len(c.cores)), watch.Request{}
 		return
 	}
 	c.pass(&s.cut, &k.cut, &k.frozen, func() {
-		k.feed.Wake(c.now)
-		if !k.feed.Open(c.now) {
+		k.feed.DetectPause(c.now)
+		if !k.feed.Ready(c.now) {
 			return
 		}
 		n, _ := k.feed.Since(s.place)
@@ -309,10 +309,10 @@
 			if s.core != at {
 				return
 			}
-			s.place = watch.Follow{Feed: n.Feed, Place: n.Place}
-			for _, it := range n.Items {
-				if it.Word != nil {
-					s.stamp = max(s.stamp, it.Word.Stamp)
+			s.place = watch.Request{LogID: n.LogID, Offset: n.Offset}
+			for _, it := range n.Events {
+				if it.State != nil {
+					s.stamp = max(s.stamp, it.State.Revision)
 				}
 			}
 			s.heard = c.now
@@ -361,7 +361,7 @@
 			if c.gone() {
 				break
 			}
-			k.feed.Told(membership.Node{Addr: "any"}, c.now)
+			k.feed.ObserveNode(membership.Node{Addr: "any"}, c.now)
 		}
 	}
 }
--- a/tests/simulation/history.go
+++ b/tests/simulation/history.go
@@ -32,19 +32,19 @@
 }
 
 // put records that a configuration is put.
-func (h *History) put(o consensus.Order, now time.Duration) *Call {
-	c := &Call{Write: true, Generation: o.Generation, Text: string(o.Bytes), From: now, Open: true}
+func (h *History) put(o consensus.Command, now time.Duration) *Call {
+	c := &Call{Write: true, Generation: o.Generation, Text: string(o.Payload), From: now, Open: true}
 	h.calls = append(h.calls, c)
 	return c
 }
 
 // answered records what became of a put. One that was not taken never will be: it is
 // struck from the history, so that a read which shows it has nothing to come from.
-func (h *History) answered(c *Call, r consensus.Result, now time.Duration) {
+func (h *History) answered(c *Call, r consensus.Outcome, now time.Duration) {
 	switch r {
-	case consensus.Taken:
+	case consensus.OutcomeCommitted:
 		c.To, c.Open = now, false
-	case consensus.NotTaken, consensus.Mismatch, consensus.Conflict:
+	case consensus.OutcomeRejected, consensus.OutcomeMismatch, consensus.OutcomeConflict:
 		for i := range h.calls {
 			if h.calls[i] == c {
 				h.calls = append(h.calls[:i:i], h.calls[i+1:]...)
@@ -55,18 +55,18 @@
 }
 
 // read records what a read that began at a moment shows.
-func (h *History) read(from time.Duration, w config.Word, now time.Duration) {
-	h.calls = append(h.calls, &Call{Generation: w.Generation, Text: string(w.Desired), From: from, To: now})
+func (h *History) read(from time.Duration, state config.ControlState, now time.Duration) {
+	h.calls = append(h.calls, &Call{Generation: state.Generation, Text: string(state.Configuration), From: from, To: now})
 }
 
 // recorded is back, with what a configuration is answered kept in the history.
-func (r *Register) recorded(o consensus.Order, back func(consensus.Answer)) func(consensus.Answer) {
-	if o.Kind != consensus.Put {
+func (r *Register) recorded(o consensus.Command, back func(consensus.CommandResult)) func(consensus.CommandResult) {
+	if o.Kind != consensus.CommandPutConfiguration {
 		return back
 	}
 	call := r.History.put(o, r.now)
-	return func(a consensus.Answer) {
-		r.History.answered(call, a.Result, r.now)
+	return func(a consensus.CommandResult) {
+		r.History.answered(call, a.Outcome, r.now)
 		back(a)
 	}
 }
--- a/tests/simulation/history_test.go
+++ b/tests/simulation/history_test.go
@@ -166,8 +166,8 @@
 		}
 	}
 	h := &History{}
-	refused := h.put(consensus.Order{Bytes: []byte("a")}, 1)
-	h.answered(refused, consensus.NotTaken, 2)
+	refused := h.put(consensus.Command{Payload: []byte("a")}, 1)
+	h.answered(refused, consensus.OutcomeRejected, 2)
 	if calls := h.Calls(); slices.ContainsFunc(calls, func(c Call) bool { return c.Write }) {
 		t.Errorf("what was not taken stays: %+v", calls)
 	}
--- a/tests/simulation/line_test.go
+++ b/tests/simulation/line_test.go
@@ -15,7 +15,7 @@
 // again while its runs go on, never runs more than one and a half times what it
 // can bear at that moment; in between it is used.
 func TestColdThroughKills(t *testing.T) {
-	table, ok := routing.NewTable(config.Word{Stamp: 1, DesiredStamp: 1, Desired: []byte(`{"contracts": [{"name":"c","aim":"1s","expiry":"4s","rank":1}], "ways": [{"name":"w","prefix":"/","service":"s","contract":"c"}]}`)})
+	table, ok := routing.NewTable(config.ControlState{Revision: 1, ConfigurationRevision: 1, Configuration: []byte(`{"contracts": [{"name":"c","aim":"1s","expiry":"4s","rank":1}], "ways": [{"name":"w","prefix":"/","service":"s","contract":"c"}]}`)})
 	if !ok {
 		t.Fatal("no table")
 	}
@@ -26,7 +26,7 @@
 		base := time.Now()
 		var q clock
 		some := func(d time.Duration) time.Duration { return time.Duration(rng.Int64N(int64(d) + 1)) }
-		e := endpoints.Entry{Backend: membership.Backend{Capacity: 20, Share: 0.2}, Heard: base}
+		e := endpoints.Entry{Backend: membership.Backend{Capacity: 20, CapacityShare: 0.2}, Heard: base}
 		running := 0
 		var line *endpoints.Line
 		var life int
@@ -34,7 +34,7 @@
 		waiting := map[uint64]func(){}
 		limit := func() int64 {
 			// It says every half second how warm it is: all of it after 20 s.
-			e.Share = min(1, 0.2+0.8*float64(q.now)/float64(20*time.Second))
+			e.CapacityShare = min(1, 0.2+0.8*float64(q.now)/float64(20*time.Second))
 			return e.Limit(1, table.Fresh(q.now-since), base.Add(q.now))
 		}
 		boot := func() { line, since, waiting = &endpoints.Line{}, q.now, map[uint64]func(){}; life++ }
@@ -53,7 +53,7 @@
 			run := func() {
 				running++
 				ran++
-				bear := 20 * e.Share
+				bear := 20 * e.CapacityShare
 				if most = max(most, float64(running)/bear); float64(running) > 1.5*bear+1 {
 					t.Errorf("seed %d at %v: %d run, it can bear %.1f; replay: go test ./tests/simulation -run TestColdThroughKills -first %d -seeds 1", seed, q.now, running, bear, seed)
 				}
--- a/tests/simulation/losses.go
+++ b/tests/simulation/losses.go
@@ -84,7 +84,7 @@
 		case 0:
 			l.note(c, "is lost with its disk and comes back")
 			l.off(c)
-			c.disk = consensus.Start{Founders: l.founders, Addr: c.addr}.Empty(l.rng.Uint64() | 1)
+			c.disk = consensus.Bootstrap{InitialMembers: l.founders, AdvertiseAddr: c.addr}.InitialState(l.rng.Uint64() | 1)
 			l.after(away, func() { l.boot(c) })
 		case 1:
 			l.remove(c)
@@ -119,13 +119,13 @@
 	l.run(l.now + settleFor)
 	l.note(old, "is stopped")
 	old.leaving = true
-	for end := l.now + leaveFor; l.now < end && old.acceptor.Phase == consensus.Established; {
-		o, ok := consensus.Leave(old.acceptor)
-		if !ok && len(old.acceptor.Sets().Before) == 0 {
+	for end := l.now + leaveFor; l.now < end && old.acceptor.Phase == consensus.PhaseEstablished; {
+		o, ok := consensus.PlanLeave(old.acceptor)
+		if !ok && len(old.acceptor.MemberSets().Previous) == 0 {
 			break
 		}
 		if duty := l.duty(old); ok && duty.up {
-			l.order(duty, o, func(consensus.Answer) {})
+			l.order(duty, o, func(consensus.CommandResult) {})
 		}
 		l.run(l.now + leaveEvery)
 	}
@@ -153,14 +153,14 @@
 	members := map[int]bool{}
 	here := l.present()
 	for _, c := range here {
-		if !c.acceptor.Member() || len(c.acceptor.Sets().Before) > 0 {
+		if !c.acceptor.IsMember() || len(c.acceptor.MemberSets().Previous) > 0 {
 			l.broken("%s is no full member %v after all were back: %s", c.addr, settleFor, l.show())
 			return
 		}
-		members[c.acceptor.Self.Slot] = true
+		members[c.acceptor.Self.MemberID] = true
 	}
 	for _, c := range here {
-		set := consensus.Slots(c.acceptor.Sets().Now)
+		set := consensus.MemberIDs(c.acceptor.MemberSets().Current)
 		live := len(set) - len(slices.DeleteFunc(slices.Clone(set), func(s int) bool { return members[s] }))
 		if live-l.bearable() < consensus.Majority(len(set)) {
 			l.broken("%d of %v live, which does not bear %d losses: %s", live, set, l.bearable(), l.show())
--- a/tests/simulation/member.go
+++ b/tests/simulation/member.go
@@ -47,23 +47,23 @@
 	memberHost
 	slot int
 	boot uint64
-	feed *watch.Feed
+	feed *watch.EventLog
 	word uint64 // settled here
 }
 
 type memberSide struct {
 	memberHost
 	node  membership.Node
-	watch *membership.Watch
-	seats membership.Seats
-	talks map[string]membership.Talk
+	watch *membership.FailureDetector
+	seats membership.ReplicaTable
+	talks map[string]membership.HeartbeatEncoder
 	turn  uint
-	copy  *watch.Copy
+	copy  *watch.Mirror
 	stamp uint64
 	core  *memberCore
 	boot  uint64 // of the core that is followed
-	place watch.Follow
-	has   watch.Holding
+	place watch.Request
+	has   watch.StateDecoder
 	bad   map[string]time.Duration
 }
 
@@ -89,23 +89,23 @@
 
 func (m *Members) bootCore(c *memberCore) {
 	c.up, c.boot = true, m.rng.Uint64()
-	c.feed = watch.New(c.boot, m.now)
+	c.feed = watch.NewEventLog(c.boot, m.now)
 	if c.word > 0 { // it was on its disk
-		c.feed.Settled(wordOf(c.word))
+		c.feed.ObserveCommitted(wordOf(c.word))
 	}
-	m.every(&c.memberHost, 100*time.Millisecond, func() { c.feed.Wake(m.now); c.feed.Tick(m.now) })
+	m.every(&c.memberHost, 100*time.Millisecond, func() { c.feed.DetectPause(m.now); c.feed.Tick(m.now) })
 	m.every(&c.memberHost, 300*time.Millisecond, func() { m.catch(c) })
 }
 
 func (m *Members) bootSide(s *memberSide) {
 	s.up, s.stamp, s.core = true, 0, nil
-	s.node = membership.Node{Addr: s.addr, Boot: m.rng.Uint64()}
+	s.node = membership.Node{Addr: s.addr, Incarnation: m.rng.Uint64()}
 	m.change(s)
-	s.watch, s.seats, s.copy, s.bad = membership.NewWatch(s.addr), membership.Seats{}, watch.NewCopy(), map[string]time.Duration{}
-	s.has = watch.Holding{}
-	s.talks, s.turn = map[string]membership.Talk{}, 0
-	m.every(&s.memberHost, membership.Beat, func() { m.heartbeat(s) })
-	m.every(&s.memberHost, membership.Beat, func() { m.probe(s) })
+	s.watch, s.seats, s.copy, s.bad = membership.NewFailureDetector(s.addr), membership.ReplicaTable{}, watch.NewMirror(), map[string]time.Duration{}
+	s.has = watch.StateDecoder{}
+	s.talks, s.turn = map[string]membership.HeartbeatEncoder{}, 0
+	m.every(&s.memberHost, membership.HeartbeatInterval, func() { m.heartbeat(s) })
+	m.every(&s.memberHost, membership.HeartbeatInterval, func() { m.probe(s) })
 	m.every(&s.memberHost, 200*time.Millisecond, func() { m.follow(s) })
 }
 
@@ -166,9 +166,9 @@
 
 // heartbeat tells the cores of this node and learns of their seats and of accusers.
 func (m *Members) heartbeat(s *memberSide) {
-	s.node.Stamp = s.stamp
-	s.node.Accuses = s.watch.Accused(s.copy.Nodes)
-	m.Accused += len(s.node.Accuses)
+	s.node.AppliedRevision = s.stamp
+	s.node.Suspects = s.watch.Suspects(s.copy.Nodes)
+	m.Accused += len(s.node.Suspects)
 	s.turn++
 	for _, c := range m.cores {
 		m.tell(s, c)
@@ -178,26 +178,26 @@
 // tell heartbeats one core with what it lacks.
 func (m *Members) tell(s *memberSide, c *memberCore) {
 	whole := s.node
-	whole.Turn = s.turn
-	told := s.talks[c.addr].Tell(membership.Heartbeat{Node: &whole, Digest: 1}, s.turn%4 == 0)
-	if told.Pulse != nil {
+	whole.Sequence = s.turn
+	told := s.talks[c.addr].Encode(membership.Heartbeat{Node: &whole, TableDigest: 1}, s.turn%4 == 0)
+	if told.NodeStatus != nil {
 		m.Short++
 	}
 	m.call(&s.memberHost, &c.memberHost, 750*time.Millisecond, func() any {
-		c.feed.Wake(m.now)
-		r := membership.Heartbeat{Digest: 1}
+		c.feed.DetectPause(m.now)
+		r := membership.Heartbeat{TableDigest: 1}
 		if told.Node != nil {
-			c.feed.Told(*told.Node, m.now)
+			c.feed.ObserveNode(*told.Node, m.now)
 		} else {
-			r.Whole = !c.feed.Felt(*told.Pulse, m.now)
+			r.RequestFull = !c.feed.ObserveStatus(*told.NodeStatus, m.now)
 		}
 		for _, n := range c.feed.Nodes() {
 			if !slices.Equal(n.Backends, backends(n)) {
 				m.wrong("%s shows %+v", c.addr, n)
 			}
 		}
-		if inc, ok := c.feed.Accused()[s.addr]; ok {
-			r.Accused = &inc
+		if inc, ok := c.feed.Suspected()[s.addr]; ok {
+			r.Suspected = &inc
 		}
 		return r
 	}, func(answer any, refused bool) {
@@ -205,12 +205,12 @@
 		if !ok {
 			return
 		}
-		s.seats = s.seats.Hear(membership.Seat{Slot: c.slot, Slots: len(m.cores), Addr: c.addr, Inc: 1, Boot: c.boot, Established: true}, m.base.Add(m.now))
-		if r.Accused != nil && *r.Accused >= s.node.Inc {
-			s.node.Inc = *r.Accused + 1
+		s.seats = s.seats.Observe(membership.Replica{MemberID: c.slot, MemberCount: len(m.cores), Addr: c.addr, MemberIncarnation: 1, Incarnation: c.boot, Established: true}, m.base.Add(m.now))
+		if r.Suspected != nil && *r.Suspected >= s.node.Refutation {
+			s.node.Refutation = *r.Suspected + 1
 			m.Refuted++
 		}
-		next, again := s.talks[c.addr].Answered(told, r)
+		next, again := s.talks[c.addr].Acknowledge(told, r)
 		s.talks[c.addr] = next
 		if again {
 			m.Whole++
@@ -221,12 +221,12 @@
 
 // backends are those of a node in its boot and revision, and of no other.
 func backends(n membership.Node) []membership.Backend {
-	return []membership.Backend{{Instance: fmt.Sprint(n.Addr, " ", n.Boot, " ", n.Rev)}}
+	return []membership.Backend{{Instance: fmt.Sprint(n.Addr, " ", n.Incarnation, " ", n.Version)}}
 }
 
 // change has a sidecar's backends change.
 func (m *Members) change(s *memberSide) {
-	s.node.Rev++
+	s.node.Version++
 	s.node.Backends = backends(s.node)
 }
 
@@ -236,15 +236,15 @@
 
 // probe asks those that this node watches.
 func (m *Members) probe(s *memberSide) {
-	for _, addr := range s.watch.Membership(slices.Sorted(maps.Keys(s.copy.Nodes))) {
+	for _, addr := range s.watch.Monitored(slices.Sorted(maps.Keys(s.copy.Nodes))) {
 		o := m.side(addr)
-		m.call(&s.memberHost, &o.memberHost, membership.Beat, func() any { return membership.Probe{Boot: o.node.Boot, Inc: o.node.Inc} },
+		m.call(&s.memberHost, &o.memberHost, membership.HeartbeatInterval, func() any { return membership.Probe{Incarnation: o.node.Incarnation, Refutation: o.node.Refutation} },
 			func(answer any, refused bool) {
 				p, ok := answer.(membership.Probe)
-				if ok && p.Boot == s.copy.Nodes[addr].Boot {
-					s.watch.Probed(addr, &p, false)
+				if ok && p.Incarnation == s.copy.Nodes[addr].Incarnation {
+					s.watch.ObserveProbe(addr, &p, false)
 				} else {
-					s.watch.Probed(addr, nil, refused)
+					s.watch.ObserveProbe(addr, nil, refused)
 				}
 			})
 	}
@@ -253,51 +253,51 @@
 // follow asks the core that ranks first among the live ones; one that failed comes
 // last.
 func (m *Members) follow(s *memberSide) {
-	live := rendezvous.Rank(s.addr, s.seats.Live(m.base.Add(m.now)), func(c membership.Seat) string { return c.Addr })
+	live := rendezvous.Rank(s.addr, s.seats.Live(m.base.Add(m.now)), func(c membership.Replica) string { return c.Addr })
 	if len(live) == 0 {
 		return
 	}
-	slices.SortStableFunc(live, func(a, b membership.Seat) int { return int(s.bad[a.Addr]/1e6) - int(s.bad[b.Addr]/1e6) })
-	c := m.cores[live[0].Slot-1]
-	if s.core != c || s.boot != live[0].Boot {
-		s.core, s.boot, s.place = c, live[0].Boot, watch.Follow{}
+	slices.SortStableFunc(live, func(a, b membership.Replica) int { return int(s.bad[a.Addr]/1e6) - int(s.bad[b.Addr]/1e6) })
+	c := m.cores[live[0].MemberID-1]
+	if s.core != c || s.boot != live[0].Incarnation {
+		s.core, s.boot, s.place = c, live[0].Incarnation, watch.Request{}
 		m.Led++
 	}
-	at, asked := s.place, s.has.Asks(s.place)
+	at, asked := s.place, s.has.Prepare(s.place)
 	m.call(&s.memberHost, &c.memberHost, 900*time.Millisecond, func() any {
-		c.feed.Wake(m.now)
-		if !c.feed.Open(m.now) {
+		c.feed.DetectPause(m.now)
+		if !c.feed.Ready(m.now) {
 			return false
 		}
 		n, _ := c.feed.Since(asked)
 		return n
 	}, func(answer any, _ bool) {
-		n, ok := answer.(watch.News)
+		n, ok := answer.(watch.Updates)
 		if !ok {
 			s.bad[c.addr] = m.now
 			return
 		}
-		if s.core != c || s.place.Feed != at.Feed || s.place.Place != at.Place {
+		if s.core != c || s.place.LogID != at.LogID || s.place.Offset != at.Offset {
 			return // a later call has been answered
 		}
-		for _, it := range n.Items {
-			if it.Patch != nil {
+		for _, it := range n.Events {
+			if it.StatePatch != nil {
 				m.Patched++
 			}
 		}
-		n.Items = slices.Clone(n.Items) // the core's own
-		if !s.has.Read(&n) {
+		n.Events = slices.Clone(n.Events) // the core's own
+		if !s.has.Decode(&n) {
 			m.Unread++
 			return // it asks for the whole next
 		}
-		s.place = watch.Follow{Feed: n.Feed, Place: n.Place}
-		if w, _ := s.copy.Take(n); w != nil {
-			if w.Stamp < s.stamp {
-				m.wrong("%s went from stamp %d back to %d", s.addr, s.stamp, w.Stamp)
+		s.place = watch.Request{LogID: n.LogID, Offset: n.Offset}
+		if w, _ := s.copy.Apply(n); w != nil {
+			if w.Revision < s.stamp {
+				m.wrong("%s went from stamp %d back to %d", s.addr, s.stamp, w.Revision)
 			}
-			s.stamp = w.Stamp
-			if !bytes.Equal(w.Desired, wordOf(w.Stamp).Desired) {
-				m.wrong("%s put something else in force as stamp %d", s.addr, w.Stamp)
+			s.stamp = w.Revision
+			if !bytes.Equal(w.Configuration, wordOf(w.Revision).Configuration) {
+				m.wrong("%s put something else in force as stamp %d", s.addr, w.Revision)
 			}
 		}
 	})
@@ -309,16 +309,16 @@
 		m.call(&c.memberHost, &o.memberHost, time.Second, func() any { return o.word }, func(answer any, _ bool) {
 			if w, ok := answer.(uint64); ok && w > c.word {
 				c.word = w
-				c.feed.Settled(wordOf(w))
+				c.feed.ObserveCommitted(wordOf(w))
 			}
 		})
 	}
 }
 
 // wordOf is the word of a stamp; words differ in a small part.
-func wordOf(stamp uint64) config.Word {
+func wordOf(stamp uint64) config.ControlState {
 	text := strings.Repeat("a route that stays as it is; ", 10)
-	return config.Word{Stamp: stamp, Desired: fmt.Appendf([]byte(text), "a route as of stamp %d; %s", stamp, text)}
+	return config.ControlState{Revision: stamp, Configuration: fmt.Appendf([]byte(text), "a route as of stamp %d; %s", stamp, text)}
 }
 
 // write settles a new word on one core that lives.
@@ -329,7 +329,7 @@
 	}
 	m.Words++
 	c.word = uint64(m.Words)
-	c.feed.Settled(wordOf(c.word))
+	c.feed.ObserveCommitted(wordOf(c.word))
 }
 
 // Run brings faults about for a while, then none, and looks whether all agree.
@@ -349,7 +349,7 @@
 		}
 	}
 	// A core that has just started listens for 1.2 s first; then 2 s.
-	m.run(m.until + watch.SettleIn + 2*time.Second)
+	m.run(m.until + watch.StartupDelay + 2*time.Second)
 	m.agree("2 s after all was whole", false)
 	m.run(m.until + 8*time.Second)
 	m.agree("8 s after all was whole", true)
@@ -374,7 +374,7 @@
 	type now struct{ boot, rev uint64 }
 	want := map[string]now{}
 	for _, s := range m.sides {
-		want[s.addr] = now{s.node.Boot, s.node.Rev}
+		want[s.addr] = now{s.node.Incarnation, s.node.Version}
 	}
 	for _, s := range m.sides {
 		if s.stamp < top {
@@ -382,7 +382,7 @@
 		}
 		got := map[string]now{}
 		for _, n := range s.copy.Nodes {
-			got[n.Addr] = now{n.Boot, n.Rev}
+			got[n.Addr] = now{n.Incarnation, n.Version}
 		}
 		if nodes && !maps.Equal(got, want) {
 			m.wrong("%s: %s knows %v, there are %v", when, s.addr, got, want)
--- a/tests/simulation/operators.go
+++ b/tests/simulation/operators.go
@@ -67,7 +67,7 @@
 // core is one that an operator might reach.
 func (o *Operators) core() *core {
 	c := o.r.any()
-	if !c.up || c.frozen > o.r.now || c.acceptor.Phase != consensus.Established {
+	if !c.up || c.frozen > o.r.now || c.acceptor.Phase != consensus.PhaseEstablished {
 		return nil
 	}
 	return c
@@ -112,12 +112,12 @@
 		o.r.after(o.r.some(100*time.Millisecond), again)
 		return
 	}
-	order := consensus.Order{Kind: consensus.Put, Generation: number, Bytes: text, Sent: text}
-	o.r.order(c, order, func(a consensus.Answer) {
+	order := consensus.Command{Kind: consensus.CommandPutConfiguration, Generation: number, Payload: text, Submitted: text}
+	o.r.order(c, order, func(a consensus.CommandResult) {
 		o.hear(number, text, a)
 		switch {
 		case o.r.rng.Float64() < answerLoss:
-		case a.Result == consensus.Taken || a.Result == consensus.Conflict:
+		case a.Outcome == consensus.OutcomeCommitted || a.Outcome == consensus.OutcomeConflict:
 			clear = true
 		default:
 			o.r.after(o.r.some(100*time.Millisecond), again)
@@ -126,24 +126,24 @@
 }
 
 // hear checks an answer to a configuration.
-func (o *Operators) hear(number uint64, text []byte, a consensus.Answer) {
-	switch a.Result {
-	case consensus.Taken:
+func (o *Operators) hear(number uint64, text []byte, a consensus.CommandResult) {
+	switch a.Outcome {
+	case consensus.OutcomeCommitted:
 		o.Acked++
 		o.acked[number] = append(o.acked[number], text)
-		o.r.check(a.Word, "an operator")
-		o.r.acked = max(o.r.acked, a.Word.Stamp)
+		o.r.check(a.State, "an operator")
+		o.r.acked = max(o.r.acked, a.State.Revision)
 		o.r.generation = max(o.r.generation, number)
-		if a.Word.Generation < number {
-			o.r.broken("number %d was acknowledged while %d was held", number, a.Word.Generation)
+		if a.State.Generation < number {
+			o.r.broken("number %d was acknowledged while %d was held", number, a.State.Generation)
 		}
-	case consensus.Conflict:
+	case consensus.OutcomeConflict:
 		o.Conflicts++
 		o.refused[number] = append(o.refused[number], text)
-		o.settled(a.Word)
-	case consensus.NotTaken, consensus.Unknown:
+		o.settled(a.State)
+	case consensus.OutcomeRejected, consensus.OutcomeUnknown:
 	default:
-		o.r.broken("a valid configuration got %q", a.Result)
+		o.r.broken("a valid configuration got %q", a.Outcome)
 	}
 	if has(o.acked[number], text) && has(o.refused[number], text) {
 		o.r.broken("%q was acknowledged and refused", text)
@@ -156,8 +156,8 @@
 }
 
 // settled takes note of a settled word.
-func (o *Operators) settled(w config.Word) {
-	for _, t := range w.Taken {
+func (o *Operators) settled(state config.ControlState) {
+	for _, t := range state.AcceptedGenerations {
 		if old, ok := o.taken[t.Generation]; ok && !bytes.Equal(old, t.Digest) {
 			o.r.broken("two configurations were taken under %d", t.Generation)
 		}
@@ -166,12 +166,12 @@
 			o.judge(t.Generation)
 		}
 	}
-	if w.Sent != nil {
-		if d, ok := o.taken[w.Generation]; !ok || !bytes.Equal(d, config.Digest(w.Sent, nil)) {
-			o.r.broken("%q is in force under %d, and another is on record", w.Sent, w.Generation)
+	if state.Submitted != nil {
+		if d, ok := o.taken[state.Generation]; !ok || !bytes.Equal(d, config.SubmissionDigest(state.Submitted, nil)) {
+			o.r.broken("%q is in force under %d, and another is on record", state.Submitted, state.Generation)
 		}
 	}
-	o.emptied[w.Stamp] = w.Emptied
+	o.emptied[state.Revision] = state.EvacuatedByOperator
 }
 
 // judge checks a number that was taken: nothing but that configuration is acknowledged
@@ -182,12 +182,12 @@
 		return
 	}
 	for _, text := range o.acked[number] {
-		if !bytes.Equal(digest, config.Digest(text, nil)) {
+		if !bytes.Equal(digest, config.SubmissionDigest(text, nil)) {
 			o.r.broken("%q was acknowledged, and another was taken under %d", text, number)
 		}
 	}
 	for _, text := range o.refused[number] {
-		if bytes.Equal(digest, config.Digest(text, nil)) {
+		if bytes.Equal(digest, config.SubmissionDigest(text, nil)) {
 			o.r.broken("%q was refused, and it was taken", text)
 		}
 	}
@@ -240,15 +240,15 @@
 		o.r.after(o.r.some(100*time.Millisecond), again)
 		return
 	}
-	order := consensus.Order{Kind: consensus.Empty, Zone: e.zone}
+	order := consensus.Command{Kind: consensus.CommandEvacuate, Zone: e.zone}
 	if !e.empty {
-		order.Kind = consensus.TakeBack
+		order.Kind = consensus.CommandRevokeEvacuation
 	}
 	o.r.newest(c, func(stamp uint64) {
 		if gone {
 			return // the core sees that its caller has gone
 		}
-		order.Since = &stamp
+		order.SinceRevision = &stamp
 		forward := o.r.some(50 * time.Millisecond)
 		if o.r.rng.IntN(2) == 0 {
 			forward = o.r.some(lateForward)
@@ -258,13 +258,13 @@
 			if to == nil {
 				return
 			}
-			o.r.order(to, order, func(a consensus.Answer) {
+			o.r.order(to, order, func(a consensus.CommandResult) {
 				if o.r.rng.Float64() < answerLoss || gone {
 					o.heard(e, a, false)
 					return
 				}
 				o.heard(e, a, true)
-				if gone = a.Result == consensus.Taken; gone {
+				if gone = a.Outcome == consensus.OutcomeCommitted; gone {
 					done()
 				}
 			})
@@ -273,19 +273,19 @@
 }
 
 // heard checks an answer to an order on a zone.
-func (o *Operators) heard(e evacuation, a consensus.Answer, byOperator bool) {
-	switch a.Result {
-	case consensus.Taken:
-		o.r.check(a.Word, "an operator")
-	case consensus.Overtaken:
+func (o *Operators) heard(e evacuation, a consensus.CommandResult, byOperator bool) {
+	switch a.Outcome {
+	case consensus.OutcomeCommitted:
+		o.r.check(a.State, "an operator")
+	case consensus.OutcomeSuperseded:
 		o.Overtaken++
-	case consensus.NotTaken, consensus.Unknown:
+	case consensus.OutcomeRejected, consensus.OutcomeUnknown:
 	default:
-		o.r.broken("an order on a locality got %q", a.Result)
+		o.r.broken("an order on a locality got %q", a.Outcome)
 	}
-	if byOperator && a.Result == consensus.Taken && e.number == o.evacuations[e.zone].number {
+	if byOperator && a.Outcome == consensus.OutcomeCommitted && e.number == o.evacuations[e.zone].number {
 		o.Evacuations++
-		e.acked, e.stamp = true, a.Word.Stamp
+		e.acked, e.stamp = true, a.State.Revision
 		o.evacuations[e.zone] = e
 	}
 }
@@ -307,20 +307,20 @@
 // newest asks a majority for the newest settled stamp, as a core does for an order that
 // comes to it.
 func (r *Register) newest(c *core, got func(stamp uint64)) {
-	votes, done := map[int]consensus.Vote{}, false
-	own := c.acceptor.Sets()
-	r.spread(c, consensus.Ballot{From: c.acceptor.Self, Act: consensus.Look}, false, votes, func(consensus.Vote) {
-		counted := consensus.Counted(votes)
-		if done || !consensus.Complete(counted, own) {
+	votes, done := map[int]consensus.Reply{}, false
+	own := c.acceptor.MemberSets()
+	r.spread(c, consensus.Message{Sender: c.acceptor.Self, Type: consensus.MsgReadIndex}, false, votes, func(consensus.Reply) {
+		counted := consensus.CurrentReplies(votes)
+		if done || !consensus.HasReadQuorum(counted, own) {
 			return
 		}
 		done = true
-		if top, held := consensus.Newest(counted, own); held {
-			got(top.Mark.Stamp)
-		} else if c.acceptor.Phase == consensus.Established {
-			r.order(c, consensus.Order{Kind: consensus.Refresh}, func(a consensus.Answer) {
-				if a.Result == consensus.Taken {
-					got(a.Word.Stamp)
+		if top, held := consensus.NewestState(counted, own); held {
+			got(top.Position.Revision)
+		} else if c.acceptor.Phase == consensus.PhaseEstablished {
+			r.order(c, consensus.Command{Kind: consensus.CommandRefresh}, func(a consensus.CommandResult) {
+				if a.Outcome == consensus.OutcomeCommitted {
+					got(a.State.Revision)
 				}
 			})
 		}
--- a/tests/simulation/register.go
+++ b/tests/simulation/register.go
@@ -44,16 +44,16 @@
 	disk     consensus.Acceptor
 	acceptor consensus.Acceptor
 	proposer *consensus.Proposer
-	votes    map[int]consensus.Vote // of the current search for a seat
-	asked    consensus.From         // the claim of that search; zero while it only reads
+	votes    map[int]consensus.Reply // of the current search for a seat
+	asked    consensus.Sender        // the claim of that search; zero while it only reads
 	told     uint64
 	life     int
 
 	// What follows is of runs without static seats.
 	addr  string
 	gone  bool // for good
-	seats membership.Seats
-	usher consensus.Usher
+	seats membership.ReplicaTable
+	usher consensus.Reconfigurer
 	busy  bool // a change of the set is under way
 	// leaving is whether it is being stopped: it asks for no seat.
 	leaving bool
@@ -68,8 +68,8 @@
 	cores  []*core // the last of a slot is the one that belongs there
 	seq    uint64
 
-	orders  map[uint64]consensus.Order
-	asks    map[uint64]func(consensus.Answer)
+	orders  map[uint64]consensus.Command
+	asks    map[uint64]func(consensus.CommandResult)
 	settled map[uint64][]byte
 	acked   uint64
 	// generations are those of the settled words, by stamp; generation is the highest
@@ -78,8 +78,8 @@
 	generation  uint64
 	asking      bool // no seat is static: cores ask for them
 	founders    []string
-	begun       map[uint64][]consensus.Sets // of proposals, by stamp
-	word        config.Word                 // the highest that was settled
+	begun       map[uint64][]consensus.MemberSets // of proposals, by stamp
+	word        config.ControlState               // the highest that was settled
 	// number is the highest that any operator used; Operators are those that race.
 	number    uint64
 	Operators *Operators
@@ -101,8 +101,8 @@
 // NewRegister lays a run out.
 func NewRegister(seed uint64, slots int, f Faults) *Register {
 	r := &Register{
-		rng: rand.New(rand.NewPCG(seed, 7)), slots: slots, faults: f, orders: map[uint64]consensus.Order{},
-		asks: map[uint64]func(consensus.Answer){}, settled: map[uint64][]byte{}, generations: map[uint64]uint64{}, begun: map[uint64][]consensus.Sets{},
+		rng: rand.New(rand.NewPCG(seed, 7)), slots: slots, faults: f, orders: map[uint64]consensus.Command{},
+		asks: map[uint64]func(consensus.CommandResult){}, settled: map[uint64][]byte{}, generations: map[uint64]uint64{}, begun: map[uint64][]consensus.MemberSets{},
 	}
 	r.Operators = newOperators(r)
 	for s := 1; s <= slots; s++ {
@@ -114,7 +114,7 @@
 }
 
 func (r *Register) blank(slot int) consensus.Acceptor {
-	return consensus.Acceptor{Self: consensus.From{Slot: slot, ID: r.rng.Uint64() | 1}, Founded: r.slots, Phase: consensus.Virgin, Seats: map[int]consensus.Chair{}}
+	return consensus.Acceptor{Self: consensus.Sender{MemberID: slot, DiskID: r.rng.Uint64() | 1}, StaticSize: r.slots, Phase: consensus.PhaseEmpty, Members: map[int]consensus.MemberRecord{}}
 }
 
 func (r *Register) some(d time.Duration) time.Duration {
@@ -123,7 +123,7 @@
 
 func (r *Register) note(c *core, format string, args ...any) {
 	if r.Trace != nil {
-		r.Trace(fmt.Sprintf("%12v %s slot %d.%d/%x ", r.now, c.addr, c.acceptor.Self.Slot, c.acceptor.Self.Inc, c.acceptor.Self.ID>>52) + fmt.Sprintf(format, args...))
+		r.Trace(fmt.Sprintf("%12v %s slot %d.%d/%x ", r.now, c.addr, c.acceptor.Self.MemberID, c.acceptor.Self.Incarnation, c.acceptor.Self.DiskID>>52) + fmt.Sprintf(format, args...))
 	}
 }
 
@@ -187,7 +187,7 @@
 	for _, c := range r.cores {
 		if !c.gone {
 			v := c.acceptor
-			s += fmt.Sprintf("\n%s [%d/%x up=%v %s promised %d %v settled %d of %v before %v top %d]", c.addr, v.Self.Slot, v.Self.ID>>52, c.up, v.Phase, v.Promised, v.Mark, v.Settled, consensus.Slots(v.Sets().Now), consensus.Slots(v.Sets().Before), v.Word.Top)
+			s += fmt.Sprintf("\n%s [%d/%x up=%v %s promised %d %v settled %d of %v before %v top %d]", c.addr, v.Self.MemberID, v.Self.DiskID>>52, c.up, v.Phase, v.Promised, v.Position, v.Committed, consensus.MemberIDs(v.MemberSets().Current), consensus.MemberIDs(v.MemberSets().Previous), v.State.HighestMemberID)
 		}
 	}
 	return s
@@ -224,10 +224,10 @@
 	c.life++
 	life := c.life
 	c.acceptor = c.disk
-	c.acceptor.Settled = 0
+	c.acceptor.Committed = 0
 	c.proposer = &consensus.Proposer{}
-	c.proposer.Follow(c.acceptor, r.now)
-	c.seats, c.usher, c.votes, c.busy = membership.Seats{}, consensus.Usher{GoneFor: time.Second}, nil, false
+	c.proposer.FollowAcceptor(c.acceptor, r.now)
+	c.seats, c.usher, c.votes, c.busy = membership.ReplicaTable{}, consensus.Reconfigurer{RemovalDelay: time.Second}, nil, false
 	var tick func()
 	tick = func() {
 		if c.up && c.life == life {
@@ -261,13 +261,13 @@
 	if r.asking && r.seek(c) {
 		return
 	}
-	if c.acceptor.Phase != consensus.Established {
+	if c.acceptor.Phase != consensus.PhaseEstablished {
 		r.lookForSeat(c)
 		return
 	}
-	c.proposer.Follow(c.acceptor, r.now)
-	if (c.acceptor.Mark.Stamp > c.acceptor.Settled || len(c.acceptor.Word.Formerly) > 0) && r.rng.IntN(20) == 0 && (!r.asking || r.duty(c) == c) {
-		r.order(c, consensus.Order{Kind: consensus.Refresh}, func(consensus.Answer) {})
+	c.proposer.FollowAcceptor(c.acceptor, r.now)
+	if (c.acceptor.Position.Revision > c.acceptor.Committed || len(c.acceptor.State.PreviousMembers) > 0) && r.rng.IntN(20) == 0 && (!r.asking || r.duty(c) == c) {
+		r.order(c, consensus.Command{Kind: consensus.CommandRefresh}, func(consensus.CommandResult) {})
 	}
 	r.obey(c, c.proposer.Tick(r.now))
 }
@@ -277,27 +277,27 @@
 	if r.rng.IntN(6) != 0 {
 		return
 	}
-	if c.votes != nil && c.asked == (consensus.From{}) {
-		if next, ok := c.acceptor.Born(c.votes); ok {
+	if c.votes != nil && c.asked == (consensus.Sender{}) {
+		if next, ok := c.acceptor.Establish(c.votes); ok {
 			r.save(c, next)
 			return
 		}
-		self, may := c.acceptor.Claimant(c.votes)
-		if c.asked = (consensus.From{}); may {
+		self, may := c.acceptor.NextIncarnation(c.votes)
+		if c.asked = (consensus.Sender{}); may {
 			c.asked = self
 		}
 	} else {
-		c.asked = consensus.From{}
+		c.asked = consensus.Sender{}
 	}
-	c.votes = map[int]consensus.Vote{}
-	b := consensus.Ballot{From: c.acceptor.Self, Act: consensus.Read}
-	if c.asked != (consensus.From{}) {
-		b = consensus.Ballot{From: c.asked, Act: consensus.Sit}
+	c.votes = map[int]consensus.Reply{}
+	b := consensus.Message{Sender: c.acceptor.Self, Type: consensus.MsgRead}
+	if c.asked != (consensus.Sender{}) {
+		b = consensus.Message{Sender: c.asked, Type: consensus.MsgJoin}
 	}
 	votes := c.votes
-	r.spread(c, b, true, votes, func(v consensus.Vote) {
-		if self := c.asked; self == b.From && b.Act == consensus.Sit {
-			if next, ok := c.acceptor.Seated(self, votes); ok {
+	r.spread(c, b, true, votes, func(v consensus.Reply) {
+		if self := c.asked; self == b.Sender && b.Type == consensus.MsgJoin {
+			if next, ok := c.acceptor.CompleteJoin(self, votes); ok {
 				r.save(c, next)
 				r.tell(c)
 			}
@@ -307,29 +307,29 @@
 
 // spread puts a ballot to all slots that a core knows of, and that the votes tell
 // of, and gathers those.
-func (r *Register) spread(c *core, b consensus.Ballot, others bool, votes map[int]consensus.Vote, heard func(consensus.Vote)) {
+func (r *Register) spread(c *core, b consensus.Message, others bool, votes map[int]consensus.Reply, heard func(consensus.Reply)) {
 	asked := map[int]bool{}
 	var ask func(set []config.Member)
 	ask = func(set []config.Member) {
 		for _, s := range set {
-			if asked[s.Slot] || others && s.Slot == b.From.Slot {
+			if asked[s.MemberID] || others && s.MemberID == b.Sender.MemberID {
 				continue
 			}
-			asked[s.Slot] = true
-			r.put(c, s, b, func(v consensus.Vote) {
-				votes[v.From.Slot] = v
-				ask(v.Sets.Union())
+			asked[s.MemberID] = true
+			r.put(c, s, b, func(v consensus.Reply) {
+				votes[v.Sender.MemberID] = v
+				ask(v.MemberSets.Union())
 				heard(v)
 			})
 		}
 	}
-	ask(c.acceptor.Sets().Union())
+	ask(c.acceptor.MemberSets().Union())
 }
 
 // put brings a ballot to a slot, and its vote back, through what may happen.
-func (r *Register) put(from *core, m config.Member, b consensus.Ballot, back func(consensus.Vote)) {
-	if b.Mark.Stamp > r.word.Stamp && len(b.Word.Slots) > 0 {
-		r.begun[b.Mark.Stamp] = append(r.begun[b.Mark.Stamp], consensus.Sets{Now: b.Word.Slots, Before: b.Word.Formerly})
+func (r *Register) put(from *core, m config.Member, b consensus.Message, back func(consensus.Reply)) {
+	if b.Position.Revision > r.word.Revision && len(b.State.Members) > 0 {
+		r.begun[b.Position.Revision] = append(r.begun[b.Position.Revision], consensus.MemberSets{Current: b.State.Members, Previous: b.State.PreviousMembers})
 	}
 	to := r.find(from, m)
 	if to == nil {
@@ -337,7 +337,7 @@
 	}
 	life := from.life
 	r.send(from, to, func() {
-		next, vote := to.acceptor.On(b)
+		next, vote := to.acceptor.Step(b)
 		if r.rng.IntN(400) == 0 && r.now < r.faults.Until { // power is lost at the disk
 			if r.rng.IntN(2) == 0 {
 				to.disk = next
@@ -348,7 +348,7 @@
 		r.save(to, next)
 		r.tell(to)
 		r.send(to, from, func() {
-			if v := vote.By(m); v != nil && from.life == life {
+			if v := vote.FromMember(m); v != nil && from.life == life {
 				back(*v)
 			}
 		})
@@ -357,12 +357,12 @@
 
 // find is the core that one takes for a member.
 func (r *Register) find(from *core, m config.Member) *core {
-	slot := m.Slot
-	if from.acceptor.Self.Slot == slot && (m.ID == 0 || m.ID == from.acceptor.Self.ID) {
+	slot := m.MemberID
+	if from.acceptor.Self.MemberID == slot && (m.DiskID == 0 || m.DiskID == from.acceptor.Self.DiskID) {
 		return from
 	}
 	if r.asking {
-		if at, ok := from.seats.At(slot); ok {
+		if at, ok := from.seats.Member(slot); ok {
 			return r.at(at.Addr)
 		}
 		return r.at(m.Addr)
@@ -401,95 +401,95 @@
 }
 
 func (r *Register) save(c *core, next consensus.Acceptor) {
-	if next.Mark != c.acceptor.Mark || next.Promised != c.acceptor.Promised || next.Phase != c.acceptor.Phase {
-		r.note(c, "%s, promised %d, holds %v %q of %v", next.Phase, next.Promised, next.Mark, next.Word.Desired, consensus.Slots(next.Sets().Now))
+	if next.Position != c.acceptor.Position || next.Promised != c.acceptor.Promised || next.Phase != c.acceptor.Phase {
+		r.note(c, "%s, promised %d, holds %v %q of %v", next.Phase, next.Promised, next.Position, next.State.Configuration, consensus.MemberIDs(next.MemberSets().Current))
 	}
 	c.acceptor, c.disk = next, next
-	c.proposer.Follow(next, r.now)
+	c.proposer.FollowAcceptor(next, r.now)
 }
 
 // tell checks each word that a core takes for settled.
 func (r *Register) tell(c *core) {
 	v := c.acceptor
-	if v.Settled != v.Mark.Stamp || v.Settled <= c.told {
+	if v.Committed != v.Position.Revision || v.Committed <= c.told {
 		return
 	}
-	c.told = v.Settled
-	r.note(c, "takes stamp %d for settled", v.Settled)
-	r.check(v.Word, fmt.Sprintf("core %d", c.acceptor.Self.Slot))
+	c.told = v.Committed
+	r.note(c, "takes stamp %d for settled", v.Committed)
+	r.check(v.State, fmt.Sprintf("core %d", c.acceptor.Self.MemberID))
 }
 
-func (r *Register) check(w config.Word, who string) {
-	is := fmt.Appendf(nil, "%s %v", w.Desired, w.Slots)
-	if old, ok := r.settled[w.Stamp]; ok && !bytes.Equal(old, is) {
-		r.broken("%s has %q for stamp %d that was %q", who, is, w.Stamp, old)
+func (r *Register) check(state config.ControlState, who string) {
+	is := fmt.Appendf(nil, "%s %v", state.Configuration, state.Members)
+	if old, ok := r.settled[state.Revision]; ok && !bytes.Equal(old, is) {
+		r.broken("%s has %q for stamp %d that was %q", who, is, state.Revision, old)
 	}
-	r.settled[w.Stamp] = is
-	if w.Stamp > r.word.Stamp {
-		r.grew(w)
-		r.word = w
+	r.settled[state.Revision] = is
+	if state.Revision > r.word.Revision {
+		r.grew(state)
+		r.word = state
 	}
 	for stamp, e := range r.generations {
-		if stamp <= w.Stamp && e > w.Generation || stamp >= w.Stamp && e < w.Generation {
-			r.broken("%s has edition %d under stamp %d and there was %d under %d", who, w.Generation, w.Stamp, e, stamp)
+		if stamp <= state.Revision && e > state.Generation || stamp >= state.Revision && e < state.Generation {
+			r.broken("%s has edition %d under stamp %d and there was %d under %d", who, state.Generation, state.Revision, e, stamp)
 		}
 	}
-	r.generations[w.Stamp] = w.Generation
-	r.Operators.settled(w)
+	r.generations[state.Revision] = state.Generation
+	r.Operators.settled(state)
 }
 
-func (r *Register) obey(c *core, outs []consensus.Outcome) {
+func (r *Register) obey(c *core, outs []consensus.Ready) {
 	for _, o := range outs {
-		if o.Answer != nil {
-			if back, ok := r.asks[o.Answer.ID]; ok {
-				delete(r.asks, o.Answer.ID)
-				back(*o.Answer)
+		if o.Result != nil {
+			if back, ok := r.asks[o.Result.ID]; ok {
+				delete(r.asks, o.Result.ID)
+				back(*o.Result)
 			}
 		}
 		for _, s := range o.To {
-			r.put(c, s, *o.Ballot, func(v consensus.Vote) { r.obey(c, c.proposer.Hear(v, r.now)) })
+			r.put(c, s, *o.Message, func(v consensus.Reply) { r.obey(c, c.proposer.HandleReply(v, r.now)) })
 		}
 	}
 }
 
-func (r *Register) order(c *core, o consensus.Order, back func(consensus.Answer)) {
+func (r *Register) order(c *core, o consensus.Command, back func(consensus.CommandResult)) {
 	r.seq++
-	o.ID, o.Until = r.seq, r.now+3*time.Second
-	if o.Kind == consensus.Reseat {
-		o.Until = r.now + 2*time.Second
+	o.ID, o.Deadline = r.seq, r.now+3*time.Second
+	if o.Kind == consensus.CommandReconfigure {
+		o.Deadline = r.now + 2*time.Second
 	}
 	r.asks[o.ID] = r.recorded(o, back)
-	r.obey(c, c.proposer.Take(o, r.now))
+	r.obey(c, c.proposer.Enqueue(o, r.now))
 }
 
 // write has an operator put a configuration at any core that is up; every other
 // one is a generation, some of them late.
 func (r *Register) write() {
 	c := r.any()
-	if !c.up || c.frozen > r.now || c.acceptor.Phase != consensus.Established {
+	if !c.up || c.frozen > r.now || c.acceptor.Phase != consensus.PhaseEstablished {
 		return
 	}
 	text := fmt.Appendf(nil, "configuration %d", r.seq+1)
-	o := consensus.Order{Kind: consensus.Put, Bytes: text}
+	o := consensus.Command{Kind: consensus.CommandPutConfiguration, Payload: text}
 	if r.rng.IntN(2) == 0 {
 		o.Generation = r.number + 1 + r.rng.Uint64N(4)
 		r.number = o.Generation
 	}
-	r.order(c, o, func(a consensus.Answer) {
-		if a.Result != consensus.Taken {
+	r.order(c, o, func(a consensus.CommandResult) {
+		if a.Outcome != consensus.OutcomeCommitted {
 			r.Refused++
 			return
 		}
 		r.Acked++
-		if overtaken := o.Generation != 0 && a.Word.Generation >= o.Generation; !bytes.Equal(a.Word.Desired, text) && a.Word.DesiredStamp == a.Word.Stamp && !overtaken {
-			r.broken("%q was acknowledged as %q", text, a.Word.Desired)
+		if overtaken := o.Generation != 0 && a.State.Generation >= o.Generation; !bytes.Equal(a.State.Configuration, text) && a.State.ConfigurationRevision == a.State.Revision && !overtaken {
+			r.broken("%q was acknowledged as %q", text, a.State.Configuration)
 		}
-		if a.Word.Generation < o.Generation {
-			r.broken("edition %d was acknowledged as %d", o.Generation, a.Word.Generation)
+		if a.State.Generation < o.Generation {
+			r.broken("edition %d was acknowledged as %d", o.Generation, a.State.Generation)
 		}
 		r.generation = max(r.generation, o.Generation)
-		r.check(a.Word, "an operator")
-		r.acked = max(r.acked, a.Word.Stamp)
+		r.check(a.State, "an operator")
+		r.acked = max(r.acked, a.State.Revision)
 	})
 }
 
@@ -500,31 +500,31 @@
 		return
 	}
 	least, generation, begun := r.acked, r.generation, r.now
-	got := func(w config.Word) {
+	got := func(state config.ControlState) {
 		r.Reads++
-		r.History.read(begun, w, r.now)
-		r.check(w, "a reader")
-		if w.Stamp < least {
-			r.broken("stamp %d was read after %d was acknowledged", w.Stamp, least)
+		r.History.read(begun, state, r.now)
+		r.check(state, "a reader")
+		if state.Revision < least {
+			r.broken("stamp %d was read after %d was acknowledged", state.Revision, least)
 		}
-		if w.Generation < generation {
-			r.broken("edition %d was read after %d was acknowledged", w.Generation, generation)
+		if state.Generation < generation {
+			r.broken("edition %d was read after %d was acknowledged", state.Generation, generation)
 		}
 	}
-	votes, done := map[int]consensus.Vote{}, false
-	own := c.acceptor.Sets()
-	r.spread(c, consensus.Ballot{From: c.acceptor.Self, Act: consensus.Read}, false, votes, func(consensus.Vote) {
-		counted := consensus.Counted(votes)
-		if done || !consensus.Complete(counted, own) {
+	votes, done := map[int]consensus.Reply{}, false
+	own := c.acceptor.MemberSets()
+	r.spread(c, consensus.Message{Sender: c.acceptor.Self, Type: consensus.MsgRead}, false, votes, func(consensus.Reply) {
+		counted := consensus.CurrentReplies(votes)
+		if done || !consensus.HasReadQuorum(counted, own) {
 			return
 		}
 		done = true
-		if top, held := consensus.Newest(counted, own); held {
-			got(top.Word)
-		} else if c.acceptor.Phase == consensus.Established {
-			r.order(c, consensus.Order{Kind: consensus.Refresh}, func(a consensus.Answer) {
-				if a.Result == consensus.Taken {
-					got(a.Word)
+		if top, held := consensus.NewestState(counted, own); held {
+			got(top.State)
+		} else if c.acceptor.Phase == consensus.PhaseEstablished {
+			r.order(c, consensus.Command{Kind: consensus.CommandRefresh}, func(a consensus.CommandResult) {
+				if a.Outcome == consensus.OutcomeCommitted {
+					got(a.State)
 				}
 			})
 		}
@@ -564,7 +564,7 @@
 func (r *Register) swap() {
 	slot := r.rng.IntN(r.slots) + 1
 	for s := 1; s <= r.slots; s++ {
-		if c := r.seat(s); c.disk.Phase != consensus.Established {
+		if c := r.seat(s); c.disk.Phase != consensus.PhaseEstablished {
 			return
 		}
 	}
--- a/tests/simulation/slots.go
+++ b/tests/simulation/slots.go
@@ -26,7 +26,7 @@
 		r.founders = append(r.founders, fmt.Sprintf("core %d", i))
 	}
 	for i := range founders {
-		c := &core{addr: r.founders[i], disk: consensus.Start{First: true, Founders: r.founders, Addr: r.founders[i]}.Empty(r.rng.Uint64() | 1)}
+		c := &core{addr: r.founders[i], disk: consensus.Bootstrap{NewCluster: true, InitialMembers: r.founders, AdvertiseAddr: r.founders[i]}.InitialState(r.rng.Uint64() | 1)}
 		r.cores = append(r.cores, c)
 		r.after(r.some(time.Second), func() { r.boot(c) })
 	}
@@ -51,20 +51,20 @@
 			return
 		}
 		r.when(c, func() { r.heartbeat(c) })
-		r.after(membership.Beat, heartbeat)
+		r.after(membership.HeartbeatInterval, heartbeat)
 	}
 	heartbeat()
 }
 
 // tells is what a core tells of its seat.
-func (c *core) tells() membership.Seat {
+func (c *core) tells() membership.Replica {
 	v := c.acceptor
-	s := membership.Seat{
-		Slot: v.Self.Slot, Slots: len(v.Sets().Now), Set: consensus.Slots(v.Sets().Now), Held: v.Mark.Stamp, Addr: c.addr, Inc: v.Self.Inc,
-		Established: v.Phase == consensus.Established, Settled: v.Settled,
+	s := membership.Replica{
+		MemberID: v.Self.MemberID, MemberCount: len(v.MemberSets().Current), Members: consensus.MemberIDs(v.MemberSets().Current), AcceptedRevision: v.Position.Revision, Addr: c.addr, MemberIncarnation: v.Self.Incarnation,
+		Established: v.Phase == consensus.PhaseEstablished, CommittedRevision: v.Committed,
 	}
-	if v.Settled < v.Mark.Stamp {
-		s.Before = consensus.Slots(v.Sets().Before)
+	if v.Committed < v.Position.Revision {
+		s.PreviousMembers = consensus.MemberIDs(v.MemberSets().Previous)
 	}
 	return s
 }
@@ -72,48 +72,48 @@
 // heartbeat tells a core's seat to the others, which tell theirs; then it looks how its
 // seat and the others' stand.
 func (r *Register) heartbeat(c *core) {
-	know := c.seats.Known()
-	seat := c.tells()
+	know := c.seats.Observed()
+	replica := c.tells()
 	for _, to := range r.cores {
 		if to == c || to.gone {
 			continue
 		}
 		r.send(c, to, func() {
-			to.seats = to.seats.Hearsay(know, r.wall())
-			if seat.Established {
-				r.heard(to, seat)
+			to.seats = to.seats.AddReported(know, r.wall())
+			if replica.Established {
+				r.heard(to, replica)
 			}
-			back, known := to.tells(), to.seats.Known()
+			back, known := to.tells(), to.seats.Observed()
 			r.send(to, c, func() {
-				c.seats = c.seats.Hearsay(known, r.wall())
+				c.seats = c.seats.AddReported(known, r.wall())
 				if back.Established {
 					r.heard(c, back)
 				}
 			})
 		})
 	}
-	c.usher = c.usher.Look(c.acceptor.Sets().Now, c.places(r.wall()), r.now)
-	if c.acceptor.Member() && r.duty(c) == c {
-		if o, ok := c.usher.Strike(c.acceptor, r.now); ok {
+	c.usher = c.usher.Observe(c.acceptor.MemberSets().Current, c.places(r.wall()), r.now)
+	if c.acceptor.IsMember() && r.duty(c) == c {
+		if o, ok := c.usher.PlanRemoval(c.acceptor, r.now); ok {
 			r.reseat(c, o)
 		}
 	}
 }
 
 // heard takes what a core told of itself.
-func (r *Register) heard(c *core, s membership.Seat) {
-	c.seats = c.seats.Hear(s, r.wall())
+func (r *Register) heard(c *core, s membership.Replica) {
+	c.seats = c.seats.Observe(s, r.wall())
 	v := c.acceptor
 	switch {
-	case s.Settled > v.Settled:
+	case s.CommittedRevision > v.Committed:
 		from := r.at(s.Addr)
 		r.send(c, from, func() {
-			_, vote := from.acceptor.On(consensus.Ballot{From: v.Self, Act: consensus.Read})
+			_, vote := from.acceptor.Step(consensus.Message{Sender: v.Self, Type: consensus.MsgRead})
 			r.send(from, c, func() {
-				if vote.Settled != vote.Mark.Stamp {
+				if vote.Committed != vote.Position.Revision {
 					return
 				}
-				next, _ := c.acceptor.On(consensus.Ballot{From: c.acceptor.Self, Act: consensus.Settle, Epoch: vote.Mark.Epoch, Mark: vote.Mark, Word: vote.Word})
+				next, _ := c.acceptor.Step(consensus.Message{Sender: c.acceptor.Self, Type: consensus.MsgCommit, Term: vote.Position.Term, Position: vote.Position, State: vote.State})
 				r.save(c, next)
 				r.tell(c)
 			})
@@ -121,27 +121,27 @@
 	}
 }
 
-func (c *core) places(now time.Time) map[int]consensus.Place {
-	out := map[int]consensus.Place{}
+func (c *core) places(now time.Time) map[int]consensus.MemberStatus {
+	out := map[int]consensus.MemberStatus{}
 	live := c.seats.Live(now)
 	for _, s := range c.seats.All() {
-		out[s.Slot] = consensus.Place{Addr: s.Addr, Live: slices.ContainsFunc(live, func(l membership.Seat) bool { return l.Slot == s.Slot })}
+		out[s.MemberID] = consensus.MemberStatus{Addr: s.Addr, Live: slices.ContainsFunc(live, func(l membership.Replica) bool { return l.MemberID == s.MemberID })}
 	}
-	if v := c.acceptor; v.Self.Slot != 0 {
-		out[v.Self.Slot] = consensus.Place{Addr: c.addr, Live: true}
+	if v := c.acceptor; v.Self.MemberID != 0 {
+		out[v.Self.MemberID] = consensus.MemberStatus{Addr: c.addr, Live: true}
 	}
 	return out
 }
 
 // duty is the core that one takes for the one on duty.
 func (r *Register) duty(c *core) *core {
-	set := consensus.Slots(c.acceptor.Sets().Now)
-	if s, _, held := c.seats.Set(); len(s) > 0 && (held > c.acceptor.Mark.Stamp || len(set) == 0) {
+	set := consensus.MemberIDs(c.acceptor.MemberSets().Current)
+	if s, _, held := c.seats.Members(); len(s) > 0 && (held > c.acceptor.Position.Revision || len(set) == 0) {
 		set = s
 	}
-	member := c.acceptor.Phase == consensus.Established && slices.Contains(set, c.acceptor.Self.Slot)
+	member := c.acceptor.Phase == consensus.PhaseEstablished && slices.Contains(set, c.acceptor.Self.MemberID)
 	for _, s := range c.seats.Live(r.wall()) {
-		if s.Slot != c.acceptor.Self.Slot && slices.Contains(set, s.Slot) && (s.Slot < c.acceptor.Self.Slot || !member) {
+		if s.MemberID != c.acceptor.Self.MemberID && slices.Contains(set, s.MemberID) && (s.MemberID < c.acceptor.Self.MemberID || !member) {
 			return r.at(s.Addr)
 		}
 	}
@@ -150,12 +150,12 @@
 
 // seek is what a core does for its seat; it tells whether that is all for now.
 func (r *Register) seek(c *core) bool {
-	if c.acceptor.Struck() {
+	if c.acceptor.Removed() {
 		r.note(c, "is struck")
 		r.Struck++
-		r.save(c, c.acceptor.Afresh(r.rng.Uint64()|1))
+		r.save(c, c.acceptor.Rejoining(r.rng.Uint64()|1))
 	}
-	if c.acceptor.Phase != consensus.Seeking {
+	if c.acceptor.Phase != consensus.PhaseJoining {
 		return false
 	}
 	if !c.leaving && r.rng.IntN(4) == 0 {
@@ -167,26 +167,26 @@
 }
 
 func (r *Register) ask(c, to *core) {
-	a := consensus.Asker{ID: c.acceptor.Self.ID, Addr: c.addr}
+	a := consensus.JoinRequest{DiskID: c.acceptor.Self.DiskID, Addr: c.addr}
 	r.send(c, to, func() {
-		if !to.acceptor.Member() || r.duty(to) != to {
+		if !to.acceptor.IsMember() || r.duty(to) != to {
 			return
 		}
-		if o, ok := to.usher.Seat(a, to.acceptor, to.places(r.wall()), r.now); ok {
+		if o, ok := to.usher.PlanJoin(a, to.acceptor, to.places(r.wall()), r.now); ok {
 			r.reseat(to, o)
 		}
 	})
 }
 
 // reseat has the set changed, one change at a time.
-func (r *Register) reseat(c *core, o consensus.Order) {
+func (r *Register) reseat(c *core, o consensus.Command) {
 	if c.busy {
 		return
 	}
 	c.busy = true
-	r.note(c, "orders %s into %d, %d out", o.Seat.Addr, o.Seat.Slot, o.Out)
+	r.note(c, "orders %s into %d, %d out", o.Joining.Addr, o.Joining.MemberID, o.Leaving)
 	life := c.life
-	r.order(c, o, func(consensus.Answer) {
+	r.order(c, o, func(consensus.CommandResult) {
 		if c.life == life {
 			c.busy = false
 		}
@@ -194,12 +194,12 @@
 }
 
 // grew counts changes of the set.
-func (r *Register) grew(w config.Word) {
+func (r *Register) grew(state config.ControlState) {
 	switch {
-	case len(w.Formerly) == 0:
-	case len(w.Slots) > len(w.Formerly):
+	case len(state.PreviousMembers) == 0:
+	case len(state.Members) > len(state.PreviousMembers):
 		r.Grown++
-	case len(w.Slots) < len(w.Formerly):
+	case len(state.Members) < len(state.PreviousMembers):
 		r.Shrunk++
 	default:
 		r.Swapped++
@@ -209,23 +209,23 @@
 // bears tells whether the cores' disks would still be enough with some of them lost:
 // a majority of each set that may decide.
 func (r *Register) bears(lost ...*core) bool {
-	sets := []consensus.Sets{{Now: r.word.Slots, Before: r.word.Formerly}}
+	sets := []consensus.MemberSets{{Current: r.word.Members, Previous: r.word.PreviousMembers}}
 	for _, c := range r.cores {
-		if m := c.disk.Mark; len(r.word.Slots) == 0 || m.Stamp > r.word.Stamp {
-			sets = append(sets, c.disk.Sets())
+		if m := c.disk.Position; len(r.word.Members) == 0 || m.Revision > r.word.Revision {
+			sets = append(sets, c.disk.MemberSets())
 		}
 	}
 	for stamp, begun := range r.begun {
-		if stamp > r.word.Stamp {
+		if stamp > r.word.Revision {
 			sets = append(sets, begun...)
 		}
 	}
 	for _, s := range sets {
-		for _, set := range [][]config.Member{s.Now, s.Before} {
+		for _, set := range [][]config.Member{s.Current, s.Previous} {
 			n := 0
 			for _, m := range set {
 				if slices.ContainsFunc(r.cores, func(c *core) bool {
-					return !c.gone && c.disk.Self.ID == m.ID && !slices.Contains(lost, c)
+					return !c.gone && c.disk.Self.DiskID == m.DiskID && !slices.Contains(lost, c)
 				}) {
 					n++
 				}
@@ -294,7 +294,7 @@
 
 func (r *Register) join() {
 	r.Joins++
-	c := &core{addr: fmt.Sprintf("core %d", len(r.cores)), disk: consensus.Start{}.Empty(r.rng.Uint64() | 1)}
+	c := &core{addr: fmt.Sprintf("core %d", len(r.cores)), disk: consensus.Bootstrap{}.InitialState(r.rng.Uint64() | 1)}
 	r.cores = append(r.cores, c)
 	r.boot(c)
 }
@@ -314,7 +314,7 @@
 	if c.up {
 		r.down(c)
 	}
-	c.disk = consensus.Start{Founders: r.founders, Addr: c.addr}.Empty(r.rng.Uint64() | 1)
+	c.disk = consensus.Bootstrap{InitialMembers: r.founders, AdvertiseAddr: c.addr}.InitialState(r.rng.Uint64() | 1)
 }
 
 // apart tells what is still amiss with the set, after the faults: all cores that are
@@ -326,11 +326,11 @@
 		if c.gone {
 			continue
 		}
-		if !c.acceptor.Member() {
+		if !c.acceptor.IsMember() {
 			return c.addr + " is no member"
 		}
-		live = append(live, c.acceptor.Self.Slot)
-		set = consensus.Slots(c.acceptor.Sets().Now)
+		live = append(live, c.acceptor.Self.MemberID)
+		set = consensus.MemberIDs(c.acceptor.MemberSets().Current)
 		sets[fmt.Sprint(set)] = true
 	}
 	missing := 0
