--- a/cmd/controlplane/main.go
+++ b/cmd/controlplane/main.go
@@ -11,7 +11,7 @@
 )
 
 func main() {
-	set, exit := settings.ReadCore(os.Args[1:])
+	set, exit := settings.ReadControlPlane(os.Args[1:])
 	process.Exit(exit)
-	controlplane.New(set, nil).Run(func() (settings.Core, settings.Exit) { return settings.ReadCore(os.Args[1:]) })
+	controlplane.New(set, nil).Run(func() (settings.ControlPlane, settings.Exit) { return settings.ReadControlPlane(os.Args[1:]) })
 }
--- a/cmd/planner/main.go
+++ b/cmd/planner/main.go
@@ -15,15 +15,15 @@
 )
 
 type options struct {
-	Core     string   `long:"core" description:"control address of a core to read the state from (IP:port)"`
-	State    string   `long:"state" description:"file to read the state from, as --save wrote it"`
-	Save     string   `long:"save" description:"write the state that was read to a file"`
-	Desired  string   `long:"desired" description:"file with a candidate configuration"`
-	Empty    []string `long:"empty" description:"a locality to be emptied"`
-	TakeBack []string `long:"take-back" description:"a locality to be taken back"`
-	Lose     []string `long:"lose" description:"wire address of a node or core that is lost"`
-	Gain     []string `long:"gain" description:"wire address of a node that comes"`
-	JSON     bool     `long:"json" description:"print the moves as JSON"`
+	Core          string   `long:"core" description:"control address of a core to read the state from (IP:port)"`
+	State         string   `long:"state" description:"file to read the state from, as --save wrote it"`
+	Save          string   `long:"save" description:"write the state that was read to a file"`
+	Configuration string   `long:"desired" description:"file with a candidate configuration"`
+	Evacuate      []string `long:"empty" description:"a locality to be emptied"`
+	Restore       []string `long:"take-back" description:"a locality to be taken back"`
+	Remove        []string `long:"lose" description:"wire address of a node or core that is lost"`
+	Add           []string `long:"gain" description:"wire address of a node that comes"`
+	JSON          bool     `long:"json" description:"print the moves as JSON"`
 }
 
 func main() {
@@ -35,7 +35,7 @@
 		}
 		os.Exit(2)
 	}
-	m, err := run(o)
+	m, err := assess(o)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "planner:", err)
 		os.Exit(2)
@@ -47,13 +47,13 @@
 	} else {
 		fmt.Print(m)
 	}
-	if m.Any() {
+	if m.HasChanges() {
 		os.Exit(1)
 	}
 }
 
-func run(o options) (m plan.Moves, err error) {
-	s, err := read(o)
+func assess(o options) (m plan.Impact, err error) {
+	s, err := readSnapshot(o)
 	if err != nil {
 		return m, err
 	}
@@ -66,13 +66,13 @@
 			return m, err
 		}
 	}
-	c := plan.Change{Empty: o.Empty, TakeBack: o.TakeBack, Lose: o.Lose, Gain: o.Gain}
-	if o.Desired != "" {
-		if c.Desired, err = os.ReadFile(o.Desired); err != nil {
+	c := plan.Change{Evacuate: o.Evacuate, Restore: o.Restore, Remove: o.Remove, Add: o.Add}
+	if o.Configuration != "" {
+		if c.Configuration, err = os.ReadFile(o.Configuration); err != nil {
 			return m, err
 		}
 	}
-	m, faults := plan.Make(s, c)
+	m, faults := plan.Assess(s, c)
 	for _, f := range faults {
 		err = errors.Join(err, fmt.Errorf("%s: %s", f.Path, f.Message))
 	}
--- a/cmd/planner/read.go
+++ b/cmd/planner/snapshot.go
@@ -13,8 +13,8 @@
 	"curlewwalk/internal/plan"
 )
 
-// read takes the state from a file or from a live core.
-func read(o options) (s plan.Snapshot, err error) {
+// readSnapshot takes the state from a file or from a live core.
+func readSnapshot(o options) (s plan.Snapshot, err error) {
 	switch {
 	case (o.Core == "") == (o.State == ""):
 		return s, fmt.Errorf("one of --core and --state is needed")
@@ -32,14 +32,14 @@
 			Nodes []membership.Node `json:"nodes"`
 		} `json:"directory"`
 	}
-	var words struct {
+	var localities struct {
 		Emptied []string `json:"emptied"`
 	}
 	var windows struct {
 		Coming []maintenance.Occurrence `json:"coming"`
 	}
-	for path, into := range map[string]any{"/v1/state": &state, "/v1/localities": &words, "/v1/windows": &windows} {
-		b, status, err := get(o.Core, path)
+	for path, into := range map[string]any{"/v1/state": &state, "/v1/localities": &localities, "/v1/windows": &windows} {
+		b, status, err := fetch(o.Core, path)
 		if err != nil {
 			return s, err
 		}
@@ -50,22 +50,22 @@
 			return s, fmt.Errorf("%s: %w", path, err)
 		}
 	}
-	b, status, err := get(o.Core, "/v1/desired")
+	b, status, err := fetch(o.Core, "/v1/desired")
 	switch {
 	case err != nil:
 		return s, err
 	case status == http.StatusOK:
-		s.Desired = string(b)
+		s.Configuration = string(b)
 	case status != http.StatusNotFound:
 		return s, fmt.Errorf("/v1/desired: status %d", status)
 	}
-	s.Emptied, s.Nodes, s.Cores = words.Emptied, state.Directory.Nodes, withSelf(state.Cores, state.Self)
+	s.EvacuatedZones, s.Nodes, s.Replicas = localities.Emptied, state.Directory.Nodes, insertSelf(state.Cores, state.Self)
 	s.Windows = windows.Coming
 	return s, nil
 }
 
-// withSelf puts the core that was asked among those that it knows, by slot.
-func withSelf(cores []membership.Replica, self membership.Replica) (out []membership.Replica) {
+// insertSelf puts the core that was asked among those that it knows, by slot.
+func insertSelf(cores []membership.Replica, self membership.Replica) (out []membership.Replica) {
 	placed := false
 	for _, c := range cores {
 		if !placed && self.MemberID <= c.MemberID {
@@ -81,7 +81,7 @@
 	return out
 }
 
-func get(core, path string) ([]byte, int, error) {
+func fetch(core, path string) ([]byte, int, error) {
 	client := http.Client{Timeout: 5 * time.Second}
 	resp, err := client.Get("http://" + core + path)
 	if err != nil {
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -26,7 +26,7 @@
 	exemptDeclarations = map[string][]string{
 		"curlewwalk/internal/membership":   {"MedianClock"},
 		"curlewwalk/internal/plan":         {"String"}, // of a window that is shown
-		"curlewwalk/internal/controlplane": {"seat", "wall", "windows"},
+		"curlewwalk/internal/controlplane": {"replicaStatus", "medianWallClock", "windowsResponse"},
 	}
 )
 
--- a/internal/controlplane/control.go
+++ b/internal/controlplane/api.go
@@ -21,88 +21,88 @@
 )
 
 const (
-	// headerStamp carries a word's stamp.
-	headerStamp = "Curlewwalk-Stamp"
+	// headerRevision carries a word's stamp.
+	headerRevision = "Curlewwalk-Stamp"
 	// headerGeneration carries the operator's own number of a configuration.
 	headerGeneration = "Curlewwalk-Edition"
 )
 
-// written is the response of an operator's write.
-type written struct {
-	Stamp uint64            `json:"stamp,omitempty"`
-	Taken consensus.Outcome `json:"taken"`
-	// InForce tells whether every sidecar that this core hears has it in force;
+// writeResponse is the response of an operator's write.
+type writeResponse struct {
+	Revision uint64            `json:"stamp,omitempty"`
+	Result   consensus.Outcome `json:"taken"`
+	// Applied tells whether every sidecar that this core hears has it in force;
 	// Behind lists those that have not.
-	InForce *bool    `json:"in_force,omitempty"`
+	Applied *bool    `json:"in_force,omitempty"`
 	Behind  []string `json:"behind,omitempty"`
 	Error   string   `json:"error,omitempty"`
 }
 
-// faulty is the response of a configuration that does not check.
-type faulty struct {
+// validationError is the response of a configuration that does not check.
+type validationError struct {
 	Error  string                  `json:"error"`
 	Faults []config.FieldViolation `json:"faults"`
 }
 
-// state is what GET /v1/state shows.
-type state struct {
-	Self      membership.Replica             `json:"self"`
-	Phase     consensus.Phase                `json:"phase"`
-	Promised  uint64                         `json:"promised"`
-	Mark      consensus.Position             `json:"mark"`
-	Slots     consensus.MemberSets           `json:"slots"`
-	Seats     map[int]consensus.MemberRecord `json:"incarnations"`
-	Duty      int                            `json:"duty"`
-	Cores     []membership.Replica           `json:"cores"`
-	Live      []int                          `json:"live"`
-	Directory watch.Status                   `json:"directory"`
+// stateResponse is what GET /v1/state shows.
+type stateResponse struct {
+	Self         membership.Replica             `json:"self"`
+	Phase        consensus.Phase                `json:"phase"`
+	Promised     uint64                         `json:"promised"`
+	Position     consensus.Position             `json:"mark"`
+	Members      consensus.MemberSets           `json:"slots"`
+	Incarnations map[int]consensus.MemberRecord `json:"incarnations"`
+	Coordinator  int                            `json:"duty"`
+	Replicas     []membership.Replica           `json:"cores"`
+	Live         []int                          `json:"live"`
+	Directory    watch.Status                   `json:"directory"`
 }
 
-// control serves a core's /v1, /live and /ready.
-func (n *Node) control() http.Handler {
+// apiHandler serves a core's /v1, /live and /ready.
+func (n *Node) apiHandler() http.Handler {
 	mux := http.NewServeMux()
-	n.p.Common(mux, n.live, n.Ready)
+	n.process.RegisterCommon(mux, n.isLive, n.Ready)
 	mux.HandleFunc("PUT /v1/desired", n.putDesired)
 	mux.HandleFunc("GET /v1/desired", n.getDesired)
 	mux.HandleFunc("GET /v1/localities", n.getZones)
-	mux.HandleFunc("GET /v1/localities/{name}", n.getDrain)
-	mux.HandleFunc("PUT /v1/localities/{name}/emptied", n.zone(consensus.CommandEvacuate))
-	mux.HandleFunc("DELETE /v1/localities/{name}/emptied", n.zone(consensus.CommandRevokeEvacuation))
+	mux.HandleFunc("GET /v1/localities/{name}", n.getZoneDrain)
+	mux.HandleFunc("PUT /v1/localities/{name}/emptied", n.evacuationHandler(consensus.CommandEvacuate))
+	mux.HandleFunc("DELETE /v1/localities/{name}/emptied", n.evacuationHandler(consensus.CommandRevokeEvacuation))
 	mux.HandleFunc("PUT /v1/windows", n.putWindows)
 	mux.HandleFunc("GET /v1/windows", n.getWindows)
 	mux.HandleFunc("DELETE /v1/windows", func(w http.ResponseWriter, r *http.Request) {
-		n.calendar(w, r, nil)
+		n.putCalendar(w, r, nil)
 	})
 	mux.HandleFunc("GET /v1/traces/{id}", n.getTrace)
 	mux.HandleFunc("GET /v1/state", n.getState)
-	mux.Handle("GET /v1/reload", n.reload)
-	mux.Handle("GET /metrics", n.metrics())
+	mux.Handle("GET /v1/reload", n.reloader)
+	mux.Handle("GET /metrics", n.metricsHandler())
 	mux.HandleFunc("GET /v1/budgets", n.getBudgets)
 	return mux
 }
 
-func (n *Node) live(ctx context.Context) (bool, string) {
+func (n *Node) isLive(ctx context.Context) (bool, string) {
 	_, ok := n.directory.Status(ctx)
 	return ok, "control thread"
 }
 
 func (n *Node) getState(w http.ResponseWriter, r *http.Request) {
-	v := n.keeper.Acceptor()
-	st := state{Self: n.seat(), Phase: v.Phase, Promised: v.Promised, Mark: v.Position, Slots: v.MemberSets(), Seats: v.Members, Duty: n.duty().MemberID, Cores: n.seeker.Replicas().Observed()}
-	for _, c := range n.seeker.Replicas().Live(time.Now()) {
+	acceptor := n.replica.Acceptor()
+	st := stateResponse{Self: n.replicaStatus(), Phase: acceptor.Phase, Promised: acceptor.Promised, Position: acceptor.Position, Members: acceptor.MemberSets(), Incarnations: acceptor.Members, Coordinator: n.coordinator().MemberID, Replicas: n.discovery.Replicas().Observed()}
+	for _, c := range n.discovery.Replicas().Live(time.Now()) {
 		st.Live = append(st.Live, c.MemberID)
 	}
 	st.Directory, _ = n.directory.Status(r.Context())
 	process.JSON(w, http.StatusOK, st)
 }
 
-// body reads an operator's document of at most so many bytes.
-func body(w http.ResponseWriter, r *http.Request, what, path string, most int64) ([]byte, bool) {
+// readBody reads an operator's document of at most so many bytes.
+func readBody(w http.ResponseWriter, r *http.Request, what, path string, most int64) ([]byte, bool) {
 	b, err := process.ReadDocument(w, r, most)
 	switch {
 	case err == nil:
 	case err.Status == http.StatusRequestEntityTooLarge:
-		process.JSON(w, http.StatusUnprocessableEntity, faulty{
+		process.JSON(w, http.StatusUnprocessableEntity, validationError{
 			Error:  what + " does not check",
 			Faults: []config.FieldViolation{{Path: path, Message: err.Message}},
 		})
@@ -113,17 +113,17 @@
 }
 
 func (n *Node) putDesired(w http.ResponseWriter, r *http.Request) {
-	bytes, ok := body(w, r, "configuration", "$", config.MaxBytes)
+	bytes, ok := readBody(w, r, "configuration", "$", config.MaxBytes)
 	if !ok {
 		return
 	}
-	e := Generation{Desired: bytes}
-	if e.IfMatch, ok = ifMatch(w, r); !ok {
+	update := ConfigurationUpdate{Configuration: bytes}
+	if update.IfMatch, ok = parseIfMatch(w, r); !ok {
 		return
 	}
 	if text := r.Header.Get(headerGeneration); text != "" {
 		var err error
-		if e.Number, err = strconv.ParseUint(text, 10, 64); err != nil || e.Number == 0 {
+		if update.Generation, err = strconv.ParseUint(text, 10, 64); err != nil || update.Generation == 0 {
 			process.Error(w, http.StatusBadRequest, headerGeneration+" is no number from 1")
 			return
 		}
@@ -132,29 +132,29 @@
 		process.Error(w, http.StatusBadRequest, "not JSON")
 		return
 	}
-	a, faults := n.Put(r.Context(), e)
+	result, faults := n.PutConfiguration(r.Context(), update)
 	if len(faults) > 0 {
-		process.JSON(w, http.StatusUnprocessableEntity, faulty{Error: "configuration does not check", Faults: faults})
+		process.JSON(w, http.StatusUnprocessableEntity, validationError{Error: "configuration does not check", Faults: faults})
 		return
 	}
-	n.response(w, r, a)
+	n.writeResult(w, r, result)
 }
 
-func (n *Node) zone(kind consensus.CommandKind) http.HandlerFunc {
+func (n *Node) evacuationHandler(kind consensus.CommandKind) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		name := r.PathValue("name")
 		if !config.IsValidName(name) {
-			process.JSON(w, http.StatusUnprocessableEntity, faulty{Error: "no locality", Faults: []config.FieldViolation{{Path: name, Message: "must be " + config.NameRules}}})
+			process.JSON(w, http.StatusUnprocessableEntity, validationError{Error: "no locality", Faults: []config.FieldViolation{{Path: name, Message: "must be " + config.NameRules}}})
 			return
 		}
-		if m, ok := ifMatch(w, r); ok {
-			n.response(w, r, n.evacuate(r.Context(), consensus.Command{Kind: kind, Zone: name, IfMatch: m}))
+		if m, ok := parseIfMatch(w, r); ok {
+			n.writeResult(w, r, n.submitZoneCommand(r.Context(), consensus.Command{Kind: kind, Zone: name, IfMatch: m}))
 		}
 	}
 }
 
-// ifMatch reads the stamp that an order is bound to; false if it is none.
-func ifMatch(w http.ResponseWriter, r *http.Request) (*uint64, bool) {
+// parseIfMatch reads the stamp that an order is bound to; false if it is none.
+func parseIfMatch(w http.ResponseWriter, r *http.Request) (*uint64, bool) {
 	m := r.Header.Get("If-Match")
 	if m == "" {
 		return nil, true
@@ -166,23 +166,23 @@
 	return &stamp, err == nil
 }
 
-// response tells what is known of an order that was carried out.
-func (n *Node) response(w http.ResponseWriter, r *http.Request, a consensus.CommandResult) {
-	out := written{Taken: a.Outcome, Stamp: a.State.Revision}
+// writeResult tells what is known of an order that was carried out.
+func (n *Node) writeResult(w http.ResponseWriter, r *http.Request, result consensus.CommandResult) {
+	out := writeResponse{Result: result.Outcome, Revision: result.State.Revision}
 	status := http.StatusOK
-	switch a.Outcome {
+	switch result.Outcome {
 	case consensus.OutcomeCommitted:
-		stamped(w, a.State.Revision)
-		behind, known := n.InForce(r.Context(), a.State.Revision)
+		setRevisionHeaders(w, result.State.Revision)
+		behind, known := n.WaitApplied(r.Context(), result.State.Revision)
 		inForce := known && len(behind) == 0
-		out.InForce, out.Behind = &inForce, behind
+		out.Applied, out.Behind = &inForce, behind
 	case consensus.OutcomeMismatch:
-		status, out.Stamp, out.Error = http.StatusPreconditionFailed, a.State.ConfigurationRevision, "the newest stamp is another one"
+		status, out.Revision, out.Error = http.StatusPreconditionFailed, result.State.ConfigurationRevision, "the newest stamp is another one"
 	case consensus.OutcomeConflict:
-		status, out.Stamp, out.Error = http.StatusConflict, 0, "another configuration was taken under its number"
+		status, out.Revision, out.Error = http.StatusConflict, 0, "another configuration was taken under its number"
 	default:
 		out.Error = "no majority of cores took it"
-		if a.Outcome == consensus.OutcomeSuperseded {
+		if result.Outcome == consensus.OutcomeSuperseded {
 			out.Error = "a newer order on the locality was taken meanwhile"
 		}
 		status = http.StatusServiceUnavailable
@@ -191,14 +191,14 @@
 	process.JSON(w, status, out)
 }
 
-func stamped(w http.ResponseWriter, stamp uint64) {
-	w.Header().Set(headerStamp, strconv.FormatUint(stamp, 10))
+func setRevisionHeaders(w http.ResponseWriter, stamp uint64) {
+	w.Header().Set(headerRevision, strconv.FormatUint(stamp, 10))
 	w.Header().Set("ETag", `"`+strconv.FormatUint(stamp, 10)+`"`)
 }
 
-// read reads the newest word back from a majority.
-func (n *Node) read(w http.ResponseWriter, r *http.Request) (config.ControlState, bool) {
-	state, ok := n.Read(r.Context())
+// readStateOrFail reads the newest word back from a majority.
+func (n *Node) readStateOrFail(w http.ResponseWriter, r *http.Request) (config.ControlState, bool) {
+	state, ok := n.QuorumRead(r.Context())
 	if !ok {
 		w.Header().Set("Retry-After", "1")
 		process.Error(w, http.StatusServiceUnavailable, "no majority of cores answers")
@@ -207,7 +207,7 @@
 }
 
 func (n *Node) getDesired(w http.ResponseWriter, r *http.Request) {
-	state, ok := n.read(w, r)
+	state, ok := n.readStateOrFail(w, r)
 	if !ok {
 		return
 	}
@@ -215,7 +215,7 @@
 		process.Error(w, http.StatusNotFound, "no configuration was ever put")
 		return
 	}
-	stamped(w, state.ConfigurationRevision)
+	setRevisionHeaders(w, state.ConfigurationRevision)
 	if state.Generation != 0 {
 		w.Header().Set(headerGeneration, strconv.FormatUint(state.Generation, 10))
 	}
@@ -224,7 +224,7 @@
 }
 
 func (n *Node) getZones(w http.ResponseWriter, r *http.Request) {
-	if state, ok := n.read(w, r); ok {
+	if state, ok := n.readStateOrFail(w, r); ok {
 		emptied := state.EvacuatedZones()
 		if emptied == nil {
 			emptied = []string{}
@@ -244,10 +244,10 @@
 	process.JSON(w, http.StatusOK, retrybudget.Answer{Whole: st.Ready, Budgets: table.Pages(n.directory.Budgets())})
 }
 
-// getDrain reports what still runs in a zone, and since when nothing does. A core
+// getZoneDrain reports what still runs in a zone, and since when nothing does. A core
 // that knows of no newer word, since it is cut off, reports nothing.
-func (n *Node) getDrain(w http.ResponseWriter, r *http.Request) {
-	newest, contact := n.keeper.ReadIndex(r.Context())
+func (n *Node) getZoneDrain(w http.ResponseWriter, r *http.Request) {
+	newest, contact := n.replica.ReadIndex(r.Context())
 	d, ok := n.directory.DrainStatus(r.Context(), r.PathValue("name"))
 	if !contact || !ok || d.Revision < newest {
 		w.Header().Set("Retry-After", "1")
@@ -271,16 +271,16 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), time.Second)
 	defer cancel()
-	set, own := n.slots(), n.keeper.Acceptor().Self.MemberID
+	set, own := n.members(), n.replica.Acceptor().Self.MemberID
 	parts := make(chan part, len(set))
 	for _, slot := range set {
-		n.p.Launcher.Go(ctx, "trace-query", func(ctx context.Context) {
+		n.process.Actors.Go(ctx, "trace-query", func(ctx context.Context) {
 			addr, known := n.Addr(slot)
 			if slot == own {
-				addr, known = n.set.Advertise, true
+				addr, known = n.cfg.Advertise, true
 			}
 			var b tracestore.Batch
-			got := known && n.p.Net.Call(ctx, addr, transport.Control, tracestore.KindTrace, tracestore.Query{Trace: id}).Into(&b)
+			got := known && n.process.TransportClient.Call(ctx, addr, transport.Control, tracestore.KindTrace, tracestore.Query{Trace: id}).Into(&b)
 			parts <- part{slot: slot, events: b.Events, ok: got}
 		})
 	}
@@ -293,8 +293,8 @@
 			unasked = append(unasked, p.slot)
 		}
 	}
-	t := tracestore.Build(id, events)
-	t.Unasked, t.Whole = unasked, t.Whole && len(unasked) == 0
+	t := tracestore.BuildTree(id, events)
+	t.Unreachable, t.Complete = unasked, t.Complete && len(unasked) == 0
 	status := http.StatusOK
 	if t.Spans == 0 {
 		status = http.StatusNotFound
--- a/internal/controlplane/golden_test.go
+++ b/internal/controlplane/golden_test.go
@@ -11,15 +11,15 @@
 
 // What operators read and other cores are answered is what it has always been.
 func TestGoldenDocuments(t *testing.T) {
-	for name, sample := range map[string]any{"written": &written{}, "faulty": &faulty{}, "state": &state{}, "windows": &windows{}} {
+	for name, sample := range map[string]any{"written": &writeResponse{}, "faulty": &validationError{}, "state": &stateResponse{}, "windows": &windowsResponse{}} {
 		t.Run(name, func(t *testing.T) { golden.Value(t, golden.JSON, name+".json", sample) })
 	}
-	golden.Value(t, golden.Msgpack, "seat-response.msgpack", &heed{})
+	golden.Value(t, golden.Msgpack, "seat-response.msgpack", &joinReply{})
 }
 
 // The metrics have the names and labels that they have always had.
 func TestGoldenMetrics(t *testing.T) {
 	n := &Node{}
-	all := slices.Concat(n.consensusMetrics(), n.membershipMetrics(), n.feedMetrics(), metrics.Wire(&transport.Counts{}, &transport.Counts{}))
+	all := slices.Concat(n.consensusMetrics(), n.membershipMetrics(), n.watchMetrics(), metrics.Wire(&transport.Counts{}, &transport.Counts{}))
 	golden.Metrics(t, "metrics.txt", all)
 }
--- a/internal/controlplane/metrics.go
+++ b/internal/controlplane/metrics.go
@@ -11,58 +11,58 @@
 	"curlewwalk/internal/watch"
 )
 
-// stateWait is how long a scrape waits for the directory. (ours)
-const stateWait = 500 * time.Millisecond
+// stateTimeout is how long a scrape waits for the directory. (ours)
+const stateTimeout = 500 * time.Millisecond
 
 // counters count what nothing else counts on a core.
 type counters struct {
-	// orders are the writes that this core carried out as leader, by kind and result.
-	orders metrics.Labelled
+	// commands are the writes that this core carried out as leader, by kind and result.
+	commands metrics.Labelled
 	// reads are the quorum reads for operators, by outcome.
 	reads metrics.Labelled
 	// renewals are the quorum reads that renew the sidecars' leases.
 	renewals atomic.Uint64
 }
 
-// lead carries an order out on this core, and counts it.
-func (n *Node) lead(ctx context.Context, o consensus.Command) consensus.CommandResult {
-	a := n.keeper.Submit(ctx, o)
-	n.counters.orders.Add(string(o.Kind), string(a.Outcome))
-	return a
+// execute carries an order out on this core, and counts it.
+func (n *Node) execute(ctx context.Context, command consensus.Command) consensus.CommandResult {
+	result := n.replica.Submit(ctx, command)
+	n.counters.commands.Add(string(command.Kind), string(result.Outcome))
+	return result
 }
 
-// confirmed takes that as of a moment a quorum knew of no newer configuration.
-func (n *Node) confirmed(ctx context.Context, asOf time.Time) {
+// renewLeases takes that as of a moment a quorum knew of no newer configuration.
+func (n *Node) renewLeases(ctx context.Context, asOf time.Time) {
 	n.counters.renewals.Add(1)
 	n.directory.ObserveConfirmed(ctx, asOf)
 }
 
-// metrics serves the core's metrics.
-func (n *Node) metrics() http.Handler {
+// metricsHandler serves the core's metrics.
+func (n *Node) metricsHandler() http.Handler {
 	var all []*metrics.Metric
 	all = append(all, n.consensusMetrics()...)
 	all = append(all, n.membershipMetrics()...)
-	all = append(all, n.feedMetrics()...)
-	all = append(all, metrics.Wire(&n.p.Net.Counts, &n.p.Host.Counts)...)
+	all = append(all, n.watchMetrics()...)
+	all = append(all, metrics.Wire(&n.process.TransportClient.Counts, &n.process.TransportServer.Counts)...)
 	return metrics.Handler(all...)
 }
 
 func (n *Node) consensusMetrics() []*metrics.Metric {
 	return []*metrics.Metric{
 		metrics.Gauge("term", "Highest term (epoch) that this core has promised, and the one under which it accepted what it holds.", []string{"state"}, func(emit metrics.Emit) {
-			v := n.keeper.Acceptor()
-			emit(float64(v.Promised), "promised")
-			emit(float64(v.Position.Term), "accepted")
+			acceptor := n.replica.Acceptor()
+			emit(float64(acceptor.Promised), "promised")
+			emit(float64(acceptor.Position.Term), "accepted")
 		}),
 		metrics.Gauge("configuration_version", "Version of the configuration that this core accepted, and of the newest that it knows a majority to hold.", []string{"state"}, func(emit metrics.Emit) {
-			v := n.keeper.Acceptor()
-			emit(float64(v.Position.Revision), "accepted")
-			emit(float64(v.Committed), "committed")
+			acceptor := n.replica.Acceptor()
+			emit(float64(acceptor.Position.Revision), "accepted")
+			emit(float64(acceptor.Committed), "committed")
 		}),
 		metrics.Gauge("leader", "Whether this core is on duty by what it hears.", nil, metrics.Value(func() float64 {
 			return metrics.Bool(n.IsCoordinator())
 		})),
-		metrics.Counter("writes_total", "Writes that this core carried out as leader, by kind and result; kind reseat is a change of the membership.", []string{"kind", "result"}, n.counters.orders.Read),
+		metrics.Counter("writes_total", "Writes that this core carried out as leader, by kind and result; kind reseat is a change of the membership.", []string{"kind", "result"}, n.counters.commands.Read),
 		metrics.Counter("quorum_reads_total", "Quorum reads of the configuration for operators, by outcome.", []string{"outcome"}, n.counters.reads.Read),
 		metrics.Counter("lease_renewals_total", "Quorum reads that renewed the leases of the sidecars that follow this core.", nil, metrics.Value(func() float64 {
 			return float64(n.counters.renewals.Load())
@@ -73,39 +73,39 @@
 func (n *Node) membershipMetrics() []*metrics.Metric {
 	return []*metrics.Metric{
 		metrics.Gauge("members", "Members of the set in force, and of the set before while that is still needed.", []string{"set"}, func(emit metrics.Emit) {
-			sets := n.keeper.Acceptor().MemberSets()
+			sets := n.replica.Acceptor().MemberSets()
 			emit(float64(len(sets.Current)), "current")
 			emit(float64(len(sets.Previous)), "previous")
 		}),
 		metrics.Gauge("member", "Whether this core is a member of the set in force.", nil, metrics.Value(func() float64 {
-			return metrics.Bool(n.keeper.Acceptor().IsMember())
+			return metrics.Bool(n.replica.Acceptor().IsMember())
 		})),
 		metrics.Gauge("cores_live", "Other cores that are heard.", nil, metrics.Value(func() float64 {
-			return float64(len(n.seeker.Replicas().Live(time.Now())))
+			return float64(len(n.discovery.Replicas().Live(time.Now())))
 		})),
 	}
 }
 
-func (n *Node) feedMetrics() []*metrics.Metric {
+func (n *Node) watchMetrics() []*metrics.Metric {
 	return []*metrics.Metric{
-		metrics.Gauge("feed_sequence", "Number of the newest change in this core's feed; it starts anew with the process.", nil, n.ofDirectory(func(s watch.Status) float64 {
+		metrics.Gauge("feed_sequence", "Number of the newest change in this core's feed; it starts anew with the process.", nil, n.directoryGauge(func(s watch.Status) float64 {
 			return float64(s.Offset)
 		})),
-		metrics.Gauge("feed_ready", "Whether the feed is served: not while the core is still being told of the sidecars.", nil, n.ofDirectory(func(s watch.Status) float64 {
+		metrics.Gauge("feed_ready", "Whether the feed is served: not while the core is still being told of the sidecars.", nil, n.directoryGauge(func(s watch.Status) float64 {
 			return metrics.Bool(s.Ready)
 		})),
-		metrics.Gauge("sidecars_known", "Sidecars that this core hears.", nil, n.ofDirectory(func(s watch.Status) float64 {
+		metrics.Gauge("sidecars_known", "Sidecars that this core hears.", nil, n.directoryGauge(func(s watch.Status) float64 {
 			return float64(len(s.Nodes))
 		})),
-		metrics.Gauge("sidecars_behind", "Sidecars that have an older configuration in force than the newest one here.", nil, n.ofDirectory(behind)),
+		metrics.Gauge("sidecars_behind", "Sidecars that have an older configuration in force than the newest one here.", nil, n.directoryGauge(countBehind)),
 	}
 }
 
-// ofDirectory reads a value of the directory's state; none if the directory
+// directoryGauge reads a value of the directory's state; none if the directory
 // doesn't answer in time.
-func (n *Node) ofDirectory(value func(s watch.Status) float64) metrics.Read {
+func (n *Node) directoryGauge(value func(s watch.Status) float64) metrics.Read {
 	return func(emit metrics.Emit) {
-		ctx, cancel := context.WithTimeout(n.p.Life, stateWait)
+		ctx, cancel := context.WithTimeout(n.process.Context, stateTimeout)
 		defer cancel()
 		if state, ok := n.directory.Status(ctx); ok {
 			emit(value(state))
@@ -113,8 +113,8 @@
 	}
 }
 
-// behind counts the sidecars with an older configuration than the directory's.
-func behind(s watch.Status) float64 {
+// countBehind counts the sidecars with an older configuration than the directory's.
+func countBehind(s watch.Status) float64 {
 	count := 0
 	for _, node := range s.Nodes {
 		if node.AppliedRevision < s.Revision {
--- a/internal/controlplane/await_test.go
+++ b/internal/controlplane/operator_test.go
@@ -11,7 +11,7 @@
 
 // Whoever gives an order learns that its outcome is not known when its time is over,
 // though the order goes on.
-func TestAwait(t *testing.T) {
+func TestRunDetached(t *testing.T) {
 	l := actor.New(slog.New(slog.DiscardHandler), func(name string, cause any, _ []byte) { t.Errorf("%s: %v", name, cause) })
 	ctx, giveUp := context.WithCancel(t.Context())
 	release, done := make(chan struct{}), make(chan error, 1)
@@ -21,16 +21,16 @@
 		done <- ctx.Err()
 		return consensus.CommandResult{Outcome: consensus.OutcomeCommitted}
 	}
-	if a := await(ctx, l, order); a.Outcome != consensus.OutcomeUnknown {
-		t.Errorf("answered %q before its end", a.Outcome)
+	if result := runDetached(ctx, l, order); result.Outcome != consensus.OutcomeUnknown {
+		t.Errorf("answered %q before its end", result.Outcome)
 	}
 	close(release)
 	if err := <-done; err != nil {
 		t.Errorf("the order ended with its caller: %v", err)
 	}
-	if a := await(t.Context(), l, func(context.Context) consensus.CommandResult {
+	if result := runDetached(t.Context(), l, func(context.Context) consensus.CommandResult {
 		return consensus.CommandResult{Outcome: consensus.OutcomeCommitted}
-	}); a.Outcome != consensus.OutcomeCommitted {
-		t.Errorf("answered %q", a.Outcome)
+	}); result.Outcome != consensus.OutcomeCommitted {
+		t.Errorf("answered %q", result.Outcome)
 	}
 }
--- a/internal/controlplane/door_test.go
+++ b/internal/controlplane/readiness_test.go
@@ -9,7 +9,7 @@
 
 // A newcomer is ready only once the set that names it is in force by itself; a member
 // stays ready while later changes go on, and a struck one is not ready.
-func TestLacksSeat(t *testing.T) {
+func TestWhyNotMember(t *testing.T) {
 	before := []config.Member{{MemberID: 1, DiskID: 1}, {MemberID: 2, DiskID: 2}, {MemberID: 3, DiskID: 3}}
 	now := append(before[:2:2], config.Member{MemberID: 4, DiskID: 4})
 	changing := config.ControlState{Members: now, PreviousMembers: before}
@@ -27,7 +27,7 @@
 		{"a member during a later change", consensus.Acceptor{Self: newcomer, Phase: consensus.PhaseEstablished, State: changing}, true, true},
 		{"struck", consensus.Acceptor{Self: struck, Phase: consensus.PhaseEstablished, State: changed}, true, false},
 	} {
-		if why := lacksSeat(c.acceptor, c.joined); (why == "") != c.ready {
+		if why := whyNotMember(c.acceptor, c.joined); (why == "") != c.ready {
 			t.Errorf("%s: %q", c.name, why)
 		}
 	}
--- a/internal/dataplane/control.go
+++ b/internal/dataplane/control.go
@@ -69,7 +69,7 @@
 // control serves a sidecar's /v1, /live and /ready.
 func (n *Node) control() http.Handler {
 	mux := http.NewServeMux()
-	n.p.Common(mux, n.live, n.Ready)
+	n.p.RegisterCommon(mux, n.live, n.Ready)
 	mux.HandleFunc("POST /v1/backends", n.announce)
 	mux.HandleFunc("GET /v1/backends", n.backends)
 	mux.HandleFunc("DELETE /v1/backends/{instance}", n.leave)
@@ -169,7 +169,7 @@
 	f := *n.steward.shown.Load()
 	held, settled := n.holder.Count()
 	return stats{
-		Node: n.set.Advertise, Boot: n.p.Boot, Zone: n.set.Zone, Stamp: n.steward.table.Load().Stamp, Follows: f,
+		Node: n.set.Advertise, Boot: n.p.Incarnation, Zone: n.set.Zone, Stamp: n.steward.table.Load().Stamp, Follows: f,
 		NewsAge: time.Since(f.Since).String(), ClaimAge: n.steward.claim.Age(time.Now()).String(), Claimed: n.claimed(), Cores: n.seeker.Replicas().Observed(), Near: n.near.Counts.Read(), Far: n.far.Counts.Read(),
 		Trace: n.queue.Stats(), Draining: n.draining.Load(), Closed: n.closed.Load(), ExtraAttempts: n.steward.retryBudgets.Held(),
 		Held: held, Settled: settled, HandedOver: n.near.Custody.Ready(), Bodies: [2]int64{n.near.Bodies.Held(), n.far.Bodies.Held()},
--- a/internal/dataplane/metrics.go
+++ b/internal/dataplane/metrics.go
@@ -16,7 +16,7 @@
 	all = append(all, n.trafficMetrics()...)
 	all = append(all, n.controlMetrics()...)
 	all = append(all, n.traceMetrics()...)
-	all = append(all, metrics.Wire(&n.p.Net.Counts, &n.p.Host.Counts)...)
+	all = append(all, metrics.Wire(&n.p.TransportClient.Counts, &n.p.TransportServer.Counts)...)
 	return metrics.Handler(all...)
 }
 
--- a/internal/dataplane/new.go
+++ b/internal/dataplane/new.go
@@ -25,7 +25,7 @@
 // New puts the parts together and opens the addresses.
 func New(set settings.Sidecar, doors *Doors) *Node {
 	p := process.New("sidecar", set.Common)
-	n := &Node{p: p, set: set, queue: trace.NewQueue(set.Advertise, p.Boot, set.TraceQueue), dialect: proxy.Plain{}}
+	n := &Node{p: p, set: set, queue: trace.NewQueue(set.Advertise, p.Incarnation, set.TraceQueue), dialect: proxy.Plain{}}
 	if doors != nil {
 		n.dialect = doors.Dialect
 	}
@@ -42,7 +42,7 @@
 	n.listen()
 	n.start(map[string]func(context.Context){
 		"lineage": calls.Run, "claims": claims.Run, "rollcall": rollcall.Run, "follower": n.newFollower().Run,
-		"net": p.Net.Run, "host": p.Host.Run, "steward": n.steward.run, "seeker": n.seeker.Run,
+		"net": p.TransportClient.Run, "host": p.TransportServer.Run, "steward": n.steward.run, "seeker": n.seeker.Run,
 		"watcher": n.steward.watcher.Run, "holder": n.holder.Run, "custody": n.near.Custody.Run,
 	})
 	if doors != nil {
@@ -59,18 +59,18 @@
 func (n *Node) addControl() {
 	set, p := n.set, n.p
 	n.seeker = membership.NewDiscovery()
-	n.steward = newSteward(p.Launcher, set.Advertise, p.Boot, set.Zone, set.ExtraAttempts, n.seeker.HeartbeatNow)
+	n.steward = newSteward(p.Actors, set.Advertise, p.Incarnation, set.Zone, set.ExtraAttempts, n.seeker.HeartbeatNow)
 	n.steward.roster.Store(&endpoints.Roster{Pace: endpoints.Pace{Beat: set.Beat}, Started: time.Now()})
 	n.steward.departures.notice = p.Notice
 	n.steward.climb = routing.Climb{For: set.Ramp, From: set.RampFrom}
 	n.seeker.Local = func() membership.Heartbeat { node := n.steward.node(); return membership.Heartbeat{Node: &node} }
-	n.seeker.Addr, n.seeker.Client, n.seeker.Actors = set.Advertise, p.Net, p.Launcher
+	n.seeker.Addr, n.seeker.Client, n.seeker.Actors = set.Advertise, p.TransportClient, p.Actors
 	n.seeker.OnResponse = n.steward.told
 	n.seeker.OnReplica = func(context.Context, membership.Replica) {}
-	n.reload = &process.Reloader{Seeker: n.seeker}
+	n.reload = &process.Reloader{Discovery: n.seeker}
 	n.reload.Apply(set.Common)
 	watcher := n.steward.watcher
-	watcher.Addr, watcher.Client, watcher.Actors, watcher.OnChange = set.Advertise, p.Net, p.Launcher, n.seeker.HeartbeatNow
+	watcher.Addr, watcher.Client, watcher.Actors, watcher.OnChange = set.Advertise, p.TransportClient, p.Actors, n.seeker.HeartbeatNow
 	watcher.View = n.view
 }
 
@@ -78,29 +78,29 @@
 func (n *Node) addNear(calls *causality.Keeper, claims *idempotency.Claims[proxy.Response]) {
 	set, p := n.set, n.p
 	n.near = &proxy.Near{
-		Zone: set.Zone, Table: n.table, View: n.view, Net: p.Net, Launcher: p.Launcher, Queue: n.queue, Log: p.Log,
+		Zone: set.Zone, Table: n.table, View: n.view, Net: p.TransportClient, Launcher: p.Actors, Queue: n.queue, Log: p.Log,
 		Lineage: calls, Claims: claims, RetryBudgets: n.steward.retryBudgets, Budgets: n.steward.budgets, Costs: routing.NewCosts(),
 		Draining: n.shut, StopsAt: n.stopsAt, Unsure: n.unsure, Behind: n.behind,
 		Home: set.Caller, Dialect: n.dialect, Shun: set.Shun, Hold: set.Hold, ComeBack: set.ComeBack, Late: set.Late, Crossing: set.Crossing,
 		Bodies: &proxy.Bodies{Most: set.MaxBody, All: set.BodyMemory},
 	}
-	n.near.Life, n.giveUp = context.WithCancelCause(p.Life)
+	n.near.Life, n.giveUp = context.WithCancelCause(p.Context)
 	n.holder = keyreplication.NewHolder()
 	n.near.Custody = &keyreplication.Owner{
-		Own: set.Advertise, Boot: p.Boot, Zone: set.Zone, View: n.view, Net: p.Net, Launcher: p.Launcher,
+		Own: set.Advertise, Boot: p.Incarnation, Zone: set.Zone, View: n.view, Net: p.TransportClient, Launcher: p.Actors,
 		Known: n.known, Restore: n.near.Restore,
 	}
 	n.near.Custody.Begin()
 	n.outgoing = &outgoing{
 		p: p, near: n.near, host: netip.MustParseAddrPort(set.Advertise).Addr(), fixed: set.Outgoing,
-		known: n.steward.services, webs: map[string]*process.Web{},
+		known: n.steward.services, webs: map[string]*process.HTTPServer{},
 	}
 }
 
 // addFar adds the side beside the own backends.
 func (n *Node) addFar(calls *causality.Keeper) {
-	n.far = proxy.NewFar(n.p.Life, n.p.Launcher)
-	n.far.Boot, n.far.Table, n.far.Queue, n.far.Lineage, n.far.Draining = n.p.Boot, n.table, n.queue, calls, n.draining.Load
+	n.far = proxy.NewFar(n.p.Context, n.p.Actors)
+	n.far.Boot, n.far.Table, n.far.Queue, n.far.Lineage, n.far.Draining = n.p.Incarnation, n.table, n.queue, calls, n.draining.Load
 	n.far.Claimed, n.far.Dialect, n.far.Halving = n.claimed, n.dialect, n.set.Halving
 	n.far.Bodies = &proxy.Bodies{Most: n.set.MaxBody, All: n.set.BodyMemory}
 	n.far.Roster = func() endpoints.Roster { return *n.steward.roster.Load() }
@@ -109,7 +109,7 @@
 // newRollcall makes the part that asks the other sidecars when no core is heard.
 func (n *Node) newRollcall() *membership.Gossiper {
 	rollcall := membership.NewGossiper()
-	rollcall.Addr, rollcall.Client, rollcall.Actors, rollcall.Node, rollcall.View = n.set.Advertise, n.p.Net, n.p.Launcher, n.steward.node, n.view
+	rollcall.Addr, rollcall.Client, rollcall.Actors, rollcall.Node, rollcall.View = n.set.Advertise, n.p.TransportClient, n.p.Actors, n.steward.node, n.view
 	rollcall.Replicas, rollcall.State, rollcall.Seeds = n.seeker.Replicas, n.steward.spoken.Load, n.seeker.Seeds
 	rollcall.UpdateAge, rollcall.OnConfirmed = n.steward.news, n.steward.agreed.Renew
 	rollcall.OnUpdate = func(ctx context.Context, f membership.GossipUpdate) {
@@ -122,7 +122,7 @@
 // newFollower makes the part that follows a core's feed.
 func (n *Node) newFollower() *watch.Watcher {
 	return &watch.Watcher{
-		Addr: n.set.Advertise, Zone: n.set.Zone, Replicas: n.seeker.Replicas, Client: n.p.Net, HeartbeatNow: n.seeker.HeartbeatNow,
+		Addr: n.set.Advertise, Zone: n.set.Zone, Replicas: n.seeker.Replicas, Client: n.p.TransportClient, HeartbeatNow: n.seeker.HeartbeatNow,
 		OnUpdates: func(ctx context.Context, c membership.Replica, news watch.Updates, asked time.Time) {
 			// No more is asked for before it is in force: of words that come faster
 			// than that, the core then tells the newest only. (DESIGN 8.2)
@@ -133,11 +133,11 @@
 
 // addHandlers adds what other processes may ask.
 func (n *Node) addHandlers(rollcall *membership.Gossiper) {
-	handlers := n.p.Host.Handlers
+	handlers := n.p.TransportServer.Handlers
 	maps.Copy(handlers, n.holder.Handlers())
 	handlers[membership.KindHeartbeat] = n.heartbeat
 	handlers[membership.KindProbe] = func(context.Context, transport.Request) (any, string) {
-		return membership.Probe{Incarnation: n.p.Boot, Refutation: n.steward.inc.Load()}, ""
+		return membership.Probe{Incarnation: n.p.Incarnation, Refutation: n.steward.inc.Load()}, ""
 	}
 	handlers[membership.KindGossip] = rollcall.HandleGossip
 	handlers[proxy.KindAttempt] = n.far.Attempt
@@ -147,12 +147,12 @@
 // listen opens the addresses.
 func (n *Node) listen() {
 	set, p := n.set, n.p
-	p.Host.Listener = p.Listen("wire", set.Wire)
+	p.TransportServer.Listener = p.Listen("wire", set.Wire)
 	n.webs = append(n.webs, p.Serve(p.Listen("control", set.Control), n.control()))
 	n.webs = append(n.webs, p.Serve(p.Listen("inquiries", set.Requests), n.near.Handler("")))
 	for service := range set.Outgoing {
 		if _, err := n.outgoing.addr(service); err != nil {
-			p.Fail("outgoing "+service, err)
+			p.Fatal("outgoing "+service, err)
 		}
 	}
 }
@@ -160,10 +160,10 @@
 // start starts the parts' loops, and what publishes trace events.
 func (n *Node) start(loops map[string]func(context.Context)) {
 	for name, run := range loops {
-		n.p.Launcher.Go(n.p.Life, name, run)
+		n.p.Actors.Go(n.p.Context, name, run)
 	}
 	for range workers {
 		w := &trace.Worker{Queue: n.queue, Choose: n.collector, Send: n.publish, Linger: publishEvery, MaxSize: 256}
-		n.p.Launcher.Go(n.p.Life, "trace-worker", w.Run)
+		n.p.Actors.Go(n.p.Context, "trace-worker", w.Run)
 	}
 }
--- a/internal/dataplane/node.go
+++ b/internal/dataplane/node.go
@@ -63,14 +63,14 @@
 	giveUpAt atomic.Pointer[time.Time]
 	giveUp   context.CancelCauseFunc
 	reload   *process.Reloader
-	webs     []*process.Web
+	webs     []*process.HTTPServer
 }
 
 // Run prints the signal of readiness, the addresses that really stand, and returns when
 // the sidecar has been warned and stopped in order; read reads the settings again.
 func (n *Node) Run(read func() (settings.Sidecar, settings.Exit)) {
-	fmt.Fprintf(os.Stdout, "started wire=%s control=%s inquiries=%s\n", n.p.Host.Addr(), n.webs[0].Listener.Addr(), n.webs[1].Listener.Addr())
-	n.p.Wait(func() {
+	fmt.Fprintf(os.Stdout, "started wire=%s control=%s inquiries=%s\n", n.p.TransportServer.Addr(), n.webs[0].Listener.Addr(), n.webs[1].Listener.Addr())
+	n.p.WaitForStop(func() {
 		next, exit := read()
 		n.reload.Reload(n.p, n.set, next, next.Common, exit)
 	})
@@ -147,6 +147,6 @@
 func (n *Node) publish(ctx context.Context, collector string, batch []trace.Event) bool {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	var t tracestore.Taken
-	return n.p.Net.Call(ctx, collector, transport.Control, tracestore.KindPublish, tracestore.Batch{Events: slices.Clone(batch)}).Into(&t)
+	var t tracestore.PublishReply
+	return n.p.TransportClient.Call(ctx, collector, transport.Control, tracestore.KindPublish, tracestore.Batch{Events: slices.Clone(batch)}).Into(&t)
 }
--- a/internal/dataplane/outgoing.go
+++ b/internal/dataplane/outgoing.go
@@ -31,7 +31,7 @@
 	known func() []string
 
 	mu   sync.Mutex
-	webs map[string]*process.Web
+	webs map[string]*process.HTTPServer
 }
 
 // portOf is the port of a service.
@@ -69,7 +69,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, w := range o.webs {
-		w.Part(ctx, farewell)
+		w.CloseIdle(ctx, farewell)
 	}
 }
 
@@ -78,6 +78,6 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, w := range o.webs {
-		w.Stop(ctx)
+		w.Shutdown(ctx)
 	}
 }
--- a/internal/dataplane/proxy/client_test.go
+++ b/internal/dataplane/proxy/client_test.go
@@ -39,7 +39,7 @@
 			}
 			if x, ok := s.X.(*ast.Ident); ok && x.Name == "http" {
 				found++
-				if filepath.ToSlash(rel) != "cmd/planner/read.go" {
+				if filepath.ToSlash(rel) != "cmd/planner/snapshot.go" {
 					t.Errorf("%s uses http.%s", rel, s.Sel.Name)
 				}
 			}
--- a/internal/dataplane/stop.go
+++ b/internal/dataplane/stop.go
@@ -39,14 +39,14 @@
 	parting, over := context.WithTimeout(ctx, linger)
 	defer over()
 	goodbye := proxy.Farewell(n.near.Dialect)
-	farewell := process.Farewell(goodbye.Header, goodbye.Body)
-	n.webs[1].Part(parting, farewell)
+	farewell := process.ClosingResponse(goodbye.Header, goodbye.Body)
+	n.webs[1].CloseIdle(parting, farewell)
 	n.outgoing.part(parting, farewell)
 	for _, w := range n.webs {
-		w.Stop(ctx)
+		w.Shutdown(ctx)
 	}
 	n.outgoing.stop(ctx)
-	n.p.End()
+	n.p.Close()
 	n.reportStop(warned, before, givenUp, attempts)
 }
 
--- a/internal/maintenance/calendar.go
+++ b/internal/maintenance/calendar.go
@@ -15,9 +15,9 @@
 const (
 	// MaxBytes bounds a calendar.
 	MaxBytes = 256 << 10
-	// mostEvents bounds its events, longest one of them.
-	mostEvents = 200                 // (ours)
-	longest    = 31 * 24 * time.Hour // (ours)
+	// maxEvents bounds its events, longest one of them.
+	maxEvents   = 200                 // (ours)
+	maxDuration = 31 * 24 * time.Hour // (ours)
 )
 
 // Calendar is a checked file of windows. Each event empties the zone that its
@@ -26,27 +26,27 @@
 
 type event struct {
 	uid, zone, summary string
-	begin              time.Time
-	length             time.Duration
-	set                *rrule.Set // nil if it does not recur
+	start              time.Time
+	duration           time.Duration
+	recurrence         *rrule.Set // nil if it does not recur
 }
 
 // Between lists the occurrences that go on at some moment of a stretch, by their
 // begin.
 func (c Calendar) Between(from, to time.Time) (out []Occurrence) {
 	for _, e := range c.events {
-		begins := []time.Time{e.begin}
-		if e.set != nil {
-			begins = e.set.Between(from.Add(-e.length), to, true)
+		begins := []time.Time{e.start}
+		if e.recurrence != nil {
+			begins = e.recurrence.Between(from.Add(-e.duration), to, true)
 		}
 		for _, b := range begins {
-			o := Occurrence{ID: e.uid + " " + b.UTC().Format(time.RFC3339), Zone: e.zone, Begin: b, End: b.Add(e.length), Summary: e.summary}
-			if o.End.After(from) && !o.Begin.After(to) {
+			o := Occurrence{ID: e.uid + " " + b.UTC().Format(time.RFC3339), Zone: e.zone, Start: b, End: b.Add(e.duration), Summary: e.summary}
+			if o.End.After(from) && !o.Start.After(to) {
 				out = append(out, o)
 			}
 		}
 	}
-	slices.SortFunc(out, func(a, b Occurrence) int { return cmp.Or(a.Begin.Compare(b.Begin), cmp.Compare(a.ID, b.ID)) })
+	slices.SortFunc(out, func(a, b Occurrence) int { return cmp.Or(a.Start.Compare(b.Start), cmp.Compare(a.ID, b.ID)) })
 	return out
 }
 
--- a/internal/maintenance/window_test.go
+++ b/internal/maintenance/window_test.go
@@ -30,7 +30,7 @@
 	}
 	var got []string
 	for _, o := range c.Between(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC), time.Date(2027, 1, 1, 0, 0, 0, 0, time.UTC)) {
-		got = append(got, o.Begin.UTC().Format("0102T1504")+"-"+o.End.UTC().Format("1504")+" "+o.Zone)
+		got = append(got, o.Start.UTC().Format("0102T1504")+"-"+o.End.UTC().Format("1504")+" "+o.Zone)
 	}
 	if want := "1011T0200-0330 west,1025T0300-0430 west,1101T0300-0430 west"; strings.Join(got, ",") != want {
 		t.Errorf("got %v, want %v", got, want)
@@ -96,10 +96,10 @@
 			for _, s := range Decide(c, see.Closures, now) {
 				// The proposer judges by the newest word.
 				switch {
-				case s.Begin && !state.HasClosure(s.Window):
+				case s.Start && !state.HasClosure(s.Window):
 					begun[s.Window]++
 					state.Closures = append(append([]config.ZoneClosure{}, state.Closures...), config.ZoneClosure{Zone: s.Zone, Window: s.Window})
-				case !s.Begin && state.HasClosure(s.Window):
+				case !s.Start && state.HasClosure(s.Window):
 					ended[s.Window]++
 					var left []config.ZoneClosure
 					for _, n := range state.Closures {
--- a/internal/plan/snapshot.go
+++ b/internal/plan/snapshot.go
@@ -10,10 +10,10 @@
 // Snapshot is what a plan starts from: a core's state, from a live core or a
 // file.
 type Snapshot struct {
-	Desired string               `json:"desired"`
-	Emptied []string             `json:"emptied"`
-	Nodes   []membership.Node    `json:"nodes"`
-	Cores   []membership.Replica `json:"cores"`
+	Configuration  string               `json:"desired"`
+	EvacuatedZones []string             `json:"emptied"`
+	Nodes          []membership.Node    `json:"nodes"`
+	Replicas       []membership.Replica `json:"cores"`
 	// Windows are the coming maintenance windows.
 	Windows []maintenance.Occurrence `json:"windows,omitempty"`
 }
--- a/internal/process/document.go
+++ b/internal/process/document.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// documentWait is how long an operator's document may take to come. (ours)
-const documentWait = 30 * time.Second
+// documentTimeout is how long an operator's document may take to come. (ours)
+const documentTimeout = 30 * time.Second
 
 // DocumentError tells why a document was not read whole.
 type DocumentError struct {
@@ -24,20 +24,20 @@
 func (e *DocumentError) Error() string { return e.Message }
 
 // ReadDocument reads an operator's document of at most so many bytes, whole.
-func ReadDocument(w http.ResponseWriter, r *http.Request, most int64) ([]byte, *DocumentError) {
-	return readDocument(w, r, most, documentWait)
+func ReadDocument(w http.ResponseWriter, r *http.Request, maxBytes int64) ([]byte, *DocumentError) {
+	return readDocument(w, r, maxBytes, documentTimeout)
 }
 
-func readDocument(w http.ResponseWriter, r *http.Request, most int64, wait time.Duration) ([]byte, *DocumentError) {
+func readDocument(w http.ResponseWriter, r *http.Request, maxBytes int64, timeout time.Duration) ([]byte, *DocumentError) {
 	// net/http takes the deadline off again at the end of the body.
-	http.NewResponseController(w).SetReadDeadline(time.Now().Add(wait))
-	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, most))
+	http.NewResponseController(w).SetReadDeadline(time.Now().Add(timeout))
+	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBytes))
 	var big *http.MaxBytesError
 	switch {
 	case err == nil:
 		return b, nil
 	case errors.As(err, &big):
-		return nil, &DocumentError{http.StatusRequestEntityTooLarge, fmt.Sprintf("over %d bytes", most)}
+		return nil, &DocumentError{http.StatusRequestEntityTooLarge, fmt.Sprintf("over %d bytes", maxBytes)}
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return nil, &DocumentError{http.StatusRequestTimeout, "the body did not come in time"}
 	}
--- a/internal/process/webs.go
+++ b/internal/process/http_servers.go
@@ -10,46 +10,46 @@
 	"time"
 )
 
-// webs are the HTTP listeners of a process.
-type webs struct {
-	mu  sync.Mutex
-	all []*Web
+// httpServerList are the HTTP listeners of a process.
+type httpServerList struct {
+	mu      sync.Mutex
+	servers []*HTTPServer
 }
 
-func (ws *webs) add(w *Web) {
+func (ws *httpServerList) add(w *HTTPServer) {
 	ws.mu.Lock()
 	defer ws.mu.Unlock()
-	ws.all = append(ws.all, w)
+	ws.servers = append(ws.servers, w)
 }
 
-func (ws *webs) list() []*Web {
+func (ws *httpServerList) list() []*HTTPServer {
 	ws.mu.Lock()
 	defer ws.mu.Unlock()
-	return slices.Clone(ws.all)
+	return slices.Clone(ws.servers)
 }
 
-// PartAll parts with the clients of all listeners, side by side: idle connections get the
+// ShutdownHTTP parts with the clients of all listeners, side by side: idle connections get the
 // farewell, for as long as linger if new ones keep coming, and what was sent is answered until
 // ctx ends.
-func (p *Process) PartAll(ctx context.Context, linger time.Duration, farewell []byte) {
+func (p *Process) ShutdownHTTP(ctx context.Context, linger time.Duration, farewell []byte) {
 	parting, over := context.WithTimeout(ctx, linger)
 	defer over()
 	var all sync.WaitGroup
-	for _, w := range p.webs.list() {
+	for _, w := range p.httpServers.list() {
 		all.Add(1)
-		p.Launcher.Go(ctx, "part", func(ctx context.Context) {
+		p.Actors.Go(ctx, "part", func(ctx context.Context) {
 			defer all.Done()
-			w.Part(parting, farewell)
-			w.Stop(ctx)
+			w.CloseIdle(parting, farewell)
+			w.Shutdown(ctx)
 		})
 	}
 	all.Wait()
 }
 
-// Farewell writes the answer to whatever a client may be sending on an idle connection that
+// ClosingResponse writes the answer to whatever a client may be sending on an idle connection that
 // is about to be closed: 408, so that it knows that it was not heard. A client that sends
 // nothing takes it for the end of the connection. (DESIGN 11.3)
-func Farewell(header http.Header, body []byte) []byte {
+func ClosingResponse(header http.Header, body []byte) []byte {
 	header = header.Clone()
 	header.Set("Connection", "close")
 	resp := http.Response{
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -23,19 +23,19 @@
 
 // Process is the frame that a program hangs its parts in.
 type Process struct {
-	Name string
-	Boot uint64
-	Ring *ringlog.Ring
-	Log  *slog.Logger
-	// notices prints to standard output.
-	notices  *slog.Logger
-	Launcher *actor.Launcher
-	Net      *transport.Net
-	Host     *transport.Host
-	// Life ends all parts.
-	Life context.Context
-	end  context.CancelFunc
-	webs webs
+	Name        string
+	Incarnation uint64
+	LogRing     *ringlog.Ring
+	Log         *slog.Logger
+	// stdout prints to standard output.
+	stdout          *slog.Logger
+	Actors          *actor.Launcher
+	TransportClient *transport.Net
+	TransportServer *transport.Host
+	// Context ends all parts.
+	Context     context.Context
+	cancel      context.CancelFunc
+	httpServers httpServerList
 	// signals are those that came. They are taken from the start on: by its own, the runtime
 	// would end a process that already serves.
 	signals chan os.Signal
@@ -62,37 +62,37 @@
 		echo = os.Stderr
 	}
 	r := ringlog.New(s.LogLines, echo)
-	p := &Process{Name: name, Boot: rand.Uint64(), Ring: r, Log: slog.New(r), notices: slog.New(slog.NewTextHandler(os.Stdout, nil)), signals: make(chan os.Signal, 4)}
+	p := &Process{Name: name, Incarnation: rand.Uint64(), LogRing: r, Log: slog.New(r), stdout: slog.New(slog.NewTextHandler(os.Stdout, nil)), signals: make(chan os.Signal, 4)}
 	signal.Notify(p.signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
-	p.Life, p.end = context.WithCancel(context.Background())
-	p.Launcher = actor.New(p.Log, p.broken)
-	own := transport.Greeting{Version: transport.Version, Node: s.Advertise, Boot: p.Boot}
+	p.Context, p.cancel = context.WithCancel(context.Background())
+	p.Actors = actor.New(p.Log, p.failInvariant)
+	own := transport.Greeting{Version: transport.Version, Node: s.Advertise, Boot: p.Incarnation}
 	var from net.IP
 	if ap := netip.MustParseAddrPort(s.Wire); !ap.Addr().IsUnspecified() {
 		from = ap.Addr().AsSlice()
 	}
-	p.Net = transport.NewNet(p.Launcher, own, from)
-	p.Host = &transport.Host{Own: own, Launcher: p.Launcher, Handlers: map[string]transport.Handler{}}
+	p.TransportClient = transport.NewNet(p.Actors, own, from)
+	p.TransportServer = &transport.Host{Own: own, Launcher: p.Actors, Handlers: map[string]transport.Handler{}}
 	return p
 }
 
 // Notice logs a rare line that operators want to see, and prints it too.
 func (p *Process) Notice(message string, attributes ...any) {
 	p.Log.Info(message, attributes...)
-	p.notices.Info(message, attributes...)
+	p.stdout.Info(message, attributes...)
 }
 
-// broken ends the process over a broken invariant: the one thing that does.
-func (p *Process) broken(part string, cause any, stack []byte) {
+// failInvariant ends the process over a broken invariant: the one thing that does.
+func (p *Process) failInvariant(part string, cause any, stack []byte) {
 	p.Log.Error("broken invariant", "part", part, "cause", fmt.Sprint(cause))
-	p.Ring.WriteTo(os.Stderr)
+	p.LogRing.WriteTo(os.Stderr)
 	fmt.Fprintf(os.Stderr, "%s: broken invariant in %s: %v\n%s", p.Name, part, cause, stack)
 	os.Exit(3)
 }
 
-// Fail ends the process at its start, when it can't have what its settings say.
-func (p *Process) Fail(what string, err error) {
-	p.Ring.WriteTo(os.Stderr)
+// Fatal ends the process at its start, when it can't have what its settings say.
+func (p *Process) Fatal(what string, err error) {
+	p.LogRing.WriteTo(os.Stderr)
 	fmt.Fprintf(os.Stderr, "%s: %s: %v\n", p.Name, what, err)
 	os.Exit(1)
 }
@@ -101,13 +101,13 @@
 func (p *Process) Listen(what, addr string) net.Listener {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
-		p.Fail(what, err)
+		p.Fatal(what, err)
 	}
 	return ln
 }
 
-// Wait returns when the process is warned to stop; each SIGHUP calls reload.
-func (p *Process) Wait(reload func()) {
+// WaitForStop returns when the process is warned to stop; each SIGHUP calls reload.
+func (p *Process) WaitForStop(reload func()) {
 	for s := range p.signals {
 		if s != syscall.SIGHUP {
 			p.Log.Info("warned to stop", "signal", s.String())
@@ -117,16 +117,16 @@
 	}
 }
 
-// endLimit is how long parts may take to end once all that was handed over is done, or its
+// closeTimeout is how long parts may take to end once all that was handed over is done, or its
 // time is over: what is left of the grace time by then is short.
-const endLimit = 300 * time.Millisecond // (ours)
+const closeTimeout = 300 * time.Millisecond // (ours)
 
-// End ends all parts and waits for them, for endLimit at most.
-func (p *Process) End() {
-	p.end()
-	p.Launcher.Stop()
+// Close ends all parts and waits for them, for endLimit at most.
+func (p *Process) Close() {
+	p.cancel()
+	p.Actors.Stop()
 	select {
-	case <-p.Launcher.Idle():
-	case <-time.After(endLimit):
+	case <-p.Actors.Idle():
+	case <-time.After(closeTimeout):
 	}
 }
--- a/internal/process/process_test.go
+++ b/internal/process/process_test.go
@@ -23,7 +23,7 @@
 	reloads := make(chan bool, 9)
 	warned := make(chan bool)
 	go func() {
-		p.Wait(func() { reloads <- true })
+		p.WaitForStop(func() { reloads <- true })
 		close(warned)
 	}()
 	wait := func(what string, ch <-chan bool) {
--- a/internal/process/reload.go
+++ b/internal/process/reload.go
@@ -11,14 +11,14 @@
 
 // Reloader puts in force what a SIGHUP can, and shows what it could not.
 type Reloader struct {
-	Seeker *membership.Discovery
-	drain  atomic.Int64
-	last   atomic.Pointer[settings.Reloaded]
+	Discovery *membership.Discovery
+	drain     atomic.Int64
+	last      atomic.Pointer[settings.ReloadResult]
 }
 
 // Apply puts the reloadable settings in force.
 func (r *Reloader) Apply(c settings.Common) {
-	r.Seeker.SetSeeds(c.Seeds)
+	r.Discovery.SetSeeds(c.Seeds)
 	r.drain.Store(int64(c.Drain))
 }
 
@@ -28,14 +28,14 @@
 // Reload takes newly read settings next in place of old.
 func (r *Reloader) Reload(p *Process, old, next any, common settings.Common, exit settings.Exit) {
 	if exit.Now {
-		r.last.Store(&settings.Reloaded{Fault: exit.Text})
+		r.last.Store(&settings.ReloadResult{Fault: exit.Text})
 		p.Log.Error("settings were not reloaded", "fault", exit.Text)
 		return
 	}
-	diff := settings.Compare(old, next)
+	diff := settings.Diff(old, next)
 	r.Apply(common)
 	r.last.Store(&diff)
-	p.Log.Info("settings reloaded", "applied", diff.Applied, "needs_restart", diff.Restart)
+	p.Log.Info("settings reloaded", "applied", diff.Applied, "needs_restart", diff.NeedsRestart)
 }
 
 // ServeHTTP shows what the last SIGHUP came to.
--- a/internal/process/stop_test.go
+++ b/internal/process/stop_test.go
@@ -15,18 +15,18 @@
 	"curlewwalk/internal/actor"
 )
 
-// testFarewell is what a stopping server of these tests says.
-const testFarewell = "HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
+// testClosingResponse is what a stopping server of these tests says.
+const testClosingResponse = "HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 
-// heldListener accepts nothing until it is released: what connects meanwhile is taken on
+// blockedListener accepts nothing until it is released: what connects meanwhile is taken on
 // by the kernel alone.
-type heldListener struct {
+type blockedListener struct {
 	*net.TCPListener
 	released chan struct{}
 }
 
 // Accept implements net.Listener.
-func (l heldListener) Accept() (net.Conn, error) {
+func (l blockedListener) Accept() (net.Conn, error) {
 	<-l.released
 	return l.TCPListener.Accept()
 }
@@ -38,14 +38,14 @@
 	t.Cleanup(end)
 	launcher := actor.New(slog.New(slog.DiscardHandler), func(name string, cause any, stack []byte) { t.Errorf("%s: %v\n%s", name, cause, stack) })
 	t.Cleanup(launcher.Stop)
-	p := &Process{Life: life, Launcher: launcher}
+	p := &Process{Context: life, Actors: launcher}
 	web := p.Serve(ln, h)
 	return func() <-chan struct{} {
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			web.Part(life, []byte(testFarewell))
-			web.Stop(life)
+			web.CloseIdle(life, []byte(testClosingResponse))
+			web.Shutdown(life)
 		}()
 		return done
 	}
@@ -91,14 +91,14 @@
 // A client whose connection the kernel has taken on for a server that stops gets the
 // farewell, though the server's own thread had not come to accept it yet. (DESIGN 11.3)
 func TestStopWithPendingConnection(t *testing.T) {
-	ln := heldListener{listen(t), make(chan struct{})}
+	ln := blockedListener{listen(t), make(chan struct{})}
 	stop := serve(t, ln, http.NotFoundHandler())
 	c := dial(t, ln.Addr(), 1)
 	done := stop()
 	select {
 	case <-done:
 		t.Error("the server stopped with a connection pending")
-	case <-time.After(10 * stopPoll):
+	case <-time.After(10 * shutdownPollInterval):
 	}
 	close(ln.released)
 	if got := status(t, bufio.NewReader(c)); got != http.StatusRequestTimeout && got != http.StatusNotFound {
@@ -132,7 +132,7 @@
 	select {
 	case <-done:
 		t.Error("the server stopped while a request ran")
-	case <-time.After(10 * stopPoll):
+	case <-time.After(10 * shutdownPollInterval):
 	}
 	close(release)
 	if got := status(t, answers); got != http.StatusOK {
@@ -147,12 +147,12 @@
 func TestEndIsBounded(t *testing.T) {
 	life, end := context.WithCancel(context.Background())
 	launcher := actor.New(slog.New(slog.DiscardHandler), func(name string, cause any, stack []byte) { t.Errorf("%s: %v\n%s", name, cause, stack) })
-	p := &Process{Life: life, end: end, Launcher: launcher}
+	p := &Process{Context: life, cancel: end, Actors: launcher}
 	stuck := make(chan struct{})
 	defer close(stuck)
 	launcher.Go(life, "stuck", func(context.Context) { <-stuck })
 	began := time.Now()
-	p.End()
+	p.Close()
 	if took := time.Since(began); took > time.Second {
 		t.Errorf("the process went on for %v", took)
 	}
--- a/internal/process/client_connection.go
+++ b/internal/process/tracked_conn.go
@@ -10,25 +10,25 @@
 	"time"
 )
 
-// farewellLimit is how long a connection that was said farewell on may take to end.
-const farewellLimit = 500 * time.Millisecond // (ours)
+// closingTimeout is how long a connection that was said farewell on may take to end.
+const closingTimeout = 500 * time.Millisecond // (ours)
 
-// errFarewell tells a writer that the client got the farewell as its answer.
-var errFarewell = errors.New("the client was told that the node is stopping")
+// errClosing tells a writer that the client got the farewell as its answer.
+var errClosing = errors.New("the client was told that the node is stopping")
 
-// clientConnection is one client's connection. A farewell can be said on it while it is
+// trackedConn is one client's connection. A farewell can be said on it while it is
 // idle, in one step with what the client may be sending just then: either the request
 // was read first, and is answered; or the farewell stands, is its answer, and the request
 // is never run. (DESIGN 11.3)
-type clientConnection struct {
+type trackedConn struct {
 	net.Conn
 	mu      sync.Mutex
 	busy    bool // something was read since it was idle
-	leaving bool // the farewell was said
+	closing bool // the farewell was said
 }
 
 // Read implements net.Conn.
-func (c *clientConnection) Read(b []byte) (int, error) {
+func (c *trackedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if !c.noteRead(n) {
 		return n, err
@@ -42,59 +42,59 @@
 }
 
 // noteRead takes that so many bytes were read, and tells whether the farewell was said.
-func (c *clientConnection) noteRead(n int) (leaving bool) {
+func (c *trackedConn) noteRead(n int) (leaving bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.busy = c.busy || n > 0
-	return c.leaving
+	return c.closing
 }
 
 // Write implements net.Conn.
-func (c *clientConnection) Write(b []byte) (int, error) {
+func (c *trackedConn) Write(b []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.leaving {
-		return 0, errFarewell
+	if c.closing {
+		return 0, errClosing
 	}
 	return c.Conn.Write(b)
 }
 
 // SetReadDeadline implements net.Conn. The farewell's own deadline stays.
-func (c *clientConnection) SetReadDeadline(t time.Time) error {
+func (c *trackedConn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.leaving {
+	if c.closing {
 		return nil
 	}
 	return c.Conn.SetReadDeadline(t)
 }
 
-// begin takes that a request which was read is about to run; false if the farewell was
+// beginRequest takes that a request which was read is about to run; false if the farewell was
 // its answer. A client may send requests behind one another, so that the next is read
 // before the one before is answered.
-func (c *clientConnection) begin() bool {
+func (c *trackedConn) beginRequest() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.busy = true
-	return !c.leaving
+	return !c.closing
 }
 
-// idle notes that all that was begun is answered.
-func (c *clientConnection) idle() {
+// markIdle notes that all that was begun is answered.
+func (c *trackedConn) markIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.busy = false
 }
 
-// sayFarewell answers whatever the client may be sending, if the connection is idle.
-func (c *clientConnection) sayFarewell(farewell []byte) {
+// closeIfIdle answers whatever the client may be sending, if the connection is idle.
+func (c *trackedConn) closeIfIdle(farewell []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.busy || c.leaving {
+	if c.busy || c.closing {
 		return
 	}
-	c.leaving = true
-	c.Conn.SetDeadline(time.Now().Add(farewellLimit))
+	c.closing = true
+	c.Conn.SetDeadline(time.Now().Add(closingTimeout))
 	c.Conn.Write(farewell)
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
 		tcp.CloseWrite()
@@ -104,15 +104,15 @@
 // connectionKey finds a request's clientConnection in its context.
 type connectionKey struct{}
 
-// withConnection puts a connection into the context of its requests.
-func withConnection(ctx context.Context, c net.Conn) context.Context {
+// withTrackedConn puts a connection into the context of its requests.
+func withTrackedConn(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, connectionKey{}, c)
 }
 
-// unlessLeft runs requests by h, but for those whose answer was the farewell.
-func unlessLeft(h http.Handler) http.Handler {
+// rejectAfterClosing runs requests by h, but for those whose answer was the farewell.
+func rejectAfterClosing(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if c, ok := r.Context().Value(connectionKey{}).(*clientConnection); ok && !c.begin() {
+		if c, ok := r.Context().Value(connectionKey{}).(*trackedConn); ok && !c.beginRequest() {
 			panic(http.ErrAbortHandler) // ends the connection, which has its answer
 		}
 		h.ServeHTTP(w, r)
--- a/internal/settings/checker.go
+++ b/internal/settings/checker.go
@@ -12,7 +12,7 @@
 // checker collects what is wrong with settings.
 type checker struct{ faults []string }
 
-func (c *checker) bad(field string, value any, allowed string) {
+func (c *checker) addFault(field string, value any, allowed string) {
 	c.faults = append(c.faults, fmt.Sprintf("%s %q: must be %s", field, fmt.Sprint(value), allowed))
 }
 
@@ -21,25 +21,25 @@
 		return
 	}
 	if _, err := netip.ParseAddrPort(value); err != nil {
-		c.bad(field, value, "an IP address and port such as 10.0.0.7:7400")
+		c.addFault(field, value, "an IP address and port such as 10.0.0.7:7400")
 	}
 }
 
 func (c *checker) atLeast(field string, value, least int) {
 	if value < least {
-		c.bad(field, value, fmt.Sprintf("at least %d", least))
+		c.addFault(field, value, fmt.Sprintf("at least %d", least))
 	}
 }
 
 // duration checks that a duration is within bounds.
 func (c *checker) duration(field string, value, least, most time.Duration) {
 	if value < least || value > most {
-		c.bad(field, value, fmt.Sprintf("from %v to %v", least, brief(most)))
+		c.addFault(field, value, fmt.Sprintf("from %v to %v", least, formatBound(most)))
 	}
 }
 
-// brief formats a bound as a setting would be written: 1m in place of 1m0s.
-func brief(d time.Duration) string {
+// formatBound formats a bound as a setting would be written: 1m in place of 1m0s.
+func formatBound(d time.Duration) string {
 	if minutes, whole := strings.CutSuffix(d.String(), "m0s"); whole {
 		return minutes + "m"
 	}
@@ -49,25 +49,25 @@
 // share checks that a share is from 0 to a bound; NaN is not.
 func (c *checker) share(field string, value, most float64) {
 	if !(value >= 0 && value <= most) {
-		c.bad(field, value, fmt.Sprintf("from 0 to %v", most))
+		c.addFault(field, value, fmt.Sprintf("from 0 to %v", most))
 	}
 }
 
 func (c *checker) common(s *Common) {
 	if !config.IsValidName(s.Zone) {
-		c.bad("locality", s.Zone, config.NameRules)
+		c.addFault("locality", s.Zone, config.NameRules)
 	}
 	c.address("wire", s.Wire, true)
 	c.address("advertise", s.Advertise, false)
 	c.address("control", s.Control, true)
 	if len(s.Seeds) > 3 {
-		c.bad("seed", strings.Join(s.Seeds, " "), "at most three addresses")
+		c.addFault("seed", strings.Join(s.Seeds, " "), "at most three addresses")
 	}
 	for _, a := range s.Seeds {
 		c.address("seed", a, true)
 	}
 	if s.Drain < 0 {
-		c.bad("drain", s.Drain, "a duration of 0s or more")
+		c.addFault("drain", s.Drain, "a duration of 0s or more")
 	}
 	c.atLeast("log-lines", s.LogLines, 1)
 }
--- a/internal/settings/docs_test.go
+++ b/internal/settings/docs_test.go
@@ -7,11 +7,11 @@
 	"testing"
 )
 
-// names lists the names of a group's settings.
-func names(t reflect.Type) (out []string) {
+// settingNames lists the names of a group's settings.
+func settingNames(t reflect.Type) (out []string) {
 	for i := range t.NumField() {
 		if f := t.Field(i); f.Anonymous {
-			out = append(out, names(f.Type)...)
+			out = append(out, settingNames(f.Type)...)
 		} else if name := f.Tag.Get("long"); name != "" {
 			out = append(out, name)
 		}
@@ -20,14 +20,14 @@
 }
 
 // Each setting has its line in the operators' page.
-func TestEachSettingIsTold(t *testing.T) {
+func TestEachSettingIsDocumented(t *testing.T) {
 	page, err := os.ReadFile("../../docs/OPERATING.md")
 	if err != nil {
 		t.Fatal(err)
 	}
 	_, table, _ := strings.Cut(string(page), "| setting | for | meaning |")
 	table, _, _ = strings.Cut(table, "\n\n")
-	all := append(names(reflect.TypeFor[Core]()), names(reflect.TypeFor[Sidecar]())...)
+	all := append(settingNames(reflect.TypeFor[ControlPlane]()), settingNames(reflect.TypeFor[Sidecar]())...)
 	for _, name := range all {
 		told := false
 		for line := range strings.Lines(table) {
--- a/internal/settings/group.go
+++ b/internal/settings/group.go
@@ -5,7 +5,7 @@
 type Group struct {
 	Name string
 	Data any
-	// Fill, if set, is handed the program's settings once all is read, before they are
+	// Apply, if set, is handed the program's settings once all is read, before they are
 	// checked.
-	Fill func(read any)
+	Apply func(read any)
 }
--- a/internal/settings/read.go
+++ b/internal/settings/read.go
@@ -29,8 +29,8 @@
 		return failure(program, err.Error())
 	}
 	for _, group := range groups {
-		if group.Fill != nil {
-			group.Fill(settings)
+		if group.Apply != nil {
+			group.Apply(settings)
 		}
 	}
 	c := &checker{}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -90,7 +90,7 @@
 	} {
 		var exit Exit
 		if c.core {
-			_, exit = ReadCore(c.args)
+			_, exit = ReadControlPlane(c.args)
 		} else {
 			_, exit = ReadSidecar(c.args)
 		}
@@ -124,8 +124,8 @@
 	f := file(t, good)
 	old, _ := ReadSidecar([]string{"--settings", f})
 	next, _ := ReadSidecar([]string{"--settings", f, "--drain=9s", "--seed=10.0.0.9:1", "--inquiries=127.0.0.1:9"})
-	want := Reloaded{Applied: []string{"seed", "drain"}, Restart: []string{"inquiries"}}
-	if d := cmp.Diff(want, Compare(old, next)); d != "" {
+	want := ReloadResult{Applied: []string{"seed", "drain"}, NeedsRestart: []string{"inquiries"}}
+	if d := cmp.Diff(want, Diff(old, next)); d != "" {
 		t.Error(d)
 	}
 }
--- a/internal/settings/sidecar.go
+++ b/internal/settings/sidecar.go
@@ -7,11 +7,11 @@
 	"curlewwalk/internal/transport"
 )
 
-// largestBody leaves room in a frame for an attempt's headers and trailers.
-const largestBody = transport.MaxFrame - 4<<20
+// maxBodyLimit leaves room in a frame for an attempt's headers and trailers.
+const maxBodyLimit = transport.MaxFrame - 4<<20
 
-// usualBodies are the bytes of bodies held at a time, unless the settings say less.
-const usualBodies = 256 << 20 // (ours)
+// defaultBodyMemory are the bytes of bodies held at a time, unless the settings say less.
+const defaultBodyMemory = 256 << 20 // (ours)
 
 // Sidecar are the data plane's settings.
 type Sidecar struct {
@@ -58,18 +58,18 @@
 	c.duration("shun", s.Shun, 0, time.Minute)
 	c.duration("ramp", s.Ramp, 0, time.Minute)
 	if !(s.RampFrom > 0 && s.RampFrom <= 1) {
-		c.bad("ramp-from", s.RampFrom, "above 0 and at most 1")
+		c.addFault("ramp-from", s.RampFrom, "above 0 and at most 1")
 	}
 	if s.BodyMemory < s.MaxBody {
-		c.bad("body-memory", s.BodyMemory, "at least max-body")
+		c.addFault("body-memory", s.BodyMemory, "at least max-body")
 	}
 	if s.ServeOn < 0 {
-		c.bad("serve-on", s.ServeOn, "a duration of 0s or more")
+		c.addFault("serve-on", s.ServeOn, "a duration of 0s or more")
 	}
 	c.share("hold", s.Hold, 0.5)
 	c.share("crossing", s.Crossing, 1)
 	if s.ComeBack <= 0 {
-		c.bad("come-back", s.ComeBack, "a duration of more than 0s")
+		c.addFault("come-back", s.ComeBack, "a duration of more than 0s")
 	}
 	c.atLeast("extra-legs", s.ExtraAttempts, 0)
 	c.atLeast("trace-queue", s.TraceQueue, 1)
@@ -78,18 +78,18 @@
 // checkSizes checks the bounds on bodies and memory, and sets the one on all
 // bodies if it isn't given.
 func (s *Sidecar) checkSizes(c *checker) {
-	if s.MaxBody < 1<<10 || s.MaxBody > largestBody {
-		c.bad("max-body", s.MaxBody, fmt.Sprintf("1024 to %d", largestBody))
+	if s.MaxBody < 1<<10 || s.MaxBody > maxBodyLimit {
+		c.addFault("max-body", s.MaxBody, fmt.Sprintf("1024 to %d", maxBodyLimit))
 	}
 	if s.Memory != 0 && (s.Memory > 1<<30 || s.bodyShare() < s.MaxBody) {
-		c.bad("memory", s.Memory, "0, or at least 4 times max-body")
+		c.addFault("memory", s.Memory, "0, or at least 4 times max-body")
 	}
 	if s.BodyMemory != 0 {
 		return
 	}
-	s.BodyMemory = usualBodies
+	s.BodyMemory = defaultBodyMemory
 	if s.Memory > 0 {
-		s.BodyMemory = min(usualBodies, s.bodyShare())
+		s.BodyMemory = min(defaultBodyMemory, s.bodyShare())
 	}
 }
 
--- a/internal/tracestore/store.go
+++ b/internal/tracestore/store.go
@@ -21,9 +21,9 @@
 	Events []trace.Event `msgpack:"e"`
 }
 
-// Taken is the response to a batch: how many events were stored.
-type Taken struct {
-	N int `msgpack:"n"`
+// PublishReply is the response to a batch: how many events were stored.
+type PublishReply struct {
+	Stored int `msgpack:"n"`
 }
 
 // Query asks a core for the events that it has of a trace.
@@ -33,59 +33,59 @@
 
 // Store is a bounded store of events by trace, owned by the goroutine of Run.
 type Store struct {
-	in  chan []trace.Event
-	ask chan question
+	batches chan []trace.Event
+	lookups chan lookup
 }
 
-type question struct {
+type lookup struct {
 	id    trace.TraceID
 	reply chan []trace.Event
 }
 
 // NewStore makes a store.
 func NewStore() *Store {
-	return &Store{in: make(chan []trace.Event), ask: make(chan question)}
+	return &Store{batches: make(chan []trace.Event), lookups: make(chan lookup)}
 }
 
 // Run serves the store until ctx ends.
 func (s *Store) Run(ctx context.Context) {
-	kept := newTraces()
+	table := newTraceTable()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case batch := <-s.in:
-			kept.add(batch)
-		case q := <-s.ask:
-			q.reply <- slices.Clone(kept.byID[q.id])
+		case batch := <-s.batches:
+			table.add(batch)
+		case q := <-s.lookups:
+			q.reply <- slices.Clone(table.byID[q.id])
 		}
 	}
 }
 
-// Publish handles a Batch from the wire.
-func (s *Store) Publish(ctx context.Context, in transport.Request) (any, string) {
+// HandlePublish handles a Batch from the wire.
+func (s *Store) HandlePublish(ctx context.Context, in transport.Request) (any, string) {
 	var b Batch
 	if !in.Into(&b) {
 		return nil, "not a batch"
 	}
 	select {
-	case s.in <- b.Events:
-		return Taken{N: len(b.Events)}, ""
+	case s.batches <- b.Events:
+		return PublishReply{Stored: len(b.Events)}, ""
 	case <-ctx.Done():
 		return nil, "stopping"
 	}
 }
 
-// Trace handles a Query from the wire.
-func (s *Store) Trace(ctx context.Context, in transport.Request) (any, string) {
+// HandleQuery handles a Query from the wire.
+func (s *Store) HandleQuery(ctx context.Context, in transport.Request) (any, string) {
 	var q Query
 	if !in.Into(&q) {
 		return nil, "not a query"
 	}
-	w := question{id: q.Trace, reply: make(chan []trace.Event, 1)}
+	pending := lookup{id: q.Trace, reply: make(chan []trace.Event, 1)}
 	select {
-	case s.ask <- w:
-		return Batch{Events: <-w.reply}, ""
+	case s.lookups <- pending:
+		return Batch{Events: <-pending.reply}, ""
 	case <-ctx.Done():
 		return nil, "stopping"
 	}
--- a/internal/tracestore/traces.go
+++ b/internal/tracestore/table.go
@@ -9,22 +9,22 @@
 	maxEvents = 2000 // (ours)
 )
 
-// traces are the events of the newest traces. When there are too many traces, the
+// traceTable are the events of the newest traces. When there are too many traces, the
 // one that was first heard of goes.
-type traces struct {
+type traceTable struct {
 	byID map[trace.TraceID][]trace.Event
 	// order has the traces in the order in which they were first heard of.
 	order []trace.TraceID
 }
 
-func newTraces() *traces {
-	return &traces{byID: map[trace.TraceID][]trace.Event{}}
+func newTraceTable() *traceTable {
+	return &traceTable{byID: map[trace.TraceID][]trace.Event{}}
 }
 
 // add stores a batch of events. What is beyond the bound of a trace is dropped.
-func (t *traces) add(batch []trace.Event) {
+func (t *traceTable) add(batch []trace.Event) {
 	for _, event := range batch {
-		t.addOne(event)
+		t.addEvent(event)
 	}
 	for len(t.order) > maxTraces {
 		delete(t.byID, t.order[0])
@@ -32,7 +32,7 @@
 	}
 }
 
-func (t *traces) addOne(event trace.Event) {
+func (t *traceTable) addEvent(event trace.Event) {
 	events, known := t.byID[event.Trace]
 	if !known {
 		t.order = append(t.order, event.Trace)
--- a/internal/tracestore/tree_test.go
+++ b/internal/tracestore/tree_test.go
@@ -37,8 +37,8 @@
 			evs[i].Since = skew[evs[i].Node] + time.Duration(evs[i].Counter)*time.Millisecond
 		}
 		rng.Shuffle(len(evs), func(i, j int) { evs[i], evs[j] = evs[j], evs[i] })
-		tr := Build(trace.TraceID{Lo: 9}, evs)
-		if !tr.Whole || tr.Spans != 3 || len(tr.Roots) != 1 || len(tr.Roots[0].Children) != 2 {
+		tr := BuildTree(trace.TraceID{Lo: 9}, evs)
+		if !tr.Complete || tr.Spans != 3 || len(tr.Roots) != 1 || len(tr.Roots[0].Children) != 2 {
 			t.Fatalf("seed %d: %+v", seed, tr)
 		}
 		root := tr.Roots[0]
@@ -62,7 +62,7 @@
 	all := events()
 	for i := range all {
 		evs := append(append([]trace.Event{}, all[:i]...), all[i+1:]...)
-		if tr := Build(trace.TraceID{Lo: 9}, evs); tr.Whole {
+		if tr := BuildTree(trace.TraceID{Lo: 9}, evs); tr.Complete {
 			t.Errorf("without event %d the tree is called whole", i)
 		}
 	}
@@ -72,8 +72,8 @@
 			evs = append(evs, e)
 		}
 	}
-	tr := Build(trace.TraceID{Lo: 9}, evs)
-	if tr.Whole || len(tr.Roots) != 2 || !tr.Roots[0].Lost {
+	tr := BuildTree(trace.TraceID{Lo: 9}, evs)
+	if tr.Complete || len(tr.Roots) != 2 || !tr.Roots[0].ParentMissing {
 		t.Errorf("without the root: %+v", tr)
 	}
 }
--- a/tests/golden/documents_test.go
+++ b/tests/golden/documents_test.go
@@ -27,10 +27,10 @@
 		"evacuation":     &watch.DrainStatus{},
 		"directory":      &watch.Status{},
 		"trace":          &tracestore.Tree{},
-		"reload":         &settings.Reloaded{},
+		"reload":         &settings.ReloadResult{},
 		"fault":          &config.FieldViolation{},
 		"planner-state":  &plan.Snapshot{},
-		"planner-result": &plan.Moves{},
+		"planner-result": &plan.Impact{},
 	} {
 		t.Run(name, func(t *testing.T) { golden.Value(t, golden.JSON, "documents/"+name+".json", sample) })
 	}
--- a/tests/golden/live_test.go
+++ b/tests/golden/live_test.go
@@ -87,7 +87,7 @@
 		wire := freePort(t)
 		return settings.Common{Zone: "north", Wire: wire, Advertise: wire, Control: freePort(t), LogLines: 100}
 	}
-	coreSet := settings.Core{Common: common(), Slot: 1, Slots: 1, GoneAfter: time.Second, Data: t.TempDir()}
+	coreSet := settings.ControlPlane{Common: common(), Slot: 1, Slots: 1, GoneAfter: time.Second, Data: t.TempDir()}
 	controlplane.New(coreSet, nil)
 	sidecarSet := settings.Sidecar{
 		Common: common(), Requests: freePort(t), MaxBody: 1 << 20, BodyMemory: 1 << 24, ComeBack: time.Second,
--- a/tests/golden/wire_test.go
+++ b/tests/golden/wire_test.go
@@ -33,7 +33,7 @@
 		"configuration":    &config.ControlState{},
 		"seat":             &consensus.JoinRequest{},
 		"publish":          &tracestore.Batch{},
-		"publish-response": &tracestore.Taken{},
+		"publish-response": &tracestore.PublishReply{},
 		"trace":            &tracestore.Query{},
 		"hold":             &keyreplication.Entry{},
 		"hold-response":    &keyreplication.Held{},
--- a/tests/messages/messages_test.go
+++ b/tests/messages/messages_test.go
@@ -203,7 +203,7 @@
 
 func batch(b tracestore.Batch) {
 	for _, e := range b.Events {
-		tracestore.Build(e.Trace, b.Events)
+		tracestore.BuildTree(e.Trace, b.Events)
 	}
 }
 
--- a/tests/mutation/soak.go
+++ b/tests/mutation/soak.go
@@ -11,13 +11,13 @@
 	soaked(extra, "BUDGET", "internal/retrybudget/retry_budget.go", "if have < price {", "if have < -1<<40 {"),
 	soaked(emptied, "EVAC", "internal/dataplane/routing/table.go", "return t.emptied[zone] }", "return t.emptied[zone] && false }"),
 	soaked(force, "CONFIG", "internal/watch/event_log.go", "\tlog.state = &state\n\tlog.appendEvent(Event{State: &state})", "\tlog.state = &state"),
-	soaked(readBack, "CONFIG", "internal/controlplane/door.go", "state, ok := n.keeper.LinearizableRead(ctx, n.refresh)", "state, ok := n.keeper.Acceptor().State, ctx.Err() == nil"),
+	soaked(readBack, "CONFIG", "internal/controlplane/operator.go", "state, ok := n.replica.LinearizableRead(ctx, n.confirmCommitted)", "state, ok := n.replica.Acceptor().State, ctx.Err() == nil"),
 	soaked(force, "DENIED", "internal/dataplane/proxy/near.go", "return refuse(http.StatusServiceUnavailable, \"no configuration is known here yet\", time.Second)", "return refuse(http.StatusNotFound, \"no way takes this inquiry\", 0)"),
-	soaked(returns, "DUTY", "internal/controlplane/door.go", "if !n.keeper.Connected() || n.keeper.RecentlyResumed() {", "if n.keeper.Connected() || n.keeper.RecentlyResumed() {"),
+	soaked(returns, "DUTY", "internal/controlplane/operator.go", "if !n.replica.Connected() || n.replica.RecentlyResumed() {", "if n.replica.Connected() || n.replica.RecentlyResumed() {"),
 	soaked(returns, "RECOVER", "internal/watch/event_log.go", "StartupDelay = 700 * time.Millisecond", "StartupDelay = 17 * time.Second"),
 	soaked(left, "GONE", "internal/dataplane/proxy/near.go", "return watchClient(r.Context())", "return ignoreClient()"),
 	soaked(dropped, "LOST", "internal/dataplane/stop.go", "giveUpAt := warned.Add(drain - min(toAnswer, drain/4))", "giveUpAt := warned.Add(drain / 50)"),
-	soaked(dropped, "STOP", "internal/dataplane/stop.go", "\tn.p.End()\n", "\tn.p.End()\n\tselect {}\n"),
+	soaked(dropped, "STOP", "internal/dataplane/stop.go", "\tn.p.Close()\n", "\tn.p.Close()\n\tselect {}\n"),
 }
 
 // soaked is a defect that breaks a rule in the soak.
