--- a/internal/actor/launch_test.go
+++ b/internal/actor/launch_test.go
@@ -16,10 +16,10 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	s := trace.Root()
-	ctx = trace.With(ctx, s)
+	ctx = trace.ContextWithSpan(ctx, s)
 	got := make(chan trace.Span, 2)
 	note := func(ctx context.Context) {
-		c, _ := trace.From(ctx)
+		c, _ := trace.SpanFromContext(ctx)
 		got <- c
 	}
 	l.Go(ctx, "child", note)
--- a/internal/actor/launcher.go
+++ b/internal/actor/launcher.go
@@ -32,7 +32,7 @@
 
 // Go starts fn on its own goroutine with a copy of the caller's span.
 func (l *Launcher) Go(ctx context.Context, name string, fn func(ctx context.Context)) {
-	child := trace.CopySlot(ctx)
+	child := trace.CopySpan(ctx)
 	l.wg.Add(1)
 	go func() {
 		defer l.wg.Done()
--- a/internal/actor/mailbox.go
+++ b/internal/actor/mailbox.go
@@ -36,7 +36,7 @@
 
 // Send hands a message over with a copy of the sender's span; it never waits.
 func (m *Mailbox) Send(ctx context.Context, msg any) {
-	m.l.sys.Root.Send(m.pid, parcel{ctx: trace.CopySlot(context.WithoutCancel(ctx)), msg: msg})
+	m.l.sys.Root.Send(m.pid, parcel{ctx: trace.CopySpan(context.WithoutCancel(ctx)), msg: msg})
 }
 
 // Ask sends what build makes of a response channel and waits for the response.
--- a/internal/dataplane/causality/cause.go
+++ b/internal/dataplane/causality/cause.go
@@ -14,5 +14,5 @@
 	// Deadline is the latest among the candidates, so that a wrong link fails no call
 	// that has time left; zero if there are none. Rank is the highest among them.
 	Deadline time.Time
-	Rank     int
+	Priority int
 }
--- a/internal/dataplane/causality/book_test.go
+++ b/internal/dataplane/causality/correlator_test.go
@@ -10,7 +10,7 @@
 	"curlewwalk/internal/trace"
 )
 
-var runs = flag.Int("runs", 3000, "inquiries in a run of TestShareRight")
+var requestsPerRun = flag.Int("runs", 3000, "inquiries in a run of TestShareRight")
 
 type step struct {
 	at time.Duration
@@ -29,17 +29,17 @@
 	return x
 }
 
-// share runs a backend with a number of slots always busy: two ways with a
+// inferenceAccuracy runs a backend with a number of slots always busy: two ways with a
 // call each, of another way, at a time that varies threefold. It gives the
 // share of calls that were tied to their true cause.
-func share(seed uint64, slots int) (right float64, provenWrong int) {
+func inferenceAccuracy(seed uint64, slots int) (right float64, provenWrong int) {
 	rng := rand.New(rand.NewPCG(seed, 3))
 	var queue steps
-	b := NewBook()
+	b := NewCorrelator()
 	base := time.Now()
 	var now time.Duration
 	after := func(d time.Duration, do func()) { heap.Push(&queue, step{now + d, do}) }
-	made, good, left := 0, 0, *runs
+	made, good, left := 0, 0, *requestsPerRun
 	var begin func()
 	begin = func() {
 		if left--; left < 0 {
@@ -52,7 +52,7 @@
 		vary := func(d time.Duration) time.Duration { return d/2 + time.Duration(rng.Int64N(int64(d))) }
 		total := vary(work)
 		s := trace.Root()
-		b.Enter(Open{Span: s, Service: "orders", Route: route, Since: base.Add(now), Deadline: base.Add(now + time.Minute)})
+		b.Begin(OpenRequest{Span: s, Service: "orders", Route: route, StartedAt: base.Add(now), Deadline: base.Add(now + time.Minute)})
 		after(total/2, func() {
 			c := b.Link("orders", call, trace.Span{}, base.Add(now))
 			made++
@@ -62,7 +62,7 @@
 				provenWrong++
 			}
 			after(vary(inner)+total/2, func() {
-				b.Leave(s.ID)
+				b.End(s.ID)
 				begin()
 			})
 		})
@@ -80,14 +80,14 @@
 
 // How many calls are tied to their true cause when nothing is passed along, by
 // how many requests the backend works on at a time.
-func TestShareRight(t *testing.T) {
+func TestInferenceAccuracy(t *testing.T) {
 	for _, c := range []struct {
 		slots int
 		least float64
 	}{{1, 1}, {2, 0.88}, {4, 0.7}, {9, 0.33}} {
 		sum := 0.0
 		for seed := range uint64(5) {
-			right, provenWrong := share(seed, c.slots)
+			right, provenWrong := inferenceAccuracy(seed, c.slots)
 			sum += right / 5
 			if provenWrong > 0 {
 				t.Errorf("%d slots: %d wrong links were called proven", c.slots, provenWrong)
@@ -103,15 +103,15 @@
 // A call with several likely causes gets the latest of their deadlines, so that a
 // wrong link fails no call that has time left, and the highest of their ranks.
 func TestLatestDeadline(t *testing.T) {
-	b, now := NewBook(), time.Now()
+	b, now := NewCorrelator(), time.Now()
 	soon, late := trace.Root(), trace.Root()
-	b.Enter(Open{Span: soon, Service: "s", Route: "w", Rank: 3, Since: now, Deadline: now.Add(10 * time.Millisecond)})
-	b.Enter(Open{Span: late, Service: "s", Route: "w", Rank: 1, Since: now, Deadline: now.Add(time.Second)})
+	b.Begin(OpenRequest{Span: soon, Service: "s", Route: "w", Priority: 3, StartedAt: now, Deadline: now.Add(10 * time.Millisecond)})
+	b.Begin(OpenRequest{Span: late, Service: "s", Route: "w", Priority: 1, StartedAt: now, Deadline: now.Add(time.Second)})
 	c := b.Link("s", "call", trace.Span{}, now.Add(time.Millisecond))
-	if !c.Deadline.Equal(now.Add(time.Second)) || c.Rank != 1 || len(c.Candidates) != 2 {
+	if !c.Deadline.Equal(now.Add(time.Second)) || c.Priority != 1 || len(c.Candidates) != 2 {
 		t.Errorf("%+v", c)
 	}
-	if c := b.Link("s", "call", soon, now); !c.Deadline.Equal(now.Add(10*time.Millisecond)) || c.Rank != 3 || c.Link != trace.LinkProven {
+	if c := b.Link("s", "call", soon, now); !c.Deadline.Equal(now.Add(10*time.Millisecond)) || c.Priority != 3 || c.Link != trace.LinkProven {
 		t.Errorf("proven: %+v", c)
 	}
 }
--- a/internal/dataplane/causality/mingled_test.go
+++ b/internal/dataplane/causality/mixed_traffic_test.go
@@ -12,11 +12,11 @@
 // come its own calls and clients' requests of three kinds, one of which has less time
 // left than what is open. After a while clients' requests are tied to nothing, and most
 // calls to their true cause.
-func TestMingled(t *testing.T) {
+func TestMixedTraffic(t *testing.T) {
 	clients, wrong, calls, right := 0, 0, 0, 0
 	for seed := range uint64(8) {
 		rng := rand.New(rand.NewPCG(seed, 9))
-		b, base := NewBook(), time.Now()
+		b, base := NewCorrelator(), time.Now()
 		type run struct {
 			span     trace.Span
 			call, to time.Duration
@@ -26,13 +26,13 @@
 			at := base.Add(now)
 			if len(open) < 9 && rng.IntN(50) == 0 {
 				s, work := trace.Root(), 80*time.Millisecond+time.Duration(rng.Int64N(int64(160*time.Millisecond)))
-				b.Enter(Open{Span: s, Service: "home", Route: "browse", Since: at, Deadline: at.Add(1800 * time.Millisecond)})
+				b.Begin(OpenRequest{Span: s, Service: "home", Route: "browse", StartedAt: at, Deadline: at.Add(1800 * time.Millisecond)})
 				open = append(open, run{span: s, call: now + (work / 2).Truncate(time.Millisecond), to: now + work})
 			}
 			kept := open[:0]
 			for _, r := range open {
 				if r.call == now {
-					if c := b.Mingled("home", "check", trace.Span{}, 500*time.Millisecond, at); now > 20*time.Second {
+					if c := b.LinkMixed("home", "check", trace.Span{}, 500*time.Millisecond, at); now > 20*time.Second {
 						calls++
 						if c.Parent.ID == r.span.ID {
 							right++
@@ -40,7 +40,7 @@
 					}
 				}
 				if r.to <= now {
-					b.Leave(r.span.ID)
+					b.End(r.span.ID)
 					continue
 				}
 				kept = append(kept, r)
@@ -53,7 +53,7 @@
 				if rng.IntN(60) > 0 {
 					continue
 				}
-				if c := b.Mingled("home", c.route, trace.Span{}, c.left, at); now > 20*time.Second {
+				if c := b.LinkMixed("home", c.route, trace.Span{}, c.left, at); now > 20*time.Second {
 					clients++
 					if !c.Parent.IsZero() {
 						wrong++
--- a/internal/dataplane/causality/open.go
+++ b/internal/dataplane/causality/open_request.go
@@ -8,14 +8,14 @@
 	"curlewwalk/internal/trace"
 )
 
-// Open is a request that a backend is working on.
-type Open struct {
-	Span     trace.Span
-	Service  string
-	Route    string
-	Rank     int
-	Since    time.Time
-	Deadline time.Time
+// OpenRequest is a request that a backend is working on.
+type OpenRequest struct {
+	Span      trace.Span
+	Service   string
+	Route     string
+	Priority  int
+	StartedAt time.Time
+	Deadline  time.Time
 	// calls counts, by way, the outgoing calls surely tied to it.
 	calls map[string]float64
 	ended bool
--- a/internal/dataplane/causality/keeper_test.go
+++ b/internal/dataplane/causality/tracker_test.go
@@ -9,16 +9,16 @@
 )
 
 // What is still running when the process's parts have ended can end as well.
-func TestKeeperHasEnded(t *testing.T) {
+func TestTrackerHasEnded(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	k := NewKeeper()
-	k.Run(ctx)
+	tracker := NewTracker()
+	tracker.Run(ctx)
 	done := make(chan Cause)
 	go func() {
-		k.Enter(context.Background(), Open{})
-		k.Leave(trace.NewID())
-		done <- k.Link(context.Background(), "desk", "once", trace.Span{})
+		tracker.Begin(context.Background(), OpenRequest{})
+		tracker.End(trace.NewID())
+		done <- tracker.Link(context.Background(), "desk", "once", trace.Span{})
 	}()
 	select {
 	case c := <-done:
--- a/internal/dataplane/control.go
+++ b/internal/dataplane/control.go
@@ -101,7 +101,7 @@
 		return false, "stopping"
 	case !n.known():
 		return false, "no core followed yet, and no other sidecar has a configuration"
-	case !n.set.NoKeys && !n.near.Custody.Settled():
+	case !n.set.NoKeys && !n.near.Custody.RepairComplete():
 		return false, "claims on keys are still being handed over"
 	}
 	return true, "serving"
@@ -151,9 +151,9 @@
 func (n *Node) backends(w http.ResponseWriter, _ *http.Request) {
 	now := time.Now()
 	out := []entryView{}
-	for _, e := range n.steward.roster.Load().Entries() {
+	for _, e := range n.steward.roster.Load().Endpoints() {
 		addr, _ := n.outgoing.addr(e.Service)
-		out = append(out, entryView{Backend: e.Backend, Age: now.Sub(e.Heard).String(), Open: e.Desk.Open(), Limit: n.far.Limit(e, now), Outgoing: addr})
+		out = append(out, entryView{Backend: e.Backend, Age: now.Sub(e.LastHeartbeat).String(), Open: e.Admission.Outstanding(), Limit: n.far.Limit(e, now), Outgoing: addr})
 	}
 	process.JSON(w, http.StatusOK, out)
 }
@@ -161,8 +161,8 @@
 // budgets shows the budgets of all contracts in force, summed over all nodes if
 // a core has told the sums lately.
 func (n *Node) budgets(w http.ResponseWriter, _ *http.Request) {
-	sums, whole := n.steward.budgets.Sums()
-	process.JSON(w, http.StatusOK, retrybudget.Answer{Whole: whole, Budgets: n.steward.table.Load().Pages(sums)})
+	sums, whole := n.steward.budgets.Totals()
+	process.JSON(w, http.StatusOK, retrybudget.BudgetList{Complete: whole, Budgets: n.steward.table.Load().Pages(sums)})
 }
 
 func (n *Node) stats() stats {
@@ -171,7 +171,7 @@
 	return stats{
 		Node: n.set.Advertise, Boot: n.p.Incarnation, Zone: n.set.Zone, Stamp: n.steward.table.Load().Stamp, Follows: f,
 		NewsAge: time.Since(f.Since).String(), ClaimAge: n.steward.claim.Age(time.Now()).String(), Claimed: n.claimed(), Cores: n.seeker.Replicas().Observed(), Near: n.near.Counts.Read(), Far: n.far.Counts.Read(),
-		Trace: n.queue.Stats(), Draining: n.draining.Load(), Closed: n.closed.Load(), ExtraAttempts: n.steward.retryBudgets.Held(),
-		Held: held, Settled: settled, HandedOver: n.near.Custody.Ready(), Bodies: [2]int64{n.near.Bodies.Held(), n.far.Bodies.Held()},
+		Trace: n.queue.Stats(), Draining: n.draining.Load(), Closed: n.closed.Load(), ExtraAttempts: n.steward.retryBudgets.Balances(),
+		Held: held, Settled: settled, HandedOver: n.near.Custody.Recovered(), Bodies: [2]int64{n.near.Bodies.Held(), n.far.Bodies.Held()},
 	}
 }
--- a/internal/dataplane/departures.go
+++ b/internal/dataplane/departures.go
@@ -46,17 +46,17 @@
 }
 
 // announced compares a roster before and after an announcement.
-func (d *departures) announced(a endpoints.Announcement, before, after endpoints.Roster) {
-	entry, _ := before.Entry(a.Instance)
+func (d *departures) announced(a endpoints.Announcement, before, after endpoints.Registry) {
+	entry, _ := before.Lookup(a.Instance)
 	switch {
-	case before.Departed(a.Instance) && !a.Leaving:
-		d.note(wordLate, a.Instance, "count", a.Count)
-	case after.Doubted(a.Instance):
-		d.note(wordDoubted, a.Instance, "count", a.Count)
-	case entry.Overtakes(a):
-		d.note(wordOvertaken, a.Instance, "count", a.Count)
-	case !before.Departed(a.Instance) && after.Departed(a.Instance):
-		d.note(wordLeaving, a.Instance, "by", "announcement", "count", a.Count)
+	case before.HasDeparted(a.Instance) && !a.Draining:
+		d.note(wordLate, a.Instance, "count", a.Sequence)
+	case after.IsUnconfirmed(a.Instance):
+		d.note(wordDoubted, a.Instance, "count", a.Sequence)
+	case entry.Supersedes(a):
+		d.note(wordOvertaken, a.Instance, "count", a.Sequence)
+	case !before.HasDeparted(a.Instance) && after.HasDeparted(a.Instance):
+		d.note(wordLeaving, a.Instance, "by", "announcement", "count", a.Sequence)
 	}
 }
 
--- a/internal/dataplane/endpoints/announcement.go
+++ b/internal/dataplane/endpoints/announcement.go
@@ -19,34 +19,34 @@
 	Zone     string  `json:"locality"`
 	Capacity int     `json:"capacity"`
 	Warmup   *Warmup `json:"warmup"`
-	Leaving  bool    `json:"leaving"`
-	// Count rises with each announcement of an instance, so that an overtaken one is
+	Draining bool    `json:"leaving"`
+	// Sequence rises with each announcement of an instance, so that an overtaken one is
 	// known; zero if it does not say.
-	Count uint64 `json:"count,omitempty"`
+	Sequence uint64 `json:"count,omitempty"`
 }
 
 // Warmup is how much of its capacity a cold backend can bear now, and how long
 // until it can bear all of it; or how much longer it bears only its service's rate.
 type Warmup struct {
-	Share float64 `json:"share"`
-	Ramp  string  `json:"ramp"`
-	Left  string  `json:"left"`
+	Share     float64 `json:"share"`
+	Ramp      string  `json:"ramp"`
+	Remaining string  `json:"left"`
 }
 
-// mostLeft bounds for how long a backend may say that it is cold. (ours)
-const mostLeft = time.Hour
+// maxWarmup bounds for how long a backend may say that it is cold. (ours)
+const maxWarmup = time.Hour
 
-// mostCapacity bounds what a backend may say that it can bear. (ours)
-const mostCapacity = 100000
+// maxCapacity bounds what a backend may say that it can bear. (ours)
+const maxCapacity = 100000
 
-// faults collects what is wrong with an announcement, in words for its sender.
-type faults []string
+// violations collects what is wrong with an announcement, in words for its sender.
+type violations []string
 
-func (f *faults) add(format string, args ...any) { *f = append(*f, fmt.Sprintf(format, args...)) }
+func (f *violations) add(format string, args ...any) { *f = append(*f, fmt.Sprintf(format, args...)) }
 
-// check lists what is wrong and reads the warmup.
-func (a *Announcement) check() (share float64, ramp, left time.Duration, wrong []string) {
-	var f faults
+// validate lists what is wrong and reads the warmup.
+func (a *Announcement) validate() (share float64, ramp, remaining time.Duration, wrong []string) {
+	var f violations
 	if a.Instance == "" || len(a.Instance) > 128 {
 		f.add("instance: must have 1 to 128 bytes")
 	}
@@ -56,8 +56,8 @@
 	if addr, err := netip.ParseAddrPort(a.Address); err != nil || addr.Port() == 0 {
 		f.add("address: %q is no IP address and port", a.Address)
 	}
-	if a.Capacity < 1 || a.Capacity > mostCapacity {
-		f.add("capacity: %d is not from 1 to %d", a.Capacity, mostCapacity)
+	if a.Capacity < 1 || a.Capacity > maxCapacity {
+		f.add("capacity: %d is not from 1 to %d", a.Capacity, maxCapacity)
 	}
 	if a.Zone != "" && !config.IsValidName(a.Zone) {
 		f.add("locality: %q must be %s", a.Zone, config.NameRules)
@@ -65,15 +65,15 @@
 	if a.Warmup == nil {
 		return 1, 0, 0, f
 	}
-	share, ramp, left = a.Warmup.read(&f)
-	return share, ramp, left, f
+	share, ramp, remaining = a.Warmup.parse(&f)
+	return share, ramp, remaining, f
 }
 
-// read reads the share of its capacity that the backend can bear now, how long
+// parse reads the share of its capacity that the backend can bear now, how long
 // until it can bear all of it, and how much longer it bears only its service's rate.
-func (w *Warmup) read(f *faults) (share float64, ramp, left time.Duration) {
+func (w *Warmup) parse(f *violations) (share float64, ramp, remaining time.Duration) {
 	share = w.Share
-	if share == 0 && w.Left != "" {
+	if share == 0 && w.Remaining != "" {
 		share = 1
 	}
 	if math.IsNaN(share) || share <= 0 || share > 1 {
@@ -86,11 +86,11 @@
 			f.add("warmup.ramp: %q is no duration", w.Ramp)
 		}
 	}
-	if w.Left != "" {
-		left, err = time.ParseDuration(w.Left)
-		if err != nil || left < 0 || left > mostLeft {
-			f.add("warmup.left: %q is no duration of at most %v", w.Left, mostLeft)
+	if w.Remaining != "" {
+		remaining, err = time.ParseDuration(w.Remaining)
+		if err != nil || remaining < 0 || remaining > maxWarmup {
+			f.add("warmup.left: %q is no duration of at most %v", w.Remaining, maxWarmup)
 		}
 	}
-	return share, ramp, left
+	return share, ramp, remaining
 }
--- a/internal/dataplane/endpoints/line_test.go
+++ b/internal/dataplane/endpoints/queue_test.go
@@ -10,10 +10,10 @@
 // Under seeded overload, with limits that change: never more run than the limit
 // let in, nobody is let in past the time in which it could be served, and a
 // lower rank is never let in while a higher one waits.
-func TestLine(t *testing.T) {
+func TestAdmissionQueue(t *testing.T) {
 	for seed := range uint64(50) {
 		rng := rand.New(rand.NewPCG(seed, 5))
-		var l Line
+		var l AdmissionQueue
 		type bid struct {
 			rank   int
 			giveUp time.Duration
@@ -22,8 +22,8 @@
 		var ends []time.Duration
 		ran, refused, waited := 0, 0, 0
 		limit := int64(4)
-		take := func(s Shift, now time.Duration) {
-			for _, id := range s.Run {
+		take := func(transition Transition, now time.Duration) {
+			for _, id := range transition.Started {
 				b := waiting[id]
 				delete(waiting, id)
 				if now > b.giveUp {
@@ -38,11 +38,11 @@
 				ran++
 				waited++
 			}
-			for _, id := range s.Refused {
+			for _, id := range transition.Rejected {
 				delete(waiting, id)
 				refused++
 			}
-			if len(s.Run) > 0 && int64(len(ends)) > limit {
+			if len(transition.Started) > 0 && int64(len(ends)) > limit {
 				t.Fatalf("seed %d: %d run under a limit of %d", seed, len(ends), limit)
 			}
 		}
@@ -61,30 +61,30 @@
 			}
 			ends = kept
 			for range over {
-				take(l.Done("w", 20*time.Millisecond, limit, now), now)
+				take(l.Finish("w", 20*time.Millisecond, limit, now), now)
 			}
 			if rng.IntN(3) > 0 {
-				b := Bid{Rank: 1 + rng.IntN(3), Route: "w", Left: time.Duration(rng.Int64N(int64(150 * time.Millisecond)))}
-				v, id, back, s := l.Ask(b, limit, now)
+				request := QueueRequest{Priority: 1 + rng.IntN(3), Route: "w", Remaining: time.Duration(rng.Int64N(int64(150 * time.Millisecond)))}
+				v, id, back, transition := l.Enqueue(request, limit, now)
 				switch v {
-				case Run:
+				case Start:
 					if int64(len(ends)) >= limit {
 						t.Fatalf("seed %d: let in beyond the limit", seed)
 					}
 					ends = append(ends, now+20*time.Millisecond)
 					ran++
 				case Wait:
-					waiting[id] = bid{rank: b.Rank, giveUp: now + b.Left}
-				case Refuse:
+					waiting[id] = bid{rank: request.Priority, giveUp: now + request.Remaining}
+				case Reject:
 					refused++
-					if l.mean > 0 && back <= 0 {
+					if l.meanDuration > 0 && back <= 0 {
 						t.Fatalf("seed %d: refused without a time to come back", seed)
 					}
 				}
-				take(s, now)
+				take(transition, now)
 			}
-			if l.Full() != int64(len(ends)+len(waiting)) {
-				t.Fatalf("seed %d: the line counts %d, there are %d and %d", seed, l.Full(), len(ends), len(waiting))
+			if l.Len() != int64(len(ends)+len(waiting)) {
+				t.Fatalf("seed %d: the line counts %d, there are %d and %d", seed, l.Len(), len(ends), len(waiting))
 			}
 		}
 		if ran == 0 || refused == 0 || waited == 0 {
@@ -96,42 +96,42 @@
 // One who can only be late stands aside, behind all who can be in time, whatever their
 // rank, and is let in as long as it is worth something; who says that late is worth
 // nothing is refused at once. Within a rank, who has to begin first goes first.
-func TestAside(t *testing.T) {
+func TestOverdueWaiters(t *testing.T) {
 	const ms = time.Millisecond
-	var l Line
-	bid := func(rank int, left, last time.Duration, now time.Duration) (Verdict, uint64) {
-		v, id, _, s := l.Ask(Bid{Rank: rank, Route: "w", Left: left, Last: last}, 1, now)
-		if len(s.Run) > 0 || len(s.Refused) > 0 {
-			t.Errorf("asking shifted %+v", s)
+	var l AdmissionQueue
+	bid := func(rank int, left, last time.Duration, now time.Duration) (QueueDecision, uint64) {
+		v, id, _, transition := l.Enqueue(QueueRequest{Priority: rank, Route: "w", Remaining: left, LateRemaining: last}, 1, now)
+		if len(transition.Started) > 0 || len(transition.Rejected) > 0 {
+			t.Errorf("asking shifted %+v", transition)
 		}
 		return v, id
 	}
 	bid(1, ms, 0, 0)
-	l.Done("w", 100*ms, 1, 0) // a run takes 100 ms
-	if v, _ := bid(1, 100*ms, 0, 0); v != Run {
+	l.Finish("w", 100*ms, 1, 0) // a run takes 100 ms
+	if v, _ := bid(1, 100*ms, 0, 0); v != Start {
 		t.Fatal("the first does not run")
 	}
-	if v, _ := bid(1, 150*ms, 0, 0); v != Refuse {
+	if v, _ := bid(1, 150*ms, 0, 0); v != Reject {
 		t.Error("one that can't be in time waits")
 	}
 	_, late := bid(1, 150*ms, 900*ms, 0)
 	_, soon := bid(2, 500*ms, 900*ms, 0)
 	_, sooner := bid(2, 400*ms, 900*ms, 0)
 	_, dead := bid(3, 10*ms, 810*ms, 0)
-	if l.Full() != 5 {
-		t.Errorf("%d stand in line", l.Full())
+	if l.Len() != 5 {
+		t.Errorf("%d stand in line", l.Len())
 	}
 	var order []uint64
 	for now := 150 * ms; now <= 750*ms; now += 150 * ms {
-		s := l.Done("w", 100*ms, 1, now)
-		order = append(order, s.Run...)
-		for _, id := range s.Refused {
+		transition := l.Finish("w", 100*ms, 1, now)
+		order = append(order, transition.Started...)
+		for _, id := range transition.Rejected {
 			if id != dead || now <= 405*ms {
 				t.Errorf("%d was refused at %v", id, now)
 			}
 		}
 	}
-	if v, _ := bid(3, 10*ms, 40*ms, 750*ms); v != Run {
+	if v, _ := bid(3, 10*ms, 40*ms, 750*ms); v != Start {
 		t.Error("an empty line refuses")
 	}
 	if want := []uint64{sooner, soon, late}; !slices.Equal(order, want) {
@@ -140,23 +140,23 @@
 }
 
 // Within a rank a short run goes before a long one, though that has to begin first.
-func TestShortFirst(t *testing.T) {
+func TestShortRunsFirst(t *testing.T) {
 	const ms = time.Millisecond
-	var l Line
+	var l AdmissionQueue
 	for _, r := range []struct {
 		route string
 		took  time.Duration
 	}{{"short", 40 * ms}, {"long", 200 * ms}} {
-		l.Ask(Bid{Rank: 1, Route: r.route, Left: time.Second}, 1, 0)
-		l.Done(r.route, r.took, 1, 0)
+		l.Enqueue(QueueRequest{Priority: 1, Route: r.route, Remaining: time.Second}, 1, 0)
+		l.Finish(r.route, r.took, 1, 0)
 	}
-	l.Ask(Bid{Rank: 1, Route: "long", Left: time.Second}, 1, 0)
-	_, long, _, _ := l.Ask(Bid{Rank: 1, Route: "long", Left: 700 * ms}, 1, 0)
-	_, short, _, _ := l.Ask(Bid{Rank: 1, Route: "short", Left: 900 * ms}, 1, 0)
-	_, first, _, _ := l.Ask(Bid{Rank: 0, Route: "long", Left: 900 * ms}, 1, 0)
+	l.Enqueue(QueueRequest{Priority: 1, Route: "long", Remaining: time.Second}, 1, 0)
+	_, long, _, _ := l.Enqueue(QueueRequest{Priority: 1, Route: "long", Remaining: 700 * ms}, 1, 0)
+	_, short, _, _ := l.Enqueue(QueueRequest{Priority: 1, Route: "short", Remaining: 900 * ms}, 1, 0)
+	_, first, _, _ := l.Enqueue(QueueRequest{Priority: 0, Route: "long", Remaining: 900 * ms}, 1, 0)
 	var order []uint64
 	for range 3 {
-		order = append(order, l.Done("long", 200*ms, 1, 100*ms).Run...)
+		order = append(order, l.Finish("long", 200*ms, 1, 100*ms).Started...)
 	}
 	if want := []uint64{first, short, long}; !slices.Equal(order, want) {
 		t.Errorf("ran %v, want %v", order, want)
@@ -164,24 +164,24 @@
 }
 
 // A run that was stopped frees its place, and nothing is learned of it.
-func TestAbandon(t *testing.T) {
+func TestCancelFreesSlot(t *testing.T) {
 	const ms = time.Millisecond
-	var l Line
-	l.Done("w", 100*ms, 1, 0)
-	l.open = 0
-	mean, cost := l.mean, l.costs["w"]
-	bid := Bid{Route: "w", Left: time.Second}
-	if v, _, _, _ := l.Ask(bid, 1, 0); v != Run {
+	var l AdmissionQueue
+	l.Finish("w", 100*ms, 1, 0)
+	l.running = 0
+	mean, cost := l.meanDuration, l.durations["w"]
+	bid := QueueRequest{Route: "w", Remaining: time.Second}
+	if v, _, _, _ := l.Enqueue(bid, 1, 0); v != Start {
 		t.Fatalf("the first: %v", v)
 	}
-	v, second, _, _ := l.Ask(bid, 1, 0)
+	v, second, _, _ := l.Enqueue(bid, 1, 0)
 	if v != Wait {
 		t.Fatalf("the second: %v", v)
 	}
-	if s := l.Abandon(1, ms); len(s.Run) != 1 || s.Run[0] != second || l.Full() != 1 {
-		t.Errorf("%+v, %d in all", s, l.Full())
+	if transition := l.Cancel(1, ms); len(transition.Started) != 1 || transition.Started[0] != second || l.Len() != 1 {
+		t.Errorf("%+v, %d in all", transition, l.Len())
 	}
-	if l.mean != mean || l.costs["w"] != cost {
-		t.Errorf("it learned %v %+v, had %v %+v", l.mean, l.costs["w"], mean, cost)
+	if l.meanDuration != mean || l.durations["w"] != cost {
+		t.Errorf("it learned %v %+v, had %v %+v", l.meanDuration, l.durations["w"], mean, cost)
 	}
 }
--- a/internal/dataplane/idempotency/table_test.go
+++ b/internal/dataplane/idempotency/table_test.go
@@ -26,21 +26,21 @@
 			now += time.Duration(rng.Int64N(int64(500 * time.Millisecond)))
 			key := Key{Text: fmt.Sprint(rng.IntN(400))}
 			m := known[key]
-			if m != nil && m.done && now-m.at > HeldFor {
+			if m != nil && m.done && now-m.at > Retention {
 				m = nil
 			}
 			told := false
-			table.Lay(key, Print{}, now, func(a Answer[int]) {
+			table.Reserve(key, Fingerprint{}, now, func(a Result[int]) {
 				told = true
 				switch {
-				case a.Verdict == First && m == nil:
+				case a.Decision == Proceed && m == nil:
 					firsts++
 					known[key] = &model{}
-				case a.Verdict == Repeat && !a.Again && m != nil && a.Response == known[key].response:
+				case a.Decision == Replay && !a.Retry && m != nil && a.Response == known[key].response:
 					repeats++
-				case a.Verdict == Gone && m != nil && m.done:
+				case a.Decision == ResponseEvicted && m != nil && m.done:
 					gone++
-				case a.Again:
+				case a.Retry:
 				default:
 					t.Fatalf("seed %d: %+v of %+v", seed, a, m)
 				}
@@ -49,15 +49,15 @@
 				t.Fatalf("seed %d: told at once %v, of %+v", seed, told, m)
 			}
 			if m := known[key]; m != nil && !m.done && rng.IntN(3) > 0 {
-				m.response = rng.IntN(maxBytes / 20)
+				m.response = rng.IntN(maxResponseBytes / 20)
 				keep := rng.IntN(4) > 0
 				if m.done, m.at = keep, now; !keep {
 					delete(known, key)
 				}
-				table.Finish(key, m.response, keep, now)
+				table.Complete(key, m.response, keep, now)
 			}
-			if table.bytes > maxBytes || table.bytes < 0 {
-				t.Fatalf("seed %d: %d bytes are kept", seed, table.bytes)
+			if table.responseBytes > maxResponseBytes || table.responseBytes < 0 {
+				t.Fatalf("seed %d: %d bytes are kept", seed, table.responseBytes)
 			}
 		}
 		if firsts == 0 || repeats == 0 || gone == 0 {
@@ -65,10 +65,10 @@
 		}
 	}
 	full := NewTable(func(int) int { return 0 })
-	for i := range maxClaims + 1 {
-		full.Lay(Key{Text: fmt.Sprint(i)}, Print{}, 0, func(a Answer[int]) {
-			if (a.Verdict == Crowded) != (i == maxClaims) {
-				t.Fatalf("claim %d: %v", i, a.Verdict)
+	for i := range maxReservations + 1 {
+		full.Reserve(Key{Text: fmt.Sprint(i)}, Fingerprint{}, 0, func(a Result[int]) {
+			if (a.Decision == TableFull) != (i == maxReservations) {
+				t.Fatalf("claim %d: %v", i, a.Decision)
 			}
 		})
 	}
--- a/internal/dataplane/keyreplication/owner.go
+++ b/internal/dataplane/keyreplication/owner.go
@@ -14,138 +14,140 @@
 )
 
 const (
-	holdWait = 150 * time.Millisecond // how long a holder may take (ours)
-	rounds   = 3                      // how often others are tried in place of silent ones (ours)
-	askEvery = 20 * time.Millisecond  // (ours)
-	askWait  = 400 * time.Millisecond // (ours)
-	// bearFor is how long a node that does not hand over keeps keyed requests
+	storeTimeout        = 150 * time.Millisecond // how long a holder may take (ours)
+	replicationAttempts = 3                      // how often others are tried in place of silent ones (ours)
+	handoverInterval    = 20 * time.Millisecond  // (ours)
+	handoverTimeout     = 400 * time.Millisecond // (ours)
+	// handoverGrace is how long a node that does not hand over keeps keyed requests
 	// waiting; then one such is borne, since each claim has two holders.
-	bearFor = 5 * time.Second // (ours)
-	// settleIn is how long after a start the others take to see it and to entrust
+	handoverGrace = 5 * time.Second // (ours)
+	// repairGrace is how long after a start the others take to see it and to entrust
 	// anew what an earlier boot had held.
-	settleIn = 1200 * time.Millisecond // (ours)
-	// repairAtOnce is how many claims are entrusted anew side by side.
-	repairAtOnce = 64 // (ours)
-	// largest is the largest response that others keep.
-	largest = 256 << 10 // (ours)
+	repairGrace = 1200 * time.Millisecond // (ours)
+	// repairBatch is how many claims are entrusted anew side by side.
+	repairBatch = 64 // (ours)
+	// maxReplicatedResponse is the largest response that others keep.
+	maxReplicatedResponse = 256 << 10 // (ours)
 )
 
 // Owner has a sidecar's claims held by others, and gets those of its earlier
 // boots back from them.
 type Owner struct {
-	Own  string
-	Boot uint64
-	Zone string
-	View func() *membership.View
-	// Known tells whether the view means anything yet.
-	Known    func() bool
-	Net      *transport.Net
-	Launcher *actor.Launcher
+	Addr        string
+	Incarnation uint64
+	Zone        string
+	View        func() *membership.View
+	// ViewReady tells whether the view means anything yet.
+	ViewReady func() bool
+	Client    *transport.Net
+	Actors    *actor.Launcher
 	// Restore is handed each claim of an earlier boot.
-	Restore func(ctx context.Context, e Entry)
+	Restore func(ctx context.Context, record Record)
 
-	next  atomic.Uint64
-	ready atomic.Bool
-	// settled tells that others have had the time to entrust anew what an earlier
+	sequence  atomic.Uint64
+	recovered atomic.Bool
+	// repairComplete tells that others have had the time to entrust anew what an earlier
 	// boot held for them.
-	settled atomic.Bool
+	repairComplete atomic.Bool
 	// trusts are looked at for a moment by each keyed request. (DESIGN 13)
-	mu     sync.Mutex
-	trusts *Trusts
-	start  time.Time
-	// silent are holders that did not answer, and until when they come last.
-	silent atomic.Pointer[map[string]time.Time]
+	mu      sync.Mutex
+	tracker *ReplicationTracker
+	start   time.Time
+	// unresponsive are holders that did not answer, and until when they come last.
+	unresponsive atomic.Pointer[map[string]time.Time]
 }
 
-// Trust is a claim that others hold.
-type Trust struct {
-	Entry
-	by []string
+// Reservation is a claim that others hold.
+type Reservation struct {
+	Record
+	replicas []string
 }
 
-// Begin must come before anything else.
-func (o *Owner) Begin() {
-	o.start, o.trusts = time.Now(), NewTrusts(o.Own, o.Zone)
+// Init must come before anything else.
+func (o *Owner) Init() {
+	o.start, o.tracker = time.Now(), NewReplicationTracker(o.Addr, o.Zone)
 }
 
-// with looks at the trusts.
-func (o *Owner) with(do func(t *Trusts, now time.Duration)) {
+// withTracker looks at the trusts.
+func (o *Owner) withTracker(do func(tracker *ReplicationTracker, now time.Duration)) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	do(o.trusts, time.Since(o.start))
+	do(o.tracker, time.Since(o.start))
 }
 
-// Ready tells whether the claims of earlier boots have been handed over.
-func (o *Owner) Ready() bool { return o.ready.Load() }
+// Recovered tells whether the claims of earlier boots have been handed over.
+func (o *Owner) Recovered() bool { return o.recovered.Load() }
 
-// Settled tells whether the node may count as ready: the next may be stopped.
-func (o *Owner) Settled() bool { return o.settled.Load() }
+// RepairComplete tells whether the node may count as ready: the next may be stopped.
+func (o *Owner) RepairComplete() bool { return o.repairComplete.Load() }
 
 // Run gets the claims of earlier boots from every node that comes into view, for
 // as long as claims are kept, and has claims whose holders have gone held by others.
 func (o *Owner) Run(ctx context.Context) {
-	var known time.Time
-	tick := time.NewTicker(askEvery)
+	var viewReadySince time.Time
+	tick := time.NewTicker(handoverInterval)
 	defer tick.Stop()
-	asked := map[string]uint64{} // boot that has handed over, by address
+	answered := map[string]uint64{} // boot that has handed over, by address
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-tick.C:
 		}
-		if !o.Known() {
+		if !o.ViewReady() {
 			continue
 		}
-		if known.IsZero() {
-			known = time.Now()
+		if viewReadySince.IsZero() {
+			viewReadySince = time.Now()
 		}
-		o.settled.Store(o.Ready() && time.Since(known) > settleIn)
-		if o.Ready() {
+		o.repairComplete.Store(o.Recovered() && time.Since(viewReadySince) > repairGrace)
+		if o.Recovered() {
 			tick.Reset(membership.HeartbeatInterval)
 		}
-		if time.Since(known) < idempotency.HeldFor {
-			o.gather(ctx, asked, time.Since(known))
+		if time.Since(viewReadySince) < idempotency.Retention {
+			o.requestHandovers(ctx, answered, time.Since(viewReadySince))
 		}
 		o.repair(ctx)
 	}
 }
 
-// gather asks the nodes that have not handed over yet.
-func (o *Owner) gather(ctx context.Context, asked map[string]uint64, known time.Duration) {
-	var left []membership.Node
-	for _, n := range o.others() {
-		if asked[n.Addr] != n.Incarnation {
-			left = append(left, n)
+// requestHandovers asks the nodes that have not handed over yet.
+func (o *Owner) requestHandovers(ctx context.Context, answered map[string]uint64, viewReadyFor time.Duration) {
+	var pending []membership.Node
+	for _, n := range o.peers() {
+		if answered[n.Addr] != n.Incarnation {
+			pending = append(pending, n)
 		}
 	}
 	missing := 0
-	for i, ok := range each(ctx, o, left, askWait, func(ctx context.Context, n membership.Node) bool { return o.handover(ctx, n) }) {
+	for i, ok := range runConcurrently(ctx, o, pending, handoverTimeout, func(ctx context.Context, n membership.Node) bool { return o.requestHandover(ctx, n) }) {
 		if ok {
-			asked[left[i].Addr] = left[i].Incarnation
+			answered[pending[i].Addr] = pending[i].Incarnation
 		} else {
 			missing++
 		}
 	}
-	if missing == 0 || missing < Holders && known > bearFor {
-		o.ready.Store(true)
+	if missing == 0 || missing < ReplicationFactor && viewReadyFor > handoverGrace {
+		o.recovered.Store(true)
 	}
 }
 
 // repair entrusts anew what holders that have gone had held.
 func (o *Owner) repair(ctx context.Context) {
 	for begin := time.Now(); time.Since(begin) < membership.HeartbeatInterval/2; {
-		var lacks []Lack
-		o.with(func(t *Trusts, now time.Duration) { lacks = t.Lacking(o.answering(), repairAtOnce, now) })
-		taken := each(ctx, o, lacks, holdWait, func(ctx context.Context, l Lack) bool {
-			h, ok := o.hold(ctx, l.To, l.Entry)
-			return ok && h.Taken
+		var gaps []MissingReplica
+		o.withTracker(func(t *ReplicationTracker, now time.Duration) {
+			gaps = t.MissingReplicas(o.responsivePeers(), repairBatch, now)
+		})
+		stored := runConcurrently(ctx, o, gaps, storeTimeout, func(ctx context.Context, gap MissingReplica) bool {
+			reply, ok := o.store(ctx, gap.Target, gap.Record)
+			return ok && reply.Accepted
 		})
 		done := 0
-		for i, ok := range taken {
+		for i, ok := range stored {
 			if ok {
 				done++
-				o.with(func(t *Trusts, now time.Duration) { t.Held(lacks[i].Entry, lacks[i].To, now) })
+				o.withTracker(func(t *ReplicationTracker, now time.Duration) { t.AddReplica(gaps[i].Record, gaps[i].Target, now) })
 			}
 		}
 		if done == 0 {
@@ -154,106 +156,108 @@
 	}
 }
 
-// handover gets what one node holds.
-func (o *Owner) handover(ctx context.Context, n membership.Node) bool {
-	var got Handed
-	if !o.Net.Call(ctx, n.Addr, transport.Control, KindHandover, Handover{Owner: o.Own, Boot: o.Boot}).Into(&got) {
+// requestHandover gets what one node holds.
+func (o *Owner) requestHandover(ctx context.Context, n membership.Node) bool {
+	var reply HandoverReply
+	if !o.Client.Call(ctx, n.Addr, transport.Control, KindHandover, HandoverRequest{Owner: o.Addr, Incarnation: o.Incarnation}).Into(&reply) {
 		return false
 	}
-	for _, e := range got.Entries {
-		o.Restore(ctx, e)
-		o.with(func(t *Trusts, now time.Duration) { t.Held(e, n, now) })
+	for _, record := range reply.Records {
+		o.Restore(ctx, record)
+		o.withTracker(func(t *ReplicationTracker, now time.Duration) { t.AddReplica(record, n, now) })
 	}
 	return true
 }
 
-// each does something with all at once and tells which succeeded.
-func each[T any](ctx context.Context, o *Owner, all []T, wait time.Duration, do func(context.Context, T) bool) []bool {
-	ctx, cancel := context.WithTimeout(ctx, wait)
+// runConcurrently does something with all at once and tells which succeeded.
+func runConcurrently[T any](ctx context.Context, o *Owner, items []T, timeout time.Duration, do func(context.Context, T) bool) []bool {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	type result struct {
 		i  int
 		ok bool
 	}
-	back := make(chan result, len(all))
-	for i, x := range all {
-		o.Launcher.Go(ctx, "custody", func(ctx context.Context) { back <- result{i, do(ctx, x)} })
+	results := make(chan result, len(items))
+	for index, item := range items {
+		o.Actors.Go(ctx, "custody", func(ctx context.Context) { results <- result{index, do(ctx, item)} })
 	}
-	out := make([]bool, len(all))
-	for range all {
-		r := <-back
+	out := make([]bool, len(items))
+	for range items {
+		r := <-results
 		out[r.i] = r.ok
 	}
 	return out
 }
 
-func (o *Owner) others() []membership.Node { return Others(o.View(), o.Own) }
+func (o *Owner) peers() []membership.Node { return Peers(o.View(), o.Addr) }
 
-// Entrust has a new claim held by two others, or by all if there are fewer. If
+// Replicate has a new claim held by two others, or by all if there are fewer. If
 // an earlier boot had laid it, known is that claim; ok is false if it could not
 // be entrusted: then the request must not run.
-func (o *Owner) Entrust(ctx context.Context, key idempotency.Key, print idempotency.Print, left time.Duration) (t Trust, known *Entry, ok bool) {
-	t.Entry = Entry{Owner: o.Own, Boot: o.Boot, N: o.next.Add(1), Key: key, Print: print, For: left + idempotency.HeldFor}
-	others := o.others()
-	want := min(Holders, len(others))
+func (o *Owner) Replicate(ctx context.Context, key idempotency.Key, fingerprint idempotency.Fingerprint, remaining time.Duration) (reservation Reservation, existing *Record, ok bool) {
+	reservation.Record = Record{Owner: o.Addr, Incarnation: o.Incarnation, Sequence: o.sequence.Add(1), Key: key, Fingerprint: fingerprint, TTL: remaining + idempotency.Retention}
+	peers := o.peers()
+	want := min(ReplicationFactor, len(peers))
 	if want == 0 {
-		return t, nil, true
+		return reservation, nil, true
 	}
-	ranked := Choose(o.Own, o.Zone, key, others)
-	slices.SortStableFunc(ranked, func(a, b membership.Node) int { return o.silence(a) - o.silence(b) })
-	held := make(chan Held, len(ranked))
-	for range rounds {
-		try := ranked[:min(want-len(t.by), len(ranked))]
-		ranked = ranked[len(try):]
-		for i, ok := range each(ctx, o, try, holdWait, func(ctx context.Context, n membership.Node) bool {
-			h, ok := o.hold(ctx, n, t.Entry)
+	ranked := RankReplicas(o.Addr, o.Zone, key, peers)
+	slices.SortStableFunc(ranked, func(a, b membership.Node) int { return o.responseRank(a) - o.responseRank(b) })
+	replies := make(chan StoreReply, len(ranked))
+	for range replicationAttempts {
+		targets := ranked[:min(want-len(reservation.replicas), len(ranked))]
+		ranked = ranked[len(targets):]
+		for i, ok := range runConcurrently(ctx, o, targets, storeTimeout, func(ctx context.Context, n membership.Node) bool {
+			reply, ok := o.store(ctx, n, reservation.Record)
 			if ok {
-				held <- h
+				replies <- reply
 			}
-			return ok && h.Taken
+			return ok && reply.Accepted
 		}) {
 			if ok {
-				t.by = append(t.by, try[i].Addr)
-				o.with(func(all *Trusts, now time.Duration) { all.Held(t.Entry, try[i], now) })
+				reservation.replicas = append(reservation.replicas, targets[i].Addr)
+				o.withTracker(func(tracker *ReplicationTracker, now time.Duration) {
+					tracker.AddReplica(reservation.Record, targets[i], now)
+				})
 			}
 		}
-		for len(held) > 0 {
-			if h := <-held; h.Known != nil {
-				return t, h.Known, false
+		for len(replies) > 0 {
+			if reply := <-replies; reply.Existing != nil {
+				return reservation, reply.Existing, false
 			}
 		}
-		if len(t.by) == want {
-			return t, nil, true
+		if len(reservation.replicas) == want {
+			return reservation, nil, true
 		}
 	}
-	return t, nil, false
+	return reservation, nil, false
 }
 
-// hold asks a node to hold a claim; one that does not answer comes last for a while.
-func (o *Owner) hold(ctx context.Context, n membership.Node, e Entry) (h Held, ok bool) {
-	if ok = o.Net.Call(ctx, n.Addr, transport.Control, KindHold, e).Into(&h); !ok {
-		o.shun(n.Addr)
+// store asks a node to hold a claim; one that does not answer comes last for a while.
+func (o *Owner) store(ctx context.Context, n membership.Node, record Record) (reply StoreReply, ok bool) {
+	if ok = o.Client.Call(ctx, n.Addr, transport.Control, KindStore, record).Into(&reply); !ok {
+		o.markUnresponsive(n.Addr)
 	}
-	return h, ok
+	return reply, ok
 }
 
-// silence is 1 for a node that did not answer just now.
-func (o *Owner) silence(n membership.Node) int {
-	if silent := o.silent.Load(); silent != nil && time.Now().Before((*silent)[n.Addr]) {
+// responseRank is 1 for a node that did not answer just now.
+func (o *Owner) responseRank(n membership.Node) int {
+	if unresponsive := o.unresponsive.Load(); unresponsive != nil && time.Now().Before((*unresponsive)[n.Addr]) {
 		return 1
 	}
 	return 0
 }
 
-// answering lists the other nodes that have not just been silent.
-func (o *Owner) answering() []membership.Node {
-	return slices.DeleteFunc(o.others(), func(n membership.Node) bool { return o.silence(n) > 0 })
+// responsivePeers lists the other nodes that have not just been silent.
+func (o *Owner) responsivePeers() []membership.Node {
+	return slices.DeleteFunc(o.peers(), func(n membership.Node) bool { return o.responseRank(n) > 0 })
 }
 
-// shun lets a holder that did not answer come last for a while.
-func (o *Owner) shun(addr string) {
+// markUnresponsive lets a holder that did not answer come last for a while.
+func (o *Owner) markUnresponsive(addr string) {
 	for {
-		old := o.silent.Load()
+		old := o.unresponsive.Load()
 		next := map[string]time.Time{addr: time.Now().Add(time.Second)}
 		if old != nil {
 			for a, until := range *old {
@@ -262,30 +266,30 @@
 				}
 			}
 		}
-		if o.silent.CompareAndSwap(old, &next) {
+		if o.unresponsive.CompareAndSwap(old, &next) {
 			return
 		}
 	}
 }
 
-// Settle tells the holders what was answered; without a response the request did
+// Complete tells the holders what was answered; without a response the request did
 // not run and the claim is given up. Nobody waits for it.
-func (o *Owner) Settle(ctx context.Context, t Trust, response []byte) {
+func (o *Owner) Complete(ctx context.Context, reservation Reservation, response []byte) {
 	kind := KindRelease
 	switch {
 	case response == nil:
-		o.with(func(all *Trusts, _ time.Duration) { all.Drop(t.Entry) })
-	case len(response) > largest:
+		o.withTracker(func(tracker *ReplicationTracker, _ time.Duration) { tracker.Remove(reservation.Record) })
+	case len(response) > maxReplicatedResponse:
 		return // the claim stands without it
 	default:
-		kind, t.Response, t.For = KindHold, response, idempotency.HeldFor
-		o.with(func(all *Trusts, now time.Duration) { all.Settle(t.Entry, now) })
+		kind, reservation.Response, reservation.TTL = KindStore, response, idempotency.Retention
+		o.withTracker(func(tracker *ReplicationTracker, now time.Duration) { tracker.Complete(reservation.Record, now) })
 	}
-	for _, addr := range t.by {
-		o.Launcher.Go(context.WithoutCancel(ctx), "custody", func(ctx context.Context) {
+	for _, addr := range reservation.replicas {
+		o.Actors.Go(context.WithoutCancel(ctx), "custody", func(ctx context.Context) {
 			ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 			defer cancel()
-			o.Net.Call(ctx, addr, transport.Control, kind, t.Entry)
+			o.Client.Call(ctx, addr, transport.Control, kind, reservation.Record)
 		})
 	}
 }
--- a/internal/dataplane/keyreplication/custody_test.go
+++ b/internal/dataplane/keyreplication/replication_test.go
@@ -12,7 +12,7 @@
 
 // Holders are of other zones than the owner's and of different ones, as long
 // as there are any; a node that goes moves only what it held.
-func TestChoose(t *testing.T) {
+func TestRankReplicas(t *testing.T) {
 	var nodes []membership.Node
 	for i := range 12 {
 		nodes = append(nodes, membership.Node{Addr: fmt.Sprint("node-", i), Zone: fmt.Sprint("locality-", i%4)})
@@ -20,12 +20,12 @@
 	moved := 0
 	for i := range 200 {
 		key := fmt.Sprint("key-", i)
-		got := Choose("node-0", "locality-0", idempotency.Key{Text: key}, nodes)
+		got := RankReplicas("node-0", "locality-0", idempotency.Key{Text: key}, nodes)
 		if len(got) != 11 || got[0].Zone == "locality-0" || got[1].Zone == "locality-0" || got[0].Zone == got[1].Zone {
 			t.Fatalf("%s: %v", key, got[:2])
 		}
 		gone := append(append([]membership.Node{}, nodes[:5]...), nodes[6:]...)
-		less := Choose("node-0", "locality-0", idempotency.Key{Text: key}, gone)
+		less := RankReplicas("node-0", "locality-0", idempotency.Key{Text: key}, gone)
 		if got[0].Addr != "node-5" && got[1].Addr != "node-5" {
 			if less[0].Addr != got[0].Addr || less[1].Addr != got[1].Addr {
 				t.Errorf("%s moved though node-5 did not hold it", key)
@@ -41,10 +41,10 @@
 
 // Against a plain model: a claim is told to a new boot and never overwritten by it,
 // given up only as the claim it was, kept for its time, and within the bound.
-func TestHoldings(t *testing.T) {
+func TestReplicaStore(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 31))
-		h := NewHoldings()
+		s := NewReplicaStore()
 		type model struct {
 			boot, n uint64
 			until   time.Duration
@@ -65,38 +65,38 @@
 				m = nil
 				delete(known, text)
 			}
-			e := Entry{Owner: "o", Boot: boot, Key: idempotency.Key{Text: text}, For: time.Minute}
+			record := Record{Owner: "o", Incarnation: boot, Key: idempotency.Key{Text: text}, TTL: time.Minute}
 			switch rng.IntN(4) {
 			case 0: // settle or give up what is held by this boot
 				if m == nil || m.boot != boot {
 					break
 				}
-				e.N = m.n
+				record.Sequence = m.n
 				if rng.IntN(2) == 0 {
-					h.Release(e)
+					s.Release(record)
 					delete(known, text)
 				} else {
-					e.Response = []byte("receipt")
-					h.Take(e, now)
-					m.settled, m.until = true, now+e.For
+					record.Response = []byte("receipt")
+					s.Store(record, now)
+					m.settled, m.until = true, now+record.TTL
 				}
 			case 1: // an old release must not undo a later claim
-				e.N = 0
-				h.Release(e)
+				record.Sequence = 0
+				s.Release(record)
 			default:
 				n++
-				e.N = n
-				got := h.Take(e, now)
+				record.Sequence = n
+				got := s.Store(record, now)
 				switch {
 				case m != nil && m.boot != boot:
 					told++
-					if got.Taken || got.Known == nil || got.Known.Boot != m.boot || (got.Known.Response != nil) != m.settled {
+					if got.Accepted || got.Existing == nil || got.Existing.Incarnation != m.boot || (got.Existing.Response != nil) != m.settled {
 						t.Fatalf("seed %d: %+v of %+v", seed, got, m)
 					}
-				case !got.Taken:
+				case !got.Accepted:
 					t.Fatalf("seed %d: not taken: %+v of %+v", seed, got, m)
 				default:
-					known[text] = &model{boot: boot, n: n, until: now + e.For}
+					known[text] = &model{boot: boot, n: n, until: now + record.TTL}
 				}
 			}
 			alive := 0
@@ -105,7 +105,7 @@
 					alive++
 				}
 			}
-			if got := len(h.Handover(Handover{Owner: "o", Boot: boot}, now).Entries); got != alive {
+			if got := len(s.Handover(HandoverRequest{Owner: "o", Incarnation: boot}, now).Records); got != alive {
 				t.Fatalf("seed %d: %d handed over, %d are of earlier boots", seed, got, alive)
 			}
 		}
@@ -113,49 +113,49 @@
 			t.Errorf("seed %d: no earlier boot's claim was met", seed)
 		}
 	}
-	big := NewHoldings()
-	for i := range 3 * mostOf / (1 << 20) {
-		e := Entry{Owner: "o", N: 1, Key: idempotency.Key{Text: fmt.Sprint(i)}, For: time.Minute, Response: make([]byte, 1<<20)}
-		if !big.Take(e, 0).Taken || big.bytes > mostOf {
-			t.Fatalf("entry %d: %d bytes are held", i, big.bytes)
+	big := NewReplicaStore()
+	for i := range 3 * maxResponseBytes / (1 << 20) {
+		record := Record{Owner: "o", Sequence: 1, Key: idempotency.Key{Text: fmt.Sprint(i)}, TTL: time.Minute, Response: make([]byte, 1<<20)}
+		if !big.Store(record, 0).Accepted || big.responseBytes > maxResponseBytes {
+			t.Fatalf("entry %d: %d bytes are held", i, big.responseBytes)
 		}
 	}
 	handed := 0
-	all := big.Handover(Handover{Owner: "o", Boot: 1}, 0).Entries
-	for _, e := range all {
-		handed += len(e.Response)
+	all := big.Handover(HandoverRequest{Owner: "o", Incarnation: 1}, 0).Records
+	for _, record := range all {
+		handed += len(record.Response)
 	}
-	if len(all) != 3*mostOf/(1<<20) || handed == 0 || handed > handedOf {
+	if len(all) != 3*maxResponseBytes/(1<<20) || handed == 0 || handed > maxHandoverBytes {
 		t.Errorf("%d entries with %d bytes of receipts are handed over", len(all), handed)
 	}
 }
 
 // What a holder that has gone, or come back in another boot, had held lacks one; the
 // next in order is asked. Nothing is asked for what is held, given up or over.
-func TestLacking(t *testing.T) {
+func TestMissingReplicas(t *testing.T) {
 	nodes := []membership.Node{{Addr: "a", Incarnation: 1}, {Addr: "b", Incarnation: 1}, {Addr: "c", Incarnation: 1}}
-	tr := NewTrusts("o", "north")
-	e := Entry{Owner: "o", Boot: 7, N: 1, Key: idempotency.Key{Text: "k"}, For: time.Minute}
-	ranked := Choose("o", "north", e.Key, nodes)
-	tr.Held(e, ranked[0], 0)
-	if got := tr.Lacking(nodes, 9, 0); len(got) != 1 || got[0].To.Addr != ranked[1].Addr {
+	tr := NewReplicationTracker("o", "north")
+	record := Record{Owner: "o", Incarnation: 7, Sequence: 1, Key: idempotency.Key{Text: "k"}, TTL: time.Minute}
+	ranked := RankReplicas("o", "north", record.Key, nodes)
+	tr.AddReplica(record, ranked[0], 0)
+	if got := tr.MissingReplicas(nodes, 9, 0); len(got) != 1 || got[0].Target.Addr != ranked[1].Addr {
 		t.Errorf("held by one: %+v", got)
 	}
-	tr.Held(e, ranked[1], 0)
-	if got := tr.Lacking(nodes, 9, 0); len(got) > 0 {
+	tr.AddReplica(record, ranked[1], 0)
+	if got := tr.MissingReplicas(nodes, 9, 0); len(got) > 0 {
 		t.Errorf("held by two: %+v", got)
 	}
-	e.Response = []byte("r")
-	tr.Settle(e, 10*time.Second)
+	record.Response = []byte("r")
+	tr.Complete(record, 10*time.Second)
 	reborn := []membership.Node{ranked[0], ranked[1], ranked[2]}
 	reborn[0].Incarnation = 2
-	if got := tr.Lacking(reborn, 9, 20*time.Second); len(got) != 1 || got[0].To.Addr != ranked[0].Addr || string(got[0].Response) != "r" || got[0].For != 50*time.Second {
+	if got := tr.MissingReplicas(reborn, 9, 20*time.Second); len(got) != 1 || got[0].Target.Addr != ranked[0].Addr || string(got[0].Response) != "r" || got[0].TTL != 50*time.Second {
 		t.Errorf("after another boot: %+v", got)
 	}
-	if got := tr.Lacking(reborn[1:], 9, 20*time.Second); len(got) != 1 || got[0].To.Addr != ranked[2].Addr {
+	if got := tr.MissingReplicas(reborn[1:], 9, 20*time.Second); len(got) != 1 || got[0].Target.Addr != ranked[2].Addr {
 		t.Errorf("after it has gone: %+v", got)
 	}
-	if got := tr.Lacking(reborn, 9, 71*time.Second); len(got) > 0 || tr.bytes != 0 {
-		t.Errorf("when it is over: %+v, %d bytes", got, tr.bytes)
+	if got := tr.MissingReplicas(reborn, 9, 71*time.Second); len(got) > 0 || tr.responseBytes != 0 {
+		t.Errorf("when it is over: %+v, %d bytes", got, tr.responseBytes)
 	}
 }
--- a/internal/dataplane/metrics.go
+++ b/internal/dataplane/metrics.go
@@ -51,7 +51,7 @@
 			emit(float64(total.LeftRunning), "left-running")
 		}),
 		metrics.Gauge("retry_budget", "Retries to a service that this sidecar may make now.", []string{"service"}, func(emit metrics.Emit) {
-			for service, held := range n.steward.retryBudgets.Held() {
+			for service, held := range n.steward.retryBudgets.Balances() {
 				emit(held, service)
 			}
 		}),
@@ -112,13 +112,13 @@
 	return []*metrics.Metric{
 		metrics.Counter("trace_events_total", "Trace events, by what became of them.", []string{"outcome"}, func(emit metrics.Emit) {
 			stats := n.queue.Stats()
-			emit(float64(stats.Taken), "taken")
+			emit(float64(stats.Accepted), "taken")
 			emit(float64(stats.Dropped), "dropped")
 			emit(float64(stats.Published), "published")
 			emit(float64(stats.Failed), "failed")
 		}),
 		metrics.Gauge("trace_events_waiting", "Trace events that wait to be published.", nil, metrics.Value(func() float64 {
-			return float64(n.queue.Stats().Waiting)
+			return float64(n.queue.Stats().Queued)
 		})),
 	}
 }
--- a/internal/dataplane/new.go
+++ b/internal/dataplane/new.go
@@ -33,8 +33,8 @@
 		debug.SetMemoryLimit(set.Memory << 20 * 85 / 100)
 	}
 	n.addControl()
-	calls := causality.NewKeeper()
-	claims := idempotency.New(func(r proxy.Response) int { return len(r.Body) })
+	calls := causality.NewTracker()
+	claims := idempotency.NewStore(func(r proxy.Response) int { return len(r.Body) })
 	n.addNear(calls, claims)
 	n.addFar(calls)
 	rollcall := n.newRollcall()
@@ -60,7 +60,7 @@
 	set, p := n.set, n.p
 	n.seeker = membership.NewDiscovery()
 	n.steward = newSteward(p.Actors, set.Advertise, p.Incarnation, set.Zone, set.ExtraAttempts, n.seeker.HeartbeatNow)
-	n.steward.roster.Store(&endpoints.Roster{Pace: endpoints.Pace{Beat: set.Beat}, Started: time.Now()})
+	n.steward.roster.Store(&endpoints.Registry{Heartbeats: endpoints.HeartbeatPolicy{Interval: set.Beat}, Started: time.Now()})
 	n.steward.departures.notice = p.Notice
 	n.steward.climb = routing.Climb{For: set.Ramp, From: set.RampFrom}
 	n.seeker.Local = func() membership.Heartbeat { node := n.steward.node(); return membership.Heartbeat{Node: &node} }
@@ -75,7 +75,7 @@
 }
 
 // addNear adds the side beside the callers, with what it keeps of keys.
-func (n *Node) addNear(calls *causality.Keeper, claims *idempotency.Claims[proxy.Response]) {
+func (n *Node) addNear(calls *causality.Tracker, claims *idempotency.Store[proxy.Response]) {
 	set, p := n.set, n.p
 	n.near = &proxy.Near{
 		Zone: set.Zone, Table: n.table, View: n.view, Net: p.TransportClient, Launcher: p.Actors, Queue: n.queue, Log: p.Log,
@@ -85,12 +85,12 @@
 		Bodies: &proxy.Bodies{Most: set.MaxBody, All: set.BodyMemory},
 	}
 	n.near.Life, n.giveUp = context.WithCancelCause(p.Context)
-	n.holder = keyreplication.NewHolder()
+	n.holder = keyreplication.NewReplicaServer()
 	n.near.Custody = &keyreplication.Owner{
-		Own: set.Advertise, Boot: p.Incarnation, Zone: set.Zone, View: n.view, Net: p.TransportClient, Launcher: p.Actors,
-		Known: n.known, Restore: n.near.Restore,
+		Addr: set.Advertise, Incarnation: p.Incarnation, Zone: set.Zone, View: n.view, Client: p.TransportClient, Actors: p.Actors,
+		ViewReady: n.known, Restore: n.near.Restore,
 	}
-	n.near.Custody.Begin()
+	n.near.Custody.Init()
 	n.outgoing = &outgoing{
 		p: p, near: n.near, host: netip.MustParseAddrPort(set.Advertise).Addr(), fixed: set.Outgoing,
 		known: n.steward.services, webs: map[string]*process.HTTPServer{},
@@ -98,12 +98,12 @@
 }
 
 // addFar adds the side beside the own backends.
-func (n *Node) addFar(calls *causality.Keeper) {
+func (n *Node) addFar(calls *causality.Tracker) {
 	n.far = proxy.NewFar(n.p.Context, n.p.Actors)
 	n.far.Boot, n.far.Table, n.far.Queue, n.far.Lineage, n.far.Draining = n.p.Incarnation, n.table, n.queue, calls, n.draining.Load
 	n.far.Claimed, n.far.Dialect, n.far.Halving = n.claimed, n.dialect, n.set.Halving
 	n.far.Bodies = &proxy.Bodies{Most: n.set.MaxBody, All: n.set.BodyMemory}
-	n.far.Roster = func() endpoints.Roster { return *n.steward.roster.Load() }
+	n.far.Roster = func() endpoints.Registry { return *n.steward.roster.Load() }
 }
 
 // newRollcall makes the part that asks the other sidecars when no core is heard.
@@ -163,7 +163,7 @@
 		n.p.Actors.Go(n.p.Context, name, run)
 	}
 	for range workers {
-		w := &trace.Worker{Queue: n.queue, Choose: n.collector, Send: n.publish, Linger: publishEvery, MaxSize: 256}
+		w := &trace.Publisher{Queue: n.queue, CollectorFor: n.collector, Send: n.publish, FlushInterval: publishEvery, MaxBatch: 256}
 		n.p.Actors.Go(n.p.Context, "trace-worker", w.Run)
 	}
 }
--- a/internal/dataplane/node.go
+++ b/internal/dataplane/node.go
@@ -52,7 +52,7 @@
 	seeker   *membership.Discovery
 	near     *proxy.Near
 	far      *proxy.Far
-	holder   *keyreplication.Holder
+	holder   *keyreplication.ReplicaServer
 	queue    *trace.Queue
 	outgoing *outgoing
 	dialect  proxy.Dialect
@@ -85,14 +85,14 @@
 // that there is none. (DESIGN 7.2, 7.4)
 func (n *Node) claimed() bool {
 	now := time.Now()
-	return n.steward.claim.Age(now) <= endpoints.ClaimFor || n.steward.agreed.Age(now) <= endpoints.ClaimFor && n.seeker.Replicas().QuorumLost(now)
+	return n.steward.claim.Age(now) <= endpoints.LeaseDuration || n.steward.agreed.Age(now) <= endpoints.LeaseDuration && n.seeker.Replicas().QuorumLost(now)
 }
 
 // unsure tells whether a newer word may have been in force elsewhere for so long that
 // this sidecar's saying that there is no such way would be wrong. (DESIGN 7.2)
 func (n *Node) unsure() bool {
 	now := time.Now()
-	return n.steward.claim.Age(now) > sureFor && (n.steward.agreed.Age(now) > endpoints.ClaimFor || !n.seeker.Replicas().QuorumLost(now))
+	return n.steward.claim.Age(now) > sureFor && (n.steward.agreed.Age(now) > endpoints.LeaseDuration || !n.seeker.Replicas().QuorumLost(now))
 }
 
 // behind tells whether this sidecar must not choose routes by what it knows: a live core
--- a/internal/dataplane/proxy/bench_test.go
+++ b/internal/dataplane/proxy/bench_test.go
@@ -57,7 +57,7 @@
 	w := newBench(b, plainly)
 	w.entry.Address = strings.TrimSpace(addr)
 	attempt := Attempt{ID: "x", Body: []byte(strings.Repeat("x", 200)), Header: http.Header{"Content-Type": {"text/plain"}, "Accept": {"*/*"}}, Left: time.Minute}
-	open := func() endpoints.Refusal { return endpoints.Open }
+	open := func() endpoints.Rejection { return endpoints.Admitted }
 	before := cpu()
 	b.ResetTimer()
 	for range b.N {
--- a/internal/dataplane/proxy/cold_test.go
+++ b/internal/dataplane/proxy/cold_test.go
@@ -20,7 +20,7 @@
 	b := newBench(t, plainly)
 	f := b.far
 	f.Draining, f.Claimed = func() bool { return false }, func() bool { return true }
-	f.Lineage = causality.NewKeeper()
+	f.Lineage = causality.NewTracker()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	f.links.launcher.Go(ctx, "lineage", f.Lineage.Run)
@@ -32,11 +32,11 @@
 	}
 	f.Table = func() *routing.Table { return table }
 	announce := func(left string) {
-		r, faults := endpoints.Roster{}.Announce(endpoints.Announcement{Instance: "a", Service: "desk", Address: b.entry.Address, Capacity: 20, Warmup: &endpoints.Warmup{Left: left}}, "north", time.Now())
+		r, faults := endpoints.Registry{}.Announce(endpoints.Announcement{Instance: "a", Service: "desk", Address: b.entry.Address, Capacity: 20, Warmup: &endpoints.Warmup{Remaining: left}}, "north", time.Now())
 		if len(faults) > 0 {
 			t.Fatal(faults)
 		}
-		f.Roster = func() endpoints.Roster { return r }
+		f.Roster = func() endpoints.Registry { return r }
 	}
 	n := 0
 	put := func() AttemptResponse {
@@ -51,7 +51,7 @@
 			switch {
 			case rc.Fate == routing.Answered:
 				count++
-			case rc.Fate != routing.NotRun || rc.Reason != string(endpoints.Full) || rc.Back <= 0 || rc.Reached:
+			case rc.Fate != routing.NotRun || rc.Reason != string(endpoints.BackendFull) || rc.Back <= 0 || rc.Reached:
 				t.Fatalf("%+v", rc)
 			}
 		}
@@ -68,15 +68,15 @@
 	if got := len(b.ran); got != 4 {
 		t.Errorf("the backend saw %d", got)
 	}
-	limit := f.Limit(f.Roster().Entries()[0], time.Now())
+	limit := f.Limit(f.Roster().Endpoints()[0], time.Now())
 	announce("0s")
-	if warm := f.Limit(f.Roster().Entries()[0], time.Now()); limit != 4 || warm != 6 {
+	if warm := f.Limit(f.Roster().Endpoints()[0], time.Now()); limit != 4 || warm != 6 {
 		t.Errorf("cold it runs %d at a time, warm %d", limit, warm)
 	}
 	for halving, want := range map[time.Duration]int64{0: 6, 10 * time.Second: 5} {
 		// Half of ten, or no more than the connections that it takes.
 		f.Halving, f.started = halving, time.Now()
-		e := f.Roster().Entries()[0]
+		e := f.Roster().Endpoints()[0]
 		e.Capacity = 10
 		if got := f.Limit(e, time.Now()); got != want {
 			t.Errorf("at the start, halving for %v: %d", halving, got)
--- a/internal/dataplane/proxy/departure_test.go
+++ b/internal/dataplane/proxy/departure_test.go
@@ -116,15 +116,15 @@
 				v.say(v.id, "ok")
 				return true
 			})
-			table, _ := endpoints.Roster{}.Announce(endpoints.Announcement{Instance: "a", Service: "desk", Address: p.entry.Address, Capacity: 1}, "north", time.Now())
-			p.far.Roster = func() endpoints.Roster { return table }
+			table, _ := endpoints.Registry{}.Announce(endpoints.Announcement{Instance: "a", Service: "desk", Address: p.entry.Address, Capacity: 1}, "north", time.Now())
+			p.far.Roster = func() endpoints.Registry { return table }
 			first, second := p.client(t), p.client(t)
 			first.say("POST /once/first HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n")
 			<-came
 			second.say("POST %s HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n", uri)
-			await(t, "the second to wait in line", func() bool { return table.Entries()[0].Desk.Open() == 2 })
+			await(t, "the second to wait in line", func() bool { return table.Endpoints()[0].Admission.Outstanding() == 2 })
 			second.Close()
-			await(t, "the second to leave the line", func() bool { return table.Entries()[0].Desk.Open() == 1 })
+			await(t, "the second to leave the line", func() bool { return table.Endpoints()[0].Admission.Outstanding() == 1 })
 			close(release)
 			if resp, _ := first.hear(); resp == nil || resp.StatusCode != http.StatusOK {
 				t.Errorf("the first: %+v", resp)
--- a/internal/dataplane/proxy/exchange.go
+++ b/internal/dataplane/proxy/exchange.go
@@ -23,7 +23,7 @@
 
 // exchange puts the request to the backend and reads its whole answer. Where not a
 // byte went on a link that was kept, it goes on a fresh one, past the guard again.
-func (f *Far) exchange(ctx context.Context, e endpoints.Entry, attempt *Attempt, span trace.Span, g *guard) AttemptResponse {
+func (f *Far) exchange(ctx context.Context, e endpoints.Endpoint, attempt *Attempt, span trace.Span, g *guard) AttemptResponse {
 	most, idle := f.most(e), freshOnly
 	if attempt.Repeatable {
 		idle = keepFor
@@ -263,7 +263,7 @@
 	case ctx.Err() != nil:
 		reason = string(refusalOf(ctx))
 	case !end.IsZero() && errors.Is(err, os.ErrDeadlineExceeded) && !time.Now().Before(end):
-		reason = string(endpoints.Expired)
+		reason = string(endpoints.DeadlineExpired)
 	}
 	return AttemptResponse{Fate: routing.Unknown, Reason: reason}
 }
--- a/internal/dataplane/proxy/exchange_test.go
+++ b/internal/dataplane/proxy/exchange_test.go
@@ -224,11 +224,11 @@
 				if rand.IntN(8) == 0 {
 					attempt.Left = time.Duration(1 + rand.Int64N(int64(2*time.Millisecond)))
 				}
-				rc := b.put(attempt, func() endpoints.Refusal {
+				rc := b.put(attempt, func() endpoints.Rejection {
 					if rand.IntN(16) == 0 {
-						return endpoints.LeavingNow
+						return endpoints.BackendDraining
 					}
-					return endpoints.Open
+					return endpoints.Admitted
 				})
 				if rc.Fate == routing.NotRun {
 					notRun.Store(id, rc.Reason)
@@ -279,7 +279,7 @@
 	b := newBench(t, plainly)
 	b.good(t, Attempt{})
 	for _, body := range []int{1, 100 << 10} {
-		rc := b.put(Attempt{ID: "shut", Body: make([]byte, body)}, func() endpoints.Refusal { return endpoints.LeavingNow })
+		rc := b.put(Attempt{ID: "shut", Body: make([]byte, body)}, func() endpoints.Rejection { return endpoints.BackendDraining })
 		if rc.Fate != routing.NotRun || rc.Reached {
 			t.Errorf("past a shut gate: %+v", rc)
 		}
@@ -307,7 +307,7 @@
 		t.Fatal(err)
 	}
 	asked := 0
-	rc := b.put(Attempt{ID: "fresh"}, func() endpoints.Refusal { asked++; return endpoints.Open })
+	rc := b.put(Attempt{ID: "fresh"}, func() endpoints.Rejection { asked++; return endpoints.Admitted })
 	if rc.Fate != routing.Answered || b.ran["fresh"] != 1 || asked != 2 || b.opens.Load() != 2 {
 		t.Errorf("%+v, ran %d times, asked %d times, %d connections", rc, b.ran["fresh"], asked, b.opens.Load())
 	}
@@ -322,7 +322,7 @@
 		return false
 	})
 	rc := b.put(Attempt{ID: "late", Left: 30 * time.Millisecond}, nil)
-	if rc.Fate != routing.Unknown || rc.Reason != string(endpoints.Expired) {
+	if rc.Fate != routing.Unknown || rc.Reason != string(endpoints.DeadlineExpired) {
 		t.Errorf("%+v", rc)
 	}
 	if err := <-gone; err == nil {
--- a/internal/dataplane/proxy/far.go
+++ b/internal/dataplane/proxy/far.go
@@ -15,10 +15,10 @@
 // Far is the executor beside the backend. It alone admits. (DESIGN 9)
 type Far struct {
 	Boot    uint64
-	Roster  func() endpoints.Roster
+	Roster  func() endpoints.Registry
 	Table   func() *routing.Table
 	Queue   *trace.Queue
-	Lineage *causality.Keeper
+	Lineage *causality.Tracker
 	// Claimed tells whether this sidecar may admit.
 	Claimed func() bool
 	// Draining tells whether new attempts are still taken.
@@ -39,12 +39,12 @@
 func NewFar(ctx context.Context, l *actor.Launcher) *Far {
 	f := &Far{started: time.Now(), ledger: newLedgerKeeper()}
 	l.Go(ctx, "ledger", f.ledger.run)
-	f.links = newLinks(ctx, l, func(p place) bool { return f.Roster().Stands(p.instance, p.address) })
+	f.links = newLinks(ctx, l, func(p place) bool { return f.Roster().IsActive(p.instance, p.address) })
 	return f
 }
 
 // most is how many connections an own backend may have at a time.
-func (f *Far) most(e endpoints.Entry) int {
+func (f *Far) most(e endpoints.Endpoint) int {
 	if s, _ := f.Table().Service(e.Service); s.MaxConnections > 0 {
 		return min(s.MaxConnections, e.Capacity)
 	}
@@ -52,9 +52,9 @@
 }
 
 // cold is the rate a second that an own backend bears now, if it is cold.
-func (f *Far) cold(e endpoints.Entry, at time.Time) (rate float64, ok bool) {
+func (f *Far) cold(e endpoints.Endpoint, at time.Time) (rate float64, ok bool) {
 	rate = f.Table().ColdRate(e.Service)
-	return rate, rate > 0 && e.Cold(at)
+	return rate, rate > 0 && e.WarmingUp(at)
 }
 
 // Opened and Reused count the connections to backends that were opened, and the attempts
@@ -65,10 +65,10 @@
 func (f *Far) Reused() int64 { return f.links.reused.Load() }
 
 // Limit is how many requests an own backend may run at a time now.
-func (f *Far) Limit(e endpoints.Entry, at time.Time) int64 {
+func (f *Far) Limit(e endpoints.Endpoint, at time.Time) int64 {
 	t := f.Table()
 	up := at.Sub(f.started)
-	limit := min(e.Limit(t.Ramp(e.Zone, at), up < f.Halving && t.Fresh(up), at), int64(f.most(e)))
+	limit := min(e.ConcurrencyLimit(t.Ramp(e.Zone, at), up < f.Halving && t.Fresh(up), at), int64(f.most(e)))
 	if rate, ok := f.cold(e, at); ok {
 		limit = max(1, min(limit, int64(rate)))
 	}
@@ -84,7 +84,7 @@
 	f.Counts.Requests.Add(1)
 	f.Counts.Open.Add(1)
 	defer f.Counts.Open.Add(-1)
-	span, traced := trace.From(ctx)
+	span, traced := trace.SpanFromContext(ctx)
 	note := trace.Event{Route: attempt.Route, Service: attempt.Service, Caller: attempt.Caller, Instance: attempt.Instance, Attempt: attempt.N}
 	if !traced {
 		span = trace.Root() // an untraced peer is served all the same
@@ -92,7 +92,7 @@
 	// Nothing ends it by itself when its sender can't be answered any more: what must not
 	// be repeated goes on.
 	peer := ctx
-	ctx, end := context.WithCancelCause(trace.With(context.WithoutCancel(ctx), span))
+	ctx, end := context.WithCancelCause(trace.ContextWithSpan(context.WithoutCancel(ctx), span))
 	ctx, cancel := context.WithTimeout(ctx, attempt.Left)
 	defer cancel()
 	defer f.open.add(&attempt, end)()
@@ -106,16 +106,16 @@
 }
 
 // check asks the gate. It is asked first, and again before the write.
-func (f *Far) check(ctx context.Context, attempt *Attempt) (endpoints.Entry, endpoints.Refusal) {
+func (f *Far) check(ctx context.Context, attempt *Attempt) (endpoints.Endpoint, endpoints.Rejection) {
 	switch {
 	case attempt.Boot != f.Boot:
-		return endpoints.Entry{}, endpoints.WrongBoot
+		return endpoints.Endpoint{}, endpoints.WrongIncarnation
 	case ctx.Err() != nil:
-		return endpoints.Entry{}, refusalOf(ctx)
+		return endpoints.Endpoint{}, refusalOf(ctx)
 	case !f.Claimed():
-		return endpoints.Entry{}, endpoints.Lapsed
+		return endpoints.Endpoint{}, endpoints.LeaseExpired
 	}
-	return f.Roster().Check(endpoints.Ask{Service: attempt.Service, Instance: attempt.Instance}, f.Table().Emptied, time.Now())
+	return f.Roster().Admit(endpoints.AdmissionRequest{Service: attempt.Service, Instance: attempt.Instance}, f.Table().Emptied, time.Now())
 }
 
 func deadline(ctx context.Context) time.Time {
--- a/internal/dataplane/proxy/golden_test.go
+++ b/internal/dataplane/proxy/golden_test.go
@@ -33,7 +33,7 @@
 		t.Errorf("%+v", read)
 	}
 
-	var entry keyreplication.Entry
+	var entry keyreplication.Record
 	golden.Fill(&entry, golden.Msgpack.Tag)
 	entry.Response = r.pack(true)
 	encoded, err := golden.Msgpack.Marshal(&entry)
--- a/internal/dataplane/proxy/guard.go
+++ b/internal/dataplane/proxy/guard.go
@@ -21,9 +21,9 @@
 
 // guard is asked immediately before the first byte goes to a backend.
 type guard struct {
-	check func() endpoints.Refusal
+	check func() endpoints.Rejection
 	state atomic.Int32
-	why   atomic.Pointer[endpoints.Refusal]
+	why   atomic.Pointer[endpoints.Rejection]
 	// begun tells the writer that a byte was taken.
 	begun bool
 }
@@ -33,7 +33,7 @@
 	if g.state.Load() == guardWrote {
 		return true
 	}
-	if why := g.check(); why != endpoints.Open {
+	if why := g.check(); why != endpoints.Admitted {
 		g.why.Store(&why)
 		return false
 	}
--- a/internal/dataplane/proxy/guard_test.go
+++ b/internal/dataplane/proxy/guard_test.go
@@ -11,7 +11,7 @@
 // two meet; and an attempt that is shut while the gate is still being asked is not
 // written, whatever the gate says.
 func TestGuard(t *testing.T) {
-	open := func() endpoints.Refusal { return endpoints.Open }
+	open := func() endpoints.Rejection { return endpoints.Admitted }
 	wrote, shut := 0, 0
 	for range 20000 {
 		g := &guard{check: open}
@@ -32,18 +32,18 @@
 	t.Logf("written first %d times, shut first %d", wrote, shut)
 
 	g := &guard{}
-	g.check = func() endpoints.Refusal {
+	g.check = func() endpoints.Rejection {
 		if !g.shut() {
 			t.Error("it could not be shut before the write")
 		}
-		return endpoints.Open
+		return endpoints.Admitted
 	}
 	if g.pass() {
 		t.Error("it was written after it was shut")
 	}
 
-	g = &guard{check: func() endpoints.Refusal { return endpoints.LeavingNow }}
-	if g.pass() || *g.why.Load() != endpoints.LeavingNow || !g.shut() || g.pass() {
+	g = &guard{check: func() endpoints.Rejection { return endpoints.BackendDraining }}
+	if g.pass() || *g.why.Load() != endpoints.BackendDraining || !g.shut() || g.pass() {
 		t.Error("a shut gate let a write through")
 	}
 }
--- a/internal/dataplane/proxy/links.go
+++ b/internal/dataplane/proxy/links.go
@@ -43,7 +43,7 @@
 
 // take gives a link to a backend, of which at most so many are open at a time: one
 // that was idle for less than so long, or a fresh one.
-func (ls *links) take(ctx context.Context, e endpoints.Entry, most int, idle time.Duration) (*link, error) {
+func (ls *links) take(ctx context.Context, e endpoints.Endpoint, most int, idle time.Duration) (*link, error) {
 	at := place{e.Instance, e.Address}
 	old := ls.reserve(at, most, idle)
 	if old != nil {
--- a/internal/dataplane/proxy/near.go
+++ b/internal/dataplane/proxy/near.go
@@ -30,12 +30,12 @@
 	Launcher     *actor.Launcher
 	Queue        *trace.Queue
 	Log          *slog.Logger
-	Lineage      *causality.Keeper
-	Claims       *idempotency.Claims[Response]
+	Lineage      *causality.Tracker
+	Claims       *idempotency.Store[Response]
 	Custody      *keyreplication.Owner
 	Bodies       *Bodies
-	RetryBudgets *retrybudget.RetryBudgets
-	Budgets      *retrybudget.Budgets
+	RetryBudgets *retrybudget.ServiceBudgets
+	Budgets      *retrybudget.LatencyBudgets
 	Costs        *routing.Costs
 	// Life ends when the node has to answer whatever is still open, with ErrStopping as its
 	// cause if it is being stopped.
@@ -146,7 +146,7 @@
 	if caller == "" && n.outlasts(q.deadline) {
 		return n.stopping(n.back())
 	}
-	ctx, cancel := context.WithDeadline(trace.With(n.Life, q.span), q.deadline)
+	ctx, cancel := context.WithDeadline(trace.ContextWithSpan(n.Life, q.span), q.deadline)
 	defer cancel()
 	rc := n.claimed(ctx, &q, said.Key)
 	if q.traced {
@@ -238,13 +238,13 @@
 		if e := q.cause.Deadline; !e.IsZero() && e.Before(q.deadline) {
 			q.deadline = e
 		}
-		if q.cause.Rank > 0 {
-			q.attempt.Rank = q.cause.Rank
+		if q.cause.Priority > 0 {
+			q.attempt.Rank = q.cause.Priority
 		}
 	}
 	if q.caller == "" && n.Home != "" {
 		// It says itself how long its client waits: what is inferred decides nothing.
-		q.cause = n.Lineage.Mingled(ctx, n.Home, q.route.Name, told, time.Until(q.deadline))
+		q.cause = n.Lineage.LinkMixed(ctx, n.Home, q.route.Name, told, time.Until(q.deadline))
 	}
 	switch {
 	case !q.cause.Parent.IsZero():
--- a/internal/dataplane/proxy/pair_test.go
+++ b/internal/dataplane/proxy/pair_test.go
@@ -84,13 +84,13 @@
 	}
 	no := func() bool { return false }
 	queue := trace.NewQueue("near", 1, 16)
-	lin := causality.NewKeeper()
+	lin := causality.NewTracker()
 
 	f := p.far
 	f.Boot, f.Queue, f.Lineage, f.Draining, f.Claimed = 7, queue, lin, no, func() bool { return true }
 	f.Table = func() *routing.Table { return table }
-	f.Roster = func() endpoints.Roster {
-		r, _ := endpoints.Roster{}.Announce(endpoints.Announcement{Instance: "a", Service: "desk", Address: p.entry.Address, Capacity: 8}, "north", time.Now())
+	f.Roster = func() endpoints.Registry {
+		r, _ := endpoints.Registry{}.Announce(endpoints.Announcement{Instance: "a", Service: "desk", Address: p.entry.Address, Capacity: 8}, "north", time.Now())
 		return r
 	}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -109,7 +109,7 @@
 	p.near = &Near{
 		Zone: "north", Table: f.Table, View: func() *membership.View { return view }, Net: transport.NewNet(l, transport.Greeting{}, nil),
 		Launcher: l, Queue: queue, Log: slog.New(slog.DiscardHandler), Lineage: lin, Bodies: &Bodies{Most: 1 << 20, All: 8 << 20},
-		RetryBudgets: retrybudget.NewRetryBudgets("near", 20), Budgets: retrybudget.NewBudgets(), Costs: routing.NewCosts(), Life: ctx,
+		RetryBudgets: retrybudget.NewServiceBudgets("near", 20), Budgets: retrybudget.NewLatencyBudgets(), Costs: routing.NewCosts(), Life: ctx,
 		Draining: no, Dialect: told{}, Shun: time.Millisecond, ComeBack: 100 * time.Millisecond,
 	}
 	l.Go(ctx, "lineage", lin.Run)
--- a/internal/dataplane/proxy/recall.go
+++ b/internal/dataplane/proxy/recall.go
@@ -115,13 +115,13 @@
 }
 
 // refusalOf tells why an attempt whose context has ended is not gone on with.
-func refusalOf(ctx context.Context) endpoints.Refusal {
+func refusalOf(ctx context.Context) endpoints.Rejection {
 	cause := context.Cause(ctx)
 	switch {
 	case errors.Is(cause, errRecalled):
-		return endpoints.Recalled
+		return endpoints.Canceled
 	case errors.Is(cause, ErrStopping):
-		return endpoints.Draining
+		return endpoints.NodeDraining
 	}
-	return endpoints.Expired
+	return endpoints.DeadlineExpired
 }
--- a/internal/dataplane/proxy/run.go
+++ b/internal/dataplane/proxy/run.go
@@ -18,10 +18,10 @@
 	d := routing.Decision{
 		Route: q.route, Deadline: q.deadline, Zone: n.Zone, Rand: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 		Means: routing.Means{
-			Aim: q.aim, Room: q.room(), Patience: n.Budgets.Patience(q.contract.Name, q.room()),
+			Aim: q.aim, Room: q.room(), Patience: n.Budgets.AllowedLateness(q.contract.Name, q.room()),
 			Cost: func(t membership.Target) routing.Cost { return n.Costs.Of(q.route.Name, t) },
 			Hold: n.hold(q), Back: n.back(), Late: n.Late, Crossing: n.crossing(q),
-			Spend: func() bool { return n.RetryBudgets.Spend(q.route.Service) }, Unsure: n.Unsure, Unwanted: func() string { return n.unwanted(q) },
+			Spend: func() bool { return n.RetryBudgets.TryWithdraw(q.route.Service) }, Unsure: n.Unsure, Unwanted: func() string { return n.unwanted(q) },
 		},
 	}
 	note := trace.Event{Route: q.route.Name, Service: q.route.Service, Caller: q.caller, Link: q.cause.Link, Candidates: q.cause.Candidates}
@@ -40,7 +40,7 @@
 					"status", o.End.Status, "outcome", o.End.Fate, "reason", o.End.Reason, "legs", len(d.Attempts()))
 				rc = n.own(q, o.End.Status, o.End.Fate, o.End.Reason, o.End.RetryAfter)
 			}
-			n.Budgets.Ended(q.contract.Name, time.Since(q.begun), q.contract.LatencyTarget.Duration, q.contract.Deadline.Duration, rc.Fate == routing.Answered)
+			n.Budgets.Observe(q.contract.Name, time.Since(q.begun), q.contract.LatencyTarget.Duration, q.contract.Deadline.Duration, rc.Fate == routing.Answered)
 			note.Status, note.Outcome, note.Reason, note.Attempt = rc.Status, string(rc.Fate), o.End.Reason, len(d.Attempts())
 			n.Queue.Put(q.span, trace.ClientReceive, note)
 			return rc
@@ -93,18 +93,18 @@
 func (n *Near) send(ctx context.Context, q *request, o routing.Order, num int) (routing.Attempt, AttemptResponse) {
 	span, t := q.span, o.Target
 	if num == 1 {
-		n.RetryBudgets.Earn(q.route.Service)
+		n.RetryBudgets.Deposit(q.route.Service)
 	} else {
 		n.Counts.ExtraAttempts.Add(1)
 		span = q.span.Child()
-		ctx = trace.With(ctx, span)
+		ctx = trace.ContextWithSpan(ctx, span)
 		n.Queue.Put(span, trace.ClientStart, trace.Event{Route: q.route.Name, Service: q.route.Service, Instance: t.Instance, Attempt: num})
 	}
 	attempt := q.attempt
 	attempt.ID = span.ID.String() + "/" + trace.NewID().String()
 	attempt.N, attempt.Instance, attempt.Boot, attempt.Patient = num, t.Instance, t.Incarnation, o.Patient
 	attempt.Left = time.Until(q.deadline) - grace
-	attempt.Aim = time.Until(q.aim) + n.Budgets.Patience(q.contract.Name, q.room()) - grace
+	attempt.Aim = time.Until(q.aim) + n.Budgets.AllowedLateness(q.contract.Name, q.room()) - grace
 	t.Load.Attempts.Add(1)
 	sent := time.Now()
 	over := q.client.during(func() { n.recallLater(ctx, t.Node, attempt) })
@@ -112,7 +112,7 @@
 	over()
 	t.Load.Attempts.Add(-1)
 	if r.Traced {
-		span.Hear(r.Span.Counter())
+		span.AdvanceCounter(r.Span.Counter())
 	}
 	l := routing.Attempt{Target: t, Fate: routing.Unknown, Reason: "lost on the way", Reached: true}
 	var rc AttemptResponse
@@ -121,10 +121,10 @@
 		l.Fate, l.Reason, l.Reached = routing.NotRun, "node could not be reached", false
 		t.Load.Eject(n.Shun)
 	case r.Into(&rc) && rc.of(&attempt):
-		l.Fate, l.Reason, l.Reached, l.Back, l.Expired = rc.Fate, rc.Reason, rc.Reached, rc.Back, rc.Reason == string(endpoints.Expired)
-		l.Lapsed = rc.Fate == routing.NotRun && rc.Reason == string(endpoints.Lapsed)
+		l.Fate, l.Reason, l.Reached, l.Back, l.Expired = rc.Fate, rc.Reason, rc.Reached, rc.Back, rc.Reason == string(endpoints.DeadlineExpired)
+		l.Lapsed = rc.Fate == routing.NotRun && rc.Reason == string(endpoints.LeaseExpired)
 		t.Load.Report(rc.Open)
-		if rc.Fate != routing.Answered && rc.Reason != string(endpoints.Full) && rc.Reason != string(endpoints.Recalled) {
+		if rc.Fate != routing.Answered && rc.Reason != string(endpoints.BackendFull) && rc.Reason != string(endpoints.Canceled) {
 			t.Load.Eject(n.Shun)
 		}
 	default:
--- a/internal/dataplane/proxy/standin_test.go
+++ b/internal/dataplane/proxy/standin_test.go
@@ -61,7 +61,7 @@
 // is false; then it closes.
 type bench struct {
 	far   *Far
-	entry endpoints.Entry
+	entry endpoints.Endpoint
 	opens atomic.Int64
 	mu    sync.Mutex
 	ran   map[string]int
@@ -114,7 +114,7 @@
 	table, _ := routing.NewTable(config.ControlState{})
 	f.Table = func() *routing.Table { return table }
 	b.far = f
-	b.entry = endpoints.Entry{Backend: membership.Backend{Instance: "a", Address: ln.Addr().String(), Capacity: 8}}
+	b.entry = endpoints.Endpoint{Backend: membership.Backend{Instance: "a", Address: ln.Addr().String(), Capacity: 8}}
 	t.Cleanup(func() {
 		cancel()
 		ln.Close()
@@ -127,7 +127,7 @@
 var attempts atomic.Int64
 
 // put puts an attempt to the backend, as carry does.
-func (b *bench) put(attempt Attempt, check func() endpoints.Refusal) AttemptResponse {
+func (b *bench) put(attempt Attempt, check func() endpoints.Rejection) AttemptResponse {
 	if attempt.ID == "" {
 		attempt.ID = fmt.Sprint("leg-", attempts.Add(1))
 	}
@@ -141,7 +141,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), attempt.Left)
 	defer cancel()
 	if check == nil {
-		check = func() endpoints.Refusal { return endpoints.Open }
+		check = func() endpoints.Rejection { return endpoints.Admitted }
 	}
 	g := &guard{check: check}
 	rc := b.far.exchange(ctx, b.entry, &attempt, trace.Root(), g)
--- a/internal/dataplane/routing/table.go
+++ b/internal/dataplane/routing/table.go
@@ -139,11 +139,11 @@
 }
 
 // Pages shows the budget of each contract, given the tallies.
-func (t *Table) Pages(sums map[string]retrybudget.Tally) []retrybudget.Page {
-	out := []retrybudget.Page{}
+func (t *Table) Pages(sums map[string]retrybudget.Counts) []retrybudget.BudgetStatus {
+	out := []retrybudget.BudgetStatus{}
 	for _, name := range slices.Sorted(maps.Keys(t.contracts)) {
 		c := t.contracts[name]
-		out = append(out, retrybudget.NewPage(name, c.Priority, c.LatencyTarget.Duration, c.Deadline.Duration, sums[name]))
+		out = append(out, retrybudget.NewBudgetStatus(name, c.Priority, c.LatencyTarget.Duration, c.Deadline.Duration, sums[name]))
 	}
 	return out
 }
--- a/internal/dataplane/steward.go
+++ b/internal/dataplane/steward.go
@@ -24,21 +24,21 @@
 	boot         uint64
 	zone         string
 	hasten       func()
-	retryBudgets *retrybudget.RetryBudgets
-	budgets      *retrybudget.Budgets
+	retryBudgets *retrybudget.ServiceBudgets
+	budgets      *retrybudget.LatencyBudgets
 	watcher      *membership.Prober
 	inc          atomic.Uint64
-	sleep        endpoints.Sleep
+	sleep        endpoints.WakeDetector
 
 	copy *watch.Mirror
 
-	roster atomic.Pointer[endpoints.Roster]
+	roster atomic.Pointer[endpoints.Registry]
 	table  atomic.Pointer[routing.Table]
 	view   atomic.Pointer[membership.View]
 	shown  atomic.Pointer[follows]
-	claim  endpoints.Claim
+	claim  endpoints.Lease
 	// agreed is the claim that a roll call gives while no majority of cores lives.
-	agreed endpoints.Claim
+	agreed endpoints.Lease
 	// spoken is the word that the table was made of.
 	spoken atomic.Pointer[config.ControlState]
 	// report limits how often new configurations hasten heartbeats.
@@ -88,8 +88,8 @@
 func newSteward(l *actor.Launcher, addr string, boot uint64, zone string, extraAttempts int, hasten func()) *steward {
 	s := &steward{addr: addr, boot: boot, zone: zone, hasten: hasten, copy: watch.NewMirror()}
 	s.watcher = membership.NewProber()
-	s.retryBudgets, s.budgets = retrybudget.NewRetryBudgets(addr, extraAttempts), retrybudget.NewBudgets()
-	s.roster.Store(&endpoints.Roster{})
+	s.retryBudgets, s.budgets = retrybudget.NewServiceBudgets(addr, extraAttempts), retrybudget.NewLatencyBudgets()
+	s.roster.Store(&endpoints.Registry{})
 	t, _ := routing.NewTable(config.ControlState{})
 	s.table.Store(t)
 	s.view.Store(membership.NewView(nil, nil))
@@ -107,7 +107,7 @@
 		s.box.Send(ctx, msgHeld{rev})
 	}
 	if h.Budgets != nil {
-		s.budgets.Hear(h.Budgets)
+		s.budgets.SetGlobal(h.Budgets)
 	}
 	for own := s.inc.Load(); h.Suspected != nil && *h.Suspected >= own; own = s.inc.Load() {
 		if s.inc.CompareAndSwap(own, *h.Suspected+1) {
@@ -118,7 +118,7 @@
 
 // run keeps time until ctx ends.
 func (s *steward) run(ctx context.Context) {
-	tick, pulse := time.NewTicker(membership.HeartbeatInterval), time.NewTicker(endpoints.Pulse)
+	tick, pulse := time.NewTicker(membership.HeartbeatInterval), time.NewTicker(endpoints.WakeCheckInterval)
 	defer tick.Stop()
 	defer pulse.Stop()
 	for {
@@ -137,8 +137,8 @@
 func (s *steward) node() membership.Node {
 	r := s.roster.Load()
 	return membership.Node{
-		Addr: s.addr, Incarnation: s.boot, Version: r.Rev, Zone: s.zone, AppliedRevision: s.table.Load().Stamp, Backends: r.Backends(), Departed: r.DepartedNewest(), Refutation: s.inc.Load(), OpenRequests: r.Open(),
-		Suspects: s.watcher.Suspects(), Budgets: s.budgets.Own(),
+		Addr: s.addr, Incarnation: s.boot, Version: r.Version, Zone: s.zone, AppliedRevision: s.table.Load().Stamp, Backends: r.Backends(), Departed: r.RecentDepartures(), Refutation: s.inc.Load(), OpenRequests: r.Outstanding(),
+		Suspects: s.watcher.Suspects(), Budgets: s.budgets.Local(),
 	}
 }
 
@@ -149,10 +149,10 @@
 
 func (s *steward) on(_ context.Context, msg any) {
 	now := time.Now()
-	s.sleep.Seen(now)
+	s.sleep.Check(now)
 	switch m := msg.(type) {
 	case msgAnnounce:
-		if s.sleep.Drowsy(now) && !m.a.Leaving {
+		if s.sleep.CatchingUp(now) && !m.a.Draining {
 			// It may have piled up while the process was frozen, and its sender
 			// be gone: the next beat will tell.
 			m.reply <- nil
@@ -165,13 +165,13 @@
 		s.acknowledge(*before, next, now, func() { m.reply <- faults })
 	case msgLeave:
 		before := s.roster.Load()
-		_, known := before.Entry(m.instance)
-		s.departures.left(m.instance, known, before.Departed(m.instance))
-		next := before.Depart(m.instance)
+		_, known := before.Lookup(m.instance)
+		s.departures.left(m.instance, known, before.HasDeparted(m.instance))
+		next := before.MarkDeparted(m.instance)
 		s.swapRoster(next)
 		s.acknowledge(*before, next, now, func() { m.reply <- known })
 	case msgDeparted:
-		s.swapRoster(s.roster.Load().Depart(m.instances...))
+		s.swapRoster(s.roster.Load().MarkDeparted(m.instances...))
 	case msgHeld:
 		s.held.heard(m.rev)
 	case msgDrain:
@@ -188,8 +188,8 @@
 			s.hasten()
 		}
 	case msgTick:
-		s.swapRoster(s.roster.Load().Tick(now))
-		s.retryBudgets.Share(slices.Sorted(maps.Keys(s.copy.Nodes)), now)
+		s.swapRoster(s.roster.Load().ExpireSilent(now))
+		s.retryBudgets.SetNodes(slices.Sorted(maps.Keys(s.copy.Nodes)), now)
 	case msgLive:
 		m.reply <- true
 	}
@@ -197,17 +197,17 @@
 
 // acknowledge answers a backend: at once, unless it has just said that it leaves, which a
 // core must hold first.
-func (s *steward) acknowledge(before, after endpoints.Roster, now time.Time, answer func()) {
+func (s *steward) acknowledge(before, after endpoints.Registry, now time.Time, answer func()) {
 	if !after.DepartedSince(before) {
 		answer()
 		return
 	}
-	s.held.add(after.Rev, now, answer)
+	s.held.add(after.Version, now, answer)
 }
 
-func (s *steward) swapRoster(next endpoints.Roster) {
-	next = next.Shade(s.table.Load().ColdRate, time.Now())
-	changed := next.Rev != s.roster.Load().Rev
+func (s *steward) swapRoster(next endpoints.Registry) {
+	next = next.ScaleShares(s.table.Load().ColdRate, time.Now())
+	changed := next.Version != s.roster.Load().Version
 	s.roster.Store(&next)
 	if changed {
 		s.look()
--- a/internal/dataplane/steward_test.go
+++ b/internal/dataplane/steward_test.go
@@ -53,7 +53,7 @@
 	answered := make(chan bool, 1)
 	s.box.Send(t.Context(), msgLeave{"a", answered})
 	settle()
-	if len(answered) != 0 || !s.roster.Load().Departed("a") {
+	if len(answered) != 0 || !s.roster.Load().HasDeparted("a") {
 		t.Errorf("%d answers before a core holds it", len(answered))
 	}
 	node := s.node()
@@ -69,7 +69,7 @@
 	}
 	s.told(t.Context(), membership.Heartbeat{Node: &node}, membership.Heartbeat{Departed: []string{"b"}})
 	settle()
-	if !s.roster.Load().Departed("b") {
+	if !s.roster.Load().HasDeparted("b") {
 		t.Error("what an earlier process had acknowledged is not known")
 	}
 }
--- a/internal/membership/heartbeat.go
+++ b/internal/membership/heartbeat.go
@@ -30,8 +30,8 @@
 	Departed []string `msgpack:"de,omitempty"`
 	// WantBudgets asks for Budgets, the sums over all nodes, in a core's response to a
 	// sidecar.
-	WantBudgets bool                         `msgpack:"su,omitempty"`
-	Budgets     map[string]retrybudget.Tally `msgpack:"bu,omitempty"`
+	WantBudgets bool                          `msgpack:"su,omitempty"`
+	Budgets     map[string]retrybudget.Counts `msgpack:"bu,omitempty"`
 }
 
 // NodeVersion is the boot and the revision of the sidecar that it tells of, whole or by its pulse;
--- a/internal/membership/node.go
+++ b/internal/membership/node.go
@@ -19,7 +19,7 @@
 	// OpenRequests counts what runs and waits at own backends, by zone.
 	OpenRequests map[string]int64 `msgpack:"op,omitempty" json:"open,omitempty"`
 	// Budgets is the node's own tally by contract; it changes without Rev.
-	Budgets map[string]retrybudget.Tally `msgpack:"bu,omitempty" json:"budgets,omitempty"`
+	Budgets map[string]retrybudget.Counts `msgpack:"bu,omitempty" json:"budgets,omitempty"`
 	// Sequence numbers what the node tells within a boot, so that nothing overtaken is
 	// taken for news; zero of an older version.
 	Sequence uint `msgpack:"t,omitempty" json:"-"`
--- a/internal/membership/node_status.go
+++ b/internal/membership/node_status.go
@@ -22,7 +22,7 @@
 
 // BudgetReport are a node's own, by contract; without any, it has none.
 type BudgetReport struct {
-	Budgets map[string]retrybudget.Tally `msgpack:"b,omitempty"`
+	Budgets map[string]retrybudget.Counts `msgpack:"b,omitempty"`
 }
 
 // Status is the node's; with its tallies if they are due.
--- a/internal/retrybudget/retry_budget_test.go
+++ b/internal/retrybudget/service_budgets_test.go
@@ -20,10 +20,10 @@
 				names = append(names, fmt.Sprintf("node-%d", i))
 			}
 			base := time.Now()
-			retryBudgets := make([]*RetryBudgets, size)
+			retryBudgets := make([]*ServiceBudgets, size)
 			fresh := func(i int) {
-				retryBudgets[i] = NewRetryBudgets(names[i], Allowance)
-				retryBudgets[i].Share(names, base)
+				retryBudgets[i] = NewServiceBudgets(names[i], DefaultAllowance)
+				retryBudgets[i].SetNodes(names, base)
 			}
 			for i := range size {
 				fresh(i)
@@ -47,23 +47,23 @@
 					fresh(i) // a restart
 				}
 				if rng.IntN(50) == 0 && size > 1 { // a node misses another for a while
-					retryBudgets[i].Share(names[:size-1], base.Add(now))
+					retryBudgets[i].SetNodes(names[:size-1], base.Add(now))
 				} else {
-					retryBudgets[i].Share(names, base.Add(now))
+					retryBudgets[i].SetNodes(names, base.Add(now))
 				}
 				for range rng.IntN(rate/25 + 1) {
 					i := rng.IntN(size)
-					retryBudgets[i].Earn("s")
+					retryBudgets[i].Deposit("s")
 					attempts = append(attempts, attempt{at: now})
 					for range 3 { // everything fails, and is tried again at once
-						if retryBudgets[i].Spend("s") {
+						if retryBudgets[i].TryWithdraw("s") {
 							attempts = append(attempts, attempt{at: now, extra: true})
 							extras++
 						}
 					}
 				}
 			}
-			if extras == 0 && size <= Allowance {
+			if extras == 0 && size <= DefaultAllowance {
 				t.Errorf("%d nodes: no extra leg at all", size)
 			}
 			first, extra, from := 0, 0, 0
@@ -81,7 +81,7 @@
 					}
 					from++
 				}
-				if float64(extra) > 0.2*float64(first)+Allowance {
+				if float64(extra) > 0.2*float64(first)+DefaultAllowance {
 					t.Fatalf("%d nodes, seed %d: %d extra legs and %d first ones in 10 s up to %v", size, seed, extra, first, l.at)
 				}
 			}
--- a/internal/trace/worker.go
+++ b/internal/trace/publisher.go
@@ -5,35 +5,35 @@
 	"time"
 )
 
-// Send delivers a batch for one collector; false means it was not taken.
-type Send func(ctx context.Context, collector string, batch []Event) bool
+// SendFunc delivers a batch for one collector; false means it was not taken.
+type SendFunc func(ctx context.Context, collector string, batch []Event) bool
 
-// Worker drains a queue and publishes to each trace's collector.
-type Worker struct {
-	Queue   *Queue
-	Choose  func(TraceID) (collector string, ok bool)
-	Send    Send
-	Linger  time.Duration
-	MaxSize int
+// Publisher drains a queue and publishes to each trace's collector.
+type Publisher struct {
+	Queue         *Queue
+	CollectorFor  func(TraceID) (collector string, ok bool)
+	Send          SendFunc
+	FlushInterval time.Duration
+	MaxBatch      int
 }
 
 // Run drains until ctx ends, then publishes what is left.
-func (w *Worker) Run(ctx context.Context) {
-	tick := time.NewTicker(w.Linger)
+func (w *Publisher) Run(ctx context.Context) {
+	tick := time.NewTicker(w.FlushInterval)
 	defer tick.Stop()
 	var batch []Event
 	for {
 		select {
-		case e := <-w.Queue.ch:
+		case e := <-w.Queue.events:
 			batch = append(batch, e)
-			if len(batch) >= w.MaxSize {
+			if len(batch) >= w.MaxBatch {
 				batch = w.flush(ctx, batch)
 			}
 		case <-tick.C:
 			batch = w.flush(ctx, batch)
 		case <-ctx.Done():
-			for len(w.Queue.ch) > 0 {
-				batch = append(batch, <-w.Queue.ch)
+			for len(w.Queue.events) > 0 {
+				batch = append(batch, <-w.Queue.events)
 			}
 			last, cancel := context.WithTimeout(context.WithoutCancel(ctx), time.Second)
 			w.flush(last, batch)
@@ -43,10 +43,10 @@
 	}
 }
 
-func (w *Worker) flush(ctx context.Context, batch []Event) []Event {
+func (w *Publisher) flush(ctx context.Context, batch []Event) []Event {
 	byCollector := map[string][]Event{}
 	for _, e := range batch {
-		c, ok := w.Choose(e.Trace)
+		c, ok := w.CollectorFor(e.Trace)
 		if !ok {
 			w.Queue.failed.Add(1)
 			continue
--- a/internal/trace/queue.go
+++ b/internal/trace/queue.go
@@ -8,35 +8,35 @@
 // Queue is the bounded queue between the traffic and the workers that
 // publish. Putting never waits: a full queue drops and counts. (DESIGN 2.4)
 type Queue struct {
-	node  string
-	boot  uint64
-	start time.Time
-	ch    chan Event
+	node        string
+	incarnation uint64
+	start       time.Time
+	events      chan Event
 
-	taken, dropped, published, failed atomic.Uint64
+	accepted, dropped, published, failed atomic.Uint64
 }
 
 // QueueStats are the queue's counts.
 type QueueStats struct {
-	Taken     uint64 `json:"taken"`
+	Accepted  uint64 `json:"taken"`
 	Dropped   uint64 `json:"dropped"`
 	Published uint64 `json:"published"`
 	Failed    uint64 `json:"failed"`
-	Waiting   int    `json:"waiting"`
+	Queued    int    `json:"waiting"`
 }
 
 // NewQueue makes a queue of the given size for a node's events.
 func NewQueue(node string, boot uint64, size int) *Queue {
-	return &Queue{node: node, boot: boot, start: time.Now(), ch: make(chan Event, size)}
+	return &Queue{node: node, incarnation: boot, start: time.Now(), events: make(chan Event, size)}
 }
 
 // Put records an event of s, or drops it.
 func (q *Queue) Put(s Span, kind Kind, e Event) {
-	e.Trace, e.Span, e.Parent, e.Kind, e.Counter = s.Trace, s.ID, s.Parent, kind, s.Step()
-	e.Node, e.Boot, e.Since = q.node, q.boot, time.Since(q.start)
+	e.Trace, e.Span, e.Parent, e.Kind, e.Counter = s.Trace, s.ID, s.Parent, kind, s.NextCounter()
+	e.Node, e.Incarnation, e.At = q.node, q.incarnation, time.Since(q.start)
 	select {
-	case q.ch <- e:
-		q.taken.Add(1)
+	case q.events <- e:
+		q.accepted.Add(1)
 	default:
 		q.dropped.Add(1)
 	}
@@ -44,5 +44,5 @@
 
 // Stats reads the counts.
 func (q *Queue) Stats() QueueStats {
-	return QueueStats{Taken: q.taken.Load(), Dropped: q.dropped.Load(), Published: q.published.Load(), Failed: q.failed.Load(), Waiting: len(q.ch)}
+	return QueueStats{Accepted: q.accepted.Load(), Dropped: q.dropped.Load(), Published: q.published.Load(), Failed: q.failed.Load(), Queued: len(q.events)}
 }
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -65,14 +65,14 @@
 	for range 10 {
 		q.Put(Root(), ClientStart, Event{})
 	}
-	if st := q.Stats(); st.Taken != 3 || st.Dropped != 7 || st.Waiting != 3 {
+	if st := q.Stats(); st.Accepted != 3 || st.Dropped != 7 || st.Queued != 3 {
 		t.Errorf("%+v", st)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	w := Worker{Queue: q, Choose: func(TraceID) (string, bool) { return "", false }, Send: nil, Linger: time.Hour, MaxSize: 2}
+	w := Publisher{Queue: q, CollectorFor: func(TraceID) (string, bool) { return "", false }, Send: nil, FlushInterval: time.Hour, MaxBatch: 2}
 	w.Run(ctx)
-	if st := q.Stats(); st.Failed != 3 || st.Waiting != 0 {
+	if st := q.Stats(); st.Failed != 3 || st.Queued != 0 {
 		t.Errorf("without a collector: %+v", st)
 	}
 }
--- a/internal/tracestore/tree.go
+++ b/internal/tracestore/tree.go
@@ -95,7 +95,7 @@
 		}
 	}
 	n.Events = append(n.Events, EventView{
-		Kind: e.Kind, Node: e.Node, Counter: e.Counter, SinceStart: e.Since.String(),
+		Kind: e.Kind, Node: e.Node, Counter: e.Counter, SinceStart: e.At.String(),
 		Instance: e.Instance, Status: e.Status, Outcome: e.Outcome, Reason: e.Reason, Attempt: e.Attempt,
 	})
 }
--- a/internal/tracestore/tree_test.go
+++ b/internal/tracestore/tree_test.go
@@ -34,7 +34,7 @@
 			if _, ok := skew[evs[i].Node]; !ok {
 				skew[evs[i].Node] = time.Duration(rng.Int64N(int64(10*time.Hour))) - 5*time.Hour
 			}
-			evs[i].Since = skew[evs[i].Node] + time.Duration(evs[i].Counter)*time.Millisecond
+			evs[i].At = skew[evs[i].Node] + time.Duration(evs[i].Counter)*time.Millisecond
 		}
 		rng.Shuffle(len(evs), func(i, j int) { evs[i], evs[j] = evs[j], evs[i] })
 		tr := BuildTree(trace.TraceID{Lo: 9}, evs)
--- a/internal/transport/connection.go
+++ b/internal/transport/connection.go
@@ -126,7 +126,7 @@
 	if err != nil {
 		return Response{Fate: Unsent, Fault: err.Error()}
 	}
-	s, _ := trace.From(ctx)
+	s, _ := trace.SpanFromContext(ctx)
 	k := &call{span: s, kind: kind, body: raw, elsewhere: elsewhere, reply: make(chan Response, 1)}
 	select {
 	case c.calls <- k:
--- a/internal/transport/host.go
+++ b/internal/transport/host.go
@@ -107,7 +107,7 @@
 		last = m.ID
 		h.Launcher.Go(ctx, "host-call", func(ctx context.Context) {
 			if traced {
-				ctx = trace.With(ctx, s)
+				ctx = trace.ContextWithSpan(ctx, s)
 			}
 			h.reply(ctx, out, s, h.answer(ctx, far, m))
 		})
--- a/internal/transport/wire_test.go
+++ b/internal/transport/wire_test.go
@@ -43,7 +43,7 @@
 			if !q.Into(&e) {
 				return nil, "not an echo"
 			}
-			if s, ok := trace.From(ctx); ok {
+			if s, ok := trace.SpanFromContext(ctx); ok {
 				e.Trace = s.Trace.String()
 			}
 			return e, ""
@@ -66,7 +66,7 @@
 	for _, traced := range []bool{true, false, true} {
 		call, want := ctx, ""
 		if traced {
-			call, want = trace.With(ctx, s), s.Trace.String()
+			call, want = trace.ContextWithSpan(ctx, s), s.Trace.String()
 		}
 		var e echo
 		r := c.Call(call, "echo", echo{Text: "x"})
@@ -103,7 +103,7 @@
 		t.Fatal(err)
 	}
 	var e echo
-	if r := p.Call(trace.With(ctx, s), "echo", echo{Text: "y"}); !r.Into(&e) || r.Traced || e.Text != "y" {
+	if r := p.Call(trace.ContextWithSpan(ctx, s), "echo", echo{Text: "y"}); !r.Into(&e) || r.Traced || e.Text != "y" {
 		t.Errorf("plain peer: %+v %+v", r, e)
 	}
 }
--- a/internal/watch/event_log.go
+++ b/internal/watch/event_log.go
@@ -194,7 +194,7 @@
 }
 
 // Budgets lists each node's newest tally.
-func (log *EventLog) Budgets() (out []map[string]retrybudget.Tally) {
+func (log *EventLog) Budgets() (out []map[string]retrybudget.Counts) {
 	for _, n := range log.nodes {
 		out = append(out, n.Budgets)
 	}
--- a/internal/watch/heartbeat_test.go
+++ b/internal/watch/heartbeat_test.go
@@ -124,7 +124,7 @@
 		s.node.AppliedRevision++
 		s.node.OpenRequests = map[string]int64{"west": model.rng.Int64N(3)}
 		s.node.Suspects = []membership.Suspicion{{Addr: "x", Refutation: s.node.AppliedRevision}}[:model.rng.IntN(2)]
-		s.node.Budgets = map[string]retrybudget.Tally{"c": {N: int64(s.node.AppliedRevision)}}
+		s.node.Budgets = map[string]retrybudget.Counts{"c": {Requests: int64(s.node.AppliedRevision)}}
 	default:
 		if len(model.messages) < 20 && model.rng.IntN(2) == 0 {
 			model.messages = append(model.messages, model.send(s, model.rng.IntN(4) == 0))
--- a/internal/watch/server.go
+++ b/internal/watch/server.go
@@ -24,7 +24,7 @@
 	// confirmedAt is as of when no newer word had been acknowledged; zero if never.
 	confirmedAt time.Time
 	// budgets are the sums over all nodes, for whoever heartbeats.
-	budgets   atomic.Pointer[map[string]retrybudget.Tally]
+	budgets   atomic.Pointer[map[string]retrybudget.Counts]
 	suspected atomic.Pointer[map[string]uint64]
 }
 
@@ -91,7 +91,7 @@
 // NewServer starts the directory's actor.
 func NewServer(l *actor.Launcher, incarnation uint64) *Server {
 	s := &Server{log: NewEventLog(incarnation, 0), start: time.Now()}
-	s.budgets.Store(&map[string]retrybudget.Tally{})
+	s.budgets.Store(&map[string]retrybudget.Counts{})
 	s.suspected.Store(&map[string]uint64{})
 	s.mailbox = l.Spawn("directory", s.handle)
 	return s
@@ -135,7 +135,7 @@
 }
 
 // Budgets are the sums over all nodes.
-func (s *Server) Budgets() map[string]retrybudget.Tally { return *s.budgets.Load() }
+func (s *Server) Budgets() map[string]retrybudget.Counts { return *s.budgets.Load() }
 
 // Suspected is the incarnation in which others accuse a node, if they do.
 func (s *Server) Suspected(addr string) (uint64, bool) {
--- a/tests/golden/constants_test.go
+++ b/tests/golden/constants_test.go
@@ -26,7 +26,7 @@
 		"message-kinds": {
 			membership.KindHeartbeat, membership.KindProbe, membership.KindGossip, watch.KindWatch,
 			consensus.KindMessage, consensus.KindCommand, consensus.KindJoin, consensus.KindDeltaMessage, consensus.KindDeltaCommand,
-			tracestore.KindPublish, tracestore.KindTrace, keyreplication.KindHold, keyreplication.KindRelease, keyreplication.KindHandover,
+			tracestore.KindPublish, tracestore.KindTrace, keyreplication.KindStore, keyreplication.KindRelease, keyreplication.KindHandover,
 			proxy.KindAttempt, proxy.KindRecall, transport.KindPing,
 		},
 		"acts":     {consensus.MsgPrepare, consensus.MsgAccept, consensus.MsgCommit, consensus.MsgRead, consensus.MsgReadIndex, consensus.MsgJoin},
@@ -37,7 +37,7 @@
 		"headers":  {proxy.HeaderCaller, proxy.HeaderOutcome, proxy.HeaderKey, trace.HeaderTrace, trace.HeaderSpan, trace.HeaderParent},
 		"links":    {trace.LinkNone, trace.LinkProven, trace.LinkInferred},
 		"events":   {trace.ClientStart, trace.ServerReceive, trace.ServerSend, trace.ClientReceive},
-		"numbers":  {transport.Version, transport.MaxFrame, int64(idempotency.HeldFor)},
+		"numbers":  {transport.Version, transport.MaxFrame, int64(idempotency.Retention)},
 	} {
 		var lines []string
 		for _, value := range values {
--- a/tests/golden/documents_test.go
+++ b/tests/golden/documents_test.go
@@ -22,7 +22,7 @@
 	for name, sample := range map[string]any{
 		"announcement":   &endpoints.Announcement{},
 		"node":           &membership.Node{},
-		"budgets":        &retrybudget.Answer{},
+		"budgets":        &retrybudget.BudgetList{},
 		"cost":           &routing.CostPage{},
 		"evacuation":     &watch.DrainStatus{},
 		"directory":      &watch.Status{},
--- a/tests/messages/messages_test.go
+++ b/tests/messages/messages_test.go
@@ -48,7 +48,7 @@
 	backend = membership.Backend{Instance: "i", Service: "s", Address: "127.0.0.1:1", Zone: "north", Capacity: 4, CapacityShare: 1}
 	node    = membership.Node{
 		Addr: "127.0.0.1:2", Incarnation: 7, Version: 3, Zone: "north", AppliedRevision: 5, Backends: []membership.Backend{backend}, Refutation: 1,
-		Suspects: []membership.Suspicion{{Addr: "127.0.0.1:3"}}, OpenRequests: map[string]int64{"north": 1}, Budgets: map[string]retrybudget.Tally{"c": {}}, Sequence: 2,
+		Suspects: []membership.Suspicion{{Addr: "127.0.0.1:3"}}, OpenRequests: map[string]int64{"north": 1}, Budgets: map[string]retrybudget.Counts{"c": {}}, Sequence: 2,
 	}
 	seat = membership.Replica{MemberID: 2, MemberCount: 3, Addr: "127.0.0.1:4", Incarnation: 9, Zone: "north", Established: true, Members: []int{1, 2, 3}, AcceptedRevision: 4, Digest: 8}
 	peer = membership.Peer{Addr: node.Addr, Incarnation: 7, Version: 3, Status: &membership.PeerStatus{Age: 20, AppliedRevision: 5, QuorumLost: true}}
@@ -74,10 +74,10 @@
 	of(consensus.KindJoin, consensus.JoinRequest{DiskID: 5, Addr: "127.0.0.1:5", Zone: "north"}, asker),
 	of(tracestore.KindPublish, tracestore.Batch{Events: []trace.Event{{Trace: trace.Root().Trace, Route: "w"}}}, batch),
 	of(tracestore.KindTrace, tracestore.Query{Trace: trace.Root().Trace}, func(tracestore.Query) {}),
-	of(keyreplication.KindHold, keyreplication.Entry{Owner: "o", Boot: 1, N: 1, Key: idempotency.Key{Text: "k"}, For: time.Minute, Response: []byte("r")}, hold),
-	of("held", keyreplication.Held{Taken: true, Known: &keyreplication.Entry{Owner: "o"}}, func(keyreplication.Held) {}),
-	of(keyreplication.KindHandover, keyreplication.Handover{Owner: "o", Boot: 2}, func(q keyreplication.Handover) { keyreplication.NewHoldings().Handover(q, 0) }),
-	of("handed", keyreplication.Handed{Entries: []keyreplication.Entry{{Owner: "o", N: 1}}}, handed),
+	of(keyreplication.KindStore, keyreplication.Record{Owner: "o", Incarnation: 1, Sequence: 1, Key: idempotency.Key{Text: "k"}, TTL: time.Minute, Response: []byte("r")}, hold),
+	of("held", keyreplication.StoreReply{Accepted: true, Existing: &keyreplication.Record{Owner: "o"}}, func(keyreplication.StoreReply) {}),
+	of(keyreplication.KindHandover, keyreplication.HandoverRequest{Owner: "o", Incarnation: 2}, func(q keyreplication.HandoverRequest) { keyreplication.NewReplicaStore().Handover(q, 0) }),
+	of("handed", keyreplication.HandoverReply{Records: []keyreplication.Record{{Owner: "o", Sequence: 1}}}, handed),
 	of(proxy.KindAttempt, proxy.Attempt{ID: "x", Service: "s", Instance: "i", Boot: 7, Method: "GET", URI: "/", Left: time.Second}, func(proxy.Attempt) {}),
 	of("leg receipt", proxy.AttemptResponse{ID: "x", Fate: routing.Answered, Status: 200, Body: []byte("ok")}, func(proxy.AttemptResponse) {}),
 	of(proxy.KindRecall, proxy.Recall{ID: "x", Boot: 7}, func(proxy.Recall) {}),
@@ -112,9 +112,9 @@
 	f.Suspected()
 	retrybudget.Merge(f.Budgets())
 	f.DrainStatus("north", time.Second)
-	budgets := retrybudget.NewBudgets()
-	budgets.Hear(h.Budgets)
-	budgets.Sums()
+	budgets := retrybudget.NewLatencyBudgets()
+	budgets.SetGlobal(h.Budgets)
+	budgets.Totals()
 }
 
 func probe(p membership.Probe) {
@@ -207,24 +207,24 @@
 	}
 }
 
-func hold(e keyreplication.Entry) {
-	h := keyreplication.NewHoldings()
-	h.Take(e, 0)
-	h.Take(e, time.Second)
-	h.Handover(keyreplication.Handover{Owner: e.Owner}, time.Second)
+func hold(e keyreplication.Record) {
+	h := keyreplication.NewReplicaStore()
+	h.Store(e, 0)
+	h.Store(e, time.Second)
+	h.Handover(keyreplication.HandoverRequest{Owner: e.Owner}, time.Second)
 	h.Release(e)
 	if n, settled := h.Count(); n < 0 || settled < 0 || settled > n {
 		panic("the count of claims is wrong")
 	}
 }
 
-func handed(h keyreplication.Handed) {
-	t := keyreplication.NewTrusts("o", "north")
-	for _, e := range h.Entries {
-		t.Held(e, node, 0)
-		t.Settle(e, time.Second)
-		t.Lacking([]membership.Node{node}, 9, time.Second)
-		t.Drop(e)
+func handed(h keyreplication.HandoverReply) {
+	t := keyreplication.NewReplicationTracker("o", "north")
+	for _, e := range h.Records {
+		t.AddReplica(e, node, 0)
+		t.Complete(e, time.Second)
+		t.MissingReplicas([]membership.Node{node}, 9, time.Second)
+		t.Remove(e)
 	}
 }
 
--- a/tests/mutation/soak.go
+++ b/tests/mutation/soak.go
@@ -2,13 +2,13 @@
 
 // ofSoak are those that the soak must find within ten seeds, one for each of its checks.
 var ofSoak = []Defect{
-	soaked(leaving, "DRAIN", "internal/dataplane/endpoints/late.go", "return !a.Leaving", "return false"),
-	soaked(altered, "ROUTE", "internal/dataplane/endpoints/late.go", "return r.displaced.Contains(a.Instance) && r.heldByAnother(a, now)", "return false"),
+	soaked(leaving, "DRAIN", "internal/dataplane/endpoints/stale.go", "return !a.Draining", "return false"),
+	soaked(altered, "ROUTE", "internal/dataplane/endpoints/stale.go", "return r.displaced.Contains(a.Instance) && r.addressTaken(a, now)", "return false"),
 	soaked(altered, "UNASKED", "internal/dataplane/proxy/dialect.go", "h.Del(HeaderCaller)", ""),
 	soaked(twice, "TWICE", "internal/dataplane/routing/decision.go", "past.fate == Unknown && !d.Route.Idempotent", "false"),
 	soaked(notRun, "REFUSED", "internal/dataplane/proxy/ledger.go", "return v.refused", "return v.refused || true"),
 	soaked(whole, "MIXED", "internal/dataplane/proxy/exchange.go", "case err != nil:\n\t\treturn nil, nil, \"backend's answer was cut short\"", "case err != nil && false:"),
-	soaked(extra, "BUDGET", "internal/retrybudget/retry_budget.go", "if have < price {", "if have < -1<<40 {"),
+	soaked(extra, "BUDGET", "internal/retrybudget/budget.go", "if balance < attemptCost {", "if balance < -1<<40 {"),
 	soaked(emptied, "EVAC", "internal/dataplane/routing/table.go", "return t.emptied[zone] }", "return t.emptied[zone] && false }"),
 	soaked(force, "CONFIG", "internal/watch/event_log.go", "\tlog.state = &state\n\tlog.appendEvent(Event{State: &state})", "\tlog.state = &state"),
 	soaked(readBack, "CONFIG", "internal/controlplane/operator.go", "state, ok := n.replica.LinearizableRead(ctx, n.confirmCommitted)", "state, ok := n.replica.Acceptor().State, ctx.Err() == nil"),
--- a/tests/simulation/attempt.go
+++ b/tests/simulation/attempt.go
@@ -46,8 +46,8 @@
 	attempts int
 	claims   *idempotency.Table[attemptAnswer]
 	ledger   *proxy.Ledger
-	held     *keyreplication.Holdings
-	trusts   *keyreplication.Trusts
+	held     *keyreplication.ReplicaStore
+	trusts   *keyreplication.ReplicationTracker
 }
 
 // attemptAnswer is what a client gets.
@@ -82,8 +82,8 @@
 	n.up, n.ready = true, false
 	n.Incarnation = l.rng.Uint64()
 	n.claims = idempotency.NewTable(func(attemptAnswer) int { return 1 })
-	n.ledger, n.held = proxy.NewLedger(), keyreplication.NewHoldings()
-	n.trusts = keyreplication.NewTrusts(n.Addr, n.Zone)
+	n.ledger, n.held = proxy.NewLedger(), keyreplication.NewReplicaStore()
+	n.trusts = keyreplication.NewReplicationTracker(n.Addr, n.Zone)
 }
 
 // see renews everybody's view: all that live.
@@ -221,16 +221,16 @@
 		}
 		left++
 		l.call(n, o, 400*time.Millisecond, func(reply func(any)) {
-			reply(o.held.Handover(keyreplication.Handover{Owner: n.Addr, Boot: n.Incarnation}, l.now))
+			reply(o.held.Handover(keyreplication.HandoverRequest{Owner: n.Addr, Incarnation: n.Incarnation}, l.now))
 		}, func(answer any, _ bool) {
-			got, ok := answer.(keyreplication.Handed)
+			got, ok := answer.(keyreplication.HandoverReply)
 			if !ok {
 				left = -1 // ask all again
 				return
 			}
-			for _, e := range got.Entries {
-				n.claims.Restore(e.Key, e.Print, restored(e), l.now)
-				n.trusts.Held(e, o.Node, l.now)
+			for _, e := range got.Records {
+				n.claims.Restore(e.Key, e.Fingerprint, restored(e), l.now)
+				n.trusts.AddReplica(e, o.Node, l.now)
 			}
 			if left--; left == 0 {
 				n.ready = true
@@ -247,11 +247,11 @@
 
 // repair entrusts anew what holders that have gone had held.
 func (l *Attempts) repair(n *attemptNode) {
-	for _, lack := range n.trusts.Lacking(keyreplication.Others(l.view, n.Addr), 1000, l.now) {
-		o := l.node(lack.To.Addr)
-		l.call(n, o, 150*time.Millisecond, func(reply func(any)) { reply(o.held.Take(lack.Entry, l.now)) }, func(answer any, _ bool) {
-			if h, ok := answer.(keyreplication.Held); ok && h.Taken {
-				n.trusts.Held(lack.Entry, lack.To, l.now)
+	for _, lack := range n.trusts.MissingReplicas(keyreplication.Peers(l.view, n.Addr), 1000, l.now) {
+		o := l.node(lack.Target.Addr)
+		l.call(n, o, 150*time.Millisecond, func(reply func(any)) { reply(o.held.Store(lack.Record, l.now)) }, func(answer any, _ bool) {
+			if h, ok := answer.(keyreplication.StoreReply); ok && h.Accepted {
+				n.trusts.AddReplica(lack.Record, lack.Target, l.now)
 			}
 		})
 	}
@@ -260,14 +260,14 @@
 // repaired tells whether every claim is held as it should be.
 func (l *Attempts) repaired() bool {
 	for _, n := range l.nodes {
-		if len(n.trusts.Lacking(keyreplication.Others(l.view, n.Addr), 1, l.now)) > 0 {
+		if len(n.trusts.MissingReplicas(keyreplication.Peers(l.view, n.Addr), 1, l.now)) > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-func restored(e keyreplication.Entry) attemptAnswer {
+func restored(e keyreplication.Record) attemptAnswer {
 	if e.Response == nil {
 		return attemptAnswer{Fate: routing.Unknown}
 	}
@@ -361,15 +361,15 @@
 	key := idempotency.Key{Text: id}
 	var lay func()
 	lay = func() {
-		n.claims.Lay(key, idempotency.Print{}, l.now, func(a idempotency.Answer[attemptAnswer]) {
+		n.claims.Reserve(key, idempotency.Fingerprint{}, l.now, func(a idempotency.Result[attemptAnswer]) {
 			switch {
-			case a.Again:
+			case a.Retry:
 				l.on(n, lay)
-			case a.Verdict == idempotency.Repeat:
+			case a.Decision == idempotency.Replay:
 				got(a.Response)
-			case a.Verdict == idempotency.First:
+			case a.Decision == idempotency.Proceed:
 				l.entrust(n, key, id, name, func(a attemptAnswer, keep bool) {
-					n.claims.Finish(key, a, keep, l.now)
+					n.claims.Complete(key, a, keep, l.now)
 					got(a)
 				})
 			default:
@@ -383,18 +383,18 @@
 // entrust has two others hold a claim, then runs its request.
 func (l *Attempts) entrust(n *attemptNode, key idempotency.Key, id, name string, done func(a attemptAnswer, keep bool)) {
 	n.next++
-	e := keyreplication.Entry{Owner: n.Addr, Boot: n.Incarnation, N: n.next, Key: key, For: 10*time.Second + idempotency.HeldFor}
-	ranked := keyreplication.Choose(n.Addr, n.Zone, key, keyreplication.Others(l.view, n.Addr))
-	want := min(keyreplication.Holders, len(ranked))
+	e := keyreplication.Record{Owner: n.Addr, Incarnation: n.Incarnation, Sequence: n.next, Key: key, TTL: 10*time.Second + idempotency.Retention}
+	ranked := keyreplication.RankReplicas(n.Addr, n.Zone, key, keyreplication.Peers(l.view, n.Addr))
+	want := min(keyreplication.ReplicationFactor, len(ranked))
 	var by []*attemptNode
 	asked, over := 0, false
 	var ask func()
 	settle := func(response []byte, release bool) {
 		if told := e; release {
-			n.trusts.Drop(told)
+			n.trusts.Remove(told)
 		} else {
-			told.Response, told.For = response, idempotency.HeldFor
-			n.trusts.Settle(told, l.now)
+			told.Response, told.TTL = response, idempotency.Retention
+			n.trusts.Complete(told, l.now)
 		}
 		for _, o := range by {
 			e := e
@@ -403,7 +403,7 @@
 				if release {
 					o.held.Release(e)
 				} else {
-					o.held.Take(e, l.now)
+					o.held.Store(e, l.now)
 				}
 			}, func(any, bool) {})
 		}
@@ -422,14 +422,14 @@
 		}
 		o := l.node(ranked[asked].Addr)
 		asked++
-		l.call(n, o, 150*time.Millisecond, func(reply func(any)) { reply(o.held.Take(e, l.now)) }, func(answer any, _ bool) {
-			h, ok := answer.(keyreplication.Held)
+		l.call(n, o, 150*time.Millisecond, func(reply func(any)) { reply(o.held.Store(e, l.now)) }, func(answer any, _ bool) {
+			h, ok := answer.(keyreplication.StoreReply)
 			switch {
 			case over:
-			case ok && h.Known != nil:
-				finish(restored(*h.Known), true)
-			case ok && h.Taken:
-				n.trusts.Held(e, o.Node, l.now)
+			case ok && h.Existing != nil:
+				finish(restored(*h.Existing), true)
+			case ok && h.Accepted:
+				n.trusts.AddReplica(e, o.Node, l.now)
 				if by = append(by, o); len(by) == want {
 					l.attempts(n, id, name, func(a attemptAnswer) {
 						switch a.Fate {
--- a/tests/simulation/claim.go
+++ b/tests/simulation/claim.go
@@ -53,9 +53,9 @@
 	core   int
 	place  watch.Request
 	stamp  uint64
-	claim  endpoints.Claim
+	claim  endpoints.Lease
 	heard  time.Duration // news from a core
-	agreed endpoints.Claim
+	agreed endpoints.Lease
 	said   membership.PeerStatusTable // what it heard of itself and others
 }
 
@@ -325,16 +325,16 @@
 func (c *Claims) admit(s *claimSide) {
 	now := c.base.Add(c.now)
 	switch {
-	case s.claim.Age(now) <= endpoints.ClaimFor:
+	case s.claim.Age(now) <= endpoints.LeaseDuration:
 		c.Admitted++
-	case s.agreed.Age(now) <= endpoints.ClaimFor && c.alone(s):
+	case s.agreed.Age(now) <= endpoints.LeaseDuration && c.alone(s):
 		c.Agreed++
 	default:
 		c.Lapsed++
 		return
 	}
 	for i := s.stamp; i < uint64(len(c.acked)); i++ {
-		if at := c.settled; c.acked[i] != 0 && c.now-at[i] > endpoints.ClaimFor {
+		if at := c.settled; c.acked[i] != 0 && c.now-at[i] > endpoints.LeaseDuration {
 			if c.gone() && c.untold[i+1] {
 				c.Untold++
 				continue
--- a/tests/simulation/line_test.go
+++ b/tests/simulation/line_test.go
@@ -26,25 +26,25 @@
 		base := time.Now()
 		var q clock
 		some := func(d time.Duration) time.Duration { return time.Duration(rng.Int64N(int64(d) + 1)) }
-		e := endpoints.Entry{Backend: membership.Backend{Capacity: 20, CapacityShare: 0.2}, Heard: base}
+		e := endpoints.Endpoint{Backend: membership.Backend{Capacity: 20, CapacityShare: 0.2}, LastHeartbeat: base}
 		running := 0
-		var line *endpoints.Line
+		var line *endpoints.AdmissionQueue
 		var life int
 		var since time.Duration
 		waiting := map[uint64]func(){}
 		limit := func() int64 {
 			// It says every half second how warm it is: all of it after 20 s.
 			e.CapacityShare = min(1, 0.2+0.8*float64(q.now)/float64(20*time.Second))
-			return e.Limit(1, table.Fresh(q.now-since), base.Add(q.now))
+			return e.ConcurrencyLimit(1, table.Fresh(q.now-since), base.Add(q.now))
 		}
-		boot := func() { line, since, waiting = &endpoints.Line{}, q.now, map[uint64]func(){}; life++ }
+		boot := func() { line, since, waiting = &endpoints.AdmissionQueue{}, q.now, map[uint64]func(){}; life++ }
 		boot()
-		shift := func(s endpoints.Shift) {
-			for _, id := range s.Run {
+		shift := func(s endpoints.Transition) {
+			for _, id := range s.Started {
 				waiting[id]()
 				delete(waiting, id)
 			}
-			for _, id := range s.Refused {
+			for _, id := range s.Rejected {
 				delete(waiting, id)
 			}
 		}
@@ -61,13 +61,13 @@
 				q.after(took, func() {
 					running--
 					if life == mine {
-						shift(line.Done("w", took, limit(), q.now))
+						shift(line.Finish("w", took, limit(), q.now))
 					}
 				})
 			}
-			v, id, _, s := line.Ask(endpoints.Bid{Rank: 1 + rng.IntN(3), Route: "w", Left: 4 * time.Second}, limit(), q.now)
+			v, id, _, s := line.Enqueue(endpoints.QueueRequest{Priority: 1 + rng.IntN(3), Route: "w", Remaining: 4 * time.Second}, limit(), q.now)
 			switch v {
-			case endpoints.Run:
+			case endpoints.Start:
 				run()
 			case endpoints.Wait:
 				waiting[id] = run
