--- a/internal/controlplane/api.go
+++ b/internal/controlplane/api.go
@@ -241,7 +241,7 @@
 		process.Error(w, http.StatusServiceUnavailable, "no configuration is known")
 		return
 	}
-	process.JSON(w, http.StatusOK, retrybudget.BudgetList{Complete: st.Ready, Budgets: table.Pages(n.directory.Budgets())})
+	process.JSON(w, http.StatusOK, retrybudget.BudgetList{Complete: st.Ready, Budgets: table.BudgetReports(n.directory.Budgets())})
 }
 
 // getZoneDrain reports what still runs in a zone, and since when nothing does. A core
--- a/internal/dataplane/control.go
+++ b/internal/dataplane/control.go
@@ -80,7 +80,9 @@
 	mux.Handle("GET /v1/reload", n.reload)
 	mux.Handle("GET /metrics", n.metrics())
 	mux.HandleFunc("GET /v1/budgets", n.budgets)
-	mux.HandleFunc("GET /v1/costs", func(w http.ResponseWriter, _ *http.Request) { process.JSON(w, http.StatusOK, n.near.Costs.Pages()) })
+	mux.HandleFunc("GET /v1/costs", func(w http.ResponseWriter, _ *http.Request) {
+		process.JSON(w, http.StatusOK, n.near.Latencies.Reports())
+	})
 	return mux
 }
 
@@ -101,7 +103,7 @@
 		return false, "stopping"
 	case !n.known():
 		return false, "no core followed yet, and no other sidecar has a configuration"
-	case !n.set.NoKeys && !n.near.Custody.RepairComplete():
+	case !n.set.NoKeys && !n.near.KeyReplication.RepairComplete():
 		return false, "claims on keys are still being handed over"
 	}
 	return true, "serving"
@@ -153,7 +155,7 @@
 	out := []entryView{}
 	for _, e := range n.steward.roster.Load().Endpoints() {
 		addr, _ := n.outgoing.addr(e.Service)
-		out = append(out, entryView{Backend: e.Backend, Age: now.Sub(e.LastHeartbeat).String(), Open: e.Admission.Outstanding(), Limit: n.far.Limit(e, now), Outgoing: addr})
+		out = append(out, entryView{Backend: e.Backend, Age: now.Sub(e.LastHeartbeat).String(), Open: e.Admission.Outstanding(), Limit: n.far.ConcurrencyLimit(e, now), Outgoing: addr})
 	}
 	process.JSON(w, http.StatusOK, out)
 }
@@ -162,16 +164,16 @@
 // a core has told the sums lately.
 func (n *Node) budgets(w http.ResponseWriter, _ *http.Request) {
 	sums, whole := n.steward.budgets.Totals()
-	process.JSON(w, http.StatusOK, retrybudget.BudgetList{Complete: whole, Budgets: n.steward.table.Load().Pages(sums)})
+	process.JSON(w, http.StatusOK, retrybudget.BudgetList{Complete: whole, Budgets: n.steward.table.Load().BudgetReports(sums)})
 }
 
 func (n *Node) stats() stats {
 	f := *n.steward.shown.Load()
 	held, settled := n.holder.Count()
 	return stats{
-		Node: n.set.Advertise, Boot: n.p.Incarnation, Zone: n.set.Zone, Stamp: n.steward.table.Load().Stamp, Follows: f,
-		NewsAge: time.Since(f.Since).String(), ClaimAge: n.steward.claim.Age(time.Now()).String(), Claimed: n.claimed(), Cores: n.seeker.Replicas().Observed(), Near: n.near.Counts.Read(), Far: n.far.Counts.Read(),
+		Node: n.set.Advertise, Boot: n.p.Incarnation, Zone: n.set.Zone, Stamp: n.steward.table.Load().Revision, Follows: f,
+		NewsAge: time.Since(f.Since).String(), ClaimAge: n.steward.claim.Age(time.Now()).String(), Claimed: n.claimed(), Cores: n.seeker.Replicas().Observed(), Near: n.near.Counters.Snapshot(), Far: n.far.Counters.Snapshot(),
 		Trace: n.queue.Stats(), Draining: n.draining.Load(), Closed: n.closed.Load(), ExtraAttempts: n.steward.retryBudgets.Balances(),
-		Held: held, Settled: settled, HandedOver: n.near.Custody.Recovered(), Bodies: [2]int64{n.near.Bodies.Held(), n.far.Bodies.Held()},
+		Held: held, Settled: settled, HandedOver: n.near.KeyReplication.Recovered(), Bodies: [2]int64{n.near.Bodies.Reserved(), n.far.Bodies.Reserved()},
 	}
 }
--- a/internal/dataplane/golden_test.go
+++ b/internal/dataplane/golden_test.go
@@ -19,7 +19,7 @@
 
 // The metrics have the names and labels that they have always had.
 func TestGoldenMetrics(t *testing.T) {
-	n := &Node{near: &proxy.Near{}}
+	n := &Node{near: &proxy.Outbound{}}
 	all := slices.Concat(n.trafficMetrics(), n.controlMetrics(), n.traceMetrics(), metrics.Wire(&transport.Counts{}, &transport.Counts{}))
 	golden.Metrics(t, "metrics.txt", all)
 }
--- a/internal/dataplane/metrics.go
+++ b/internal/dataplane/metrics.go
@@ -23,31 +23,31 @@
 func (n *Node) trafficMetrics() []*metrics.Metric {
 	side := []string{"side"}
 	return []*metrics.Metric{
-		metrics.Counter("route_requests_total", "Requests of callers that a route took, by outcome.", []string{"route", "outcome"}, n.near.Routes.Read),
+		metrics.Counter("route_requests_total", "Requests of callers that a route took, by outcome.", []string{"route", "outcome"}, n.near.RouteCounters.Read),
 		metrics.Counter("requests_total", "Requests of callers, and attempts for own backends, that have ended, by outcome.", []string{"side", "outcome"}, n.bySide(func(t proxy.Totals, emit metrics.Emit, side string) {
 			emit(float64(t.Answered), side, string(routing.Answered))
 			emit(float64(t.NotRun), side, string(routing.NotRun))
 			emit(float64(t.Unknown), side, string(routing.Unknown))
 		})),
 		metrics.Gauge("requests_in_flight", "Requests of callers, and attempts for own backends, that are open.", side, n.bySide(func(t proxy.Totals, emit metrics.Emit, side string) {
-			emit(float64(t.Open), side)
+			emit(float64(t.InFlight), side)
 		})),
 		metrics.Counter("retries_total", "Attempts beyond a request's first.", nil, metrics.Value(func() float64 {
-			return float64(n.near.Counts.Read().ExtraAttempts)
+			return float64(n.near.Counters.Snapshot().ExtraAttempts)
 		})),
 		metrics.Counter("joined_requests_total", "Repeats of an Idempotency-Key that got the answer of its first request.", nil, metrics.Value(func() float64 {
-			return float64(n.near.Counts.Read().Joined)
+			return float64(n.near.Counters.Snapshot().Joined)
 		})),
 		metrics.Counter("clients_left_total", "Requests whose clients left before they were answered.", nil, metrics.Value(func() float64 {
-			return float64(n.near.Counts.Read().ClientsLeft)
+			return float64(n.near.Counters.Snapshot().ClientDisconnects)
 		})),
 		metrics.Counter("after_clients_left_seconds_total", "Time for which requests went on after their clients had left.", nil, metrics.Value(func() float64 {
-			return n.near.Counts.Read().AfterLeaving.Seconds()
+			return n.near.Counters.Snapshot().AfterDisconnect.Seconds()
 		})),
 		metrics.Counter("recalled_attempts_total", "Attempts for own backends that were recalled, by what was done.", []string{"outcome"}, func(emit metrics.Emit) {
-			total := n.far.Counts.Read()
-			emit(float64(total.Recalled), "not-run")
-			emit(float64(total.Stopped), "stopped")
+			total := n.far.Counters.Snapshot()
+			emit(float64(total.CancelledBeforeStart), "not-run")
+			emit(float64(total.CancelledRunning), "stopped")
 			emit(float64(total.LeftRunning), "left-running")
 		}),
 		metrics.Gauge("retry_budget", "Retries to a service that this sidecar may make now.", []string{"service"}, func(emit metrics.Emit) {
@@ -56,8 +56,8 @@
 			}
 		}),
 		metrics.Gauge("body_bytes", "Bytes of request bodies held now.", side, func(emit metrics.Emit) {
-			emit(float64(n.near.Bodies.Held()), "client")
-			emit(float64(n.far.Bodies.Held()), "server")
+			emit(float64(n.near.Bodies.Reserved()), "client")
+			emit(float64(n.far.Bodies.Reserved()), "server")
 		}),
 	}
 }
@@ -65,8 +65,8 @@
 // bySide reads the totals of both sides.
 func (n *Node) bySide(read func(t proxy.Totals, emit metrics.Emit, side string)) metrics.Read {
 	return func(emit metrics.Emit) {
-		read(n.near.Counts.Read(), emit, "client")
-		read(n.far.Counts.Read(), emit, "server")
+		read(n.near.Counters.Snapshot(), emit, "client")
+		read(n.far.Counters.Snapshot(), emit, "server")
 	}
 }
 
@@ -79,7 +79,7 @@
 			return n.steward.claim.Age(time.Now()).Seconds()
 		})),
 		metrics.Gauge("configuration_version", "Version of the configuration in force.", nil, metrics.Value(func() float64 {
-			return float64(n.steward.table.Load().Stamp)
+			return float64(n.steward.table.Load().Revision)
 		})),
 		metrics.Gauge("feed_lag_seconds", "Time since the last message of the feed from the core that is followed; absent before the first.", nil, func(emit metrics.Emit) {
 			if since := n.steward.shown.Load().Since; !since.IsZero() {
--- a/internal/dataplane/new.go
+++ b/internal/dataplane/new.go
@@ -25,7 +25,7 @@
 // New puts the parts together and opens the addresses.
 func New(set settings.Sidecar, doors *Doors) *Node {
 	p := process.New("sidecar", set.Common)
-	n := &Node{p: p, set: set, queue: trace.NewQueue(set.Advertise, p.Incarnation, set.TraceQueue), dialect: proxy.Plain{}}
+	n := &Node{p: p, set: set, queue: trace.NewQueue(set.Advertise, p.Incarnation, set.TraceQueue), dialect: proxy.DefaultDialect{}}
 	if doors != nil {
 		n.dialect = doors.Dialect
 	}
@@ -43,7 +43,7 @@
 	n.start(map[string]func(context.Context){
 		"lineage": calls.Run, "claims": claims.Run, "rollcall": rollcall.Run, "follower": n.newFollower().Run,
 		"net": p.TransportClient.Run, "host": p.TransportServer.Run, "steward": n.steward.run, "seeker": n.seeker.Run,
-		"watcher": n.steward.watcher.Run, "holder": n.holder.Run, "custody": n.near.Custody.Run,
+		"watcher": n.steward.watcher.Run, "holder": n.holder.Run, "custody": n.near.KeyReplication.Run,
 	})
 	if doors != nil {
 		doors.Open(n)
@@ -62,7 +62,7 @@
 	n.steward = newSteward(p.Actors, set.Advertise, p.Incarnation, set.Zone, set.ExtraAttempts, n.seeker.HeartbeatNow)
 	n.steward.roster.Store(&endpoints.Registry{Heartbeats: endpoints.HeartbeatPolicy{Interval: set.Beat}, Started: time.Now()})
 	n.steward.departures.notice = p.Notice
-	n.steward.climb = routing.Climb{For: set.Ramp, From: set.RampFrom}
+	n.steward.climb = routing.SlowStart{Duration: set.Ramp, InitialShare: set.RampFrom}
 	n.seeker.Local = func() membership.Heartbeat { node := n.steward.node(); return membership.Heartbeat{Node: &node} }
 	n.seeker.Addr, n.seeker.Client, n.seeker.Actors = set.Advertise, p.TransportClient, p.Actors
 	n.seeker.OnResponse = n.steward.told
@@ -77,20 +77,20 @@
 // addNear adds the side beside the callers, with what it keeps of keys.
 func (n *Node) addNear(calls *causality.Tracker, claims *idempotency.Store[proxy.Response]) {
 	set, p := n.set, n.p
-	n.near = &proxy.Near{
-		Zone: set.Zone, Table: n.table, View: n.view, Net: p.TransportClient, Launcher: p.Actors, Queue: n.queue, Log: p.Log,
-		Lineage: calls, Claims: claims, RetryBudgets: n.steward.retryBudgets, Budgets: n.steward.budgets, Costs: routing.NewCosts(),
-		Draining: n.shut, StopsAt: n.stopsAt, Unsure: n.unsure, Behind: n.behind,
-		Home: set.Caller, Dialect: n.dialect, Shun: set.Shun, Hold: set.Hold, ComeBack: set.ComeBack, Late: set.Late, Crossing: set.Crossing,
-		Bodies: &proxy.Bodies{Most: set.MaxBody, All: set.BodyMemory},
+	n.near = &proxy.Outbound{
+		Zone: set.Zone, Table: n.table, View: n.view, Transport: p.TransportClient, Launcher: p.Actors, Spans: n.queue, Log: p.Log,
+		Causality: calls, Reservations: claims, RetryBudgets: n.steward.retryBudgets, Budgets: n.steward.budgets, Latencies: routing.NewLatencyTable(),
+		Draining: n.shut, ShutdownTime: n.stopsAt, ConfigurationUnconfirmed: n.unsure, ConfigurationOutdated: n.behind,
+		LocalService: set.Caller, Dialect: n.dialect, EjectionTime: set.Shun, WaitShare: set.Hold, MinRetryAfter: set.ComeBack, AcceptLate: set.Late, CrossZoneCost: set.Crossing,
+		Bodies: &proxy.BodyLimiter{MaxBody: set.MaxBody, MaxTotal: set.BodyMemory},
 	}
-	n.near.Life, n.giveUp = context.WithCancelCause(p.Context)
+	n.near.Lifetime, n.giveUp = context.WithCancelCause(p.Context)
 	n.holder = keyreplication.NewReplicaServer()
-	n.near.Custody = &keyreplication.Owner{
+	n.near.KeyReplication = &keyreplication.Owner{
 		Addr: set.Advertise, Incarnation: p.Incarnation, Zone: set.Zone, View: n.view, Client: p.TransportClient, Actors: p.Actors,
-		ViewReady: n.known, Restore: n.near.Restore,
+		ViewReady: n.known, Restore: n.near.RestoreKey,
 	}
-	n.near.Custody.Init()
+	n.near.KeyReplication.Init()
 	n.outgoing = &outgoing{
 		p: p, near: n.near, host: netip.MustParseAddrPort(set.Advertise).Addr(), fixed: set.Outgoing,
 		known: n.steward.services, webs: map[string]*process.HTTPServer{},
@@ -99,11 +99,11 @@
 
 // addFar adds the side beside the own backends.
 func (n *Node) addFar(calls *causality.Tracker) {
-	n.far = proxy.NewFar(n.p.Context, n.p.Actors)
-	n.far.Boot, n.far.Table, n.far.Queue, n.far.Lineage, n.far.Draining = n.p.Incarnation, n.table, n.queue, calls, n.draining.Load
-	n.far.Claimed, n.far.Dialect, n.far.Halving = n.claimed, n.dialect, n.set.Halving
-	n.far.Bodies = &proxy.Bodies{Most: n.set.MaxBody, All: n.set.BodyMemory}
-	n.far.Roster = func() endpoints.Registry { return *n.steward.roster.Load() }
+	n.far = proxy.NewInbound(n.p.Context, n.p.Actors)
+	n.far.Incarnation, n.far.Table, n.far.Spans, n.far.Causality, n.far.Draining = n.p.Incarnation, n.table, n.queue, calls, n.draining.Load
+	n.far.LeaseHeld, n.far.Dialect, n.far.HalfCapacityTime = n.claimed, n.dialect, n.set.Halving
+	n.far.Bodies = &proxy.BodyLimiter{MaxBody: n.set.MaxBody, MaxTotal: n.set.BodyMemory}
+	n.far.Endpoints = func() endpoints.Registry { return *n.steward.roster.Load() }
 }
 
 // newRollcall makes the part that asks the other sidecars when no core is heard.
@@ -140,8 +140,8 @@
 		return membership.Probe{Incarnation: n.p.Incarnation, Refutation: n.steward.inc.Load()}, ""
 	}
 	handlers[membership.KindGossip] = rollcall.HandleGossip
-	handlers[proxy.KindAttempt] = n.far.Attempt
-	handlers[proxy.KindRecall] = n.far.Recall
+	handlers[proxy.KindAttempt] = n.far.HandleAttempt
+	handlers[proxy.KindCancel] = n.far.HandleCancel
 }
 
 // listen opens the addresses.
--- a/internal/dataplane/node.go
+++ b/internal/dataplane/node.go
@@ -50,8 +50,8 @@
 	set      settings.Sidecar
 	steward  *steward
 	seeker   *membership.Discovery
-	near     *proxy.Near
-	far      *proxy.Far
+	near     *proxy.Outbound
+	far      *proxy.Inbound
 	holder   *keyreplication.ReplicaServer
 	queue    *trace.Queue
 	outgoing *outgoing
@@ -101,14 +101,14 @@
 // who admits is bound by its own claim. (DESIGN 7.2)
 func (n *Node) behind() bool {
 	now := time.Now()
-	return n.steward.claim.Age(now) > sureFor && n.seeker.Replicas().CommittedPast(n.steward.table.Load().Stamp, now)
+	return n.steward.claim.Age(now) > sureFor && n.seeker.Replicas().CommittedPast(n.steward.table.Load().Revision, now)
 }
 
 // shut tells whether clients' requests are refused. The calls of an own backend belong
 // to requests that were handed over: where they can't be told from clients', all that
 // surely end before the stop does are taken while it runs one. (DESIGN 11.3)
 func (n *Node) shut() bool {
-	return n.closed.Load() && (n.set.Caller == "" || n.far.Counts.Open.Load() == 0)
+	return n.closed.Load() && (n.set.Caller == "" || n.far.Counters.InFlight.Load() == 0)
 }
 
 // stopsAt tells until when what is still taken must have ended, once clients are refused.
--- a/internal/dataplane/outgoing.go
+++ b/internal/dataplane/outgoing.go
@@ -24,7 +24,7 @@
 // restarted in between. (DESIGN 9.3)
 type outgoing struct {
 	p     *process.Process
-	near  *proxy.Near
+	near  *proxy.Outbound
 	host  netip.Addr
 	fixed map[string]string
 	// known lists the services that this node knows of.
--- a/internal/dataplane/proxy/answers_test.go
+++ b/internal/dataplane/proxy/answers_test.go
@@ -20,24 +20,24 @@
 // it did with the request; it is sent once, and the next attempt has a connection of its own.
 func TestBackendResets(t *testing.T) {
 	reset := func(c net.Conn) { c.(*net.TCPConn).SetLinger(0) }
-	for name, speak := range map[string]func(v visit) bool{
-		"unread": func(v visit) bool { reset(v.w); return false },
-		"read": func(v visit) bool {
+	for name, speak := range map[string]func(v receivedRequest) bool{
+		"unread": func(v receivedRequest) bool { reset(v.w); return false },
+		"read": func(v receivedRequest) bool {
 			io.Copy(io.Discard, v.Body)
 			reset(v.w)
 			return false
 		},
-		"in its head": func(v visit) bool {
+		"in its head": func(v receivedRequest) bool {
 			io.WriteString(v.w, "HTTP/1.1 200 OK\r\nFor: "+v.id+"\r\nConte")
 			reset(v.w)
 			return false
 		},
-		"in its body": func(v visit) bool {
+		"in its body": func(v receivedRequest) bool {
 			io.WriteString(v.w, "HTTP/1.1 200 OK\r\nFor: "+v.id+"\r\nContent-Length: 100\r\n\r\nhalf")
 			reset(v.w)
 			return false
 		},
-		"in a chunk": func(v visit) bool {
+		"in a chunk": func(v receivedRequest) bool {
 			io.WriteString(v.w, "HTTP/1.1 200 OK\r\nFor: "+v.id+"\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nhalf")
 			reset(v.w)
 			return false
@@ -46,23 +46,23 @@
 		for _, reused := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, reused %v", name, reused), func(t *testing.T) {
 				for _, size := range []int{1, 300 << 10} {
-					b := newBench(t, func(v visit) bool {
+					b := newFakeBackend(t, func(v receivedRequest) bool {
 						if strings.HasPrefix(v.id, "broken") {
 							return speak(v)
 						}
-						return plainly(v)
+						return respondOK(v)
 					})
 					if reused {
-						b.good(t, Attempt{})
+						b.mustAnswer(t, Attempt{})
 					}
-					rc := b.put(Attempt{ID: "broken", Body: make([]byte, size)}, nil)
-					if rc.Fate != routing.Unknown || len(rc.Body) > 0 || rc.Status != 0 {
-						t.Errorf("%+v", rc)
+					response := b.send(Attempt{ID: "broken", Body: make([]byte, size)}, nil)
+					if response.Outcome != routing.Unknown || len(response.Body) > 0 || response.Status != 0 {
+						t.Errorf("%+v", response)
 					}
-					b.good(t, Attempt{})
+					b.mustAnswer(t, Attempt{})
 					b.mu.Lock()
-					if b.ran["broken"] != 1 {
-						t.Errorf("it was sent %d times", b.ran["broken"])
+					if b.runs["broken"] != 1 {
+						t.Errorf("it was sent %d times", b.runs["broken"])
 					}
 					b.mu.Unlock()
 					if b.opens.Load() != 2 {
@@ -77,33 +77,33 @@
 // A far side that tells what this version does not understand has told nothing: whether
 // the attempt ran is unknown, and an order is neither promised not to have run nor sent again.
 func TestResponseNotUnderstood(t *testing.T) {
-	for name, rc := range map[string]AttemptResponse{
+	for name, response := range map[string]AttemptResponse{
 		"no fate":          {Reason: "x"},
-		"another fate":     {Fate: "half-run", Status: 200},
-		"no status":        {Fate: routing.Answered},
-		"an odd status":    {Fate: routing.Answered, Status: 1000},
-		"a passing status": {Fate: routing.Answered, Status: 100},
-		"another's":        {ID: "another's", Fate: routing.Answered, Status: 200, Body: []byte("another's")},
-		"another's word":   {ID: "another's", Fate: routing.NotRun},
+		"another fate":     {Outcome: "half-run", Status: 200},
+		"no status":        {Outcome: routing.Answered},
+		"an odd status":    {Outcome: routing.Answered, Status: 1000},
+		"a passing status": {Outcome: routing.Answered, Status: 100},
+		"another's":        {ID: "another's", Outcome: routing.Answered, Status: 200, Body: []byte("another's")},
+		"another's word":   {ID: "another's", Outcome: routing.NotRun},
 	} {
 		t.Run(name, func(t *testing.T) {
 			attempts := 0
-			p := newPairWith(t, plainly, func(h map[string]transport.Handler) {
+			p := newProxyPairWith(t, respondOK, func(h map[string]transport.Handler) {
 				h[KindAttempt] = func(_ context.Context, in transport.Request) (any, string) {
 					var attempt Attempt
 					in.Into(&attempt)
 					attempts++
-					out := rc
+					out := response
 					if out.ID == "" {
 						out.ID = attempt.ID
 					}
 					return out, ""
 				}
-				h[KindRecall] = func(context.Context, transport.Request) (any, string) { return nil, "not known" }
+				h[KindCancel] = func(context.Context, transport.Request) (any, string) { return nil, "not known" }
 			})
 			c := p.client(t)
-			c.say("POST /once/x HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\n\r\nx")
-			resp, body := c.hear()
+			c.send("POST /once/x HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\n\r\nx")
+			resp, body := c.receive()
 			if resp == nil || resp.StatusCode != 502 || resp.Header.Get(HeaderOutcome) != string(routing.Unknown) || attempts != 1 {
 				t.Errorf("%+v %s after %d legs", resp, body, attempts)
 			}
@@ -123,18 +123,18 @@
 		"a trailer of one hop":    {Method: "POST", URI: "/look/", Trailer: http.Header{"Content-Length": {"3"}}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := newPair(t, plainly)
+			p := newProxyPair(t, respondOK)
 			ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 			defer cancel()
-			attempt.ID, attempt.Service, attempt.Instance, attempt.Boot, attempt.Left, attempt.Aim = "odd", "desk", "a", 7, time.Second, time.Second
-			node := p.near.View().Nodes()[0].Addr
-			r := p.near.Net.Call(ctx, node, transport.Traffic, KindAttempt, attempt)
+			attempt.ID, attempt.Service, attempt.Instance, attempt.Incarnation, attempt.Timeout, attempt.TimeToTarget = "odd", "desk", "a", 7, time.Second, time.Second
+			node := p.outbound.View().Nodes()[0].Addr
+			r := p.outbound.Transport.Call(ctx, node, transport.Traffic, KindAttempt, attempt)
 			if r.Fate != transport.Answered || r.Fault == "" {
 				t.Errorf("%+v", r)
 			}
-			var rc AttemptResponse
-			if r := p.near.Net.Call(ctx, node, transport.Control, KindRecall, Recall{ID: "odd", Boot: 7}); !r.Into(&rc) || rc.Fate != routing.NotRun {
-				t.Errorf("recalled: %+v", rc)
+			var response AttemptResponse
+			if r := p.outbound.Transport.Call(ctx, node, transport.Control, KindCancel, CancelRequest{ID: "odd", Incarnation: 7}); !r.Into(&response) || response.Outcome != routing.NotRun {
+				t.Errorf("recalled: %+v", response)
 			}
 			if len(p.uris()) > 0 {
 				t.Errorf("it came to the backend: %v", p.uris())
@@ -143,20 +143,22 @@
 	}
 }
 
-// stuck is a body whose client has stopped sending.
-type stuck struct{}
+// timedOutBody is a body whose client has stopped sending.
+type timedOutBody struct{}
 
-func (stuck) Read([]byte) (int, error) { return 0, fmt.Errorf("read: %w", os.ErrDeadlineExceeded) }
-func (stuck) Close() error             { return nil }
+func (timedOutBody) Read([]byte) (int, error) {
+	return 0, fmt.Errorf("read: %w", os.ErrDeadlineExceeded)
+}
+func (timedOutBody) Close() error { return nil }
 
 // A client that does not come to the end of its body is told that it took too long, and
 // that nothing has run.
 func TestBodyTakesTooLong(t *testing.T) {
-	p := newPair(t, plainly)
-	r := httptest.NewRequest("POST", "/once/x", stuck{})
+	p := newProxyPair(t, respondOK)
+	r := httptest.NewRequest("POST", "/once/x", timedOutBody{})
 	r.ContentLength = 10
-	if rc := p.near.serve("", r); rc.Status != http.StatusRequestTimeout || rc.Fate != routing.NotRun {
-		t.Errorf("%+v", rc)
+	if response := p.outbound.serve("", r); response.Status != http.StatusRequestTimeout || response.Fate != routing.NotRun {
+		t.Errorf("%+v", response)
 	}
 }
 
@@ -167,8 +169,8 @@
 	for _, heard := range []bool{true, false} {
 		t.Run(fmt.Sprintf("recall heard %v", heard), func(t *testing.T) {
 			came, woken, ended := make(chan struct{}, 9), make(chan struct{}), make(chan AttemptResponse, 9)
-			p := newPairWith(t, plainly, func(h map[string]transport.Handler) {
-				attempt, recall := h[KindAttempt], h[KindRecall]
+			p := newProxyPairWith(t, respondOK, func(h map[string]transport.Handler) {
+				attempt, recall := h[KindAttempt], h[KindCancel]
 				h[KindAttempt] = func(ctx context.Context, in transport.Request) (any, string) {
 					came <- struct{}{}
 					<-woken
@@ -176,7 +178,7 @@
 					ended <- rc.(AttemptResponse)
 					return rc, fault
 				}
-				h[KindRecall] = func(ctx context.Context, in transport.Request) (any, string) {
+				h[KindCancel] = func(ctx context.Context, in transport.Request) (any, string) {
 					if !heard {
 						<-woken
 					}
@@ -184,10 +186,10 @@
 				}
 			})
 			c := p.client(t)
-			c.say("POST /once/x HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\n\r\nx")
+			c.send("POST /once/x HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\n\r\nx")
 			<-came
-			p.cut()
-			resp, body := c.hear()
+			p.closeConnections()
+			resp, body := c.receive()
 			status, outcome := 503, routing.NotRun
 			if !heard {
 				status, outcome = 502, routing.Unknown
@@ -196,9 +198,9 @@
 				t.Errorf("%+v %s", resp, body)
 			}
 			close(woken)
-			rc := <-ended
-			if heard && (rc.Fate == routing.Answered || len(p.uris()) > 0) {
-				t.Errorf("it was promised not to run, and came to %+v", rc)
+			response := <-ended
+			if heard && (response.Outcome == routing.Answered || len(p.uris()) > 0) {
+				t.Errorf("it was promised not to run, and came to %+v", response)
 			}
 			if p.uris()["/once/x"] > 1 || len(came) > 0 {
 				t.Errorf("it was sent again: %v, %d more legs", p.uris(), len(came))
--- a/internal/dataplane/proxy/attempt.go
+++ b/internal/dataplane/proxy/attempt.go
@@ -11,29 +11,29 @@
 	"curlewwalk/internal/dataplane/routing"
 )
 
-// KindAttempt and KindRecall are kinds on the wire.
+// KindAttempt and KindCancel are kinds on the wire.
 const (
 	KindAttempt = "leg"
-	KindRecall  = "recall"
+	KindCancel  = "recall"
 )
 
 // Attempt is one attempt of a request, as the near sidecar sends it.
 type Attempt struct {
 	// ID is unique to the attempt; the far sidecar never runs one twice.
-	ID       string        `msgpack:"id"`
-	N        int           `msgpack:"n"`
-	Service  string        `msgpack:"s"`
-	Instance string        `msgpack:"i"`
-	Boot     uint64        `msgpack:"bt"`
-	Route    string        `msgpack:"w"`
-	Rank     int           `msgpack:"rk"`
-	Left     time.Duration `msgpack:"l"`
-	// Aim is the time left until the request is late; it waits no longer.
-	Aim time.Duration `msgpack:"am"`
-	// Patient says that it rather waits to be late than be refused.
-	Patient bool `msgpack:"pt,omitempty"`
-	// Repeatable says that running it twice does no harm.
-	Repeatable bool        `msgpack:"rp,omitempty"`
+	ID          string        `msgpack:"id"`
+	Number      int           `msgpack:"n"`
+	Service     string        `msgpack:"s"`
+	Instance    string        `msgpack:"i"`
+	Incarnation uint64        `msgpack:"bt"`
+	Route       string        `msgpack:"w"`
+	Priority    int           `msgpack:"rk"`
+	Timeout     time.Duration `msgpack:"l"`
+	// TimeToTarget is the time left until the request is late; it waits no longer.
+	TimeToTarget time.Duration `msgpack:"am"`
+	// QueuePastTarget says that it rather waits to be late than be refused.
+	QueuePastTarget bool `msgpack:"pt,omitempty"`
+	// Idempotent says that running it twice does no harm.
+	Idempotent bool        `msgpack:"rp,omitempty"`
 	Caller     string      `msgpack:"c,omitempty"`
 	Method     string      `msgpack:"m"`
 	URI        string      `msgpack:"u"`
@@ -44,23 +44,23 @@
 	Body    []byte      `msgpack:"b"`
 }
 
-// late is the time left in which a late answer is still worth something.
-func (l *Attempt) late() time.Duration {
-	if !l.Patient {
+// queueAllowance is the time left in which a late answer is still worth something.
+func (a *Attempt) queueAllowance() time.Duration {
+	if !a.QueuePastTarget {
 		return 0
 	}
-	return l.Left
+	return a.Timeout
 }
 
 // valid tells whether a request can be made of the attempt that is that one request to every
 // reader of it.
-func (l *Attempt) valid() bool {
-	for name := range l.Trailer {
+func (a *Attempt) valid() bool {
+	for name := range a.Trailer {
 		if isHopByHop(name) {
 			return false
 		}
 	}
-	return isToken(l.Method) && isOneWord(l.URI) && isOneWord(l.Host) && l.URI != "" && target("", l.URI).RequestURI() == l.URI
+	return isToken(a.Method) && hasNoBlanks(a.URI) && hasNoBlanks(a.Host) && a.URI != "" && requestTargetURL("", a.URI).RequestURI() == a.URI
 }
 
 // isToken tells whether s is a token as RFC 9110 (5.6.2) has it.
@@ -70,32 +70,32 @@
 	})
 }
 
-// isOneWord tells whether s has neither blanks nor control characters in it.
-func isOneWord(s string) bool {
+// hasNoBlanks tells whether s has neither blanks nor control characters in it.
+func hasNoBlanks(s string) bool {
 	return !slices.ContainsFunc([]byte(s), func(b byte) bool { return b <= ' ' || b == 0x7f })
 }
 
 // AttemptResponse is what the far sidecar tells of an attempt.
 type AttemptResponse struct {
-	ID     string       `msgpack:"id"`
-	Fate   routing.Fate `msgpack:"f"`
-	Reason string       `msgpack:"r,omitempty"`
-	Status int          `msgpack:"s"`
-	Header http.Header  `msgpack:"h"`
+	ID      string          `msgpack:"id"`
+	Outcome routing.Outcome `msgpack:"f"`
+	Reason  string          `msgpack:"r,omitempty"`
+	Status  int             `msgpack:"s"`
+	Header  http.Header     `msgpack:"h"`
 	// Trailer is what the backend sent behind its body.
 	Trailer http.Header `msgpack:"tr,omitempty"`
 	Body    []byte      `msgpack:"b"`
-	// Reached says that the attempt came to a backend, though it may not have run.
-	Reached bool `msgpack:"rd,omitempty"`
-	// Open is how many requests the backend has open.
-	Open int `msgpack:"o"`
-	// Back is when a refused request should come again.
-	Back time.Duration `msgpack:"bk,omitempty"`
+	// ReachedBackend says that the attempt came to a backend, though it may not have run.
+	ReachedBackend bool `msgpack:"rd,omitempty"`
+	// InFlight is how many requests the backend has open.
+	InFlight int `msgpack:"o"`
+	// RetryAfter is when a refused request should come again.
+	RetryAfter time.Duration `msgpack:"bk,omitempty"`
 }
 
-// of tells whether the response is understood, and is that of an attempt.
-func (r *AttemptResponse) of(attempt *Attempt) bool {
-	switch r.Fate {
+// answers tells whether the response is understood, and is that of an attempt.
+func (r *AttemptResponse) answers(attempt *Attempt) bool {
+	switch r.Outcome {
 	case routing.Answered:
 		return r.ID == attempt.ID && r.Status >= 200 && r.Status <= 999
 	case routing.NotRun, routing.Unknown:
@@ -104,9 +104,9 @@
 	return false
 }
 
-// Recall asks a far sidecar, in one incarnation of it, to let an attempt never run, or to
+// CancelRequest asks a far sidecar, in one incarnation of it, to let an attempt never run, or to
 // stop it if that may be.
-type Recall struct {
-	ID   string `msgpack:"id"`
-	Boot uint64 `msgpack:"bt"`
+type CancelRequest struct {
+	ID          string `msgpack:"id"`
+	Incarnation uint64 `msgpack:"bt"`
 }
--- a/internal/dataplane/proxy/ledger_test.go
+++ b/internal/dataplane/proxy/attemptlog_test.go
@@ -11,24 +11,24 @@
 func TestLedger(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	l := newLedgerKeeper()
+	l := newAttemptLogActor()
 	go l.run(ctx)
-	if !l.ask(ctx, l.begin, "a") || l.ask(ctx, l.begin, "a") {
+	if !l.query(ctx, l.begins, "a") || l.query(ctx, l.begins, "a") {
 		t.Error("a leg must begin once")
 	}
-	if l.ask(ctx, l.refuse, "a") {
+	if l.query(ctx, l.refusals, "a") {
 		t.Error("a leg that has begun was refused")
 	}
 	for range 2 {
-		if !l.ask(ctx, l.refuse, "b") {
+		if !l.query(ctx, l.refusals, "b") {
 			t.Error("a leg that was never seen could not be refused")
 		}
 	}
-	if l.ask(ctx, l.begin, "b") {
+	if l.query(ctx, l.begins, "b") {
 		t.Error("a refused leg began")
 	}
 	cancel()
-	if l.ask(ctx, l.begin, "c") {
+	if l.query(ctx, l.begins, "c") {
 		t.Error("a leg began without a ledger")
 	}
 }
@@ -36,7 +36,7 @@
 // The request target that net/http writes is the client's, byte for byte.
 func TestTarget(t *testing.T) {
 	for _, uri := range []string{"/", "/a%2Fb", "/a//b?x=%20", "//two/slashes?q", "//two?", "/?", "*", "/%e2%82%ac", "http://host/path?q=1"} {
-		if got := target("127.0.0.1:1", uri).RequestURI(); got != uri {
+		if got := requestTargetURL("127.0.0.1:1", uri).RequestURI(); got != uri {
 			t.Errorf("%q became %q", uri, got)
 		}
 	}
--- a/internal/dataplane/proxy/bench_test.go
+++ b/internal/dataplane/proxy/bench_test.go
@@ -17,12 +17,12 @@
 	"curlewwalk/internal/dataplane/routing"
 )
 
-// standInVar tells the test binary to be a backend in a process of its own, so that
+// fakeBackendVariable tells the test binary to be a backend in a process of its own, so that
 // the CPU that is counted is that of the far side alone.
-const standInVar = "CURLEWWALK_STAND_IN"
+const fakeBackendVariable = "CURLEWWALK_STAND_IN"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(standInVar) == "" {
+	if os.Getenv(fakeBackendVariable) == "" {
 		os.Exit(m.Run())
 	}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -41,7 +41,7 @@
 // attempts open.
 func BenchmarkExchange(b *testing.B) {
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), standInVar+"=1")
+	cmd.Env = append(os.Environ(), fakeBackendVariable+"=1")
 	out, err := cmd.StdoutPipe()
 	if err != nil {
 		b.Fatal(err)
@@ -54,20 +54,20 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	w := newBench(b, plainly)
+	w := newFakeBackend(b, respondOK)
 	w.entry.Address = strings.TrimSpace(addr)
-	attempt := Attempt{ID: "x", Body: []byte(strings.Repeat("x", 200)), Header: http.Header{"Content-Type": {"text/plain"}, "Accept": {"*/*"}}, Left: time.Minute}
+	attempt := Attempt{ID: "x", Body: []byte(strings.Repeat("x", 200)), Header: http.Header{"Content-Type": {"text/plain"}, "Accept": {"*/*"}}, Timeout: time.Minute}
 	open := func() endpoints.Rejection { return endpoints.Admitted }
 	before := cpu()
 	b.ResetTimer()
 	for range b.N {
-		if rc := w.put(attempt, open); rc.Fate != routing.Answered {
-			b.Fatalf("%+v", rc)
+		if response := w.send(attempt, open); response.Outcome != routing.Answered {
+			b.Fatalf("%+v", response)
 		}
 	}
 	b.StopTimer()
 	b.ReportMetric(float64(cpu()-before)/float64(b.N), "cpu-ns/leg")
-	b.ReportMetric(100*float64(w.far.Opened())/float64(b.N), "conns/100legs")
+	b.ReportMetric(100*float64(w.inbound.ConnectionsOpened())/float64(b.N), "conns/100legs")
 }
 
 func cpu() time.Duration {
--- a/internal/dataplane/proxy/client_test.go
+++ b/internal/dataplane/proxy/client_test.go
@@ -11,8 +11,8 @@
 	"testing"
 )
 
-// clients are what net/http sends requests by: it repeats some by itself.
-var clients = []string{"Client", "Transport", "DefaultClient", "DefaultTransport", "Get", "Head", "Post", "PostForm"}
+// repeatingClients are what net/http sends requests by: it repeats some by itself.
+var repeatingClients = []string{"Client", "Transport", "DefaultClient", "DefaultTransport", "Get", "Head", "Post", "PostForm"}
 
 // The product sends by net/http's client nowhere but in the planner, which only reads:
 // what may not be repeated would be, out of sight.
@@ -34,7 +34,7 @@
 		}
 		ast.Inspect(file, func(n ast.Node) bool {
 			s, ok := n.(*ast.SelectorExpr)
-			if !ok || !slices.Contains(clients, s.Sel.Name) {
+			if !ok || !slices.Contains(repeatingClients, s.Sel.Name) {
 				return true
 			}
 			if x, ok := s.X.(*ast.Ident); ok && x.Name == "http" {
--- a/internal/dataplane/proxy/unsure_test.go
+++ b/internal/dataplane/proxy/configuration_test.go
@@ -18,9 +18,9 @@
 		t.Fatal("no table")
 	}
 	unsure := false
-	n := &Near{
-		Table: func() *routing.Table { return table }, Dialect: Plain{}, Draining: func() bool { return false }, Bodies: &Bodies{Most: 1 << 20, All: 1 << 20},
-		Unsure: func() bool { return unsure },
+	n := &Outbound{
+		Table: func() *routing.Table { return table }, Dialect: DefaultDialect{}, Draining: func() bool { return false }, Bodies: &BodyLimiter{MaxBody: 1 << 20, MaxTotal: 1 << 20},
+		ConfigurationUnconfirmed: func() bool { return unsure },
 	}
 	for _, c := range []struct {
 		unsure bool
@@ -44,9 +44,9 @@
 	if !ok {
 		t.Fatal("no table")
 	}
-	n := &Near{
-		Table: func() *routing.Table { return table }, Dialect: Plain{}, Draining: func() bool { return false }, Bodies: &Bodies{Most: 1 << 20, All: 1 << 20},
-		Behind: func() bool { return true }, ComeBack: 100 * time.Millisecond,
+	n := &Outbound{
+		Table: func() *routing.Table { return table }, Dialect: DefaultDialect{}, Draining: func() bool { return false }, Bodies: &BodyLimiter{MaxBody: 1 << 20, MaxTotal: 1 << 20},
+		ConfigurationOutdated: func() bool { return true }, MinRetryAfter: 100 * time.Millisecond,
 	}
 	w := httptest.NewRecorder()
 	n.Handler("").ServeHTTP(w, httptest.NewRequest(http.MethodPost, "http://orders.example/old/1", nil))
--- a/internal/dataplane/proxy/links_test.go
+++ b/internal/dataplane/proxy/connpool_test.go
@@ -11,7 +11,7 @@
 
 // Nobody there: not run, and no place is lost by it.
 func TestNobodyThere(t *testing.T) {
-	b := newBench(t, plainly)
+	b := newFakeBackend(t, respondOK)
 	there := b.entry.Address
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -19,51 +19,51 @@
 	}
 	b.entry.Address = ln.Addr().String()
 	ln.Close()
-	if rc := b.put(Attempt{}, nil); rc.Fate != routing.NotRun || rc.Reached {
-		t.Errorf("%+v", rc)
+	if response := b.send(Attempt{}, nil); response.Outcome != routing.NotRun || response.ReachedBackend {
+		t.Errorf("%+v", response)
 	}
-	if len(b.far.links.shelves) != 0 {
+	if len(b.inbound.pool.entries) != 0 {
 		t.Error("a place is kept for nobody")
 	}
 	b.entry.Address = there
-	b.good(t, Attempt{})
+	b.mustAnswer(t, Attempt{})
 }
 
 // The sweep closes what is idle too long, what leads to a backend that takes nothing
 // more, and what an instance elsewhere answered.
 func TestSweep(t *testing.T) {
 	other := false
-	b := newBench(t, func(v visit) bool {
+	b := newFakeBackend(t, func(v receivedRequest) bool {
 		if other {
-			v.say(v.id, "ok", "Elsewhere: 1")
+			v.respond(v.id, "ok", "Elsewhere: 1")
 		} else {
-			v.say(v.id, "ok")
+			v.respond(v.id, "ok")
 		}
 		return true
 	})
 	var stands atomic.Bool
 	stands.Store(true)
-	b.far.links.stands = func(place) bool { return stands.Load() }
+	b.inbound.pool.isCurrent = func(backendAddress) bool { return stands.Load() }
 	idle := func(want int, why string) {
 		t.Helper()
-		if n := b.far.links.idle(); n != want {
+		if n := b.inbound.pool.idleCount(); n != want {
 			t.Errorf("%s: %d are idle", why, n)
 		}
 	}
-	b.good(t, Attempt{})
-	b.far.links.once(time.Now())
+	b.mustAnswer(t, Attempt{})
+	b.inbound.pool.sweepOnce(time.Now())
 	idle(1, "young")
-	b.far.links.once(time.Now().Add(keepFor))
+	b.inbound.pool.sweepOnce(time.Now().Add(maxIdleTime))
 	idle(0, "too long")
-	b.good(t, Attempt{})
+	b.mustAnswer(t, Attempt{})
 	stands.Store(false)
-	b.far.links.once(time.Now())
+	b.inbound.pool.sweepOnce(time.Now())
 	idle(0, "leaving")
 	stands.Store(true)
-	b.good(t, Attempt{})
+	b.mustAnswer(t, Attempt{})
 	other = true
-	if rc := b.put(Attempt{}, nil); rc.Fate != routing.NotRun || !rc.Reached {
-		t.Errorf("%+v", rc)
+	if response := b.send(Attempt{}, nil); response.Outcome != routing.NotRun || !response.ReachedBackend {
+		t.Errorf("%+v", response)
 	}
 	idle(0, "elsewhere")
 }
--- a/internal/dataplane/proxy/dialect.go
+++ b/internal/dataplane/proxy/dialect.go
@@ -11,72 +11,76 @@
 // project's own is Plain; an adapter brings another. It only words: what is done is
 // decided by those who ask it. (DESIGN 18.2)
 type Dialect interface {
-	// Hear reads what a request says of itself. h is its header on the way to the
+	// ParseRequest reads what a request says of itself. h is its header on the way to the
 	// backend: what only sidecars may set is taken out of it.
-	Hear(r *http.Request, h http.Header) Said
-	// Address puts into h, the header of a request to a backend, what the backend is
+	ParseRequest(r *http.Request, h http.Header) RequestMetadata
+	// SetBackendHeaders puts into h, the header of a request to a backend, what the backend is
 	// told of an attempt: its caller, the instance meant, the time left.
-	Address(h http.Header, attempt *Attempt, left time.Duration)
-	// Judge reads what the header of a backend's answer says of an attempt.
-	Judge(attempt *Attempt, status int, h http.Header) Judgement
-	// Word words an answer of our own.
-	Word(o Own) Response
+	SetBackendHeaders(h http.Header, attempt *Attempt, left time.Duration)
+	// ClassifyResponse reads what the header of a backend's answer says of an attempt.
+	ClassifyResponse(attempt *Attempt, status int, h http.Header) ResponseClass
+	// BuildReply words an answer of our own.
+	BuildReply(o LocalReply) Response
 }
 
-// Said is what a request says of itself.
-type Said struct {
-	// Left is how long its client will wait; zero if it does not say.
-	Left time.Duration
-	// Key is the key under which it must run once only, if it has one.
-	Key string
+// RequestMetadata is what a request says of itself.
+type RequestMetadata struct {
+	// ClientTimeout is how long its client will wait; zero if it does not say.
+	ClientTimeout time.Duration
+	// IdempotencyKey is the key under which it must run once only, if it has one.
+	IdempotencyKey string
 }
 
-// Judgement is what a backend's answer means for its attempt.
-type Judgement int
+// ResponseClass is what a backend's answer means for its attempt.
+type ResponseClass int
 
 // The judgements.
 const (
-	// Fair is the attempt's own answer.
-	Fair Judgement = iota
-	// Declined says that the backend has not run the attempt and never will.
-	Declined
-	// Elsewhere says so too: another instance has the address.
-	Elsewhere
-	// Stray is the answer to another request.
-	Stray
-	// False claims a success that can't be this backend's.
-	False
+	// ResponseValid is the attempt's own answer.
+	ResponseValid ResponseClass = iota
+	// ResponseDeclined says that the backend has not run the attempt and never will.
+	ResponseDeclined
+	// ResponseMisrouted says so too: another instance has the address.
+	ResponseMisrouted
+	// ResponseMismatched is the answer to another request.
+	ResponseMismatched
+	// ResponseForged claims a success that can't be this backend's.
+	ResponseForged
 )
 
-// Own is an answer of our own, before it is worded.
-type Own struct {
-	Status int
-	Fate   routing.Fate
-	Reason string
-	// Trace is the trace's id, if there is one.
-	Trace string
-	// Back is when to come again; zero: it makes no sense.
-	Back time.Duration
+// LocalReply is an answer of our own, before it is worded.
+type LocalReply struct {
+	Status  int
+	Outcome routing.Outcome
+	Reason  string
+	// TraceID is the trace's id, if there is one.
+	TraceID string
+	// RetryAfter is when to come again; zero: it makes no sense.
+	RetryAfter time.Duration
 }
 
-// Plain is the project's own dialect.
-type Plain struct{}
+// DefaultDialect is the project's own dialect.
+type DefaultDialect struct{}
 
-// Hear implements Dialect.
-func (Plain) Hear(r *http.Request, h http.Header) Said {
+// ParseRequest implements Dialect.
+func (DefaultDialect) ParseRequest(r *http.Request, h http.Header) RequestMetadata {
 	h.Del(HeaderCaller)
-	return Said{Key: r.Header.Get(HeaderKey)}
+	return RequestMetadata{IdempotencyKey: r.Header.Get(HeaderKey)}
 }
 
-// Address implements Dialect.
-func (Plain) Address(h http.Header, attempt *Attempt, _ time.Duration) {
+// SetBackendHeaders implements Dialect.
+func (DefaultDialect) SetBackendHeaders(h http.Header, attempt *Attempt, _ time.Duration) {
 	if attempt.Caller != "" {
 		h.Set(HeaderCaller, attempt.Caller)
 	}
 }
 
-// Judge implements Dialect.
-func (Plain) Judge(*Attempt, int, http.Header) Judgement { return Fair }
+// ClassifyResponse implements Dialect.
+func (DefaultDialect) ClassifyResponse(*Attempt, int, http.Header) ResponseClass {
+	return ResponseValid
+}
 
-// Word implements Dialect.
-func (Plain) Word(o Own) Response { return ownResponse(o.Status, o.Fate, o.Reason, o.Trace, o.Back) }
+// BuildReply implements Dialect.
+func (DefaultDialect) BuildReply(o LocalReply) Response {
+	return newLocalReply(o.Status, o.Outcome, o.Reason, o.TraceID, o.RetryAfter)
+}
--- a/internal/dataplane/proxy/refused_test.go
+++ b/internal/dataplane/proxy/duplicate_test.go
@@ -17,15 +17,15 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	l := actor.New(slog.New(slog.DiscardHandler), func(name string, cause any, _ []byte) { t.Errorf("%s: %v", name, cause) })
-	f := NewFar(ctx, l)
-	f.Bodies, f.Draining = &Bodies{}, func() bool { return true }
-	if !f.ledger.ask(ctx, f.ledger.begin, "first") {
+	f := NewInbound(ctx, l)
+	f.Bodies, f.Draining = &BodyLimiter{}, func() bool { return true }
+	if !f.attemptLog.query(ctx, f.attemptLog.begins, "first") {
 		t.Fatal("the first did not begin")
 	}
-	if rc := f.carry(ctx, Attempt{ID: "first"}, trace.Root()); rc.Fate != routing.Unknown {
-		t.Errorf("the twin of what runs was told %q", rc.Fate)
+	if response := f.admit(ctx, Attempt{ID: "first"}, trace.Root()); response.Outcome != routing.Unknown {
+		t.Errorf("the twin of what runs was told %q", response.Outcome)
 	}
-	if rc := f.carry(ctx, Attempt{ID: "other"}, trace.Root()); rc.Fate != routing.NotRun {
-		t.Errorf("what was never begun was told %q", rc.Fate)
+	if response := f.admit(ctx, Attempt{ID: "other"}, trace.Root()); response.Outcome != routing.NotRun {
+		t.Errorf("what was never begun was told %q", response.Outcome)
 	}
 }
--- a/internal/dataplane/proxy/exchange.go
+++ b/internal/dataplane/proxy/exchange.go
@@ -18,203 +18,203 @@
 	"curlewwalk/internal/trace"
 )
 
-// elsewhere is the reason of an attempt that another instance answered.
-const elsewhere = "another instance has the address"
+// misroutedReason is the reason of an attempt that another instance answered.
+const misroutedReason = "another instance has the address"
 
 // exchange puts the request to the backend and reads its whole answer. Where not a
 // byte went on a link that was kept, it goes on a fresh one, past the guard again.
-func (f *Far) exchange(ctx context.Context, e endpoints.Endpoint, attempt *Attempt, span trace.Span, g *guard) AttemptResponse {
-	most, idle := f.most(e), freshOnly
-	if attempt.Repeatable {
-		idle = keepFor
+func (f *Inbound) exchange(ctx context.Context, e endpoints.Endpoint, attempt *Attempt, span trace.Span, g *writeGuard) AttemptResponse {
+	most, idle := f.maxConnections(e), maxIdleNonIdempotent
+	if attempt.Idempotent {
+		idle = maxIdleTime
 	}
 	for {
-		l, err := f.links.take(ctx, e, most, idle)
+		conn, err := f.pool.acquire(ctx, e, most, idle)
 		if err != nil {
-			return lost(ctx, err)
+			return connectionLost(ctx, err)
 		}
 		req := backendRequest(ctx, e.Address, attempt)
 		trace.WriteB3(req.Header, span)
-		f.Dialect.Address(req.Header, attempt, time.Until(deadline(ctx)))
-		x := exchange{far: f, link: l, req: req, attempt: attempt, guard: g}
+		f.Dialect.SetBackendHeaders(req.Header, attempt, time.Until(deadline(ctx)))
+		x := backendExchange{inbound: f, conn: conn, req: req, attempt: attempt, guard: g}
 		// A link waits by its own deadline: this is how it hears of an end before that.
-		heard := context.AfterFunc(ctx, func() { l.SetDeadline(time.Now()) })
-		again := l.carried
-		l.carried = true
-		l.headed = l.headed || attempt.Method == http.MethodHead
-		rc := x.run(ctx)
+		heard := context.AfterFunc(ctx, func() { conn.SetDeadline(time.Now()) })
+		again := conn.usedBefore
+		conn.usedBefore = true
+		conn.carriedHead = conn.carriedHead || attempt.Method == http.MethodHead
+		response := x.run(ctx)
 		if !heard() {
-			l.keep = 0 // its deadline may be changed at any moment from now on
+			conn.idleTimeout = 0 // its deadline may be changed at any moment from now on
 		}
-		if rc.Reason == elsewhere {
-			f.links.drop(l.at)
+		if response.Reason == misroutedReason {
+			f.pool.closeIdle(conn.address)
 		}
-		f.links.put(l, most)
-		if !again || !x.unwritten {
-			return rc
+		f.pool.release(conn, most)
+		if !again || !x.nothingWritten {
+			return response
 		}
 		idle = 0
 	}
 }
 
-// exchange is one attempt on one link.
-type exchange struct {
-	far     *Far
-	link    *link
+// backendExchange is one attempt on one link.
+type backendExchange struct {
+	inbound *Inbound
+	conn    *backendConn
 	req     *http.Request
 	attempt *Attempt
-	guard   *guard
-	// unwritten says that the link failed before a byte was taken.
-	unwritten bool
+	guard   *writeGuard
+	// nothingWritten says that the link failed before a byte was taken.
+	nothingWritten bool
 }
 
 // run writes the request and reads the answer. The link stays fit to be kept only if
 // it is known to stand between two answers.
-func (x *exchange) run(ctx context.Context) AttemptResponse {
-	l, fit := x.link, x.link.keep
-	l.keep = 0
+func (x *backendExchange) run(ctx context.Context) AttemptResponse {
+	conn, idleTimeout := x.conn, x.conn.idleTimeout
+	conn.idleTimeout = 0
 	done := make(chan error, 1)
 	write := func(context.Context) {
 		err := x.write()
-		if err != nil && !x.guard.wrote() {
-			l.SetReadDeadline(time.Now()) // there will be no answer
+		if err != nil && !x.guard.written() {
+			conn.SetReadDeadline(time.Now()) // there will be no answer
 		}
 		done <- err
 	}
-	if len(x.attempt.Body) <= straight {
+	if len(x.attempt.Body) <= inlineWriteLimit {
 		write(ctx)
 	} else {
 		// What is long may be answered before it was read to its end.
-		x.far.links.launcher.Go(ctx, "inquiry-write", write)
+		x.inbound.pool.launcher.Go(ctx, "inquiry-write", write)
 	}
-	rc, idle := x.answer(ctx)
+	response, idle := x.readResponse(ctx)
 	var err error
 	select {
 	case err = <-done:
 	default:
-		l.SetDeadline(time.Now()) // ends the write
+		conn.SetDeadline(time.Now()) // ends the write
 		err = <-done
 	}
 	switch {
 	case err == nil:
-		l.keep, l.since = idle, time.Now()
-	case x.guard.wrote():
-	case x.guard.why.Load() != nil:
-		l.keep = fit // as before
-		rc = lost(ctx, err)
+		conn.idleTimeout, conn.idleSince = idle, time.Now()
+	case x.guard.written():
+	case x.guard.refusal.Load() != nil:
+		conn.idleTimeout = idleTimeout // as before
+		response = connectionLost(ctx, err)
 	default:
-		x.unwritten = true
-		rc = lost(ctx, err)
+		x.nothingWritten = true
+		response = connectionLost(ctx, err)
 	}
-	return rc
+	return response
 }
 
 // write writes the request: what is not long, at once.
-func (x *exchange) write() error {
-	out := bufio.NewWriterSize(guarded{conn: x.link.Conn, g: x.guard}, roomForHead+min(len(x.attempt.Body), straight))
+func (x *backendExchange) write() error {
+	out := bufio.NewWriterSize(guardedWriter{conn: x.conn.Conn, guard: x.guard}, headBufferSize+min(len(x.attempt.Body), inlineWriteLimit))
 	if err := x.req.Write(out); err != nil {
 		return err
 	}
 	return out.Flush()
 }
 
-// answer reads the answer, and tells how long the link may then be idle.
-func (x *exchange) answer(ctx context.Context) (rc AttemptResponse, idle time.Duration) {
-	for strays := 0; ; {
-		resp, failed := x.next(ctx)
+// readResponse reads the answer, and tells how long the link may then be idle.
+func (x *backendExchange) readResponse(ctx context.Context) (response AttemptResponse, idle time.Duration) {
+	for mismatched := 0; ; {
+		resp, failed := x.nextResponse(ctx)
 		if resp == nil {
 			return failed, 0
 		}
-		switch x.far.Dialect.Judge(x.attempt, resp.StatusCode, resp.Header) {
-		case Declined:
-			return x.declined(ctx, resp)
-		case Elsewhere:
-			return AttemptResponse{Fate: routing.NotRun, Reason: elsewhere, Reached: true}, 0
-		case Stray:
+		switch x.inbound.Dialect.ClassifyResponse(x.attempt, resp.StatusCode, resp.Header) {
+		case ResponseDeclined:
+			return x.readDeclined(ctx, resp)
+		case ResponseMisrouted:
+			return AttemptResponse{Outcome: routing.NotRun, Reason: misroutedReason, ReachedBackend: true}, 0
+		case ResponseMismatched:
 			// It came late, in the place of the one that is due.
-			if strays++; !x.passOver(resp, strays) {
-				return unknown(ctx, "backend answered another inquiry"), 0
+			if mismatched++; !x.skipResponse(resp, mismatched) {
+				return unknownOutcome(ctx, "backend answered another inquiry"), 0
 			}
 			continue
-		case False:
-			return unknown(ctx, "backend's answer claims what it can't"), 0
+		case ResponseForged:
+			return unknownOutcome(ctx, "backend's answer claims what it can't"), 0
 		}
-		rc, idle = x.own(ctx, resp)
-		if strays > 0 {
+		response, idle = x.readOwn(ctx, resp)
+		if mismatched > 0 {
 			idle = 0
 		}
-		return rc, idle
+		return response, idle
 	}
 }
 
-// next reads the head of the next answer that is not a 1xx one, or tells what is known
+// nextResponse reads the head of the next answer that is not a 1xx one, or tells what is known
 // without one.
-func (x *exchange) next(ctx context.Context) (resp *http.Response, failed AttemptResponse) {
-	for early := 0; early <= mostEarly; early++ {
-		x.link.left = mostHead
-		resp, err := x.head()
+func (x *backendExchange) nextResponse(ctx context.Context) (resp *http.Response, failed AttemptResponse) {
+	for informational := 0; informational <= maxInformational; informational++ {
+		x.conn.readLimit = maxHeadSize
+		resp, err := x.readHead()
 		if err != nil {
-			return nil, lost(ctx, err)
+			return nil, connectionLost(ctx, err)
 		}
-		x.link.left = math.MaxInt64
+		x.conn.readLimit = math.MaxInt64
 		switch {
 		case resp.StatusCode == http.StatusSwitchingProtocols:
-			return nil, unknown(ctx, "backend switched protocols")
+			return nil, unknownOutcome(ctx, "backend switched protocols")
 		case resp.StatusCode >= 200:
 			return resp, AttemptResponse{}
 		}
 	}
-	return nil, unknown(ctx, "backend does not come to its answer")
+	return nil, unknownOutcome(ctx, "backend does not come to its answer")
 }
 
-// declined reads what follows the head of an answer that declines. The head proves it; the
+// readDeclined reads what follows the head of an answer that declines. The head proves it; the
 // rest only decides whether the link is kept.
-func (x *exchange) declined(ctx context.Context, resp *http.Response) (rc AttemptResponse, idle time.Duration) {
-	x.link.SetReadDeadline(earlier(deadline(ctx), time.Now().Add(restFor)))
-	_, _, fault := x.whole(resp)
-	return AttemptResponse{Fate: routing.NotRun, Reason: "declined by the backend", Reached: true}, keepAfter(resp, fault)
+func (x *backendExchange) readDeclined(ctx context.Context, resp *http.Response) (response AttemptResponse, idle time.Duration) {
+	x.conn.SetReadDeadline(earlier(deadline(ctx), time.Now().Add(declinedBodyTimeout)))
+	_, _, fault := x.readBody(resp)
+	return AttemptResponse{Outcome: routing.NotRun, Reason: "declined by the backend", ReachedBackend: true}, idleTimeoutAfter(resp, fault)
 }
 
-// passOver reads an answer to another request to its end; false if the one that is due
+// skipResponse reads an answer to another request to its end; false if the one that is due
 // can't be told from what follows.
-func (x *exchange) passOver(resp *http.Response, strays int) bool {
-	_, _, fault := x.whole(resp)
-	return !(fault != "" || strays > mostStrays || resp.Close || x.link.headed)
+func (x *backendExchange) skipResponse(resp *http.Response, mismatched int) bool {
+	_, _, fault := x.readBody(resp)
+	return !(fault != "" || mismatched > maxMismatched || resp.Close || x.conn.carriedHead)
 }
 
-// own reads the answer that is the attempt's own.
-func (x *exchange) own(ctx context.Context, resp *http.Response) (rc AttemptResponse, idle time.Duration) {
-	body, trailer, fault := x.whole(resp)
+// readOwn reads the answer that is the attempt's own.
+func (x *backendExchange) readOwn(ctx context.Context, resp *http.Response) (response AttemptResponse, idle time.Duration) {
+	body, trailer, fault := x.readBody(resp)
 	if fault != "" {
-		return unknown(ctx, fault), 0
+		return unknownOutcome(ctx, fault), 0
 	}
 	h := endToEnd(resp.Header)
 	if x.attempt.Method == http.MethodHead && resp.Header.Get("Content-Length") != "" {
 		h["Content-Length"] = resp.Header["Content-Length"]
 	}
 	h.Del(HeaderOutcome) // only ours may promise
-	return AttemptResponse{Fate: routing.Answered, Status: resp.StatusCode, Header: h, Trailer: endToEnd(trailer), Body: body}, keepAfter(resp, "")
+	return AttemptResponse{Outcome: routing.Answered, Status: resp.StatusCode, Header: h, Trailer: endToEnd(trailer), Body: body}, idleTimeoutAfter(resp, "")
 }
 
-// unknown is what is known of an attempt whose answer can't be passed on.
-func unknown(ctx context.Context, reason string) AttemptResponse {
+// unknownOutcome is what is known of an attempt whose answer can't be passed on.
+func unknownOutcome(ctx context.Context, reason string) AttemptResponse {
 	if ctx.Err() != nil {
-		reason = string(refusalOf(ctx))
+		reason = string(refusalFor(ctx))
 	}
-	return AttemptResponse{Fate: routing.Unknown, Reason: reason}
+	return AttemptResponse{Outcome: routing.Unknown, Reason: reason}
 }
 
-// head reads the head of the next answer.
-func (x *exchange) head() (*http.Response, error) {
-	if _, err := x.link.in.Peek(1); err != nil {
+// readHead reads the head of the next answer.
+func (x *backendExchange) readHead() (*http.Response, error) {
+	if _, err := x.conn.reader.Peek(1); err != nil {
 		return nil, err
 	}
-	return http.ReadResponse(x.link.in, x.req)
+	return http.ReadResponse(x.conn.reader, x.req)
 }
 
-// whole reads an answer's body and what follows it, or tells why it can't be had.
-func (x *exchange) whole(resp *http.Response) (body []byte, trailer http.Header, fault string) {
-	most := x.far.Bodies.Most
+// readBody reads an answer's body and what follows it, or tells why it can't be had.
+func (x *backendExchange) readBody(resp *http.Response) (body []byte, trailer http.Header, fault string) {
+	most := x.inbound.Bodies.MaxBody
 	switch {
 	case x.attempt.Method == http.MethodHead:
 		return []byte{}, resp.Trailer, ""
@@ -235,8 +235,8 @@
 	return b.Bytes(), resp.Trailer, ""
 }
 
-// keepAfter is how long a link may be idle after an answer, if it is of more use.
-func keepAfter(resp *http.Response, fault string) time.Duration {
+// idleTimeoutAfter is how long a link may be idle after an answer, if it is of more use.
+func idleTimeoutAfter(resp *http.Response, fault string) time.Duration {
 	if fault != "" || resp.Close || !resp.ProtoAtLeast(1, 1) {
 		return 0
 	}
@@ -250,22 +250,22 @@
 			if err != nil {
 				return 0
 			}
-			return min(keepFor, time.Duration(n)*time.Second/2)
+			return min(maxIdleTime, time.Duration(n)*time.Second/2)
 		}
 	}
-	return keepFor
+	return maxIdleTime
 }
 
-// lost is what is known of an attempt whose link failed.
-func lost(ctx context.Context, err error) AttemptResponse {
-	reason, end := "backend: "+cause(err), deadline(ctx)
+// connectionLost is what is known of an attempt whose link failed.
+func connectionLost(ctx context.Context, err error) AttemptResponse {
+	reason, end := "backend: "+rootCause(err), deadline(ctx)
 	switch {
 	case ctx.Err() != nil:
-		reason = string(refusalOf(ctx))
+		reason = string(refusalFor(ctx))
 	case !end.IsZero() && errors.Is(err, os.ErrDeadlineExceeded) && !time.Now().Before(end):
 		reason = string(endpoints.DeadlineExpired)
 	}
-	return AttemptResponse{Fate: routing.Unknown, Reason: reason}
+	return AttemptResponse{Outcome: routing.Unknown, Reason: reason}
 }
 
 func earlier(a, b time.Time) time.Time {
@@ -277,7 +277,7 @@
 
 // backendRequest rebuilds the client's request as it was.
 func backendRequest(ctx context.Context, addr string, attempt *Attempt) *http.Request {
-	req := &http.Request{Method: attempt.Method, URL: target(addr, attempt.URI), Host: attempt.Host, Header: attempt.Header.Clone(), Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1}
+	req := &http.Request{Method: attempt.Method, URL: requestTargetURL(addr, attempt.URI), Host: attempt.Host, Header: attempt.Header.Clone(), Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1}
 	if req.Header == nil {
 		req.Header = http.Header{}
 	}
@@ -295,8 +295,8 @@
 	return req.WithContext(ctx)
 }
 
-// cause is the innermost reason of a connection's error.
-func cause(err error) string {
+// rootCause is the innermost reason of a connection's error.
+func rootCause(err error) string {
 	for next := err; next != nil; next = errors.Unwrap(next) {
 		err = next
 	}
--- a/internal/dataplane/proxy/fuzz_test.go
+++ b/internal/dataplane/proxy/fuzz_test.go
@@ -17,17 +17,17 @@
 // the backend did not promise, and the next request has its own answer.
 func FuzzBackendAnswer(f *testing.F) {
 	said := make(chan []byte, 1)
-	b := newBench(f, func(v visit) bool {
+	b := newFakeBackend(f, func(v receivedRequest) bool {
 		if v.id != "own" {
-			return plainly(v)
+			return respondOK(v)
 		}
 		io.Copy(io.Discard, v.Body)
 		v.w.Write(<-said)
 		return false
 	})
 	for _, s := range []string{
-		answerTo("own", "ok"), answerTo("other", "late") + answerTo("own", "ok"), answerTo("own", "ok") + "more", answerTo("own", "", "Declined: 1"),
-		"HTTP/1.1 100 Continue\r\n\r\n" + answerTo("own", "ok"), "HTTP/1.1 200 OK\r\nFor: own\r\n\r\nends with the connection",
+		responseText("own", "ok"), responseText("other", "late") + responseText("own", "ok"), responseText("own", "ok") + "more", responseText("own", "", "Declined: 1"),
+		"HTTP/1.1 100 Continue\r\n\r\n" + responseText("own", "ok"), "HTTP/1.1 200 OK\r\nFor: own\r\n\r\nends with the connection",
 		"HTTP/1.1 200 OK\r\nFor: own\r\nTransfer-Encoding: chunked\r\nTrailer: Sum\r\n\r\n2\r\nok\r\n0\r\nSum: 7\r\n\r\n",
 		"HTTP/1.1 200 OK\r\nFor: own\r\nTransfer-Encoding: chunked\r\nContent-Length: 1\r\n\r\n2\r\nok\r\n0\r\n\r\n",
 		"HTTP/1.1 099 OK\r\nFor: own\r\n\r\n", "HTTP/1.1 +99 OK\r\nFor: own\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 999 OK\r\nFor: own\r\nContent-Length: -0\r\n\r\n",
@@ -37,32 +37,32 @@
 	}
 	f.Fuzz(func(t *testing.T, answer []byte) {
 		said <- answer
-		rc := b.put(Attempt{ID: "own", Left: time.Second, Body: []byte("x")}, nil)
-		switch rc.Fate {
+		response := b.send(Attempt{ID: "own", Timeout: time.Second, Body: []byte("x")}, nil)
+		switch response.Outcome {
 		case routing.Answered:
-			if rc.Header.Get("For") != "own" || rc.Status < 200 || rc.Status > 999 {
-				t.Errorf("%d, answer to %q", rc.Status, rc.Header.Get("For"))
+			if response.Header.Get("For") != "own" || response.Status < 200 || response.Status > 999 {
+				t.Errorf("%d, answer to %q", response.Status, response.Header.Get("For"))
 			}
-			for name := range rc.Header {
+			for name := range response.Header {
 				if isHopByHop(name) && name != "Content-Length" {
 					t.Errorf("%s is passed on", name)
 				}
 			}
 		case routing.NotRun:
 			if !bytes.Contains(bytes.ToLower(answer), []byte("declined")) && !bytes.Contains(bytes.ToLower(answer), []byte("elsewhere")) {
-				t.Errorf("promised: %+v", rc)
+				t.Errorf("promised: %+v", response)
 			}
 		case routing.Unknown:
 		default:
-			t.Errorf("%+v", rc)
+			t.Errorf("%+v", response)
 		}
 		// The backend may close a link that looked good just then.
-		rc = b.put(Attempt{ID: "next"}, nil)
-		for tries := 0; rc.Fate == routing.Unknown && tries < 3; tries++ {
-			rc = b.put(Attempt{ID: "next"}, nil)
+		response = b.send(Attempt{ID: "next"}, nil)
+		for tries := 0; response.Outcome == routing.Unknown && tries < 3; tries++ {
+			response = b.send(Attempt{ID: "next"}, nil)
 		}
-		if rc.Fate != routing.Answered || rc.Header.Get("For") != "next" || string(rc.Body) != "ok" {
-			t.Errorf("the next: %+v", rc)
+		if response.Outcome != routing.Answered || response.Header.Get("For") != "next" || string(response.Body) != "ok" {
+			t.Errorf("the next: %+v", response)
 		}
 	})
 }
@@ -72,11 +72,11 @@
 // each request and one for what is none.
 func FuzzClientRequest(f *testing.F) {
 	got := make(chan plainRequest, 1<<10)
-	p := newPair(f, func(v visit) bool {
+	p := newProxyPair(f, func(v receivedRequest) bool {
 		body, err := io.ReadAll(v.Body)
 		if err == nil {
 			got <- plainRequest{v.Method, v.RequestURI, string(body)}
-			v.say(v.id, string(body))
+			v.respond(v.id, string(body))
 		}
 		return err == nil
 	})
--- a/internal/dataplane/proxy/golden_test.go
+++ b/internal/dataplane/proxy/golden_test.go
@@ -13,8 +13,8 @@
 
 // What clients are told of a request that was not answered is what it has always been.
 func TestGoldenRefusal(t *testing.T) {
-	golden.Value(t, golden.JSON, "refusal.json", &refusal{})
-	r := ownResponse(503, routing.NotRun, "a reason", "0123456789abcdef", time.Second)
+	golden.Value(t, golden.JSON, "refusal.json", &localReplyBody{})
+	r := newLocalReply(503, routing.NotRun, "a reason", "0123456789abcdef", time.Second)
 	golden.Check(t, "own-response.body", r.Body)
 }
 
@@ -28,7 +28,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	read, ok := unpack(stored)
+	read, ok := unmarshalResponse(stored)
 	if !ok || !bytes.Equal(read.pack(true), stored) {
 		t.Errorf("%+v", read)
 	}
--- a/internal/dataplane/proxy/pair_test.go
+++ b/internal/dataplane/proxy/proxypair_test.go
@@ -25,15 +25,15 @@
 	"curlewwalk/internal/transport"
 )
 
-// pair is a near side, a far side and a stand-in backend, with a connection between them:
+// proxyPair is a near side, a far side and a stand-in backend, with a connection between them:
 // "/once/" must not be repeated, "/look/" may be.
-type pair struct {
-	*bench
-	near *Near
+type proxyPair struct {
+	*fakeBackend
+	outbound *Outbound
 	// addr is where clients send.
 	addr string
-	// cut ends the connections that are open.
-	cut func()
+	// closeConnections ends the connections that are open.
+	closeConnections func()
 }
 
 const pairConfiguration = `{"ways": [
@@ -41,19 +41,19 @@
 	{"name": "look", "prefix": "/look/", "service": "desk", "contract": "c", "repeatable": true}],
 	"contracts": [{"name": "c", "rank": 1, "aim": "1s", "expiry": "3s"}]}`
 
-func newPair(t testing.TB, speak func(v visit) bool) *pair {
+func newProxyPair(t testing.TB, speak func(v receivedRequest) bool) *proxyPair {
 	t.Helper()
-	return newPairWith(t, speak, func(map[string]transport.Handler) {})
+	return newProxyPairWith(t, speak, func(map[string]transport.Handler) {})
 }
 
-// connections is a listener that keeps what it accepted.
-type connections struct {
+// recordingListener is a listener that keeps what it accepted.
+type recordingListener struct {
 	net.Listener
 	mu   sync.Mutex
 	open []net.Conn
 }
 
-func (c *connections) Accept() (net.Conn, error) {
+func (c *recordingListener) Accept() (net.Conn, error) {
 	conn, err := c.Listener.Accept()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -61,7 +61,7 @@
 	return conn, err
 }
 
-func (c *connections) cut() {
+func (c *recordingListener) closeAll() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, conn := range c.open {
@@ -72,10 +72,10 @@
 	c.open = nil
 }
 
-// newPairWith lets a test stand between the two sides.
-func newPairWith(t testing.TB, speak func(v visit) bool, between func(map[string]transport.Handler)) *pair {
+// newProxyPairWith lets a test stand between the two sides.
+func newProxyPairWith(t testing.TB, speak func(v receivedRequest) bool, between func(map[string]transport.Handler)) *proxyPair {
 	t.Helper()
-	p := &pair{bench: newBench(t, speak)}
+	p := &proxyPair{fakeBackend: newFakeBackend(t, speak)}
 	ctx, cancel := context.WithCancel(context.Background())
 	l := actor.New(slog.New(slog.DiscardHandler), func(name string, cause any, stack []byte) { t.Errorf("%s: %v\n%s", name, cause, stack) })
 	table, ok := routing.NewTable(config.ControlState{Revision: 1, ConfigurationRevision: 1, Configuration: []byte(pairConfiguration)})
@@ -86,10 +86,10 @@
 	queue := trace.NewQueue("near", 1, 16)
 	lin := causality.NewTracker()
 
-	f := p.far
-	f.Boot, f.Queue, f.Lineage, f.Draining, f.Claimed = 7, queue, lin, no, func() bool { return true }
+	f := p.inbound
+	f.Incarnation, f.Spans, f.Causality, f.Draining, f.LeaseHeld = 7, queue, lin, no, func() bool { return true }
 	f.Table = func() *routing.Table { return table }
-	f.Roster = func() endpoints.Registry {
+	f.Endpoints = func() endpoints.Registry {
 		r, _ := endpoints.Registry{}.Announce(endpoints.Announcement{Instance: "a", Service: "desk", Address: p.entry.Address, Capacity: 8}, "north", time.Now())
 		return r
 	}
@@ -97,25 +97,25 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	kept := &connections{Listener: listener}
-	p.cut = kept.cut
-	handlers := map[string]transport.Handler{KindAttempt: f.Attempt, KindRecall: f.Recall}
+	kept := &recordingListener{Listener: listener}
+	p.closeConnections = kept.closeAll
+	handlers := map[string]transport.Handler{KindAttempt: f.HandleAttempt, KindCancel: f.HandleCancel}
 	between(handlers)
 	host := &transport.Host{Launcher: l, Listener: kept, Handlers: handlers}
 	node := membership.Node{Addr: listener.Addr().String(), Incarnation: 7, Zone: "north", Backends: []membership.Backend{
 		{Instance: "a", Service: "desk", Address: p.entry.Address, Zone: "north", Capacity: 8, CapacityShare: 1},
 	}}
 	view := membership.NewView(map[string]membership.Node{node.Addr: node}, nil)
-	p.near = &Near{
-		Zone: "north", Table: f.Table, View: func() *membership.View { return view }, Net: transport.NewNet(l, transport.Greeting{}, nil),
-		Launcher: l, Queue: queue, Log: slog.New(slog.DiscardHandler), Lineage: lin, Bodies: &Bodies{Most: 1 << 20, All: 8 << 20},
-		RetryBudgets: retrybudget.NewServiceBudgets("near", 20), Budgets: retrybudget.NewLatencyBudgets(), Costs: routing.NewCosts(), Life: ctx,
-		Draining: no, Dialect: told{}, Shun: time.Millisecond, ComeBack: 100 * time.Millisecond,
+	p.outbound = &Outbound{
+		Zone: "north", Table: f.Table, View: func() *membership.View { return view }, Transport: transport.NewNet(l, transport.Greeting{}, nil),
+		Launcher: l, Spans: queue, Log: slog.New(slog.DiscardHandler), Causality: lin, Bodies: &BodyLimiter{MaxBody: 1 << 20, MaxTotal: 8 << 20},
+		RetryBudgets: retrybudget.NewServiceBudgets("near", 20), Budgets: retrybudget.NewLatencyBudgets(), Latencies: routing.NewLatencyTable(), Lifetime: ctx,
+		Draining: no, Dialect: echoDialect{}, EjectionTime: time.Millisecond, MinRetryAfter: 100 * time.Millisecond,
 	}
 	l.Go(ctx, "lineage", lin.Run)
 	l.Go(ctx, "host", host.Run)
-	l.Go(ctx, "net", p.near.Net.Run)
-	server := httptest.NewServer(p.near.Handler(""))
+	l.Go(ctx, "net", p.outbound.Transport.Run)
+	server := httptest.NewServer(p.outbound.Handler(""))
 	p.addr = server.Listener.Addr().String()
 	t.Cleanup(func() {
 		server.CloseClientConnections()
@@ -127,14 +127,14 @@
 	return p
 }
 
-// client is a raw connection of a client.
-type client struct {
+// testClient is a raw connection of a client.
+type testClient struct {
 	t testing.TB
 	*net.TCPConn
 	in *bufio.Reader
 }
 
-func (p *pair) client(t testing.TB) *client {
+func (p *proxyPair) client(t testing.TB) *testClient {
 	t.Helper()
 	c, err := net.Dial("tcp", p.addr)
 	if err != nil {
@@ -142,14 +142,14 @@
 	}
 	t.Cleanup(func() { c.Close() })
 	c.SetDeadline(time.Now().Add(10 * time.Second))
-	return &client{t, c.(*net.TCPConn), bufio.NewReader(c)}
+	return &testClient{t, c.(*net.TCPConn), bufio.NewReader(c)}
 }
 
-// say writes to the sidecar. What it does not take any more is no fault.
-func (c *client) say(format string, args ...any) { fmt.Fprintf(c, format, args...) }
+// send writes to the sidecar. What it does not take any more is no fault.
+func (c *testClient) send(format string, args ...any) { fmt.Fprintf(c, format, args...) }
 
-// hear reads the next answer; nil if the connection has ended.
-func (c *client) hear() (resp *http.Response, body string) {
+// receive reads the next answer; nil if the connection has ended.
+func (c *testClient) receive() (resp *http.Response, body string) {
 	c.t.Helper()
 	resp, err := http.ReadResponse(c.in, nil)
 	if err != nil {
@@ -163,36 +163,36 @@
 }
 
 // uris lists what the backend was asked for, by path.
-func (p *pair) uris() map[string]int {
+func (p *proxyPair) uris() map[string]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	out := map[string]int{}
-	for uri, n := range p.asked {
+	for uri, n := range p.targets {
 		out[uri] = n
 	}
 	return out
 }
 
-// mirror answers with the path and the body that it got.
-func mirror(v visit) bool {
+// echoRequest answers with the path and the body that it got.
+func echoRequest(v receivedRequest) bool {
 	b, _ := io.ReadAll(v.Body)
-	v.say(v.id, v.RequestURI+" "+string(b))
+	v.respond(v.id, v.RequestURI+" "+string(b))
 	return true
 }
 
 // Requests on one connection, one behind the other and some before the one ahead was
 // answered, each get their own answer, in order.
 func TestPipelined(t *testing.T) {
-	p := newPair(t, mirror)
+	p := newProxyPair(t, echoRequest)
 	c := p.client(t)
 	var text strings.Builder
 	const n = 20
 	for i := range n {
 		fmt.Fprintf(&text, "POST /once/%d HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\n%02d", i, i)
 	}
-	c.say("%s", text.String())
+	c.send("%s", text.String())
 	for i := range n {
-		resp, body := c.hear()
+		resp, body := c.receive()
 		if want := fmt.Sprintf("/once/%d %02d", i, i); resp == nil || resp.StatusCode != 200 || body != want {
 			t.Fatalf("answer %d: %+v %q, want %q", i, resp, body, want)
 		}
@@ -220,17 +220,17 @@
 		"asked before it is sent":          {fmt.Sprintf("POST /once/full HTTP/1.1\r\nHost: x\r\nExpect: 100-continue\r\nContent-Length: %d\r\n\r\n%s", len(smuggled), smuggled), 503},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := newPair(t, mirror)
+			p := newProxyPair(t, echoRequest)
 			if c.status == 503 {
-				p.near.Bodies.All = 1
+				p.outbound.Bodies.MaxTotal = 1
 			}
 			conn := p.client(t)
-			go conn.say("%sPOST /once/next HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n", c.text)
-			resp, _ := conn.hear()
+			go conn.send("%sPOST /once/next HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n", c.text)
+			resp, _ := conn.receive()
 			if resp == nil || resp.StatusCode != c.status || resp.Header.Get(HeaderOutcome) != string(routing.NotRun) {
 				t.Fatalf("%+v", resp)
 			}
-			if resp, body := conn.hear(); resp != nil && body != "/once/next " {
+			if resp, body := conn.receive(); resp != nil && body != "/once/next " {
 				t.Errorf("then came %+v %q", resp, body)
 			}
 			for uri := range p.uris() {
@@ -259,12 +259,12 @@
 		"a chunk's length signed": "Transfer-Encoding: chunked\r\n\r\n-1\r\nx\r\n0\r\n\r\n" + inner,
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := newPair(t, mirror)
+			p := newProxyPair(t, echoRequest)
 			c := p.client(t)
-			c.say("POST /once/first HTTP/1.1\r\nHost: x\r\n%s", text)
+			c.send("POST /once/first HTTP/1.1\r\nHost: x\r\n%s", text)
 			c.CloseWrite()
 			for {
-				resp, body := c.hear()
+				resp, body := c.receive()
 				if resp == nil {
 					break
 				}
@@ -284,19 +284,19 @@
 // A client that goes away in the middle of its body, or of its answer, costs nobody else
 // anything; of a body cut short nothing runs.
 func TestClientResets(t *testing.T) {
-	p := newPair(t, mirror)
+	p := newProxyPair(t, echoRequest)
 	for range 30 {
 		c := p.client(t)
-		c.say("POST /once/cut HTTP/1.1\r\nHost: x\r\nContent-Length: 100\r\n\r\nhalf")
+		c.send("POST /once/cut HTTP/1.1\r\nHost: x\r\nContent-Length: 100\r\n\r\nhalf")
 		c.SetLinger(0)
 		c.Close()
 		c = p.client(t)
-		c.say("POST /once/gone HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\n\r\nbody")
+		c.send("POST /once/gone HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\n\r\nbody")
 		c.SetLinger(0)
 		c.Close()
 		c = p.client(t)
-		c.say("POST /once/stays HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\n\r\nmine")
-		if resp, body := c.hear(); resp == nil || resp.StatusCode != 200 || body != "/once/stays mine" {
+		c.send("POST /once/stays HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\n\r\nmine")
+		if resp, body := c.receive(); resp == nil || resp.StatusCode != 200 || body != "/once/stays mine" {
 			t.Fatalf("%+v %q", resp, body)
 		}
 	}
@@ -309,10 +309,10 @@
 // say, is no more taken from them than from its headers. No backend is blamed for them.
 func TestClientTrailers(t *testing.T) {
 	got := make(chan http.Header, 9)
-	p := newPair(t, func(v visit) bool {
+	p := newProxyPair(t, func(v receivedRequest) bool {
 		io.Copy(io.Discard, v.Body)
 		got <- v.Trailer
-		v.say(v.id, "ok")
+		v.respond(v.id, "ok")
 		return true
 	})
 	for _, fields := range []string{
@@ -320,8 +320,8 @@
 		"X-Sum: 7\r\nTrailer: x\r\n", "X-Sum: 7\r\nConnection: close\r\n", "X-Sum: 7\r\n" + HeaderCaller + ": forged\r\n",
 	} {
 		c := p.client(t)
-		c.say("POST /once/x HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n%s\r\n", fields)
-		resp, body := c.hear()
+		c.send("POST /once/x HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n%s\r\n", fields)
+		resp, body := c.receive()
 		if resp == nil || resp.StatusCode != 200 || body != "ok" {
 			t.Errorf("%q: %+v %q", fields, resp, body)
 			continue
@@ -334,13 +334,13 @@
 
 // A client that knows no chunks is told the length of an answer that has trailers.
 func TestTrailersForAnOldClient(t *testing.T) {
-	p := newPair(t, func(v visit) bool {
+	p := newProxyPair(t, func(v receivedRequest) bool {
 		io.WriteString(v.w, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: Sum\r\nFor: "+v.id+"\r\n\r\n2\r\nok\r\n0\r\nSum: 7\r\n\r\n")
 		return true
 	})
 	c := p.client(t)
-	c.say("GET /look/x HTTP/1.0\r\nHost: x\r\n\r\n")
-	resp, body := c.hear()
+	c.send("GET /look/x HTTP/1.0\r\nHost: x\r\n\r\n")
+	resp, body := c.receive()
 	if resp == nil || resp.StatusCode != 200 || body != "ok" || resp.ContentLength != 2 {
 		t.Errorf("%+v %q", resp, body)
 	}
--- a/internal/dataplane/proxy/response.go
+++ b/internal/dataplane/proxy/response.go
@@ -17,15 +17,15 @@
 	Status int         `msgpack:"Status"`
 	Header http.Header `msgpack:"Header"`
 	// Trailer follows the body.
-	Trailer http.Header  `msgpack:"Trailer"`
-	Body    []byte       `msgpack:"Body"`
-	Fate    routing.Fate `msgpack:"Fate"`
+	Trailer http.Header     `msgpack:"Trailer"`
+	Body    []byte          `msgpack:"Body"`
+	Fate    routing.Outcome `msgpack:"Fate"`
 }
 
-// Farewell is what a stopping sidecar answers on an idle connection, in a dialect.
+// ShutdownResponse is what a stopping sidecar answers on an idle connection, in a dialect.
 // (DESIGN 11.3)
-func Farewell(d Dialect) Response {
-	return d.Word(Own{Status: http.StatusRequestTimeout, Fate: routing.NotRun, Reason: "this node is stopping", Back: time.Second})
+func ShutdownResponse(d Dialect) Response {
+	return d.BuildReply(LocalReply{Status: http.StatusRequestTimeout, Outcome: routing.NotRun, Reason: "this node is stopping", RetryAfter: time.Second})
 }
 
 // pack writes a response for those who hold its claim; nothing if it need not be
@@ -41,23 +41,23 @@
 	return b
 }
 
-// unpack reads such a response.
-func unpack(b []byte) (r Response, ok bool) {
+// unmarshalResponse reads such a response.
+func unmarshalResponse(b []byte) (r Response, ok bool) {
 	ok = transport.Unpack(b, &r) == nil && r.Status >= 200 && r.Status <= 999
 	return r, ok
 }
 
-// refusal is the body of an answer that is our own.
-type refusal struct {
-	Outcome routing.Fate `json:"outcome"`
-	Reason  string       `json:"reason"`
-	Trace   string       `json:"trace,omitempty"`
+// localReplyBody is the body of an answer that is our own.
+type localReplyBody struct {
+	Outcome routing.Outcome `json:"outcome"`
+	Reason  string          `json:"reason"`
+	Trace   string          `json:"trace,omitempty"`
 }
 
-// ownResponse builds an answer of our own: at once, with what is known and when
+// newLocalReply builds an answer of our own: at once, with what is known and when
 // to come back. (DESIGN 10.2)
-func ownResponse(status int, f routing.Fate, reason, trace string, retry time.Duration) Response {
-	body, _ := json.Marshal(refusal{Outcome: f, Reason: reason, Trace: trace})
+func newLocalReply(status int, f routing.Outcome, reason, trace string, retry time.Duration) Response {
+	body, _ := json.Marshal(localReplyBody{Outcome: f, Reason: reason, Trace: trace})
 	h := http.Header{"Content-Type": {"application/json"}, HeaderOutcome: {string(f)}}
 	if retry > 0 {
 		h.Set("Retry-After", strconv.Itoa(int((retry+time.Second-1)/time.Second)))
--- a/internal/dataplane/proxy/target.go
+++ b/internal/dataplane/proxy/target.go
@@ -5,9 +5,9 @@
 	"strings"
 )
 
-// target is the URL that net/http writes as the very request target that the
+// requestTargetURL is the URL that net/http writes as the very request target that the
 // client sent.
-func target(addr, uri string) *url.URL {
+func requestTargetURL(addr, uri string) *url.URL {
 	u := &url.URL{Scheme: "http", Host: addr}
 	if !strings.HasPrefix(uri, "//") {
 		u.Opaque = uri
--- a/internal/dataplane/proxy/cold_test.go
+++ b/internal/dataplane/proxy/warmup_test.go
@@ -17,13 +17,13 @@
 // start on; what is refused was not run, and is told when to come again. So many run at
 // a time, too.
 func TestColdRate(t *testing.T) {
-	b := newBench(t, plainly)
-	f := b.far
-	f.Draining, f.Claimed = func() bool { return false }, func() bool { return true }
-	f.Lineage = causality.NewTracker()
+	b := newFakeBackend(t, respondOK)
+	f := b.inbound
+	f.Draining, f.LeaseHeld = func() bool { return false }, func() bool { return true }
+	f.Causality = causality.NewTracker()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	f.links.launcher.Go(ctx, "lineage", f.Lineage.Run)
+	f.pool.launcher.Go(ctx, "lineage", f.Causality.Run)
 	table, ok := routing.NewTable(config.ControlState{Revision: 1, ConfigurationRevision: 1, Configuration: []byte(`{"ways": [{"name": "w", "prefix": "/", "service": "desk", "contract": "c"}],
 		"contracts": [{"name": "c", "rank": 1, "aim": "1s", "expiry": "2s"}],
 		"services": [{"name": "desk", "connections": 6, "cold": {"for": "5s", "rate": 4}}]}`)})
@@ -36,23 +36,23 @@
 		if len(faults) > 0 {
 			t.Fatal(faults)
 		}
-		f.Roster = func() endpoints.Registry { return r }
+		f.Endpoints = func() endpoints.Registry { return r }
 	}
 	n := 0
 	put := func() AttemptResponse {
 		n++
 		ctx, cancel := context.WithTimeout(ctx, time.Second)
 		defer cancel()
-		return f.carry(ctx, Attempt{ID: fmt.Sprint(n), Service: "desk", Instance: "a", Route: "w", Method: "GET", URI: "/", Host: "x", Left: time.Second, Aim: time.Second}, trace.Root())
+		return f.admit(ctx, Attempt{ID: fmt.Sprint(n), Service: "desk", Instance: "a", Route: "w", Method: "GET", URI: "/", Host: "x", Timeout: time.Second, TimeToTarget: time.Second}, trace.Root())
 	}
 	answered := func() (count int) {
 		for range 20 {
-			rc := put()
+			response := put()
 			switch {
-			case rc.Fate == routing.Answered:
+			case response.Outcome == routing.Answered:
 				count++
-			case rc.Fate != routing.NotRun || rc.Reason != string(endpoints.BackendFull) || rc.Back <= 0 || rc.Reached:
-				t.Fatalf("%+v", rc)
+			case response.Outcome != routing.NotRun || response.Reason != string(endpoints.BackendFull) || response.RetryAfter <= 0 || response.ReachedBackend:
+				t.Fatalf("%+v", response)
 			}
 		}
 		return count
@@ -65,20 +65,20 @@
 	if got := answered(); got != 4 {
 		t.Errorf("%d within a second", got)
 	}
-	if got := len(b.ran); got != 4 {
+	if got := len(b.runs); got != 4 {
 		t.Errorf("the backend saw %d", got)
 	}
-	limit := f.Limit(f.Roster().Endpoints()[0], time.Now())
+	limit := f.ConcurrencyLimit(f.Endpoints().Endpoints()[0], time.Now())
 	announce("0s")
-	if warm := f.Limit(f.Roster().Endpoints()[0], time.Now()); limit != 4 || warm != 6 {
+	if warm := f.ConcurrencyLimit(f.Endpoints().Endpoints()[0], time.Now()); limit != 4 || warm != 6 {
 		t.Errorf("cold it runs %d at a time, warm %d", limit, warm)
 	}
 	for halving, want := range map[time.Duration]int64{0: 6, 10 * time.Second: 5} {
 		// Half of ten, or no more than the connections that it takes.
-		f.Halving, f.started = halving, time.Now()
-		e := f.Roster().Endpoints()[0]
+		f.HalfCapacityTime, f.started = halving, time.Now()
+		e := f.Endpoints().Endpoints()[0]
 		e.Capacity = 10
-		if got := f.Limit(e, time.Now()); got != want {
+		if got := f.ConcurrencyLimit(e, time.Now()); got != want {
 			t.Errorf("at the start, halving for %v: %d", halving, got)
 		}
 	}
--- a/internal/dataplane/proxy/guard_test.go
+++ b/internal/dataplane/proxy/writeguard_test.go
@@ -14,11 +14,11 @@
 	open := func() endpoints.Rejection { return endpoints.Admitted }
 	wrote, shut := 0, 0
 	for range 20000 {
-		g := &guard{check: open}
+		g := &writeGuard{check: open}
 		var w, s bool
 		var both sync.WaitGroup
-		both.Go(func() { w = g.pass() })
-		both.Go(func() { s = g.shut() })
+		both.Go(func() { w = g.allowWrite() })
+		both.Go(func() { s = g.close() })
 		both.Wait()
 		if w == s {
 			t.Fatalf("written %v, shut %v", w, s)
@@ -31,19 +31,19 @@
 	}
 	t.Logf("written first %d times, shut first %d", wrote, shut)
 
-	g := &guard{}
+	g := &writeGuard{}
 	g.check = func() endpoints.Rejection {
-		if !g.shut() {
+		if !g.close() {
 			t.Error("it could not be shut before the write")
 		}
 		return endpoints.Admitted
 	}
-	if g.pass() {
+	if g.allowWrite() {
 		t.Error("it was written after it was shut")
 	}
 
-	g = &guard{check: func() endpoints.Rejection { return endpoints.BackendDraining }}
-	if g.pass() || *g.why.Load() != endpoints.BackendDraining || !g.shut() || g.pass() {
+	g = &writeGuard{check: func() endpoints.Rejection { return endpoints.BackendDraining }}
+	if g.allowWrite() || *g.refusal.Load() != endpoints.BackendDraining || !g.close() || g.allowWrite() {
 		t.Error("a shut gate let a write through")
 	}
 }
--- a/internal/dataplane/routing/index.go
+++ b/internal/dataplane/routing/index.go
@@ -12,40 +12,40 @@
 // index finds ways by host and longest prefix. (DESIGN 4.1)
 type index struct {
 	// hosts has the groups of a folded host; "" is for whatever host.
-	hosts map[string][]*group
+	hosts map[string][]*hostRoutes
 }
 
-// group is the ways of one host, as long as it was written.
-type group struct {
-	host    int
-	lengths []int                     // of its prefixes, the longest first
-	routes  map[string][]config.Route // by prefix, those with methods first
+// hostRoutes is the ways of one host, as long as it was written.
+type hostRoutes struct {
+	hostLength    int
+	prefixLengths []int                     // of its prefixes, the longest first
+	routes        map[string][]config.Route // by prefix, those with methods first
 }
 
 // newIndex takes ways in the order in which they win.
 func newIndex(routes []config.Route) index {
-	x := index{hosts: map[string][]*group{}}
-	for _, w := range routes {
-		key := fold(w.Host)
+	x := index{hosts: map[string][]*hostRoutes{}}
+	for _, route := range routes {
+		key := foldCase(route.Host)
 		list := x.hosts[key]
 		// The order has the longer hosts first, and of each the longer prefixes.
-		if len(list) == 0 || list[len(list)-1].host != len(w.Host) {
-			list = append(list, &group{host: len(w.Host), routes: map[string][]config.Route{}})
+		if len(list) == 0 || list[len(list)-1].hostLength != len(route.Host) {
+			list = append(list, &hostRoutes{hostLength: len(route.Host), routes: map[string][]config.Route{}})
 			x.hosts[key] = list
 		}
 		g := list[len(list)-1]
-		if n := len(g.lengths); n == 0 || g.lengths[n-1] != len(w.Prefix) {
-			g.lengths = append(g.lengths, len(w.Prefix))
+		if n := len(g.prefixLengths); n == 0 || g.prefixLengths[n-1] != len(route.Prefix) {
+			g.prefixLengths = append(g.prefixLengths, len(route.Prefix))
 		}
-		g.routes[w.Prefix] = append(g.routes[w.Prefix], w)
+		g.routes[route.Prefix] = append(g.routes[route.Prefix], route)
 	}
 	return x
 }
 
-func (x *index) find(host, path, method string) *config.Route {
-	for _, key := range [2]string{fold(host), ""} {
+func (x *index) match(host, path, method string) *config.Route {
+	for _, key := range [2]string{foldCase(host), ""} {
 		for _, g := range x.hosts[key] {
-			if w := g.find(path, method); w != nil {
+			if w := g.match(path, method); w != nil {
 				return w
 			}
 		}
@@ -53,8 +53,8 @@
 	return nil
 }
 
-func (g *group) find(path, method string) *config.Route {
-	for _, n := range g.lengths {
+func (g *hostRoutes) match(path, method string) *config.Route {
+	for _, n := range g.prefixLengths {
 		if n > len(path) {
 			continue
 		}
@@ -68,20 +68,20 @@
 	return nil
 }
 
-// fold is the same for texts that strings.EqualFold holds equal, and for no
+// foldCase is the same for texts that strings.EqualFold holds equal, and for no
 // others.
-func fold(s string) string {
+func foldCase(s string) string {
 	for i := range len(s) {
 		if s[i] >= utf8.RuneSelf {
-			return strings.Map(least, s)
+			return strings.Map(canonicalRune, s)
 		}
 	}
 	return strings.ToLower(s)
 }
 
-// least is the letter that stands for a rune and all that fold to it: the small
+// canonicalRune is the letter that stands for a rune and all that fold to it: the small
 // one for those of ASCII.
-func least(r rune) rune {
+func canonicalRune(r rune) rune {
 	low := r
 	for next := unicode.SimpleFold(r); next != r; next = unicode.SimpleFold(next) {
 		low = min(low, next)
--- a/internal/dataplane/routing/index_test.go
+++ b/internal/dataplane/routing/index_test.go
@@ -15,8 +15,8 @@
 	"curlewwalk/internal/config"
 )
 
-// linear looks through all ways, in the order in which they win.
-func linear(t *Table, host, path, method string) (config.Route, bool) {
+// matchLinearly looks through all ways, in the order in which they win.
+func matchLinearly(t *Table, host, path, method string) (config.Route, bool) {
 	if h, _, err := net.SplitHostPort(host); err == nil {
 		host = h
 	}
@@ -29,8 +29,8 @@
 	return config.Route{}, false
 }
 
-// tableOf builds a table of ways under one contract.
-func tableOf(t testing.TB, routes []config.Route) *Table {
+// newTable builds a table of ways under one contract.
+func newTable(t testing.TB, routes []config.Route) *Table {
 	configuration := config.Configuration{Routes: routes}
 	if err := json.Unmarshal([]byte(`{"contracts":[{"name":"c","aim":"1s","expiry":"2s","rank":1}]}`), &configuration); err != nil {
 		t.Fatal(err)
@@ -76,7 +76,7 @@
 			}
 			routes = append(routes, w)
 		}
-		table := tableOf(t, routes)
+		table := newTable(t, routes)
 		for range 200 {
 			host, path, method := one(rng, hosts), "/"+one(rng, parts)+one(rng, parts)+one(rng, parts), one(rng, methods)
 			switch rng.IntN(4) {
@@ -87,7 +87,7 @@
 			case 2:
 				path = one(rng, []string{"", "*", path})
 			}
-			want, wantOK := linear(table, host, path, method)
+			want, wantOK := matchLinearly(table, host, path, method)
 			got, _, ok := table.Match(host, path, method)
 			if d := cmp.Diff(want, got, cmpopts.IgnoreUnexported(config.UnknownFields{})); ok != wantOK || d != "" {
 				t.Fatalf("seed %d: %s %q %q: %s", seed, method, host, path, d)
@@ -109,7 +109,7 @@
 	texts := []string{"", "a", "A", "k", "K", "\u212a", "s", "S", "\u017f", "ß", "ẞ", "ss", "σ", "ς", "Σ", "\xff", "\xfe", "\ufffd", "é", "É", "e\u0301", "ǅ", "ǆ", "Ǆ"}
 	for _, a := range texts {
 		for _, b := range texts {
-			if got, want := fold("x"+a) == fold("x"+b), strings.EqualFold("x"+a, "x"+b); got != want {
+			if got, want := foldCase("x"+a) == foldCase("x"+b), strings.EqualFold("x"+a, "x"+b); got != want {
 				t.Errorf("%q and %q: %v", a, b, got)
 			}
 		}
@@ -124,7 +124,7 @@
 			for i := range n {
 				routes = append(routes, config.Route{Name: fmt.Sprint("w", i), Host: fmt.Sprintf("host-%d.example", i%hosts), Prefix: fmt.Sprintf("/part-%d/of/it", i), Service: "s", Contract: "c"})
 			}
-			table := tableOf(b, routes)
+			table := newTable(b, routes)
 			b.Run(fmt.Sprintf("%d ways of %d hosts", n, hosts), func(b *testing.B) {
 				for i := range b.N {
 					w := &routes[i%n]
--- a/internal/dataplane/routing/lapsed_test.go
+++ b/internal/dataplane/routing/lease_test.go
@@ -14,7 +14,7 @@
 // have said so, and told when to come back; where the own one is sure, or not all
 // others are unsure, it goes on to those that may admit it.
 func TestRefusedAtOnceWhileUnsure(t *testing.T) {
-	at := places{}
+	at := backendSpecs{}
 	for _, name := range []string{"a", "b", "c", "d", "e", "f", "g", "h", "i", "j"} {
 		at[name] = struct {
 			zone  string
@@ -27,34 +27,34 @@
 		sure     int // the how manieth sidecar that is asked admits; 0: none
 		attempts int
 	}{
-		"nobody is sure":               {true, 0, mostLapsed},
-		"the own one is":               {false, 0, mostAsked},
+		"nobody is sure":               {true, 0, maxExpiredLeases},
+		"the own one is":               {false, 0, maxAttemptsAtAll},
 		"the second one that is asked": {true, 2, 2},
 		"the own one and the sixth":    {false, 6, 6},
 	} {
 		s, now := newSite(at), time.Now()
 		d := Decision{
 			Route: config.Route{Name: "w", Service: "s"}, Deadline: now.Add(time.Minute), Zone: "north", Rand: rand.New(rand.NewPCG(1, 1)),
-			Means: Means{
-				Aim: now.Add(time.Second), Room: time.Minute, Patience: time.Minute, Late: true, Hold: now.Add(time.Minute),
-				Cost:   func(target membership.Target) Cost { return s.costs.Of("w", target) },
-				Unsure: func() bool { return c.unsure }, Spend: func() bool { return true },
+			Conditions: Conditions{
+				TargetTime: now.Add(time.Second), MaxLateness: time.Minute, LatenessBudget: time.Minute, AcceptLate: true, WaitUntil: now.Add(time.Minute),
+				Latency:                  func(target membership.Target) LatencyHistogram { return s.latencies.Estimate("w", target) },
+				ConfigurationUnconfirmed: func() bool { return c.unsure }, SpendRetry: func() bool { return true },
 			},
 		}
-		o := d.Ask(table, s.view, now)
-		for o.Send && len(d.Attempts()) < 20 {
-			l := Attempt{Target: o.Target, Fate: NotRun, Lapsed: true}
+		action := d.Next(table, s.view, now)
+		for action.Send && len(d.Attempts()) < 20 {
+			l := AttemptResult{Target: action.Target, Outcome: NotRun, LeaseExpired: true}
 			if len(d.Attempts())+1 == c.sure {
-				l = Attempt{Target: o.Target, Fate: Answered, Reached: true}
+				l = AttemptResult{Target: action.Target, Outcome: Answered, ReachedBackend: true}
 			}
-			d.Tell(l)
-			o = d.Ask(table, s.view, now)
+			d.Record(l)
+			action = d.Next(table, s.view, now)
 		}
-		if len(d.Attempts()) != c.attempts || o.Wait > 0 {
-			t.Errorf("%s: %d legs, then waits %v", name, len(d.Attempts()), o.Wait)
+		if len(d.Attempts()) != c.attempts || action.Wait > 0 {
+			t.Errorf("%s: %d legs, then waits %v", name, len(d.Attempts()), action.Wait)
 		}
-		if c.sure == 0 && (o.End.Status != http.StatusServiceUnavailable || o.End.Fate != NotRun || o.End.RetryAfter <= 0) {
-			t.Errorf("%s: %+v", name, o.End)
+		if c.sure == 0 && (action.Failure.Status != http.StatusServiceUnavailable || action.Failure.Outcome != NotRun || action.Failure.RetryAfter <= 0) {
+			t.Errorf("%s: %+v", name, action.Failure)
 		}
 	}
 }
--- a/internal/dataplane/routing/pick_test.go
+++ b/internal/dataplane/routing/split_test.go
@@ -12,13 +12,13 @@
 
 // A split's services get their parts; one of no weight gets nothing.
 func TestPick(t *testing.T) {
-	if got := Pick(config.Route{Service: "one"}, nil); got != "one" {
+	if got := PickService(config.Route{Service: "one"}, nil); got != "one" {
 		t.Errorf("without a split: %q", got)
 	}
 	rng := rand.New(rand.NewPCG(1, 1))
 	w, got := config.Route{Split: []config.WeightedService{{Service: "none"}, {Service: "most", Weight: 95}, {Service: "few", Weight: 5}, {Service: "never"}}}, map[string]int{}
 	for range 20000 {
-		got[Pick(w, rng.IntN)]++
+		got[PickService(w, rng.IntN)]++
 	}
 	if got["most"] < 18800 || got["most"] > 19200 || got["most"]+got["few"] != 20000 {
 		t.Errorf("%v", got)
@@ -37,17 +37,17 @@
 		now := time.Now()
 		d := Decision{
 			Route: config.Route{Name: "w", Service: "s", MaxAttempts: attempts}, Deadline: now.Add(time.Second), Rand: rand.New(rand.NewPCG(1, 1)),
-			Means: Means{Cost: func(membership.Target) Cost { return Cost{} }, Spend: func() bool { return true }},
+			Conditions: Conditions{Latency: func(membership.Target) LatencyHistogram { return LatencyHistogram{} }, SpendRetry: func() bool { return true }},
 		}
 		for {
-			o := d.Ask(table, view, now)
-			if !o.Send {
-				if o.End.Status != http.StatusServiceUnavailable {
-					t.Errorf("legs %d: ended with %+v", attempts, o.End)
+			action := d.Next(table, view, now)
+			if !action.Send {
+				if action.Failure.Status != http.StatusServiceUnavailable {
+					t.Errorf("legs %d: ended with %+v", attempts, action.Failure)
 				}
 				break
 			}
-			d.Tell(Attempt{Target: o.Target, Fate: NotRun, Reached: true})
+			d.Record(AttemptResult{Target: action.Target, Outcome: NotRun, ReachedBackend: true})
 		}
 		if got := len(d.Attempts()); got != want {
 			t.Errorf("legs %d: %d were sent", attempts, got)
--- a/internal/dataplane/routing/table.go
+++ b/internal/dataplane/routing/table.go
@@ -15,48 +15,48 @@
 
 // Table is the immutable snapshot of ways and contracts under one stamp.
 type Table struct {
-	Stamp     uint64
-	routes    []config.Route
-	index     index
-	contracts map[string]config.Contract
-	services  map[string]config.Service
-	limits    config.Limits
-	emptied   map[string]bool
-	// Climb is how zones are taken back. It is set before After is called.
-	Climb Climb
-	// back is since when zones that were emptied are taken back.
-	back map[string]time.Time
+	Revision     uint64
+	routes       []config.Route
+	index        index
+	contracts    map[string]config.Contract
+	services     map[string]config.Service
+	limits       config.Limits
+	drainedZones map[string]bool
+	// SlowStart is how zones are taken back. It is set before After is called.
+	SlowStart SlowStart
+	// restoredZones is since when zones that were emptied are taken back.
+	restoredZones map[string]time.Time
 }
 
-// After notes which zones the table takes back, given the one before it.
-func (t *Table) After(old *Table, now time.Time) {
-	t.back = map[string]time.Time{}
-	for l, since := range old.back {
-		if !t.emptied[l] && now.Sub(since) < t.Climb.For {
-			t.back[l] = since
+// ContinueSlowStart notes which zones the table takes back, given the one before it.
+func (t *Table) ContinueSlowStart(previous *Table, now time.Time) {
+	t.restoredZones = map[string]time.Time{}
+	for zone, since := range previous.restoredZones {
+		if !t.drainedZones[zone] && now.Sub(since) < t.SlowStart.Duration {
+			t.restoredZones[zone] = since
 		}
 	}
-	for l := range old.emptied {
-		if !t.emptied[l] {
-			t.back[l] = now
+	for zone := range previous.drainedZones {
+		if !t.drainedZones[zone] {
+			t.restoredZones[zone] = now
 		}
 	}
 }
 
-// Ramp is the share of what a zone's backends bear that they are given now.
-func (t *Table) Ramp(zone string, now time.Time) float64 {
-	since, ok := t.back[zone]
+// ZoneShare is the share of what a zone's backends bear that they are given now.
+func (t *Table) ZoneShare(zone string, now time.Time) float64 {
+	since, ok := t.restoredZones[zone]
 	if !ok {
 		return 1
 	}
-	return t.Climb.At(now.Sub(since))
+	return t.SlowStart.ShareAfter(now.Sub(since))
 }
 
 // NewTable builds the table of a word; false if its bytes do not check.
 func NewTable(state config.ControlState) (*Table, bool) {
-	t := &Table{Stamp: state.Revision, Climb: UsualClimb, contracts: map[string]config.Contract{}, emptied: map[string]bool{}}
-	for _, l := range state.EvacuatedZones() {
-		t.emptied[l] = true
+	t := &Table{Revision: state.Revision, SlowStart: DefaultSlowStart, contracts: map[string]config.Contract{}, drainedZones: map[string]bool{}}
+	for _, zone := range state.EvacuatedZones() {
+		t.drainedZones[zone] = true
 	}
 	if state.ConfigurationRevision == 0 {
 		return t, true
@@ -85,11 +85,11 @@
 	if h, _, err := net.SplitHostPort(host); err == nil {
 		host = h
 	}
-	w := t.index.find(host, path, method)
-	if w == nil {
+	route := t.index.match(host, path, method)
+	if route == nil {
 		return config.Route{}, config.Contract{}, false
 	}
-	return *w, t.contracts[w.Contract], true
+	return *route, t.contracts[route.Contract], true
 }
 
 // Service is what the operator said of a service; false if nothing.
@@ -98,9 +98,9 @@
 	return s, ok
 }
 
-// ColdRate is how many requests a second a cold backend of a service bears; 0 if the
+// WarmupRate is how many requests a second a cold backend of a service bears; 0 if the
 // operator said nothing of it.
-func (t *Table) ColdRate(service string) float64 {
+func (t *Table) WarmupRate(service string) float64 {
 	if s := t.services[service]; s.SlowStart != nil {
 		return s.SlowStart.RequestsPerSecond
 	}
@@ -124,29 +124,29 @@
 const (
 	// A run that an earlier sidecar let in is taken to be over after the longest
 	// deadline, but neither sooner nor later than this.
-	freshLeast = 2 * time.Second  // (ours)
-	freshMost  = 10 * time.Second // (ours)
+	minEarlierRun = 2 * time.Second  // (ours)
+	maxEarlierRun = 10 * time.Second // (ours)
 )
 
-// Fresh tells whether runs that an earlier sidecar let in may still be going on,
+// EarlierRunsPossible tells whether runs that an earlier sidecar let in may still be going on,
 // so long after the start of this one.
-func (t *Table) Fresh(up time.Duration) bool {
-	longest := freshLeast
+func (t *Table) EarlierRunsPossible(up time.Duration) bool {
+	longest := minEarlierRun
 	for _, c := range t.contracts {
-		longest = max(longest, min(freshMost, c.Deadline.Duration))
+		longest = max(longest, min(maxEarlierRun, c.Deadline.Duration))
 	}
 	return up < longest
 }
 
-// Pages shows the budget of each contract, given the tallies.
-func (t *Table) Pages(sums map[string]retrybudget.Counts) []retrybudget.BudgetStatus {
+// BudgetReports shows the budget of each contract, given the tallies.
+func (t *Table) BudgetReports(counts map[string]retrybudget.Counts) []retrybudget.BudgetStatus {
 	out := []retrybudget.BudgetStatus{}
 	for _, name := range slices.Sorted(maps.Keys(t.contracts)) {
 		c := t.contracts[name]
-		out = append(out, retrybudget.NewBudgetStatus(name, c.Priority, c.LatencyTarget.Duration, c.Deadline.Duration, sums[name]))
+		out = append(out, retrybudget.NewBudgetStatus(name, c.Priority, c.LatencyTarget.Duration, c.Deadline.Duration, counts[name]))
 	}
 	return out
 }
 
-// Emptied tells whether the operator asked for a zone to be emptied.
-func (t *Table) Emptied(zone string) bool { return t.emptied[zone] }
+// ZoneDrained tells whether the operator asked for a zone to be emptied.
+func (t *Table) ZoneDrained(zone string) bool { return t.drainedZones[zone] }
--- a/internal/dataplane/routing/table_test.go
+++ b/internal/dataplane/routing/table_test.go
@@ -18,12 +18,12 @@
 		if !ok {
 			t.Fatal("no table")
 		}
-		next.After(table, at(s))
+		next.ContinueSlowStart(table, at(s))
 		table = next
 	}
 	expect := func(s, want float64) {
 		t.Helper()
-		if got := table.Ramp("west", at(s)); got < want-0.001 || got > want+0.001 {
+		if got := table.ZoneShare("west", at(s)); got < want-0.001 || got > want+0.001 {
 			t.Errorf("after %v s: %v, want %v", s, got, want)
 		}
 	}
@@ -40,7 +40,7 @@
 	expect(21, 0.2)
 	put(6, 40)
 	expect(40, 1)
-	if table.Ramp("east", at(40)) != 1 {
+	if table.ZoneShare("east", at(40)) != 1 {
 		t.Error("east still ramps")
 	}
 }
--- a/internal/dataplane/steward.go
+++ b/internal/dataplane/steward.go
@@ -44,7 +44,7 @@
 	// report limits how often new configurations hasten heartbeats.
 	report reportLimit
 	// climb is how zones are taken back.
-	climb routing.Climb
+	climb routing.SlowStart
 	// departures tells what own backends said of leaving; held are their words of
 	// leaving that no core holds yet.
 	departures departures
@@ -137,7 +137,7 @@
 func (s *steward) node() membership.Node {
 	r := s.roster.Load()
 	return membership.Node{
-		Addr: s.addr, Incarnation: s.boot, Version: r.Version, Zone: s.zone, AppliedRevision: s.table.Load().Stamp, Backends: r.Backends(), Departed: r.RecentDepartures(), Refutation: s.inc.Load(), OpenRequests: r.Outstanding(),
+		Addr: s.addr, Incarnation: s.boot, Version: r.Version, Zone: s.zone, AppliedRevision: s.table.Load().Revision, Backends: r.Backends(), Departed: r.RecentDepartures(), Refutation: s.inc.Load(), OpenRequests: r.Outstanding(),
 		Suspects: s.watcher.Suspects(), Budgets: s.budgets.Local(),
 	}
 }
@@ -206,7 +206,7 @@
 }
 
 func (s *steward) swapRoster(next endpoints.Registry) {
-	next = next.ScaleShares(s.table.Load().ColdRate, time.Now())
+	next = next.ScaleShares(s.table.Load().WarmupRate, time.Now())
 	changed := next.Version != s.roster.Load().Version
 	s.roster.Store(&next)
 	if changed {
@@ -229,7 +229,7 @@
 	if changed {
 		s.look()
 	}
-	s.shown.Store(&follows{Core: core.Addr, Slot: core.MemberID, Stamp: s.table.Load().Stamp, Since: time.Now()})
+	s.shown.Store(&follows{Core: core.Addr, Slot: core.MemberID, Stamp: s.table.Load().Revision, Since: time.Now()})
 }
 
 // news is how old the news from the cores is.
@@ -252,8 +252,8 @@
 // word puts a word in force.
 func (s *steward) word(state config.ControlState) {
 	if t, ok := routing.NewTable(state); ok {
-		t.Climb = s.climb
-		t.After(s.table.Load(), time.Now())
+		t.SlowStart = s.climb
+		t.ContinueSlowStart(s.table.Load(), time.Now())
 		s.table.Store(t)
 		s.spoken.Store(&state)
 		if s.report.changed(time.Now()) {
--- a/internal/dataplane/stop.go
+++ b/internal/dataplane/stop.go
@@ -13,7 +13,7 @@
 // stop drains: unready at once, nothing new, what was handed over finishes.
 // (DESIGN 11.3)
 func (n *Node) stop() {
-	warned, before := time.Now(), n.near.Counts.Read()
+	warned, before := time.Now(), n.near.Counters.Snapshot()
 	drain := n.reload.Drain()
 	ctx, cancel := context.WithTimeout(context.Background(), drain)
 	defer cancel()
@@ -30,7 +30,7 @@
 	n.closed.Store(true)
 	// A backend's outgoing calls belong to requests that were handed over.
 	n.awaitIdle(ctx, giveUpAt)
-	givenUp, attempts := n.near.Counts.Open.Load(), n.far.Counts.Open.Load()
+	givenUp, attempts := n.near.Counters.InFlight.Load(), n.far.Counters.InFlight.Load()
 	n.far.RefuseWaiting()
 	n.giveUp(proxy.ErrStopping)
 	n.awaitAnswered(ctx)
@@ -38,7 +38,7 @@
 	// not know whether that was read: so it is told first, on the connection.
 	parting, over := context.WithTimeout(ctx, linger)
 	defer over()
-	goodbye := proxy.Farewell(n.near.Dialect)
+	goodbye := proxy.ShutdownResponse(n.near.Dialect)
 	farewell := process.ClosingResponse(goodbye.Header, goodbye.Body)
 	n.webs[1].CloseIdle(parting, farewell)
 	n.outgoing.part(parting, farewell)
@@ -58,12 +58,12 @@
 func (n *Node) awaitIdle(ctx context.Context, end time.Time) {
 	ctx, cancel := context.WithDeadline(ctx, end)
 	defer cancel()
-	awaitZero(ctx, func() int64 { return n.far.Counts.Open.Load() + n.near.Counts.Open.Load() })
+	awaitZero(ctx, func() int64 { return n.far.Counters.InFlight.Load() + n.near.Counters.InFlight.Load() })
 }
 
 // awaitAnswered waits until all requests of callers have got their answers.
 func (n *Node) awaitAnswered(ctx context.Context) {
-	awaitZero(ctx, n.near.Counts.Open.Load)
+	awaitZero(ctx, n.near.Counters.InFlight.Load)
 }
 
 // awaitZero waits until a count is zero, or ctx ends.
@@ -86,7 +86,7 @@
 // the metrics end with the process. givenUp counts the requests of callers that were open
 // when the time was over, attempts the ones for own backends.
 func (n *Node) reportStop(warned time.Time, before proxy.Totals, givenUp, attempts int64) {
-	total := n.near.Counts.Read()
+	total := n.near.Counters.Snapshot()
 	fmt.Fprintf(os.Stdout, "stopped after=%v asked=%d answered=%d not-run=%d unknown=%d given-up=%d attempts-given-up=%d\n",
 		time.Since(warned).Round(time.Millisecond), total.Requests-before.Requests, total.Answered-before.Answered,
 		total.NotRun-before.NotRun, total.Unknown-before.Unknown, givenUp, attempts)
--- a/tests/golden/constants_test.go
+++ b/tests/golden/constants_test.go
@@ -27,7 +27,7 @@
 			membership.KindHeartbeat, membership.KindProbe, membership.KindGossip, watch.KindWatch,
 			consensus.KindMessage, consensus.KindCommand, consensus.KindJoin, consensus.KindDeltaMessage, consensus.KindDeltaCommand,
 			tracestore.KindPublish, tracestore.KindTrace, keyreplication.KindStore, keyreplication.KindRelease, keyreplication.KindHandover,
-			proxy.KindAttempt, proxy.KindRecall, transport.KindPing,
+			proxy.KindAttempt, proxy.KindCancel, transport.KindPing,
 		},
 		"acts":     {consensus.MsgPrepare, consensus.MsgAccept, consensus.MsgCommit, consensus.MsgRead, consensus.MsgReadIndex, consensus.MsgJoin},
 		"phases":   {consensus.PhaseEmpty, consensus.PhaseJoining, consensus.PhaseLost, consensus.PhaseEstablished},
--- a/tests/golden/documents_test.go
+++ b/tests/golden/documents_test.go
@@ -23,7 +23,7 @@
 		"announcement":   &endpoints.Announcement{},
 		"node":           &membership.Node{},
 		"budgets":        &retrybudget.BudgetList{},
-		"cost":           &routing.CostPage{},
+		"cost":           &routing.LatencyReport{},
 		"evacuation":     &watch.DrainStatus{},
 		"directory":      &watch.Status{},
 		"trace":          &tracestore.Tree{},
--- a/tests/golden/wire_test.go
+++ b/tests/golden/wire_test.go
@@ -41,7 +41,7 @@
 		"handed":           &keyreplication.HandoverReply{},
 		"attempt":          &proxy.Attempt{},
 		"attempt-response": &proxy.AttemptResponse{},
-		"recall":           &proxy.Recall{},
+		"recall":           &proxy.CancelRequest{},
 		"response":         &proxy.Response{},
 	} {
 		t.Run(name, func(t *testing.T) { golden.Value(t, golden.Msgpack, "wire/"+name+".msgpack", sample) })
--- a/tests/messages/messages_test.go
+++ b/tests/messages/messages_test.go
@@ -78,9 +78,9 @@
 	of("held", keyreplication.StoreReply{Accepted: true, Existing: &keyreplication.Record{Owner: "o"}}, func(keyreplication.StoreReply) {}),
 	of(keyreplication.KindHandover, keyreplication.HandoverRequest{Owner: "o", Incarnation: 2}, func(q keyreplication.HandoverRequest) { keyreplication.NewReplicaStore().Handover(q, 0) }),
 	of("handed", keyreplication.HandoverReply{Records: []keyreplication.Record{{Owner: "o", Sequence: 1}}}, handed),
-	of(proxy.KindAttempt, proxy.Attempt{ID: "x", Service: "s", Instance: "i", Boot: 7, Method: "GET", URI: "/", Left: time.Second}, func(proxy.Attempt) {}),
-	of("leg receipt", proxy.AttemptResponse{ID: "x", Fate: routing.Answered, Status: 200, Body: []byte("ok")}, func(proxy.AttemptResponse) {}),
-	of(proxy.KindRecall, proxy.Recall{ID: "x", Boot: 7}, func(proxy.Recall) {}),
+	of(proxy.KindAttempt, proxy.Attempt{ID: "x", Service: "s", Instance: "i", Incarnation: 7, Method: "GET", URI: "/", Timeout: time.Second}, func(proxy.Attempt) {}),
+	of("leg receipt", proxy.AttemptResponse{ID: "x", Outcome: routing.Answered, Status: 200, Body: []byte("ok")}, func(proxy.AttemptResponse) {}),
+	of(proxy.KindCancel, proxy.CancelRequest{ID: "x", Incarnation: 7}, func(proxy.CancelRequest) {}),
 	of("receipt", proxy.Response{Status: 200, Body: []byte("ok"), Fate: routing.Answered}, func(proxy.Response) {}),
 }
 
--- a/tests/simulation/attempt.go
+++ b/tests/simulation/attempt.go
@@ -45,14 +45,14 @@
 	next     uint64
 	attempts int
 	claims   *idempotency.Table[attemptAnswer]
-	ledger   *proxy.Ledger
+	ledger   *proxy.AttemptLog
 	held     *keyreplication.ReplicaStore
 	trusts   *keyreplication.ReplicationTracker
 }
 
 // attemptAnswer is what a client gets.
 type attemptAnswer struct {
-	Fate routing.Fate
+	Fate routing.Outcome
 	Text string
 }
 
@@ -82,7 +82,7 @@
 	n.up, n.ready = true, false
 	n.Incarnation = l.rng.Uint64()
 	n.claims = idempotency.NewTable(func(attemptAnswer) int { return 1 })
-	n.ledger, n.held = proxy.NewLedger(), keyreplication.NewReplicaStore()
+	n.ledger, n.held = proxy.NewAttemptLog(), keyreplication.NewReplicaStore()
 	n.trusts = keyreplication.NewReplicationTracker(n.Addr, n.Zone)
 }
 
@@ -348,7 +348,7 @@
 	l.Broken = append(l.Broken, fmt.Sprintf("%v: ", l.now)+fmt.Sprintf(format, args...))
 }
 
-// request is what proxy.Near does with one.
+// request is what proxy.Outbound does with one.
 func (l *Attempts) request(n *attemptNode, id, name string, keyed bool, got func(attemptAnswer)) {
 	if !keyed {
 		l.attempts(n, id, name, got)
@@ -451,30 +451,30 @@
 	}
 }
 
-// attempts asks the decision and obeys, as proxy.Near.run does.
+// attempts asks the decision and obeys, as proxy.Outbound.run does.
 func (l *Attempts) attempts(n *attemptNode, id, name string, got func(attemptAnswer)) {
 	deadline := l.now + 2*time.Second
 	d := &routing.Decision{
 		Route: config.Route{Name: "w", Service: "s"}, Deadline: l.base.Add(deadline), Zone: n.Zone, Rand: l.rng,
-		Means: routing.Means{Cost: func(membership.Target) routing.Cost { return routing.Cost{} }, Spend: func() bool { return true }},
+		Conditions: routing.Conditions{Latency: func(membership.Target) routing.LatencyHistogram { return routing.LatencyHistogram{} }, SpendRetry: func() bool { return true }},
 	}
 	last := ""
 	var next func()
 	next = func() {
-		o := d.Ask(l.table, l.view, l.base.Add(l.now))
+		o := d.Next(l.table, l.view, l.base.Add(l.now))
 		if !o.Send {
 			a := attemptAnswer{Fate: routing.Answered, Text: last}
-			if o.End.Status != 0 {
-				a = attemptAnswer{Fate: o.End.Fate}
+			if o.Failure.Status != 0 {
+				a = attemptAnswer{Fate: o.Failure.Outcome}
 			}
 			got(a)
 			return
 		}
 		n.attempts++
-		attempt := proxy.Attempt{ID: fmt.Sprintf("%s/%d/%s", n.Addr, n.attempts, name), Boot: o.Target.Incarnation, Left: deadline - l.now}
+		attempt := proxy.Attempt{ID: fmt.Sprintf("%s/%d/%s", n.Addr, n.attempts, name), Incarnation: o.Target.Incarnation, Timeout: deadline - l.now}
 		far := l.node(o.Target.Node)
-		told := func(fate routing.Fate) {
-			d.Tell(routing.Attempt{Target: o.Target, Fate: fate, Reason: "simulated"})
+		told := func(fate routing.Outcome) {
+			d.Record(routing.AttemptResult{Target: o.Target, Outcome: fate, Reason: "simulated"})
 			next()
 		}
 		l.call(n, far, deadline-l.now, func(reply func(any)) { l.far(far, attempt, id, name, reply) }, func(answer any, unsent bool) {
@@ -484,11 +484,11 @@
 				told(routing.NotRun)
 			case ok:
 				last = string(rc.Body)
-				told(rc.Fate)
+				told(rc.Outcome)
 			default:
 				// Only the far side's word that the attempt never ran proves it.
 				l.call(n, far, 300*time.Millisecond, func(reply func(any)) {
-					reply(far.ledger.Refuse(attempt.ID, l.now) && attempt.Boot == far.Incarnation)
+					reply(far.ledger.Refuse(attempt.ID, l.now) && attempt.Incarnation == far.Incarnation)
 				}, func(answer any, _ bool) {
 					if proven, ok := answer.(bool); ok && proven {
 						told(routing.NotRun)
@@ -502,7 +502,7 @@
 	next()
 }
 
-// far is what proxy.Far does with an attempt; a backend goes on whatever happens to
+// far is what proxy.Inbound does with an attempt; a backend goes on whatever happens to
 // its sidecar once it was written to.
 func (l *Attempts) far(n *attemptNode, attempt proxy.Attempt, id, name string, reply func(any)) {
 	refuse := func() {
@@ -510,31 +510,31 @@
 		if !n.ledger.Refuse(attempt.ID, l.now) {
 			fate = routing.Unknown
 		}
-		reply(proxy.AttemptResponse{ID: attempt.ID, Fate: fate})
+		reply(proxy.AttemptResponse{ID: attempt.ID, Outcome: fate})
 	}
-	if attempt.Boot != n.Incarnation || l.rng.IntN(12) == 0 { // another boot, or full
+	if attempt.Incarnation != n.Incarnation || l.rng.IntN(12) == 0 { // another boot, or full
 		refuse()
 		return
 	}
 	if !n.ledger.Begin(attempt.ID, l.now) {
-		reply(proxy.AttemptResponse{ID: attempt.ID, Fate: routing.Unknown})
+		reply(proxy.AttemptResponse{ID: attempt.ID, Outcome: routing.Unknown})
 		return
 	}
 	began := l.now
 	l.after(l.some(20*time.Millisecond), func() { // the backend is dialled
 		l.on(n, func() {
-			if l.now-began > attempt.Left || l.rng.IntN(20) == 0 {
-				reply(proxy.AttemptResponse{ID: attempt.ID, Fate: routing.NotRun}) // shut before the write
+			if l.now-began > attempt.Timeout || l.rng.IntN(20) == 0 {
+				reply(proxy.AttemptResponse{ID: attempt.ID, Outcome: routing.NotRun}) // shut before the write
 				return
 			}
 			l.ran(id, name)
 			l.after(l.some(60*time.Millisecond), func() {
 				l.on(n, func() {
 					if l.rng.IntN(20) == 0 {
-						reply(proxy.AttemptResponse{ID: attempt.ID, Fate: routing.Unknown}) // its answer is lost
+						reply(proxy.AttemptResponse{ID: attempt.ID, Outcome: routing.Unknown}) // its answer is lost
 						return
 					}
-					reply(proxy.AttemptResponse{ID: attempt.ID, Fate: routing.Answered, Body: []byte(id)})
+					reply(proxy.AttemptResponse{ID: attempt.ID, Outcome: routing.Answered, Body: []byte(id)})
 				})
 			})
 		})
--- a/tests/simulation/line_test.go
+++ b/tests/simulation/line_test.go
@@ -35,7 +35,7 @@
 		limit := func() int64 {
 			// It says every half second how warm it is: all of it after 20 s.
 			e.CapacityShare = min(1, 0.2+0.8*float64(q.now)/float64(20*time.Second))
-			return e.ConcurrencyLimit(1, table.Fresh(q.now-since), base.Add(q.now))
+			return e.ConcurrencyLimit(1, table.EarlierRunsPossible(q.now-since), base.Add(q.now))
 		}
 		boot := func() { line, since, waiting = &endpoints.AdmissionQueue{}, q.now, map[uint64]func(){}; life++ }
 		boot()
