--- a/internal/actor/citations_test.go
+++ b/internal/actor/citations_test.go
@@ -28,8 +28,8 @@
 	return out
 }
 
-// strays are the numbers that a text cites and the page does not have.
-func strays(text string, own bool, has []string) (out []string, n int) {
+// unknownCitations are the numbers that a text cites and the page does not have.
+func unknownCitations(text string, own bool, has []string) (out []string, n int) {
 	lists := cited.FindAllStringSubmatch(text, -1)
 	if own {
 		lists = append(lists, within.FindAllStringSubmatch(text, -1)...)
@@ -76,7 +76,7 @@
 		if err != nil {
 			return err
 		}
-		bad, n := strays(string(text), rel == "docs/DESIGN.md", has)
+		bad, n := unknownCitations(string(text), rel == "docs/DESIGN.md", has)
 		for _, s := range bad {
 			t.Errorf("%s cites section %s, which the design page does not have", rel, s)
 		}
@@ -99,7 +99,7 @@
 		"// as DESIGN 2 says":         {"2"},
 		"as told (1.1, 1.9), 1.5 s":   {"1.9"},
 	} {
-		if got, _ := strays(text, true, has); !slices.Equal(got, want) {
+		if got, _ := unknownCitations(text, true, has); !slices.Equal(got, want) {
 			t.Errorf("%q: %v, not %v", text, got, want)
 		}
 	}
--- a/internal/actor/dispatcher.go
+++ b/internal/actor/dispatcher.go
@@ -9,15 +9,15 @@
 // dispatcher runs actor mailboxes through the launcher, so that actors' work
 // too starts in the one place.
 type dispatcher struct {
-	l    *Launcher
-	name string
+	system *System
+	name   string
 }
 
 var _ actor.Dispatcher = dispatcher{}
 
 // Schedule implements actor.Dispatcher.
 func (d dispatcher) Schedule(fn func()) {
-	d.l.Go(context.Background(), d.name, func(context.Context) { fn() })
+	d.system.Go(context.Background(), d.name, func(context.Context) { fn() })
 }
 
 // Throughput implements actor.Dispatcher.
--- a/internal/actor/mailbox.go
+++ b/internal/actor/mailbox.go
@@ -10,44 +10,44 @@
 
 // Mailbox is the address of a part that runs as an actor.
 type Mailbox struct {
-	l   *Launcher
-	pid *actor.PID
+	system *System
+	pid    *actor.PID
 }
 
-// parcel carries a message together with the sender's span.
-type parcel struct {
-	ctx context.Context
-	msg any
+// envelope carries a message together with the sender's span.
+type envelope struct {
+	ctx     context.Context
+	message any
 }
 
 // Spawn starts a part as an actor: on is called with one message at a time.
-func (l *Launcher) Spawn(name string, on func(ctx context.Context, msg any)) *Mailbox {
-	receive := func(c actor.Context) {
-		p, ok := c.Message().(parcel)
+func (s *System) Spawn(name string, handle func(ctx context.Context, msg any)) *Mailbox {
+	receive := func(actorCtx actor.Context) {
+		received, ok := actorCtx.Message().(envelope)
 		if !ok {
 			return
 		}
-		defer l.guard(name)
-		on(p.ctx, p.msg)
+		defer s.recoverPanic(name)
+		handle(received.ctx, received.message)
 	}
-	props := actor.PropsFromFunc(receive, actor.WithDispatcher(dispatcher{l: l, name: name}))
-	return &Mailbox{l: l, pid: l.sys.Root.Spawn(props)}
+	props := actor.PropsFromFunc(receive, actor.WithDispatcher(dispatcher{system: s, name: name}))
+	return &Mailbox{system: s, pid: s.engine.Root.Spawn(props)}
 }
 
 // Send hands a message over with a copy of the sender's span; it never waits.
-func (m *Mailbox) Send(ctx context.Context, msg any) {
-	m.l.sys.Root.Send(m.pid, parcel{ctx: trace.CopySpan(context.WithoutCancel(ctx)), msg: msg})
+func (m *Mailbox) Send(ctx context.Context, message any) {
+	m.system.engine.Root.Send(m.pid, envelope{ctx: trace.CopySpan(context.WithoutCancel(ctx)), message: message})
 }
 
 // Ask sends what build makes of a response channel and waits for the response.
-func Ask[T any](ctx context.Context, m *Mailbox, build func(response chan<- T) any) (T, bool) {
-	ch := make(chan T, 1)
-	m.Send(ctx, build(ch))
+func Ask[T any](ctx context.Context, mailbox *Mailbox, build func(response chan<- T) any) (T, bool) {
+	responses := make(chan T, 1)
+	mailbox.Send(ctx, build(responses))
 	select {
-	case v := <-ch:
+	case v := <-responses:
 		return v, true
 	case <-ctx.Done():
-		var none T
-		return none, false
+		var zero T
+		return zero, false
 	}
 }
--- a/internal/actor/launch_test.go
+++ b/internal/actor/system_test.go
@@ -11,8 +11,8 @@
 
 // What a worker starts, goroutines and actors' work alike, has the worker's
 // span in a slot of its own.
-func TestSpanFollowsTheWork(t *testing.T) {
-	l := New(slog.New(slog.DiscardHandler), func(name string, cause any, _ []byte) { t.Errorf("%s: %v", name, cause) })
+func TestSpanPropagates(t *testing.T) {
+	system := New(slog.New(slog.DiscardHandler), func(name string, cause any, _ []byte) { t.Errorf("%s: %v", name, cause) })
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	s := trace.Root()
@@ -22,8 +22,8 @@
 		c, _ := trace.SpanFromContext(ctx)
 		got <- c
 	}
-	l.Go(ctx, "child", note)
-	box := l.Spawn("actor", func(ctx context.Context, _ any) { note(ctx) })
+	system.Go(ctx, "child", note)
+	box := system.Spawn("actor", func(ctx context.Context, _ any) { note(ctx) })
 	box.Send(ctx, "work")
 	for range 2 {
 		select {
@@ -38,11 +38,11 @@
 }
 
 // A broken invariant in any part is told, whoever started it.
-func TestBrokenInvariant(t *testing.T) {
+func TestPanicIsReported(t *testing.T) {
 	told := make(chan string, 2)
-	l := New(slog.New(slog.DiscardHandler), func(name string, _ any, _ []byte) { told <- name })
-	l.Go(context.Background(), "goroutine", func(context.Context) { panic("x") })
-	l.Spawn("actor", func(context.Context, any) { panic("x") }).Send(context.Background(), 1)
+	system := New(slog.New(slog.DiscardHandler), func(name string, _ any, _ []byte) { told <- name })
+	system.Go(context.Background(), "goroutine", func(context.Context) { panic("x") })
+	system.Spawn("actor", func(context.Context, any) { panic("x") }).Send(context.Background(), 1)
 	names := map[string]bool{<-told: true, <-told: true}
 	if !names["goroutine"] || !names["actor"] {
 		t.Errorf("told of %v", names)
--- a/internal/controlplane/api.go
+++ b/internal/controlplane/api.go
@@ -280,7 +280,7 @@
 				addr, known = n.cfg.Advertise, true
 			}
 			var b tracestore.Batch
-			got := known && n.process.TransportClient.Call(ctx, addr, transport.Control, tracestore.KindTrace, tracestore.Query{Trace: id}).Into(&b)
+			got := known && n.process.TransportClient.Call(ctx, addr, transport.ControlTraffic, tracestore.KindTrace, tracestore.Query{Trace: id}).Decode(&b)
 			parts <- part{slot: slot, events: b.Events, ok: got}
 		})
 	}
--- a/internal/controlplane/consensus/delta_messages.go
+++ b/internal/controlplane/consensus/delta_messages.go
@@ -125,17 +125,17 @@
 // make one from, and whole if that is not so or turns out not to be so.
 func (r *Replica) sendMessage(ctx context.Context, addr string, message Message) (reply Reply, ok bool) {
 	if delta, can := r.deltas.encodeMessage(addr, message); can {
-		response := r.Client.Call(ctx, addr, transport.Control, KindDeltaMessage, delta)
-		if ok = response.Into(&reply); ok {
+		response := r.Client.Call(ctx, addr, transport.ControlTraffic, KindDeltaMessage, delta)
+		if ok = response.Decode(&reply); ok {
 			r.deltas.recordPeer(addr, reply.Position)
 			return reply, true
 		}
-		if response.Fate != transport.Answered {
+		if response.Delivery != transport.Answered {
 			return reply, false
 		}
 		r.deltas.forgetPeer(addr)
 	}
-	if ok = r.Client.Call(ctx, addr, transport.Control, KindMessage, message).Into(&reply); ok {
+	if ok = r.Client.Call(ctx, addr, transport.ControlTraffic, KindMessage, message).Decode(&reply); ok {
 		r.deltas.recordPeer(addr, reply.Position)
 	}
 	return reply, ok
@@ -144,7 +144,7 @@
 // handleDeltaMessage handles a ballot whose word is told as a difference.
 func (r *Replica) handleDeltaMessage(ctx context.Context, request transport.Request) (any, string) {
 	var delta deltaMessage
-	if !request.Into(&delta) {
+	if !request.Decode(&delta) {
 		return nil, faultMessage
 	}
 	version, ok := r.deltas.apply(delta.Patch, r.Acceptor())
@@ -166,18 +166,18 @@
 	command.RevisionsOnly = command.Kind != CommandRefresh
 	own := r.Acceptor()
 	if patch, can := r.deltas.encodeCommand(command, own.Position, own.State); can {
-		response := r.Client.Call(ctx, addr, transport.Control, KindDeltaCommand, patch)
-		if response.Fate != transport.Answered || response.Fault != faultBase && !response.UnknownKind() {
+		response := r.Client.Call(ctx, addr, transport.ControlTraffic, KindDeltaCommand, patch)
+		if response.Delivery != transport.Answered || response.Fault != faultBase && !response.UnknownKind() {
 			return response // it may have been carried out
 		}
 	}
-	return r.Client.Call(ctx, addr, transport.Control, KindCommand, command)
+	return r.Client.Call(ctx, addr, transport.ControlTraffic, KindCommand, command)
 }
 
 // handleDeltaCommand handles an order that is told as a difference.
 func (r *Replica) handleDeltaCommand(ctx context.Context, request transport.Request) (any, string) {
 	var patch config.Patch
-	if !request.Into(&patch) {
+	if !request.Decode(&patch) {
 		return nil, faultCommand
 	}
 	version, ok := r.deltas.apply(patch, r.Acceptor())
--- a/internal/controlplane/consensus/delta_messages_test.go
+++ b/internal/controlplane/consensus/delta_messages_test.go
@@ -18,7 +18,7 @@
 // testMember is one keeper on the wire, whose version may be an older one.
 type testMember struct {
 	*Replica
-	host *transport.Host
+	host *transport.Server
 	end  context.CancelFunc
 }
 
@@ -26,7 +26,7 @@
 type testCluster struct {
 	t       *testing.T
 	ctx     context.Context
-	l       *actor.Launcher
+	l       *actor.System
 	peers   addresses
 	members map[int]*testMember
 	dirs    [4]string // by slot
@@ -51,7 +51,7 @@
 	}
 	t.Cleanup(func() { // before the folders go
 		cancel()
-		<-c.l.Idle()
+		<-c.l.Done()
 		c.l.Stop()
 	})
 	for memberID := 1; memberID <= 3; memberID++ {
@@ -86,10 +86,10 @@
 		c.t.Fatal(err)
 	}
 	ctx, end := context.WithCancel(c.ctx)
-	own := transport.Greeting{Version: transport.Version, Node: c.peers[memberID]}
-	r.Client, r.Log, r.Peers = transport.NewNet(c.l, own, nil), slog.New(slog.DiscardHandler), testPeers{c.peers, memberID == 1}
+	own := transport.Hello{Version: transport.ProtocolVersion, Node: c.peers[memberID]}
+	r.Client, r.Log, r.Peers = transport.NewClient(c.l, own, nil), slog.New(slog.DiscardHandler), testPeers{c.peers, memberID == 1}
 	r.OnCommit, r.OnReadConfirmed = func(context.Context, config.ControlState) {}, func(context.Context, time.Time) {}
-	h := &transport.Host{Launcher: c.l, Own: own, Handlers: r.Handlers()}
+	h := &transport.Server{Actors: c.l, Hello: own, Handlers: r.Handlers()}
 	if old {
 		delete(h.Handlers, KindDeltaMessage)
 		delete(h.Handlers, KindDeltaCommand)
@@ -131,9 +131,9 @@
 	if from == 1 {
 		return c.members[1].Submit(c.ctx, command)
 	}
-	if got := c.members[from].Forward(c.ctx, c.peers[1], command); !got.Into(&result) {
+	if got := c.members[from].Forward(c.ctx, c.peers[1], command); !got.Decode(&result) {
 		result.Outcome = OutcomeUnknown
-		if got.Fate == transport.Answered {
+		if got.Delivery == transport.Answered {
 			c.t.Fatalf("fault %q", got.Fault)
 		}
 	}
@@ -176,7 +176,7 @@
 // where these were differences. Looks are left out.
 func (c *testCluster) bytesSent() (total uint64) {
 	for _, m := range c.members {
-		counts := m.Client.Counts.Read()
+		counts := m.Client.Counters.Snapshot()
 		for _, kind := range []string{KindDeltaMessage, KindDeltaCommand, KindCommand} {
 			total += counts[kind].CallBytes + counts[kind].ResponseBytes
 		}
--- a/internal/controlplane/consensus/replica.go
+++ b/internal/controlplane/consensus/replica.go
@@ -45,8 +45,8 @@
 // Replica runs the acceptor and the proposer of one core on one thread, next to its
 // disk. (DESIGN 6)
 type Replica struct {
-	Client *transport.Net
-	Actors *actor.Launcher
+	Client *transport.Client
+	Actors *actor.System
 	Log    *slog.Logger
 	Peers  Peers
 	// OnCommit is told of each newly settled word.
@@ -126,18 +126,18 @@
 )
 
 // NewReplica loads the acceptor from disk and starts the keeper's actor.
-func NewReplica(l *actor.Launcher, store *StateStore, bootstrap Bootstrap) (*Replica, error) {
+func NewReplica(actors *actor.System, store *StateStore, bootstrap Bootstrap) (*Replica, error) {
 	acceptor, err := store.Load(bootstrap)
 	if err != nil {
 		return nil, err
 	}
-	r := &Replica{Actors: l, store: store, acceptor: acceptor, started: time.Now(), pendingCommands: map[uint64]chan<- CommandResult{}}
+	r := &Replica{Actors: actors, store: store, acceptor: acceptor, started: time.Now(), pendingCommands: map[uint64]chan<- CommandResult{}}
 	r.proposer = &Proposer{}
 	r.proposer.FollowAcceptor(acceptor, 0)
 	r.publishAcceptor()
 	r.healthy = true
 	r.setHealth(Health{})
-	r.mailbox = l.Spawn("keeper", r.handle)
+	r.mailbox = actors.Spawn("keeper", r.handle)
 	return r, nil
 }
 
@@ -225,7 +225,7 @@
 // HandleMessage handles a ballot from the wire.
 func (r *Replica) HandleMessage(ctx context.Context, request transport.Request) (any, string) {
 	var message Message
-	if !request.Into(&message) {
+	if !request.Decode(&message) {
 		return nil, "not a ballot"
 	}
 	if reply := r.stepAcceptor(ctx, message); reply != nil {
@@ -244,7 +244,7 @@
 // HandleCommand handles an order that another core passed on.
 func (r *Replica) HandleCommand(ctx context.Context, request transport.Request) (any, string) {
 	var command Command
-	if !request.Into(&command) {
+	if !request.Decode(&command) {
 		return nil, "not an order"
 	}
 	return r.Submit(ctx, command).forSender(command), ""
@@ -316,7 +316,7 @@
 	defer cancel()
 	var reply Reply
 	self := r.Acceptor().Self
-	if r.Client.Call(ctx, addr, transport.Control, KindMessage, Message{Sender: self, Type: MsgRead}).Into(&reply) && reply.Committed == reply.Position.Revision {
+	if r.Client.Call(ctx, addr, transport.ControlTraffic, KindMessage, Message{Sender: self, Type: MsgRead}).Decode(&reply) && reply.Committed == reply.Position.Revision {
 		r.stepAcceptor(ctx, Message{Sender: self, Type: MsgCommit, Term: reply.Position.Term, Position: reply.Position, State: reply.State})
 	}
 }
--- a/internal/controlplane/consensus/replica_test.go
+++ b/internal/controlplane/consensus/replica_test.go
@@ -23,7 +23,7 @@
 
 func (p *slowPeer) handleMessage(ctx context.Context, request transport.Request) (any, string) {
 	var message Message
-	if !request.Into(&message) {
+	if !request.Decode(&message) {
 		return nil, "not a ballot"
 	}
 	p.mu.Lock()
@@ -57,7 +57,7 @@
 func TestJoinGrantedSlowly(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
-	l := actor.New(slog.New(slog.DiscardHandler), func(name string, cause any, stack []byte) { t.Errorf("%s: %v\n%s", name, cause, stack) })
+	actors := actor.New(slog.New(slog.DiscardHandler), func(name string, cause any, stack []byte) { t.Errorf("%s: %v\n%s", name, cause, stack) })
 	peers, others := addresses{}, []*slowPeer{}
 	for memberID := 1; memberID <= 2; memberID++ {
 		acceptor := establishedAcceptor(memberID, Position{4, 2}, config.ControlState{Revision: 2, ConfigurationRevision: 2})
@@ -70,22 +70,22 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		h := &transport.Host{Launcher: l, Listener: ln, Own: transport.Greeting{Version: transport.Version, Node: ln.Addr().String()}, Handlers: map[string]transport.Handler{KindMessage: p.handleMessage}}
-		l.Go(ctx, "host", h.Run)
+		h := &transport.Server{Actors: actors, Listener: ln, Hello: transport.Hello{Version: transport.ProtocolVersion, Node: ln.Addr().String()}, Handlers: map[string]transport.Handler{KindMessage: p.handleMessage}}
+		actors.Go(ctx, "host", h.Run)
 		peers[memberID] = ln.Addr().String()
 	}
 	disk, err := storage.Open(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := NewReplica(l, &StateStore{Store: disk}, Bootstrap{MemberID: 3, StaticSize: 3})
+	r, err := NewReplica(actors, &StateStore{Store: disk}, Bootstrap{MemberID: 3, StaticSize: 3})
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Client, r.Log, r.Peers = transport.NewNet(l, transport.Greeting{Version: transport.Version, Node: "new"}, nil), slog.New(slog.DiscardHandler), peers
+	r.Client, r.Log, r.Peers = transport.NewClient(actors, transport.Hello{Version: transport.ProtocolVersion, Node: "new"}, nil), slog.New(slog.DiscardHandler), peers
 	r.OnCommit, r.OnReadConfirmed = func(context.Context, config.ControlState) {}, func(context.Context, time.Time) {}
-	l.Go(ctx, "net", r.Client.Run)
-	l.Go(ctx, "keeper", r.Run)
+	actors.Go(ctx, "net", r.Client.Run)
+	actors.Go(ctx, "keeper", r.Run)
 	for r.Acceptor().Phase != PhaseEstablished {
 		select {
 		case <-ctx.Done():
--- a/internal/controlplane/consensus/transition_test.go
+++ b/internal/controlplane/consensus/transition_test.go
@@ -52,7 +52,7 @@
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	t.Cleanup(cancel)
-	l := actor.New(slog.New(slog.DiscardHandler), func(name string, cause any, stack []byte) { t.Errorf("%s: %v\n%s", name, cause, stack) })
+	actors := actor.New(slog.New(slog.DiscardHandler), func(name string, cause any, stack []byte) { t.Errorf("%s: %v\n%s", name, cause, stack) })
 	h := &replicaHarness{ctx: ctx, told: make(chan uint64, 64), sure: make(chan time.Time, 1024), acceptors: map[int]*slowPeer{}}
 	members := []config.Member{{MemberID: 1, DiskID: 1}}
 	peers := addresses{}
@@ -65,8 +65,8 @@
 			}
 			p := &slowPeer{}
 			h.acceptors[memberID] = p
-			h := &transport.Host{Launcher: l, Listener: ln, Own: transport.Greeting{Version: transport.Version, Node: ln.Addr().String()}, Handlers: map[string]transport.Handler{KindMessage: p.handleMessage}}
-			l.Go(ctx, "host", h.Run)
+			h := &transport.Server{Actors: actors, Listener: ln, Hello: transport.Hello{Version: transport.ProtocolVersion, Node: ln.Addr().String()}, Handlers: map[string]transport.Handler{KindMessage: p.handleMessage}}
+			actors.Go(ctx, "host", h.Run)
 			m.Addr = ln.Addr().String()
 		}
 		peers[memberID] = m.Addr
@@ -87,13 +87,13 @@
 	if err := (&StateStore{Store: v}).Save(holds(1, own)); err != nil {
 		t.Fatal(err)
 	}
-	if h.Replica, err = NewReplica(l, &StateStore{Store: v}, Bootstrap{}); err != nil {
+	if h.Replica, err = NewReplica(actors, &StateStore{Store: v}, Bootstrap{}); err != nil {
 		t.Fatal(err)
 	}
-	h.Client, h.Log, h.Peers = transport.NewNet(l, transport.Greeting{Version: transport.Version, Node: "own"}, nil), slog.New(slog.DiscardHandler), h
+	h.Client, h.Log, h.Peers = transport.NewClient(actors, transport.Hello{Version: transport.ProtocolVersion, Node: "own"}, nil), slog.New(slog.DiscardHandler), h
 	h.OnCommit = func(_ context.Context, state config.ControlState) { h.told <- state.Revision }
 	h.OnReadConfirmed = func(_ context.Context, at time.Time) { h.sure <- at }
-	l.Go(ctx, "net", h.Client.Run)
+	actors.Go(ctx, "net", h.Client.Run)
 	return h
 }
 
--- a/internal/controlplane/golden_test.go
+++ b/internal/controlplane/golden_test.go
@@ -20,6 +20,6 @@
 // The metrics have the names and labels that they have always had.
 func TestGoldenMetrics(t *testing.T) {
 	n := &Node{}
-	all := slices.Concat(n.consensusMetrics(), n.membershipMetrics(), n.watchMetrics(), metrics.Wire(&transport.Counts{}, &transport.Counts{}))
+	all := slices.Concat(n.consensusMetrics(), n.membershipMetrics(), n.watchMetrics(), metrics.Transport(&transport.Counters{}, &transport.Counters{}))
 	golden.Metrics(t, "metrics.txt", all)
 }
--- a/internal/controlplane/join_request.go
+++ b/internal/controlplane/join_request.go
@@ -48,5 +48,5 @@
 		}
 		to = live[0].Addr
 	}
-	n.process.TransportClient.Call(ctx, to, transport.Control, consensus.KindJoin, a)
+	n.process.TransportClient.Call(ctx, to, transport.ControlTraffic, consensus.KindJoin, a)
 }
--- a/internal/controlplane/metrics.go
+++ b/internal/controlplane/metrics.go
@@ -17,9 +17,9 @@
 // counters count what nothing else counts on a core.
 type counters struct {
 	// commands are the writes that this core carried out as leader, by kind and result.
-	commands metrics.Labelled
+	commands metrics.CounterVec
 	// reads are the quorum reads for operators, by outcome.
-	reads metrics.Labelled
+	reads metrics.CounterVec
 	// renewals are the quorum reads that renew the sidecars' leases.
 	renewals atomic.Uint64
 }
@@ -27,7 +27,7 @@
 // execute carries an order out on this core, and counts it.
 func (n *Node) execute(ctx context.Context, command consensus.Command) consensus.CommandResult {
 	result := n.replica.Submit(ctx, command)
-	n.counters.commands.Add(string(command.Kind), string(result.Outcome))
+	n.counters.commands.Inc(string(command.Kind), string(result.Outcome))
 	return result
 }
 
@@ -43,28 +43,28 @@
 	all = append(all, n.consensusMetrics()...)
 	all = append(all, n.membershipMetrics()...)
 	all = append(all, n.watchMetrics()...)
-	all = append(all, metrics.Wire(&n.process.TransportClient.Counts, &n.process.TransportServer.Counts)...)
+	all = append(all, metrics.Transport(&n.process.TransportClient.Counters, &n.process.TransportServer.Counters)...)
 	return metrics.Handler(all...)
 }
 
 func (n *Node) consensusMetrics() []*metrics.Metric {
 	return []*metrics.Metric{
-		metrics.Gauge("term", "Highest term (epoch) that this core has promised, and the one under which it accepted what it holds.", []string{"state"}, func(emit metrics.Emit) {
+		metrics.Gauge("term", "Highest term (epoch) that this core has promised, and the one under which it accepted what it holds.", []string{"state"}, func(emit metrics.EmitFunc) {
 			acceptor := n.replica.Acceptor()
 			emit(float64(acceptor.Promised), "promised")
 			emit(float64(acceptor.Position.Term), "accepted")
 		}),
-		metrics.Gauge("configuration_version", "Version of the configuration that this core accepted, and of the newest that it knows a majority to hold.", []string{"state"}, func(emit metrics.Emit) {
+		metrics.Gauge("configuration_version", "Version of the configuration that this core accepted, and of the newest that it knows a majority to hold.", []string{"state"}, func(emit metrics.EmitFunc) {
 			acceptor := n.replica.Acceptor()
 			emit(float64(acceptor.Position.Revision), "accepted")
 			emit(float64(acceptor.Committed), "committed")
 		}),
-		metrics.Gauge("leader", "Whether this core is on duty by what it hears.", nil, metrics.Value(func() float64 {
+		metrics.Gauge("leader", "Whether this core is on duty by what it hears.", nil, metrics.Scalar(func() float64 {
 			return metrics.Bool(n.IsCoordinator())
 		})),
-		metrics.Counter("writes_total", "Writes that this core carried out as leader, by kind and result; kind reseat is a change of the membership.", []string{"kind", "result"}, n.counters.commands.Read),
-		metrics.Counter("quorum_reads_total", "Quorum reads of the configuration for operators, by outcome.", []string{"outcome"}, n.counters.reads.Read),
-		metrics.Counter("lease_renewals_total", "Quorum reads that renewed the leases of the sidecars that follow this core.", nil, metrics.Value(func() float64 {
+		metrics.Counter("writes_total", "Writes that this core carried out as leader, by kind and result; kind reseat is a change of the membership.", []string{"kind", "result"}, n.counters.commands.Collect),
+		metrics.Counter("quorum_reads_total", "Quorum reads of the configuration for operators, by outcome.", []string{"outcome"}, n.counters.reads.Collect),
+		metrics.Counter("lease_renewals_total", "Quorum reads that renewed the leases of the sidecars that follow this core.", nil, metrics.Scalar(func() float64 {
 			return float64(n.counters.renewals.Load())
 		})),
 	}
@@ -72,15 +72,15 @@
 
 func (n *Node) membershipMetrics() []*metrics.Metric {
 	return []*metrics.Metric{
-		metrics.Gauge("members", "Members of the set in force, and of the set before while that is still needed.", []string{"set"}, func(emit metrics.Emit) {
+		metrics.Gauge("members", "Members of the set in force, and of the set before while that is still needed.", []string{"set"}, func(emit metrics.EmitFunc) {
 			sets := n.replica.Acceptor().MemberSets()
 			emit(float64(len(sets.Current)), "current")
 			emit(float64(len(sets.Previous)), "previous")
 		}),
-		metrics.Gauge("member", "Whether this core is a member of the set in force.", nil, metrics.Value(func() float64 {
+		metrics.Gauge("member", "Whether this core is a member of the set in force.", nil, metrics.Scalar(func() float64 {
 			return metrics.Bool(n.replica.Acceptor().IsMember())
 		})),
-		metrics.Gauge("cores_live", "Other cores that are heard.", nil, metrics.Value(func() float64 {
+		metrics.Gauge("cores_live", "Other cores that are heard.", nil, metrics.Scalar(func() float64 {
 			return float64(len(n.discovery.Replicas().Live(time.Now())))
 		})),
 	}
@@ -103,8 +103,8 @@
 
 // directoryGauge reads a value of the directory's state; none if the directory
 // doesn't answer in time.
-func (n *Node) directoryGauge(value func(s watch.Status) float64) metrics.Read {
-	return func(emit metrics.Emit) {
+func (n *Node) directoryGauge(value func(s watch.Status) float64) metrics.ReadFunc {
+	return func(emit metrics.EmitFunc) {
 		ctx, cancel := context.WithTimeout(n.process.Context, stateTimeout)
 		defer cancel()
 		if state, ok := n.directory.Status(ctx); ok {
--- a/internal/controlplane/node.go
+++ b/internal/controlplane/node.go
@@ -150,9 +150,9 @@
 }
 
 // handleHeartbeat answers another process.
-func (n *Node) handleHeartbeat(ctx context.Context, in transport.Request) (any, string) {
+func (n *Node) handleHeartbeat(ctx context.Context, request transport.Request) (any, string) {
 	var h membership.Heartbeat
-	if !in.Into(&h) {
+	if !request.Decode(&h) {
 		return nil, "not a heartbeat"
 	}
 	out, addr := n.discovery.Respond(h, n.announcedStatus()), ""
@@ -230,9 +230,9 @@
 	}
 	var result consensus.CommandResult
 	switch r := n.replica.Forward(ctx, c.Addr, command); {
-	case r.Into(&result):
+	case r.Decode(&result):
 		return result
-	case r.Fate == transport.Unsent:
+	case r.Delivery == transport.NotDelivered:
 		return n.execute(ctx, command) // it is gone; the epoch settles who is right
 	}
 	return consensus.CommandResult{Outcome: consensus.OutcomeUnknown}
--- a/internal/controlplane/operator.go
+++ b/internal/controlplane/operator.go
@@ -69,9 +69,9 @@
 
 // runDetached carries out an order that goes on though whoever gave it goes away, and returns
 // its answer, or that it is not known when ctx ends before.
-func runDetached(ctx context.Context, l *actor.Launcher, order func(ctx context.Context) consensus.CommandResult) consensus.CommandResult {
+func runDetached(ctx context.Context, actors *actor.System, order func(ctx context.Context) consensus.CommandResult) consensus.CommandResult {
 	answer := make(chan consensus.CommandResult, 1)
-	l.Go(context.WithoutCancel(ctx), "order", func(ctx context.Context) { answer <- order(ctx) })
+	actors.Go(context.WithoutCancel(ctx), "order", func(ctx context.Context) { answer <- order(ctx) })
 	select {
 	case result := <-answer:
 		return result
@@ -84,9 +84,9 @@
 func (n *Node) QuorumRead(ctx context.Context) (config.ControlState, bool) {
 	state, ok := n.replica.LinearizableRead(ctx, n.confirmCommitted)
 	if ok {
-		n.counters.reads.Add("answered")
+		n.counters.reads.Inc("answered")
 	} else {
-		n.counters.reads.Add("no-quorum")
+		n.counters.reads.Inc("no-quorum")
 	}
 	return state, ok
 }
--- a/internal/controlplane/reconfigurer.go
+++ b/internal/controlplane/reconfigurer.go
@@ -66,9 +66,9 @@
 
 // handleJoin answers a core that asks for a seat; what is not for this core is passed on
 // to the one on duty.
-func (r *reconfigurer) handleJoin(ctx context.Context, in transport.Request) (any, string) {
+func (r *reconfigurer) handleJoin(ctx context.Context, request transport.Request) (any, string) {
 	var a consensus.JoinRequest
-	if !in.Into(&a) {
+	if !request.Decode(&a) {
 		return nil, "does not ask for a seat"
 	}
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
@@ -79,7 +79,7 @@
 			return nil, "not on duty"
 		}
 		a.Forwarded = true
-		if !r.node.process.TransportClient.Call(ctx, duty.Addr, transport.Control, consensus.KindJoin, a).Into(&h) {
+		if !r.node.process.TransportClient.Call(ctx, duty.Addr, transport.ControlTraffic, consensus.KindJoin, a).Decode(&h) {
 			return nil, "the core on duty does not answer"
 		}
 		return h, ""
--- a/internal/dataplane/steward_test.go
+++ b/internal/dataplane/agent_test.go
@@ -12,20 +12,20 @@
 // What a round of the roll call found is taken as one message; the view isn't made anew
 // for what is known already, and no earlier process's death takes a later one out.
 // (DESIGN 7.4)
-func TestFound(t *testing.T) {
-	l := actor.New(slog.New(slog.DiscardHandler), func(name string, cause any, stack []byte) { t.Errorf("%s: %v\n%s", name, cause, stack) })
-	s := newSteward(l, "10.0.0.1:7020", 1, "north", 0, func() {})
+func TestMembershipQueryResult(t *testing.T) {
+	actors := actor.New(slog.New(slog.DiscardHandler), func(name string, cause any, stack []byte) { t.Errorf("%s: %v\n%s", name, cause, stack) })
+	a := newAgent(actors, "10.0.0.1:7020", 1, "north", 0, func() {})
 	var found membership.GossipUpdate
 	for i := range 199 {
 		addr := fmt.Sprintf("10.0.1.%d:7020", i)
 		found.Nodes = append(found.Nodes, membership.Node{Addr: addr, Incarnation: 1, Version: 1, Backends: []membership.Backend{{Service: "orders", Instance: addr}}})
 	}
 	send := func(f membership.GossipUpdate) *membership.View {
-		s.box.Send(t.Context(), msgFound{f})
-		if _, ok := actor.Ask(t.Context(), s.box, func(r chan<- bool) any { return msgLive{r} }); !ok {
+		a.mailbox.Send(t.Context(), msgQueryResult{f})
+		if _, ok := actor.Ask(t.Context(), a.mailbox, func(r chan<- bool) any { return msgPing{r} }); !ok {
 			t.Fatal("no answer")
 		}
-		return s.view.Load()
+		return a.view.Load()
 	}
 	first := send(found)
 	if got := len(first.Addrs()); got != 200 {
@@ -42,34 +42,34 @@
 
 // A backend's word of leaving is answered once a core holds it; what an earlier process at
 // this address had acknowledged binds this one. (DESIGN 9.1)
-func TestLeavingIsHeld(t *testing.T) {
-	l := actor.New(slog.New(slog.DiscardHandler), func(name string, cause any, stack []byte) { t.Errorf("%s: %v\n%s", name, cause, stack) })
-	s := newSteward(l, "10.0.0.1:7020", 1, "north", 0, func() {})
+func TestLeavingWaitsForReplication(t *testing.T) {
+	actors := actor.New(slog.New(slog.DiscardHandler), func(name string, cause any, stack []byte) { t.Errorf("%s: %v\n%s", name, cause, stack) })
+	a := newAgent(actors, "10.0.0.1:7020", 1, "north", 0, func() {})
 	settle := func() {
-		if _, ok := actor.Ask(t.Context(), s.box, func(r chan<- bool) any { return msgLive{r} }); !ok {
+		if _, ok := actor.Ask(t.Context(), a.mailbox, func(r chan<- bool) any { return msgPing{r} }); !ok {
 			t.Fatal("no answer")
 		}
 	}
 	answered := make(chan bool, 1)
-	s.box.Send(t.Context(), msgLeave{"a", answered})
+	a.mailbox.Send(t.Context(), msgLeave{"a", answered})
 	settle()
-	if len(answered) != 0 || !s.roster.Load().HasDeparted("a") {
+	if len(answered) != 0 || !a.registry.Load().HasDeparted("a") {
 		t.Errorf("%d answers before a core holds it", len(answered))
 	}
-	node := s.node()
+	node := a.node()
 	if len(node.Departed) != 1 || node.Version == 0 {
 		t.Errorf("it tells %+v", node)
 	}
 	for _, response := range []membership.Heartbeat{{RequestFull: true}, {}} {
-		s.told(t.Context(), membership.Heartbeat{Node: &node}, response)
+		a.handleHeartbeatResponse(t.Context(), membership.Heartbeat{Node: &node}, response)
 		settle()
 		if held := len(answered) == 1; held == response.RequestFull {
 			t.Errorf("answered: %v, after %+v", held, response)
 		}
 	}
-	s.told(t.Context(), membership.Heartbeat{Node: &node}, membership.Heartbeat{Departed: []string{"b"}})
+	a.handleHeartbeatResponse(t.Context(), membership.Heartbeat{Node: &node}, membership.Heartbeat{Departed: []string{"b"}})
 	settle()
-	if !s.roster.Load().HasDeparted("b") {
+	if !a.registry.Load().HasDeparted("b") {
 		t.Error("what an earlier process had acknowledged is not known")
 	}
 }
--- a/internal/dataplane/outgoing_test.go
+++ b/internal/dataplane/egress_test.go
@@ -8,7 +8,7 @@
 
 // Two services whose names come to one port are told so; neither is given the
 // other's address.
-func TestPortsThatClash(t *testing.T) {
+func TestPortCollision(t *testing.T) {
 	seen := map[uint16]string{}
 	for i := 0; ; i++ {
 		s := fmt.Sprintf("service-%d", i)
@@ -17,8 +17,8 @@
 			seen[portOf(s)] = s
 			continue
 		}
-		o := &outgoing{known: func() []string { return []string{"orders", other, s} }}
-		if addr, err := o.addr(s); err == nil || !strings.Contains(err.Error(), other) {
+		e := &egressListeners{services: func() []string { return []string{"orders", other, s} }}
+		if addr, err := e.addr(s); err == nil || !strings.Contains(err.Error(), other) {
 			t.Errorf("%s got %q, %v though %s has the same port", s, addr, err, other)
 		}
 		return
--- a/internal/dataplane/keyreplication/owner.go
+++ b/internal/dataplane/keyreplication/owner.go
@@ -39,8 +39,8 @@
 	View        func() *membership.View
 	// ViewReady tells whether the view means anything yet.
 	ViewReady func() bool
-	Client    *transport.Net
-	Actors    *actor.Launcher
+	Client    *transport.Client
+	Actors    *actor.System
 	// Restore is handed each claim of an earlier boot.
 	Restore func(ctx context.Context, record Record)
 
@@ -159,7 +159,7 @@
 // requestHandover gets what one node holds.
 func (o *Owner) requestHandover(ctx context.Context, n membership.Node) bool {
 	var reply HandoverReply
-	if !o.Client.Call(ctx, n.Addr, transport.Control, KindHandover, HandoverRequest{Owner: o.Addr, Incarnation: o.Incarnation}).Into(&reply) {
+	if !o.Client.Call(ctx, n.Addr, transport.ControlTraffic, KindHandover, HandoverRequest{Owner: o.Addr, Incarnation: o.Incarnation}).Decode(&reply) {
 		return false
 	}
 	for _, record := range reply.Records {
@@ -235,7 +235,7 @@
 
 // store asks a node to hold a claim; one that does not answer comes last for a while.
 func (o *Owner) store(ctx context.Context, n membership.Node, record Record) (reply StoreReply, ok bool) {
-	if ok = o.Client.Call(ctx, n.Addr, transport.Control, KindStore, record).Into(&reply); !ok {
+	if ok = o.Client.Call(ctx, n.Addr, transport.ControlTraffic, KindStore, record).Decode(&reply); !ok {
 		o.markUnresponsive(n.Addr)
 	}
 	return reply, ok
@@ -289,7 +289,7 @@
 		o.Actors.Go(context.WithoutCancel(ctx), "custody", func(ctx context.Context) {
 			ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 			defer cancel()
-			o.Client.Call(ctx, addr, transport.Control, kind, reservation.Record)
+			o.Client.Call(ctx, addr, transport.ControlTraffic, kind, reservation.Record)
 		})
 	}
 }
--- a/internal/dataplane/keyreplication/replica_server.go
+++ b/internal/dataplane/keyreplication/replica_server.go
@@ -43,9 +43,9 @@
 
 // handle has the loop answer a call whose body is a Q.
 func handle[Q, A any](s *ReplicaServer, serve func(store *ReplicaStore, body Q, now time.Duration) A) transport.Handler {
-	return func(ctx context.Context, in transport.Request) (any, string) {
+	return func(ctx context.Context, request transport.Request) (any, string) {
 		var body Q
-		if !in.Into(&body) {
+		if !request.Decode(&body) {
 			return nil, "not of this kind"
 		}
 		reply := make(chan A, 1)
--- a/internal/dataplane/new.go
+++ b/internal/dataplane/new.go
@@ -23,147 +23,147 @@
 )
 
 // New puts the parts together and opens the addresses.
-func New(set settings.Sidecar, doors *Doors) *Node {
-	p := process.New("sidecar", set.Common)
-	n := &Node{p: p, set: set, queue: trace.NewQueue(set.Advertise, p.Incarnation, set.TraceQueue), dialect: proxy.DefaultDialect{}}
-	if doors != nil {
-		n.dialect = doors.Dialect
+func New(set settings.Sidecar, adapter *Adapter) *Sidecar {
+	process := process.New("sidecar", set.Common)
+	s := &Sidecar{process: process, settings: set, traceQueue: trace.NewQueue(set.Advertise, process.Incarnation, set.TraceQueue), dialect: proxy.DefaultDialect{}}
+	if adapter != nil {
+		s.dialect = adapter.Dialect
 	}
 	if set.Memory > 0 {
 		debug.SetMemoryLimit(set.Memory << 20 * 85 / 100)
 	}
-	n.addControl()
-	calls := causality.NewTracker()
-	claims := idempotency.NewStore(func(r proxy.Response) int { return len(r.Body) })
-	n.addNear(calls, claims)
-	n.addFar(calls)
-	rollcall := n.newRollcall()
-	n.addHandlers(rollcall)
-	n.listen()
-	n.start(map[string]func(context.Context){
-		"lineage": calls.Run, "claims": claims.Run, "rollcall": rollcall.Run, "follower": n.newFollower().Run,
-		"net": p.TransportClient.Run, "host": p.TransportServer.Run, "steward": n.steward.run, "seeker": n.seeker.Run,
-		"watcher": n.steward.watcher.Run, "holder": n.holder.Run, "custody": n.near.KeyReplication.Run,
+	s.addMembership()
+	tracker := causality.NewTracker()
+	reservations := idempotency.NewStore(func(r proxy.Response) int { return len(r.Body) })
+	s.addOutbound(tracker, reservations)
+	s.addInbound(tracker)
+	rollcall := s.newMembershipQuery()
+	s.registerHandlers(rollcall)
+	s.listen()
+	s.start(map[string]func(context.Context){
+		"lineage": tracker.Run, "claims": reservations.Run, "rollcall": rollcall.Run, "follower": s.newConfigurationWatcher().Run,
+		"net": process.TransportClient.Run, "host": process.TransportServer.Run, "steward": s.agent.run, "seeker": s.discovery.Run,
+		"watcher": s.agent.watcher.Run, "holder": s.replicaServer.Run, "custody": s.outbound.KeyReplication.Run,
 	})
-	if doors != nil {
-		doors.Open(n)
+	if adapter != nil {
+		adapter.Open(s)
 	}
-	return n
+	return s
 }
 
-// table and view are the snapshots that traffic reads.
-func (n *Node) table() *routing.Table  { return n.steward.table.Load() }
-func (n *Node) view() *membership.View { return n.steward.view.Load() }
+// routingTable and view are the snapshots that traffic reads.
+func (s *Sidecar) routingTable() *routing.Table     { return s.agent.table.Load() }
+func (s *Sidecar) membershipView() *membership.View { return s.agent.view.Load() }
 
-// addControl adds the parts that know of other processes.
-func (n *Node) addControl() {
-	set, p := n.set, n.p
-	n.seeker = membership.NewDiscovery()
-	n.steward = newSteward(p.Actors, set.Advertise, p.Incarnation, set.Zone, set.ExtraAttempts, n.seeker.HeartbeatNow)
-	n.steward.roster.Store(&endpoints.Registry{Heartbeats: endpoints.HeartbeatPolicy{Interval: set.Beat}, Started: time.Now()})
-	n.steward.departures.notice = p.Notice
-	n.steward.climb = routing.SlowStart{Duration: set.Ramp, InitialShare: set.RampFrom}
-	n.seeker.Local = func() membership.Heartbeat { node := n.steward.node(); return membership.Heartbeat{Node: &node} }
-	n.seeker.Addr, n.seeker.Client, n.seeker.Actors = set.Advertise, p.TransportClient, p.Actors
-	n.seeker.OnResponse = n.steward.told
-	n.seeker.OnReplica = func(context.Context, membership.Replica) {}
-	n.reload = &process.Reloader{Discovery: n.seeker}
-	n.reload.Apply(set.Common)
-	watcher := n.steward.watcher
-	watcher.Addr, watcher.Client, watcher.Actors, watcher.OnChange = set.Advertise, p.TransportClient, p.Actors, n.seeker.HeartbeatNow
-	watcher.View = n.view
+// addMembership adds the parts that know of other processes.
+func (s *Sidecar) addMembership() {
+	set, p := s.settings, s.process
+	s.discovery = membership.NewDiscovery()
+	s.agent = newAgent(p.Actors, set.Advertise, p.Incarnation, set.Zone, set.ExtraAttempts, s.discovery.HeartbeatNow)
+	s.agent.registry.Store(&endpoints.Registry{Heartbeats: endpoints.HeartbeatPolicy{Interval: set.Beat}, Started: time.Now()})
+	s.agent.departureLog.notice = p.Notice
+	s.agent.slowStart = routing.SlowStart{Duration: set.Ramp, InitialShare: set.RampFrom}
+	s.discovery.Local = func() membership.Heartbeat { node := s.agent.node(); return membership.Heartbeat{Node: &node} }
+	s.discovery.Addr, s.discovery.Client, s.discovery.Actors = set.Advertise, p.TransportClient, p.Actors
+	s.discovery.OnResponse = s.agent.handleHeartbeatResponse
+	s.discovery.OnReplica = func(context.Context, membership.Replica) {}
+	s.reloader = &process.Reloader{Discovery: s.discovery}
+	s.reloader.Apply(set.Common)
+	watcher := s.agent.watcher
+	watcher.Addr, watcher.Client, watcher.Actors, watcher.OnChange = set.Advertise, p.TransportClient, p.Actors, s.discovery.HeartbeatNow
+	watcher.View = s.membershipView
 }
 
-// addNear adds the side beside the callers, with what it keeps of keys.
-func (n *Node) addNear(calls *causality.Tracker, claims *idempotency.Store[proxy.Response]) {
-	set, p := n.set, n.p
-	n.near = &proxy.Outbound{
-		Zone: set.Zone, Table: n.table, View: n.view, Transport: p.TransportClient, Launcher: p.Actors, Spans: n.queue, Log: p.Log,
-		Causality: calls, Reservations: claims, RetryBudgets: n.steward.retryBudgets, Budgets: n.steward.budgets, Latencies: routing.NewLatencyTable(),
-		Draining: n.shut, ShutdownTime: n.stopsAt, ConfigurationUnconfirmed: n.unsure, ConfigurationOutdated: n.behind,
-		LocalService: set.Caller, Dialect: n.dialect, EjectionTime: set.Shun, WaitShare: set.Hold, MinRetryAfter: set.ComeBack, AcceptLate: set.Late, CrossZoneCost: set.Crossing,
+// addOutbound adds the side beside the callers, with what it keeps of keys.
+func (s *Sidecar) addOutbound(calls *causality.Tracker, claims *idempotency.Store[proxy.Response]) {
+	set, p := s.settings, s.process
+	s.outbound = &proxy.Outbound{
+		Zone: set.Zone, Table: s.routingTable, View: s.membershipView, Transport: p.TransportClient, Launcher: p.Actors, Spans: s.traceQueue, Log: p.Log,
+		Causality: calls, Reservations: claims, RetryBudgets: s.agent.retryBudgets, Budgets: s.agent.budgets, Latencies: routing.NewLatencyTable(),
+		Draining: s.refusesClients, ShutdownTime: s.shutdownTime, ConfigurationUnconfirmed: s.configurationUnconfirmed, ConfigurationOutdated: s.configurationOutdated,
+		LocalService: set.Caller, Dialect: s.dialect, EjectionTime: set.Shun, WaitShare: set.Hold, MinRetryAfter: set.ComeBack, AcceptLate: set.Late, CrossZoneCost: set.Crossing,
 		Bodies: &proxy.BodyLimiter{MaxBody: set.MaxBody, MaxTotal: set.BodyMemory},
 	}
-	n.near.Lifetime, n.giveUp = context.WithCancelCause(p.Context)
-	n.holder = keyreplication.NewReplicaServer()
-	n.near.KeyReplication = &keyreplication.Owner{
-		Addr: set.Advertise, Incarnation: p.Incarnation, Zone: set.Zone, View: n.view, Client: p.TransportClient, Actors: p.Actors,
-		ViewReady: n.known, Restore: n.near.RestoreKey,
+	s.outbound.Lifetime, s.abandonRequests = context.WithCancelCause(p.Context)
+	s.replicaServer = keyreplication.NewReplicaServer()
+	s.outbound.KeyReplication = &keyreplication.Owner{
+		Addr: set.Advertise, Incarnation: p.Incarnation, Zone: set.Zone, View: s.membershipView, Client: p.TransportClient, Actors: p.Actors,
+		ViewReady: s.configured, Restore: s.outbound.RestoreKey,
 	}
-	n.near.KeyReplication.Init()
-	n.outgoing = &outgoing{
-		p: p, near: n.near, host: netip.MustParseAddrPort(set.Advertise).Addr(), fixed: set.Outgoing,
-		known: n.steward.services, webs: map[string]*process.HTTPServer{},
+	s.outbound.KeyReplication.Init()
+	s.egress = &egressListeners{
+		process: p, outbound: s.outbound, host: netip.MustParseAddrPort(set.Advertise).Addr(), fixed: set.Outgoing,
+		services: s.agent.services, servers: map[string]*process.HTTPServer{},
 	}
 }
 
-// addFar adds the side beside the own backends.
-func (n *Node) addFar(calls *causality.Tracker) {
-	n.far = proxy.NewInbound(n.p.Context, n.p.Actors)
-	n.far.Incarnation, n.far.Table, n.far.Spans, n.far.Causality, n.far.Draining = n.p.Incarnation, n.table, n.queue, calls, n.draining.Load
-	n.far.LeaseHeld, n.far.Dialect, n.far.HalfCapacityTime = n.claimed, n.dialect, n.set.Halving
-	n.far.Bodies = &proxy.BodyLimiter{MaxBody: n.set.MaxBody, MaxTotal: n.set.BodyMemory}
-	n.far.Endpoints = func() endpoints.Registry { return *n.steward.roster.Load() }
+// addInbound adds the side beside the own backends.
+func (s *Sidecar) addInbound(calls *causality.Tracker) {
+	s.inbound = proxy.NewInbound(s.process.Context, s.process.Actors)
+	s.inbound.Incarnation, s.inbound.Table, s.inbound.Spans, s.inbound.Causality, s.inbound.Draining = s.process.Incarnation, s.routingTable, s.traceQueue, calls, s.draining.Load
+	s.inbound.LeaseHeld, s.inbound.Dialect, s.inbound.HalfCapacityTime = s.leaseValid, s.dialect, s.settings.Halving
+	s.inbound.Bodies = &proxy.BodyLimiter{MaxBody: s.settings.MaxBody, MaxTotal: s.settings.BodyMemory}
+	s.inbound.Endpoints = func() endpoints.Registry { return *s.agent.registry.Load() }
 }
 
-// newRollcall makes the part that asks the other sidecars when no core is heard.
-func (n *Node) newRollcall() *membership.Gossiper {
+// newMembershipQuery makes the part that asks the other sidecars when no core is heard.
+func (s *Sidecar) newMembershipQuery() *membership.Gossiper {
 	rollcall := membership.NewGossiper()
-	rollcall.Addr, rollcall.Client, rollcall.Actors, rollcall.Node, rollcall.View = n.set.Advertise, n.p.TransportClient, n.p.Actors, n.steward.node, n.view
-	rollcall.Replicas, rollcall.State, rollcall.Seeds = n.seeker.Replicas, n.steward.spoken.Load, n.seeker.Seeds
-	rollcall.UpdateAge, rollcall.OnConfirmed = n.steward.news, n.steward.agreed.Renew
+	rollcall.Addr, rollcall.Client, rollcall.Actors, rollcall.Node, rollcall.View = s.settings.Advertise, s.process.TransportClient, s.process.Actors, s.agent.node, s.membershipView
+	rollcall.Replicas, rollcall.State, rollcall.Seeds = s.discovery.Replicas, s.agent.controlState.Load, s.discovery.Seeds
+	rollcall.UpdateAge, rollcall.OnConfirmed = s.agent.updateAge, s.agent.peerLease.Renew
 	rollcall.OnUpdate = func(ctx context.Context, f membership.GossipUpdate) {
-		n.seeker.Receive(membership.Heartbeat{KnownReplicas: f.KnownReplicas})
-		n.steward.box.Send(ctx, msgFound{f})
+		s.discovery.Receive(membership.Heartbeat{KnownReplicas: f.KnownReplicas})
+		s.agent.mailbox.Send(ctx, msgQueryResult{f})
 	}
 	return rollcall
 }
 
-// newFollower makes the part that follows a core's feed.
-func (n *Node) newFollower() *watch.Watcher {
+// newConfigurationWatcher makes the part that follows a core's feed.
+func (s *Sidecar) newConfigurationWatcher() *watch.Watcher {
 	return &watch.Watcher{
-		Addr: n.set.Advertise, Zone: n.set.Zone, Replicas: n.seeker.Replicas, Client: n.p.TransportClient, HeartbeatNow: n.seeker.HeartbeatNow,
-		OnUpdates: func(ctx context.Context, c membership.Replica, news watch.Updates, asked time.Time) {
+		Addr: s.settings.Advertise, Zone: s.settings.Zone, Replicas: s.discovery.Replicas, Client: s.process.TransportClient, HeartbeatNow: s.discovery.HeartbeatNow,
+		OnUpdates: func(ctx context.Context, replica membership.Replica, update watch.Updates, requestedAt time.Time) {
 			// No more is asked for before it is in force: of words that come faster
 			// than that, the core then tells the newest only. (DESIGN 8.2)
-			actor.Ask(ctx, n.steward.box, func(r chan<- bool) any { return msgNews{c, news, asked, r} })
+			actor.Ask(ctx, s.agent.mailbox, func(r chan<- bool) any { return msgUpdate{replica, update, requestedAt, r} })
 		},
 	}
 }
 
-// addHandlers adds what other processes may ask.
-func (n *Node) addHandlers(rollcall *membership.Gossiper) {
-	handlers := n.p.TransportServer.Handlers
-	maps.Copy(handlers, n.holder.Handlers())
-	handlers[membership.KindHeartbeat] = n.heartbeat
+// registerHandlers adds what other processes may ask.
+func (s *Sidecar) registerHandlers(rollcall *membership.Gossiper) {
+	handlers := s.process.TransportServer.Handlers
+	maps.Copy(handlers, s.replicaServer.Handlers())
+	handlers[membership.KindHeartbeat] = s.handleHeartbeat
 	handlers[membership.KindProbe] = func(context.Context, transport.Request) (any, string) {
-		return membership.Probe{Incarnation: n.p.Incarnation, Refutation: n.steward.inc.Load()}, ""
+		return membership.Probe{Incarnation: s.process.Incarnation, Refutation: s.agent.refutation.Load()}, ""
 	}
 	handlers[membership.KindGossip] = rollcall.HandleGossip
-	handlers[proxy.KindAttempt] = n.far.HandleAttempt
-	handlers[proxy.KindCancel] = n.far.HandleCancel
+	handlers[proxy.KindAttempt] = s.inbound.HandleAttempt
+	handlers[proxy.KindCancel] = s.inbound.HandleCancel
 }
 
 // listen opens the addresses.
-func (n *Node) listen() {
-	set, p := n.set, n.p
+func (s *Sidecar) listen() {
+	set, p := s.settings, s.process
 	p.TransportServer.Listener = p.Listen("wire", set.Wire)
-	n.webs = append(n.webs, p.Serve(p.Listen("control", set.Control), n.control()))
-	n.webs = append(n.webs, p.Serve(p.Listen("inquiries", set.Requests), n.near.Handler("")))
+	s.httpServers = append(s.httpServers, p.Serve(p.Listen("control", set.Control), s.apiHandler()))
+	s.httpServers = append(s.httpServers, p.Serve(p.Listen("inquiries", set.Requests), s.outbound.Handler("")))
 	for service := range set.Outgoing {
-		if _, err := n.outgoing.addr(service); err != nil {
+		if _, err := s.egress.addr(service); err != nil {
 			p.Fatal("outgoing "+service, err)
 		}
 	}
 }
 
 // start starts the parts' loops, and what publishes trace events.
-func (n *Node) start(loops map[string]func(context.Context)) {
+func (s *Sidecar) start(loops map[string]func(context.Context)) {
 	for name, run := range loops {
-		n.p.Actors.Go(n.p.Context, name, run)
+		s.process.Actors.Go(s.process.Context, name, run)
 	}
-	for range workers {
-		w := &trace.Publisher{Queue: n.queue, CollectorFor: n.collector, Send: n.publish, FlushInterval: publishEvery, MaxBatch: 256}
-		n.p.Actors.Go(n.p.Context, "trace-worker", w.Run)
+	for range traceWorkers {
+		worker := &trace.Publisher{Queue: s.traceQueue, CollectorFor: s.chooseCollector, Send: s.publishTraces, FlushInterval: publishInterval, MaxBatch: 256}
+		s.process.Actors.Go(s.process.Context, "trace-worker", worker.Run)
 	}
 }
--- a/internal/dataplane/proxy/answers_test.go
+++ b/internal/dataplane/proxy/answers_test.go
@@ -89,9 +89,9 @@
 		t.Run(name, func(t *testing.T) {
 			attempts := 0
 			p := newProxyPairWith(t, respondOK, func(h map[string]transport.Handler) {
-				h[KindAttempt] = func(_ context.Context, in transport.Request) (any, string) {
+				h[KindAttempt] = func(_ context.Context, request transport.Request) (any, string) {
 					var attempt Attempt
-					in.Into(&attempt)
+					request.Decode(&attempt)
 					attempts++
 					out := response
 					if out.ID == "" {
@@ -128,12 +128,12 @@
 			defer cancel()
 			attempt.ID, attempt.Service, attempt.Instance, attempt.Incarnation, attempt.Timeout, attempt.TimeToTarget = "odd", "desk", "a", 7, time.Second, time.Second
 			node := p.outbound.View().Nodes()[0].Addr
-			r := p.outbound.Transport.Call(ctx, node, transport.Traffic, KindAttempt, attempt)
-			if r.Fate != transport.Answered || r.Fault == "" {
+			r := p.outbound.Transport.Call(ctx, node, transport.RequestTraffic, KindAttempt, attempt)
+			if r.Delivery != transport.Answered || r.Fault == "" {
 				t.Errorf("%+v", r)
 			}
 			var response AttemptResponse
-			if r := p.outbound.Transport.Call(ctx, node, transport.Control, KindCancel, CancelRequest{ID: "odd", Incarnation: 7}); !r.Into(&response) || response.Outcome != routing.NotRun {
+			if r := p.outbound.Transport.Call(ctx, node, transport.ControlTraffic, KindCancel, CancelRequest{ID: "odd", Incarnation: 7}); !r.Decode(&response) || response.Outcome != routing.NotRun {
 				t.Errorf("recalled: %+v", response)
 			}
 			if len(p.uris()) > 0 {
@@ -171,18 +171,18 @@
 			came, woken, ended := make(chan struct{}, 9), make(chan struct{}), make(chan AttemptResponse, 9)
 			p := newProxyPairWith(t, respondOK, func(h map[string]transport.Handler) {
 				attempt, recall := h[KindAttempt], h[KindCancel]
-				h[KindAttempt] = func(ctx context.Context, in transport.Request) (any, string) {
+				h[KindAttempt] = func(ctx context.Context, request transport.Request) (any, string) {
 					came <- struct{}{}
 					<-woken
-					rc, fault := attempt(ctx, in)
+					rc, fault := attempt(ctx, request)
 					ended <- rc.(AttemptResponse)
 					return rc, fault
 				}
-				h[KindCancel] = func(ctx context.Context, in transport.Request) (any, string) {
+				h[KindCancel] = func(ctx context.Context, request transport.Request) (any, string) {
 					if !heard {
 						<-woken
 					}
-					return recall(ctx, in)
+					return recall(ctx, request)
 				}
 			})
 			c := p.client(t)
--- a/internal/dataplane/proxy/cancel.go
+++ b/internal/dataplane/proxy/cancel.go
@@ -102,9 +102,9 @@
 }
 
 // HandleCancel handles a recall.
-func (f *Inbound) HandleCancel(_ context.Context, in transport.Request) (any, string) {
+func (f *Inbound) HandleCancel(_ context.Context, request transport.Request) (any, string) {
 	var q CancelRequest
-	if !in.Into(&q) {
+	if !request.Decode(&q) {
 		return nil, "not a recall"
 	}
 	response := AttemptResponse{ID: q.ID, Outcome: routing.Unknown, Reason: "it was begun, or begun before a restart"}
--- a/internal/dataplane/proxy/clientwatch_test.go
+++ b/internal/dataplane/proxy/clientwatch_test.go
@@ -186,7 +186,7 @@
 	attempt.Service, attempt.Instance, attempt.Incarnation = "desk", "a", 7
 	attempt.Timeout, attempt.TimeToTarget = 3*time.Second, 3*time.Second
 	node := p.outbound.View().Nodes()[0].Addr
-	go p.outbound.Transport.Call(context.Background(), node, transport.Traffic, KindAttempt, attempt)
+	go p.outbound.Transport.Call(context.Background(), node, transport.RequestTraffic, KindAttempt, attempt)
 }
 
 // get asks for a path on a connection of its own.
--- a/internal/dataplane/proxy/connpool.go
+++ b/internal/dataplane/proxy/connpool.go
@@ -19,7 +19,7 @@
 // at for a moment; one sweeper closes what nobody wants any more. (DESIGN 10.6)
 type connPool struct {
 	lifetime context.Context
-	launcher *actor.Launcher
+	launcher *actor.System
 	// isCurrent tells whether a backend may still be sent something there.
 	isCurrent func(backendAddress) bool
 
@@ -37,8 +37,8 @@
 	inUse int
 }
 
-func newConnPool(life context.Context, l *actor.Launcher, stands func(backendAddress) bool) *connPool {
-	return &connPool{lifetime: life, launcher: l, isCurrent: stands, entries: map[backendAddress]*poolEntry{}}
+func newConnPool(life context.Context, actors *actor.System, stands func(backendAddress) bool) *connPool {
+	return &connPool{lifetime: life, launcher: actors, isCurrent: stands, entries: map[backendAddress]*poolEntry{}}
 }
 
 // acquire gives a link to a backend, of which at most so many are open at a time: one
--- a/internal/dataplane/proxy/fakebackend_test.go
+++ b/internal/dataplane/proxy/fakebackend_test.go
@@ -109,8 +109,8 @@
 		}
 	}()
 	ctx, cancel := context.WithCancel(context.Background())
-	l := actor.New(slog.New(slog.DiscardHandler), func(name string, cause any, _ []byte) { t.Errorf("%s: %v", name, cause) })
-	f := NewInbound(ctx, l)
+	actors := actor.New(slog.New(slog.DiscardHandler), func(name string, cause any, _ []byte) { t.Errorf("%s: %v", name, cause) })
+	f := NewInbound(ctx, actors)
 	f.Bodies, f.Dialect = &BodyLimiter{MaxBody: 1 << 20, MaxTotal: 1 << 30}, echoDialect{}
 	f.pool.isCurrent = func(backendAddress) bool { return true }
 	table, _ := routing.NewTable(config.ControlState{})
@@ -120,8 +120,8 @@
 	t.Cleanup(func() {
 		cancel()
 		ln.Close()
-		<-l.Idle()
-		l.Stop()
+		<-actors.Done()
+		actors.Stop()
 	})
 	return b
 }
--- a/internal/dataplane/proxy/inbound.go
+++ b/internal/dataplane/proxy/inbound.go
@@ -36,10 +36,10 @@
 }
 
 // NewInbound makes the far side and starts its ledger.
-func NewInbound(ctx context.Context, l *actor.Launcher) *Inbound {
+func NewInbound(ctx context.Context, actors *actor.System) *Inbound {
 	f := &Inbound{started: time.Now(), attemptLog: newAttemptLogActor()}
-	l.Go(ctx, "ledger", f.attemptLog.run)
-	f.pool = newConnPool(ctx, l, func(p backendAddress) bool { return f.Endpoints().IsActive(p.instance, p.address) })
+	actors.Go(ctx, "ledger", f.attemptLog.run)
+	f.pool = newConnPool(ctx, actors, func(p backendAddress) bool { return f.Endpoints().IsActive(p.instance, p.address) })
 	return f
 }
 
@@ -76,9 +76,9 @@
 }
 
 // HandleAttempt handles an attempt.
-func (f *Inbound) HandleAttempt(ctx context.Context, in transport.Request) (any, string) {
+func (f *Inbound) HandleAttempt(ctx context.Context, request transport.Request) (any, string) {
 	var attempt Attempt
-	if !in.Into(&attempt) || !attempt.valid() {
+	if !request.Decode(&attempt) || !attempt.valid() {
 		return nil, "not a leg" // and never begun, as a recall will tell
 	}
 	f.Counters.Requests.Add(1)
--- a/internal/dataplane/proxy/outbound.go
+++ b/internal/dataplane/proxy/outbound.go
@@ -26,8 +26,8 @@
 	Zone           string
 	Table          func() *routing.Table
 	View           func() *membership.View
-	Transport      *transport.Net
-	Launcher       *actor.Launcher
+	Transport      *transport.Client
+	Launcher       *actor.System
 	Spans          *trace.Queue
 	Log            *slog.Logger
 	Causality      *causality.Tracker
@@ -47,7 +47,7 @@
 	ShutdownTime func() (end time.Time, stopping bool)
 	Counters     Counters
 	// RouteCounters counts the requests that have ended, by route and outcome.
-	RouteCounters metrics.Labelled
+	RouteCounters metrics.CounterVec
 	Dialect       Dialect
 	// EjectionTime is how long a target that failed is left out.
 	EjectionTime time.Duration
@@ -153,7 +153,7 @@
 		response.Header = response.Header.Clone()
 		trace.WriteB3(response.Header, q.span)
 	}
-	n.RouteCounters.Add(q.route.Name, string(response.Fate))
+	n.RouteCounters.Inc(q.route.Name, string(response.Fate))
 	return response
 }
 
--- a/internal/dataplane/proxy/proxypair_test.go
+++ b/internal/dataplane/proxy/proxypair_test.go
@@ -77,7 +77,7 @@
 	t.Helper()
 	p := &proxyPair{fakeBackend: newFakeBackend(t, speak)}
 	ctx, cancel := context.WithCancel(context.Background())
-	l := actor.New(slog.New(slog.DiscardHandler), func(name string, cause any, stack []byte) { t.Errorf("%s: %v\n%s", name, cause, stack) })
+	actors := actor.New(slog.New(slog.DiscardHandler), func(name string, cause any, stack []byte) { t.Errorf("%s: %v\n%s", name, cause, stack) })
 	table, ok := routing.NewTable(config.ControlState{Revision: 1, ConfigurationRevision: 1, Configuration: []byte(pairConfiguration)})
 	if !ok {
 		t.Fatal("the configuration is not taken")
@@ -101,28 +101,28 @@
 	p.closeConnections = kept.closeAll
 	handlers := map[string]transport.Handler{KindAttempt: f.HandleAttempt, KindCancel: f.HandleCancel}
 	between(handlers)
-	host := &transport.Host{Launcher: l, Listener: kept, Handlers: handlers}
+	host := &transport.Server{Actors: actors, Listener: kept, Handlers: handlers}
 	node := membership.Node{Addr: listener.Addr().String(), Incarnation: 7, Zone: "north", Backends: []membership.Backend{
 		{Instance: "a", Service: "desk", Address: p.entry.Address, Zone: "north", Capacity: 8, CapacityShare: 1},
 	}}
 	view := membership.NewView(map[string]membership.Node{node.Addr: node}, nil)
 	p.outbound = &Outbound{
-		Zone: "north", Table: f.Table, View: func() *membership.View { return view }, Transport: transport.NewNet(l, transport.Greeting{}, nil),
-		Launcher: l, Spans: queue, Log: slog.New(slog.DiscardHandler), Causality: lin, Bodies: &BodyLimiter{MaxBody: 1 << 20, MaxTotal: 8 << 20},
+		Zone: "north", Table: f.Table, View: func() *membership.View { return view }, Transport: transport.NewClient(actors, transport.Hello{}, nil),
+		Launcher: actors, Spans: queue, Log: slog.New(slog.DiscardHandler), Causality: lin, Bodies: &BodyLimiter{MaxBody: 1 << 20, MaxTotal: 8 << 20},
 		RetryBudgets: retrybudget.NewServiceBudgets("near", 20), Budgets: retrybudget.NewLatencyBudgets(), Latencies: routing.NewLatencyTable(), Lifetime: ctx,
 		Draining: no, Dialect: echoDialect{}, EjectionTime: time.Millisecond, MinRetryAfter: 100 * time.Millisecond,
 	}
-	l.Go(ctx, "lineage", lin.Run)
-	l.Go(ctx, "host", host.Run)
-	l.Go(ctx, "net", p.outbound.Transport.Run)
+	actors.Go(ctx, "lineage", lin.Run)
+	actors.Go(ctx, "host", host.Run)
+	actors.Go(ctx, "net", p.outbound.Transport.Run)
 	server := httptest.NewServer(p.outbound.Handler(""))
 	p.addr = server.Listener.Addr().String()
 	t.Cleanup(func() {
 		server.CloseClientConnections()
 		server.Close()
 		cancel()
-		<-l.Idle()
-		l.Stop()
+		<-actors.Done()
+		actors.Stop()
 	})
 	return p
 }
--- a/internal/dataplane/proxy/response.go
+++ b/internal/dataplane/proxy/response.go
@@ -43,7 +43,7 @@
 
 // unmarshalResponse reads such a response.
 func unmarshalResponse(b []byte) (r Response, ok bool) {
-	ok = transport.Unpack(b, &r) == nil && r.Status >= 200 && r.Status <= 999
+	ok = transport.Unmarshal(b, &r) == nil && r.Status >= 200 && r.Status <= 999
 	return r, ok
 }
 
--- a/internal/dataplane/proxy/retry.go
+++ b/internal/dataplane/proxy/retry.go
@@ -108,7 +108,7 @@
 	target.Load.Attempts.Add(1)
 	sent := time.Now()
 	stopWatching := req.client.cancelIfLeft(func() { n.cancelAsync(ctx, target.Node, attempt) })
-	r := n.Transport.Call(ctx, target.Node, transport.Traffic, KindAttempt, attempt)
+	r := n.Transport.Call(ctx, target.Node, transport.RequestTraffic, KindAttempt, attempt)
 	stopWatching()
 	target.Load.Attempts.Add(-1)
 	if r.Traced {
@@ -117,10 +117,10 @@
 	result := routing.AttemptResult{Target: target, Outcome: routing.Unknown, Reason: "lost on the way", ReachedBackend: true}
 	var response AttemptResponse
 	switch {
-	case r.Fate == transport.Unsent:
+	case r.Delivery == transport.NotDelivered:
 		result.Outcome, result.Reason, result.ReachedBackend = routing.NotRun, "node could not be reached", false
 		target.Load.Eject(n.EjectionTime)
-	case r.Into(&response) && response.answers(&attempt):
+	case r.Decode(&response) && response.answers(&attempt):
 		result.Outcome, result.Reason, result.ReachedBackend, result.RetryAfter, result.DeadlineExceeded = response.Outcome, response.Reason, response.ReachedBackend, response.RetryAfter, response.Reason == string(endpoints.DeadlineExpired)
 		result.LeaseExpired = response.Outcome == routing.NotRun && response.Reason == string(endpoints.LeaseExpired)
 		target.Load.Report(response.InFlight)
@@ -168,6 +168,6 @@
 func (n *Outbound) sendCancel(ctx context.Context, node string, attempt Attempt, wait time.Duration) (response AttemptResponse, ok bool) {
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
-	ok = n.Transport.Call(ctx, node, transport.Control, KindCancel, CancelRequest{ID: attempt.ID, Incarnation: attempt.Incarnation}).Into(&response)
+	ok = n.Transport.Call(ctx, node, transport.ControlTraffic, KindCancel, CancelRequest{ID: attempt.ID, Incarnation: attempt.Incarnation}).Decode(&response)
 	return response, ok && response.answers(&attempt)
 }
--- a/internal/dataplane/report_limit_test.go
+++ b/internal/dataplane/report_limiter_test.go
@@ -7,15 +7,15 @@
 
 // A single change is told at once; of a storm as many as its time allows, and the last
 // one in any case.
-func TestReportLimit(t *testing.T) {
-	var r reportLimit
+func TestReportLimiter(t *testing.T) {
+	var r reportLimiter
 	now := time.Unix(1000, 0)
 	if !r.changed(now) {
 		t.Fatal("a single change was not told at once")
 	}
 	told, last, newest := 0, 0, 0
 	const step, storm = 10 * time.Millisecond, 3 * time.Second
-	for at := step; at < storm+2*reportEvery; at += step {
+	for at := step; at < storm+2*reportInterval; at += step {
 		now = now.Add(step)
 		tells := false
 		if at < storm && at%(90*time.Millisecond) == 0 {
@@ -28,7 +28,7 @@
 			told, last = told+1, newest
 		}
 	}
-	if most := int(storm/reportEvery) + 1; told > most || last != newest {
+	if most := int(storm/reportInterval) + 1; told > most || last != newest {
 		t.Errorf("%d of %d changes were told, the newest told is %d", told, newest, last)
 	}
 	if now = now.Add(time.Second); !r.changed(now) {
--- a/internal/membership/discovery.go
+++ b/internal/membership/discovery.go
@@ -26,8 +26,8 @@
 type Discovery struct {
 	Local  func() Heartbeat
 	Addr   string
-	Client *transport.Net
-	Actors *actor.Launcher
+	Client *transport.Client
+	Actors *actor.System
 	// OnReplica is told of each seat that spoke for itself; it must not wait.
 	OnReplica func(ctx context.Context, replica Replica)
 	// OnResponse, if set, is handed what was told and the response to it, before whoever
@@ -194,8 +194,8 @@
 		call, cancel := context.WithTimeout(ctx, ReplicaTimeout/2)
 		defer cancel()
 		var h Heartbeat
-		r := d.Client.Call(call, addr, transport.Control, KindHeartbeat, result.sent)
-		if result.refused = r.Refused; r.Into(&h) {
+		r := d.Client.Call(call, addr, transport.ControlTraffic, KindHeartbeat, result.sent)
+		if result.refused = r.ConnectionRefused; r.Decode(&h) {
 			if result.response = &h; d.OnResponse != nil {
 				d.OnResponse(ctx, result.sent, h)
 			}
--- a/internal/membership/gossiper.go
+++ b/internal/membership/gossiper.go
@@ -28,8 +28,8 @@
 // a majority of cores lives. (DESIGN 7.4)
 type Gossiper struct {
 	Addr   string
-	Client *transport.Net
-	Actors *actor.Launcher
+	Client *transport.Client
+	Actors *actor.System
 	// Node is this node's soft state, its stamp included; View all it knows.
 	Node func() Node
 	View func() *View
@@ -95,9 +95,9 @@
 }
 
 // HandleGossip handles a Gossip call.
-func (gossiper *Gossiper) HandleGossip(_ context.Context, in transport.Request) (any, string) {
+func (gossiper *Gossiper) HandleGossip(_ context.Context, request transport.Request) (any, string) {
 	var req GossipRequest
-	if !in.Into(&req) {
+	if !request.Decode(&req) {
 		return nil, "not a gossip"
 	}
 	v := gossiper.View()
@@ -182,8 +182,8 @@
 		gossiper.Actors.Go(ctx, "gossip", func(ctx context.Context) {
 			g := gossipResult{addr: addr, sentAt: gossiper.now()}
 			var a GossipResponse
-			r := gossiper.Client.Call(ctx, addr, transport.Control, KindGossip, req)
-			if g.refused = r.Refused; r.Into(&a) {
+			r := gossiper.Client.Call(ctx, addr, transport.ControlTraffic, KindGossip, req)
+			if g.refused = r.ConnectionRefused; r.Decode(&a) {
 				g.response = &a
 			}
 			back <- g
--- a/internal/membership/gossiper_test.go
+++ b/internal/membership/gossiper_test.go
@@ -24,7 +24,7 @@
 	state     *config.ControlState
 	updates   int
 	confirmed time.Time
-	server    *transport.Host
+	server    *transport.Server
 	clock     *clock
 	stop      context.CancelFunc // of its process
 	view      *View              // of nodes, if they have not changed since
@@ -42,10 +42,10 @@
 // newSidecarsWithoutReplicas is a fleet of sidecars that all find that no majority of cores lives.
 func newSidecarsWithoutReplicas(t *testing.T, size int) []*testSidecar {
 	ctx, cancel := context.WithCancel(t.Context())
-	l := actor.New(slog.New(slog.DiscardHandler), func(name string, cause any, stack []byte) { t.Errorf("%s: %v\n%s", name, cause, stack) })
+	actors := actor.New(slog.New(slog.DiscardHandler), func(name string, cause any, stack []byte) { t.Errorf("%s: %v\n%s", name, cause, stack) })
 	t.Cleanup(func() {
 		cancel()
-		<-l.Idle()
+		<-actors.Done()
 	})
 	watch := &clock{}
 	var fleet []*testSidecar
@@ -57,8 +57,8 @@
 		}
 		c := &testSidecar{Gossiper: NewGossiper(), nodes: map[string]Node{}}
 		c.Addr, c.now, c.roundTimeout, c.clock = ln.Addr().String(), watch.now, time.Minute, watch
-		own := transport.Greeting{Version: transport.Version, Node: c.Addr}
-		c.Client, c.Actors = transport.NewNet(l, own, nil), l
+		own := transport.Hello{Version: transport.ProtocolVersion, Node: c.Addr}
+		c.Client, c.Actors = transport.NewClient(actors, own, nil), actors
 		self := Node{Addr: c.Addr, Incarnation: uint64(i) + 1<<60, Version: 3, Zone: "north", Backends: []Backend{{Service: "orders", Instance: "orders-" + ip, Address: ip + ":8000", Zone: "north", Capacity: 9}}}
 		c.nodes[c.Addr] = self
 		c.Node = func() Node {
@@ -104,11 +104,11 @@
 			}
 		}
 		c.OnConfirmed = func(asOf time.Time) { c.confirmed = asOf }
-		c.server = &transport.Host{Own: own, Launcher: l, Listener: ln, Handlers: map[string]transport.Handler{KindGossip: c.HandleGossip}}
+		c.server = &transport.Server{Hello: own, Actors: actors, Listener: ln, Handlers: map[string]transport.Handler{KindGossip: c.HandleGossip}}
 		var life context.Context
 		life, c.stop = context.WithCancel(ctx)
-		l.Go(life, "net", c.Client.Run)
-		l.Go(life, "host", c.server.Run)
+		actors.Go(life, "net", c.Client.Run)
+		actors.Go(life, "host", c.server.Run)
 		fleet = append(fleet, c)
 	}
 	return fleet
@@ -117,9 +117,9 @@
 // gossipRound lets each of a fleet ask once, and returns what one did on average: the calls,
 // and the bytes of these and their responses.
 func gossipRound(t *testing.T, fleet []*testSidecar) (calls, bytes float64) {
-	before := map[*testSidecar]transport.Count{}
+	before := map[*testSidecar]transport.CallCounts{}
 	for _, c := range fleet {
-		before[c], c.updates = c.Client.Counts.Read()[KindGossip], 0
+		before[c], c.updates = c.Client.Counters.Snapshot()[KindGossip], 0
 	}
 	fleet[0].clock.at.Add(int64(HeartbeatInterval))
 	var all sync.WaitGroup
@@ -128,7 +128,7 @@
 	}
 	all.Wait()
 	for _, c := range fleet {
-		now, was := c.Client.Counts.Read()[KindGossip], before[c]
+		now, was := c.Client.Counters.Snapshot()[KindGossip], before[c]
 		if n := now.Calls - was.Calls; n > 4 {
 			t.Errorf("%d calls in one round", n)
 		}
@@ -265,9 +265,9 @@
 	fleet[0].state = &config.ControlState{Revision: 7, ConfigurationRevision: 7, Configuration: configuration}
 	fleet[1].state = nil
 	for i, most := range []uint64{5000, 70000} {
-		before := fleet[i].Client.Counts.Read()[KindGossip]
+		before := fleet[i].Client.Counters.Snapshot()[KindGossip]
 		fleet[i].round(t.Context())
-		after := fleet[i].Client.Counts.Read()[KindGossip]
+		after := fleet[i].Client.Counters.Snapshot()[KindGossip]
 		if w := fleet[i].state; w == nil || w.Revision != 8 || string(w.Configuration) != string(configuration) {
 			t.Errorf("%d has the word: %v", i, w != nil && w.Revision == 8)
 		}
--- a/internal/membership/prober.go
+++ b/internal/membership/prober.go
@@ -23,8 +23,8 @@
 type Prober struct {
 	Addr   string
 	View   func() *View
-	Client *transport.Net
-	Actors *actor.Launcher
+	Client *transport.Client
+	Actors *actor.System
 	// OnChange is told when the accusations have changed.
 	OnChange func()
 
@@ -72,9 +72,9 @@
 					call, cancel := context.WithTimeout(ctx, HeartbeatInterval)
 					defer cancel()
 					var a Probe
-					r := prober.Client.Call(call, addr, transport.Control, KindProbe, Probe{})
-					result := probeResult{addr: addr, refused: r.Refused}
-					if r.Into(&a) && a.Incarnation == n.Incarnation {
+					r := prober.Client.Call(call, addr, transport.ControlTraffic, KindProbe, Probe{})
+					result := probeResult{addr: addr, refused: r.ConnectionRefused}
+					if r.Decode(&a) && a.Incarnation == n.Incarnation {
 						result.answer = &a
 					}
 					select {
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -14,34 +14,34 @@
 // namespace is the prefix of all names of the project's own.
 const namespace = "curlewwalk"
 
-// Emit reports one value of a metric, with the values of its labels in the
+// EmitFunc reports one value of a metric, with the values of its labels in the
 // order in which the metric names them.
-type Emit func(value float64, labels ...string)
+type EmitFunc func(value float64, labels ...string)
 
-// Read reports the present values of a metric. The library calls it on
+// ReadFunc reports the present values of a metric. The library calls it on
 // goroutines of its own, of several scrapes at a time: it must be safe for
 // concurrent use and may not block for long.
-type Read func(emit Emit)
+type ReadFunc func(emit EmitFunc)
 
 // Metric is one metric family. It implements prometheus.Collector.
 type Metric struct {
 	desc *prometheus.Desc
 	kind prometheus.ValueType
-	read Read
+	read ReadFunc
 }
 
 // Counter is a metric that only grows while the process lives. Its name is
 // given without the prefix and ends in _total.
-func Counter(name, help string, labels []string, read Read) *Metric {
+func Counter(name, help string, labels []string, read ReadFunc) *Metric {
 	return newMetric(prometheus.CounterValue, name, help, labels, read)
 }
 
 // Gauge is a metric that goes up and down. Its name is given without the prefix.
-func Gauge(name, help string, labels []string, read Read) *Metric {
+func Gauge(name, help string, labels []string, read ReadFunc) *Metric {
 	return newMetric(prometheus.GaugeValue, name, help, labels, read)
 }
 
-func newMetric(kind prometheus.ValueType, name, help string, labels []string, read Read) *Metric {
+func newMetric(kind prometheus.ValueType, name, help string, labels []string, read ReadFunc) *Metric {
 	return &Metric{
 		desc: prometheus.NewDesc(prometheus.BuildFQName(namespace, "", name), help, labels, nil),
 		kind: kind,
@@ -75,9 +75,9 @@
 	return promhttp.HandlerFor(registry, promhttp.HandlerOpts{})
 }
 
-// Value is a reading of a metric without labels.
-func Value(read func() float64) Read {
-	return func(emit Emit) { emit(read()) }
+// Scalar is a reading of a metric without labels.
+func Scalar(read func() float64) ReadFunc {
+	return func(emit EmitFunc) { emit(read()) }
 }
 
 // Bool is 1 for true and 0 for false.
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -19,14 +19,14 @@
 // read anew at each scrape.
 func TestHandler(t *testing.T) {
 	open := 3.0
-	var retries Labelled
+	var retries CounterVec
 	h := Handler(
-		Gauge("requests_in_flight", "Requests that are open.", nil, Value(func() float64 { return open })),
-		Counter("retries_total", "Retries.", []string{"route", "outcome"}, retries.Read),
+		Gauge("requests_in_flight", "Requests that are open.", nil, Scalar(func() float64 { return open })),
+		Counter("retries_total", "Retries.", []string{"route", "outcome"}, retries.Collect),
 	)
-	retries.Add("a", "answered")
-	retries.Add("a", "answered")
-	retries.Add("b", "")
+	retries.Inc("a", "answered")
+	retries.Inc("a", "answered")
+	retries.Inc("b", "")
 	status, text := scrape(h)
 	for _, want := range []string{
 		"# HELP curlewwalk_requests_in_flight Requests that are open.\n",
@@ -53,27 +53,27 @@
 
 // A value with the wrong labels fails its scrape, not the process.
 func TestWrongLabels(t *testing.T) {
-	status, text := scrape(Handler(Gauge("wrong", "Wrong.", []string{"one"}, func(emit Emit) { emit(1, "a", "b") })))
+	status, text := scrape(Handler(Gauge("wrong", "Wrong.", []string{"one"}, func(emit EmitFunc) { emit(1, "a", "b") })))
 	if status != http.StatusInternalServerError || !strings.Contains(text, "curlewwalk_wrong") {
 		t.Errorf("%d %s", status, text)
 	}
 }
 
 // Counting from many goroutines loses nothing.
-func TestLabelledConcurrently(t *testing.T) {
+func TestCounterVecConcurrently(t *testing.T) {
 	const workers, each = 8, 1000
-	var l Labelled
+	var vec CounterVec
 	var wg sync.WaitGroup
 	for range workers {
 		wg.Go(func() {
 			for range each {
-				l.Add("x")
+				vec.Inc("x")
 			}
 		})
 	}
 	wg.Wait()
 	total := 0.0
-	l.Read(func(value float64, _ ...string) { total += value })
+	vec.Collect(func(value float64, _ ...string) { total += value })
 	if total != workers*each {
 		t.Errorf("counted %v, not %d", total, workers*each)
 	}
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -29,9 +29,9 @@
 	Log         *slog.Logger
 	// stdout prints to standard output.
 	stdout          *slog.Logger
-	Actors          *actor.Launcher
-	TransportClient *transport.Net
-	TransportServer *transport.Host
+	Actors          *actor.System
+	TransportClient *transport.Client
+	TransportServer *transport.Server
 	// Context ends all parts.
 	Context     context.Context
 	cancel      context.CancelFunc
@@ -66,13 +66,13 @@
 	signal.Notify(p.signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	p.Context, p.cancel = context.WithCancel(context.Background())
 	p.Actors = actor.New(p.Log, p.failInvariant)
-	own := transport.Greeting{Version: transport.Version, Node: s.Advertise, Boot: p.Incarnation}
+	own := transport.Hello{Version: transport.ProtocolVersion, Node: s.Advertise, Incarnation: p.Incarnation}
 	var from net.IP
 	if ap := netip.MustParseAddrPort(s.Wire); !ap.Addr().IsUnspecified() {
 		from = ap.Addr().AsSlice()
 	}
-	p.TransportClient = transport.NewNet(p.Actors, own, from)
-	p.TransportServer = &transport.Host{Own: own, Launcher: p.Actors, Handlers: map[string]transport.Handler{}}
+	p.TransportClient = transport.NewClient(p.Actors, own, from)
+	p.TransportServer = &transport.Server{Hello: own, Actors: p.Actors, Handlers: map[string]transport.Handler{}}
 	return p
 }
 
@@ -126,7 +126,7 @@
 	p.cancel()
 	p.Actors.Stop()
 	select {
-	case <-p.Actors.Idle():
+	case <-p.Actors.Done():
 	case <-time.After(closeTimeout):
 	}
 }
--- a/internal/rendezvous/score.go
+++ b/internal/rendezvous/score.go
@@ -18,12 +18,12 @@
 	hash.Write([]byte(key))
 	hash.Write([]byte{0})
 	hash.Write([]byte(node))
-	return finish(hash.Sum64())
+	return mixBits(hash.Sum64())
 }
 
-// finish mixes the bits of an FNV sum, whose last bytes would otherwise hardly
+// mixBits mixes the bits of an FNV sum, whose last bytes would otherwise hardly
 // reach the high bits: it is the finalizer of MurmurHash3.
-func finish(sum uint64) uint64 {
+func mixBits(sum uint64) uint64 {
 	sum ^= sum >> 33
 	sum *= 0xff51afd7ed558ccd
 	sum ^= sum >> 33
--- a/internal/settings/sidecar.go
+++ b/internal/settings/sidecar.go
@@ -8,7 +8,7 @@
 )
 
 // maxBodyLimit leaves room in a frame for an attempt's headers and trailers.
-const maxBodyLimit = transport.MaxFrame - 4<<20
+const maxBodyLimit = transport.MaxFrameSize - 4<<20
 
 // defaultBodyMemory are the bytes of bodies held at a time, unless the settings say less.
 const defaultBodyMemory = 256 << 20 // (ours)
--- a/internal/tracestore/store.go
+++ b/internal/tracestore/store.go
@@ -63,9 +63,9 @@
 }
 
 // HandlePublish handles a Batch from the wire.
-func (s *Store) HandlePublish(ctx context.Context, in transport.Request) (any, string) {
+func (s *Store) HandlePublish(ctx context.Context, request transport.Request) (any, string) {
 	var b Batch
-	if !in.Into(&b) {
+	if !request.Decode(&b) {
 		return nil, "not a batch"
 	}
 	select {
@@ -77,9 +77,9 @@
 }
 
 // HandleQuery handles a Query from the wire.
-func (s *Store) HandleQuery(ctx context.Context, in transport.Request) (any, string) {
+func (s *Store) HandleQuery(ctx context.Context, request transport.Request) (any, string) {
 	var q Query
-	if !in.Into(&q) {
+	if !request.Decode(&q) {
 		return nil, "not a query"
 	}
 	pending := lookup{id: q.Trace, reply: make(chan []trace.Event, 1)}
--- a/internal/transport/pressure_test.go
+++ b/internal/transport/backpressure_test.go
@@ -12,18 +12,18 @@
 	"curlewwalk/internal/trace"
 )
 
-// narrow is a listener whose connections hold little that nobody has read.
-type narrow struct{ net.Listener }
+// smallBufferListener is a listener whose connections hold little that nobody has read.
+type smallBufferListener struct{ net.Listener }
 
-func (n narrow) Accept() (net.Conn, error) {
+func (n smallBufferListener) Accept() (net.Conn, error) {
 	conn, err := n.Listener.Accept()
 	if err == nil {
-		narrowed(conn)
+		shrinkBuffers(conn)
 	}
 	return conn, err
 }
 
-func narrowed(conn net.Conn) {
+func shrinkBuffers(conn net.Conn) {
 	conn.(*net.TCPConn).SetReadBuffer(64 << 10)
 	conn.(*net.TCPConn).SetWriteBuffer(64 << 10)
 }
@@ -31,23 +31,23 @@
 // A caller that is busy writing reads nothing meanwhile, so that responses pile up. The
 // host reads on all the same, pings too: else both would wait for each other until the
 // connection broke.
-func TestHostReadsOnWhileResponsesPileUp(t *testing.T) {
-	ctx, l := begin(t)
+func TestServerReadsOnWhileResponsesPileUp(t *testing.T) {
+	ctx, actors := setup(t)
 	answered := make(chan bool, 200)
-	h := &Host{Launcher: l, Handlers: map[string]Handler{"large": func(context.Context, Request) (any, string) {
+	server := &Server{Actors: actors, Handlers: map[string]Handler{"large": func(context.Context, Request) (any, string) {
 		answered <- true
 		return make([]byte, 256<<10), ""
 	}}}
-	h.Listener = narrow{listen(t)}
-	l.Go(ctx, "host", h.Run)
-	conn, err := net.Dial("tcp", h.Addr().String())
+	server.Listener = smallBufferListener{listen(t)}
+	actors.Go(ctx, "host", server.Run)
+	conn, err := net.Dial("tcp", server.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	narrowed(conn)
+	shrinkBuffers(conn)
 	r := bufReader(conn)
-	if _, err := exchange(conn, r, Greeting{}, uncounted, uncounted); err != nil {
+	if _, err := handshake(conn, r, Hello{}, discardCount, discardCount); err != nil {
 		t.Fatal(err)
 	}
 	send := func(m message) {
@@ -68,11 +68,11 @@
 		send(message{Kind: KindPing})
 	}
 	body, _ := msgpack.Marshal(make([]byte, 4<<20))
-	conn.SetWriteDeadline(time.Now().Add(writeLimit - 500*time.Millisecond))
+	conn.SetWriteDeadline(time.Now().Add(writeTimeout - 500*time.Millisecond))
 	send(message{ID: calls + 1, Kind: "large", Body: body})
 	got := map[uint64]bool{}
 	for len(got) < calls+1 {
-		b, err := readFrame(r, MaxFrame)
+		b, err := readFrame(r, MaxFrameSize)
 		if err != nil {
 			t.Fatalf("after %d receipts: %v", len(got), err)
 		}
@@ -88,10 +88,10 @@
 func TestResponseWhileAFrameIsWritten(t *testing.T) {
 	// A chunk that is not taken is given up after writeLimit; the rest is for making a
 	// frame of 32 MiB, which takes seconds under the race detector on a busy machine.
-	ctx, l := beginFor(t, 8*writeLimit)
+	ctx, actors := setupWithin(t, 8*writeTimeout)
 	small, large := make(chan bool), make(chan bool)
-	addr := silentPeer(t, func(conn net.Conn, r *bufio.Reader) {
-		b, err := readFrame(r, MaxFrame)
+	addr := startPeer(t, func(conn net.Conn, r *bufio.Reader) {
+		b, err := readFrame(r, MaxFrameSize)
 		if err != nil {
 			return
 		}
@@ -103,22 +103,22 @@
 		conn.Write(out)
 		<-ctx.Done()
 	})
-	c, err := Dial(ctx, l, nil, addr, Greeting{})
+	c, err := Dial(ctx, actors, nil, addr, Hello{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	fates := make(chan Fate, 1)
-	l.Go(ctx, "large", func(ctx context.Context) {
+	fates := make(chan Delivery, 1)
+	actors.Go(ctx, "large", func(ctx context.Context) {
 		<-small
-		fates <- c.Call(ctx, "large", make([]byte, 32<<20)).Fate
+		fates <- c.Call(ctx, "large", make([]byte, 32<<20)).Delivery
 	})
 	begin := time.Now()
-	var e echo
-	if r := c.Call(ctx, "echo", echo{Text: "x"}); !r.Into(&e) || e.Text != "x" || time.Since(begin) > 2*time.Second {
+	var e echoMessage
+	if r := c.Call(ctx, "echo", echoMessage{Text: "x"}); !r.Decode(&e) || e.Text != "x" || time.Since(begin) > 2*time.Second {
 		t.Errorf("%+v %+v after %v", r, e, time.Since(begin))
 	}
 	<-large
-	if fate := <-fates; fate != Unsent {
+	if fate := <-fates; fate != NotDelivered {
 		t.Errorf("a frame that was never taken whole has fate %v", fate)
 	}
 }
--- a/internal/transport/connection.go
+++ b/internal/transport/connection.go
@@ -15,100 +15,100 @@
 )
 
 const (
-	pingAfter  = 500 * time.Millisecond // (ours)
-	breakAfter = 2 * time.Second        // (ours)
-	// writeLimit is how long a chunk of a frame may wait to be taken.
-	writeLimit = 5 * time.Second // (ours)
+	pingInterval = 500 * time.Millisecond // (ours)
+	idleTimeout  = 2 * time.Second        // (ours)
+	// writeTimeout is how long a chunk of a frame may wait to be taken.
+	writeTimeout = 5 * time.Second // (ours)
 )
 
 // Connection is the calling side of one TCP connection: many calls at a time,
 // each matched to its response by number. (DESIGN 3.2)
 type Connection struct {
-	conn  *heardConn
-	far   Greeting
-	count *Counts
-	calls chan *call
-	in    chan inbound
-	done  chan struct{}
-	// launch starts what writes a long frame.
-	launch func(name string, run func())
+	conn     *countingConn
+	peer     Hello
+	counters *Counters
+	calls    chan *pendingCall
+	inbound  chan inboundMessage
+	done     chan struct{}
+	// spawn starts what writes a long frame.
+	spawn func(name string, run func())
 }
 
-type call struct {
-	id    uint64
-	span  trace.Span
-	kind  string
-	body  msgpack.RawMessage
-	reply chan Response
-	// elsewhere says that its caller would rather turn elsewhere than wait for a peer
+type pendingCall struct {
+	id       uint64
+	span     trace.Span
+	kind     string
+	body     msgpack.RawMessage
+	response chan Response
+	// failFast says that its caller would rather turn elsewhere than wait for a peer
 	// that is suspected.
-	elsewhere bool
-	// givenUp is set once its caller no longer waits.
-	givenUp atomic.Bool
+	failFast bool
+	// abandoned is set once its caller no longer waits.
+	abandoned atomic.Bool
 }
 
-type inbound struct {
-	span   trace.Span
-	traced bool
-	msg    message
-	bytes  int
-	err    error
+type inboundMessage struct {
+	span    trace.Span
+	traced  bool
+	message message
+	bytes   int
+	err     error
 }
 
 // Dial opens a connection and exchanges greetings.
-func Dial(ctx context.Context, l *actor.Launcher, from net.IP, addr string, own Greeting) (*Connection, error) {
-	return dial(ctx, l, from, addr, own, &Counts{})
+func Dial(ctx context.Context, actors *actor.System, localIP net.IP, addr string, hello Hello) (*Connection, error) {
+	return dial(ctx, actors, localIP, addr, hello, &Counters{})
 }
 
-func dial(ctx context.Context, l *actor.Launcher, from net.IP, addr string, own Greeting, count *Counts) (*Connection, error) {
-	d := net.Dialer{Timeout: time.Second}
-	if from != nil {
-		d.LocalAddr = &net.TCPAddr{IP: from}
+func dial(ctx context.Context, actors *actor.System, localIP net.IP, addr string, hello Hello, counters *Counters) (*Connection, error) {
+	dialer := net.Dialer{Timeout: time.Second}
+	if localIP != nil {
+		dialer.LocalAddr = &net.TCPAddr{IP: localIP}
 	}
-	raw, err := d.DialContext(ctx, "tcp", addr)
+	raw, err := dialer.DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return nil, eris.Wrap(err, "dial")
 	}
-	conn := &heardConn{Conn: raw}
-	c := &Connection{conn: conn, count: count, calls: make(chan *call), in: make(chan inbound, 16), done: make(chan struct{})}
+	conn := &countingConn{Conn: raw}
+	connection := &Connection{conn: conn, counters: counters, calls: make(chan *pendingCall), inbound: make(chan inboundMessage, 16), done: make(chan struct{})}
 	r := bufio.NewReader(conn)
-	if c.far, err = exchange(conn, r, own, count.call, count.response); err != nil {
+	if connection.peer, err = handshake(conn, r, hello, counters.addCall, counters.addResponse); err != nil {
 		conn.Close()
 		return nil, err
 	}
 	life := context.WithoutCancel(ctx)
-	c.launch = func(name string, run func()) { l.Go(life, name, func(context.Context) { run() }) }
-	l.Go(life, "circuit-read", func(context.Context) { c.read(r) })
-	l.Go(life, "circuit", func(context.Context) { c.run() })
-	return c, nil
+	connection.spawn = func(name string, run func()) { actors.Go(life, name, func(context.Context) { run() }) }
+	actors.Go(life, "circuit-read", func(context.Context) { connection.read(r) })
+	actors.Go(life, "circuit", func(context.Context) { connection.run() })
+	return connection, nil
 }
 
-// exchange sends the own greeting and reads the other's; sent and came count them.
-func exchange(conn net.Conn, r *bufio.Reader, own Greeting, sent, came func(kind string, bytes int)) (Greeting, error) {
-	var far Greeting
+// handshake sends the own greeting and reads the other's; sent and came count them.
+func handshake(conn net.Conn, r *bufio.Reader, hello Hello, countSent, countReceived func(kind string, bytes int)) (Hello, error) {
+	var peer Hello
 	conn.SetDeadline(time.Now().Add(time.Second))
 	defer conn.SetDeadline(time.Time{})
-	raw, err := msgpack.Marshal(&own)
+	raw, err := msgpack.Marshal(&hello)
 	if err != nil {
-		return far, err
+		return peer, err
 	}
-	if _, err := conn.Write(sealFrame(append(make([]byte, headLen), raw...))); err != nil {
-		return far, eris.Wrap(err, "greet")
+	if _, err := conn.Write(sealFrame(append(make([]byte, headerLen), raw...))); err != nil {
+		return peer, eris.Wrap(err, "greet")
 	}
-	sent(kindGreeting, headLen+len(raw))
-	b, err := readFrame(r, maxGreeting)
+	countSent(kindHello, headerLen+len(raw))
+	payload, err := readFrame(r, maxHelloSize)
 	if err != nil {
-		return far, eris.Wrap(err, "read greeting")
+		return peer, eris.Wrap(err, "read greeting")
 	}
-	came(kindGreeting, headLen+len(b))
-	return far, eris.Wrap(Unpack(b, &far), "greeting")
+	countReceived(kindHello, headerLen+len(payload))
+	return peer, eris.Wrap(Unmarshal(payload, &peer), "greeting")
 }
 
-// Far is whom the connection reached.
-func (c *Connection) Far() Greeting { return c.far }
+// Peer is whom the connection reached.
+func (c *Connection) Peer() Hello { return c.peer }
 
-// Broken is closed when the connection has ended.
-func (c *Connection) Broken() <-chan struct{} { return c.done }
+// Done is closed when the connection has ended.
+func (c *Connection) Done() <-chan struct{} { return c.done }
 
 // Close ends the connection; calls still open are lost.
 func (c *Connection) Close() { c.conn.Close() }
@@ -121,41 +121,41 @@
 
 // call is Call, with a bound of its own on how long the connection may take to begin with
 // it: until then it is surely unsent.
-func (c *Connection) call(ctx, begin context.Context, kind string, body any, elsewhere bool) Response {
-	raw, err := msgpack.Marshal(body)
+func (c *Connection) call(ctx, beginCtx context.Context, kind string, body any, failFast bool) Response {
+	encoded, err := msgpack.Marshal(body)
 	if err != nil {
-		return Response{Fate: Unsent, Fault: err.Error()}
+		return Response{Delivery: NotDelivered, Fault: err.Error()}
 	}
-	s, _ := trace.SpanFromContext(ctx)
-	k := &call{span: s, kind: kind, body: raw, elsewhere: elsewhere, reply: make(chan Response, 1)}
+	span, _ := trace.SpanFromContext(ctx)
+	call := &pendingCall{span: span, kind: kind, body: encoded, failFast: failFast, response: make(chan Response, 1)}
 	select {
-	case c.calls <- k:
+	case c.calls <- call:
 	case <-c.done:
-		return Response{Fate: Unsent}
-	case <-begin.Done():
-		return Response{Fate: Unsent}
+		return Response{Delivery: NotDelivered}
+	case <-beginCtx.Done():
+		return Response{Delivery: NotDelivered}
 	}
 	select {
-	case r := <-k.reply:
+	case r := <-call.response:
 		return r
 	case <-ctx.Done():
 		// The connection is not waited for: it may be held up by its peer.
-		k.givenUp.Store(true)
-		return Response{Fate: Lost}
+		call.abandoned.Store(true)
+		return Response{Delivery: DeliveryUnknown}
 	}
 }
 
 func (c *Connection) read(r *bufio.Reader) {
 	for {
-		var in inbound
-		b, err := readFrame(r, MaxFrame)
+		var received inboundMessage
+		payload, err := readFrame(r, MaxFrameSize)
 		if err == nil {
-			in.span, in.traced, in.msg, err = decode(b)
-			in.bytes = headLen + len(b)
+			received.span, received.traced, received.message, err = decode(payload)
+			received.bytes = headerLen + len(payload)
 		}
-		in.err = err
+		received.err = err
 		select {
-		case c.in <- in:
+		case c.inbound <- received:
 		case <-c.done:
 			return
 		}
@@ -167,8 +167,8 @@
 
 // run owns the open calls. Nothing is written but on its word, one frame at a time.
 func (c *Connection) run() {
-	calls := newOpenCalls(c)
-	defer calls.end()
+	calls := newPendingCalls(c)
+	defer calls.close()
 	for calls.step() {
 	}
 }
--- a/internal/transport/fate.go
+++ b/internal/transport/delivery.go
@@ -1,12 +1,12 @@
 package transport
 
-// Fate is what is known of a call.
-type Fate int
+// Delivery is what is known of a call.
+type Delivery int
 
 // A call was answered; or surely never reached the far node whole; or nobody
 // knows.
 const (
-	Lost Fate = iota
-	Unsent
+	DeliveryUnknown Delivery = iota
+	NotDelivered
 	Answered
 )
--- a/internal/transport/fuzz_test.go
+++ b/internal/transport/fuzz_test.go
@@ -13,20 +13,20 @@
 // FuzzPayload: whatever a payload holds, it is a message or an error; a message is
 // written back as one that reads the same.
 func FuzzPayload(f *testing.F) {
-	for name, b := range malformed {
+	for name, b := range malformedPayloads {
 		if len(b) < 1000 {
 			f.Add(b)
 		} else {
 			f.Logf("%s is not among the seeds", name)
 		}
 	}
-	body, _ := msgpack.Marshal(echo{Text: "x"})
+	body, _ := msgpack.Marshal(echoMessage{Text: "x"})
 	for _, s := range []trace.Span{{}, trace.Root()} {
 		b, err := encode(s, message{ID: 1, Kind: "echo", Body: body, Fault: "none"})
 		if err != nil {
 			f.Fatal(err)
 		}
-		f.Add(b[headLen:])
+		f.Add(b[headerLen:])
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
 		_, _, m, err := decode(b)
@@ -37,7 +37,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, _, again, err := decode(out[headLen:])
+		_, _, again, err := decode(out[headerLen:])
 		if err != nil || !reflect.DeepEqual(m, again) {
 			t.Errorf("%+v was read back as %+v, %v", m, again, err)
 		}
@@ -47,7 +47,7 @@
 // FuzzFrames: whatever bytes come on a connection, whole frames are read or an error is;
 // nothing is taken of a frame that is not whole.
 func FuzzFrames(f *testing.F) {
-	one := sealFrame(append(make([]byte, headLen), "payload"...))
+	one := sealFrame(append(make([]byte, headerLen), "payload"...))
 	f.Add(one)
 	f.Add(append(bytes.Clone(one), one...))
 	f.Add(one[:len(one)-1])
@@ -60,26 +60,26 @@
 			if err != nil {
 				return
 			}
-			if whole := sealFrame(append(make([]byte, headLen), p...)); !bytes.Equal(whole, b[at:at+len(whole)]) {
+			if whole := sealFrame(append(make([]byte, headerLen), p...)); !bytes.Equal(whole, b[at:at+len(whole)]) {
 				t.Errorf("%q was taken for %q", b[at:], p)
 			}
 		}
 	})
 }
 
-// FuzzGreeting: whatever comes first, the connection begins or is refused.
-func FuzzGreeting(f *testing.F) {
-	b, _ := msgpack.Marshal(Greeting{Version: 1, Node: "n", Boot: 7})
+// FuzzHello: whatever comes first, the connection begins or is refused.
+func FuzzHello(f *testing.F) {
+	b, _ := msgpack.Marshal(Hello{Version: 1, Node: "n", Incarnation: 7})
 	f.Add(b)
 	f.Add([]byte{0xc1})
 	f.Fuzz(func(t *testing.T, b []byte) {
-		var g Greeting
-		if Unpack(b, &g) != nil {
+		var g Hello
+		if Unmarshal(b, &g) != nil {
 			return
 		}
-		var again Greeting
+		var again Hello
 		out, err := msgpack.Marshal(g)
-		if err != nil || Unpack(out, &again) != nil || again != g {
+		if err != nil || Unmarshal(out, &again) != nil || again != g {
 			t.Errorf("%+v was read back as %+v, %v", g, again, err)
 		}
 	})
--- a/internal/transport/golden_test.go
+++ b/internal/transport/golden_test.go
@@ -29,7 +29,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		payload, err := readFrame(bytes.NewReader(stored), MaxFrame)
+		payload, err := readFrame(bytes.NewReader(stored), MaxFrameSize)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/transport/hostile_test.go
+++ b/internal/transport/malformed_test.go
@@ -18,8 +18,8 @@
 	"curlewwalk/internal/trace"
 )
 
-// listing is a message body with a list, whose length the sender tells.
-type listing struct {
+// listMessage is a message body with a list, whose length the sender tells.
+type listMessage struct {
 	Entries []struct{ A, B, C, D uint64 } `msgpack:"e"`
 }
 
@@ -28,8 +28,8 @@
 	return []byte("\x83\xa1i\x01\xa1k\xa4list\xa1b" + body)
 }
 
-// malformed are payloads that are no message, though each begins as one.
-var malformed = map[string][]byte{
+// malformedPayloads are payloads that are no message, though each begins as one.
+var malformedPayloads = map[string][]byte{
 	"nothing":                         {},
 	"a byte never written":            payload("\xc1"),
 	"a list without its entries":      payload("\x81\xa1e\xdd\xff\xff\xff\xff"),
@@ -46,7 +46,7 @@
 
 // A payload that is not one whole message is not taken, whatever lengths it claims.
 func TestMalformedPayload(t *testing.T) {
-	for name, b := range malformed {
+	for name, b := range malformedPayloads {
 		for _, prefix := range [][]byte{nil, trace.AppendPrefix(nil, trace.Root())} {
 			if _, _, m, err := decode(append(prefix, b...)); err == nil {
 				t.Errorf("%s was taken as %+v", name, m)
@@ -60,38 +60,38 @@
 
 // The host lives on when such frames come, and so does its process; other connections are
 // served as before.
-func TestHostOutlivesMalformedFrames(t *testing.T) {
-	ctx, l := begin(t)
-	h := &Host{Launcher: l, Handlers: map[string]Handler{"list": func(_ context.Context, q Request) (any, string) {
-		var list listing
-		if !q.Into(&list) {
+func TestServerOutlivesMalformedFrames(t *testing.T) {
+	ctx, actors := setup(t)
+	server := &Server{Actors: actors, Handlers: map[string]Handler{"list": func(_ context.Context, request Request) (any, string) {
+		var list listMessage
+		if !request.Decode(&list) {
 			return nil, "not a list"
 		}
 		return len(list.Entries), ""
 	}}}
-	h.Listener = listen(t)
-	l.Go(ctx, "host", h.Run)
-	c, err := Dial(ctx, l, nil, h.Addr().String(), Greeting{Version: Version})
+	server.Listener = listen(t)
+	actors.Go(ctx, "host", server.Run)
+	c, err := Dial(ctx, actors, nil, server.Addr().String(), Hello{Version: ProtocolVersion})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, b := range malformed {
-		conn, err := net.Dial("tcp", h.Addr().String())
+	for name, b := range malformedPayloads {
+		conn, err := net.Dial("tcp", server.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
 		r := bufReader(conn)
-		if _, err := exchange(conn, r, Greeting{}, uncounted, uncounted); err != nil {
+		if _, err := handshake(conn, r, Hello{}, discardCount, discardCount); err != nil {
 			t.Fatal(err)
 		}
-		conn.Write(sealFrame(append(make([]byte, headLen), b...)))
-		if _, err := readFrame(r, MaxFrame); err == nil {
+		conn.Write(sealFrame(append(make([]byte, headerLen), b...)))
+		if _, err := readFrame(r, MaxFrameSize); err == nil {
 			t.Errorf("%s was answered", name)
 		}
 		conn.Close()
 	}
 	var n int
-	if r := c.Call(ctx, "list", listing{Entries: make([]struct{ A, B, C, D uint64 }, 3)}); !r.Into(&n) || n != 3 {
+	if r := c.Call(ctx, "list", listMessage{Entries: make([]struct{ A, B, C, D uint64 }, 3)}); !r.Decode(&n) || n != 3 {
 		t.Errorf("another connection got %+v", r)
 	}
 }
@@ -100,35 +100,35 @@
 // and claims a long frame takes no memory by that.
 func TestClaimedLengthTakesNoMemory(t *testing.T) {
 	var before, after runtime.MemStats
-	var head [headLen]byte
-	binary.BigEndian.PutUint32(head[:], MaxFrame)
+	var head [headerLen]byte
+	binary.BigEndian.PutUint32(head[:], MaxFrameSize)
 	runtime.ReadMemStats(&before)
-	if _, err := readFrame(bytes.NewReader(append(head[:], "abc"...)), MaxFrame); err == nil {
+	if _, err := readFrame(bytes.NewReader(append(head[:], "abc"...)), MaxFrameSize); err == nil {
 		t.Error("a cut frame was read")
 	}
 	runtime.ReadMemStats(&after)
 	if got := after.TotalAlloc - before.TotalAlloc; got > 1<<20 {
-		t.Errorf("a claim of %d bytes took %d", MaxFrame, got)
+		t.Errorf("a claim of %d bytes took %d", MaxFrameSize, got)
 	}
 
-	ctx, l := begin(t)
-	h := host(t, ctx, l)
-	conn, err := net.Dial("tcp", h.Addr().String())
+	ctx, actors := setup(t)
+	server := startServer(t, ctx, actors)
+	conn, err := net.Dial("tcp", server.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	long, err := msgpack.Marshal(Greeting{Node: strings.Repeat("x", maxGreeting)})
+	long, err := msgpack.Marshal(Hello{Node: strings.Repeat("x", maxHelloSize)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	conn.Write(sealFrame(append(make([]byte, headLen), long...)))
+	conn.Write(sealFrame(append(make([]byte, headerLen), long...)))
 	r := bufReader(conn)
-	if _, err := readFrame(r, MaxFrame); err != nil {
+	if _, err := readFrame(r, MaxFrameSize); err != nil {
 		t.Fatal(err) // its own greeting
 	}
 	conn.SetReadDeadline(time.Now().Add(3 * time.Second))
-	if _, err := readFrame(r, MaxFrame); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
+	if _, err := readFrame(r, MaxFrameSize); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("after a long greeting the circuit did not end: %v", err)
 	}
 }
@@ -136,24 +136,24 @@
 // A long frame arrives as it was sent, however it is cut on its way.
 func TestLongFrame(t *testing.T) {
 	b := bytes.Repeat([]byte("0123456789abcdef"), 200_000)
-	whole := sealFrame(append(make([]byte, headLen), b...))
+	whole := sealFrame(append(make([]byte, headerLen), b...))
 	for _, size := range []int{1 << 20, 70_001} {
-		got, err := readFrame(&pieces{whole, size}, MaxFrame)
+		got, err := readFrame(&chunkReader{whole, size}, MaxFrameSize)
 		if err != nil || !bytes.Equal(got, b) {
 			t.Errorf("in pieces of %d: %v, %d bytes", size, err, len(got))
 		}
 	}
 }
 
-// pieces reads no more than some bytes at a time.
-type pieces struct {
-	left []byte
-	size int
+// chunkReader reads no more than some bytes at a time.
+type chunkReader struct {
+	remaining []byte
+	size      int
 }
 
-func (p *pieces) Read(b []byte) (int, error) {
-	n := copy(b, p.left[:min(p.size, len(p.left))])
-	p.left = p.left[n:]
+func (reader *chunkReader) Read(b []byte) (int, error) {
+	n := copy(b, reader.remaining[:min(reader.size, len(reader.remaining))])
+	reader.remaining = reader.remaining[n:]
 	if n == 0 {
 		return 0, io.EOF
 	}
--- a/internal/transport/message.go
+++ b/internal/transport/message.go
@@ -17,34 +17,34 @@
 }
 
 // encode builds a sealed frame. A zero span makes a plain message.
-func encode(s trace.Span, m message) ([]byte, error) {
-	b := make([]byte, headLen, headLen+64+len(m.Body))
-	if !s.IsZero() {
-		b = trace.AppendPrefix(b, s)
+func encode(span trace.Span, msg message) ([]byte, error) {
+	frame := make([]byte, headerLen, headerLen+64+len(msg.Body))
+	if !span.IsZero() {
+		frame = trace.AppendPrefix(frame, span)
 	}
-	raw, err := msgpack.Marshal(&m)
+	encoded, err := msgpack.Marshal(&msg)
 	if err != nil {
 		return nil, err
 	}
-	b = append(b, raw...)
-	if len(b)-headLen > MaxFrame {
-		return nil, errLong
+	frame = append(frame, encoded...)
+	if len(frame)-headerLen > MaxFrameSize {
+		return nil, errFrameTooLong
 	}
-	return sealFrame(b), nil
+	return sealFrame(frame), nil
 }
 
 // decode reads a payload, traced or plain: one whole value that is a message, or nothing
 // of it.
-func decode(payload []byte) (s trace.Span, traced bool, m message, err error) {
-	s, plain, traced := trace.CutPrefix(payload)
-	err = Unpack(plain, &m)
-	return s, traced, m, err
+func decode(payload []byte) (span trace.Span, traced bool, msg message, err error) {
+	span, plain, traced := trace.CutPrefix(payload)
+	err = Unmarshal(plain, &msg)
+	return span, traced, msg, err
 }
 
-// Unpack reads bytes that may be anything: one whole msgpack value that fits v, or an
+// Unmarshal reads bytes that may be anything: one whole msgpack value that fits v, or an
 // error.
-func Unpack(b []byte, v any) error {
-	if err := wellFormed(b); err != nil {
+func Unmarshal(b []byte, v any) error {
+	if err := checkWellFormed(b); err != nil {
 		return err
 	}
 	return msgpack.Unmarshal(b, v)
--- a/internal/transport/wire_test.go
+++ b/internal/transport/transport_test.go
@@ -16,31 +16,31 @@
 	"curlewwalk/internal/trace"
 )
 
-func begin(t *testing.T) (context.Context, *actor.Launcher) {
-	return beginFor(t, 10*time.Second)
+func setup(t *testing.T) (context.Context, *actor.System) {
+	return setupWithin(t, 10*time.Second)
 }
 
-// beginFor is begin for a test that may take a time of its own.
-func beginFor(t *testing.T, limit time.Duration) (context.Context, *actor.Launcher) {
+// setupWithin is begin for a test that may take a time of its own.
+func setupWithin(t *testing.T, limit time.Duration) (context.Context, *actor.System) {
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	t.Cleanup(cancel)
 	return ctx, actor.New(slog.New(slog.DiscardHandler), func(name string, cause any, stack []byte) { t.Errorf("%s: %v\n%s", name, cause, stack) })
 }
 
-func uncounted(string, int) {}
+func discardCount(string, int) {}
 
 func bufReader(conn net.Conn) *bufio.Reader { return bufio.NewReader(conn) }
 
-type echo struct {
+type echoMessage struct {
 	Text  string `msgpack:"t"`
 	Trace string `msgpack:"tr"`
 }
 
-func host(t *testing.T, ctx context.Context, l *actor.Launcher) *Host {
-	h := &Host{Launcher: l, Own: Greeting{Version: Version, Node: "host"}, Handlers: map[string]Handler{
-		"echo": func(ctx context.Context, q Request) (any, string) {
-			var e echo
-			if !q.Into(&e) {
+func startServer(t *testing.T, ctx context.Context, actors *actor.System) *Server {
+	server := &Server{Actors: actors, Hello: Hello{Version: ProtocolVersion, Node: "host"}, Handlers: map[string]Handler{
+		"echo": func(ctx context.Context, request Request) (any, string) {
+			var e echoMessage
+			if !request.Decode(&e) {
 				return nil, "not an echo"
 			}
 			if s, ok := trace.SpanFromContext(ctx); ok {
@@ -49,16 +49,16 @@
 			return e, ""
 		},
 	}}
-	h.Listener = listen(t)
-	l.Go(ctx, "host", h.Run)
-	return h
+	server.Listener = listen(t)
+	actors.Go(ctx, "host", server.Run)
+	return server
 }
 
 // The four mixes of traced and plain peers are served, each in its own form.
-func TestMixesOfTracedAndPlain(t *testing.T) {
-	ctx, l := begin(t)
-	h := host(t, ctx, l)
-	c, err := Dial(ctx, l, nil, h.Addr().String(), Greeting{Version: Version, Node: "caller"})
+func TestTracedAndUntracedPeers(t *testing.T) {
+	ctx, actors := setup(t)
+	server := startServer(t, ctx, actors)
+	c, err := Dial(ctx, actors, nil, server.Addr().String(), Hello{Version: ProtocolVersion, Node: "caller"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -68,9 +68,9 @@
 		if traced {
 			call, want = trace.ContextWithSpan(ctx, s), s.Trace.String()
 		}
-		var e echo
-		r := c.Call(call, "echo", echo{Text: "x"})
-		if !r.Into(&e) || r.Traced != traced || e.Trace != want || e.Text != "x" {
+		var e echoMessage
+		r := c.Call(call, "echo", echoMessage{Text: "x"})
+		if !r.Decode(&e) || r.Traced != traced || e.Trace != want || e.Text != "x" {
 			t.Errorf("traced %v: receipt traced %v, %+v", traced, r.Traced, e)
 		}
 	}
@@ -81,15 +81,15 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	l.Go(ctx, "plain-peer", func(context.Context) {
+	actors.Go(ctx, "plain-peer", func(context.Context) {
 		conn, err := ln.Accept()
 		if err != nil {
 			return
 		}
 		r := bufio.NewReader(conn)
-		exchange(conn, r, Greeting{Version: 1}, uncounted, uncounted)
+		handshake(conn, r, Hello{Version: 1}, discardCount, discardCount)
 		for {
-			b, err := readFrame(r, MaxFrame)
+			b, err := readFrame(r, MaxFrameSize)
 			if err != nil {
 				return
 			}
@@ -98,40 +98,40 @@
 			conn.Write(out)
 		}
 	})
-	p, err := Dial(ctx, l, nil, ln.Addr().String(), Greeting{Version: Version})
+	p, err := Dial(ctx, actors, nil, ln.Addr().String(), Hello{Version: ProtocolVersion})
 	if err != nil {
 		t.Fatal(err)
 	}
-	var e echo
-	if r := p.Call(trace.ContextWithSpan(ctx, s), "echo", echo{Text: "y"}); !r.Into(&e) || r.Traced || e.Text != "y" {
+	var e echoMessage
+	if r := p.Call(trace.ContextWithSpan(ctx, s), "echo", echoMessage{Text: "y"}); !r.Decode(&e) || r.Traced || e.Text != "y" {
 		t.Errorf("plain peer: %+v %+v", r, e)
 	}
 }
 
 // Old and new messages mix: unknown fields and versions are passed over.
 func TestMixedVersions(t *testing.T) {
-	ctx, l := begin(t)
-	h := host(t, ctx, l)
-	conn, err := net.Dial("tcp", h.Addr().String())
+	ctx, actors := setup(t)
+	server := startServer(t, ctx, actors)
+	conn, err := net.Dial("tcp", server.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
 	r := bufio.NewReader(conn)
 	newer, _ := msgpack.Marshal(map[string]any{"v": 99, "n": "newer", "b": 7, "later": "field"})
-	conn.Write(sealFrame(append(make([]byte, headLen), newer...)))
-	if _, err := readFrame(r, MaxFrame); err != nil {
+	conn.Write(sealFrame(append(make([]byte, headerLen), newer...)))
+	if _, err := readFrame(r, MaxFrameSize); err != nil {
 		t.Fatal(err)
 	}
 	body, _ := msgpack.Marshal(map[string]any{"t": "z", "more": []int{1}})
 	call, _ := msgpack.Marshal(map[string]any{"i": 1, "k": "echo", "b": msgpack.RawMessage(body), "later": 3})
-	conn.Write(sealFrame(append(make([]byte, headLen), call...)))
-	b, err := readFrame(r, MaxFrame)
+	conn.Write(sealFrame(append(make([]byte, headerLen), call...)))
+	b, err := readFrame(r, MaxFrameSize)
 	if err != nil {
 		t.Fatal(err)
 	}
 	_, traced, m, err := decode(b)
-	var e echo
+	var e echoMessage
 	if err != nil || traced || msgpack.Unmarshal(m.Body, &e) != nil || e.Text != "z" {
 		t.Errorf("answer traced %v, %+v, %v", traced, m, err)
 	}
@@ -164,54 +164,54 @@
 	}
 	for name, answer := range answers {
 		t.Run(name, func(t *testing.T) {
-			ctx, l := begin(t)
+			ctx, actors := setup(t)
 			ln, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer ln.Close()
-			l.Go(ctx, "peer", func(context.Context) {
+			actors.Go(ctx, "peer", func(context.Context) {
 				conn, err := ln.Accept()
 				if err != nil {
 					return
 				}
 				defer conn.Close()
 				r := bufio.NewReader(conn)
-				exchange(conn, r, Greeting{}, uncounted, uncounted)
-				b, err := readFrame(r, MaxFrame)
+				handshake(conn, r, Hello{}, discardCount, discardCount)
+				b, err := readFrame(r, MaxFrameSize)
 				if err != nil {
 					return
 				}
 				_, _, m, _ := decode(b)
 				conn.Write(answer(m))
 			})
-			c, err := Dial(ctx, l, nil, ln.Addr().String(), Greeting{})
+			c, err := Dial(ctx, actors, nil, ln.Addr().String(), Hello{})
 			if err != nil {
 				t.Fatal(err)
 			}
-			if r := c.Call(ctx, "echo", echo{Text: "x"}); r.Fate != Lost {
-				t.Errorf("fate %v", r.Fate)
+			if r := c.Call(ctx, "echo", echoMessage{Text: "x"}); r.Delivery != DeliveryUnknown {
+				t.Errorf("fate %v", r.Delivery)
 			}
-			<-c.Broken()
-			if r := c.Call(ctx, "echo", echo{Text: "x"}); r.Fate != Unsent {
-				t.Errorf("on a broken circuit: fate %v", r.Fate)
+			<-c.Done()
+			if r := c.Call(ctx, "echo", echoMessage{Text: "x"}); r.Delivery != NotDelivered {
+				t.Errorf("on a broken circuit: fate %v", r.Delivery)
 			}
 		})
 	}
 }
 
 // The host runs no call twice: a doubled frame ends the connection.
-func TestDoubledCall(t *testing.T) {
-	ctx, l := begin(t)
+func TestDuplicateCall(t *testing.T) {
+	ctx, actors := setup(t)
 	runs := make(chan int, 9)
-	h := &Host{Launcher: l, Handlers: map[string]Handler{"run": func(context.Context, Request) (any, string) { runs <- 1; return 1, "" }}}
-	h.Listener = listen(t)
-	l.Go(ctx, "host", h.Run)
-	conn, r := greeted(t, h)
+	server := &Server{Actors: actors, Handlers: map[string]Handler{"run": func(context.Context, Request) (any, string) { runs <- 1; return 1, "" }}}
+	server.Listener = listen(t)
+	actors.Go(ctx, "host", server.Run)
+	conn, r := dialRaw(t, server)
 	out, _ := encode(trace.Span{}, message{ID: 1, Kind: "run"})
 	conn.Write(append(append([]byte{}, out...), out...))
 	for {
-		if _, err := readFrame(r, MaxFrame); err != nil {
+		if _, err := readFrame(r, MaxFrameSize); err != nil {
 			break
 		}
 	}
@@ -221,18 +221,18 @@
 }
 
 // A host that is ended while it writes loses none of the responses that are ready.
-func TestEndedHostWritesItsResponses(t *testing.T) {
-	ctx, l := begin(t)
+func TestStoppedServerWritesItsResponses(t *testing.T) {
+	ctx, actors := setup(t)
 	life, end := context.WithCancel(ctx)
 	const calls = 8
 	ran := make(chan bool, calls)
-	h := &Host{Launcher: l, Handlers: map[string]Handler{
+	server := &Server{Actors: actors, Handlers: map[string]Handler{
 		"long": func(context.Context, Request) (any, string) { return make([]byte, 8<<20), "" },
 		"run":  func(context.Context, Request) (any, string) { ran <- true; return 1, "" },
 	}}
-	h.Listener = listen(t)
-	l.Go(life, "host", h.Run)
-	conn, r := greeted(t, h)
+	server.Listener = listen(t)
+	actors.Go(life, "host", server.Run)
+	conn, r := dialRaw(t, server)
 	send := func(id uint64, kind string) {
 		frame, err := encode(trace.Span{}, message{ID: id, Kind: kind})
 		if err != nil {
@@ -254,7 +254,7 @@
 	end()
 	got := 0
 	for {
-		if _, err := readFrame(r, MaxFrame); err != nil {
+		if _, err := readFrame(r, MaxFrameSize); err != nil {
 			break
 		}
 		got++
@@ -264,16 +264,16 @@
 	}
 }
 
-// greeted is a raw connection to a host, after the greetings.
-func greeted(t *testing.T, h *Host) (net.Conn, *bufio.Reader) {
+// dialRaw is a raw connection to a host, after the greetings.
+func dialRaw(t *testing.T, server *Server) (net.Conn, *bufio.Reader) {
 	t.Helper()
-	conn, err := net.Dial("tcp", h.Addr().String())
+	conn, err := net.Dial("tcp", server.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close() })
 	r := bufio.NewReader(conn)
-	exchange(conn, r, Greeting{}, uncounted, uncounted)
+	handshake(conn, r, Hello{}, discardCount, discardCount)
 	return conn, r
 }
 
@@ -288,21 +288,21 @@
 
 // Both sides count the same frames, each kind by itself; a kind that nobody answers is
 // not kept by its name.
-func TestCounts(t *testing.T) {
-	ctx, l := begin(t)
-	h := host(t, ctx, l)
-	n := NewNet(l, Greeting{Version: Version, Node: "caller"}, nil)
-	l.Go(ctx, "net", n.Run)
+func TestCounters(t *testing.T) {
+	ctx, actors := setup(t)
+	server := startServer(t, ctx, actors)
+	client := NewClient(actors, Hello{Version: ProtocolVersion, Node: "caller"}, nil)
+	actors.Go(ctx, "net", client.Run)
 	for _, kind := range []string{"echo", "echo", "nobody"} {
-		n.Call(ctx, h.Addr().String(), Control, kind, echo{Text: kind})
+		client.Call(ctx, server.Addr().String(), ControlTraffic, kind, echoMessage{Text: kind})
 	}
-	called, answered := n.Counts.Read(), h.Counts.Read()
+	called, answered := client.Counters.Snapshot(), server.Counters.Snapshot()
 	answered["nobody"] = answered[kindUnknown]
 	delete(answered, kindUnknown)
 	if d := cmp.Diff(called, answered); d != "" {
 		t.Error(d)
 	}
-	if c := called["echo"]; c.Calls != 2 || c.Responses != 2 || c.CallBytes <= 2*headLen || called[kindGreeting].Calls != 1 || called["nobody"].Responses != 1 {
+	if c := called["echo"]; c.Calls != 2 || c.Responses != 2 || c.CallBytes <= 2*headerLen || called[kindHello].Calls != 1 || called["nobody"].Responses != 1 {
 		t.Errorf("%+v", called)
 	}
 }
--- a/internal/transport/silent_test.go
+++ b/internal/transport/unresponsive_peer_test.go
@@ -19,37 +19,37 @@
 // A caller whose time is over is answered at once, also while the connection is held up by
 // a peer that takes nothing; and a call that waits for such a connection is told in time
 // that it was not sent.
-func TestPeerThatTakesNothing(t *testing.T) {
-	ctx, l := begin(t)
+func TestPeerThatReadsNothing(t *testing.T) {
+	ctx, actors := setup(t)
 	begun := make(chan struct{})
-	addr := silentPeer(t, func(_ net.Conn, r *bufio.Reader) {
+	addr := startPeer(t, func(_ net.Conn, r *bufio.Reader) {
 		r.ReadByte()
 		close(begun)
 		<-ctx.Done()
 	})
-	n := NewNet(l, Greeting{Version: Version}, nil)
-	l.Go(ctx, "net", n.Run)
+	client := NewClient(actors, Hello{Version: ProtocolVersion}, nil)
+	actors.Go(ctx, "net", client.Run)
 	first := make(chan time.Duration, 1)
-	l.Go(ctx, "first", func(ctx context.Context) {
+	actors.Go(ctx, "first", func(ctx context.Context) {
 		short, cancel := context.WithTimeout(ctx, 400*time.Millisecond)
 		defer cancel()
 		begin := time.Now()
-		n.Call(short, addr, Traffic, "large", make([]byte, 32<<20))
+		client.Call(short, addr, RequestTraffic, "large", make([]byte, 32<<20))
 		first <- time.Since(begin)
 	})
 	<-begun
 	begin := time.Now()
-	r := n.Call(ctx, addr, Traffic, "small", 1)
-	if took := time.Since(begin); r.Fate != Unsent || took > 1500*time.Millisecond {
-		t.Errorf("the second got fate %v after %v", r.Fate, took)
+	r := client.Call(ctx, addr, RequestTraffic, "small", 1)
+	if took := time.Since(begin); r.Delivery != NotDelivered || took > 1500*time.Millisecond {
+		t.Errorf("the second got fate %v after %v", r.Delivery, took)
 	}
 	if took := <-first; took > 1500*time.Millisecond {
 		t.Errorf("the first, of 400 ms, was held for %v", took)
 	}
 }
 
-// silentPeer greets each that connects and leaves the rest to do.
-func silentPeer(t *testing.T, do func(conn net.Conn, r *bufio.Reader)) (addr string) {
+// startPeer greets each that connects and leaves the rest to do.
+func startPeer(t *testing.T, do func(conn net.Conn, r *bufio.Reader)) (addr string) {
 	t.Helper()
 	ln := listen(t)
 	t.Cleanup(func() { ln.Close() })
@@ -62,7 +62,7 @@
 			go func() {
 				defer conn.Close()
 				r := bufReader(conn)
-				exchange(conn, r, Greeting{}, uncounted, uncounted)
+				handshake(conn, r, Hello{}, discardCount, discardCount)
 				do(conn, r)
 			}()
 		}
@@ -73,16 +73,16 @@
 // An answer that takes longer than a silence may, but comes all the while, is waited
 // for: its connection is not broken under it.
 func TestSlowAnswer(t *testing.T) {
-	ctx, l := begin(t)
-	addr := silentPeer(t, func(conn net.Conn, r *bufio.Reader) {
-		b, err := readFrame(r, MaxFrame)
+	ctx, actors := setup(t)
+	addr := startPeer(t, func(conn net.Conn, r *bufio.Reader) {
+		b, err := readFrame(r, MaxFrameSize)
 		if err != nil {
 			return
 		}
 		_, _, m, _ := decode(b)
 		m.Body, _ = msgpack.Marshal(make([]byte, 4000))
 		out, _ := encode(trace.Span{}, m)
-		tick := time.NewTicker(breakAfter / 10)
+		tick := time.NewTicker(idleTimeout / 10)
 		defer tick.Stop()
 		for len(out) > 0 {
 			n := min(300, len(out))
@@ -93,43 +93,43 @@
 			<-tick.C
 		}
 	})
-	c, err := Dial(ctx, l, nil, addr, Greeting{})
+	c, err := Dial(ctx, actors, nil, addr, Hello{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r := c.Call(ctx, "slow", 1); r.Fate != Answered {
-		t.Errorf("fate %v", r.Fate)
+	if r := c.Call(ctx, "slow", 1); r.Delivery != Answered {
+		t.Errorf("fate %v", r.Delivery)
 	}
 }
 
 // Only a silence that this process could have heard counts: one that was held up itself,
 // so that its looks come late, breaks no connection by that. A peer that stays silent is
 // given up in bounded time all the same.
-func TestSilence(t *testing.T) {
+func TestIdleDetector(t *testing.T) {
 	now := time.Now()
-	look := func(s *silence, after time.Duration, heard uint64) bool {
+	look := func(detector *idleDetector, after time.Duration, heard uint64) bool {
 		now = now.Add(after)
-		return s.look(now, heard)
+		return detector.check(now, heard)
 	}
-	var s silence
-	s.begin(now, 5)
-	if look(&s, 10*breakAfter, 5) {
+	var s idleDetector
+	s.reset(now, 5)
+	if look(&s, 10*idleTimeout, 5) {
 		t.Error("one late look ended it")
 	}
-	if look(&s, pingAfter, 6) || s.silent != 0 {
+	if look(&s, pingInterval, 6) || s.idle != 0 {
 		t.Error("what was heard does not count")
 	}
 	looks := 0
-	for !look(&s, pingAfter, 6) {
+	for !look(&s, pingInterval, 6) {
 		looks++
 	}
-	if looks+1 != int(breakAfter/pingAfter) {
+	if looks+1 != int(idleTimeout/pingInterval) {
 		t.Errorf("a silent peer was given up after %d looks", looks+1)
 	}
-	s.begin(now, 6)
-	for looks = 0; !look(&s, 3*pingAfter, 6); looks++ {
+	s.reset(now, 6)
+	for looks = 0; !look(&s, 3*pingInterval, 6); looks++ {
 	}
-	if looks > int(breakAfter/pingAfter) {
+	if looks > int(idleTimeout/pingInterval) {
 		t.Errorf("with late looks it took %d", looks)
 	}
 }
@@ -137,18 +137,18 @@
 // A response that comes after its caller has given up is nobody's: the callers after it
 // get their own, on the same connection, in whatever order the responses come.
 func TestLateResponses(t *testing.T) {
-	ctx, l := begin(t)
+	ctx, actors := setup(t)
 	const calls = 40
 	came := make(chan bool, calls+1)
-	addr := silentPeer(t, func(conn net.Conn, r *bufio.Reader) {
+	addr := startPeer(t, func(conn net.Conn, r *bufio.Reader) {
 		var held []message
 		for {
-			b, err := readFrame(r, MaxFrame)
+			b, err := readFrame(r, MaxFrameSize)
 			if err != nil {
 				return
 			}
 			_, _, m, _ := decode(b)
-			var e echo
+			var e echoMessage
 			if msgpack.Unmarshal(m.Body, &e) != nil {
 				continue
 			}
@@ -165,7 +165,7 @@
 			held = nil
 		}
 	})
-	c, err := Dial(ctx, l, nil, addr, Greeting{})
+	c, err := Dial(ctx, actors, nil, addr, Hello{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -182,9 +182,9 @@
 			}
 			defer cancel()
 			text := fmt.Sprint("call ", i)
-			var e echo
-			switch r := c.Call(call, "echo", echo{Text: text}); {
-			case i%2 == 0 && r.Fate == Answered, i%2 == 1 && (!r.Into(&e) || e.Text != text):
+			var e echoMessage
+			switch r := c.Call(call, "echo", echoMessage{Text: text}); {
+			case i%2 == 0 && r.Delivery == Answered, i%2 == 1 && (!r.Decode(&e) || e.Text != text):
 				t.Errorf("call %d got %+v %+v", i, r, e)
 			}
 		})
@@ -193,28 +193,28 @@
 		<-came
 	}
 	impatient.Wait()
-	var e echo
-	if r := c.Call(ctx, "echo", echo{Text: "answer all"}); !r.Into(&e) || e.Text != "answer all" {
+	var e echoMessage
+	if r := c.Call(ctx, "echo", echoMessage{Text: "answer all"}); !r.Decode(&e) || e.Text != "answer all" {
 		t.Errorf("%+v %+v", r, e)
 	}
 	patient.Wait()
 	// Behind this one, all responses of before have come.
-	if r := c.Call(ctx, "echo", echo{Text: "answer all"}); r.Fate != Answered {
+	if r := c.Call(ctx, "echo", echoMessage{Text: "answer all"}); r.Delivery != Answered {
 		t.Errorf("%+v", r)
 	}
-	if c.count.Read()[kindDropped].Responses != calls/2 {
-		t.Errorf("%+v", c.count.Read())
+	if c.counters.Snapshot()[kindAbandoned].Responses != calls/2 {
+		t.Errorf("%+v", c.counters.Snapshot())
 	}
 }
 
 // A response that comes twice breaks the connection: what is still open is lost, and nobody
 // gets it.
-func TestDoubledResponse(t *testing.T) {
-	ctx, l := begin(t)
-	addr := silentPeer(t, func(conn net.Conn, r *bufio.Reader) {
+func TestDuplicateResponse(t *testing.T) {
+	ctx, actors := setup(t)
+	addr := startPeer(t, func(conn net.Conn, r *bufio.Reader) {
 		var all []byte
 		for range 2 {
-			b, err := readFrame(r, MaxFrame)
+			b, err := readFrame(r, MaxFrameSize)
 			if err != nil {
 				return
 			}
@@ -225,36 +225,36 @@
 		}
 		conn.Write(all)
 	})
-	c, err := Dial(ctx, l, nil, addr, Greeting{})
+	c, err := Dial(ctx, actors, nil, addr, Hello{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	fates := make(chan Fate, 2)
+	fates := make(chan Delivery, 2)
 	for i := range 2 {
-		l.Go(ctx, "call", func(ctx context.Context) {
-			var e echo
+		actors.Go(ctx, "call", func(ctx context.Context) {
+			var e echoMessage
 			text := fmt.Sprint(i)
-			r := c.Call(ctx, "echo", echo{Text: text})
-			if r.Fate == Answered && (!r.Into(&e) || e.Text != text) {
+			r := c.Call(ctx, "echo", echoMessage{Text: text})
+			if r.Delivery == Answered && (!r.Decode(&e) || e.Text != text) {
 				t.Errorf("call %d got %+v", i, e)
 			}
-			fates <- r.Fate
+			fates <- r.Delivery
 		})
 	}
-	if a, b := <-fates, <-fates; a+b != Answered+Lost {
+	if a, b := <-fates, <-fates; a+b != Answered+DeliveryUnknown {
 		t.Errorf("fates %v and %v", a, b)
 	}
-	<-c.Broken()
+	<-c.Done()
 }
 
 // A request is not begun with on a connection whose peer has left a ping unanswered: it is
 // surely unsent, at once, and its caller can turn elsewhere. Other calls wait on.
 func TestSuspectedPeer(t *testing.T) {
-	ctx, l := begin(t)
+	ctx, actors := setup(t)
 	var seen atomic.Int64
-	addr := silentPeer(t, func(_ net.Conn, r *bufio.Reader) {
+	addr := startPeer(t, func(_ net.Conn, r *bufio.Reader) {
 		for {
-			b, err := readFrame(r, MaxFrame)
+			b, err := readFrame(r, MaxFrameSize)
 			if err != nil {
 				return
 			}
@@ -263,33 +263,33 @@
 			}
 		}
 	})
-	n := NewNet(l, Greeting{}, nil)
-	l.Go(ctx, "net", n.Run)
+	client := NewClient(actors, Hello{}, nil)
+	actors.Go(ctx, "net", client.Run)
 	type result struct {
-		fate Fate
+		fate Delivery
 		took time.Duration
 	}
 	results := make(chan result, 99)
 	sent := 0
 	call := func() {
 		sent++
-		l.Go(ctx, "call", func(ctx context.Context) {
+		actors.Go(ctx, "call", func(ctx context.Context) {
 			begin := time.Now()
-			r := n.Call(ctx, addr, Traffic, "inquiry", 1)
-			results <- result{r.Fate, time.Since(begin)}
+			r := client.Call(ctx, addr, RequestTraffic, "inquiry", 1)
+			results <- result{r.Delivery, time.Since(begin)}
 		})
 	}
-	tick := time.NewTicker(pingAfter / 5)
+	tick := time.NewTicker(pingInterval / 5)
 	defer tick.Stop()
-	for begin := time.Now(); time.Since(begin) < breakAfter-pingAfter; <-tick.C {
+	for begin := time.Now(); time.Since(begin) < idleTimeout-pingInterval; <-tick.C {
 		call()
 	}
 	unsent := int64(0)
 	for range sent {
 		switch r := <-results; {
-		case r.fate == Unsent && r.took < pingAfter:
+		case r.fate == NotDelivered && r.took < pingInterval:
 			unsent++
-		case r.fate != Lost:
+		case r.fate != DeliveryUnknown:
 			t.Errorf("%+v", r)
 		}
 	}
--- a/internal/transport/wellformed.go
+++ b/internal/transport/well_formed.go
@@ -11,20 +11,20 @@
 const maxDepth = 64
 
 var (
-	errMalformed = eris.New("not one whole msgpack value")
-	errDeep      = eris.New("msgpack value is nested too deep")
+	errMalformed     = eris.New("not one whole msgpack value")
+	errNestedTooDeep = eris.New("msgpack value is nested too deep")
 )
 
-// wellFormed checks that b is exactly one msgpack value, with all the elements and bytes
+// checkWellFormed checks that b is exactly one msgpack value, with all the elements and bytes
 // that it claims. The library takes memory by claimed lengths before it looks, so that a
 // short frame could otherwise end the process.
-func wellFormed(b []byte) error {
+func checkWellFormed(b []byte) error {
 	var open [maxDepth]uint64 // values still to come, by depth
 	open[0] = 1
 	for depth := 0; ; {
 		for open[depth] == 0 {
 			if depth == 0 {
-				return trailing(b)
+				return checkEnd(b)
 			}
 			depth--
 		}
@@ -40,13 +40,13 @@
 			return errMalformed // each takes a byte at least
 		}
 		if depth++; depth == maxDepth {
-			return errDeep
+			return errNestedTooDeep
 		}
 		open[depth] = values
 	}
 }
 
-func trailing(b []byte) error {
+func checkEnd(b []byte) error {
 	if len(b) > 0 {
 		return errMalformed
 	}
@@ -88,9 +88,9 @@
 	case c < codeBin8: // nil, false, true
 		return 0, b, nil
 	case c < codeExt8:
-		return counted(b, c-codeBin8, 0)
+		return skipSized(b, c-codeBin8, 0)
 	case c < codeFloat32:
-		return counted(b, c-codeExt8, 1)
+		return skipSized(b, c-codeExt8, 1)
 	case c < codeUint8:
 		return skip(b, 4<<(c-codeFloat32))
 	case c < codeInt8:
@@ -100,11 +100,11 @@
 	case c < codeStr8:
 		return skip(b, 1+1<<(c-codeFixExt1))
 	case c < codeArray16:
-		return counted(b, c-codeStr8, 0)
+		return skipSized(b, c-codeStr8, 0)
 	case c < codeMap16:
-		return number(b, 1+c-codeArray16)
+		return readLength(b, 1+c-codeArray16)
 	}
-	values, rest, err = number(b, 1+c-codeMap16)
+	values, rest, err = readLength(b, 1+c-codeMap16)
 	return 2 * values, rest, err
 }
 
@@ -116,17 +116,17 @@
 	return 0, b[n:], nil
 }
 
-// counted cuts off bytes whose number stands before them, and more of a type.
-func counted(b []byte, size byte, more uint64) (values uint64, rest []byte, err error) {
-	n, b, err := number(b, size)
+// skipSized cuts off bytes whose number stands before them, and more of a type.
+func skipSized(b []byte, size byte, extra uint64) (values uint64, rest []byte, err error) {
+	n, b, err := readLength(b, size)
 	if err != nil {
 		return 0, nil, err
 	}
-	return skip(b, n+more)
+	return skip(b, n+extra)
 }
 
-// number reads a length of one, two or four bytes, by size 0 to 2.
-func number(b []byte, size byte) (n uint64, rest []byte, err error) {
+// readLength reads a length of one, two or four bytes, by size 0 to 2.
+func readLength(b []byte, size byte) (n uint64, rest []byte, err error) {
 	width := 1 << size
 	if len(b) < width {
 		return 0, nil, errMalformed
--- a/internal/watch/server.go
+++ b/internal/watch/server.go
@@ -89,11 +89,11 @@
 }
 
 // NewServer starts the directory's actor.
-func NewServer(l *actor.Launcher, incarnation uint64) *Server {
+func NewServer(actors *actor.System, incarnation uint64) *Server {
 	s := &Server{log: NewEventLog(incarnation, 0), start: time.Now()}
 	s.budgets.Store(&map[string]retrybudget.Counts{})
 	s.suspected.Store(&map[string]uint64{})
-	s.mailbox = l.Spawn("directory", s.handle)
+	s.mailbox = actors.Spawn("directory", s.handle)
 	return s
 }
 
@@ -162,9 +162,9 @@
 }
 
 // HandleWatch handles a Follow call.
-func (s *Server) HandleWatch(ctx context.Context, in transport.Request) (any, string) {
+func (s *Server) HandleWatch(ctx context.Context, request transport.Request) (any, string) {
 	var req Request
-	if !in.Into(&req) {
+	if !request.Decode(&req) {
 		return nil, "not a follow"
 	}
 	n, ok := actor.Ask(ctx, s.mailbox, func(r chan<- *Updates) any { return msgWatch{req, r} })
--- a/internal/watch/watcher.go
+++ b/internal/watch/watcher.go
@@ -17,7 +17,7 @@
 	Addr         string
 	Zone         string
 	Replicas     func() membership.ReplicaTable
-	Client       *transport.Net
+	Client       *transport.Client
 	HeartbeatNow func()
 	// OnUpdates is handed each piece of news in order, with the core it came from.
 	// What the core was sure of counts from when it was asked.
@@ -70,7 +70,7 @@
 func (w *Watcher) request(ctx context.Context, replica membership.Replica, req Request, timeout time.Duration) (updates Updates, ok bool) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	ok = w.Client.Call(ctx, replica.Addr, transport.Feed, KindWatch, req).Into(&updates)
+	ok = w.Client.Call(ctx, replica.Addr, transport.WatchTraffic, KindWatch, req).Decode(&updates)
 	return updates, ok
 }
 
--- a/tests/golden/constants_test.go
+++ b/tests/golden/constants_test.go
@@ -37,7 +37,7 @@
 		"headers":  {proxy.HeaderCaller, proxy.HeaderOutcome, proxy.HeaderKey, trace.HeaderTrace, trace.HeaderSpan, trace.HeaderParent},
 		"links":    {trace.LinkNone, trace.LinkProven, trace.LinkInferred},
 		"events":   {trace.ClientStart, trace.ServerReceive, trace.ServerSend, trace.ClientReceive},
-		"numbers":  {transport.Version, transport.MaxFrame, int64(idempotency.Retention)},
+		"numbers":  {transport.ProtocolVersion, transport.MaxFrameSize, int64(idempotency.Retention)},
 	} {
 		var lines []string
 		for _, value := range values {
--- a/tests/golden/wire_test.go
+++ b/tests/golden/wire_test.go
@@ -18,7 +18,7 @@
 // Those of types that are not exported are in their packages' own tests.
 func TestMessages(t *testing.T) {
 	for name, sample := range map[string]any{
-		"greeting":         &transport.Greeting{},
+		"greeting":         &transport.Hello{},
 		"heartbeat":        &membership.Heartbeat{},
 		"probe":            &membership.Probe{},
 		"gossip":           &membership.GossipRequest{},
--- a/tests/messages/messages_test.go
+++ b/tests/messages/messages_test.go
@@ -36,7 +36,7 @@
 func of[M any](name string, sample M, act func(m M)) kind {
 	return kind{name, sample, func(b []byte) bool {
 		var m M
-		if transport.Unpack(b, &m) != nil {
+		if transport.Unmarshal(b, &m) != nil {
 			return false
 		}
 		act(m)
@@ -59,7 +59,7 @@
 
 // kinds are all that are registered on the wire, each way.
 var kinds = []kind{
-	of("greeting", transport.Greeting{Version: 1, Node: "n", Boot: 7}, func(transport.Greeting) {}),
+	of("greeting", transport.Hello{Version: 1, Node: "n", Incarnation: 7}, func(transport.Hello) {}),
 	of(membership.KindHeartbeat, membership.Heartbeat{Node: &node, Replica: &seat, KnownReplicas: []membership.Replica{seat}, TableDigest: 3, KnownDigest: 8}, heartbeat),
 	of(membership.KindProbe, membership.Probe{Incarnation: 7, Refutation: 1}, probe),
 	of(membership.KindGossip, membership.GossipRequest{Sender: peer, Digest: 3, Fetch: &membership.Fetch{Nodes: []string{"x"}, State: true, Revision: 4}}, func(membership.GossipRequest) {}),
@@ -237,7 +237,7 @@
 			continue
 		}
 		again := reflect.New(reflect.TypeOf(k.sample))
-		if err := transport.Unpack(b, again.Interface()); err != nil {
+		if err := transport.Unmarshal(b, again.Interface()); err != nil {
 			t.Errorf("%s: %v", k.name, err)
 		}
 		for cut := range b {
--- a/tests/mutation/soak.go
+++ b/tests/mutation/soak.go
@@ -16,8 +16,8 @@
 	soaked(returns, "DUTY", "internal/controlplane/operator.go", "if !n.replica.Connected() || n.replica.RecentlyResumed() {", "if n.replica.Connected() || n.replica.RecentlyResumed() {"),
 	soaked(returns, "RECOVER", "internal/watch/event_log.go", "StartupDelay = 700 * time.Millisecond", "StartupDelay = 17 * time.Second"),
 	soaked(left, "GONE", "internal/dataplane/proxy/outbound.go", "return watchConnection(r.Context())", "return ignoreClient()"),
-	soaked(dropped, "LOST", "internal/dataplane/stop.go", "giveUpAt := warned.Add(drain - min(toAnswer, drain/4))", "giveUpAt := warned.Add(drain / 50)"),
-	soaked(dropped, "STOP", "internal/dataplane/stop.go", "\tn.p.Close()\n", "\tn.p.Close()\n\tselect {}\n"),
+	soaked(dropped, "LOST", "internal/dataplane/shutdown.go", "abandonAt := signaledAt.Add(drain - min(answerReserve, drain/4))", "abandonAt := signaledAt.Add(drain / 50)"),
+	soaked(dropped, "STOP", "internal/dataplane/shutdown.go", "\ts.process.Close()\n", "\ts.process.Close()\n\tselect {}\n"),
 }
 
 // soaked is a defect that breaks a rule in the soak.
