--- a/tests/cmd/day/main.go
+++ b/tests/cmd/day/main.go
@@ -55,16 +55,16 @@
 		return false, err
 	}
 	service, spread := d.Slowest()
-	fmt.Printf("day of %s, seed %d: sent %d, ran %d, good %d, not-run %d, unknown %d, cut %d\n", size.Name, seed, v.Sent, v.Ran, v.Good, v.NotRun, v.Unknown, v.Cut)
+	fmt.Printf("day of %s, seed %d: sent %d, ran %d, good %d, not-run %d, unknown %d, cut %d\n", size.Name, seed, v.Sent, v.Ran, v.Good, v.NotRun, v.Unknown, v.Interrupted)
 	fmt.Printf("slowest return of service %v, slowest configuration in force %v\n", service.Round(time.Millisecond), spread.Round(time.Millisecond))
-	for _, line := range d.Returns() {
+	for _, line := range d.Recoveries() {
 		fmt.Println(line)
 	}
-	for i, b := range v.Broken {
+	for i, b := range v.Breaches {
 		if i < 20 {
 			fmt.Println("BROKEN:", b)
 		}
 	}
-	fmt.Printf("%d things happened that must never\n", len(v.Broken))
-	return len(v.Broken) == 0, nil
+	fmt.Printf("%d things happened that must never\n", len(v.Breaches))
+	return len(v.Breaches) == 0, nil
 }
--- a/tests/cmd/fleet/main.go
+++ b/tests/cmd/fleet/main.go
@@ -38,12 +38,12 @@
 		size.Rate = opt.Rate
 	}
 	if opt.Machines > 0 {
-		size.Machines, size.Backends = opt.Machines, fleet.Repeat(opt.Machines, size.Backends[:3]...)
+		size.Machines, size.Backends = opt.Machines, fleet.RepeatServices(opt.Machines, size.Backends[:3]...)
 	}
 	if opt.Capacity > 0 {
 		size.Capacity = opt.Capacity
 	}
-	size.Slow = opt.Slow
+	size.SlowFactor = opt.Slow
 	if err := run(size, opt); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
@@ -70,23 +70,23 @@
 	if err := f.Start(ctx); err != nil {
 		return err
 	}
-	fmt.Printf("fleet %s: %d machines, %d cores; serving after %v\n", size.Name, size.Machines, size.Cores, time.Since(start).Round(time.Millisecond))
+	fmt.Printf("fleet %s: %d machines, %d cores; serving after %v\n", size.Name, size.Machines, size.Replicas, time.Since(start).Round(time.Millisecond))
 	load, stop := context.WithTimeout(context.Background(), opt.For)
 	defer stop()
 	r := &fleet.Report{}
-	callers := f.Callers()
+	callers := f.Clients()
 	for _, c := range callers {
-		c.Saw, c.Retry, c.Keyed = r.Saw, opt.Retry, opt.Keyed
+		c.OnAnswer, c.Retries, c.Keyed = r.Record, opt.Retry, opt.Keyed
 	}
 	if opt.Lose != "" {
-		half := time.AfterFunc(opt.For/2, func() { f.Blackout(opt.Lose) })
+		half := time.AfterFunc(opt.For/2, func() { f.PowerOffZone(opt.Lose) })
 		defer half.Stop()
 	}
-	f.Load(load, callers...)
+	f.RunClients(load, callers...)
 	v := f.Ledger.Judge()
 	fmt.Print(r)
 	fmt.Printf("sent %d (inner calls included), ran %d, good %d, not-run %d, unknown %d\n", v.Sent, v.Ran, v.Good, v.NotRun, v.Unknown)
-	fmt.Printf("in another locality than the sender's: %.1f%%; runs by backend: %v\n", 100*float64(v.Crossed)/float64(v.Ran), v.Spread)
+	fmt.Printf("in another locality than the sender's: %.1f%%; runs by backend: %v\n", 100*float64(v.CrossZone)/float64(v.Ran), v.Spread)
 	read, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
 	links, err := f.CountLinks(read, opt.Links)
@@ -96,16 +96,16 @@
 	if opt.Links > 0 {
 		fmt.Println("links of inner calls:", links)
 	}
-	return judge(v)
+	return checkVerdict(v)
 }
 
-// judge prints what must never happen and did; it is an error if anything is.
-func judge(v ledger.Verdict) error {
-	for _, b := range v.Broken {
+// checkVerdict prints what must never happen and did; it is an error if anything is.
+func checkVerdict(v ledger.Verdict) error {
+	for _, b := range v.Breaches {
 		fmt.Println("BROKEN:", b)
 	}
-	if len(v.Broken) > 0 {
-		return fmt.Errorf("%d things happened that must never", len(v.Broken))
+	if len(v.Breaches) > 0 {
+		return fmt.Errorf("%d things happened that must never", len(v.Breaches))
 	}
 	return nil
 }
--- a/tests/cmd/modelcheck/main.go
+++ b/tests/cmd/modelcheck/main.go
@@ -21,18 +21,18 @@
 		os.Exit(2)
 	}
 	broken := false
-	for _, r := range modelcheck.Long {
+	for _, r := range modelcheck.LongRuns {
 		if opt.Only != "" && r.Name != opt.Only {
 			continue
 		}
 		r.States = opt.States
 		begin := time.Now()
-		res := modelcheck.Explore(r.Scenario, r.Bounds)
-		fmt.Printf("%s %s in %v: %s\n", r.Name, r.Bounds, time.Since(begin).Round(time.Second), res)
-		if res.Broken != "" {
+		result := modelcheck.Explore(r.Scenario, r.Bounds)
+		fmt.Printf("%s %s in %v: %s\n", r.Name, r.Bounds, time.Since(begin).Round(time.Second), result)
+		if result.Violation != "" {
 			broken = true
-			fmt.Printf("broken: %s, after\n", res.Broken)
-			for _, e := range res.Trace {
+			fmt.Printf("broken: %s, after\n", result.Violation)
+			for _, e := range result.Trace {
 				fmt.Println("  " + e)
 			}
 		}
--- a/tests/cmd/mutation/main.go
+++ b/tests/cmd/mutation/main.go
@@ -22,21 +22,21 @@
 	if _, err := flags.Parse(&opt); err != nil {
 		os.Exit(2)
 	}
-	tried, missed, err := try(opt.Only, opt.Count)
+	tried, survived, err := runMutations(opt.Only, opt.Count)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(2)
 	}
-	fmt.Printf("%d defects, %d not caught\n", tried, missed)
-	if missed > 0 {
+	fmt.Printf("%d defects, %d not caught\n", tried, survived)
+	if survived > 0 {
 		os.Exit(1)
 	}
 }
 
-// try puts the defects that have only in them into so many copies of the tree, and
+// runMutations puts the defects that have only in them into so many copies of the tree, and
 // counts those that were tried and those that were not caught.
-func try(only string, copies int) (tried, missed int, err error) {
-	work := make(chan mutation.Defect)
+func runMutations(only string, copies int) (tried, survived int, err error) {
+	work := make(chan mutation.Mutation)
 	results := make(chan bool)
 	var workers sync.WaitGroup
 	for range copies {
@@ -47,13 +47,13 @@
 		defer os.RemoveAll(root)
 		workers.Go(func() {
 			for d := range work {
-				results <- caught(d, root)
+				results <- runMutation(d, root)
 			}
 		})
 	}
 	go func() {
 		for _, d := range mutation.All {
-			if strings.Contains(d.File+" "+d.Test+" "+d.Line, only) {
+			if strings.Contains(d.File+" "+d.Test+" "+d.Invariant, only) {
 				work <- d
 			}
 		}
@@ -64,10 +64,10 @@
 	for ok := range results {
 		tried++
 		if !ok {
-			missed++
+			survived++
 		}
 	}
-	return tried, missed, nil
+	return tried, survived, nil
 }
 
 // copyTree copies the files that git knows to a folder of its own.
@@ -79,17 +79,17 @@
 	return root, exec.Command("sh", "-c", `git ls-files -z | xargs -0 cp --parents -t "$0"`, root).Run()
 }
 
-// caught tries one defect in a copy and prints what came of it.
-func caught(d mutation.Defect, root string) bool {
-	ok, said, err := d.Caught(root)
+// runMutation tries one defect in a copy and prints what came of it.
+func runMutation(d mutation.Mutation, root string) bool {
+	ok, output, err := d.Killed(root)
 	switch {
 	case err != nil:
-		fmt.Printf("ERROR  %-42s %-26s %v\n%s\n", d.Line, d.Test, err, said)
+		fmt.Printf("ERROR  %-42s %-26s %v\n%s\n", d.Invariant, d.Test, err, output)
 		return false
 	case ok:
-		fmt.Printf("caught %-42s %-26s %s\n", d.Line, d.Test, d.File)
+		fmt.Printf("caught %-42s %-26s %s\n", d.Invariant, d.Test, d.File)
 	default:
-		fmt.Printf("MISSED %-42s %-26s %s: %s -> %s\n", d.Line, d.Test, d.File, d.Old, d.New)
+		fmt.Printf("MISSED %-42s %-26s %s: %s -> %s\n", d.Invariant, d.Test, d.File, d.Old, d.New)
 	}
 	return ok
 }
--- a/tests/cmd/soak/main.go
+++ b/tests/cmd/soak/main.go
@@ -45,15 +45,15 @@
 func main() {
 	var opt options
 	if _, err := flags.Parse(&opt); err != nil {
-		var told *flags.Error
-		if errors.As(err, &told) && told.Type == flags.ErrHelp {
+		var flagsErr *flags.Error
+		if errors.As(err, &flagsErr) && flagsErr.Type == flags.ErrHelp {
 			os.Exit(0)
 		}
 		os.Exit(exitUsage)
 	}
 	plans, err := plans(opt)
 	if err == nil {
-		err = soak.Bears(plans[0])
+		err = soak.CheckCapacity(plans[0])
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -124,28 +124,28 @@
 	defer bin.Remove()
 	table := soak.NewTable(os.Stdout)
 	for _, p := range plans {
-		res, err := one(ctx, opt, p, bin)
+		res, err := playOne(ctx, opt, p, bin)
 		if ctx.Err() != nil {
 			break
 		}
 		if err != nil {
 			return broken, fmt.Errorf("seed %d: %w", p.Seed, err)
 		}
-		table.Add(res)
-		if err := keep(opt.Results, res); err != nil {
+		table.Print(res)
+		if err := appendResult(opt.Results, res); err != nil {
 			return broken, err
 		}
-		if len(res.Broken) > 0 {
+		if len(res.Breaches) > 0 {
 			broken++
-			tell(ctx, opt, res, bin)
+			reportBroken(ctx, opt, res, bin)
 		}
 	}
 	fmt.Printf("%d of %d plans broke a rule\n", broken, table.Played())
 	return broken, nil
 }
 
-// one plays one plan.
-func one(ctx context.Context, opt options, p soak.Plan, bin fleet.Binaries) (*soak.Result, error) {
+// playOne plays one plan.
+func playOne(ctx context.Context, opt options, p soak.Plan, bin fleet.Binaries) (*soak.Result, error) {
 	out := io.Discard
 	if opt.Verbose {
 		out = os.Stderr
@@ -154,18 +154,18 @@
 	if err != nil {
 		return nil, err
 	}
-	return r.Do(ctx)
+	return r.Play(ctx)
 }
 
-// tell tells of a plan that broke a rule: what broke, its plan, and how to play it again.
-func tell(ctx context.Context, opt options, res *soak.Result, bin fleet.Binaries) {
-	for _, story := range res.Stories {
-		fmt.Println(story)
+// reportBroken tells of a plan that broke a rule: what broke, its plan, and how to play it again.
+func reportBroken(ctx context.Context, opt options, res *soak.Result, bin fleet.Binaries) {
+	for _, narrative := range res.Narratives {
+		fmt.Println(narrative)
 	}
 	plan := res.Plan
 	if opt.Shorten > 0 {
 		var rules []ledger.Rule
-		for _, b := range res.Broken {
+		for _, b := range res.Breaches {
 			rules = append(rules, b.Rule)
 		}
 		plan = soak.Shorten(ctx, plan, rules, bin, opt.Shorten, os.Stdout)
@@ -174,8 +174,8 @@
 	fmt.Printf("again: go run ./tests/cmd/soak --deployment %s --seed %d --for %v --size %d --only %q\n", plan.Deployment, plan.Seed, opt.For, opt.Size, opt.Only)
 }
 
-// keep adds a result to a file, if there is one.
-func keep(path string, res *soak.Result) error {
+// appendResult adds a result to a file, if there is one.
+func appendResult(path string, res *soak.Result) error {
 	if path == "" {
 		return nil
 	}
--- a/tests/e2e/gate_test.go
+++ b/tests/e2e/admission_test.go
@@ -31,20 +31,20 @@
 	}))
 	first := make(chan answer, 1)
 	go func() { first <- r.send("POST", "/once/", "x") }()
-	recv(r, running)
-	reply, err := r.Operate(r.ctx, r.Cores[0], "PUT", "/v1/localities/south/emptied", nil)
+	receive(r, running)
+	reply, err := r.Operate(r.ctx, r.Replicas[0], "PUT", "/v1/localities/south/emptied", nil)
 	must(t, err)
 	shows := func(want func(d watch.DrainStatus) bool) {
 		t.Helper()
-		must(t, awaitPage(r.ctx, func(ctx context.Context) bool {
+		must(t, awaitCondition(r.ctx, func(ctx context.Context) bool {
 			var d watch.DrainStatus
-			_, err := r.Cores[0].Get(ctx, "/v1/localities/south", &d)
-			return err == nil && d.Revision == reply.Stamp && len(d.LaggingNodes) == 0 && want(d)
+			_, err := r.Replicas[0].Get(ctx, "/v1/localities/south", &d)
+			return err == nil && d.Revision == reply.Revision && len(d.LaggingNodes) == 0 && want(d)
 		}))
 	}
 	shows(func(d watch.DrainStatus) bool { return d.OpenRequests == 1 && !d.Done && d.DoneFor == "" })
 	close(release)
-	if a := recv(r, first); a.StatusCode != 200 {
+	if a := receive(r, first); a.StatusCode != 200 {
 		t.Errorf("what ran there got %d", a.StatusCode)
 	}
 	shows(func(d watch.DrainStatus) bool { return d.OpenRequests == 0 && d.Done && d.DoneFor != "" })
@@ -52,12 +52,12 @@
 
 // A client that writes on an idle connection just as its sidecar ends gets an answer
 // all the same: that it was not run.
-func TestFarewell(t *testing.T) {
+func TestConnectionCloseAnnounced(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
 	var runs atomic.Int64
 	r.backend(1, http.HandlerFunc(func(_ http.ResponseWriter, _ *http.Request) { runs.Add(1) }))
-	c, err := net.Dial("tcp", r.Requests(0))
+	c, err := net.Dial("tcp", r.RequestAddress(0))
 	must(t, err)
 	defer c.Close()
 	in := bufio.NewReader(c)
@@ -86,7 +86,7 @@
 	if resp.StatusCode != 408 || resp.Header.Get("Curlewwalk-Outcome") != "not-run" || resp.Header.Get("Retry-After") == "" || !resp.Close {
 		t.Errorf("got %d %v", resp.StatusCode, resp.Header)
 	}
-	if code := recv(r, stopped); code != 0 || runs.Load() != 1 {
+	if code := receive(r, stopped); code != 0 || runs.Load() != 1 {
 		t.Errorf("it ended with %d, %d runs", code, runs.Load())
 	}
 }
@@ -106,7 +106,7 @@
 	}))
 	first := make(chan answer, 1)
 	go func() { first <- r.send("POST", "/once/", "x") }()
-	recv(r, running)
+	receive(r, running)
 	r.backend(1, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { runs[1].Add(1) }))
 	must(t, hold.Leave(r.ctx))
 	for range 20 {
@@ -118,44 +118,44 @@
 		t.Errorf("the leaving one ran %d, the other %d", runs[0].Load(), runs[1].Load())
 	}
 	close(release)
-	if a := recv(r, first); string(a.body) != "held" {
+	if a := receive(r, first); string(a.body) != "held" {
 		t.Errorf("what was running got %d %q", a.StatusCode, a.body)
 	}
 }
 
 // A sidecar that hears no core goes on choosing a backend that is leaving: the one
 // beside it lets nothing through.
-func TestLeavingUnheard(t *testing.T) {
+func TestLeavingNotObserved(t *testing.T) {
 	t.Parallel()
-	size := small()
+	size := smallFleet()
 	size.Machines, size.Backends = 2, nil
-	f, ctx := begin(t, size)
-	must(t, f.Relay())
+	f, ctx := newFleet(t, size)
+	must(t, f.InterposeProxies())
 	must(t, f.Start(ctx))
 	b, err := f.StartBackend(1, "surveys", "leaver", 8000)
 	must(t, err)
-	must(t, f.AwaitServing(ctx, f.First, 1))
+	must(t, f.AwaitServing(ctx, f.FirstRevision, 1))
 	survey := f.Size.Plans[2]
-	c := f.NewCaller(0, 1)
-	if a := c.Once(ctx, survey); a.Status != 200 {
+	c := f.NewClient(0, 1)
+	if a := c.SendOne(ctx, survey); a.Status != 200 {
 		t.Fatalf("%+v", a)
 	}
-	f.Net.Cut([]string{f.Sidecars[0].IP}, f.CoreIPs())
+	f.Network.PartitionBetween([]string{f.Sidecars[0].IP}, f.ReplicaIPs())
 	must(t, b.Leave(ctx))
-	left := time.Now()
-	for time.Since(left) < 3*time.Second {
-		if a := c.Once(ctx, survey); a.Status != 503 || a.Outcome != "not-run" {
-			t.Fatalf("%v after it left: %+v", time.Since(left), a)
+	leftAt := time.Now()
+	for time.Since(leftAt) < 3*time.Second {
+		if a := c.SendOne(ctx, survey); a.Status != 503 || a.Outcome != "not-run" {
+			t.Fatalf("%v after it left: %+v", time.Since(leftAt), a)
 		}
 	}
-	judge(t, f)
+	checkLedger(t, f)
 }
 
 // An address that passed to another service: the one who had it before fell
 // silent, and nothing meant for it reaches the new one.
-func TestAddressPasses(t *testing.T) {
+func TestAddressReused(t *testing.T) {
 	r := newRig(t)
-	var strays atomic.Int64
+	var misdirected atomic.Int64
 	old := r.backend(1, http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	if a := r.send("POST", "/once/", "x"); a.StatusCode != 200 {
 		t.Fatalf("got %d %s", a.StatusCode, a.body)
@@ -164,18 +164,18 @@
 	old.Kill()
 	ln, err := faultproxy.Bind(addr)
 	must(t, err)
-	srv := &http.Server{Handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) { strays.Add(1) })}
+	srv := &http.Server{Handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) { misdirected.Add(1) })}
 	defer srv.Close()
 	go srv.Serve(ln)
 	body := fmt.Sprintf(`{"instance": "newcomer", "service": "another", "address": %q, "capacity": 1}`, addr)
-	resp, err := r.Client.Post("http://"+r.Sidecars[1].Control+"/v1/backends", "application/json", bytes.NewReader([]byte(body)))
+	resp, err := r.HTTP.Post("http://"+r.Sidecars[1].Control+"/v1/backends", "application/json", bytes.NewReader([]byte(body)))
 	must(t, err)
 	resp.Body.Close()
 	for range 10 {
 		r.expect(r.send("POST", "/once/", "x"), 503, "not-run")
 	}
-	if strays.Load() != 0 {
-		t.Errorf("%d inquiries reached another service", strays.Load())
+	if misdirected.Load() != 0 {
+		t.Errorf("%d inquiries reached another service", misdirected.Load())
 	}
 }
 
@@ -194,10 +194,10 @@
 	defer srv.Close()
 	go srv.Serve(ln)
 	body := fmt.Sprintf(`{"instance": "mute", "service": "desk", "address": %q, "capacity": 1}`, ln.Addr())
-	resp, err := r.Client.Post("http://"+r.Sidecars[1].Control+"/v1/backends", "application/json", bytes.NewReader([]byte(body)))
+	resp, err := r.HTTP.Post("http://"+r.Sidecars[1].Control+"/v1/backends", "application/json", bytes.NewReader([]byte(body)))
 	must(t, err)
 	resp.Body.Close()
-	said := time.Since(begin)
+	announcedAt := time.Since(begin)
 	must(t, r.AwaitServing(r.ctx, 1, 1))
 	refused := 0
 	for refused < 5 && r.ctx.Err() == nil {
@@ -205,40 +205,40 @@
 			refused++
 		}
 	}
-	if runs.Load() == 0 || time.Duration(last.Load())-said > 1600*time.Millisecond {
-		t.Errorf("ran %d times, last %v after its only beat", runs.Load(), time.Duration(last.Load())-said)
+	if runs.Load() == 0 || time.Duration(last.Load())-announcedAt > 1600*time.Millisecond {
+		t.Errorf("ran %d times, last %v after its only beat", runs.Load(), time.Duration(last.Load())-announcedAt)
 	}
 }
 
 // Emptying a zone and taking it back, under load.
-func TestEmptiedZone(t *testing.T) {
-	f, ctx := start(t, small())
-	stop := load(ctx, f)
+func TestEvacuatedZone(t *testing.T) {
+	f, ctx := startFleet(t, smallFleet())
+	stop := startLoad(ctx, f)
 	// sidecar-3 and its backend of "orders" stand in the west; so does no other
 	// backend of that service.
 	before := f.Backends[3].Runs.Load()
-	r, err := f.Empty(ctx, f.Cores[1], "west")
+	r, err := f.EvacuateZone(ctx, f.Replicas[1], "west")
 	must(t, err)
-	if r.Stamp != 2 {
+	if r.Revision != 2 {
 		t.Fatalf("emptying: %+v", r)
 	}
 	must(t, f.AwaitServing(ctx, 2, 4))
 	closed := f.Backends[3].Runs.Load()
-	mark := f.Backends[0].Runs.Load()
-	must(t, awaitRuns(ctx, f.Backends[0].Runs.Load, mark+50))
-	must(t, awaitPage(ctx, func(ctx context.Context) bool {
+	before50 := f.Backends[0].Runs.Load()
+	must(t, awaitRuns(ctx, f.Backends[0].Runs.Load, before50+50))
+	must(t, awaitCondition(ctx, func(ctx context.Context) bool {
 		var d watch.DrainStatus
-		_, err := f.Cores[1].Get(ctx, "/v1/localities/west", &d)
+		_, err := f.Replicas[1].Get(ctx, "/v1/localities/west", &d)
 		return err == nil && d.Evacuated && d.Done && d.DoneFor != "" && d.OpenRequests == 0
 	}))
 	if now := f.Backends[3].Runs.Load(); now > closed {
 		t.Errorf("the emptied locality ran %d more after every sidecar had the word (%d before)", now-closed, closed-before)
 	}
-	_, err = f.TakeBack(ctx, f.Cores[2], "west")
+	_, err = f.RestoreZone(ctx, f.Replicas[2], "west")
 	must(t, err)
 	must(t, awaitRuns(ctx, f.Backends[3].Runs.Load, closed+5))
 	stop()
-	judge(t, f)
+	checkLedger(t, f)
 	if v := f.Ledger.Judge(); v.Good != v.Sent {
 		t.Errorf("of %d sent only %d were good", v.Sent, v.Good)
 	}
@@ -257,7 +257,7 @@
 	}))
 	open := make(chan answer, 1)
 	go func() { open <- r.send("POST", "/once/", "x") }()
-	recv(r, running)
+	receive(r, running)
 	code := make(chan int, 2)
 	for i := range 2 {
 		go func() { code <- r.Sidecars[i].Stop() }()
@@ -266,11 +266,11 @@
 	must(t, awaitUnready(r, 1))
 	r.expect(r.send("POST", "/once/", "x"), 503, "not-run")
 	close(release)
-	if a := recv(r, open); a.StatusCode != 200 || string(a.body) != "done" {
+	if a := receive(r, open); a.StatusCode != 200 || string(a.body) != "done" {
 		t.Errorf("what was handed over got %d %q", a.StatusCode, a.body)
 	}
 	for range 2 {
-		if c := recv(r, code); c != 0 {
+		if c := receive(r, code); c != 0 {
 			t.Errorf("ended with %d", c)
 		}
 	}
@@ -282,9 +282,9 @@
 	for _, p := range []interface {
 		Signal(syscall.Signal)
 		Get(context.Context, string, any) (int, error)
-	}{r.Sidecars[0], r.Cores[0]} {
+	}{r.Sidecars[0], r.Replicas[0]} {
 		p.Signal(syscall.SIGHUP)
-		must(t, awaitPage(r.ctx, func(ctx context.Context) bool {
+		must(t, awaitCondition(r.ctx, func(ctx context.Context) bool {
 			var got *struct {
 				Applied []string `json:"applied"`
 				Fault   string   `json:"fault"`
@@ -298,9 +298,9 @@
 // A fixed address for a service's outgoing calls is the one that its backends
 // are told, and tells who calls.
 func TestFixedOutgoing(t *testing.T) {
-	f, ctx := begin(t, small())
+	f, ctx := newFleet(t, smallFleet())
 	fixed := f.Site.IP(0) + ":7500"
-	f.Sidecars[0].Args("--outgoing=orders:" + fixed)
+	f.Sidecars[0].AddArgs("--outgoing=orders:" + fixed)
 	must(t, f.Start(ctx))
 	var got []struct{ Service, Outgoing string }
 	_, err := f.Sidecars[0].Get(ctx, "/v1/backends", &got)
@@ -308,41 +308,41 @@
 	if len(got) != 1 || got[0].Service != "orders" || got[0].Outgoing != fixed {
 		t.Errorf("backends: %+v", got)
 	}
-	c := f.NewCaller(0, 1)
+	c := f.NewClient(0, 1)
 	for range 5 {
-		if a := c.Once(ctx, f.Size.Plans[0]); a.Status != 200 {
+		if a := c.SendOne(ctx, f.Size.Plans[0]); a.Status != 200 {
 			t.Errorf("%+v", a)
 		}
 	}
-	judge(t, f)
+	checkLedger(t, f)
 }
 
 // A backend that was told an address before its sidecar was killed still sends
 // there: whoever announces itself first to the new one, such a call names its
 // true service.
-func TestOutgoingOutlivesItsSidecar(t *testing.T) {
+func TestOutgoingAddressSurvivesRestart(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
 	callers := make(chan string, 1)
 	r.backend(1, http.HandlerFunc(func(_ http.ResponseWriter, q *http.Request) { callers <- q.Header.Get("Curlewwalk-Caller") }))
-	tell := func(service string) (got struct{ Outgoing string }) {
+	announce := func(service string) (got struct{ Outgoing string }) {
 		body := fmt.Appendf(nil, `{"instance": %q, "service": %q, "address": "%s:8700", "capacity": 1}`, service, service, r.Site.IP(0))
-		resp, err := r.Client.Post("http://"+r.Sidecars[0].Control+"/v1/backends", "application/json", bytes.NewReader(body))
+		resp, err := r.HTTP.Post("http://"+r.Sidecars[0].Control+"/v1/backends", "application/json", bytes.NewReader(body))
 		must(t, err)
 		defer resp.Body.Close()
 		must(t, json.NewDecoder(resp.Body).Decode(&got))
 		return got
 	}
-	old := tell("hotline").Outgoing
+	old := announce("hotline").Outgoing
 	r.Sidecars[0].Kill()
 	must(t, r.Sidecars[0].Start())
-	must(t, r.Sidecars[0].Ready(r.ctx))
-	if other := tell("surveys").Outgoing; other == old || other == "" {
+	must(t, r.Sidecars[0].AwaitReady(r.ctx))
+	if other := announce("surveys").Outgoing; other == old || other == "" {
 		t.Errorf("surveys was told %q, hotline %q before", other, old)
 	}
-	tell("hotline")
+	announce("hotline")
 	var a int
-	must(t, awaitPage(r.ctx, func(_ context.Context) bool {
+	must(t, awaitCondition(r.ctx, func(_ context.Context) bool {
 		resp, err := http.Post("http://"+old+"/once/x", "text/plain", bytes.NewReader([]byte("x")))
 		if err != nil {
 			t.Fatalf("the address that hotline was told: %v", err)
@@ -351,13 +351,13 @@
 		a = resp.StatusCode
 		return a == 200
 	}))
-	if got := recv(r, callers); got != "hotline" {
+	if got := receive(r, callers); got != "hotline" {
 		t.Errorf("a call of hotline was told to be of %q", got)
 	}
 }
 
 // Why a request got its answer can be read: from its trace and from the log.
-func TestWhy(t *testing.T) {
+func TestRefusalReason(t *testing.T) {
 	r := newRig(t)
 	r.rawBackend(1, func(int, net.Conn) {})
 	a := r.send("POST", "/once/", "x")
@@ -365,15 +365,15 @@
 	var own struct{ Trace string }
 	must(t, json.Unmarshal(a.body, &own))
 	must(t, fleet.Await(r.ctx, "the trace to tell why", func(ctx context.Context) bool {
-		var tr fleet.Tree
-		_, err := r.Cores[0].Get(ctx, "/v1/traces/"+own.Trace, &tr)
+		var tr fleet.TraceTree
+		_, err := r.Replicas[0].Get(ctx, "/v1/traces/"+own.Trace, &tr)
 		if err != nil || len(tr.Roots) != 1 || len(tr.Roots[0].Events) != 4 {
 			return false
 		}
 		last := tr.Roots[0].Events[3]
 		return last.Status == 502 && last.Outcome == "unknown" && last.Reason != "" && tr.Roots[0].Events[2].Reason == last.Reason
 	}))
-	resp, err := r.Client.Get("http://" + r.Sidecars[0].Control + "/v1/log")
+	resp, err := r.HTTP.Get("http://" + r.Sidecars[0].Control + "/v1/log")
 	must(t, err)
 	defer resp.Body.Close()
 	log, err := io.ReadAll(resp.Body)
--- a/tests/e2e/body_test.go
+++ b/tests/e2e/body_test.go
@@ -31,15 +31,15 @@
 		io.WriteString(w, ", second")
 		w.Header().Set("X-Sum", "of both")
 	}))
-	req, err := http.NewRequestWithContext(r.ctx, "POST", "http://"+r.Requests(0)+"/once/", io.MultiReader(strings.NewReader("good "), strings.NewReader("day")))
+	req, err := http.NewRequestWithContext(r.ctx, "POST", "http://"+r.RequestAddress(0)+"/once/", io.MultiReader(strings.NewReader("good "), strings.NewReader("day")))
 	must(t, err)
 	req.Trailer = http.Header{"X-Check": {"a", "b"}}
-	resp, err := r.Client.Do(req)
+	resp, err := r.HTTP.Do(req)
 	must(t, err)
 	defer resp.Body.Close()
 	b, err := io.ReadAll(resp.Body)
 	must(t, err)
-	s := recv(r, got)
+	s := receive(r, got)
 	if s.body != "good day" || s.length != -1 || !cmp.Equal(s.trailer, req.Trailer) {
 		t.Errorf("the backend got %+v", s)
 	}
@@ -52,12 +52,12 @@
 // read; many at once are held only as far as the node's memory for them goes.
 func TestLargeBodies(t *testing.T) {
 	t.Parallel()
-	size := small()
+	size := smallFleet()
 	size.Machines, size.Backends = 2, nil
-	f, ctx := begin(t, size)
+	f, ctx := newFleet(t, size)
 	const most, held = 4 << 20, 3
-	f.Sidecars[0].Args("--max-body=4194304", "--body-memory=12582912")
-	f.Sidecars[1].Args("--max-body=4194304")
+	f.Sidecars[0].AddArgs("--max-body=4194304", "--body-memory=12582912")
+	f.Sidecars[1].AddArgs("--max-body=4194304")
 	must(t, f.Start(ctx))
 	running, release := make(chan struct{}, 20), make(chan struct{})
 	b, err := f.StartBackend(1, "surveys", "echo", 8000)
@@ -70,12 +70,12 @@
 		w.Write(body)
 	})
 	must(t, b.Start(b.Addr()))
-	must(t, f.AwaitServing(ctx, f.First, 1))
+	must(t, f.AwaitServing(ctx, f.FirstRevision, 1))
 	send := func(n int) (int, string, bool) {
 		body := bytes.Repeat([]byte{byte(n)}, n)
-		req, err := http.NewRequestWithContext(ctx, "POST", "http://"+f.Requests(0)+"/surveys/x", bytes.NewReader(body))
+		req, err := http.NewRequestWithContext(ctx, "POST", "http://"+f.RequestAddress(0)+"/surveys/x", bytes.NewReader(body))
 		must(t, err)
-		resp, err := f.Client.Do(req)
+		resp, err := f.HTTP.Do(req)
 		if err != nil {
 			t.Error(err)
 			return 0, "", false
@@ -105,7 +105,7 @@
 	}
 	close(release)
 	wg.Wait()
-	must(t, awaitPage(ctx, func(ctx context.Context) bool {
+	must(t, awaitCondition(ctx, func(ctx context.Context) bool {
 		var st struct {
 			Held [2]int64 `json:"bodies_held"`
 		}
--- a/tests/e2e/budget_test.go
+++ b/tests/e2e/budget_test.go
@@ -44,7 +44,7 @@
 	}
 	for range 10 {
 		for i := range r.Sidecars {
-			if a := r.NewCaller(i, 1).Once(r.ctx, once); a.Status != 200 && a.Wrong == "" {
+			if a := r.NewClient(i, 1).SendOne(r.ctx, oncePlan); a.Status != 200 && a.Mismatch == "" {
 				t.Errorf("%+v", a)
 			}
 		}
--- a/tests/e2e/leave_test.go
+++ b/tests/e2e/cancellation_test.go
@@ -14,12 +14,12 @@
 
 // A client that leaves ends the whole tree of calls that works for it: each backend's
 // connection is closed, which ends its own calls, and so on down.
-func TestLeavingEndsTheTree(t *testing.T) {
+func TestClientCancellationPropagates(t *testing.T) {
 	t.Parallel()
-	deep := fakes.Plan{Name: "deep", Method: "GET", Prefix: "/deep/", Service: "store", Aim: time.Second, Deadline: 10 * time.Second, Rank: 1, Repeatable: true}
-	top := look
+	deep := fakes.RequestPlan{Name: "deep", Method: "GET", Prefix: "/deep/", Service: "store", LatencyTarget: time.Second, Deadline: 10 * time.Second, Priority: 1, Idempotent: true}
+	top := readPlan
 	top.Deadline = 10 * time.Second
-	f, ctx := start(t, fleet.Size{Name: "rig", Cores: 1, Machines: 2, Zones: []string{"north", "south"}, Capacity: 9, Plans: []fakes.Plan{top, deep}})
+	f, ctx := startFleet(t, fleet.Size{Name: "rig", Replicas: 1, Machines: 2, Zones: []string{"north", "south"}, Capacity: 9, Plans: []fakes.RequestPlan{top, deep}})
 	r := &rig{Fleet: f, t: t, ctx: ctx}
 	reached, ended := make(chan string, 9), make(chan string, 9)
 	run := func(name string, calls func(ctx context.Context)) http.Handler {
@@ -32,28 +32,28 @@
 	}
 	r.backendOf("store", 1, run("leaf", func(context.Context) {}))
 	root := run("root", func(ctx context.Context) {
-		req, err := http.NewRequestWithContext(ctx, "GET", "http://"+r.Requests(0)+"/deep/x", nil)
+		req, err := http.NewRequestWithContext(ctx, "GET", "http://"+r.RequestAddress(0)+"/deep/x", nil)
 		if err != nil {
 			t.Error(err)
 			return
 		}
-		resp, err := r.Client.Transport.RoundTrip(req)
+		resp, err := r.HTTP.Transport.RoundTrip(req)
 		if err == nil {
 			resp.Body.Close()
 		}
 	})
 	r.backendOf("desk", 0, root)
-	c, err := net.Dial("tcp", r.Requests(1))
+	c, err := net.Dial("tcp", r.RequestAddress(1))
 	must(t, err)
 	io.WriteString(c, "GET /look/x HTTP/1.1\r\nHost: x\r\n\r\n")
 	for range 2 {
-		recv(r, reached)
+		receive(r, reached)
 	}
-	left := time.Now()
+	leftAt := time.Now()
 	c.Close()
 	for range 2 {
-		name := recv(r, ended)
-		if after := time.Since(left); after > 3*time.Second {
+		name := receive(r, ended)
+		if after := time.Since(leftAt); after > 3*time.Second {
 			t.Errorf("%s ended %v after the client had left", name, after)
 		}
 	}
--- a/tests/e2e/day_test.go
+++ b/tests/e2e/day_test.go
@@ -11,13 +11,13 @@
 // under load, a last one, and the reading back. Whole days are tests/cmd/day.
 func TestShortDay(t *testing.T) {
 	t.Parallel()
-	f, err := fleet.New(small(), bin)
+	f, err := fleet.New(smallFleet(), binaries)
 	must(t, err)
 	t.Cleanup(f.Close)
 	d := day.New(f, 4, t.Output())
 	v, err := d.Run(t.Context(), 3)
 	must(t, err)
-	for _, b := range v.Broken {
+	for _, b := range v.Breaches {
 		t.Error("must never happen: ", b)
 	}
 	if v.Good == 0 {
--- a/tests/e2e/equal_numbers_test.go
+++ b/tests/e2e/duplicate_generation_test.go
@@ -14,12 +14,12 @@
 // first. One is acknowledged and the other learns that it is not; and so they are told at
 // every core, whenever they ask again.
 func TestEqualNumbers(t *testing.T) {
-	f, ctx := start(t, coresOnly(3))
+	f, ctx := startFleet(t, controlPlaneOnly(3))
 	// put has an order taken or refused, at this core or at the next ones.
-	put := func(core, number, operator int) (status int) {
+	put := func(replica, number, operator int) (status int) {
 		err := fleet.Await(ctx, "a clear answer", func(ctx context.Context) bool {
-			core++
-			r, err := f.Operate(ctx, f.Cores[core%3], "PUT", "/v1/desired", configuration(1000*number+operator), "Curlewwalk-Edition", fmt.Sprint(number))
+			replica++
+			r, err := f.Operate(ctx, f.Replicas[replica%3], "PUT", "/v1/desired", configuration(1000*number+operator), "Curlewwalk-Edition", fmt.Sprint(number))
 			if err == nil && r.Status != 200 && r.Status != 409 && r.Status != 503 {
 				t.Errorf("%d of operator %d: %d %s", number, operator, r.Status, r.Body)
 			}
@@ -44,9 +44,9 @@
 		<-done
 		return got
 	}
-	told := map[int][]int{}
+	answers := map[int][]int{}
 	for number := 1; number <= 24; number++ {
-		victim := f.Cores[number/4%3]
+		victim := f.Replicas[number/4%3]
 		switch number % 4 {
 		case 0:
 			victim.Kill()
@@ -55,15 +55,15 @@
 				must(t, victim.Start())
 			}
 		}
-		told[number] = race(number)
-		if got := slices.Sorted(slices.Values(told[number])); !slices.Equal(got, []int{200, 409}) {
-			t.Errorf("under %d they got %v", number, told[number])
+		answers[number] = race(number)
+		if got := slices.Sorted(slices.Values(answers[number])); !slices.Equal(got, []int{200, 409}) {
+			t.Errorf("under %d they got %v", number, answers[number])
 		}
 	}
-	for number, before := range told {
-		for core := range f.Cores {
+	for number, before := range answers {
+		for replica := range f.Replicas {
 			for operator, want := range before {
-				if got := put(core, number, operator); got != want {
+				if got := put(replica, number, operator); got != want {
 					t.Errorf("%d of operator %d got %d, and then %d", number, operator, want, got)
 				}
 			}
--- a/tests/e2e/watch_test.go
+++ b/tests/e2e/failure_detection_test.go
@@ -8,8 +8,8 @@
 	"curlewwalk/tests/fleet"
 )
 
-// knows tells whether a sidecar has a node in its view.
-func knows(ctx context.Context, p *fleet.Program, addr string) (known, ok bool) {
+// knowsNode tells whether a sidecar has a node in its view.
+func knowsNode(ctx context.Context, p *fleet.Program, addr string) (known, ok bool) {
 	var nodes []struct {
 		Address string `json:"address"`
 	}
@@ -22,14 +22,14 @@
 
 // A dead sidecar is taken out of all views when its watchers agree, before it
 // has been silent for long.
-func TestDeadNodeIsTakenOut(t *testing.T) {
-	f, ctx := start(t, small())
+func TestDeadNodeIsRemoved(t *testing.T) {
+	f, ctx := startFleet(t, smallFleet())
 	addr := f.Sidecars[3].IP + ":7400"
 	f.Sidecars[3].Kill()
 	dead := time.Now()
 	for _, p := range f.Sidecars[:3] {
 		must(t, fleet.Await(ctx, "the dead node to be gone", func(ctx context.Context) bool {
-			known, ok := knows(ctx, p, addr)
+			known, ok := knowsNode(ctx, p, addr)
 			return ok && !known
 		}))
 	}
@@ -38,18 +38,18 @@
 
 // A node that its watchers can't reach, but the cores can, refutes them: it
 // stays in every view, and is accused in a later incarnation each time.
-func TestAccusedNodeRefutes(t *testing.T) {
-	f, ctx := begin(t, small())
-	must(t, f.Relay())
+func TestSuspectedNodeRefutes(t *testing.T) {
+	f, ctx := newFleet(t, smallFleet())
+	must(t, f.InterposeProxies())
 	must(t, f.Start(ctx))
 	addr := f.Sidecars[3].IP + ":7400"
 	var others []string
 	for _, p := range f.Sidecars[:3] {
 		others = append(others, p.IP)
 	}
-	f.Net.Cut([]string{f.Sidecars[3].IP}, others)
+	f.Network.PartitionBetween([]string{f.Sidecars[3].IP}, others)
 	refuted := func(ctx context.Context) bool {
-		if known, ok := knows(ctx, f.Sidecars[0], addr); ok && !known {
+		if known, ok := knowsNode(ctx, f.Sidecars[0], addr); ok && !known {
 			t.Error("it was taken out")
 			return true
 		}
@@ -61,7 +61,7 @@
 				} `json:"nodes"`
 			} `json:"directory"`
 		}
-		_, err := f.Cores[0].Get(ctx, "/v1/state", &st)
+		_, err := f.Replicas[0].Get(ctx, "/v1/state", &st)
 		for _, n := range st.Directory.Nodes {
 			if err == nil && n.Address == addr && n.Incarnation >= 1 {
 				return true
@@ -70,12 +70,12 @@
 		return false
 	}
 	must(t, fleet.Await(ctx, "the node to refute", refuted))
-	cut := time.Now()
+	partitionedAt := time.Now()
 	must(t, fleet.Await(ctx, "3 s to pass", func(ctx context.Context) bool {
-		if known, ok := knows(ctx, f.Sidecars[0], addr); ok && !known {
+		if known, ok := knowsNode(ctx, f.Sidecars[0], addr); ok && !known {
 			t.Error("it was taken out later")
 			return true
 		}
-		return time.Since(cut) > 3*time.Second
+		return time.Since(partitionedAt) > 3*time.Second
 	}))
 }
--- a/tests/e2e/frozen_test.go
+++ b/tests/e2e/frozen_test.go
@@ -13,40 +13,40 @@
 	"curlewwalk/tests/fleet"
 )
 
-// orders counts how often each order ran, by its body.
-type orders struct {
-	mu  sync.Mutex
-	ran map[string]int
+// orderCounter counts how often each order ran, by its body.
+type orderCounter struct {
+	mu   sync.Mutex
+	runs map[string]int
 }
 
-func (o *orders) ServeHTTP(w http.ResponseWriter, q *http.Request) {
+func (o *orderCounter) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	b, err := io.ReadAll(q.Body)
 	if err != nil {
 		return
 	}
 	o.mu.Lock()
-	o.ran[string(b)]++
+	o.runs[string(b)]++
 	o.mu.Unlock()
 	io.WriteString(w, "done "+string(b))
 }
 
-func (o *orders) times(id string) int {
+func (o *orderCounter) runsOf(id string) int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.ran[id]
+	return o.runs[id]
 }
 
 // A far sidecar is frozen for shorter and longer than a connection bears, with attempts in its
 // buffers, and woken. What was promised not to run never runs, and nothing runs twice,
 // whatever it finds there: the attempt, its recall behind it, or the end of the connection.
-func TestFarFrozen(t *testing.T) {
+func TestInboundSidecarFrozen(t *testing.T) {
 	t.Parallel()
 	for _, frozen := range []time.Duration{700 * time.Millisecond, 2500 * time.Millisecond, 5 * time.Second} {
 		t.Run(frozen.String(), func(t *testing.T) {
 			t.Parallel()
 			r := newRig(t)
-			o := &orders{ran: map[string]int{}}
-			r.backend(1, o)
+			orders := &orderCounter{runs: map[string]int{}}
+			r.backend(1, orders)
 			r.send("POST", "/once/", "warm")
 			answers := make(chan answer, 40)
 			id := func(i int) string { return fmt.Sprint("order ", i) }
@@ -84,7 +84,7 @@
 			close(answers)
 			counts := map[string]int{}
 			for a := range answers {
-				outcome, ran := a.Header.Get("Curlewwalk-Outcome"), o.times(string(a.body))
+				outcome, ran := a.Header.Get("Curlewwalk-Outcome"), orders.runsOf(string(a.body))
 				counts[fmt.Sprint(a.StatusCode, " ", outcome, " ran ", ran)]++
 				if ran > 1 || ran > 0 && outcome == "not-run" || ran != 1 && outcome == "" {
 					t.Errorf("%s: %d %q, ran %d times", a.body, a.StatusCode, outcome, ran)
@@ -97,7 +97,7 @@
 
 // A near sidecar that is frozen for longer than a connection may be silent has not heard
 // what it was answered meanwhile: woken, it passes the answers on.
-func TestNearFrozen(t *testing.T) {
+func TestOutboundSidecarFrozen(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
 	running, release := make(chan struct{}, 20), make(chan struct{})
@@ -120,7 +120,7 @@
 		})
 	}
 	for range orders {
-		recv(r, running)
+		receive(r, running)
 	}
 	r.Sidecars[0].Signal(syscall.SIGSTOP)
 	since := time.Now()
--- a/tests/e2e/generation_test.go
+++ b/tests/e2e/generation_test.go
@@ -12,8 +12,8 @@
 	"curlewwalk/tests/fleet"
 )
 
-// many is a configuration of n ways, told from others by a number.
-func many(n, number int) []byte {
+// largeConfiguration is a configuration of n ways, told from others by a number.
+func largeConfiguration(n, number int) []byte {
 	configuration := config.Configuration{Contracts: []config.Contract{{Name: "c", LatencyTarget: config.Duration{Duration: time.Second}, Deadline: config.Duration{Duration: 2 * time.Second}, Priority: 1}}}
 	for i := range n {
 		configuration.Services = append(configuration.Services, config.Service{Name: fmt.Sprint("s", i), MaxConnections: number})
@@ -28,43 +28,43 @@
 // Generations come through any core; an old one changes nothing, whoever repeats it,
 // also after the herd of cores has died.
 func TestGenerations(t *testing.T) {
-	f, ctx := start(t, coresOnly(3))
-	put := func(core int, body []byte, header ...string) fleet.Reply {
+	f, ctx := startFleet(t, controlPlaneOnly(3))
+	put := func(replica int, body []byte, header ...string) fleet.Reply {
 		t.Helper()
-		r, err := f.Operate(ctx, f.Cores[core], "PUT", "/v1/desired", body, header...)
+		r, err := f.Operate(ctx, f.Replicas[replica], "PUT", "/v1/desired", body, header...)
 		must(t, err)
 		return r
 	}
-	numbered := func(core int, n uint64, body []byte) fleet.Reply {
+	putNumbered := func(replica int, n uint64, body []byte) fleet.Reply {
 		t.Helper()
-		r := put(core, body, "Curlewwalk-Edition", fmt.Sprint(n))
-		if r.Status != 200 || r.Taken != "taken" {
+		r := put(replica, body, "Curlewwalk-Edition", fmt.Sprint(n))
+		if r.Status != 200 || r.Revoked != "taken" {
 			t.Errorf("edition %d: %d %s", n, r.Status, r.Body)
 		}
 		return r
 	}
-	reads := func(core int, generation, stamp uint64, body []byte) {
+	expectRead := func(replica int, generation, revision uint64, body []byte) {
 		t.Helper()
-		r, err := f.Operate(ctx, f.Cores[core], "GET", "/v1/desired", nil)
+		r, err := f.Operate(ctx, f.Replicas[replica], "GET", "/v1/desired", nil)
 		must(t, err)
-		if r.Generation != generation || r.Stamp != stamp || !bytes.Equal(r.Body, body) {
-			t.Errorf("%d: stamp %d, edition %d, %.80s", r.Status, r.Stamp, r.Generation, r.Body)
+		if r.Generation != generation || r.Revision != revision || !bytes.Equal(r.Body, body) {
+			t.Errorf("%d: stamp %d, edition %d, %.80s", r.Status, r.Revision, r.Generation, r.Body)
 		}
 	}
-	reads(1, 0, put(0, configuration(1)).Stamp, configuration(1))
-	seven := numbered(2, 7, configuration(7)).Stamp
-	refused := func(core int, n uint64, body []byte) {
+	expectRead(1, 0, put(0, configuration(1)).Revision, configuration(1))
+	revisionOfSeven := putNumbered(2, 7, configuration(7)).Revision
+	expectRefused := func(replica int, n uint64, body []byte) {
 		t.Helper()
-		if r := put(core, body, "Curlewwalk-Edition", fmt.Sprint(n)); r.Status != 409 || r.Taken != "conflict" {
+		if r := put(replica, body, "Curlewwalk-Edition", fmt.Sprint(n)); r.Status != 409 || r.Revoked != "conflict" {
 			t.Errorf("another configuration under %d: %d %s", n, r.Status, r.Body)
 		}
 	}
-	numbered(1, 7, configuration(7))
-	numbered(0, 6, configuration(6))
-	for core := range f.Cores {
-		refused(core, 7, configuration(8))
+	putNumbered(1, 7, configuration(7))
+	putNumbered(0, 6, configuration(6))
+	for replica := range f.Replicas {
+		expectRefused(replica, 7, configuration(8))
 	}
-	reads(2, 7, seven, configuration(7))
+	expectRead(2, 7, revisionOfSeven, configuration(7))
 	for _, bad := range []string{"0", "-1", "x", "18446744073709551616"} {
 		if r := put(0, configuration(9), "Curlewwalk-Edition", bad); r.Status != 400 {
 			t.Errorf("edition %s: %d %s", bad, r.Status, r.Body)
@@ -73,50 +73,50 @@
 	if r := put(0, configuration(9), "Curlewwalk-Edition", "9", "If-Match", `"1"`); r.Status != 412 {
 		t.Errorf("bound to an old stamp: %d %s", r.Status, r.Body)
 	}
-	for _, p := range f.Cores {
+	for _, p := range f.Replicas {
 		p.Kill()
 	}
-	for _, p := range f.Cores {
+	for _, p := range f.Replicas {
 		must(t, p.Start())
 	}
-	for _, p := range f.Cores {
-		must(t, p.Ready(ctx))
+	for _, p := range f.Replicas {
+		must(t, p.AwaitReady(ctx))
 	}
-	for core := range f.Cores {
-		refused(core, 7, configuration(8))
+	for replica := range f.Replicas {
+		expectRefused(replica, 7, configuration(8))
 	}
-	numbered(1, 7, configuration(7))
-	reads(0, 7, seven, configuration(7))
-	reads(2, 8, numbered(0, 8, configuration(8)).Stamp, configuration(8))
-	refused(1, 7, configuration(8))
-	numbered(2, 7, configuration(7))
+	putNumbered(1, 7, configuration(7))
+	expectRead(0, 7, revisionOfSeven, configuration(7))
+	expectRead(2, 8, putNumbered(0, 8, configuration(8)).Revision, configuration(8))
+	expectRefused(1, 7, configuration(8))
+	putNumbered(2, 7, configuration(7))
 	// The one on duty is gone, and it is still told.
-	f.Cores[0].Kill()
-	for core := 1; core <= 2; core++ {
+	f.Replicas[0].Kill()
+	for replica := 1; replica <= 2; replica++ {
 		must(t, fleet.Await(ctx, "another to be on duty", func(ctx context.Context) bool {
-			r, err := f.Operate(ctx, f.Cores[core], "PUT", "/v1/desired", configuration(8), "Curlewwalk-Edition", "8")
+			r, err := f.Operate(ctx, f.Replicas[replica], "PUT", "/v1/desired", configuration(8), "Curlewwalk-Edition", "8")
 			return err == nil && r.Status == 200
 		}))
-		refused(core, 8, configuration(9))
-		refused(core, 7, configuration(9))
-		numbered(core, 7, configuration(7))
+		expectRefused(replica, 8, configuration(9))
+		expectRefused(replica, 7, configuration(9))
+		putNumbered(replica, 7, configuration(7))
 	}
 }
 
 // A storm of generations, all at once and in no order, is taken without piling up:
 // each is acknowledged, and the highest is held, in force and read back.
 func TestGenerationStorm(t *testing.T) {
-	f, ctx := start(t, small())
+	f, ctx := startFleet(t, smallFleet())
 	const storm = 90 // what 3 s bring at 30 a second
 	bodies := make([][]byte, storm+1)
 	for n := range bodies {
-		bodies[n] = many(300, n)
+		bodies[n] = largeConfiguration(300, n)
 	}
 	begin := time.Now()
 	var wg sync.WaitGroup
 	for n := 1; n <= storm; n++ {
 		wg.Go(func() {
-			r, err := f.Operate(ctx, f.Cores[n%3], "PUT", "/v1/desired", bodies[n], "Curlewwalk-Edition", fmt.Sprint(n))
+			r, err := f.Operate(ctx, f.Replicas[n%3], "PUT", "/v1/desired", bodies[n], "Curlewwalk-Edition", fmt.Sprint(n))
 			if err != nil || r.Status != 200 {
 				t.Errorf("edition %d: %d %s %v", n, r.Status, r.Body, err)
 			}
@@ -124,18 +124,18 @@
 	}
 	wg.Wait()
 	took := time.Since(begin)
-	r, err := f.Operate(ctx, f.Cores[1], "GET", "/v1/desired", nil)
+	r, err := f.Operate(ctx, f.Replicas[1], "GET", "/v1/desired", nil)
 	must(t, err)
 	if r.Generation != storm || !bytes.Equal(r.Body, bodies[storm]) {
-		t.Errorf("edition %d under stamp %d is read back", r.Generation, r.Stamp)
+		t.Errorf("edition %d under stamp %d is read back", r.Generation, r.Revision)
 	}
 	for _, p := range f.Sidecars {
-		if s, err := f.Stamp(ctx, p); err != nil || s < r.Stamp {
+		if s, err := f.Revision(ctx, p); err != nil || s < r.Revision {
 			t.Errorf("%s has %d in force: %v", p.Name, s, err)
 		}
 	}
 	if took > 3*time.Second {
 		t.Errorf("it took %v", took)
 	}
-	t.Logf("%d editions of 300 ways (%d KiB each) acknowledged and in force in %v, by %d words", storm, len(bodies[storm])>>10, took, r.Stamp)
+	t.Logf("%d editions of 300 ways (%d KiB each) acknowledged and in force in %v, by %d words", storm, len(bodies[storm])>>10, took, r.Revision)
 }
--- a/tests/e2e/hostile_test.go
+++ b/tests/e2e/invalid_input_test.go
@@ -14,24 +14,24 @@
 	t.Parallel()
 	r := newRig(t)
 	good := `{"instance": "a", "service": "desk", "address": "127.0.0.1:1", "capacity": 1`
-	core, side := "http://"+r.Cores[0].Control, "http://"+r.Sidecars[1].Control
+	core, sidecar := "http://"+r.Replicas[0].Control, "http://"+r.Sidecars[1].Control
 	for _, c := range []struct {
 		method, url, body, header string
 		status                    int
 		says                      string
 	}{
-		{"POST", side + "/v1/backends", "", "", 400, "announcement"},
-		{"POST", side + "/v1/backends", good, "", 400, "announcement"},
-		{"POST", side + "/v1/backends", "[]", "", 400, "announcement"},
-		{"POST", side + "/v1/backends", strings.Repeat("[", 60000), "", 400, "announcement"},
-		{"POST", side + "/v1/backends", good + `, "x": "` + strings.Repeat("y", 100000) + `"}`, "", 400, "too large"},
-		{"POST", side + "/v1/backends", good + `, "capacity": -5}`, "", 422, "capacity"},
-		{"POST", side + "/v1/backends", good + `, "capacity": 1000000000}`, "", 422, "capacity"},
-		{"POST", side + "/v1/backends", good + `, "service": "De Sk"}`, "", 422, "service"},
-		{"POST", side + "/v1/backends", good + `, "locality": "../north"}`, "", 422, "locality"},
-		{"POST", side + "/v1/backends", good + `, "address": "example.org:80"}`, "", 422, "address"},
-		{"POST", side + "/v1/backends", good + `, "warmup": {"share": 7, "ramp": "-3s"}}`, "", 422, "warmup.share"},
-		{"DELETE", side + "/v1/backends/nobody", "", "", 404, "no such"},
+		{"POST", sidecar + "/v1/backends", "", "", 400, "announcement"},
+		{"POST", sidecar + "/v1/backends", good, "", 400, "announcement"},
+		{"POST", sidecar + "/v1/backends", "[]", "", 400, "announcement"},
+		{"POST", sidecar + "/v1/backends", strings.Repeat("[", 60000), "", 400, "announcement"},
+		{"POST", sidecar + "/v1/backends", good + `, "x": "` + strings.Repeat("y", 100000) + `"}`, "", 400, "too large"},
+		{"POST", sidecar + "/v1/backends", good + `, "capacity": -5}`, "", 422, "capacity"},
+		{"POST", sidecar + "/v1/backends", good + `, "capacity": 1000000000}`, "", 422, "capacity"},
+		{"POST", sidecar + "/v1/backends", good + `, "service": "De Sk"}`, "", 422, "service"},
+		{"POST", sidecar + "/v1/backends", good + `, "locality": "../north"}`, "", 422, "locality"},
+		{"POST", sidecar + "/v1/backends", good + `, "address": "example.org:80"}`, "", 422, "address"},
+		{"POST", sidecar + "/v1/backends", good + `, "warmup": {"share": 7, "ramp": "-3s"}}`, "", 422, "warmup.share"},
+		{"DELETE", sidecar + "/v1/backends/nobody", "", "", 404, "no such"},
 		{"PUT", core + "/v1/localities/No%20Where/emptied", "", "", 422, "No Where"},
 		{"PUT", core + "/v1/localities/" + strings.Repeat("x", 64) + "/emptied", "", "", 422, "at most 63"},
 		{"PUT", core + "/v1/desired", strings.Repeat("[", 200000), "", 400, "not JSON"},
@@ -45,7 +45,7 @@
 		if name, value, ok := strings.Cut(c.header, ": "); ok {
 			req.Header.Set(name, value)
 		}
-		resp, err := r.Client.Do(req)
+		resp, err := r.HTTP.Do(req)
 		must(t, err)
 		b, _ := io.ReadAll(resp.Body)
 		resp.Body.Close()
@@ -57,8 +57,8 @@
 	if _, err := r.Sidecars[1].Get(r.ctx, "/v1/backends", &known); err != nil || len(known) > 0 {
 		t.Errorf("taken: %v %v", known, err)
 	}
-	if s, err := r.Stamp(r.ctx, r.Sidecars[1]); err != nil || s != r.First {
-		t.Errorf("the stamp went from %d to %d", r.First, s)
+	if s, err := r.Revision(r.ctx, r.Sidecars[1]); err != nil || s != r.FirstRevision {
+		t.Errorf("the stamp went from %d to %d", r.FirstRevision, s)
 	}
 	r.expect(r.send("POST", "/once/", "x", "Idempotency-Key", strings.Repeat("k", 256)), 400, "not-run")
 }
--- a/tests/e2e/custody_test.go
+++ b/tests/e2e/keyreplication_test.go
@@ -14,9 +14,9 @@
 	"curlewwalk/tests/fleet"
 )
 
-// keyed is a fleet of some machines with one backend, of orders, on the last;
+// keyedFleet is a fleet of some machines with one backend, of orders, on the last;
 // clients send to machine 0 under keys.
-type keyed struct {
+type keyedFleet struct {
 	*fleet.Fleet
 	t    *testing.T
 	ctx  context.Context
@@ -25,21 +25,21 @@
 	running, release chan struct{}
 }
 
-func newKeyed(t *testing.T, machines int) *keyed {
+func newKeyedFleet(t *testing.T, machines int) *keyedFleet {
 	t.Helper()
-	size := small()
+	size := smallFleet()
 	size.Machines, size.Backends = machines, nil
-	f, ctx := begin(t, size)
-	must(t, f.Relay())
+	f, ctx := newFleet(t, size)
+	must(t, f.InterposeProxies())
 	must(t, f.Start(ctx))
-	k := &keyed{Fleet: f, t: t, ctx: ctx, running: make(chan struct{}, 9), release: make(chan struct{})}
+	keyed := &keyedFleet{Fleet: f, t: t, ctx: ctx, running: make(chan struct{}, 9), release: make(chan struct{})}
 	b := &fakes.Backend{
 		Instance: "one", Service: "orders", Zone: f.Zone(machines - 1), Capacity: 9, Control: f.Sidecars[machines-1].Control,
-		Ledger: f.Ledger, Client: f.Client, Handle: http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
+		Ledger: f.Ledger, HTTP: f.HTTP, Handle: http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 			io.Copy(io.Discard, q.Body)
-			n := k.runs.Add(1)
-			k.running <- struct{}{}
-			<-k.release
+			n := keyed.runs.Add(1)
+			keyed.running <- struct{}{}
+			<-keyed.release
 			fmt.Fprintf(w, "run %d", n)
 		}),
 	}
@@ -47,17 +47,17 @@
 	f.Backends = append(f.Backends, b)
 	must(t, f.AwaitServing(ctx, 1, 1))
 	for _, p := range f.Sidecars {
-		must(t, p.Ready(ctx))
+		must(t, p.AwaitReady(ctx))
 	}
-	return k
+	return keyed
 }
 
-// ask sends an order under a key; a broken connection counts as status 0.
-func (k *keyed) ask(key, body string) (status int, text string) {
-	req, err := http.NewRequestWithContext(k.ctx, "POST", "http://"+k.Requests(0)+"/orders/1", bytes.NewReader([]byte(body)))
+// sendKeyed sends an order under a key; a broken connection counts as status 0.
+func (k *keyedFleet) sendKeyed(key, body string) (status int, text string) {
+	req, err := http.NewRequestWithContext(k.ctx, "POST", "http://"+k.RequestAddress(0)+"/orders/1", bytes.NewReader([]byte(body)))
 	must(k.t, err)
 	req.Header.Set("Idempotency-Key", key)
-	resp, err := k.Client.Do(req)
+	resp, err := k.HTTP.Do(req)
 	if err != nil {
 		return 0, err.Error()
 	}
@@ -66,18 +66,18 @@
 	return resp.StatusCode, string(b)
 }
 
-// reborn kills the client's sidecar and starts it again.
-func (k *keyed) reborn(others ...*fleet.Program) {
+// restartClientSidecar kills the client's sidecar and starts it again.
+func (k *keyedFleet) restartClientSidecar(others ...*fleet.Program) {
 	k.Kill(others...)
 	k.Kill(k.Sidecars[0])
-	must(k.t, k.Revive(k.Sidecars[0]))
-	must(k.t, k.Sidecars[0].Ready(k.ctx))
+	must(k.t, k.Restart(k.Sidecars[0]))
+	must(k.t, k.Sidecars[0].AwaitReady(k.ctx))
 }
 
 // A key outlives its sidecar: killed after the run and before the answer, alone
 // or together with any one other node, the repeat is not run again; after the
 // answer, the repeat gets that very answer.
-func TestKeyOutlivesItsSidecar(t *testing.T) {
+func TestKeySurvivesItsSidecar(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		lose  int // the node that dies as well; none if 0
@@ -85,12 +85,12 @@
 	}{{"before the answer", 0, false}, {"with one other", 1, false}, {"with another", 2, false}, {"after the answer", 0, true}, {"after, with one other", 1, true}} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			k := newKeyed(t, 4)
+			k := newKeyedFleet(t, 4)
 			first := make(chan string, 1)
 			go func() {
-				status, text := k.ask("a", "x")
+				status, text := k.sendKeyed("a", "x")
 				for status == 503 && k.ctx.Err() == nil && k.runs.Load() == 0 { // its holders were too slow
-					status, text = k.ask("a", "x")
+					status, text = k.sendKeyed("a", "x")
 				}
 				first <- text
 			}()
@@ -106,18 +106,18 @@
 				k.release <- struct{}{}
 				want = <-first
 				// The holders are told of the response after the client was.
-				must(t, k.held(2, 2))
+				must(t, k.awaitReplicated(2, 2))
 			}
 			var others []*fleet.Program
 			if c.lose > 0 {
 				others = k.Sidecars[c.lose : c.lose+1]
 			}
-			k.reborn(others...)
-			status, text := k.ask("a", "x")
+			k.restartClientSidecar(others...)
+			status, text := k.sendKeyed("a", "x")
 			if c.later && (status != 200 || text != want) || !c.later && status != 502 {
 				t.Errorf("the repeat got %d %q, the first %q", status, text, want)
 			}
-			if status, _ := k.ask("a", "another"); status != 422 {
+			if status, _ := k.sendKeyed("a", "another"); status != 422 {
 				t.Errorf("another inquiry under the key got %d", status)
 			}
 			if n := k.runs.Load(); n != 1 {
@@ -128,10 +128,10 @@
 	}
 }
 
-// held waits until the other nodes hold so many claims, and so many responses.
-func (k *keyed) held(claims, responses int) error {
+// awaitReplicated waits until the other nodes hold so many claims, and so many responses.
+func (k *keyedFleet) awaitReplicated(records, responses int) error {
 	return fleet.Await(k.ctx, "claims to be held", func(ctx context.Context) bool {
-		held, settled := 0, 0
+		stored, completed := 0, 0
 		for _, p := range k.Sidecars[1:] {
 			var st struct {
 				Held    int `json:"claims_held"`
@@ -140,91 +140,91 @@
 			if _, err := p.Get(ctx, "/v1/stats", &st); err != nil {
 				return false
 			}
-			held, settled = held+st.Held, settled+st.Settled
+			stored, completed = stored+st.Held, completed+st.Settled
 		}
-		return held == claims && settled == responses
+		return stored == records && completed == responses
 	})
 }
 
 // All sidecars are killed and started again, one after another, and with them all
 // who hold a claim and the one who laid it: it outlives them, since what a holder
 // has lost is entrusted anew.
-func TestKeyOutlivesAllInTurn(t *testing.T) {
+func TestKeySurvivesRollingKills(t *testing.T) {
 	t.Parallel()
-	k := newKeyed(t, 4)
+	k := newKeyedFleet(t, 4)
 	close(k.release)
-	status, first := k.ask("a", "x")
+	status, first := k.sendKeyed("a", "x")
 	if status != 200 {
 		t.Fatalf("the first got %d %s", status, first)
 	}
-	must(t, k.held(2, 2))
+	must(t, k.awaitReplicated(2, 2))
 	for _, i := range []int{3, 2, 1, 0, 1, 2, 3} {
 		k.Kill(k.Sidecars[i])
-		must(t, k.Revive(k.Sidecars[i]))
-		must(t, k.Sidecars[i].Ready(k.ctx))
+		must(t, k.Restart(k.Sidecars[i]))
+		must(t, k.Sidecars[i].AwaitReady(k.ctx))
 	}
-	if status, text := k.ask("a", "x"); status != 200 || text != first || k.runs.Load() != 1 {
+	if status, text := k.sendKeyed("a", "x"); status != 200 || text != first || k.runs.Load() != 1 {
 		t.Errorf("the repeat got %d %q, the first %q; it ran %d times", status, text, first, k.runs.Load())
 	}
 }
 
 // What surely did not run gives its claim up at the holders too; a holder that
 // is silent is replaced by another, and where there is no other, nothing is run.
-func TestHolders(t *testing.T) {
+func TestKeyReplicaSelection(t *testing.T) {
 	t.Parallel()
-	k := newKeyed(t, 4)
+	k := newKeyedFleet(t, 4)
 	close(k.release)
 	must(t, k.Backends[0].Leave(k.ctx))
-	if status, text := k.ask("a", "x"); status != 503 {
+	if status, text := k.sendKeyed("a", "x"); status != 503 {
 		t.Errorf("without a backend: %d %s", status, text)
 	}
 	k.Backends[0].Kill()
-	must(t, k.held(0, 0)) // given up there too, before the sidecar dies
-	k.reborn()
+	must(t, k.awaitReplicated(0, 0)) // given up there too, before the sidecar dies
+	k.restartClientSidecar()
 	b, err := k.StartBackend(3, "orders", "two", 8001)
 	must(t, err)
-	must(t, awaitPage(k.ctx, func(context.Context) bool { status, _ := k.ask("a", "x"); return status == 418 || status == 200 }))
+	must(t, awaitCondition(k.ctx, func(context.Context) bool { status, _ := k.sendKeyed("a", "x"); return status == 418 || status == 200 }))
 	if b.Runs.Load() != 1 {
 		t.Errorf("what had not run was run %d times afterwards", b.Runs.Load())
 	}
 	// Cut off from its client's sidecar only, a holder stays in view.
-	k.Net.Cut([]string{k.Sidecars[0].IP}, []string{k.Sidecars[1].IP})
+	k.Network.PartitionBetween([]string{k.Sidecars[0].IP}, []string{k.Sidecars[1].IP})
 	for i := range 5 {
-		if status, text := k.ask(fmt.Sprint("b", i), "x"); status != 418 && status != 200 {
+		if status, text := k.sendKeyed(fmt.Sprint("b", i), "x"); status != 418 && status != 200 {
 			t.Errorf("with a silent holder: %d %s", status, text)
 		}
 	}
 	before := b.Runs.Load()
-	k.Net.Cut([]string{k.Sidecars[0].IP}, []string{k.Sidecars[1].IP, k.Sidecars[2].IP})
-	if status, text := k.ask("c", "x"); status != 503 {
+	k.Network.PartitionBetween([]string{k.Sidecars[0].IP}, []string{k.Sidecars[1].IP, k.Sidecars[2].IP})
+	if status, text := k.sendKeyed("c", "x"); status != 503 {
 		t.Errorf("with too few holders: %d %s", status, text)
 	}
 	if n := b.Runs.Load(); n != before {
 		t.Errorf("%d were run that nobody held", n-before)
 	}
-	k.Net.Whole()
-	must(t, awaitPage(k.ctx, func(context.Context) bool { status, _ := k.ask("c", "x"); return status == 418 || status == 200 }))
+	k.Network.Heal()
+	must(t, awaitCondition(k.ctx, func(context.Context) bool { status, _ := k.sendKeyed("c", "x"); return status == 418 || status == 200 }))
 }
 
 // Under load from clients that repeat at once, under the same key, whatever was
 // not answered, sidecars are killed one after another: each order runs once.
 func TestKeyedThroughKills(t *testing.T) {
 	t.Parallel()
-	f, ctx := start(t, small())
+	f, ctx := startFleet(t, smallFleet())
 	load, stop := context.WithCancel(ctx)
 	var wg sync.WaitGroup
-	var callers []*fakes.Caller
-	for _, c := range f.Callers() {
+	var callers []*fakes.Client
+	for _, c := range f.Clients() {
 		c.Keyed, c.Rate = true, 30
 		callers = append(callers, c)
 	}
-	wg.Go(func() { f.Load(load, callers...) })
+	wg.Go(func() { f.RunClients(load, callers...) })
 	for range 3 {
 		for i, p := range f.Sidecars {
 			must(t, awaitRuns(ctx, f.Backends[i].Runs.Load, f.Backends[i].Runs.Load()+3))
 			f.Kill(p)
-			must(t, f.Revive(p))
-			must(t, p.Ready(ctx))
+			must(t, f.Restart(p))
+			must(t, p.AwaitReady(ctx))
 			must(t, f.AwaitServing(ctx, 1, len(f.Size.Backends)))
 		}
 	}
@@ -238,5 +238,5 @@
 	if repeats == 0 {
 		t.Error("nothing was repeated")
 	}
-	judge(t, f)
+	checkLedger(t, f)
 }
--- a/tests/e2e/loss_test.go
+++ b/tests/e2e/loss_test.go
@@ -15,11 +15,11 @@
 	"curlewwalk/tests/fleet"
 )
 
-// load has clients on all machines send until the test says stop.
-func load(ctx context.Context, f *fleet.Fleet) (stop func()) {
+// startLoad has clients on all machines send until the test says stop.
+func startLoad(ctx context.Context, f *fleet.Fleet) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	var wg sync.WaitGroup
-	wg.Go(func() { f.Load(ctx, f.Callers()...) })
+	wg.Go(func() { f.RunClients(ctx, f.Clients()...) })
 	return func() {
 		cancel()
 		wg.Wait()
@@ -28,34 +28,34 @@
 
 // Right after each acknowledgement the core that gave it is killed and loses its
 // disk, and another is killed; what is read back is what was acknowledged, or newer.
-func TestAckedThenLost(t *testing.T) {
+func TestAcknowledgedThenDiskLost(t *testing.T) {
 	t.Parallel()
-	f, ctx := start(t, coresOnly(3))
+	f, ctx := startFleet(t, controlPlaneOnly(3))
 	for round := range 4 {
 		i := round % 3
-		lost, other := f.Cores[i], f.Cores[(i+1)%3]
+		lost, other := f.Replicas[i], f.Replicas[(i+1)%3]
 		body := configuration(100 + round)
-		var stamp uint64
+		var revision uint64
 		must(t, fleet.Await(ctx, "a write", func(ctx context.Context) bool {
 			r, err := f.Operate(ctx, lost, "PUT", "/v1/desired", body)
-			stamp = r.Stamp
+			revision = r.Revision
 			return err == nil && r.Status == 200
 		}))
 		f.Kill(lost, other)
 		must(t, os.RemoveAll(filepath.Join(f.Dir, fmt.Sprintf("core-%d", i+1))))
-		must(t, f.Revive(other, lost))
-		for _, p := range f.Cores {
-			must(t, p.Ready(ctx))
+		must(t, f.Restart(other, lost))
+		for _, p := range f.Replicas {
+			must(t, p.AwaitReady(ctx))
 		}
-		for _, p := range f.Cores {
+		for _, p := range f.Replicas {
 			var r fleet.Reply
 			must(t, fleet.Await(ctx, "the reading back", func(ctx context.Context) bool {
 				var err error
 				r, err = f.Operate(ctx, p, "GET", "/v1/desired", nil)
 				return err == nil && r.Status == 200
 			}))
-			if r.Stamp < stamp || !bytes.Equal(r.Body, body) {
-				t.Errorf("round %d: %s reads back stamp %d %q; %d %q was acknowledged", round, p.Name, r.Stamp, r.Body, stamp, body)
+			if r.Revision < revision || !bytes.Equal(r.Body, body) {
+				t.Errorf("round %d: %s reads back stamp %d %q; %d %q was acknowledged", round, p.Name, r.Revision, r.Body, revision, body)
 			}
 		}
 	}
@@ -66,20 +66,20 @@
 // 15 s, and so from all once it has come back.
 func TestZoneLost(t *testing.T) {
 	t.Parallel()
-	size := small()
-	size.Machines, size.Backends = 8, fleet.Repeat(8, "orders", "stock", "surveys", "orders")
-	f, ctx := start(t, size)
-	stop := load(ctx, f)
+	size := smallFleet()
+	size.Machines, size.Backends = 8, fleet.RepeatServices(8, "orders", "stock", "surveys", "orders")
+	f, ctx := startFleet(t, size)
+	stop := startLoad(ctx, f)
 	must(t, awaitRuns(ctx, f.Backends[0].Runs.Load, 5))
-	dead, gone := f.Blackout("north")
-	returns := func(machines ...int) {
+	programs, backends := f.PowerOffZone("north")
+	expectRecovery := func(machines ...int) {
 		t.Helper()
 		begin := time.Now()
 		for _, i := range machines {
-			must(t, serves(ctx, f, i))
+			must(t, awaitServed(ctx, f, i))
 		}
 		must(t, fleet.Await(ctx, "a write", func(ctx context.Context) bool {
-			r, err := f.Operate(ctx, f.Cores[2], "PUT", "/v1/desired", f.Configuration())
+			r, err := f.Operate(ctx, f.Replicas[2], "PUT", "/v1/desired", f.Configuration())
 			return err == nil && r.Status == 200
 		}))
 		if took := time.Since(begin); took > 15*time.Second {
@@ -88,23 +88,23 @@
 			t.Logf("back after %v", took.Round(time.Millisecond))
 		}
 	}
-	returns(1, 2, 3, 5, 6, 7)
-	must(t, f.Revive(dead...))
-	for i, b := range gone {
+	expectRecovery(1, 2, 3, 5, 6, 7)
+	must(t, f.Restart(programs...))
+	for i, b := range backends {
 		_, err := f.StartBackend(4*i, b.Service, b.Instance+"-again", 8100)
 		must(t, err)
 	}
-	returns(0, 1, 2, 3, 4, 5, 6, 7)
+	expectRecovery(0, 1, 2, 3, 4, 5, 6, 7)
 	stop()
-	judge(t, f)
+	checkLedger(t, f)
 }
 
 // One backend after the other is replaced under load, the new one cold: nothing is
 // dropped, and none gets more than it can bear.
 func TestReplacedOneByOne(t *testing.T) {
 	t.Parallel()
-	f, ctx := start(t, small())
-	stop := load(ctx, f)
+	f, ctx := startFleet(t, smallFleet())
+	stop := startLoad(ctx, f)
 	for i, old := range f.Backends[:4] {
 		b, err := f.StartBackendOn(fmt.Sprintf("%s:%d", f.Site.IP(i), 8200), i, old.Service, old.Instance+"-new", 0.4)
 		must(t, err)
@@ -120,21 +120,21 @@
 			_, err := f.Sidecars[i].Get(ctx, "/v1/backends", &page)
 			return err == nil && old.Open() == 0 && slices.Contains(page, entry{old.Instance, 0})
 		}))
-		left := old.Runs.Load()
+		runsAtLeaving := old.Runs.Load()
 		must(t, awaitRuns(ctx, b.Runs.Load, b.Runs.Load()+5))
-		if n := old.Runs.Load() - left; n > 0 {
+		if n := old.Runs.Load() - runsAtLeaving; n > 0 {
 			t.Errorf("%s ran %d more after it had left", old.Instance, n)
 		}
 		old.Kill()
 	}
 	stop()
 	for _, b := range f.Backends[4:] {
-		if bear := 0.4 * float64(b.Capacity); float64(b.Peak.Load()) > 1.5*bear {
-			t.Errorf("%s ran %d at a time and can bear %.1f", b.Instance, b.Peak.Load(), bear)
+		if capacity := 0.4 * float64(b.Capacity); float64(b.Peak.Load()) > 1.5*capacity {
+			t.Errorf("%s ran %d at a time and can bear %.1f", b.Instance, b.Peak.Load(), capacity)
 		}
 	}
-	if v := judge(t, f); v.Cut > 0 || v.Lost > 0 {
-		t.Errorf("%d were dropped and %d lost", v.Cut, v.Lost)
+	if v := checkLedger(t, f); v.Interrupted > 0 || v.LostEarly > 0 {
+		t.Errorf("%d were dropped and %d lost", v.Interrupted, v.LostEarly)
 	}
 }
 
@@ -143,16 +143,16 @@
 // their bound.
 func TestGarbledUnderLoad(t *testing.T) {
 	t.Parallel()
-	f, ctx := start(t, small())
+	f, ctx := startFleet(t, smallFleet())
 	for _, b := range f.Backends {
-		b.Garble.Store(20)
+		b.GarblePercent.Store(20)
 	}
-	stop := load(ctx, f)
+	stop := startLoad(ctx, f)
 	for _, b := range f.Backends {
 		must(t, awaitRuns(ctx, b.Runs.Load, 40))
 	}
 	stop()
-	if v := judge(t, f); v.Unknown == 0 {
+	if v := checkLedger(t, f); v.Unknown == 0 {
 		t.Error("no answer was lost")
 	}
 }
@@ -162,30 +162,30 @@
 // was promised not to.
 func TestFrozenWithRequests(t *testing.T) {
 	t.Parallel()
-	f, ctx := start(t, small())
-	stop := load(ctx, f)
+	f, ctx := startFleet(t, smallFleet())
+	stop := startLoad(ctx, f)
 	for range 2 {
 		must(t, fleet.Await(ctx, "inquiries at the backend", func(context.Context) bool { return f.Backends[3].Open() > 0 }))
 		f.Sidecars[3].Signal(syscall.SIGSTOP)
 		frozen := time.Now()
-		must(t, serves(ctx, f, 0))
+		must(t, awaitServed(ctx, f, 0))
 		must(t, fleet.Await(ctx, "4 s to pass", func(context.Context) bool { return time.Since(frozen) > 4*time.Second }))
 		f.Sidecars[3].Signal(syscall.SIGCONT)
 		must(t, awaitRuns(ctx, f.Backends[3].Runs.Load, f.Backends[3].Runs.Load()+5))
-		must(t, serves(ctx, f, 3))
+		must(t, awaitServed(ctx, f, 3))
 	}
 	stop()
-	judge(t, f)
+	checkLedger(t, f)
 }
 
 // In a zone whose backends have become thirty times slower, contracts that would
 // be late go elsewhere, and what was learned can be read.
 func TestSlowZone(t *testing.T) {
 	t.Parallel()
-	size := small()
-	size.Slow = map[string]float64{"west": 30}
-	f, ctx := start(t, size)
-	stop := load(ctx, f)
+	size := smallFleet()
+	size.SlowFactor = map[string]float64{"west": 30}
+	f, ctx := startFleet(t, size)
+	stop := startLoad(ctx, f)
 	must(t, awaitRuns(ctx, f.Backends[0].Runs.Load, 150))
 	stop()
 	quick, slow := f.Backends[0].Runs.Load(), f.Backends[3].Runs.Load()
@@ -209,5 +209,5 @@
 	if half["orders-3"] < 2*half["orders-0"] || half["orders-0"] == 0 {
 		t.Errorf("learned: %v", half)
 	}
-	judge(t, f)
+	checkLedger(t, f)
 }
--- a/tests/e2e/main_test.go
+++ b/tests/e2e/main_test.go
@@ -13,35 +13,35 @@
 	"curlewwalk/tests/ledger"
 )
 
-var bin fleet.Binaries
+var binaries fleet.Binaries
 
 func TestMain(m *testing.M) {
 	var err error
-	if bin, err = fleet.Build(); err != nil {
+	if binaries, err = fleet.Build(); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
 	code := m.Run()
-	bin.Remove()
+	binaries.Remove()
 	os.Exit(code)
 }
 
-// limit is how long a test may wait for what it waits for. It is no measure.
-const limit = 40 * time.Second
+// testTimeout is how long a test may wait for what it waits for. It is no measure.
+const testTimeout = 40 * time.Second
 
-// begin lays a fleet out; it is not started yet.
-func begin(t *testing.T, size fleet.Size) (*fleet.Fleet, context.Context) {
+// newFleet lays a fleet out; it is not started yet.
+func newFleet(t *testing.T, size fleet.Size) (*fleet.Fleet, context.Context) {
 	t.Helper()
-	f, err := fleet.New(size, bin)
+	f, err := fleet.New(size, binaries)
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(func() {
 		cancel()
 		f.Close()
-		for _, p := range append(f.Sidecars, f.Cores...) {
-			if said := p.Said(); strings.Contains(said, "DATA RACE") || strings.Contains(said, "broken invariant") {
+		for _, p := range append(f.Sidecars, f.Replicas...) {
+			if said := p.Stderr(); strings.Contains(said, "DATA RACE") || strings.Contains(said, "broken invariant") {
 				t.Errorf("%s said: %s", p.Name, said)
 			}
 		}
@@ -49,10 +49,10 @@
 	return f, ctx
 }
 
-// start starts a fleet of a size.
-func start(t *testing.T, size fleet.Size) (*fleet.Fleet, context.Context) {
+// startFleet starts a fleet of a size.
+func startFleet(t *testing.T, size fleet.Size) (*fleet.Fleet, context.Context) {
 	t.Helper()
-	f, ctx := begin(t, size)
+	f, ctx := newFleet(t, size)
 	must(t, f.Start(ctx))
 	return f, ctx
 }
@@ -64,19 +64,19 @@
 	}
 }
 
-// small is a fleet for tests that need no full size.
-func small() fleet.Size {
+// smallFleet is a fleet for tests that need no full size.
+func smallFleet() fleet.Size {
 	s := fleet.Association()
 	s.Name, s.Machines, s.Backends = "small", 4, []string{"orders", "stock", "surveys", "orders"}
 	s.Rate = 60
 	return s
 }
 
-// judge fails the test on anything that must never happen.
-func judge(t *testing.T, f *fleet.Fleet) ledger.Verdict {
+// checkLedger fails the test on anything that must never happen.
+func checkLedger(t *testing.T, f *fleet.Fleet) ledger.Verdict {
 	t.Helper()
 	v := f.Ledger.Judge()
-	for i, b := range v.Broken {
+	for i, b := range v.Breaches {
 		if i < 10 {
 			t.Error("must never happen: ", b)
 		}
@@ -84,9 +84,9 @@
 	if v.Good == 0 {
 		t.Error("nothing was answered")
 	}
-	for _, cut := range v.Cuts[:min(len(v.Cuts), 10)] {
-		t.Log("got no answer: ", cut)
+	for _, interruption := range v.Interruptions[:min(len(v.Interruptions), 10)] {
+		t.Log("got no answer: ", interruption)
 	}
-	t.Logf("sent %d, ran %d, good %d, not-run %d, unknown %d, cut %d, broken %d", v.Sent, v.Ran, v.Good, v.NotRun, v.Unknown, v.Cut, len(v.Broken))
+	t.Logf("sent %d, ran %d, good %d, not-run %d, unknown %d, cut %d, broken %d", v.Sent, v.Ran, v.Good, v.NotRun, v.Unknown, v.Interrupted, len(v.Breaches))
 	return v
 }
--- a/tests/e2e/window_test.go
+++ b/tests/e2e/maintenance_test.go
@@ -26,10 +26,10 @@
 	return []byte(strings.ReplaceAll(text+"END:VCALENDAR\n", "\n", "\r\n"))
 }
 
-// emptied reads which zones are emptied.
-func emptied(ctx context.Context, f *fleet.Fleet, core *fleet.Program) []string {
+// evacuatedZones reads which zones are emptied.
+func evacuatedZones(ctx context.Context, f *fleet.Fleet, replica *fleet.Program) []string {
 	var got struct{ Emptied []string }
-	r, err := f.Operate(ctx, core, "GET", "/v1/localities", nil)
+	r, err := f.Operate(ctx, replica, "GET", "/v1/localities", nil)
 	if err != nil || r.Status != 200 || json.Unmarshal(r.Body, &got) != nil {
 		return []string{"not known"}
 	}
@@ -40,24 +40,24 @@
 // and with the wall clock of the core on duty hours off. An operator's own
 // emptying stays after a window's end; a zone that an operator takes back
 // during a window is not emptied again by it. A bad file changes nothing.
-func TestWindows(t *testing.T) {
+func TestMaintenanceWindows(t *testing.T) {
 	t.Parallel()
-	f, ctx := start(t, small())
-	shows := func(core int, want ...string) {
+	f, ctx := startFleet(t, smallFleet())
+	expectEvacuated := func(replica int, want ...string) {
 		t.Helper()
 		var got []string
 		err := fleet.Await(ctx, "emptied localities", func(ctx context.Context) bool {
-			got = emptied(ctx, f, f.Cores[core])
+			got = evacuatedZones(ctx, f, f.Replicas[replica])
 			return slices.Equal(got, want)
 		})
 		if err != nil {
 			t.Fatalf("emptied are %v, want %v", got, want)
 		}
 	}
-	must(t, f.Jump(f.Cores[0], 6*time.Hour)) // it is on duty
-	operate := func(core int, method, path string, body []byte, status int) fleet.Reply {
+	must(t, f.JumpClock(f.Replicas[0], 6*time.Hour)) // it is on duty
+	operate := func(replica int, method, path string, body []byte, status int) fleet.Reply {
 		t.Helper()
-		r, err := f.Operate(ctx, f.Cores[core], method, path, body)
+		r, err := f.Operate(ctx, f.Replicas[replica], method, path, body)
 		must(t, err)
 		if r.Status != status {
 			t.Fatalf("%s %s: %d %s", method, path, r.Status, r.Body)
@@ -68,28 +68,28 @@
 	if r := operate(1, "PUT", "/v1/windows", []byte("BEGIN:VCALENDAR\r\nnonsense\r\n"), 422); !strings.Contains(string(r.Body), `"line 2"`) {
 		t.Errorf("a bad file: %s", r.Body)
 	}
-	shows(1, "east", "south", "west")
+	expectEvacuated(1, "east", "south", "west")
 	operate(1, "PUT", "/v1/localities/west/emptied", nil, 200)
 	operate(1, "DELETE", "/v1/localities/south/emptied", nil, 200)
-	f.Kill(f.Cores[0]) // another takes the duty
-	shows(1, "east", "west")
-	shows(1, "west") // the window is over, the operator's own word is not
+	f.Kill(f.Replicas[0]) // another takes the duty
+	expectEvacuated(1, "east", "west")
+	expectEvacuated(1, "west") // the window is over, the operator's own word is not
 	var got struct {
 		Stamp uint64
 		Noted []any
 	}
-	must(t, awaitPage(ctx, func(ctx context.Context) bool {
-		status, err := f.Cores[2].Get(ctx, "/v1/windows", &got)
+	must(t, awaitCondition(ctx, func(ctx context.Context) bool {
+		status, err := f.Replicas[2].Get(ctx, "/v1/windows", &got)
 		return err == nil && status == http.StatusOK && len(got.Noted) == 0
 	}))
-	if got.Stamp != put.Stamp {
-		t.Errorf("the calendar is of stamp %d, put under %d", got.Stamp, put.Stamp)
+	if got.Stamp != put.Revision {
+		t.Errorf("the calendar is of stamp %d, put under %d", got.Stamp, put.Revision)
 	}
 	operate(1, "DELETE", "/v1/localities/west/emptied", nil, 200)
-	shows(2)
+	expectEvacuated(2)
 	// begun and ended three windows, one more order each for west, south and west
-	if r := operate(1, "DELETE", "/v1/windows", nil, 200); r.Stamp != put.Stamp+3+3+3+1 {
-		t.Errorf("%d orders were carried out, want %d", r.Stamp-put.Stamp, 10)
+	if r := operate(1, "DELETE", "/v1/windows", nil, 200); r.Revision != put.Revision+3+3+3+1 {
+		t.Errorf("%d orders were carried out, want %d", r.Revision-put.Revision, 10)
 	}
 }
 
@@ -98,29 +98,29 @@
 // and a sidecar dies: nothing that must never happen does.
 func TestClocksJump(t *testing.T) {
 	t.Parallel()
-	f, ctx := start(t, small())
-	stop := load(ctx, f)
-	for i, by := range []time.Duration{5 * time.Hour, -30 * time.Hour, time.Second, -time.Hour, 9000 * time.Hour} {
-		must(t, f.Jump(f.Cores[i%3], by))
-		must(t, f.Jump(f.Sidecars[i%4], -by))
-		stamp, err := f.Put(ctx, i%3, f.Configuration())
+	f, ctx := startFleet(t, smallFleet())
+	stop := startLoad(ctx, f)
+	for i, offset := range []time.Duration{5 * time.Hour, -30 * time.Hour, time.Second, -time.Hour, 9000 * time.Hour} {
+		must(t, f.JumpClock(f.Replicas[i%3], offset))
+		must(t, f.JumpClock(f.Sidecars[i%4], -offset))
+		revision, err := f.PutConfiguration(ctx, i%3, f.Configuration())
 		must(t, err)
 		begin := time.Now()
-		must(t, f.AwaitServing(ctx, stamp, len(f.Size.Backends)))
+		must(t, f.AwaitServing(ctx, revision, len(f.Size.Backends)))
 		if took := time.Since(begin); took > 2*time.Second {
 			t.Errorf("in force only after %v", took)
 		}
 		must(t, awaitRuns(ctx, f.Backends[i%4].Runs.Load, f.Backends[i%4].Runs.Load()+5))
 	}
-	_, err := f.Empty(ctx, f.Cores[1], "west")
+	_, err := f.EvacuateZone(ctx, f.Replicas[1], "west")
 	must(t, err)
-	must(t, f.Jump(f.Sidecars[3], 50*time.Hour))
+	must(t, f.JumpClock(f.Sidecars[3], 50*time.Hour))
 	f.Kill(f.Sidecars[2])
-	must(t, f.Revive(f.Sidecars[2]))
-	must(t, serves(ctx, f, 2))
-	must(t, serves(ctx, f, 3))
-	_, err = f.TakeBack(ctx, f.Cores[2], "west")
+	must(t, f.Restart(f.Sidecars[2]))
+	must(t, awaitServed(ctx, f, 2))
+	must(t, awaitServed(ctx, f, 3))
+	_, err = f.RestoreZone(ctx, f.Replicas[2], "west")
 	must(t, err)
 	stop()
-	judge(t, f)
+	checkLedger(t, f)
 }
--- a/tests/e2e/metrics_test.go
+++ b/tests/e2e/metrics_test.go
@@ -20,7 +20,7 @@
 // families scrapes a program as Prometheus does.
 func (r *rig) families(control string) map[string]*dto.MetricFamily {
 	r.t.Helper()
-	resp, err := r.Client.Get("http://" + control + "/metrics")
+	resp, err := r.HTTP.Get("http://" + control + "/metrics")
 	must(r.t, err)
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
@@ -31,18 +31,18 @@
 	return got
 }
 
-// value is the sample of a family that has all the labels, given as name and
+// sampleValue is the sample of a family that has all the labels, given as name and
 // value in turn.
-func value(family *dto.MetricFamily, labels ...string) (v float64, found bool) {
+func sampleValue(family *dto.MetricFamily, labels ...string) (v float64, found bool) {
 	for _, m := range family.GetMetric() {
-		if has(m, labels) {
+		if hasLabels(m, labels) {
 			return m.GetCounter().GetValue() + m.GetGauge().GetValue(), true
 		}
 	}
 	return 0, false
 }
 
-func has(m *dto.Metric, labels []string) bool {
+func hasLabels(m *dto.Metric, labels []string) bool {
 	for i := 0; i+1 < len(labels); i += 2 {
 		if !slices.ContainsFunc(m.GetLabel(), func(l *dto.LabelPair) bool { return l.GetName() == labels[i] && l.GetValue() == labels[i+1] }) {
 			return false
@@ -61,11 +61,11 @@
 	}
 	r.send("POST", "/once/a", "", "Idempotency-Key", "k")
 	r.send("GET", "/nowhere", "")
-	_, err := r.Operate(r.ctx, r.Cores[0], "GET", "/v1/desired", nil)
+	_, err := r.Operate(r.ctx, r.Replicas[0], "GET", "/v1/desired", nil)
 	must(t, err)
 
 	caller, callee := r.families(r.Sidecars[0].Control), r.families(r.Sidecars[1].Control)
-	core := r.families(r.Cores[0].Control)
+	core := r.families(r.Replicas[0].Control)
 	for _, want := range []struct {
 		in     map[string]*dto.MetricFamily
 		name   string
@@ -95,28 +95,28 @@
 		{core, "sidecars_known", 2, nil},
 		{core, "feed_ready", 1, nil},
 	} {
-		if got, found := value(want.in["curlewwalk_"+want.name], want.labels...); !found || got != want.value {
+		if got, found := sampleValue(want.in["curlewwalk_"+want.name], want.labels...); !found || got != want.value {
 			t.Errorf("%s %v is %v (found: %v), not %v", want.name, want.labels, got, found, want.value)
 		}
 	}
-	if got, _ := value(caller["curlewwalk_retry_budget"], "service", "desk"); got <= 0 {
+	if got, _ := sampleValue(caller["curlewwalk_retry_budget"], "service", "desk"); got <= 0 {
 		t.Errorf("the retry budget is %v after three requests", got)
 	}
-	if got, found := value(caller["curlewwalk_lease_age_seconds"]); !found || got < 0 || got > 4*time.Second.Seconds() {
+	if got, found := sampleValue(caller["curlewwalk_lease_age_seconds"]); !found || got < 0 || got > 4*time.Second.Seconds() {
 		t.Errorf("the lease is %v s old (found: %v)", got, found)
 	}
 	for in, kind := range map[*map[string]*dto.MetricFamily]string{&caller: "leg", &callee: "hail", &core: "hail"} {
-		if got, _ := value((*in)["curlewwalk_wire_bytes_total"], "kind", kind); got <= 0 {
+		if got, _ := sampleValue((*in)["curlewwalk_wire_bytes_total"], "kind", kind); got <= 0 {
 			t.Errorf("no bytes of kind %s", kind)
 		}
 	}
-	agree(t, caller, "sidecar")
-	agree(t, core, "core")
+	checkDocumented(t, caller, "sidecar")
+	checkDocumented(t, core, "core")
 }
 
-// agree compares a program's own metrics with the table, and has their names and
+// checkDocumented compares a program's own metrics with the table, and has their names and
 // types linted.
-func agree(t *testing.T, got map[string]*dto.MetricFamily, program string) {
+func checkDocumented(t *testing.T, got map[string]*dto.MetricFamily, program string) {
 	t.Helper()
 	page, err := os.ReadFile("../../docs/OPERATING.md")
 	must(t, err)
--- a/tests/e2e/overload_test.go
+++ b/tests/e2e/overload_test.go
@@ -15,29 +15,29 @@
 
 // Under overload, with clients that ask again at once, the higher rank keeps
 // its service and the lower one gives way; nothing else goes wrong.
-func TestOverloadByRank(t *testing.T) {
+func TestOverloadByPriority(t *testing.T) {
 	t.Parallel()
-	size := small()
+	size := smallFleet()
 	size.Capacity, size.Rate = 1, 160
-	f, ctx := start(t, size)
+	f, ctx := startFleet(t, size)
 	load, stop := context.WithTimeout(ctx, 4*time.Second)
 	defer stop()
 	var mu sync.Mutex
 	sent, good := map[int]int{}, map[int]int{}
-	callers := f.Callers()
+	callers := f.Clients()
 	for _, c := range callers {
-		c.Retry = 2
-		c.Saw = func(p fakes.Plan, a ledger.Answered, _ time.Duration) {
+		c.Retries = 2
+		c.OnAnswer = func(p fakes.RequestPlan, a ledger.Answered, _ time.Duration) {
 			mu.Lock()
 			defer mu.Unlock()
-			sent[p.Rank]++
+			sent[p.Priority]++
 			if a.Status == http.StatusOK {
-				good[p.Rank]++
+				good[p.Priority]++
 			}
 		}
 	}
-	f.Load(load, callers...)
-	judge(t, f)
+	f.RunClients(load, callers...)
+	checkLedger(t, f)
 	t.Logf("good by rank: %v of %v", good, sent)
 	first, second := float64(good[1])/float64(sent[1]), float64(good[2])/float64(sent[2])
 	if first <= second || good[2] == sent[2] {
@@ -48,14 +48,14 @@
 // A cold backend that is the only one, with everybody coming at once, never
 // gets more than one and a half times what it can bear; so also when its
 // sidecar was killed and started again.
-func TestColdBackend(t *testing.T) {
+func TestSlowStartLimit(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
 	started := time.Now()
 	var open, peak atomic.Int64
 	b := &fakes.Backend{
-		Instance: "cold", Service: "desk", Zone: r.Zone(1), Capacity: 10, Share: 0.4, Control: r.Sidecars[1].Control,
-		Ledger: r.Ledger, Client: r.Client, Handle: http.HandlerFunc(func(_ http.ResponseWriter, _ *http.Request) {
+		Instance: "cold", Service: "desk", Zone: r.Zone(1), Capacity: 10, Warmth: 0.4, Control: r.Sidecars[1].Control,
+		Ledger: r.Ledger, HTTP: r.HTTP, Handle: http.HandlerFunc(func(_ http.ResponseWriter, _ *http.Request) {
 			n := open.Add(1)
 			defer open.Add(-1)
 			for old := peak.Load(); n > old && !peak.CompareAndSwap(old, n); old = peak.Load() {
--- a/tests/e2e/cut_test.go
+++ b/tests/e2e/partition_test.go
@@ -14,72 +14,72 @@
 // The core on duty is cut off together with a machine: the others go on, the
 // part that is cut off acknowledges nothing, and once the network is whole the
 // newest word is in force everywhere.
-func TestSplitCore(t *testing.T) {
-	f, ctx := begin(t, small())
-	must(t, f.Relay())
+func TestPartitionedControlPlane(t *testing.T) {
+	f, ctx := newFleet(t, smallFleet())
+	must(t, f.InterposeProxies())
 	must(t, f.Start(ctx))
-	f.Net.Split(f.Cores[0].IP, f.Sidecars[0].IP)
-	var stamp uint64
+	f.Network.Partition(f.Replicas[0].IP, f.Sidecars[0].IP)
+	var revision uint64
 	must(t, fleet.Await(ctx, "a write beside the cut", func(ctx context.Context) bool {
-		r, err := f.Operate(ctx, f.Cores[1], "PUT", "/v1/desired", f.Configuration())
-		stamp = r.Stamp
+		r, err := f.Operate(ctx, f.Replicas[1], "PUT", "/v1/desired", f.Configuration())
+		revision = r.Revision
 		return err == nil && r.Status == 200
 	}))
-	r, err := f.Operate(ctx, f.Cores[0], "PUT", "/v1/desired", configuration(9))
+	r, err := f.Operate(ctx, f.Replicas[0], "PUT", "/v1/desired", configuration(9))
 	must(t, err)
 	if r.Status != 503 {
 		t.Errorf("the part that is cut off took a write: %d %s", r.Status, r.Body)
 	}
-	if r, err = f.Operate(ctx, f.Cores[0], "GET", "/v1/desired", nil); err != nil || r.Status != 503 {
+	if r, err = f.Operate(ctx, f.Replicas[0], "GET", "/v1/desired", nil); err != nil || r.Status != 503 {
 		t.Errorf("the part that is cut off was read: %d %v", r.Status, err)
 	}
 	for _, p := range f.Sidecars[1:] {
 		must(t, fleet.Await(ctx, "the word beside the cut", func(ctx context.Context) bool {
-			s, err := f.Stamp(ctx, p)
-			return err == nil && s >= stamp
+			s, err := f.Revision(ctx, p)
+			return err == nil && s >= revision
 		}))
 	}
-	f.Net.Whole()
-	mended := time.Now()
-	must(t, f.AwaitServing(ctx, stamp, len(f.Size.Backends)))
-	t.Logf("in force everywhere %v after the network was whole", time.Since(mended).Round(time.Millisecond))
-	r, err = f.Operate(ctx, f.Cores[0], "GET", "/v1/desired", nil)
+	f.Network.Heal()
+	healed := time.Now()
+	must(t, f.AwaitServing(ctx, revision, len(f.Size.Backends)))
+	t.Logf("in force everywhere %v after the network was whole", time.Since(healed).Round(time.Millisecond))
+	r, err = f.Operate(ctx, f.Replicas[0], "GET", "/v1/desired", nil)
 	must(t, err)
-	if r.Stamp < stamp || r.Stamp == stamp && !bytes.Equal(r.Body, f.Configuration()) {
-		t.Errorf("read back stamp %d after %d was acknowledged", r.Stamp, stamp)
+	if r.Revision < revision || r.Revision == revision && !bytes.Equal(r.Body, f.Configuration()) {
+		t.Errorf("read back stamp %d after %d was acknowledged", r.Revision, revision)
 	}
 }
 
 // Every process of the system dies at once and comes back: backends and nodes
 // are told again, the word comes from the disks, and service returns.
-func TestHerd(t *testing.T) {
-	f, ctx := start(t, small())
-	stop := load(ctx, f)
+func TestMassRestart(t *testing.T) {
+	f, ctx := startFleet(t, smallFleet())
+	stop := startLoad(ctx, f)
 	must(t, awaitRuns(ctx, f.Backends[0].Runs.Load, 10))
-	var herd sync.WaitGroup
+	var killed sync.WaitGroup
 	for _, p := range f.Programs() {
-		herd.Go(p.Kill)
+		killed.Go(p.Kill)
 	}
-	herd.Wait()
+	killed.Wait()
 	begin := time.Now()
 	phase := func(name string) { t.Logf("%6v %s", time.Since(begin).Round(time.Millisecond), name) }
 	for _, p := range f.Programs() {
 		must(t, p.Start())
 	}
 	phase("all processes have their addresses")
-	for _, p := range f.Cores {
-		must(t, p.Ready(ctx))
+	for _, p := range f.Replicas {
+		must(t, p.AwaitReady(ctx))
 	}
 	phase("the cores have their seats and have listened to all nodes")
 	must(t, f.AwaitServing(ctx, 1, len(f.Size.Backends)))
 	phase("every sidecar has the word, the nodes and the backends")
 	for i := range f.Sidecars {
-		must(t, serves(ctx, f, i))
+		must(t, awaitServed(ctx, f, i))
 	}
 	took := time.Since(begin)
 	phase("every kind of inquiry is served from every machine")
 	for _, p := range f.Sidecars {
-		must(t, p.Ready(ctx))
+		must(t, p.AwaitReady(ctx))
 	}
 	phase("every sidecar is ready: keys handed over, time given to their holders")
 	before := f.Backends[0].Runs.Load()
@@ -88,23 +88,23 @@
 	if took > 15*time.Second {
 		t.Errorf("service returned only after %v", took)
 	}
-	judge(t, f)
+	checkLedger(t, f)
 }
 
 // A machine that nobody reaches, whose zone is emptied: its sidecar, which
 // can't have heard, admits nothing once 5 s have passed; nor does one that is
 // frozen over that time and woken with requests piled up. Taken back and
 // reached again, it serves.
-func TestEmptiedUnheard(t *testing.T) {
-	for name, hide := range map[string]func(f *fleet.Fleet) (back func()){
+func TestEvacuationOfUnreachableZone(t *testing.T) {
+	for name, hide := range map[string]func(f *fleet.Fleet) (restore func()){
 		"cut off": func(f *fleet.Fleet) func() {
-			f.Net.Split(f.Sidecars[3].IP)
-			return f.Net.Whole
+			f.Network.Partition(f.Sidecars[3].IP)
+			return f.Network.Heal
 		},
 		// The core on its side answers, but can't be sure.
 		"cut off with a core": func(f *fleet.Fleet) func() {
-			f.Net.Split(f.Sidecars[3].IP, f.Cores[2].IP)
-			return f.Net.Whole
+			f.Network.Partition(f.Sidecars[3].IP, f.Replicas[2].IP)
+			return f.Network.Heal
 		},
 		"frozen": func(f *fleet.Fleet) func() {
 			f.Sidecars[3].Signal(syscall.SIGSTOP)
@@ -113,108 +113,108 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			f, ctx := begin(t, small())
-			must(t, f.Relay())
+			f, ctx := newFleet(t, smallFleet())
+			must(t, f.InterposeProxies())
 			must(t, f.Start(ctx))
-			stop := load(ctx, f)
+			stop := startLoad(ctx, f)
 			must(t, awaitRuns(ctx, f.Backends[3].Runs.Load, 5))
-			back := hide(f)
-			emptied := time.Now()
-			r, err := f.Empty(ctx, f.Cores[0], "west")
+			restore := hide(f)
+			evacuated := time.Now()
+			r, err := f.EvacuateZone(ctx, f.Replicas[0], "west")
 			must(t, err)
-			must(t, fleet.Await(ctx, "7 s to pass", func(context.Context) bool { return time.Since(emptied) > 7*time.Second }))
-			back()
+			must(t, fleet.Await(ctx, "7 s to pass", func(context.Context) bool { return time.Since(evacuated) > 7*time.Second }))
+			restore()
 			must(t, fleet.Await(ctx, "the word to be heard", func(ctx context.Context) bool {
-				s, err := f.Stamp(ctx, f.Sidecars[3])
-				return err == nil && s >= r.Stamp
+				s, err := f.Revision(ctx, f.Sidecars[3])
+				return err == nil && s >= r.Revision
 			}))
-			_, err = f.TakeBack(ctx, f.Cores[0], "west")
+			_, err = f.RestoreZone(ctx, f.Replicas[0], "west")
 			must(t, err)
 			must(t, awaitRuns(ctx, f.Backends[3].Runs.Load, f.Backends[3].Runs.Load()+5))
 			stop()
-			judge(t, f)
+			checkLedger(t, f)
 		})
 	}
 }
 
 // With every core dead, which each sidecar can tell from a cut, traffic runs
 // on beyond the time of a claim.
-func TestAllCoresDead(t *testing.T) {
+func TestAllReplicasDead(t *testing.T) {
 	t.Parallel()
-	f, ctx := start(t, small())
-	for _, p := range f.Cores {
+	f, ctx := startFleet(t, smallFleet())
+	for _, p := range f.Replicas {
 		p.Kill()
 	}
 	dead := time.Now()
-	c := f.NewCaller(0, 1)
+	c := f.NewClient(0, 1)
 	for time.Since(dead) < 6*time.Second {
-		if a := c.Once(ctx, c.Pick()); a.Status != 200 || a.Outcome != "" {
+		if a := c.SendOne(ctx, c.PickPlan()); a.Status != 200 || a.Outcome != "" {
 			t.Fatalf("%v after the cores had died: %+v", time.Since(dead), a)
 		}
 	}
-	judge(t, f)
+	checkLedger(t, f)
 }
 
 // An emptying is acknowledged and all cores lose power at once, while a machine
 // of that zone is cut off from them: reached again, by sidecars that know of
 // the word and by cores' machines that refuse, it hears of it before it admits.
-func TestEmptiedThenCoresDie(t *testing.T) {
+func TestEvacuationThenReplicasDie(t *testing.T) {
 	t.Parallel()
-	f, ctx := begin(t, small())
-	must(t, f.Relay())
+	f, ctx := newFleet(t, smallFleet())
+	must(t, f.InterposeProxies())
 	must(t, f.Start(ctx))
-	stop := load(ctx, f)
+	stop := startLoad(ctx, f)
 	must(t, awaitRuns(ctx, f.Backends[3].Runs.Load, 5))
-	f.Net.Cut([]string{f.Sidecars[3].IP}, f.CoreIPs())
-	emptied := time.Now()
-	r, err := f.Empty(ctx, f.Cores[1], "west")
+	f.Network.PartitionBetween([]string{f.Sidecars[3].IP}, f.ReplicaIPs())
+	evacuated := time.Now()
+	r, err := f.EvacuateZone(ctx, f.Replicas[1], "west")
 	must(t, err)
-	f.PowerOff(f.Cores...)
+	f.PowerOff(f.Replicas...)
 	if !bytes.Contains(r.Body, []byte(`"in_force": false`)) || !bytes.Contains(r.Body, []byte(f.Sidecars[3].IP)) {
 		t.Errorf("the receipt does not tell who is behind: %s", r.Body)
 	}
-	f.Net.Whole()
-	must(t, fleet.Await(ctx, "8 s to pass", func(context.Context) bool { return time.Since(emptied) > 8*time.Second }))
+	f.Network.Heal()
+	must(t, fleet.Await(ctx, "8 s to pass", func(context.Context) bool { return time.Since(evacuated) > 8*time.Second }))
 	must(t, fleet.Await(ctx, "the word to be heard without cores", func(ctx context.Context) bool {
-		s, err := f.Stamp(ctx, f.Sidecars[3])
-		return err == nil && s >= r.Stamp
+		s, err := f.Revision(ctx, f.Sidecars[3])
+		return err == nil && s >= r.Revision
 	}))
 	// It serves its own clients by the other zones.
-	must(t, serves(ctx, f, 3))
+	must(t, awaitServed(ctx, f, 3))
 	stop()
-	judge(t, f)
+	checkLedger(t, f)
 }
 
 // A sidecar that starts while all cores are dead gets configuration, nodes and
 // the right to admit from the other sidecars; its own backends are known to them.
-func TestStartWithoutCores(t *testing.T) {
+func TestStartWithoutControlPlane(t *testing.T) {
 	t.Parallel()
-	f, ctx := start(t, small())
-	f.Kill(f.Cores...)
+	f, ctx := startFleet(t, smallFleet())
+	f.Kill(f.Replicas...)
 	f.Kill(f.Sidecars[1], f.Sidecars[3])
-	must(t, f.Revive(f.Sidecars[3]))
-	must(t, f.Sidecars[3].Ready(ctx))
-	must(t, serves(ctx, f, 3))
-	must(t, f.Revive(f.Sidecars[1]))
-	must(t, serves(ctx, f, 1))
-	must(t, f.AwaitServing(ctx, f.First, len(f.Size.Backends)))
+	must(t, f.Restart(f.Sidecars[3]))
+	must(t, f.Sidecars[3].AwaitReady(ctx))
+	must(t, awaitServed(ctx, f, 3))
+	must(t, f.Restart(f.Sidecars[1]))
+	must(t, awaitServed(ctx, f, 1))
+	must(t, f.AwaitServing(ctx, f.FirstRevision, len(f.Size.Backends)))
 	before := f.Backends[1].Runs.Load()
-	c := f.NewCaller(2, 1)
+	c := f.NewClient(2, 1)
 	must(t, fleet.Await(ctx, "the only backend of stock, beside the restarted sidecar, to be used", func(ctx context.Context) bool {
-		c.Once(ctx, f.Size.Plans[0])
+		c.SendOne(ctx, f.Size.Plans[0])
 		return f.Backends[1].Runs.Load() > before
 	}))
-	judge(t, f)
+	checkLedger(t, f)
 }
 
 // A sidecar that nobody can tell a configuration is not ready, and says at once
 // that nothing was run and when to come back.
 func TestStartAlone(t *testing.T) {
 	t.Parallel()
-	f, ctx := begin(t, small())
+	f, ctx := newFleet(t, smallFleet())
 	must(t, f.Sidecars[1].Start())
-	a := f.NewCaller(1, 1).Once(ctx, f.Size.Plans[0])
-	if a.Status != 503 || a.Outcome != "not-run" || a.Wrong != "" {
+	a := f.NewClient(1, 1).SendOne(ctx, f.Size.Plans[0])
+	if a.Status != 503 || a.Outcome != "not-run" || a.Mismatch != "" {
 		t.Errorf("%+v", a)
 	}
 	if status, err := f.Sidecars[1].Get(ctx, "/ready", nil); err != nil || status != 503 {
--- a/tests/e2e/exact_test.go
+++ b/tests/e2e/request_test.go
@@ -15,7 +15,7 @@
 )
 
 // What a backend gets is what the client sent, and the other way round.
-func TestUntouched(t *testing.T) {
+func TestRequestsPassUnaltered(t *testing.T) {
 	r := newRig(t)
 	type seen struct {
 		Method, URI, Host, Body string
@@ -35,8 +35,8 @@
 	}))
 	for _, uri := range []string{"/look/a", "/look/a%2Fb/..//c?x=%20&y", "/look/?", "/look/%e2%82%ac;p=1?a=b?c"} {
 		a := r.send("GET", uri, "", "X-One", "1", "Curlewwalk-Caller", "forged", "Connection", "X-Drop", "X-Drop", "hop", "Accept-Encoding", "identity", "Idempotency-Key", "k"+uri)
-		s := recv(r, got)
-		if s.Method != "GET" || s.URI != uri || s.Host != r.Requests(0) || s.Body != "" {
+		s := receive(r, got)
+		if s.Method != "GET" || s.URI != uri || s.Host != r.RequestAddress(0) || s.Body != "" {
 			t.Errorf("backend saw %s %s host %s body %q", s.Method, s.URI, s.Host, s.Body)
 		}
 		for _, k := range []string{"X-B3-Traceid", "X-B3-Spanid", "X-B3-Parentspanid"} {
@@ -53,11 +53,11 @@
 	}
 	body := strings.Repeat("\x00\xff", 1<<20)
 	r.send("POST", "/once/x", body)
-	if s := recv(r, got); s.Body != body || s.Method != "POST" {
+	if s := receive(r, got); s.Body != body || s.Method != "POST" {
 		t.Errorf("a body of %d bytes came as %d", len(body), len(s.Body))
 	}
 	a := r.send("HEAD", "/look/head", "")
-	if recv(r, got); a.StatusCode != 302 || len(a.body) != 0 {
+	if receive(r, got); a.StatusCode != 302 || len(a.body) != 0 {
 		t.Errorf("HEAD: %d %q", a.StatusCode, a.body)
 	}
 }
@@ -70,7 +70,7 @@
 	r.expect(r.send("POST", "/once/", strings.Repeat("x", 17<<20)), 413, "not-run")
 	r.expect(r.send("POST", "/once/", "x"), 503, "not-run") // no backend at all
 	// A body that is cut short is a bad request.
-	c, err := net.Dial("tcp", r.Requests(0))
+	c, err := net.Dial("tcp", r.RequestAddress(0))
 	must(t, err)
 	defer c.Close()
 	fmt.Fprint(c, "POST /once/ HTTP/1.1\r\nHost: x\r\nContent-Length: 10\r\n\r\nabc")
@@ -84,7 +84,7 @@
 	must(t, err)
 	addr := ln.Addr().String()
 	ln.Close()
-	r.announce(1, "dead", addr)
+	r.announceBackend(1, "dead", addr)
 	r.expect(r.send("POST", "/once/", "x"), 503, "not-run")
 }
 
@@ -123,7 +123,7 @@
 
 // A way marked repeatable gets another attempt after a lost answer; an order does
 // not, even with two backends to go to.
-func TestExtraAttempt(t *testing.T) {
+func TestRetry(t *testing.T) {
 	r := newRig(t)
 	count := r.rawBackend(1, func(int, net.Conn) {})
 	r.expect(r.send("POST", "/once/", "x"), 502, "unknown")
@@ -148,7 +148,7 @@
 
 // When everything fails and clients ask on, extra attempts stay within a fifth of
 // the traffic and the allowance.
-func TestExtraAttemptsBounded(t *testing.T) {
+func TestRetriesBounded(t *testing.T) {
 	r := newRig(t)
 	var count []func() int
 	for i := range 3 {
@@ -182,14 +182,14 @@
 	if runs.Load() != 1 {
 		t.Errorf("it ran %d times", runs.Load())
 	}
-	if a.took > once.Deadline+time.Second {
-		t.Errorf("an expiry of %v was answered after %v", once.Deadline, a.took)
+	if a.took > oncePlan.Deadline+time.Second {
+		t.Errorf("an expiry of %v was answered after %v", oncePlan.Deadline, a.took)
 	}
 }
 
 // The claims of Idempotency-Key: a repeat joins the running one, gets the same
 // response afterwards, and can't be another request. What did not run may run.
-func TestClaims(t *testing.T) {
+func TestIdempotencyKeys(t *testing.T) {
 	r := newRig(t)
 	r.expect(r.send("POST", "/once/", "x", "Idempotency-Key", "a"), 503, "not-run")
 	var runs atomic.Int64
@@ -202,15 +202,15 @@
 		fmt.Fprintf(w, "run %d", n)
 	}))
 	answers := make(chan string, 3)
-	ask := func() { answers <- string(r.send("POST", "/once/", "x", "Idempotency-Key", "a").body) }
-	go ask()
-	recv(r, running)
-	go ask()
-	go ask()
-	must(t, r.joined(2))
+	sendOne := func() { answers <- string(r.send("POST", "/once/", "x", "Idempotency-Key", "a").body) }
+	go sendOne()
+	receive(r, running)
+	go sendOne()
+	go sendOne()
+	must(t, r.awaitJoined(2))
 	close(release)
 	for range 3 {
-		if got := recv(r, answers); got != "run 1" {
+		if got := receive(r, answers); got != "run 1" {
 			t.Errorf("got %q", got)
 		}
 	}
--- a/tests/e2e/restart_test.go
+++ b/tests/e2e/restart_test.go
@@ -12,31 +12,31 @@
 // answered by a guess.
 func TestRollingRestart(t *testing.T) {
 	t.Parallel()
-	f, ctx := start(t, small())
-	stop := load(ctx, f)
+	f, ctx := startFleet(t, smallFleet())
+	stop := startLoad(ctx, f)
 	for i, p := range f.Programs() {
 		if code := p.Stop(); code != 0 {
-			t.Errorf("%s ended with %d: %s", p.Name, code, p.Said())
+			t.Errorf("%s ended with %d: %s", p.Name, code, p.Stderr())
 		}
 		must(t, p.Start())
-		must(t, p.Ready(ctx))
+		must(t, p.AwaitReady(ctx))
 		for _, q := range f.Programs() {
 			q.Signal(syscall.SIGHUP)
 		}
-		stamp, err := f.Put(ctx, i%3, f.Configuration())
+		revision, err := f.PutConfiguration(ctx, i%3, f.Configuration())
 		must(t, err)
-		must(t, f.AwaitServing(ctx, stamp, len(f.Size.Backends)))
+		must(t, f.AwaitServing(ctx, revision, len(f.Size.Backends)))
 	}
 	stop()
-	if v := judge(t, f); v.Cut > 0 || v.Lost > 0 {
-		t.Errorf("%d were dropped and %d lost", v.Cut, v.Lost)
+	if v := checkLedger(t, f); v.Interrupted > 0 || v.LostEarly > 0 {
+		t.Errorf("%d were dropped and %d lost", v.Interrupted, v.LostEarly)
 	}
 }
 
-// earlier is a version that lacks what came later; later adds fields that this one
+// earlierVersion is a version that lacks what came later; later adds fields that this one
 // does not know.
 var (
-	earlier = []fleet.Change{
+	earlierVersion = []fleet.SourceChange{
 		{File: "relay/attempt.go", Old: "`msgpack:\"rk\"`", New: "`msgpack:\"-\"`"},
 		{File: "relay/attempt.go", Old: "`msgpack:\"am\"`", New: "`msgpack:\"-\"`"},
 		{File: "membership/node.go", Old: "`msgpack:\"ac,omitempty\" json:\"accuses,omitempty\"`", New: "`msgpack:\"-\"`"},
@@ -53,7 +53,7 @@
 		{File: "membership/seat.go", Old: "`msgpack:\"w,omitempty\" json:\"-\"`", New: "`msgpack:\"-\" json:\"-\"`"},
 		{File: "membership/rollcall.go", Old: "wire.Control, KindGossip, q)", New: "wire.Control, \"unheard-of\", q)"},
 	}
-	later = []fleet.Change{
+	laterVersion = []fleet.SourceChange{
 		{File: "wire/greeting.go", Old: "const Version = 1", New: "const Version = 2"},
 		{File: "relay/attempt.go", Old: "type Attempt struct {", New: "type Attempt struct {\n\tMood []string `msgpack:\"zz\"`"},
 		{File: "relay/attempt.go", Old: "type AttemptResponse struct {", New: "type AttemptResponse struct {\n\tMood map[string]int `msgpack:\"zz\"`"},
@@ -68,35 +68,35 @@
 // A fleet goes from an earlier version to this one and on to a later, one process
 // after another, under load, with a configuration put at each step: old and new talk
 // all the while, and nothing handed over is dropped.
-func TestVersionsInTurn(t *testing.T) {
+func TestRollingUpgrade(t *testing.T) {
 	t.Parallel()
-	old, err := fleet.BuildWith("../..", earlier)
+	old, err := fleet.BuildWith("../..", earlierVersion)
 	must(t, err)
 	t.Cleanup(old.Remove)
-	next, err := fleet.BuildWith("../..", later)
+	next, err := fleet.BuildWith("../..", laterVersion)
 	must(t, err)
 	t.Cleanup(next.Remove)
-	f, ctx := begin(t, small())
+	f, ctx := newFleet(t, smallFleet())
 	for _, p := range f.Programs() {
-		p.From(old)
+		p.UseBinaries(old)
 	}
 	must(t, f.Start(ctx))
-	stop := load(ctx, f)
+	stop := startLoad(ctx, f)
 	for i, p := range f.Programs() {
-		for _, version := range []fleet.Binaries{bin, next}[:1+i%2] {
+		for _, version := range []fleet.Binaries{binaries, next}[:1+i%2] {
 			if code := p.Stop(); code != 0 {
-				t.Errorf("%s ended with %d: %s", p.Name, code, p.Said())
+				t.Errorf("%s ended with %d: %s", p.Name, code, p.Stderr())
 			}
-			p.From(version)
+			p.UseBinaries(version)
 			must(t, p.Start())
-			must(t, p.Ready(ctx))
+			must(t, p.AwaitReady(ctx))
 		}
-		stamp, err := f.Put(ctx, i%3, f.Configuration())
+		revision, err := f.PutConfiguration(ctx, i%3, f.Configuration())
 		must(t, err)
-		must(t, f.AwaitServing(ctx, stamp, len(f.Size.Backends)))
+		must(t, f.AwaitServing(ctx, revision, len(f.Size.Backends)))
 	}
 	stop()
-	if v := judge(t, f); v.Cut > 0 || v.Lost > 0 {
-		t.Errorf("%d were dropped and %d lost", v.Cut, v.Lost)
+	if v := checkLedger(t, f); v.Interrupted > 0 || v.LostEarly > 0 {
+		t.Errorf("%d were dropped and %d lost", v.Interrupted, v.LostEarly)
 	}
 }
--- a/tests/e2e/rig_test.go
+++ b/tests/e2e/rig_test.go
@@ -27,13 +27,13 @@
 
 // The two ways of a rig: an order must run once, a look may be repeated.
 var (
-	once = fakes.Plan{Name: "once", Method: "POST", Prefix: "/once/", Service: "desk", Aim: time.Second, Deadline: 3 * time.Second, Rank: 1, Work: time.Millisecond, Body: 50}
-	head = fakes.Plan{Name: "head", Method: "HEAD", Prefix: "/look/", Service: "desk", Aim: time.Second, Deadline: 3 * time.Second, Rank: 1, Repeatable: true}
-	look = fakes.Plan{Name: "look", Method: "GET", Prefix: "/look/", Service: "desk", Aim: time.Second, Deadline: 3 * time.Second, Rank: 1, Work: time.Millisecond, Repeatable: true}
+	oncePlan = fakes.RequestPlan{Name: "once", Method: "POST", Prefix: "/once/", Service: "desk", LatencyTarget: time.Second, Deadline: 3 * time.Second, Priority: 1, Work: time.Millisecond, BodySize: 50}
+	headPlan = fakes.RequestPlan{Name: "head", Method: "HEAD", Prefix: "/look/", Service: "desk", LatencyTarget: time.Second, Deadline: 3 * time.Second, Priority: 1, Idempotent: true}
+	readPlan = fakes.RequestPlan{Name: "look", Method: "GET", Prefix: "/look/", Service: "desk", LatencyTarget: time.Second, Deadline: 3 * time.Second, Priority: 1, Work: time.Millisecond, Idempotent: true}
 )
 
 func newRig(t *testing.T) *rig {
-	f, ctx := start(t, fleet.Size{Name: "rig", Cores: 1, Machines: 2, Zones: []string{"north", "south"}, Capacity: 9, Plans: []fakes.Plan{once, look, head}})
+	f, ctx := startFleet(t, fleet.Size{Name: "rig", Replicas: 1, Machines: 2, Zones: []string{"north", "south"}, Capacity: 9, Plans: []fakes.RequestPlan{oncePlan, readPlan, headPlan}})
 	return &rig{Fleet: f, t: t, ctx: ctx}
 }
 
@@ -51,7 +51,7 @@
 	r.known++
 	b := &fakes.Backend{
 		Instance: fmt.Sprintf("%s-%d", service, n), Service: service, Zone: r.Zone(machine), Capacity: 9,
-		Control: r.Sidecars[machine].Control, Plans: r.Size.Plans, Ledger: r.Ledger, Client: r.Client, Handle: h,
+		Control: r.Sidecars[machine].Control, RequestPlans: r.Size.Plans, Ledger: r.Ledger, HTTP: r.HTTP, Handle: h,
 	}
 	must(r.t, b.Start(net.JoinHostPort(r.Site.IP(machine), fmt.Sprint(8000+n))))
 	r.Backends = append(r.Backends, b)
@@ -69,13 +69,13 @@
 // send sends a request to the sidecar of machine 0.
 func (r *rig) send(method, uri, body string, header ...string) answer {
 	r.t.Helper()
-	req, err := http.NewRequestWithContext(r.ctx, method, "http://"+r.Requests(0)+uri, bytes.NewReader([]byte(body)))
+	req, err := http.NewRequestWithContext(r.ctx, method, "http://"+r.RequestAddress(0)+uri, bytes.NewReader([]byte(body)))
 	must(r.t, err)
 	for i := 0; i+1 < len(header); i += 2 {
 		req.Header.Set(header[i], header[i+1])
 	}
 	begin := time.Now()
-	resp, err := r.Client.Transport.RoundTrip(req)
+	resp, err := r.HTTP.Transport.RoundTrip(req)
 	must(r.t, err)
 	defer resp.Body.Close()
 	b, err := io.ReadAll(resp.Body)
@@ -98,13 +98,13 @@
 
 // rawBackend answers each connection by what speak writes after the request
 // was read; it counts the requests it saw.
-func (r *rig) rawBackend(machine int, speak func(n int, c net.Conn)) (count func() int) {
+func (r *rig) rawBackend(machine int, respond func(n int, c net.Conn)) (count func() int) {
 	r.t.Helper()
-	return r.rawBackendAs(machine, "raw", speak)
+	return r.rawBackendAs(machine, "raw", respond)
 }
 
 // rawBackendAs is rawBackend under a name.
-func (r *rig) rawBackendAs(machine int, instance string, speak func(n int, c net.Conn)) (count func() int) {
+func (r *rig) rawBackendAs(machine int, instance string, respond func(n int, c net.Conn)) (count func() int) {
 	r.t.Helper()
 	ln, err := net.Listen("tcp", net.JoinHostPort(r.Site.IP(machine), "0"))
 	must(r.t, err)
@@ -125,27 +125,27 @@
 				}
 				n := <-seen + 1
 				seen <- n
-				speak(n, c)
+				respond(n, c)
 			}()
 		}
 	}()
-	r.announce(machine, instance, ln.Addr().String())
+	r.announceBackend(machine, instance, ln.Addr().String())
 	return func() int { n := <-seen; seen <- n; return n }
 }
 
-// announce keeps telling a sidecar of a backend at an address until the test
+// announceBackend keeps telling a sidecar of a backend at an address until the test
 // ends.
-func (r *rig) announce(machine int, instance, addr string) {
+func (r *rig) announceBackend(machine int, instance, addr string) {
 	r.t.Helper()
 	body, _ := json.Marshal(map[string]any{"instance": instance, "service": "desk", "address": addr, "capacity": 9})
-	tell := func() error {
-		resp, err := r.Client.Post("http://"+r.Sidecars[machine].Control+"/v1/backends", "application/json", bytes.NewReader(body))
+	announce := func() error {
+		resp, err := r.HTTP.Post("http://"+r.Sidecars[machine].Control+"/v1/backends", "application/json", bytes.NewReader(body))
 		if err == nil {
 			resp.Body.Close()
 		}
 		return err
 	}
-	must(r.t, tell())
+	must(r.t, announce())
 	done := make(chan struct{})
 	r.t.Cleanup(func() { close(done) })
 	go func() {
@@ -156,7 +156,7 @@
 			case <-done:
 				return
 			case <-tick.C:
-				tell()
+				announce()
 			}
 		}
 	}()
@@ -164,8 +164,8 @@
 	must(r.t, r.AwaitServing(r.ctx, 1, r.known))
 }
 
-// joined waits until repeats wait for a running request on machine 0.
-func (r *rig) joined(n int64) error {
+// awaitJoined waits until repeats wait for a running request on machine 0.
+func (r *rig) awaitJoined(n int64) error {
 	return fleet.Await(r.ctx, "repeats to join", func(ctx context.Context) bool {
 		var st struct {
 			Near struct {
@@ -177,8 +177,8 @@
 	})
 }
 
-// recv receives or fails the test when its time is over.
-func recv[T any](r *rig, ch <-chan T) T {
+// receive receives or fails the test when its time is over.
+func receive[T any](r *rig, ch <-chan T) T {
 	r.t.Helper()
 	select {
 	case v := <-ch:
--- a/tests/e2e/stop_test.go
+++ b/tests/e2e/stop_test.go
@@ -36,18 +36,18 @@
 	}))
 }
 
-// rawAnswer is what a connection of its own brought; err if it ended without an answer.
-type rawAnswer struct {
+// connectionAnswer is what a connection of its own brought; err if it ended without an answer.
+type connectionAnswer struct {
 	status  int
 	outcome string
 	err     error
 }
 
-// ask sends a request to a machine's sidecar on a connection of its own.
-func (r *rig) ask(machine int, method, uri string, answers chan<- rawAnswer) {
-	c, err := net.Dial("tcp", r.Requests(machine))
+// sendOnNewConnection sends a request to a machine's sidecar on a connection of its own.
+func (r *rig) sendOnNewConnection(machine int, method, uri string, answers chan<- connectionAnswer) {
+	c, err := net.Dial("tcp", r.RequestAddress(machine))
 	if err != nil {
-		answers <- rawAnswer{err: err}
+		answers <- connectionAnswer{err: err}
 		return
 	}
 	defer c.Close()
@@ -55,18 +55,18 @@
 	fmt.Fprintf(c, "%s %s HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n", method, uri)
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
-		answers <- rawAnswer{err: err}
+		answers <- connectionAnswer{err: err}
 		return
 	}
 	_, err = io.Copy(io.Discard, resp.Body)
-	answers <- rawAnswer{resp.StatusCode, resp.Header.Get("Curlewwalk-Outcome"), err}
+	answers <- connectionAnswer{resp.StatusCode, resp.Header.Get("Curlewwalk-Outcome"), err}
 }
 
 // restart starts a sidecar anew with further settings.
 func (r *rig) restart(machine int, args ...string) {
 	r.t.Helper()
 	r.Sidecars[machine].Stop()
-	r.Sidecars[machine].Args(args...)
+	r.Sidecars[machine].AddArgs(args...)
 	must(r.t, r.Sidecars[machine].Start())
 	must(r.t, r.AwaitServing(r.ctx, 1, r.known))
 }
@@ -74,7 +74,7 @@
 // A stopping sidecar whose backend still runs something takes calls of that backend, which
 // can't be told from clients' requests there; of all these it takes none that may last
 // longer than it will itself.
-func TestStopRefusesWhatOutlastsIt(t *testing.T) {
+func TestStopRefusesLongRequests(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
 	r.restart(1, "--caller=desk", "--drain=2500ms")
@@ -85,9 +85,9 @@
 		<-release
 	})
 	r.backend(1, hold)
-	first, second := make(chan rawAnswer, 1), make(chan rawAnswer, 1)
-	go r.ask(0, "POST", "/once/", first)
-	recv(r, running)
+	first, second := make(chan connectionAnswer, 1), make(chan connectionAnswer, 1)
+	go r.sendOnNewConnection(0, "POST", "/once/", first)
+	receive(r, running)
 	var runs atomic.Int64
 	r.backend(0, http.HandlerFunc(func(_ http.ResponseWriter, q *http.Request) {
 		io.Copy(io.Discard, q.Body)
@@ -97,22 +97,22 @@
 	r.Sidecars[1].Signal(syscall.SIGTERM)
 	r.awaitStats(1, "clients to be refused", func(s sidecarStats) bool { return s.Closed })
 	// Its deadline is 3 s away.
-	go r.ask(1, "POST", "/once/", second)
-	if a := recv(r, second); a.err != nil || a.status != 503 || a.outcome != "not-run" {
+	go r.sendOnNewConnection(1, "POST", "/once/", second)
+	if a := receive(r, second); a.err != nil || a.status != 503 || a.outcome != "not-run" {
 		t.Errorf("what outlasts the stop: %+v", a)
 	}
 	if n := runs.Load(); n != 0 {
 		t.Errorf("it ran %d times", n)
 	}
 	close(release)
-	if a := recv(r, first); a.err != nil || a.status != 200 {
+	if a := receive(r, first); a.err != nil || a.status != 200 {
 		t.Errorf("what was running: %+v", a)
 	}
 }
 
 // When the time to stop is over, all that is still open is answered: refused if it was not
 // begun, and with an unknown outcome if it was. No connection is closed without an answer.
-func TestStopAnswersWhatIsOpen(t *testing.T) {
+func TestStopAnswersOpenRequests(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
 	r.restart(0, "--drain=1s")
@@ -124,16 +124,16 @@
 		<-release
 	}))
 	const asked = 12
-	begun := make(chan rawAnswer, asked)
+	begun := make(chan connectionAnswer, asked)
 	for range asked {
-		go r.ask(0, "POST", "/once/", begun)
+		go r.sendOnNewConnection(0, "POST", "/once/", begun)
 	}
 	r.awaitStats(1, "all to run or wait", func(s sidecarStats) bool { return s.Far.Open == asked })
 	exit := make(chan int, 1)
 	go func() { exit <- r.Sidecars[0].Stop() }()
 	outcomes := map[string]int{}
 	for range asked {
-		a := recv(r, begun)
+		a := receive(r, begun)
 		if a.err != nil {
 			t.Errorf("no answer: %v", a.err)
 			continue
@@ -144,17 +144,17 @@
 	if outcomes["503 not-run"] != asked-ran || outcomes["502 unknown"] != ran || ran == 0 || ran == asked {
 		t.Errorf("%d ran of %d: %v", ran, asked, outcomes)
 	}
-	if code := recv(r, exit); code != 0 {
+	if code := receive(r, exit); code != 0 {
 		t.Errorf("it ended with %d", code)
 	}
 }
 
 // A core that stops answers its operators on the connections that they keep: what crosses
 // its end is told to have gone unheard, so that they turn to another core.
-func TestCoreStopAnswers(t *testing.T) {
+func TestReplicaStopAnswers(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
-	c, err := net.Dial("tcp", r.Cores[0].Control)
+	c, err := net.Dial("tcp", r.Replicas[0].Control)
 	must(t, err)
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(20 * time.Second))
@@ -171,7 +171,7 @@
 		t.Fatalf("%+v %v", resp, err)
 	}
 	exit := make(chan int, 1)
-	go func() { exit <- r.Cores[0].Stop() }()
+	go func() { exit <- r.Replicas[0].Stop() }()
 	_, err = in.Peek(1) // the farewell has come, or the end
 	if err != nil {
 		t.Fatalf("no farewell: %v", err)
@@ -179,7 +179,7 @@
 	if resp, err := get(); err != nil || resp.StatusCode != http.StatusRequestTimeout || !resp.Close {
 		t.Errorf("%+v %v", resp, err)
 	}
-	if code := recv(r, exit); code != 0 {
+	if code := receive(r, exit); code != 0 {
 		t.Errorf("it ended with %d", code)
 	}
 }
--- a/tests/e2e/trace_test.go
+++ b/tests/e2e/trace_test.go
@@ -17,11 +17,11 @@
 // The whole tree of a request and of the calls that it causes, from any core:
 // identifiers on every hop, the four events of each span in logical order, and
 // the answer traced only to the client that sent identifiers.
-func TestTree(t *testing.T) {
-	f, ctx := start(t, small())
+func TestTraceTree(t *testing.T) {
+	f, ctx := startFleet(t, smallFleet())
 	ids := make(chan http.Header, 1)
 	for i, traced := range []bool{true, false} {
-		req, err := http.NewRequestWithContext(ctx, "GET", "http://"+f.Requests(0)+"/orders/1", nil)
+		req, err := http.NewRequestWithContext(ctx, "GET", "http://"+f.RequestAddress(0)+"/orders/1", nil)
 		must(t, err)
 		trace := fmt.Sprintf("00000000000abc%02d", i+1)
 		if traced {
@@ -29,7 +29,7 @@
 			req.Header.Set("X-B3-SpanId", "00000000000000ff")
 		}
 		req.Header.Set("X-Proof-Id", trace)
-		resp, err := f.Client.Do(req)
+		resp, err := f.HTTP.Do(req)
 		must(t, err)
 		io.Copy(io.Discard, resp.Body)
 		resp.Body.Close()
@@ -41,11 +41,11 @@
 		}
 	}
 	id := (<-ids).Get("X-B3-TraceId")
-	for _, core := range f.Cores {
-		var tr fleet.Tree
+	for _, replica := range f.Replicas {
+		var tr fleet.TraceTree
 		must(t, fleet.Await(ctx, "both spans", func(ctx context.Context) bool {
-			tr = fleet.Tree{}
-			_, err := core.Get(ctx, "/v1/traces/"+id, &tr)
+			tr = fleet.TraceTree{}
+			_, err := replica.Get(ctx, "/v1/traces/"+id, &tr)
 			return err == nil && tr.Spans == 2 && len(tr.Roots) == 1 && len(tr.Roots[0].Children) == 1 &&
 				len(tr.Roots[0].Events) == 4 && len(tr.Roots[0].Children[0].Events) == 4
 		}))
@@ -56,7 +56,7 @@
 		if child.Parent != root.Span || child.Route != "stock-read" || child.Caller != "orders" || child.Link != "proven" || len(child.Candidates) != 1 {
 			t.Errorf("child %+v", child)
 		}
-		for _, b := range []fleet.Branch{root, child} {
+		for _, b := range []fleet.SpanNode{root, child} {
 			kinds := ""
 			for i, e := range b.Events {
 				kinds += e.Kind + " "
@@ -78,13 +78,13 @@
 // With every collector frozen, and then dead, requests neither fail nor wait
 // for tracing; what was dropped is counted.
 func TestCollectorsStopped(t *testing.T) {
-	size := small()
-	f, ctx := begin(t, size)
+	size := smallFleet()
+	f, ctx := newFleet(t, size)
 	for _, p := range f.Sidecars {
-		p.Args("--trace-queue=16")
+		p.AddArgs("--trace-queue=16")
 	}
 	must(t, f.Start(ctx))
-	plan := fakes.Plan{Name: "stock-read", Method: "GET", Prefix: "/stock/", Service: "stock", Deadline: time.Second, Work: time.Millisecond}
+	plan := fakes.RequestPlan{Name: "stock-read", Method: "GET", Prefix: "/stock/", Service: "stock", Deadline: time.Second, Work: time.Millisecond}
 	for _, stop := range []struct {
 		how  string
 		what func(p *fleet.Program)
@@ -92,14 +92,14 @@
 		{"frozen", func(p *fleet.Program) { p.Signal(syscall.SIGSTOP) }},
 		{"dead", func(p *fleet.Program) { p.Kill() }},
 	} {
-		for _, p := range f.Cores {
+		for _, p := range f.Replicas {
 			stop.what(p)
 		}
-		c := f.NewCaller(0, 1)
+		c := f.NewClient(0, 1)
 		c.Name += stop.how
 		// Within the time of a claim: frozen cores renew none.
 		for begin, i := time.Now(), 0; i < 200 && time.Since(begin) < 1500*time.Millisecond; i++ {
-			if a := c.Once(ctx, plan); a.Status != 200 || a.Outcome != "" {
+			if a := c.SendOne(ctx, plan); a.Status != 200 || a.Outcome != "" {
 				t.Fatalf("collectors %s: %+v", stop.how, a)
 			}
 		}
@@ -112,28 +112,28 @@
 		}))
 		t.Logf("collectors %s: %+v", stop.how, st.TraceQueue)
 	}
-	judge(t, f)
+	checkLedger(t, f)
 }
 
 // How well a backend's outgoing calls are tied to their causes, at one and at
 // nine requests at a time. At one, all are right and proven.
-func TestLinks(t *testing.T) {
+func TestCausalLinks(t *testing.T) {
 	for _, busy := range []int{1, 9} {
 		t.Run(fmt.Sprint(busy), func(t *testing.T) {
 			t.Parallel()
-			size := small()
+			size := smallFleet()
 			size.Machines, size.Backends = 2, []string{"orders", "stock"}
-			f, ctx := start(t, size)
+			f, ctx := startFleet(t, size)
 			var open atomic.Int64
 			done := make(chan struct{})
 			for range busy {
 				open.Add(1)
-				c := f.NewCaller(0, 1)
+				c := f.NewClient(0, 1)
 				c.Name = fmt.Sprintf("caller-%d", open.Load())
 				c.Seed = uint64(open.Load())
 				go func() {
 					for range 100 / busy {
-						c.Once(ctx, c.Pick())
+						c.SendOne(ctx, c.PickPlan())
 					}
 					done <- struct{}{}
 				}()
@@ -144,10 +144,10 @@
 			n, err := f.CountLinks(ctx, 1000)
 			must(t, err)
 			t.Logf("%d busy: %v", busy, n)
-			if n.Calls == 0 || n.ProvenWrong > 0 || busy == 1 && n.Right != n.Calls {
+			if n.Calls == 0 || n.ProvenWrong > 0 || busy == 1 && n.Correct != n.Calls {
 				t.Errorf("%+v", n)
 			}
-			judge(t, f)
+			checkLedger(t, f)
 		})
 	}
 }
--- a/tests/e2e/follow_test.go
+++ b/tests/e2e/watched_replica_test.go
@@ -11,41 +11,41 @@
 // A core that is cut off from the other cores, but from no sidecar, answers those that
 // follow it as ever and hears of nothing new: they leave it for one that is sure, and
 // have a word that the others acknowledged in force. (DESIGN 8.2)
-func TestFollowedCoreCutOff(t *testing.T) {
-	f, ctx := begin(t, small())
-	must(t, f.Relay())
+func TestWatchedReplicaIsolated(t *testing.T) {
+	f, ctx := newFleet(t, smallFleet())
+	must(t, f.InterposeProxies())
 	must(t, f.Start(ctx))
 	type stats struct {
 		Follows struct{ Core string }
 	}
-	cut := -1
+	isolated := -1
 	for _, p := range f.Sidecars {
 		var s stats
 		if _, err := p.Get(ctx, "/v1/stats", &s); err != nil {
 			t.Fatal(err)
 		}
-		for i := range f.Cores {
-			if s.Follows.Core == f.CoreWire(i+1) && cut != i {
-				cut = i
+		for i := range f.Replicas {
+			if s.Follows.Core == f.ReplicaAddress(i+1) && isolated != i {
+				isolated = i
 			}
 		}
 	}
-	if cut < 0 {
+	if isolated < 0 {
 		t.Fatal("nobody follows a core")
 	}
-	ips := f.CoreIPs()
-	f.Net.Cut(ips[cut:cut+1], slices.Delete(slices.Clone(ips), cut, cut+1))
-	other := f.Cores[(cut+1)%len(f.Cores)]
-	var stamp uint64
+	ips := f.ReplicaIPs()
+	f.Network.PartitionBetween(ips[isolated:isolated+1], slices.Delete(slices.Clone(ips), isolated, isolated+1))
+	other := f.Replicas[(isolated+1)%len(f.Replicas)]
+	var revision uint64
 	must(t, fleet.Await(ctx, "a write beside the cut", func(ctx context.Context) bool {
 		r, err := f.Operate(ctx, other, "PUT", "/v1/desired", f.Configuration())
-		stamp = r.Stamp
+		revision = r.Revision
 		return err == nil && r.Status == 200
 	}))
 	for _, p := range f.Sidecars {
 		must(t, fleet.Await(ctx, "the word past the core that is cut off", func(ctx context.Context) bool {
-			s, err := f.Stamp(ctx, p)
-			return err == nil && s >= stamp
+			s, err := f.Revision(ctx, p)
+			return err == nil && s >= revision
 		}))
 	}
 }
--- a/tests/fakes/backend.go
+++ b/tests/fakes/backend.go
@@ -23,34 +23,34 @@
 	Service  string
 	Zone     string
 	Capacity int
-	// Share is what it says of its warm-up; zero means warm.
-	Share float64
-	// Slow is how many times longer than planned it works; zero means as planned.
-	Slow float64
-	// Slowed is as Slow, of a while; zero if it is none.
-	Slowed atomic.Int64
-	// Counts tells whether its announcements are counted.
-	Counts  bool
-	Control string // the sidecar's control address
-	Plans   []Plan
-	Ledger  *ledger.Ledger
-	Client  *http.Client
+	// Warmth is what it says of its warm-up; zero means warm.
+	Warmth float64
+	// SlowFactor is how many times longer than planned it works; zero means as planned.
+	SlowFactor float64
+	// TemporarySlowFactor is as Slow, of a while; zero if it is none.
+	TemporarySlowFactor atomic.Int64
+	// CountsAnnouncements tells whether its announcements are counted.
+	CountsAnnouncements bool
+	Control             string // the sidecar's control address
+	RequestPlans        []RequestPlan
+	Ledger              *ledger.Ledger
+	HTTP                *http.Client
 	// Handle, if set, takes the place of the ordinary behaviour.
 	Handle http.Handler
 
-	ln  net.Listener
-	srv *http.Server
-	// Garble is how many in a hundred answers are lost or wrong.
-	Garble   atomic.Int64
-	outgoing atomic.Value
-	open     atomic.Int64
-	Peak     atomic.Int64
-	Runs     atomic.Int64
-	stop     context.CancelFunc
-	done     chan struct{}
-	leaving  atomic.Bool
-	serial   atomic.Int64
-	calls    atomic.Int64
+	listener net.Listener
+	server   *http.Server
+	// GarblePercent is how many in a hundred answers are lost or wrong.
+	GarblePercent atomic.Int64
+	outgoing      atomic.Value
+	open          atomic.Int64
+	Peak          atomic.Int64
+	Runs          atomic.Int64
+	stop          context.CancelFunc
+	done          chan struct{}
+	leaving       atomic.Bool
+	innerCalls    atomic.Int64
+	announcements atomic.Int64
 }
 
 // Start listens on addr and announces itself until stopped.
@@ -59,21 +59,21 @@
 	if err != nil {
 		return err
 	}
-	b.ln = ln
+	b.listener = ln
 	h := b.Handle
 	if h == nil {
 		h = http.HandlerFunc(b.serve)
 	}
-	b.srv = &http.Server{Handler: h}
+	b.server = &http.Server{Handler: h}
 	ctx, cancel := context.WithCancel(context.Background())
 	b.stop, b.done = cancel, make(chan struct{})
-	go b.srv.Serve(ln)
+	go b.server.Serve(ln)
 	go b.announceLoop(ctx)
 	return nil
 }
 
 // Addr is where the backend listens.
-func (b *Backend) Addr() string { return b.ln.Addr().String() }
+func (b *Backend) Addr() string { return b.listener.Addr().String() }
 
 // Open is how many requests it is working on.
 func (b *Backend) Open() int64 { return b.open.Load() }
@@ -81,7 +81,7 @@
 // Kill ends the backend at once, cutting what is open.
 func (b *Backend) Kill() {
 	b.stop()
-	b.srv.Close()
+	b.server.Close()
 	<-b.done
 }
 
@@ -91,28 +91,28 @@
 	if err := b.announce(ctx, true); err != nil {
 		return err
 	}
-	b.Ledger.Left(ledger.Left{Instance: b.Instance, At: time.Now()})
+	b.Ledger.RecordLeaving(ledger.Leaving{Instance: b.Instance, At: time.Now()})
 	return nil
 }
 
-// Depart says that the backend has gone, without having said that it is leaving, and
+// Deregister says that the backend has gone, without having said that it is leaving, and
 // announces it no more. It serves on.
-func (b *Backend) Depart(ctx context.Context) error {
-	b.Silence()
-	if err := b.sayGone(ctx); err != nil {
+func (b *Backend) Deregister(ctx context.Context) error {
+	b.StopAnnouncing()
+	if err := b.deregister(ctx); err != nil {
 		return err
 	}
-	b.Ledger.Left(ledger.Left{Instance: b.Instance, At: time.Now()})
+	b.Ledger.RecordLeaving(ledger.Leaving{Instance: b.Instance, At: time.Now()})
 	return nil
 }
 
-// sayGone is a word of leaving. One of a backend that is not known is taken as well.
-func (b *Backend) sayGone(ctx context.Context) error {
+// deregister is a word of leaving. One of a backend that is not known is taken as well.
+func (b *Backend) deregister(ctx context.Context) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodDelete, "http://"+b.Control+"/v1/backends/"+b.Instance, nil)
 	if err != nil {
 		return err
 	}
-	resp, err := b.Client.Do(req)
+	resp, err := b.HTTP.Do(req)
 	if err != nil {
 		return err
 	}
@@ -123,29 +123,29 @@
 	return nil
 }
 
-// LateBeat sends an announcement from before the backend said that it is leaving.
-func (b *Backend) LateBeat(ctx context.Context) error { return b.announce(ctx, false) }
+// SendLateAnnouncement sends an announcement from before the backend said that it is leaving.
+func (b *Backend) SendLateAnnouncement(ctx context.Context) error { return b.announce(ctx, false) }
 
-// Beat is an announcement as it stands now, to be sent at any time, and again.
-func (b *Backend) Beat() (send func(ctx context.Context) error) {
+// CaptureAnnouncement is an announcement as it stands now, to be sent at any time, and again.
+func (b *Backend) CaptureAnnouncement() (send func(ctx context.Context) error) {
 	body := b.announcement(b.leaving.Load())
-	return func(ctx context.Context) error { return b.send(ctx, body) }
+	return func(ctx context.Context) error { return b.sendAnnouncement(ctx, body) }
 }
 
-// Silence ends the announcements. It serves on.
-func (b *Backend) Silence() {
+// StopAnnouncing ends the announcements. It serves on.
+func (b *Backend) StopAnnouncing() {
 	b.stop()
 	<-b.done
 }
 
-// Say says once that the backend is leaving, by its announcement or by a word of leaving;
+// AnnounceLeaving says once that the backend is leaving, by its announcement or by a word of leaving;
 // the caller tells the ledger.
-func (b *Backend) Say(ctx context.Context, gone bool) error {
-	if !gone {
+func (b *Backend) AnnounceLeaving(ctx context.Context, deregister bool) error {
+	if !deregister {
 		b.leaving.Store(true)
 		return b.announce(ctx, true)
 	}
-	return b.sayGone(ctx)
+	return b.deregister(ctx)
 }
 
 func (b *Backend) announceLoop(ctx context.Context) {
@@ -170,11 +170,11 @@
 		"instance": b.Instance, "service": b.Service, "address": b.Addr(), "locality": b.Zone,
 		"capacity": b.Capacity, "leaving": leaving,
 	}
-	if b.Share > 0 {
-		a["warmup"] = map[string]any{"share": b.Share}
+	if b.Warmth > 0 {
+		a["warmup"] = map[string]any{"share": b.Warmth}
 	}
-	if b.Counts {
-		a["count"] = b.calls.Add(1)
+	if b.CountsAnnouncements {
+		a["count"] = b.announcements.Add(1)
 	}
 	body, _ := json.Marshal(a)
 	return body
@@ -182,30 +182,30 @@
 
 // announce tells the sidecar once.
 func (b *Backend) announce(ctx context.Context, leaving bool) error {
-	return b.send(ctx, b.announcement(leaving))
+	return b.sendAnnouncement(ctx, b.announcement(leaving))
 }
 
-// send sends an announcement.
-func (b *Backend) send(ctx context.Context, body []byte) error {
+// sendAnnouncement sends an announcement.
+func (b *Backend) sendAnnouncement(ctx context.Context, body []byte) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+b.Control+"/v1/backends", bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
-	resp, err := b.Client.Do(req)
+	resp, err := b.HTTP.Do(req)
 	if err != nil {
 		return err
 	}
 	defer resp.Body.Close()
-	var got struct {
+	var reply struct {
 		Outgoing string `json:"outgoing"`
 	}
 	if resp.StatusCode != http.StatusOK {
 		return fmt.Errorf("announcement: status %d", resp.StatusCode)
 	}
-	if err := json.NewDecoder(resp.Body).Decode(&got); err != nil {
+	if err := json.NewDecoder(resp.Body).Decode(&reply); err != nil {
 		return err
 	}
-	b.outgoing.Store(got.Outgoing)
+	b.outgoing.Store(reply.Outgoing)
 	return nil
 }
 
@@ -222,31 +222,31 @@
 		return
 	}
 	id := r.Header.Get(headerID)
-	b.Ledger.Ran(ledger.Ran{
+	b.Ledger.RecordRun(ledger.Ran{
 		ID: id, Service: b.Service, Instance: b.Instance, Zone: b.Zone, Caller: r.Header.Get("Curlewwalk-Caller"),
 		Digest: digest(r.Method, r.RequestURI, r.Header, body), Trace: r.Header.Get("X-B3-TraceId"), Span: r.Header.Get("X-B3-SpanId"), At: time.Now(),
 	})
-	p, ok := match(b.Plans, r.Method, r.URL.Path)
+	plan, ok := matchPlan(b.RequestPlans, r.Method, r.URL.Path)
 	if !ok {
 		w.WriteHeader(http.StatusTeapot)
 		return
 	}
-	work := p.Work/2 + time.Duration(rand.Int64N(int64(p.Work)+1))
-	if b.Slow > 0 {
-		work = time.Duration(float64(work) * b.Slow)
+	work := plan.Work/2 + time.Duration(rand.Int64N(int64(plan.Work)+1))
+	if b.SlowFactor > 0 {
+		work = time.Duration(float64(work) * b.SlowFactor)
 	}
-	work *= time.Duration(max(1, b.Slowed.Load()))
-	defer b.Ledger.Planned(ledger.Planned{ID: id, Instance: b.Instance, Begun: begun, Work: work})()
-	wait(r.Context(), work/2)
-	for _, name := range p.Calls {
-		b.call(r.Context(), id, name)
+	work *= time.Duration(max(1, b.TemporarySlowFactor.Load()))
+	defer b.Ledger.RecordWork(ledger.Work{ID: id, Instance: b.Instance, Began: begun, Duration: work})()
+	sleep(r.Context(), work/2)
+	for _, name := range plan.Calls {
+		b.innerCall(r.Context(), id, name)
 	}
-	wait(r.Context(), work/2)
-	if rand.Int64N(100) < b.Garble.Load() {
-		garbled(w)
+	sleep(r.Context(), work/2)
+	if rand.Int64N(100) < b.GarblePercent.Load() {
+		writeGarbled(w)
 		return
 	}
-	answer := filler(id+b.Instance, 200+int(n)*10)
+	answer := deterministicBody(id+b.Instance, 200+int(n)*10)
 	w.Header().Set("X-Proof-Instance", b.Instance)
 	w.Header().Set(headerID, id)
 	w.Header().Set(headerDigest, digest("", "", w.Header(), answer))
@@ -255,8 +255,8 @@
 	w.Write(answer)
 }
 
-// garbled loses an answer, or sends one that is no whole one.
-func garbled(w http.ResponseWriter) {
+// writeGarbled loses an answer, or sends one that is no whole one.
+func writeGarbled(w http.ResponseWriter) {
 	c, _, err := w.(http.Hijacker).Hijack()
 	if err != nil {
 		return
@@ -268,20 +268,20 @@
 	}[rand.IntN(5)])
 }
 
-// call makes one inner call through the address that the sidecar gave.
-func (b *Backend) call(ctx context.Context, cause, name string) {
+// innerCall makes one inner call through the address that the sidecar gave.
+func (b *Backend) innerCall(ctx context.Context, cause, name string) {
 	addr, _ := b.outgoing.Load().(string)
 	if addr == "" {
 		return
 	}
-	for _, p := range b.Plans {
-		if p.Name == name {
-			send(ctx, b.Client, b.Ledger, addr, p, b.Service, b.Zone, cause, fmt.Sprintf("%s/%s-%d", cause, b.Instance, b.serial.Add(1)), "")
+	for _, plan := range b.RequestPlans {
+		if plan.Name == name {
+			sendRequest(ctx, b.HTTP, b.Ledger, addr, plan, b.Service, b.Zone, cause, fmt.Sprintf("%s/%s-%d", cause, b.Instance, b.innerCalls.Add(1)), "")
 		}
 	}
 }
 
-func wait(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -290,11 +290,11 @@
 	}
 }
 
-func match(plans []Plan, method, path string) (Plan, bool) {
+func matchPlan(plans []RequestPlan, method, path string) (RequestPlan, bool) {
 	for _, p := range plans {
 		if p.Method == method && len(path) >= len(p.Prefix) && path[:len(p.Prefix)] == p.Prefix {
 			return p, true
 		}
 	}
-	return Plan{}, false
+	return RequestPlan{}, false
 }
--- a/tests/fakes/message.go
+++ b/tests/fakes/message.go
@@ -25,11 +25,11 @@
 	return hex.EncodeToString(d.Sum(nil)[:12])
 }
 
-// filler makes n bytes that only belong to one text.
-func filler(text string, n int) []byte {
+// deterministicBody makes n bytes that only belong to one text.
+func deterministicBody(seed string, n int) []byte {
 	out := make([]byte, 0, n+32)
 	for i := 0; len(out) < n; i++ {
-		sum := sha256.Sum256([]byte(text + strconv.Itoa(i)))
+		sum := sha256.Sum256([]byte(seed + strconv.Itoa(i)))
 		out = append(out, hex.EncodeToString(sum[:])...)
 	}
 	return out[:n]
--- a/tests/fakes/again_test.go
+++ b/tests/fakes/resend_test.go
@@ -17,19 +17,19 @@
 )
 
 var (
-	read  = Plan{Name: "read", Method: "GET", Prefix: "/read/", Service: "desk", Repeatable: true}
-	order = Plan{Name: "order", Method: "POST", Prefix: "/order/", Service: "desk", Body: 50}
+	readPlan  = RequestPlan{Name: "read", Method: "GET", Prefix: "/read/", Service: "desk", Idempotent: true}
+	writePlan = RequestPlan{Name: "order", Method: "POST", Prefix: "/order/", Service: "desk", BodySize: 50}
 )
 
-// sidecar answers whatever comes by what the request's name says. "mute" is
+// fakeSidecar answers whatever comes by what the request's name says. "mute" is
 // taken and the connection closed without an answer, once it has run; what is
 // sent of it again is refused as not run, and so is "refused" at once. "lie" is
 // refused though it ran.
-func sidecar(t *testing.T, l *ledger.Ledger) (addr string, mute func() int64) {
+func fakeSidecar(t *testing.T, l *ledger.Ledger) (addr string, requestsMuted func() int64) {
 	var muted atomic.Int64
 	run := func(r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
-		l.Ran(ledger.Ran{ID: r.Header.Get(headerID), Service: "desk", Instance: "desk-0", Zone: "north", Digest: digest(r.Method, r.RequestURI, r.Header, body)})
+		l.RecordRun(ledger.Ran{ID: r.Header.Get(headerID), Service: "desk", Instance: "desk-0", Zone: "north", Digest: digest(r.Method, r.RequestURI, r.Header, body)})
 	}
 	refuse := func(w http.ResponseWriter) {
 		w.Header().Set("Retry-After", "1")
@@ -67,57 +67,57 @@
 	return srv.Listener.Addr().String(), muted.Load
 }
 
-func judged(t *testing.T, l *ledger.Ledger, cut, notRun int, broken string) {
+func checkVerdict(t *testing.T, l *ledger.Ledger, cut, notRun int, broken string) {
 	t.Helper()
 	v := l.Judge()
-	if got := fmt.Sprint(v.Broken); v.Cut != cut || v.NotRun != notRun || (broken == "") != (len(v.Broken) == 0) || !strings.Contains(got, broken) {
-		t.Errorf("cut %d %v, not run %d, broken %q; want %d, %d, %q", v.Cut, v.Cuts, v.NotRun, got, cut, notRun, broken)
+	if got := fmt.Sprint(v.Breaches); v.Interrupted != cut || v.NotRun != notRun || (broken == "") != (len(v.Breaches) == 0) || !strings.Contains(got, broken) {
+		t.Errorf("cut %d %v, not run %d, broken %q; want %d, %d, %q", v.Interrupted, v.Interruptions, v.NotRun, got, cut, notRun, broken)
 	}
 }
 
 // A GET that net/http sends a second time by itself, after its first sending ran
 // and was cut, is not judged by the second one's refusal.
-func TestSentAgainByTheClient(t *testing.T) {
-	l, c := ledger.New(), NewClient()
+func TestResendByHTTPClient(t *testing.T) {
+	l, c := ledger.New(), NewHTTPClient()
 	defer c.CloseIdleConnections()
-	addr, mute := sidecar(t, l)
-	ask := func(p Plan, id string) ledger.Answered {
-		return send(context.Background(), c, l, addr, p, "", "north", "", id, "")
+	addr, mute := fakeSidecar(t, l)
+	ask := func(p RequestPlan, id string) ledger.Answered {
+		return sendRequest(context.Background(), c, l, addr, p, "", "north", "", id, "")
 	}
-	if a := ask(read, "first"); a.Outcome != "" || a.Wrong != "" {
+	if a := ask(readPlan, "first"); a.Outcome != "" || a.Mismatch != "" {
 		t.Fatalf("%+v", a)
 	}
-	if a := ask(read, "mute"); a.Outcome != "not-run" || a.Again != 1 {
+	if a := ask(readPlan, "mute"); a.Outcome != "not-run" || a.UnansweredSends != 1 {
 		t.Errorf("%+v", a)
 	}
 	if n := mute(); n != 2 {
 		t.Fatalf("net/http sent it %d times", n)
 	}
-	judged(t, l, 1, 0, "")
+	checkVerdict(t, l, 1, 0, "")
 }
 
 // A promise for the only sending counts, on a new connection and on a used one.
-func TestPromiseForTheOnlySending(t *testing.T) {
-	for _, p := range []Plan{read, order} {
-		l, c := ledger.New(), NewClient()
+func TestRefusalOfOnlySend(t *testing.T) {
+	for _, p := range []RequestPlan{readPlan, writePlan} {
+		l, c := ledger.New(), NewHTTPClient()
 		defer c.CloseIdleConnections()
-		addr, _ := sidecar(t, l)
+		addr, _ := fakeSidecar(t, l)
 		for _, id := range []string{"refused", "first", "lie"} {
-			if a := send(context.Background(), c, l, addr, p, "", "north", "", id, ""); a.Again != 0 || a.Wrong != "" {
+			if a := sendRequest(context.Background(), c, l, addr, p, "", "north", "", id, ""); a.UnansweredSends != 0 || a.Mismatch != "" {
 				t.Errorf("%+v", a)
 			}
 		}
-		judged(t, l, 0, 2, "lie was promised not to have run and ran 1 times")
+		checkVerdict(t, l, 0, 2, "lie was promised not to have run and ran 1 times")
 	}
 }
 
-// deaf takes nothing once it has been used.
-type deaf struct {
+// failingConn takes nothing once it has been used.
+type failingConn struct {
 	net.Conn
 	used atomic.Int64
 }
 
-func (d *deaf) Write(b []byte) (int, error) {
+func (d *failingConn) Write(b []byte) (int, error) {
 	if d.used.Add(1) > 1 {
 		return 0, errors.New("deaf")
 	}
@@ -125,33 +125,33 @@
 }
 
 // A promise also counts for the second try if nothing of the first went out.
-func TestPromiseAfterNothingWentOut(t *testing.T) {
-	for _, p := range []Plan{read, order} {
-		l, c := ledger.New(), NewClient()
+func TestRefusalAfterUnwrittenSend(t *testing.T) {
+	for _, p := range []RequestPlan{readPlan, writePlan} {
+		l, c := ledger.New(), NewHTTPClient()
 		defer c.CloseIdleConnections()
-		addr, _ := sidecar(t, l)
+		addr, _ := fakeSidecar(t, l)
 		var dialled int
 		c.Transport.(*http.Transport).DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 			dialled++
 			raw, err := new(net.Dialer).DialContext(ctx, network, addr)
-			return &counted{Conn: &deaf{Conn: raw}}, err
+			return &countingConn{Conn: &failingConn{Conn: raw}}, err
 		}
 		for _, id := range []string{"first", "lie"} {
-			if a := send(context.Background(), c, l, addr, p, "", "north", "", id, ""); a.Again != 0 || a.Outcome == "cut" {
+			if a := sendRequest(context.Background(), c, l, addr, p, "", "north", "", id, ""); a.UnansweredSends != 0 || a.Outcome == "cut" {
 				t.Errorf("%+v", a)
 			}
 		}
 		if dialled != 2 {
 			t.Errorf("%d connections", dialled)
 		}
-		judged(t, l, 0, 1, "lie was promised not to have run and ran 1 times")
+		checkVerdict(t, l, 0, 1, "lie was promised not to have run and ran 1 times")
 	}
 }
 
 // Nothing was handed over where nobody listens; a request that was cut and then
 // met nobody is cut.
 func TestNobodyListens(t *testing.T) {
-	l, c := ledger.New(), NewClient()
+	l, c := ledger.New(), NewHTTPClient()
 	defer c.CloseIdleConnections()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -173,7 +173,7 @@
 		ln.Close()
 	}()
 	for _, want := range []string{"", "cut", "not-run"} {
-		if a := send(context.Background(), c, l, ln.Addr().String(), read, "", "north", "", "to-"+want, ""); a.Outcome != want || a.Wrong != "" {
+		if a := sendRequest(context.Background(), c, l, ln.Addr().String(), readPlan, "", "north", "", "to-"+want, ""); a.Outcome != want || a.Mismatch != "" {
 			t.Errorf("%+v, want outcome %q", a, want)
 		}
 	}
--- a/tests/fleet/binaries.go
+++ b/tests/fleet/binaries.go
@@ -16,19 +16,19 @@
 // be made to jump. (DESIGN 17.2)
 func Build() (Binaries, error) { return BuildWith("", nil) }
 
-// Change is a text of a source file, by its path in the tree, and what stands there
+// SourceChange is a text of a source file, by its path in the tree, and what stands there
 // instead.
-type Change struct{ File, Old, New string }
+type SourceChange struct{ File, Old, New string }
 
 // BuildWith builds them from a tree with some texts changed, as another version of
 // the programs; the tree itself stays.
-func BuildWith(root string, changes []Change) (Binaries, error) {
+func BuildWith(root string, changes []SourceChange) (Binaries, error) {
 	dir, err := os.MkdirTemp("", "curlewwalk-bin-")
 	if err != nil {
 		return "", err
 	}
 	args := []string{"build", "-tags", "proof", "-o", dir}
-	if race {
+	if raceDetector {
 		args = append(args, "-race")
 	}
 	if len(changes) > 0 {
@@ -46,7 +46,7 @@
 }
 
 // overlay writes the changed files and the list of them for the go command.
-func overlay(root, dir string, changes []Change) (string, error) {
+func overlay(root, dir string, changes []SourceChange) (string, error) {
 	texts, replace := map[string]string{}, map[string]string{}
 	for i, c := range changes {
 		path, err := filepath.Abs(filepath.Join(root, c.File))
--- a/tests/fleet/links.go
+++ b/tests/fleet/links.go
@@ -5,50 +5,50 @@
 	"fmt"
 )
 
-// Links counts how backends' outgoing calls were tied to their causes, against
+// LinkCounts counts how backends' outgoing calls were tied to their causes, against
 // what the stand-ins know.
-type Links struct{ Calls, Right, Untied, Proven, ProvenWrong int }
+type LinkCounts struct{ Calls, Correct, Unlinked, Proven, ProvenWrong int }
 
 // String is the count as text.
-func (n Links) String() string {
+func (n LinkCounts) String() string {
 	return fmt.Sprintf("%d calls, right %.1f%%, untied %d, proven %.1f%%, proven and wrong %d",
-		n.Calls, 100*float64(n.Right)/float64(max(1, n.Calls)), n.Untied, 100*float64(n.Proven)/float64(max(1, n.Calls)), n.ProvenWrong)
+		n.Calls, 100*float64(n.Correct)/float64(max(1, n.Calls)), n.Unlinked, 100*float64(n.Proven)/float64(max(1, n.Calls)), n.ProvenWrong)
 }
 
 // CountLinks reads the trees of up to most inner calls.
-func (f *Fleet) CountLinks(ctx context.Context, most int) (n Links, err error) {
-	for _, inner := range f.Ledger.Inner() {
-		if n.Calls++; n.Calls > most {
-			n.Calls--
+func (f *Fleet) CountLinks(ctx context.Context, limit int) (counts LinkCounts, err error) {
+	for _, inner := range f.Ledger.InnerCalls() {
+		if counts.Calls++; counts.Calls > limit {
+			counts.Calls--
 			break
 		}
-		var b Branch
+		var span SpanNode
 		err := Await(ctx, "span "+inner.Span+" in trace "+inner.Trace, func(ctx context.Context) bool {
-			var t Tree
-			_, err := f.Cores[0].Get(ctx, "/v1/traces/"+inner.Trace, &t)
+			var tree TraceTree
+			_, err := f.Replicas[0].Get(ctx, "/v1/traces/"+inner.Trace, &tree)
 			found := false
 			if err == nil {
-				b, found = find(t.Roots, inner.Span)
+				span, found = findSpan(tree.Roots, inner.Span)
 			}
-			return found && len(b.Events) > 0
+			return found && len(span.Events) > 0
 		})
 		if err != nil {
-			return n, err
+			return counts, err
 		}
-		outer, _ := f.Ledger.Spans(inner.Cause)
-		right := b.Parent == outer.Span
+		outer, _ := f.Ledger.FirstRun(inner.Parent)
+		right := span.Parent == outer.Span
 		switch {
 		case right:
-			n.Right++
-		case b.Parent == "":
-			n.Untied++
+			counts.Correct++
+		case span.Parent == "":
+			counts.Unlinked++
 		}
-		if b.Link == "proven" {
-			n.Proven++
+		if span.Link == "proven" {
+			counts.Proven++
 			if !right {
-				n.ProvenWrong++
+				counts.ProvenWrong++
 			}
 		}
 	}
-	return n, nil
+	return counts, nil
 }
--- a/tests/fleet/program.go
+++ b/tests/fleet/program.go
@@ -20,51 +20,51 @@
 
 // Program is one process of the system.
 type Program struct {
-	Name    string
-	IP      string
-	Control string
-	path    string
-	args    []string
-	clock   string // the file that says by how much the wall clock has jumped
-	disk    string // the file that says what trouble the disk has
+	Name      string
+	IP        string
+	Control   string
+	path      string
+	args      []string
+	clockFile string // the file that says by how much the wall clock has jumped
+	diskFile  string // the file that says what trouble the disk has
 
 	cmd    *exec.Cmd
-	stdout *tail
-	stderr *tail
+	stdout *output
+	stderr *output
 	exited chan struct{}
 }
 
-// tail keeps the end of what a process said.
-type tail struct {
-	mu sync.Mutex
-	b  bytes.Buffer
+// output keeps the end of what a process said.
+type output struct {
+	mu     sync.Mutex
+	buffer bytes.Buffer
 }
 
 // Write implements io.Writer.
-func (t *tail) Write(p []byte) (int, error) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.b.Len() < 1<<20 {
-		t.b.Write(p)
+func (o *output) Write(p []byte) (int, error) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	if o.buffer.Len() < 1<<20 {
+		o.buffer.Write(p)
 	}
 	return len(p), nil
 }
 
 // String is what was said.
-func (t *tail) String() string {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.b.String()
+func (o *output) String() string {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return o.buffer.String()
 }
 
-// From has the program come from other binaries at its next start.
-func (p *Program) From(b Binaries) { p.path = b.Path(filepath.Base(p.path)) }
+// UseBinaries has the program come from other binaries at its next start.
+func (p *Program) UseBinaries(b Binaries) { p.path = b.Path(filepath.Base(p.path)) }
 
-// Args adds flags for the next start.
-func (p *Program) Args(more ...string) { p.args = append(p.args, more...) }
+// AddArgs adds flags for the next start.
+func (p *Program) AddArgs(more ...string) { p.args = append(p.args, more...) }
 
-// Without takes flags away for the next start.
-func (p *Program) Without(names ...string) {
+// RemoveArgs takes flags away for the next start.
+func (p *Program) RemoveArgs(names ...string) {
 	p.args = slices.DeleteFunc(p.args, func(a string) bool {
 		name, _, _ := strings.Cut(a, "=")
 		return slices.Contains(names, name)
@@ -74,9 +74,9 @@
 // Start starts the process and returns once its addresses stand.
 func (p *Program) Start() error {
 	p.cmd = exec.Command(p.path, p.args...)
-	p.cmd.Env = append(os.Environ(), "CURLEWWALK_PROOF_CLOCK="+p.clock, "CURLEWWALK_PROOF_DISK="+p.disk)
+	p.cmd.Env = append(os.Environ(), "CURLEWWALK_PROOF_CLOCK="+p.clockFile, "CURLEWWALK_PROOF_DISK="+p.diskFile)
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	p.stdout, p.stderr = &tail{}, &tail{}
+	p.stdout, p.stderr = &output{}, &output{}
 	p.cmd.Stderr = p.stderr
 	out, err := p.cmd.StdoutPipe()
 	if err != nil {
@@ -128,16 +128,16 @@
 	}
 }
 
-// Printed is what the process wrote to its standard output after its first line.
-func (p *Program) Printed() string {
+// Stdout is what the process wrote to its standard output after its first line.
+func (p *Program) Stdout() string {
 	if p.stdout == nil {
 		return ""
 	}
 	return p.stdout.String()
 }
 
-// Said is what the process wrote to its standard error.
-func (p *Program) Said() string {
+// Stderr is what the process wrote to its standard error.
+func (p *Program) Stderr() string {
 	if p.stderr == nil {
 		return ""
 	}
@@ -175,8 +175,8 @@
 	return nil
 }
 
-// Ready waits until the process says that it is ready.
-func (p *Program) Ready(ctx context.Context) error {
+// AwaitReady waits until the process says that it is ready.
+func (p *Program) AwaitReady(ctx context.Context) error {
 	return Await(ctx, p.Name+" ready", func(ctx context.Context) bool {
 		status, err := p.Get(ctx, "/ready", nil)
 		return err == nil && status == http.StatusOK
--- a/tests/fleet/race_off.go
+++ b/tests/fleet/race_off.go
@@ -2,4 +2,4 @@
 
 package fleet
 
-const race = false
+const raceDetector = false
--- a/tests/fleet/report.go
+++ b/tests/fleet/report.go
@@ -15,33 +15,33 @@
 // Report sums up what callers saw.
 type Report struct {
 	mu    sync.Mutex
-	plans map[string]*line
+	plans map[string]*planStats
 }
 
-type line struct {
-	took []time.Duration
-	good int
-	kept int // good and within the aim
-	aim  time.Duration
+type planStats struct {
+	latencies     []time.Duration
+	good          int
+	withinTarget  int // good and within the aim
+	latencyTarget time.Duration
 }
 
-// Saw takes one answer.
-func (r *Report) Saw(p fakes.Plan, a ledger.Answered, took time.Duration) {
+// Record takes one answer.
+func (r *Report) Record(p fakes.RequestPlan, a ledger.Answered, took time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.plans == nil {
-		r.plans = map[string]*line{}
+		r.plans = map[string]*planStats{}
 	}
 	l := r.plans[p.Name]
 	if l == nil {
-		l = &line{aim: p.Aim}
+		l = &planStats{latencyTarget: p.LatencyTarget}
 		r.plans[p.Name] = l
 	}
-	l.took = append(l.took, took)
+	l.latencies = append(l.latencies, took)
 	if a.Status == 200 && a.Outcome == "" {
 		l.good++
-		if took <= l.aim {
-			l.kept++
+		if took <= l.latencyTarget {
+			l.withinTarget++
 		}
 	}
 }
@@ -53,12 +53,12 @@
 	var b strings.Builder
 	for _, name := range slices.Sorted(maps.Keys(r.plans)) {
 		l := r.plans[name]
-		slices.Sort(l.took)
+		slices.Sort(l.latencies)
 		q := func(x float64) time.Duration {
-			return l.took[int(x*float64(len(l.took)-1))].Round(100 * time.Microsecond)
+			return l.latencies[int(x*float64(len(l.latencies)-1))].Round(100 * time.Microsecond)
 		}
 		fmt.Fprintf(&b, "%-18s %6d sent %6d good  half %8v  95%% %8v  99%% %8v  good within aim %5.1f%%\n",
-			name, len(l.took), l.good, q(0.5), q(0.95), q(0.99), 100*float64(l.kept)/float64(len(l.took)))
+			name, len(l.latencies), l.good, q(0.5), q(0.95), q(0.99), 100*float64(l.withinTarget)/float64(len(l.latencies)))
 	}
 	return b.String()
 }
--- a/tests/fleet/site.go
+++ b/tests/fleet/site.go
@@ -17,14 +17,14 @@
 
 const firstOctet, octets = 10, 240
 
-// turn lets each run take the range after the one before it: what a run that has
+// nextSite lets each run take the range after the one before it: what a run that has
 // just ended had open may linger for a moment.
-var turn atomic.Int64
+var nextSite atomic.Int64
 
 // NewSite finds a range that no other run holds.
 func NewSite() (*Site, error) {
 	for range octets {
-		octet := firstOctet + int(turn.Add(1)-1+int64(os.Getpid()))%octets
+		octet := firstOctet + int(nextSite.Add(1)-1+int64(os.Getpid()))%octets
 		ln, err := net.Listen("tcp", fmt.Sprintf("127.%d.255.254:7399", octet))
 		if err == nil {
 			return &Site{octet: octet, lock: ln}, nil
--- a/tests/fleet/tree.go
+++ b/tests/fleet/trace.go
@@ -1,15 +1,15 @@
 package fleet
 
-// Tree is what is read of GET /v1/traces.
-type Tree struct {
-	Spans   int      `json:"spans"`
-	Whole   bool     `json:"whole"`
-	Roots   []Branch `json:"roots"`
-	Unasked []int    `json:"unasked"`
+// TraceTree is what is read of GET /v1/traces.
+type TraceTree struct {
+	Spans   int        `json:"spans"`
+	Whole   bool       `json:"whole"`
+	Roots   []SpanNode `json:"roots"`
+	Unasked []int      `json:"unasked"`
 }
 
-// Branch is one span of a tree.
-type Branch struct {
+// SpanNode is one span of a tree.
+type SpanNode struct {
 	Span       string   `json:"span"`
 	Parent     string   `json:"parent"`
 	Service    string   `json:"service"`
@@ -26,18 +26,18 @@
 		Counter uint64 `json:"counter"`
 		Status  int    `json:"status"`
 	} `json:"events"`
-	Children []Branch `json:"children"`
+	Children []SpanNode `json:"children"`
 }
 
-// find looks for a span.
-func find(in []Branch, span string) (Branch, bool) {
+// findSpan looks for a span.
+func findSpan(in []SpanNode, span string) (SpanNode, bool) {
 	for _, b := range in {
 		if b.Span == span {
 			return b, true
 		}
-		if c, ok := find(b.Children, span); ok {
+		if c, ok := findSpan(b.Children, span); ok {
 			return c, true
 		}
 	}
-	return Branch{}, false
+	return SpanNode{}, false
 }
--- a/tests/ledger/breach.go
+++ b/tests/ledger/breach.go
@@ -5,14 +5,14 @@
 
 // The rules that the ledger judges.
 const (
-	RuleUnasked Rule = "UNASKED" // a run that nobody asked for, or that was altered
-	RuleTwice   Rule = "TWICE"   // more runs than allowed
-	RuleRoute   Rule = "ROUTE"   // a run at a wrong service
-	RuleDrain   Rule = "DRAIN"   // a run at a backend that had left
-	RuleEvac    Rule = "EVAC"    // a run in an emptied zone
-	RuleRefused Rule = "REFUSED" // a run of what was promised not to run
-	RuleMixed   Rule = "MIXED"   // an answer that is not the backend's
-	RuleBudget  Rule = "BUDGET"  // too many further tries
+	RuleUnrequested Rule = "UNASKED" // a run that nobody asked for, or that was altered
+	RuleDuplicate   Rule = "TWICE"   // more runs than allowed
+	RuleRoute       Rule = "ROUTE"   // a run at a wrong service
+	RuleDrain       Rule = "DRAIN"   // a run at a backend that had left
+	RuleEvacuation  Rule = "EVAC"    // a run in an emptied zone
+	RuleRefused     Rule = "REFUSED" // a run of what was promised not to run
+	RuleWrongAnswer Rule = "MIXED"   // an answer that is not the backend's
+	RuleRetryBudget Rule = "BUDGET"  // too many further tries
 )
 
 // Breach is a rule that was broken. ID is the request's, empty if it is of none.
--- a/tests/messages/messages_test.go
+++ b/tests/messages/messages_test.go
@@ -28,12 +28,12 @@
 type kind struct {
 	name   string
 	sample any
-	// take reads a message and acts on it; false if it was not understood.
-	take func(b []byte) bool
+	// handle reads a message and acts on it; false if it was not understood.
+	handle func(b []byte) bool
 }
 
-// of makes a kind of a sample and of what acts on such messages.
-func of[M any](name string, sample M, act func(m M)) kind {
+// newKind makes a kind of a sample and of what acts on such messages.
+func newKind[M any](name string, sample M, act func(m M)) kind {
 	return kind{name, sample, func(b []byte) bool {
 		var m M
 		if transport.Unmarshal(b, &m) != nil {
@@ -50,41 +50,41 @@
 		Addr: "127.0.0.1:2", Incarnation: 7, Version: 3, Zone: "north", AppliedRevision: 5, Backends: []membership.Backend{backend}, Refutation: 1,
 		Suspects: []membership.Suspicion{{Addr: "127.0.0.1:3"}}, OpenRequests: map[string]int64{"north": 1}, Budgets: map[string]retrybudget.Counts{"c": {}}, Sequence: 2,
 	}
-	seat = membership.Replica{MemberID: 2, MemberCount: 3, Addr: "127.0.0.1:4", Incarnation: 9, Zone: "north", Established: true, Members: []int{1, 2, 3}, AcceptedRevision: 4, Digest: 8}
-	peer = membership.Peer{Addr: node.Addr, Incarnation: 7, Version: 3, Status: &membership.PeerStatus{Age: 20, AppliedRevision: 5, QuorumLost: true}}
-	word = config.ControlState{Revision: 5, ConfigurationRevision: 4, Configuration: []byte(`{}`), EvacuatedByOperator: []string{"north"}, Members: []config.Member{{MemberID: 1, DiskID: 11}, {MemberID: 2, DiskID: 12}}, HighestMemberID: 2}
-	mark = consensus.Position{Term: 65537, Revision: 5}
-	from = consensus.Sender{MemberID: 1}
+	replica      = membership.Replica{MemberID: 2, MemberCount: 3, Addr: "127.0.0.1:4", Incarnation: 9, Zone: "north", Established: true, Members: []int{1, 2, 3}, AcceptedRevision: 4, Digest: 8}
+	peer         = membership.Peer{Addr: node.Addr, Incarnation: 7, Version: 3, Status: &membership.PeerStatus{Age: 20, AppliedRevision: 5, QuorumLost: true}}
+	controlState = config.ControlState{Revision: 5, ConfigurationRevision: 4, Configuration: []byte(`{}`), EvacuatedByOperator: []string{"north"}, Members: []config.Member{{MemberID: 1, DiskID: 11}, {MemberID: 2, DiskID: 12}}, HighestMemberID: 2}
+	position     = consensus.Position{Term: 65537, Revision: 5}
+	sender       = consensus.Sender{MemberID: 1}
 )
 
 // kinds are all that are registered on the wire, each way.
 var kinds = []kind{
-	of("greeting", transport.Hello{Version: 1, Node: "n", Incarnation: 7}, func(transport.Hello) {}),
-	of(membership.KindHeartbeat, membership.Heartbeat{Node: &node, Replica: &seat, KnownReplicas: []membership.Replica{seat}, TableDigest: 3, KnownDigest: 8}, heartbeat),
-	of(membership.KindProbe, membership.Probe{Incarnation: 7, Refutation: 1}, probe),
-	of(membership.KindGossip, membership.GossipRequest{Sender: peer, Digest: 3, Fetch: &membership.Fetch{Nodes: []string{"x"}, State: true, Revision: 4}}, func(membership.GossipRequest) {}),
-	of("gossiped", membership.GossipResponse{Peers: []membership.Peer{peer}, State: &word, Nodes: []membership.Node{node}, KnownReplicas: []membership.Replica{seat}}, gossiped),
-	of(watch.KindWatch, watch.Request{LogID: 1, Offset: 1, Wait: time.Second}, follow),
-	of("news", watch.Updates{LogID: 1, Offset: 2, Snapshot: true, Events: []watch.Event{{State: &word}, {Node: &node}, {RemovedNode: "x"}}, Age: time.Second}, news),
-	of(consensus.KindMessage, consensus.Message{Sender: from, Type: consensus.MsgAccept, Term: 65537, Position: mark, State: word}, ballot),
-	of("vote", consensus.Reply{Sender: from, Type: consensus.MsgPrepare, Granted: true, Position: mark, State: word, Members: map[int]consensus.MemberRecord{1: {Incarnation: 1}}}, vote),
-	of(consensus.KindCommand, consensus.Command{ID: 1, Kind: consensus.CommandEvacuate, Zone: "north"}, func(consensus.Command) {}),
-	of(consensus.KindDeltaCommand, config.Patch{Delta: []byte{8, 1, 2, 3, 4}}, patched),
-	of("answer", consensus.CommandResult{ID: 1, Outcome: consensus.OutcomeCommitted}, func(consensus.CommandResult) {}),
-	of(consensus.KindJoin, consensus.JoinRequest{DiskID: 5, Addr: "127.0.0.1:5", Zone: "north"}, asker),
-	of(tracestore.KindPublish, tracestore.Batch{Events: []trace.Event{{Trace: trace.Root().Trace, Route: "w"}}}, batch),
-	of(tracestore.KindTrace, tracestore.Query{Trace: trace.Root().Trace}, func(tracestore.Query) {}),
-	of(keyreplication.KindStore, keyreplication.Record{Owner: "o", Incarnation: 1, Sequence: 1, Key: idempotency.Key{Text: "k"}, TTL: time.Minute, Response: []byte("r")}, hold),
-	of("held", keyreplication.StoreReply{Accepted: true, Existing: &keyreplication.Record{Owner: "o"}}, func(keyreplication.StoreReply) {}),
-	of(keyreplication.KindHandover, keyreplication.HandoverRequest{Owner: "o", Incarnation: 2}, func(q keyreplication.HandoverRequest) { keyreplication.NewReplicaStore().Handover(q, 0) }),
-	of("handed", keyreplication.HandoverReply{Records: []keyreplication.Record{{Owner: "o", Sequence: 1}}}, handed),
-	of(proxy.KindAttempt, proxy.Attempt{ID: "x", Service: "s", Instance: "i", Incarnation: 7, Method: "GET", URI: "/", Timeout: time.Second}, func(proxy.Attempt) {}),
-	of("leg receipt", proxy.AttemptResponse{ID: "x", Outcome: routing.Answered, Status: 200, Body: []byte("ok")}, func(proxy.AttemptResponse) {}),
-	of(proxy.KindCancel, proxy.CancelRequest{ID: "x", Incarnation: 7}, func(proxy.CancelRequest) {}),
-	of("receipt", proxy.Response{Status: 200, Body: []byte("ok"), Fate: routing.Answered}, func(proxy.Response) {}),
+	newKind("greeting", transport.Hello{Version: 1, Node: "n", Incarnation: 7}, func(transport.Hello) {}),
+	newKind(membership.KindHeartbeat, membership.Heartbeat{Node: &node, Replica: &replica, KnownReplicas: []membership.Replica{replica}, TableDigest: 3, KnownDigest: 8}, handleHeartbeat),
+	newKind(membership.KindProbe, membership.Probe{Incarnation: 7, Refutation: 1}, handleProbe),
+	newKind(membership.KindGossip, membership.GossipRequest{Sender: peer, Digest: 3, Fetch: &membership.Fetch{Nodes: []string{"x"}, State: true, Revision: 4}}, func(membership.GossipRequest) {}),
+	newKind("gossiped", membership.GossipResponse{Peers: []membership.Peer{peer}, State: &controlState, Nodes: []membership.Node{node}, KnownReplicas: []membership.Replica{replica}}, handleGossipReply),
+	newKind(watch.KindWatch, watch.Request{LogID: 1, Offset: 1, Wait: time.Second}, handleWatch),
+	newKind("news", watch.Updates{LogID: 1, Offset: 2, Snapshot: true, Events: []watch.Event{{State: &controlState}, {Node: &node}, {RemovedNode: "x"}}, Age: time.Second}, handleUpdates),
+	newKind(consensus.KindMessage, consensus.Message{Sender: sender, Type: consensus.MsgAccept, Term: 65537, Position: position, State: controlState}, handleMessage),
+	newKind("vote", consensus.Reply{Sender: sender, Type: consensus.MsgPrepare, Granted: true, Position: position, State: controlState, Members: map[int]consensus.MemberRecord{1: {Incarnation: 1}}}, handleReply),
+	newKind(consensus.KindCommand, consensus.Command{ID: 1, Kind: consensus.CommandEvacuate, Zone: "north"}, func(consensus.Command) {}),
+	newKind(consensus.KindDeltaCommand, config.Patch{Delta: []byte{8, 1, 2, 3, 4}}, handlePatch),
+	newKind("answer", consensus.CommandResult{ID: 1, Outcome: consensus.OutcomeCommitted}, func(consensus.CommandResult) {}),
+	newKind(consensus.KindJoin, consensus.JoinRequest{DiskID: 5, Addr: "127.0.0.1:5", Zone: "north"}, handleJoinRequest),
+	newKind(tracestore.KindPublish, tracestore.Batch{Events: []trace.Event{{Trace: trace.Root().Trace, Route: "w"}}}, handleBatch),
+	newKind(tracestore.KindTrace, tracestore.Query{Trace: trace.Root().Trace}, func(tracestore.Query) {}),
+	newKind(keyreplication.KindStore, keyreplication.Record{Owner: "o", Incarnation: 1, Sequence: 1, Key: idempotency.Key{Text: "k"}, TTL: time.Minute, Response: []byte("r")}, handleRecord),
+	newKind("held", keyreplication.StoreReply{Accepted: true, Existing: &keyreplication.Record{Owner: "o"}}, func(keyreplication.StoreReply) {}),
+	newKind(keyreplication.KindHandover, keyreplication.HandoverRequest{Owner: "o", Incarnation: 2}, func(q keyreplication.HandoverRequest) { keyreplication.NewReplicaStore().Handover(q, 0) }),
+	newKind("handed", keyreplication.HandoverReply{Records: []keyreplication.Record{{Owner: "o", Sequence: 1}}}, handleHandover),
+	newKind(proxy.KindAttempt, proxy.Attempt{ID: "x", Service: "s", Instance: "i", Incarnation: 7, Method: "GET", URI: "/", Timeout: time.Second}, func(proxy.Attempt) {}),
+	newKind("leg receipt", proxy.AttemptResponse{ID: "x", Outcome: routing.Answered, Status: 200, Body: []byte("ok")}, func(proxy.AttemptResponse) {}),
+	newKind(proxy.KindCancel, proxy.CancelRequest{ID: "x", Incarnation: 7}, func(proxy.CancelRequest) {}),
+	newKind("receipt", proxy.Response{Status: 200, Body: []byte("ok"), Fate: routing.Answered}, func(proxy.Response) {}),
 }
 
-func see(nodes ...membership.Node) {
+func buildView(nodes ...membership.Node) {
 	all := map[string]membership.Node{}
 	for _, n := range nodes {
 		all[n.Addr] = n
@@ -92,14 +92,14 @@
 	membership.NewView(all, nil).Nodes()
 }
 
-func heartbeat(h membership.Heartbeat) {
+func handleHeartbeat(h membership.Heartbeat) {
 	now := time.Now()
 	replicas, _ := membership.ReplicaTable{}.ObserveHeartbeat(h, now)
 	replicas, _ = replicas.ObserveHeartbeat(h, now.Add(membership.HeartbeatInterval))
 	replicas.Live(now)
 	replicas.QuorumLost(now)
 	replicas.MedianClock(now, 1, now)
-	replicas.Respond(h, &seat, replicas.Digest(&seat))
+	replicas.Respond(h, &replica, replicas.Digest(&replica))
 	f := watch.NewEventLog(1, 0)
 	if h.Node != nil {
 		f.ObserveNode(*h.Node, 0)
@@ -117,14 +117,14 @@
 	budgets.Totals()
 }
 
-func probe(p membership.Probe) {
+func handleProbe(p membership.Probe) {
 	w := membership.NewFailureDetector("127.0.0.1:2")
 	w.Monitored([]string{"127.0.0.1:3"})
 	w.ObserveProbe("127.0.0.1:3", &p, false)
 	w.Suspects(map[string]membership.Node{"127.0.0.1:3": {}})
 }
 
-func gossiped(g membership.GossipResponse) {
+func handleGossipReply(g membership.GossipResponse) {
 	now := time.Now()
 	s := membership.PeerStatusTable{}.Observe("127.0.0.1:9", g.Peers, now, now)
 	view := membership.NewView(map[string]membership.Node{node.Addr: node}, nil)
@@ -134,56 +134,56 @@
 	s.ConfirmedAsOf("127.0.0.1:9", 5, []string{node.Addr}, now)
 	c := watch.NewMirror()
 	c.MergeNodes(g.Nodes, map[string]uint64{node.Addr: 7})
-	see(g.Nodes...)
-	heartbeat(membership.Heartbeat{KnownReplicas: g.KnownReplicas})
-	inForce(g.State)
+	buildView(g.Nodes...)
+	handleHeartbeat(membership.Heartbeat{KnownReplicas: g.KnownReplicas})
+	applyState(g.State)
 }
 
-func inForce(w *config.ControlState) {
-	if w == nil {
+func applyState(state *config.ControlState) {
+	if state == nil {
 		return
 	}
-	w.EvacuatedZones()
-	if t, ok := routing.NewTable(*w); ok {
+	state.EvacuatedZones()
+	if t, ok := routing.NewTable(*state); ok {
 		t.Match("x", "/", "GET")
 	}
 }
 
-func follow(q watch.Request) {
+func handleWatch(q watch.Request) {
 	f := watch.NewEventLog(1, 0)
 	f.ObserveNode(node, 0)
-	f.ObserveCommitted(word)
+	f.ObserveCommitted(controlState)
 	for _, feedID := range []uint64{q.LogID, 1} {
 		q.LogID = feedID
 		f.Since(q)
 	}
 }
 
-func news(n watch.Updates) {
+func handleUpdates(n watch.Updates) {
 	c := watch.NewMirror()
 	word, _ := c.Apply(n)
-	inForce(word)
+	applyState(word)
 	c.Apply(n)
 }
 
 func acceptor() consensus.Acceptor {
-	return consensus.Acceptor{Self: from, Position: mark, State: word, Members: map[int]consensus.MemberRecord{}}
+	return consensus.Acceptor{Self: sender, Position: position, State: controlState, Members: map[int]consensus.MemberRecord{}}
 }
 
-func ballot(b consensus.Message) {
+func handleMessage(b consensus.Message) {
 	next, _ := acceptor().Step(b)
 	next, _ = next.Step(b)
 	next.MemberSets()
-	inForce(&next.State)
+	applyState(&next.State)
 }
 
-func vote(v consensus.Reply) {
-	v.FromMember(word.Members[0])
+func handleReply(v consensus.Reply) {
+	v.FromMember(controlState.Members[0])
 	consensus.HighestReply(map[int]consensus.Reply{1: v}, acceptor().MemberSets())
 }
 
-func patched(p config.Patch) {
-	base, err := config.NewVersion(word)
+func handlePatch(p config.Patch) {
+	base, err := config.NewVersion(controlState)
 	if err != nil {
 		panic(err)
 	}
@@ -195,30 +195,30 @@
 	kept.Apply(p)
 }
 
-func asker(a consensus.JoinRequest) {
+func handleJoinRequest(a consensus.JoinRequest) {
 	u := consensus.Reconfigurer{RemovalDelay: time.Second}
-	u = u.Observe(word.Members, nil, time.Second)
+	u = u.Observe(controlState.Members, nil, time.Second)
 	u.PlanJoin(a, acceptor(), map[int]consensus.MemberStatus{1: {Addr: a.Addr}}, 2*time.Second)
 }
 
-func batch(b tracestore.Batch) {
+func handleBatch(b tracestore.Batch) {
 	for _, e := range b.Events {
 		tracestore.BuildTree(e.Trace, b.Events)
 	}
 }
 
-func hold(e keyreplication.Record) {
+func handleRecord(e keyreplication.Record) {
 	h := keyreplication.NewReplicaStore()
 	h.Store(e, 0)
 	h.Store(e, time.Second)
 	h.Handover(keyreplication.HandoverRequest{Owner: e.Owner}, time.Second)
 	h.Release(e)
-	if n, settled := h.Count(); n < 0 || settled < 0 || settled > n {
+	if n, completed := h.Count(); n < 0 || completed < 0 || completed > n {
 		panic("the count of claims is wrong")
 	}
 }
 
-func handed(h keyreplication.HandoverReply) {
+func handleHandover(h keyreplication.HandoverReply) {
 	t := keyreplication.NewReplicationTracker("o", "north")
 	for _, e := range h.Records {
 		t.AddReplica(e, node, 0)
@@ -232,7 +232,7 @@
 func TestSamples(t *testing.T) {
 	for _, k := range kinds {
 		b, err := msgpack.Marshal(k.sample)
-		if err != nil || !k.take(b) {
+		if err != nil || !k.handle(b) {
 			t.Errorf("%s: %v", k.name, err)
 			continue
 		}
@@ -241,7 +241,7 @@
 			t.Errorf("%s: %v", k.name, err)
 		}
 		for cut := range b {
-			if k.take(b[:cut]) {
+			if k.handle(b[:cut]) {
 				t.Errorf("%s was taken though cut short at %d of %d", k.name, cut, len(b))
 			}
 		}
@@ -258,6 +258,6 @@
 		f.Add(uint8(i), b)
 	}
 	f.Fuzz(func(_ *testing.T, i uint8, b []byte) {
-		kinds[int(i)%len(kinds)].take(b)
+		kinds[int(i)%len(kinds)].handle(b)
 	})
 }
--- a/tests/modelcheck/check.go
+++ b/tests/modelcheck/check.go
@@ -9,53 +9,53 @@
 	"curlewwalk/internal/controlplane/consensus"
 )
 
-// view identifies what check looks at.
-func (s *state) view() digest {
+// acceptorDigest identifies what check looks at.
+func (s *state) acceptorDigest() digest {
 	b := make([]byte, 0, 128)
 	for _, n := range s.nodes {
 		b = append(b, n.acceptor[:]...)
 	}
-	for _, a := range s.acked {
-		b = binary.AppendUvarint(b, a.stamp)
+	for _, a := range s.acknowledged {
+		b = binary.AppendUvarint(b, a.revision)
 	}
 	return digestOf(b)
 }
 
-// check looks at a state as a reader does that asks any of the nodes: whatever votes are
+// checkReads looks at a state as a reader does that asks any of the nodes: whatever votes are
 // complete show all that was acknowledged, and only disks with the members' own
 // identities count for them.
-func (s *state) check() string {
-	var stamp uint64
-	for _, a := range s.acked {
-		stamp = max(stamp, a.stamp)
+func (s *state) checkReads() string {
+	var revision uint64
+	for _, a := range s.acknowledged {
+		revision = max(revision, a.revision)
 	}
-	votes := make([]consensus.Reply, len(s.nodes))
+	replies := make([]consensus.Reply, len(s.nodes))
 	for i, n := range s.nodes {
-		_, votes[i] = n.memory.Step(consensus.Message{Type: consensus.MsgRead})
+		_, replies[i] = n.memory.Step(consensus.Message{Type: consensus.MsgRead})
 	}
-	for asker := range s.nodes {
-		own := s.nodes[asker].memory.MemberSets()
+	for reader := range s.nodes {
+		own := s.nodes[reader].memory.MemberSets()
 		for asked := 1; asked < 1<<len(s.nodes); asked++ {
-			got := s.votes(votes, asked, own)
-			counted := consensus.CurrentReplies(got)
+			received := s.repliesOf(replies, asked, own)
+			counted := consensus.CurrentReplies(received)
 			if !consensus.HasReadQuorum(counted, own) {
 				continue
 			}
-			top, sets := consensus.HighestReply(counted, own)
+			newest, sets := consensus.HighestReply(counted, own)
 			if !isQuorum(sets, counted) {
-				return fmt.Sprintf("node %d counts %v as majorities of %v and %v", asker+1, senders(counted), sets.Current, sets.Previous)
+				return fmt.Sprintf("node %d counts %v as majorities of %v and %v", reader+1, senders(counted), sets.Current, sets.Previous)
 			}
-			if top.Position.Revision < stamp {
-				return fmt.Sprintf("node %d reads stamp %d from %v after %d was acknowledged", asker+1, top.Position.Revision, senders(counted), stamp)
+			if newest.Position.Revision < revision {
+				return fmt.Sprintf("node %d reads stamp %d from %v after %d was acknowledged", reader+1, newest.Position.Revision, senders(counted), revision)
 			}
 		}
 	}
 	return ""
 }
 
-// votes are those of the nodes asked, each as the member that its address belongs to,
+// repliesOf are those of the nodes asked, each as the member that its address belongs to,
 // also where its disk is another by now.
-func (s *state) votes(all []consensus.Reply, asked int, own consensus.MemberSets) map[int]consensus.Reply {
+func (s *state) repliesOf(all []consensus.Reply, asked int, own consensus.MemberSets) map[int]consensus.Reply {
 	out := map[int]consensus.Reply{}
 	known := own.Union()
 	for i := range all {
@@ -63,17 +63,17 @@
 			known = append(known, all[i].MemberSets.Union()...)
 		}
 	}
-	for i, v := range all {
+	for i, reply := range all {
 		if asked&(1<<i) == 0 {
 			continue
 		}
-		for _, m := range known {
-			if m.Addr != s.nodes[i].addr {
+		for _, member := range known {
+			if member.Addr != s.nodes[i].addr {
 				continue
 			}
-			v.Sender.MemberID = m.MemberID
-			if old, ok := out[m.MemberID]; !ok || old.Sender.DiskID != m.DiskID {
-				out[m.MemberID] = v
+			reply.Sender.MemberID = member.MemberID
+			if old, ok := out[member.MemberID]; !ok || old.Sender.DiskID != member.DiskID {
+				out[member.MemberID] = reply
 			}
 		}
 	}
@@ -81,11 +81,11 @@
 }
 
 // isQuorum counts anew: members whose own disk has voted.
-func isQuorum(sets consensus.MemberSets, votes map[int]consensus.Reply) bool {
+func isQuorum(sets consensus.MemberSets, replies map[int]consensus.Reply) bool {
 	for _, set := range [][]config.Member{sets.Current, sets.Previous} {
 		n := 0
-		for _, m := range set {
-			if v, ok := votes[m.MemberID]; ok && v.Sender.DiskID == m.DiskID {
+		for _, member := range set {
+			if reply, ok := replies[member.MemberID]; ok && reply.Sender.DiskID == member.DiskID {
 				n++
 			}
 		}
@@ -96,9 +96,9 @@
 	return true
 }
 
-func senders(votes map[int]consensus.Reply) (out []consensus.Sender) {
-	for _, v := range votes {
-		out = append(out, v.Sender)
+func senders(replies map[int]consensus.Reply) (out []consensus.Sender) {
+	for _, reply := range replies {
+		out = append(out, reply.Sender)
 	}
 	slices.SortFunc(out, func(a, b consensus.Sender) int { return a.MemberID - b.MemberID })
 	return out
--- a/tests/modelcheck/explore.go
+++ b/tests/modelcheck/explore.go
@@ -10,17 +10,17 @@
 // Bounds limit an exploration: how often each failure may come about, and how many
 // events follow each other at most.
 type Bounds struct {
-	Crashes, Timeouts, Doubled, Wiped int
-	// Looks are quorum reads whose answers come at different moments.
-	Looks int
-	Depth int
+	Crashes, Timeouts, Duplicated, DisksLost int
+	// QuorumReads are quorum reads whose answers come at different moments.
+	QuorumReads int
+	Depth       int
 	// States ends the exploration early; zero: never.
 	States int
 }
 
 // String names the bounds.
 func (b Bounds) String() string {
-	return fmt.Sprintf("(crashes %d, timeouts %d, doubled %d, disks lost %d, looks %d, depth %d)", b.Crashes, b.Timeouts, b.Doubled, b.Wiped, b.Looks, b.Depth)
+	return fmt.Sprintf("(crashes %d, timeouts %d, doubled %d, disks lost %d, looks %d, depth %d)", b.Crashes, b.Timeouts, b.Duplicated, b.DisksLost, b.QuorumReads, b.Depth)
 }
 
 // Result is what an exploration came to.
@@ -33,9 +33,9 @@
 	Cut int
 	// Answers counts the operators' answers by result.
 	Answers map[string]int
-	// Broken is the first invariant found broken, and Trace the events that led there.
-	Broken string
-	Trace  []string
+	// Violation is the first invariant found broken, and Trace the events that led there.
+	Violation string
+	Trace     []string
 }
 
 // String sums the result up.
@@ -46,14 +46,14 @@
 
 // branch is a state with the way to it.
 type branch struct {
-	s     *state
-	from  *branch
-	event event
-	depth int
+	state  *state
+	parent *branch
+	event  event
+	depth  int
 }
 
 func (b *branch) trace() (out []string) {
-	for ; b.from != nil; b = b.from {
+	for ; b.parent != nil; b = b.parent {
 		out = append([]string{b.event.String()}, out...)
 	}
 	return out
@@ -70,63 +70,63 @@
 
 // Explore tries all events in all states that a scenario comes to under bounds, in the
 // order of their depth, so that what it finds broken it finds by a shortest run.
-func Explore(sc Scenario, b Bounds) Result {
-	begin := newState(sc, b)
-	x := &exploration{
-		bounds: b, seen: map[digest]struct{}{begin.digest(): {}}, checked: map[digest]struct{}{},
-		queue: []*branch{{s: begin}}, result: Result{States: 1, Answers: map[string]int{}},
+func Explore(scenario Scenario, bounds Bounds) Result {
+	initial := newState(scenario, bounds)
+	e := &exploration{
+		bounds: bounds, seen: map[digest]struct{}{initial.digest(): {}}, checked: map[digest]struct{}{},
+		queue: []*branch{{state: initial}}, result: Result{States: 1, Answers: map[string]int{}},
 	}
-	for len(x.queue) > 0 && x.result.Broken == "" {
-		at := x.queue[0]
-		x.queue[0] = nil
-		x.queue = x.queue[1:]
-		x.follow(at)
+	for len(e.queue) > 0 && e.result.Violation == "" {
+		current := e.queue[0]
+		e.queue[0] = nil
+		e.queue = e.queue[1:]
+		e.expand(current)
 	}
-	return x.result
+	return e.result
 }
 
-// follow tries all events in one state.
-func (x *exploration) follow(at *branch) {
-	deep := x.bounds.Depth > 0 && at.depth >= x.bounds.Depth
-	full := x.bounds.States > 0 && x.result.States >= x.bounds.States
+// expand tries all events in one state.
+func (e *exploration) expand(current *branch) {
+	deep := e.bounds.Depth > 0 && current.depth >= e.bounds.Depth
+	full := e.bounds.States > 0 && e.result.States >= e.bounds.States
 	if deep || full {
-		x.result.Cut++
+		e.result.Cut++
 		return
 	}
-	now := at.s
-	at.s = nil // only the way to it is needed any more
-	for _, e := range now.events() {
-		x.result.Steps++
-		x.reach(&branch{s: now.step(e), from: at, event: e, depth: at.depth + 1})
-		if x.result.Broken != "" {
+	now := current.state
+	current.state = nil // only the way to it is needed any more
+	for _, next := range now.events() {
+		e.result.Steps++
+		e.visit(&branch{state: now.step(next), parent: current, event: next, depth: current.depth + 1})
+		if e.result.Violation != "" {
 			return
 		}
 	}
 }
 
-// reach takes a state that an event led to.
-func (x *exploration) reach(to *branch) {
-	if key := to.s.digest(); to.s.broken == "" {
-		if has(x.seen, key) {
-			x.result.Merged++
+// visit takes a state that an event led to.
+func (e *exploration) visit(to *branch) {
+	if key := to.state.digest(); to.state.violation == "" {
+		if contains(e.seen, key) {
+			e.result.Merged++
 			return
 		}
-		x.seen[key] = struct{}{}
-		x.result.States++
-		x.result.Deepest = max(x.result.Deepest, to.depth)
+		e.seen[key] = struct{}{}
+		e.result.States++
+		e.result.Deepest = max(e.result.Deepest, to.depth)
 	}
-	for _, a := range to.s.answered {
-		x.result.Answers[a]++
+	for _, a := range to.state.results {
+		e.result.Answers[a]++
 	}
-	if view := to.s.view(); to.s.broken == "" && !has(x.checked, view) {
-		x.checked[view] = struct{}{}
-		to.s.broken = to.s.check()
+	if view := to.state.acceptorDigest(); to.state.violation == "" && !contains(e.checked, view) {
+		e.checked[view] = struct{}{}
+		to.state.violation = to.state.checkReads()
 	}
-	if to.s.broken != "" {
-		x.result.Broken, x.result.Trace = to.s.broken, to.trace()
+	if to.state.violation != "" {
+		e.result.Violation, e.result.Trace = to.state.violation, to.trace()
 		return
 	}
-	x.queue = append(x.queue, to)
+	e.queue = append(e.queue, to)
 }
 
-func has(set map[digest]struct{}, d digest) bool { _, ok := set[d]; return ok }
+func contains(set map[digest]struct{}, d digest) bool { _, ok := set[d]; return ok }
--- a/tests/modelcheck/model_test.go
+++ b/tests/modelcheck/model_test.go
@@ -10,18 +10,18 @@
 
 // Every interleaving of each scenario under its bounds keeps the invariants.
 func TestEveryInterleaving(t *testing.T) {
-	for _, r := range Short {
-		t.Run(r.Name, func(t *testing.T) {
+	for _, run := range ShortRuns {
+		t.Run(run.Name, func(t *testing.T) {
 			t.Parallel()
 			if *states > 0 {
-				r.States = *states
+				run.States = *states
 			}
-			res := Explore(r.Scenario, r.Bounds)
-			t.Logf("%+v: %s", r.Bounds, res)
-			if res.Broken != "" {
-				t.Errorf("%s after\n%s", res.Broken, strings.Join(res.Trace, "\n"))
+			result := Explore(run.Scenario, run.Bounds)
+			t.Logf("%+v: %s", run.Bounds, result)
+			if result.Violation != "" {
+				t.Errorf("%s after\n%s", result.Violation, strings.Join(result.Trace, "\n"))
 			}
-			if len(res.Answers) == 0 {
+			if len(result.Answers) == 0 {
 				t.Error("no order was answered")
 			}
 		})
--- a/tests/modelcheck/state.go
+++ b/tests/modelcheck/state.go
@@ -43,20 +43,20 @@
 // message is a ballot on its way, or the vote that answers it.
 type message struct {
 	from, to int
-	ballot   *consensus.Message
-	vote     *consensus.Reply
-	slot     int // the member's that a ballot is meant for
-	id       uint64
+	request  *consensus.Message
+	reply    *consensus.Reply
+	memberID int // the member's that a ballot is meant for
+	diskID   uint64
 	key      digest
 }
 
 func (m message) sealed() message {
-	b := []byte{byte(m.from), byte(m.to), byte(m.slot)}
-	b = binary.BigEndian.AppendUint64(b, m.id)
-	if m.ballot != nil {
-		b = m.ballot.AppendState(append(b, 'b'))
+	b := []byte{byte(m.from), byte(m.to), byte(m.memberID)}
+	b = binary.BigEndian.AppendUint64(b, m.diskID)
+	if m.request != nil {
+		b = m.request.AppendState(append(b, 'b'))
 	} else {
-		b = m.vote.AppendState(append(b, 'v'))
+		b = m.reply.AppendState(append(b, 'v'))
 	}
 	m.key = digestOf(b)
 	return m
@@ -64,44 +64,44 @@
 
 // proposal is what an epoch's proposals under one stamp were, and by whom.
 type proposal struct {
-	mark consensus.Position
-	node int
-	word digest
+	position consensus.Position
+	node     int
+	word     digest
 }
 
-// acked is what an operator was told.
-type acked struct {
-	generation, stamp uint64
-	digest            string
+// acknowledgement is what an operator was told.
+type acknowledgement struct {
+	generation, revision uint64
+	digest               string
 }
 
 // state is one moment of a run, with the history that the invariants need.
 type state struct {
-	scenario *Scenario
-	nodes    []*node
-	flight   []message // sorted, each once
-	left     Bounds    // of failures, still to come
-	open     uint      // orders that were not given yet, by bit
-	drawn    uint64    // identities drawn after losses
-	look     look      // that is under way
-
-	proposals []proposal        // sorted by mark
-	settled   map[uint64]digest // the word under each settled stamp
-	acked     []acked
-
-	answered []string // by the last step
-	broken   string
+	scenario     *Scenario
+	nodes        []*node
+	inFlight     []message  // sorted, each once
+	remaining    Bounds     // of failures, still to come
+	openCommands uint       // orders that were not given yet, by bit
+	drawnIDs     uint64     // identities drawn after losses
+	read         quorumRead // that is under way
+
+	proposals    []proposal        // sorted by mark
+	committed    map[uint64]digest // the word under each settled stamp
+	acknowledged []acknowledgement
+
+	results   []string // by the last step
+	violation string
 }
 
-func newState(sc Scenario, b Bounds) *state {
-	s := &state{scenario: &sc, left: b, open: 1<<len(sc.Orders) - 1, settled: map[uint64]digest{}}
-	s.left.Depth, s.left.States = 0, 0
-	for i := range sc.Founders {
-		v := consensus.Bootstrap{NewCluster: true, InitialMembers: sc.Founders, AdvertiseAddr: sc.Founders[i]}.InitialState(0)
-		s.nodes = append(s.nodes, boot(sc.Founders[i], v, 0))
+func newState(scenario Scenario, bounds Bounds) *state {
+	s := &state{scenario: &scenario, remaining: bounds, openCommands: 1<<len(scenario.Commands) - 1, committed: map[uint64]digest{}}
+	s.remaining.Depth, s.remaining.States = 0, 0
+	for i := range scenario.Founders {
+		acceptor := consensus.Bootstrap{NewCluster: true, InitialMembers: scenario.Founders, AdvertiseAddr: scenario.Founders[i]}.InitialState(0)
+		s.nodes = append(s.nodes, startNode(scenario.Founders[i], acceptor, 0))
 	}
-	for i, addr := range sc.Newcomers {
-		s.nodes = append(s.nodes, boot(addr, consensus.Bootstrap{}.InitialState(newcomerID(i)), 0))
+	for i, addr := range scenario.Newcomers {
+		s.nodes = append(s.nodes, startNode(addr, consensus.Bootstrap{}.InitialState(newcomerID(i)), 0))
 	}
 	return s
 }
@@ -110,15 +110,15 @@
 func newcomerID(n int) uint64 { return uint64(1001 + 2*n) }
 func drawnID(n uint64) uint64 { return 2001 + 2*n }
 
-// copied is a state to make the next one of.
-func (s *state) copied() *state {
+// clone is a state to make the next one of.
+func (s *state) clone() *state {
 	c := *s
-	c.nodes, c.answered = slices.Clone(s.nodes), nil
+	c.nodes, c.results = slices.Clone(s.nodes), nil
 	return &c
 }
 
-// boot starts a core from its disk.
-func boot(addr string, disk consensus.Acceptor, now time.Duration) *node {
+// startNode starts a core from its disk.
+func startNode(addr string, disk consensus.Acceptor, now time.Duration) *node {
 	disk.PromiseDirty, disk.StateDirty = false, false
 	n := &node{addr: addr, disk: disk, memory: disk, proposer: &consensus.Proposer{}, now: now}
 	n.memory.Committed = 0
@@ -132,25 +132,25 @@
 	for _, n := range s.nodes {
 		b = append(b, n.key[:]...)
 	}
-	for _, m := range s.flight {
+	for _, m := range s.inFlight {
 		b = append(b, m.key[:]...)
 	}
-	b = append(b, 0xff, byte(s.left.Crashes), byte(s.left.Timeouts), byte(s.left.Doubled), byte(s.left.Wiped), byte(s.left.Looks), byte(s.open), byte(s.drawn))
-	b = s.look.appendState(b)
+	b = append(b, 0xff, byte(s.remaining.Crashes), byte(s.remaining.Timeouts), byte(s.remaining.Duplicated), byte(s.remaining.DisksLost), byte(s.remaining.QuorumReads), byte(s.openCommands), byte(s.drawnIDs))
+	b = s.read.appendState(b)
 	for _, p := range s.proposals {
-		b = binary.AppendUvarint(b, p.mark.Term)
-		b = binary.AppendUvarint(b, p.mark.Revision)
+		b = binary.AppendUvarint(b, p.position.Term)
+		b = binary.AppendUvarint(b, p.position.Revision)
 		b = append(append(b, byte(p.node)), p.word[:]...)
 	}
 	b = append(b, 0xff)
-	for stamp := uint64(1); int(stamp) <= len(s.settled)+8; stamp++ {
-		if d, ok := s.settled[stamp]; ok {
-			b = append(append(b, byte(stamp)), d[:]...)
+	for revision := uint64(1); int(revision) <= len(s.committed)+8; revision++ {
+		if d, ok := s.committed[revision]; ok {
+			b = append(append(b, byte(revision)), d[:]...)
 		}
 	}
-	for _, a := range s.acked {
+	for _, a := range s.acknowledged {
 		b = binary.AppendUvarint(b, a.generation)
-		b = binary.AppendUvarint(b, a.stamp)
+		b = binary.AppendUvarint(b, a.revision)
 		b = append(b, a.digest...)
 	}
 	return digestOf(b)
@@ -158,17 +158,17 @@
 
 // post puts messages on their way.
 func (s *state) post(ms ...message) {
-	s.flight = slices.Clone(s.flight)
+	s.inFlight = slices.Clone(s.inFlight)
 	for _, m := range ms {
 		m = m.sealed()
-		at, found := slices.BinarySearchFunc(s.flight, m, func(a, b message) int { return bytes.Compare(a.key[:], b.key[:]) })
+		at, found := slices.BinarySearchFunc(s.inFlight, m, func(a, b message) int { return bytes.Compare(a.key[:], b.key[:]) })
 		if !found {
-			s.flight = slices.Insert(s.flight, at, m)
+			s.inFlight = slices.Insert(s.inFlight, at, m)
 		}
 	}
 }
 
-// at is the node at an address.
-func (s *state) at(addr string) int {
+// nodeAt is the node at an address.
+func (s *state) nodeAt(addr string) int {
 	return slices.IndexFunc(s.nodes, func(n *node) bool { return n.addr == addr })
 }
