--- a/tests/modelcheck/step.go
+++ b/tests/modelcheck/step.go
@@ -11,93 +11,93 @@
 	"curlewwalk/internal/controlplane/consensus"
 )
 
-// later is beyond every limit of the proposer's.
-const later = time.Minute
+// timeoutStep is beyond every limit of the proposer's.
+const timeoutStep = time.Minute
 
-// never is when orders end.
-const never = 1 << 62
+// noDeadline is when orders end.
+const noDeadline = 1 << 62
 
 // The kinds of event.
 const (
-	deliver = "deliver"
-	double  = "deliver and keep"
-	tear    = "deliver, and power is lost between word and oath"
-	crash   = "crash"
-	wipe    = "lose the disk"
-	timeout = "time out"
-	give    = "order"
-	ask     = "look"
-	show    = "answer the look"
+	deliver            = "deliver"
+	deliverTwice       = "deliver and keep"
+	crashBetweenWrites = "deliver, and power is lost between word and oath"
+	crash              = "crash"
+	loseDisk           = "lose the disk"
+	timeout            = "time out"
+	submit             = "order"
+	beginQuorumRead    = "look"
+	answerQuorumRead   = "answer the look"
 )
 
 // event is one thing that may happen next.
 type event struct {
-	kind string
-	node int
-	n    int      // which message or order
-	what *message // that is delivered
+	kind    string
+	node    int
+	index   int      // which message or order
+	message *message // that is delivered
 }
 
 // String describes the event.
 func (e event) String() string {
 	out := fmt.Sprintf("%s: node %d", e.kind, e.node+1)
-	if e.what != nil {
-		out += " " + e.what.String()
+	if e.message != nil {
+		out += " " + e.message.String()
 	}
 	return out
 }
 
 // String describes the message.
 func (m message) String() string {
-	if m.ballot != nil {
-		return fmt.Sprintf("from %d %s epoch %d mark %v slots %v", m.from+1, m.ballot.Type, m.ballot.Term, m.ballot.Position, consensus.MemberIDs(m.ballot.State.Members))
+	if m.request != nil {
+		return fmt.Sprintf("from %d %s epoch %d mark %v slots %v", m.from+1, m.request.Type, m.request.Term, m.request.Position, consensus.MemberIDs(m.request.State.Members))
 	}
-	return fmt.Sprintf("from %d vote %s epoch %d ok %v promised %d holds %v", m.from+1, m.vote.Type, m.vote.Term, m.vote.Granted, m.vote.Promised, m.vote.Position)
+	return fmt.Sprintf("from %d vote %s epoch %d ok %v promised %d holds %v", m.from+1, m.reply.Type, m.reply.Term, m.reply.Granted, m.reply.Promised, m.reply.Position)
 }
 
 // events lists all that may happen next. A loss is a message that is never delivered, a
 // cut one that is delivered late: both are among the runs without any event of theirs.
 func (s *state) events() (out []event) {
-	for i, m := range s.flight {
-		out = append(out, event{kind: deliver, node: m.to, n: i, what: &s.flight[i]})
-		if s.left.Doubled > 0 {
-			out = append(out, event{kind: double, node: m.to, n: i, what: &s.flight[i]})
+	for i, m := range s.inFlight {
+		out = append(out, event{kind: deliver, node: m.to, index: i, message: &s.inFlight[i]})
+		if s.remaining.Duplicated > 0 {
+			out = append(out, event{kind: deliverTwice, node: m.to, index: i, message: &s.inFlight[i]})
 		}
-		if s.left.Crashes > 0 && m.ballot != nil {
-			if next, _ := s.nodes[m.to].memory.Step(*m.ballot); next.StateDirty && next.PromiseDirty {
-				out = append(out, event{kind: tear, node: m.to, n: i, what: &s.flight[i]})
+		if s.remaining.Crashes > 0 && m.request != nil {
+			if next, _ := s.nodes[m.to].memory.Step(*m.request); next.StateDirty && next.PromiseDirty {
+				out = append(out, event{kind: crashBetweenWrites, node: m.to, index: i, message: &s.inFlight[i]})
 			}
 		}
 	}
 	for i, n := range s.nodes {
-		if s.left.Crashes > 0 {
+		if s.remaining.Crashes > 0 {
 			out = append(out, event{kind: crash, node: i})
 		}
-		if s.left.Wiped > 0 && slices.Contains(s.scenario.Wiped, n.addr) {
-			out = append(out, event{kind: wipe, node: i})
+		if s.remaining.DisksLost > 0 && slices.Contains(s.scenario.DisksLost, n.addr) {
+			out = append(out, event{kind: loseDisk, node: i})
 		}
-		if s.left.Timeouts > 0 && n.memory.Phase == consensus.PhaseEstablished {
+		if s.remaining.Timeouts > 0 && n.memory.Phase == consensus.PhaseEstablished {
 			out = append(out, event{kind: timeout, node: i})
 		}
 	}
-	out = append(out, s.looks()...)
-	for i, o := range s.scenario.Orders {
-		ready := !o.AfterWipe || s.drawn > 0
-		if s.open&(1<<i) != 0 && ready && s.nodes[o.Node].memory.Phase == consensus.PhaseEstablished {
-			out = append(out, event{kind: give, node: o.Node, n: i})
+	out = append(out, s.readEvents()...)
+	for i, command := range s.scenario.Commands {
+		ready := !command.AfterDiskLoss || s.drawnIDs > 0
+		if s.openCommands&(1<<i) != 0 && ready && s.nodes[command.Node].memory.Phase == consensus.PhaseEstablished {
+			out = append(out, event{kind: submit, node: command.Node, index: i})
 		}
 	}
 	return out
 }
 
-// looks lists what a look that is under way, or may begin, has happen next.
-func (s *state) looks() (out []event) {
+// readEvents lists what a look that is under way, or may begin, has happen next.
+func (s *state) readEvents() (out []event) {
 	for i, n := range s.nodes {
-		if !s.look.open && s.left.Looks > 0 && n.memory.Phase == consensus.PhaseEstablished {
-			out = append(out, event{kind: ask, node: i})
+		if !s.read.active && s.remaining.QuorumReads > 0 && n.memory.Phase == consensus.PhaseEstablished {
+			out = append(out, event{kind: beginQuorumRead, node: i})
 		}
-		if s.look.open && s.look.answered&(1<<i) == 0 {
-			out = append(out, event{kind: show, node: i})
+		if s.read.active && s.read.answered&(1<<i) == 0 {
+			out = append(out, event{kind: answerQuorumRead, node: i})
 		}
 	}
 	return out
@@ -105,68 +105,68 @@
 
 // step is the state after an event.
 func (s *state) step(e event) *state {
-	next := s.copied()
+	next := s.clone()
 	switch e.kind {
-	case deliver, double, tear:
-		m := s.flight[e.n]
-		if e.kind == double {
-			next.left.Doubled--
+	case deliver, deliverTwice, crashBetweenWrites:
+		m := s.inFlight[e.index]
+		if e.kind == deliverTwice {
+			next.remaining.Duplicated--
 		} else {
-			next.flight = slices.Delete(slices.Clone(s.flight), e.n, e.n+1)
+			next.inFlight = slices.Delete(slices.Clone(s.inFlight), e.index, e.index+1)
 		}
-		next.take(m, e.kind == tear)
+		next.deliver(m, e.kind == crashBetweenWrites)
 	case crash:
-		next.left.Crashes--
+		next.remaining.Crashes--
 		n := s.nodes[e.node]
-		next.nodes[e.node] = boot(n.addr, n.disk, n.now)
-	case wipe:
-		next.left.Wiped--
-		next.nodes[e.node] = boot(s.nodes[e.node].addr, consensus.Bootstrap{}.InitialState(drawnID(s.drawn)), s.nodes[e.node].now)
-		next.drawn++
+		next.nodes[e.node] = startNode(n.addr, n.disk, n.now)
+	case loseDisk:
+		next.remaining.DisksLost--
+		next.nodes[e.node] = startNode(s.nodes[e.node].addr, consensus.Bootstrap{}.InitialState(drawnID(s.drawnIDs)), s.nodes[e.node].now)
+		next.drawnIDs++
 	case timeout:
-		next.left.Timeouts--
-		next.proposer(e.node, func(n *node) []consensus.Ready {
-			n.now += later
+		next.remaining.Timeouts--
+		next.runProposer(e.node, func(n *node) []consensus.Ready {
+			n.now += timeoutStep
 			return n.proposer.Tick(n.now)
 		})
-	case ask:
-		next.beginLook(e.node)
-	case show:
-		next.answerLook(e.node)
-	case give:
-		next.open &^= 1 << e.n
-		o := s.scenario.Orders[e.n].order(s)
-		o.ID, o.Deadline = uint64(e.n+1), never
-		next.proposer(e.node, func(n *node) []consensus.Ready { return n.proposer.Enqueue(o, n.now) })
+	case beginQuorumRead:
+		next.beginRead(e.node)
+	case answerQuorumRead:
+		next.answerRead(e.node)
+	case submit:
+		next.openCommands &^= 1 << e.index
+		command := s.scenario.Commands[e.index].command(s)
+		command.ID, command.Deadline = uint64(e.index+1), noDeadline
+		next.runProposer(e.node, func(n *node) []consensus.Ready { return n.proposer.Enqueue(command, n.now) })
 	}
-	next.forget()
+	next.dropIgnored()
 	return next
 }
 
-// take has a node take a message.
-func (s *state) take(m message, torn bool) {
-	if m.vote != nil {
-		s.proposer(m.to, func(n *node) []consensus.Ready {
+// deliver has a node take a message.
+func (s *state) deliver(m message, torn bool) {
+	if m.reply != nil {
+		s.runProposer(m.to, func(n *node) []consensus.Ready {
 			if n.memory.Phase != consensus.PhaseEstablished {
 				return nil
 			}
-			return n.proposer.HandleReply(*m.vote, n.now)
+			return n.proposer.HandleReply(*m.reply, n.now)
 		})
 		return
 	}
 	old := s.nodes[m.to]
-	acceptor, vote := old.memory.Step(*m.ballot)
+	acceptor, reply := old.memory.Step(*m.request)
 	if torn {
-		s.left.Crashes--
+		s.remaining.Crashes--
 		disk := old.disk
 		disk.Position, disk.State = acceptor.Position, acceptor.State
-		s.nodes[m.to] = boot(old.addr, disk, old.now)
+		s.nodes[m.to] = startNode(old.addr, disk, old.now)
 		return
 	}
 	s.save(m.to, acceptor)
-	s.settles(acceptor)
-	if v := vote.FromMember(config.Member{MemberID: m.slot, DiskID: m.id}); v != nil && m.ballot.Type != consensus.MsgCommit {
-		s.post(message{from: m.to, to: m.from, vote: v})
+	s.recordIfCommitted(acceptor)
+	if own := reply.FromMember(config.Member{MemberID: m.memberID, DiskID: m.diskID}); own != nil && m.request.Type != consensus.MsgCommit {
+		s.post(message{from: m.to, to: m.from, reply: own})
 	}
 }
 
@@ -184,157 +184,159 @@
 	n.proposer.FollowAcceptor(n.memory, n.now)
 	s.nodes[at] = n.sealed()
 	if n.memory.Removed() {
-		s.save(at, n.memory.Rejoining(drawnID(s.drawn)))
-		s.drawn++
+		s.save(at, n.memory.Rejoining(drawnID(s.drawnIDs)))
+		s.drawnIDs++
 	}
 }
 
-// proposer lets a node's proposer do something, and carries out what it wants.
-func (s *state) proposer(at int, do func(*node) []consensus.Ready) {
+// runProposer lets a node's proposer do something, and carries out what it wants.
+func (s *state) runProposer(at int, action func(*node) []consensus.Ready) {
 	n := *s.nodes[at]
 	n.proposer = n.proposer.Clone()
-	outs := do(&n)
+	ready := action(&n)
 	s.nodes[at] = n.sealed()
-	for _, o := range outs {
-		if o.Result != nil {
-			s.answer(*o.Result)
+	for _, item := range ready {
+		if item.Result != nil {
+			s.recordResult(*item.Result)
 		}
-		if o.Message == nil {
+		if item.Message == nil {
 			continue
 		}
-		s.proposed(at, *o.Message)
+		s.recordProposal(at, *item.Message)
 		own := -1
-		for i, m := range o.To {
-			switch to := s.member(at, m); {
+		for i, member := range item.To {
+			switch to := s.nodeOf(at, member); {
 			case to == at:
 				own = i
 			case to >= 0:
-				s.post(message{from: at, to: to, ballot: o.Message, slot: m.MemberID, id: m.DiskID})
+				s.post(message{from: at, to: to, request: item.Message, memberID: member.MemberID, diskID: member.DiskID})
 			}
 		}
 		if own >= 0 {
-			s.takeOwn(at, *o.Message, o.To[own])
+			s.deliverToSelf(at, *item.Message, item.To[own])
 		}
 	}
 }
 
-// takeOwn has a node's own acceptor take its proposer's ballot, and the proposer the vote, at once:
+// deliverToSelf has a node's own acceptor take its proposer's ballot, and the proposer the vote, at once:
 // both are one core's, and no other message need come between.
-func (s *state) takeOwn(at int, b consensus.Message, m config.Member) {
-	acceptor, vote := s.nodes[at].memory.Step(b)
+func (s *state) deliverToSelf(at int, message consensus.Message, member config.Member) {
+	acceptor, reply := s.nodes[at].memory.Step(message)
 	s.save(at, acceptor)
-	s.settles(acceptor)
-	if v := vote.FromMember(m); v != nil && b.Type != consensus.MsgCommit {
-		s.proposer(at, func(n *node) []consensus.Ready { return n.proposer.HandleReply(*v, n.now) })
+	s.recordIfCommitted(acceptor)
+	if own := reply.FromMember(member); own != nil && message.Type != consensus.MsgCommit {
+		s.runProposer(at, func(n *node) []consensus.Ready { return n.proposer.HandleReply(*own, n.now) })
 	}
 }
 
-// member is the node that is asked for a member: the own one, or whoever is at the
+// nodeOf is the node that is asked for a member: the own one, or whoever is at the
 // member's address now.
-func (s *state) member(at int, m config.Member) int {
-	if self := s.nodes[at].memory.Self; self.MemberID == m.MemberID && self.DiskID == m.DiskID {
+func (s *state) nodeOf(at int, member config.Member) int {
+	if self := s.nodes[at].memory.Self; self.MemberID == member.MemberID && self.DiskID == member.DiskID {
 		return at
 	}
-	return s.at(m.Addr)
+	return s.nodeAt(member.Addr)
 }
 
-// forget drops messages that nobody heeds any more, so that states merge: what is refused
+// dropIgnored drops messages that nobody heeds any more, so that states merge: what is refused
 // and whose refusal nobody waits for, and votes for an epoch that is over.
-func (s *state) forget() {
-	heeded := func(m message) bool {
-		if m.vote != nil {
-			return s.nodes[m.to].proposer.CanAffect(*m.vote)
+func (s *state) dropIgnored() {
+	matters := func(m message) bool {
+		if m.reply != nil {
+			return s.nodes[m.to].proposer.CanAffect(*m.reply)
 		}
-		to, b := s.nodes[m.to].memory, m.ballot
-		switch b.Type {
+		to, request := s.nodes[m.to].memory, m.request
+		switch request.Type {
 		case consensus.MsgCommit:
-			return to.Position.Compare(b.Position) < 0 || to.Committed < b.Position.Revision
+			return to.Position.Compare(request.Position) < 0 || to.Committed < request.Position.Revision
 		case consensus.MsgAccept:
-			stale := to.Promised > b.Term || to.Position.Compare(b.Position) > 0
-			return !stale || s.nodes[m.from].proposer.HoldsTerm(b.Term)
+			stale := to.Promised > request.Term || to.Position.Compare(request.Position) > 0
+			return !stale || s.nodes[m.from].proposer.HoldsTerm(request.Term)
 		}
-		return to.Promised <= b.Term || s.nodes[m.from].proposer.HoldsTerm(b.Term)
+		return to.Promised <= request.Term || s.nodes[m.from].proposer.HoldsTerm(request.Term)
 	}
-	if slices.ContainsFunc(s.flight, func(m message) bool { return !heeded(m) }) {
-		s.flight = slices.DeleteFunc(slices.Clone(s.flight), func(m message) bool { return !heeded(m) })
+	if slices.ContainsFunc(s.inFlight, func(m message) bool { return !matters(m) }) {
+		s.inFlight = slices.DeleteFunc(slices.Clone(s.inFlight), func(m message) bool { return !matters(m) })
 	}
 }
 
-// proposed notes a proposal: an epoch is one node's, and a mark one word's.
-func (s *state) proposed(at int, b consensus.Message) {
-	if b.Type == consensus.MsgCommit {
-		s.settle(b.Position.Revision, b.State)
+// recordProposal notes a proposal: an epoch is one node's, and a mark one word's.
+func (s *state) recordProposal(at int, message consensus.Message) {
+	if message.Type == consensus.MsgCommit {
+		s.recordCommit(message.Position.Revision, message.State)
 	}
-	if b.Type != consensus.MsgAccept {
+	if message.Type != consensus.MsgAccept {
 		return
 	}
-	p := proposal{mark: b.Position, node: at, word: wordDigest(b.State)}
-	for _, o := range s.proposals {
-		if o.mark.Term == p.mark.Term && o.node != p.node {
-			s.breaks("two proposers propose in epoch %d", p.mark.Term)
+	new := proposal{position: message.Position, node: at, word: stateDigest(message.State)}
+	for _, other := range s.proposals {
+		if other.position.Term == new.position.Term && other.node != new.node {
+			s.violate("two proposers propose in epoch %d", new.position.Term)
 		}
-		if o.mark == p.mark && o.word != p.word {
-			s.breaks("two words under mark %v", p.mark)
+		if other.position == new.position && other.word != new.word {
+			s.violate("two words under mark %v", new.position)
 		}
 	}
-	if !slices.Contains(s.proposals, p) {
-		s.proposals = append(slices.Clone(s.proposals), p)
-		slices.SortFunc(s.proposals, func(a, b proposal) int { return a.mark.Compare(b.mark) })
+	if !slices.Contains(s.proposals, new) {
+		s.proposals = append(slices.Clone(s.proposals), new)
+		slices.SortFunc(s.proposals, func(a, message proposal) int { return a.position.Compare(message.position) })
 	}
 }
 
-func wordDigest(w config.ControlState) digest { return digestOf(consensus.AppendControlState(nil, w)) }
+func stateDigest(w config.ControlState) digest { return digestOf(consensus.AppendControlState(nil, w)) }
 
-func (s *state) settles(v consensus.Acceptor) {
-	if v.Committed != 0 && v.Committed == v.Position.Revision {
-		s.settle(v.Committed, v.State)
+func (s *state) recordIfCommitted(acceptor consensus.Acceptor) {
+	if acceptor.Committed != 0 && acceptor.Committed == acceptor.Position.Revision {
+		s.recordCommit(acceptor.Committed, acceptor.State)
 	}
 }
 
-// settle notes a word that somebody takes for settled: one under each stamp.
-func (s *state) settle(stamp uint64, w config.ControlState) {
-	is := wordDigest(w)
-	old, ok := s.settled[stamp]
+// recordCommit notes a word that somebody takes for settled: one under each stamp.
+func (s *state) recordCommit(revision uint64, controlState config.ControlState) {
+	digest := stateDigest(controlState)
+	old, ok := s.committed[revision]
 	switch {
-	case ok && old != is:
-		s.breaks("two words are settled under stamp %d", stamp)
+	case ok && old != digest:
+		s.violate("two words are settled under stamp %d", revision)
 	case !ok:
-		s.settled = maps.Clone(s.settled)
-		s.settled[stamp] = is
+		s.committed = maps.Clone(s.committed)
+		s.committed[revision] = digest
 	}
 }
 
-// answer notes what an operator is told.
-func (s *state) answer(a consensus.CommandResult) {
-	given := s.scenario.Orders[a.ID-1]
-	s.answered = append(s.answered, given.Name+" "+string(a.Outcome))
-	if a.Outcome != consensus.OutcomeCommitted {
-		if given.Generation != 0 && a.Outcome == consensus.OutcomeConflict {
+// recordResult notes what an operator is told.
+func (s *state) recordResult(result consensus.CommandResult) {
+	command := s.scenario.Commands[result.ID-1]
+	s.results = append(s.results, command.Name+" "+string(result.Outcome))
+	if result.Outcome != consensus.OutcomeCommitted {
+		if command.Generation != 0 && result.Outcome == consensus.OutcomeConflict {
 			return
 		}
-		for _, o := range s.acked {
-			if given.Generation != 0 && o.generation == given.Generation && o.digest == given.Text {
-				s.breaks("number %d with %q was acknowledged, and its repeat is answered %s", o.generation, o.digest, a.Outcome)
+		for _, other := range s.acknowledged {
+			if command.Generation != 0 && other.generation == command.Generation && other.digest == command.Text {
+				s.violate("number %d with %q was acknowledged, and its repeat is answered %s", other.generation, other.digest, result.Outcome)
 			}
 		}
 		return
 	}
-	s.settle(a.State.Revision, a.State)
-	is := acked{generation: given.Generation, stamp: a.State.Revision, digest: given.Text}
-	for _, o := range s.acked {
-		if is.generation != 0 && o.generation == is.generation && o.digest != is.digest {
-			s.breaks("number %d is acknowledged with %q and with %q", is.generation, o.digest, is.digest)
+	s.recordCommit(result.State.Revision, result.State)
+	ack := acknowledgement{generation: command.Generation, revision: result.State.Revision, digest: command.Text}
+	for _, other := range s.acknowledged {
+		if ack.generation != 0 && other.generation == ack.generation && other.digest != ack.digest {
+			s.violate("number %d is acknowledged with %q and with %q", ack.generation, other.digest, ack.digest)
 		}
 	}
-	if given.Generation != 0 && a.State.Generation == given.Generation && !bytes.Equal(a.State.Configuration, []byte(given.Text)) {
-		s.breaks("number %d with %q is acknowledged, and %q is held", given.Generation, given.Text, a.State.Configuration)
+	if command.Generation != 0 && result.State.Generation == command.Generation && !bytes.Equal(result.State.Configuration, []byte(command.Text)) {
+		s.violate("number %d with %q is acknowledged, and %q is held", command.Generation, command.Text, result.State.Configuration)
 	}
-	s.acked = append(slices.Clone(s.acked), is)
-	slices.SortFunc(s.acked, func(a, b acked) int { return bytes.Compare([]byte(fmt.Sprint(a)), []byte(fmt.Sprint(b))) })
+	s.acknowledged = append(slices.Clone(s.acknowledged), ack)
+	slices.SortFunc(s.acknowledged, func(result, b acknowledgement) int {
+		return bytes.Compare([]byte(fmt.Sprint(result)), []byte(fmt.Sprint(b)))
+	})
 }
 
-func (s *state) breaks(format string, args ...any) {
-	if s.broken == "" {
-		s.broken = fmt.Sprintf(format, args...)
+func (s *state) violate(format string, args ...any) {
+	if s.violation == "" {
+		s.violation = fmt.Sprintf(format, args...)
 	}
 }
--- a/tests/mutation/defect.go
+++ b/tests/mutation/mutation.go
@@ -11,10 +11,10 @@
 	"strings"
 )
 
-// Defect is one change for the worse.
-type Defect struct {
-	// Line is the line of the brief that it breaks.
-	Line string
+// Mutation is one change for the worse.
+type Mutation struct {
+	// Invariant is the line of the brief that it breaks.
+	Invariant string
 	// File is changed: Old, which stands there once, becomes New.
 	File, Old, New string
 	// Package and Test name the proof; Args are more flags for it.
@@ -23,21 +23,21 @@
 }
 
 // Check tells whether the defect can still be put into a tree.
-func (d Defect) Check(root string) error {
-	b, err := os.ReadFile(filepath.Join(root, d.File))
+func (m Mutation) Check(root string) error {
+	b, err := os.ReadFile(filepath.Join(root, m.File))
 	if err != nil {
 		return err
 	}
-	if n := strings.Count(string(b), d.Old); n != 1 {
-		return fmt.Errorf("%s: %q stands there %d times", d.File, d.Old, n)
+	if n := strings.Count(string(b), m.Old); n != 1 {
+		return fmt.Errorf("%s: %q stands there %d times", m.File, m.Old, n)
 	}
 	return nil
 }
 
 // Builds tells whether the package that the defect is in builds with it; the tree stays as
 // it is, and dir takes what is written for it.
-func (d Defect) Builds(root, dir string) (said string, err error) {
-	path, err := filepath.Abs(filepath.Join(root, d.File))
+func (m Mutation) Builds(root, dir string) (output string, err error) {
+	path, err := filepath.Abs(filepath.Join(root, m.File))
 	if err != nil {
 		return "", err
 	}
@@ -46,7 +46,7 @@
 		return "", err
 	}
 	changed, overlay := filepath.Join(dir, "changed.go"), filepath.Join(dir, "overlay.json")
-	if err := os.WriteFile(changed, []byte(strings.Replace(string(whole), d.Old, d.New, 1)), 0o644); err != nil {
+	if err := os.WriteFile(changed, []byte(strings.Replace(string(whole), m.Old, m.New, 1)), 0o644); err != nil {
 		return "", err
 	}
 	replace, err := json.Marshal(map[string]map[string]string{"Replace": {path: changed}})
@@ -56,25 +56,25 @@
 	if err := os.WriteFile(overlay, replace, 0o644); err != nil {
 		return "", err
 	}
-	cmd := exec.Command("go", "build", "-overlay", overlay, "-o", os.DevNull, "./"+filepath.Dir(d.File))
+	cmd := exec.Command("go", "build", "-overlay", overlay, "-o", os.DevNull, "./"+filepath.Dir(m.File))
 	cmd.Dir = root
 	out, err := cmd.CombinedOutput()
 	return string(out), err
 }
 
-// Caught puts the defect into a tree, runs its proof there, and takes it out
+// Killed puts the defect into a tree, runs its proof there, and takes it out
 // again. It is caught if the tree still builds and the proof fails.
-func (d Defect) Caught(root string) (caught bool, said string, err error) {
-	if err := d.Check(root); err != nil {
+func (m Mutation) Killed(root string) (killed bool, output string, err error) {
+	if err := m.Check(root); err != nil {
 		return false, "", err
 	}
-	path := filepath.Join(root, d.File)
+	path := filepath.Join(root, m.File)
 	whole, err := os.ReadFile(path)
 	if err != nil {
 		return false, "", err
 	}
 	defer os.WriteFile(path, whole, 0o644)
-	if err := os.WriteFile(path, []byte(strings.Replace(string(whole), d.Old, d.New, 1)), 0o644); err != nil {
+	if err := os.WriteFile(path, []byte(strings.Replace(string(whole), m.Old, m.New, 1)), 0o644); err != nil {
 		return false, "", err
 	}
 	run := func(args ...string) (string, error) {
@@ -86,6 +86,6 @@
 	if out, err := run("build", "./..."); err != nil {
 		return false, out, fmt.Errorf("with the defect it does not build")
 	}
-	said, err = run(append([]string{"test", "-count=1", d.Package, "-run", "^" + d.Test + "$"}, d.Args...)...)
-	return err != nil, said, nil
+	output, err = run(append([]string{"test", "-count=1", m.Package, "-run", "^" + m.Test + "$"}, m.Args...)...)
+	return err != nil, output, nil
 }
--- a/tests/simulation/clock.go
+++ b/tests/simulation/clock.go
@@ -10,26 +10,26 @@
 
 // clock runs events in the order of simulated time.
 type clock struct {
-	now   time.Duration
-	seq   int
-	queue events
+	now      time.Duration
+	sequence int
+	queue    eventQueue
 }
 
 type event struct {
-	at  time.Duration
-	seq int
-	do  func()
+	at       time.Duration
+	sequence int
+	action   func()
 }
 
-type events []event
+type eventQueue []event
 
-func (e events) Len() int { return len(e) }
-func (e events) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].seq < e[j].seq
+func (e eventQueue) Len() int { return len(e) }
+func (e eventQueue) Less(i, j int) bool {
+	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].sequence < e[j].sequence
 }
-func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
-func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
-func (e *events) Pop() any {
+func (e eventQueue) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (e *eventQueue) Push(x any)   { *e = append(*e, x.(event)) }
+func (e *eventQueue) Pop() any {
 	old := *e
 	x := old[len(old)-1]
 	*e = old[:len(old)-1]
@@ -37,9 +37,9 @@
 }
 
 // after runs do a while from now.
-func (c *clock) after(d time.Duration, do func()) {
-	c.seq++
-	heap.Push(&c.queue, event{at: c.now + d, seq: c.seq, do: do})
+func (c *clock) after(delay time.Duration, action func()) {
+	c.sequence++
+	heap.Push(&c.queue, event{at: c.now + delay, sequence: c.sequence, action: action})
 }
 
 // run runs events until simulated time is over.
@@ -47,7 +47,7 @@
 	for len(c.queue) > 0 && c.queue[0].at <= until {
 		e := heap.Pop(&c.queue).(event)
 		c.now = e.at
-		e.do()
+		e.action()
 	}
 	c.now = until
 }
--- a/tests/simulation/history.go
+++ b/tests/simulation/history.go
@@ -32,16 +32,16 @@
 }
 
 // put records that a configuration is put.
-func (h *History) put(o consensus.Command, now time.Duration) *Call {
-	c := &Call{Write: true, Generation: o.Generation, Text: string(o.Payload), From: now, Open: true}
+func (h *History) put(command consensus.Command, now time.Duration) *Call {
+	c := &Call{Write: true, Generation: command.Generation, Text: string(command.Payload), From: now, Open: true}
 	h.calls = append(h.calls, c)
 	return c
 }
 
 // answered records what became of a put. One that was not taken never will be: it is
 // struck from the history, so that a read which shows it has nothing to come from.
-func (h *History) answered(c *Call, r consensus.Outcome, now time.Duration) {
-	switch r {
+func (h *History) answered(c *Call, outcome consensus.Outcome, now time.Duration) {
+	switch outcome {
 	case consensus.OutcomeCommitted:
 		c.To, c.Open = now, false
 	case consensus.OutcomeRejected, consensus.OutcomeMismatch, consensus.OutcomeConflict:
@@ -59,14 +59,14 @@
 	h.calls = append(h.calls, &Call{Generation: state.Generation, Text: string(state.Configuration), From: from, To: now})
 }
 
-// recorded is back, with what a configuration is answered kept in the history.
-func (r *Register) recorded(o consensus.Command, back func(consensus.CommandResult)) func(consensus.CommandResult) {
-	if o.Kind != consensus.CommandPutConfiguration {
-		return back
+// recordHistory is back, with what a configuration is answered kept in the history.
+func (sim *Consensus) recordHistory(command consensus.Command, done func(consensus.CommandResult)) func(consensus.CommandResult) {
+	if command.Kind != consensus.CommandPutConfiguration {
+		return done
 	}
-	call := r.History.put(o, r.now)
-	return func(a consensus.CommandResult) {
-		r.History.answered(call, a.Outcome, r.now)
-		back(a)
+	call := sim.History.put(command, sim.now)
+	return func(result consensus.CommandResult) {
+		sim.History.answered(call, result.Outcome, sim.now)
+		done(result)
 	}
 }
--- a/tests/simulation/history_test.go
+++ b/tests/simulation/history_test.go
@@ -39,40 +39,40 @@
 	},
 }
 
-// judgeWithin bounds the search for an order of one history's calls.
-const judgeWithin = 2 * time.Second
+// judgeTimeout bounds the search for an order of one history's calls.
+const judgeTimeout = 2 * time.Second
 
 // linearizable tells whether calls can be put in one order in which each takes effect
 // between its sending and its answer; Unknown: not found out in time. Open calls of which
 // no read shows anything are left out first, as if they had never been carried out: if an
 // order is found without them, there is one. Only if there is none are they put back.
 func linearizable(calls []Call) porcupine.CheckResult {
-	calls = withoutCopies(withoutOvertaken(calls))
-	result := judge(withoutUnseen(calls))
+	calls = withoutDuplicates(withoutSuperseded(calls))
+	result := checkLinearizable(withoutUnseen(calls))
 	if result == porcupine.Illegal {
-		return judge(calls)
+		return checkLinearizable(calls)
 	}
 	return result
 }
 
-// withoutOvertaken leaves out writes that wherever they stand may be and change nothing:
+// withoutSuperseded leaves out writes that wherever they stand may be and change nothing:
 // before they were sent a higher number was known to be taken, or they repeat what was
 // acknowledged already.
-func withoutOvertaken(calls []Call) []Call {
-	overtaken := func(c Call) bool {
+func withoutSuperseded(calls []Call) []Call {
+	superseded := func(c Call) bool {
 		return slices.ContainsFunc(calls, func(before Call) bool {
 			repeats := before.Write && before.Generation == c.Generation && before.Text == c.Text
 			return !before.Open && before.To < c.From && (before.Generation > c.Generation || repeats)
 		})
 	}
 	return slices.DeleteFunc(slices.Clone(calls), func(c Call) bool {
-		return c.Write && c.Generation != 0 && overtaken(c)
+		return c.Write && c.Generation != 0 && superseded(c)
 	})
 }
 
-// withoutCopies leaves out open writes of a number and text that an earlier call has as
+// withoutDuplicates leaves out open writes of a number and text that an earlier call has as
 // well: whenever such a copy takes effect, the earlier one may have done so.
-func withoutCopies(calls []Call) (kept []Call) {
+func withoutDuplicates(calls []Call) (kept []Call) {
 	type numbered struct {
 		generation uint64
 		text       string
@@ -103,8 +103,8 @@
 	})
 }
 
-// judge looks for an order of calls.
-func judge(calls []Call) porcupine.CheckResult {
+// checkLinearizable looks for an order of calls.
+func checkLinearizable(calls []Call) porcupine.CheckResult {
 	var operations []porcupine.Operation
 	for i, c := range calls {
 		end := int64(c.To)
@@ -113,7 +113,7 @@
 		}
 		operations = append(operations, porcupine.Operation{ClientId: i, Input: c, Call: int64(c.From), Return: end})
 	}
-	return porcupine.CheckOperationsTimeout(sequential, operations, judgeWithin)
+	return porcupine.CheckOperationsTimeout(sequential, operations, judgeTimeout)
 }
 
 // latestEffect is when an open write has taken effect at the latest: before the end of the
@@ -173,30 +173,30 @@
 	}
 }
 
-// histories counts the histories that were checked, and those too hard to check in time.
-type histories struct{ whole, unknown, calls int }
+// historyCounts counts the histories that were checked, and those too hard to check in time.
+type historyCounts struct{ linearizable, unknown, calls int }
 
 // check holds a run's history against the sequential model.
-func (h *histories) check(t *testing.T, seed uint64, r *Register) {
+func (h *historyCounts) check(t *testing.T, seed uint64, sim *Consensus) {
 	t.Helper()
-	calls := r.History.Calls()
+	calls := sim.History.Calls()
 	h.calls += len(calls)
 	switch linearizable(calls) {
 	case porcupine.Ok:
-		h.whole++
+		h.linearizable++
 	case porcupine.Unknown:
 		h.unknown++
 	default:
-		t.Errorf("seed %d with %d slots: what operators were told fits no order of their calls", seed, r.slots)
+		t.Errorf("seed %d with %d slots: what operators were told fits no order of their calls", seed, sim.members)
 	}
 }
 
-// end tells how many were checked; too hard must stay the exception: at most one in so
+// checkJudged tells how many were checked; too hard must stay the exception: at most one in so
 // many of those that were judged.
-func (h *histories) end(t *testing.T, oneIn int) {
+func (h *historyCounts) checkJudged(t *testing.T, oneIn int) {
 	t.Helper()
-	t.Logf("%d histories of %d calls are linearizable, %d were not judged in time", h.whole, h.calls, h.unknown)
-	if h.whole == 0 || h.unknown > h.whole/oneIn {
+	t.Logf("%d histories of %d calls are linearizable, %d were not judged in time", h.linearizable, h.calls, h.unknown)
+	if h.linearizable == 0 || h.unknown > h.linearizable/oneIn {
 		t.Error("the histories are not judged")
 	}
 }
--- a/tests/simulation/losses.go
+++ b/tests/simulation/losses.go
@@ -8,162 +8,162 @@
 )
 
 const (
-	// settleFor is how long cores that are back, or new, have until others may be lost.
-	settleFor = 4 * time.Second
-	// serveIn bounds how long a loss that the set bears may hold up orders and reads.
-	serveIn = 8 * time.Second
-	// longestAway is for how long a core that will be back may be away.
-	longestAway = 6 * time.Second
-	// leaveEvery and leaveFor are those of a core that is stopped (core.leave).
-	leaveEvery = 100 * time.Millisecond
-	leaveFor   = 2 * time.Second
+	// recoveryTime is how long cores that are back, or new, have until others may be lost.
+	recoveryTime = 4 * time.Second
+	// serviceBound bounds how long a loss that the set bears may hold up orders and reads.
+	serviceBound = 8 * time.Second
+	// maxOutage is for how long a core that will be back may be away.
+	maxOutage = 6 * time.Second
+	// leaveInterval and leaveFor are those of a core that is stopped (core.leave).
+	leaveInterval = 100 * time.Millisecond
+	leaveTimeout  = 2 * time.Second
 )
 
-// Calm has no failures but those that a run brings about itself.
-var Calm = Faults{Delay: 40 * time.Millisecond}
+// NoFaults has no failures but those that a run brings about itself.
+var NoFaults = Faults{Delay: 40 * time.Millisecond}
 
 // Losses is a run in which as many cores as the set bears are lost at once; they come
 // back, or empty ones in their place; and settleFor later others are lost. Between two
 // losses a core may be replaced as planned: the new one first, then the old one stopped,
 // which leaves no time before the next loss.
 type Losses struct {
-	*Register
-	size int
+	*Consensus
+	replicaCount int
 	// Slowest is the longest that a loss held up orders and reads; Planned counts
 	// planned replacements, Lost the cores lost.
-	Slowest       time.Duration
-	Planned, Lost int
+	Slowest                           time.Duration
+	PlannedReplacements, LostReplicas int
 }
 
 // NewLosses lays out a run of so many cores, up to three of which found the system.
 func NewLosses(seed uint64, size int) *Losses {
-	return &Losses{Register: NewSlots(seed, min(size, 3), Calm), size: size}
+	return &Losses{Consensus: NewDynamicMembership(seed, min(size, 3), NoFaults), replicaCount: size}
 }
 
 // Run runs so many rounds.
-func (l *Losses) Run(rounds int) {
-	for len(l.cores) < l.size {
-		l.join()
+func (sim *Losses) Run(rounds int) {
+	for len(sim.replicas) < sim.replicaCount {
+		sim.join()
 	}
-	l.run(settleFor)
+	sim.run(recoveryTime)
 	for range rounds {
-		if l.rng.IntN(2) == 0 {
-			l.planned()
+		if sim.rng.IntN(2) == 0 {
+			sim.replacePlanned()
 		}
-		l.write()
-		l.run(l.now + l.some(200*time.Millisecond))
-		back := l.lose()
-		l.serve()
-		l.run(max(l.now, back) + settleFor)
-		l.repaired()
-		if len(l.Broken) > 0 {
+		sim.write()
+		sim.run(sim.now + sim.randomDuration(200*time.Millisecond))
+		back := sim.loseTolerated()
+		sim.awaitService()
+		sim.run(max(sim.now, back) + recoveryTime)
+		sim.checkRepaired()
+		if len(sim.Violations) > 0 {
 			return
 		}
 	}
 }
 
-// bearable is how many cores may be lost at once.
-func (l *Losses) bearable() int { return (l.size - 1) / 2 }
+// tolerated is how many cores may be lost at once.
+func (sim *Losses) tolerated() int { return (sim.replicaCount - 1) / 2 }
 
-func (l *Losses) present() (out []*core) {
-	for _, c := range l.cores {
-		if !c.gone {
-			out = append(out, c)
+func (sim *Losses) present() (out []*replica) {
+	for _, r := range sim.replicas {
+		if !r.removed {
+			out = append(out, r)
 		}
 	}
 	return out
 }
 
-// lose has as many cores as may be lost go at once, and tells when all are back.
-func (l *Losses) lose() (back time.Duration) {
-	here := l.present()
-	for _, i := range l.rng.Perm(len(here))[:l.bearable()] {
-		c, away := here[i], l.some(longestAway)
-		l.Lost++
-		switch l.rng.IntN(5) {
+// loseTolerated has as many cores as may be lost go at once, and tells when all are back.
+func (sim *Losses) loseTolerated() (back time.Duration) {
+	present := sim.present()
+	for _, i := range sim.rng.Perm(len(present))[:sim.tolerated()] {
+		r, outage := present[i], sim.randomDuration(maxOutage)
+		sim.LostReplicas++
+		switch sim.rng.IntN(5) {
 		case 0:
-			l.note(c, "is lost with its disk and comes back")
-			l.off(c)
-			c.disk = consensus.Bootstrap{InitialMembers: l.founders, AdvertiseAddr: c.addr}.InitialState(l.rng.Uint64() | 1)
-			l.after(away, func() { l.boot(c) })
+			sim.trace(r, "is lost with its disk and comes back")
+			sim.powerOff(r)
+			r.disk = consensus.Bootstrap{InitialMembers: sim.founders, AdvertiseAddr: r.addr}.InitialState(sim.rng.Uint64() | 1)
+			sim.after(outage, func() { sim.start(r) })
 		case 1:
-			l.remove(c)
-			l.after(away, l.join)
+			sim.removeForGood(r)
+			sim.after(outage, sim.join)
 		case 2:
-			l.note(c, "loses power")
-			l.off(c)
-			l.after(away, func() { l.boot(c) })
+			sim.trace(r, "loses power")
+			sim.powerOff(r)
+			sim.after(outage, func() { sim.start(r) })
 		case 3:
-			l.note(c, "freezes")
-			c.frozen = l.now + away
+			sim.trace(r, "freezes")
+			r.frozenUntil = sim.now + outage
 		default:
-			l.note(c, "is cut off")
-			c.cut = 1 + i
-			l.after(away, func() { c.cut = 0 })
+			sim.trace(r, "is cut off")
+			r.partition = 1 + i
+			sim.after(outage, func() { r.partition = 0 })
 		}
-		back = max(back, l.now+away)
+		back = max(back, sim.now+outage)
 	}
 	return back
 }
 
-func (*Losses) off(c *core) {
-	c.up = false
-	c.life++
+func (*Losses) powerOff(r *replica) {
+	r.up = false
+	r.incarnation++
 }
 
-// planned replaces a core as planned: it is stopped once a new one is a member.
-func (l *Losses) planned() {
-	here := l.present()
-	old := here[l.rng.IntN(len(here))]
-	l.join()
-	l.run(l.now + settleFor)
-	l.note(old, "is stopped")
+// replacePlanned replaces a core as planned: it is stopped once a new one is a member.
+func (sim *Losses) replacePlanned() {
+	present := sim.present()
+	old := present[sim.rng.IntN(len(present))]
+	sim.join()
+	sim.run(sim.now + recoveryTime)
+	sim.trace(old, "is stopped")
 	old.leaving = true
-	for end := l.now + leaveFor; l.now < end && old.acceptor.Phase == consensus.PhaseEstablished; {
-		o, ok := consensus.PlanLeave(old.acceptor)
+	for end := sim.now + leaveTimeout; sim.now < end && old.acceptor.Phase == consensus.PhaseEstablished; {
+		command, ok := consensus.PlanLeave(old.acceptor)
 		if !ok && len(old.acceptor.MemberSets().Previous) == 0 {
 			break
 		}
-		if duty := l.duty(old); ok && duty.up {
-			l.order(duty, o, func(consensus.CommandResult) {})
+		if coordinator := sim.coordinatorOf(old); ok && coordinator.up {
+			sim.submit(coordinator, command, func(consensus.CommandResult) {})
 		}
-		l.run(l.now + leaveEvery)
+		sim.run(sim.now + leaveInterval)
 	}
-	l.remove(old)
-	l.Planned++
+	sim.removeForGood(old)
+	sim.PlannedReplacements++
 }
 
-// serve waits until an order is acknowledged and a read answered.
-func (l *Losses) serve() {
-	begun, acked, reads := l.now, l.Acked, l.Reads
-	for l.Acked == acked || l.Reads == reads {
-		if l.now-begun > serveIn {
-			l.broken("no order or no read in %v after a loss that the set bears: %s", serveIn, l.show())
+// awaitService waits until an order is acknowledged and a read answered.
+func (sim *Losses) awaitService() {
+	began, acked, reads := sim.now, sim.Acked, sim.Reads
+	for sim.Acked == acked || sim.Reads == reads {
+		if sim.now-began > serviceBound {
+			sim.violation("no order or no read in %v after a loss that the set bears: %s", serviceBound, sim.describe())
 			return
 		}
-		l.write()
-		l.readBack()
-		l.run(l.now + 200*time.Millisecond)
+		sim.write()
+		sim.read()
+		sim.run(sim.now + 200*time.Millisecond)
 	}
-	l.Slowest = max(l.Slowest, l.now-begun)
+	sim.Slowest = max(sim.Slowest, sim.now-began)
 }
 
-// repaired checks that all cores are members again, and that the set bears the next loss.
-func (l *Losses) repaired() {
+// checkRepaired checks that all cores are members again, and that the set bears the next loss.
+func (sim *Losses) checkRepaired() {
 	members := map[int]bool{}
-	here := l.present()
-	for _, c := range here {
-		if !c.acceptor.IsMember() || len(c.acceptor.MemberSets().Previous) > 0 {
-			l.broken("%s is no full member %v after all were back: %s", c.addr, settleFor, l.show())
+	present := sim.present()
+	for _, r := range present {
+		if !r.acceptor.IsMember() || len(r.acceptor.MemberSets().Previous) > 0 {
+			sim.violation("%s is no full member %v after all were back: %s", r.addr, recoveryTime, sim.describe())
 			return
 		}
-		members[c.acceptor.Self.MemberID] = true
+		members[r.acceptor.Self.MemberID] = true
 	}
-	for _, c := range here {
-		set := consensus.MemberIDs(c.acceptor.MemberSets().Current)
+	for _, r := range present {
+		set := consensus.MemberIDs(r.acceptor.MemberSets().Current)
 		live := len(set) - len(slices.DeleteFunc(slices.Clone(set), func(s int) bool { return members[s] }))
-		if live-l.bearable() < consensus.Majority(len(set)) {
-			l.broken("%d of %v live, which does not bear %d losses: %s", live, set, l.bearable(), l.show())
+		if live-sim.tolerated() < consensus.Majority(len(set)) {
+			sim.violation("%d of %v live, which does not bear %d losses: %s", live, set, sim.tolerated(), sim.describe())
 			return
 		}
 	}
--- a/tests/simulation/line_test.go
+++ b/tests/simulation/slowstart_test.go
@@ -14,7 +14,7 @@
 // A cold backend with everybody coming at once, whose sidecar is killed again and
 // again while its runs go on, never runs more than one and a half times what it
 // can bear at that moment; in between it is used.
-func TestColdThroughKills(t *testing.T) {
+func TestSlowStartThroughKills(t *testing.T) {
 	table, ok := routing.NewTable(config.ControlState{Revision: 1, ConfigurationRevision: 1, Configuration: []byte(`{"contracts": [{"name":"c","aim":"1s","expiry":"4s","rank":1}], "ways": [{"name":"w","prefix":"/","service":"s","contract":"c"}]}`)})
 	if !ok {
 		t.Fatal("no table")
@@ -37,8 +37,8 @@
 			e.CapacityShare = min(1, 0.2+0.8*float64(q.now)/float64(20*time.Second))
 			return e.ConcurrencyLimit(1, table.EarlierRunsPossible(q.now-since), base.Add(q.now))
 		}
-		boot := func() { line, since, waiting = &endpoints.AdmissionQueue{}, q.now, map[uint64]func(){}; life++ }
-		boot()
+		incarnation := func() { line, since, waiting = &endpoints.AdmissionQueue{}, q.now, map[uint64]func(){}; life++ }
+		incarnation()
 		shift := func(s endpoints.Transition) {
 			for _, id := range s.Started {
 				waiting[id]()
@@ -48,20 +48,20 @@
 				delete(waiting, id)
 			}
 		}
-		ask := func() {
-			mine := life
+		request := func() {
+			own := life
 			run := func() {
 				running++
 				ran++
-				bear := 20 * e.CapacityShare
-				if most = max(most, float64(running)/bear); float64(running) > 1.5*bear+1 {
-					t.Errorf("seed %d at %v: %d run, it can bear %.1f; replay: go test ./tests/simulation -run TestColdThroughKills -first %d -seeds 1", seed, q.now, running, bear, seed)
+				capacity := 20 * e.CapacityShare
+				if most = max(most, float64(running)/capacity); float64(running) > 1.5*capacity+1 {
+					t.Errorf("seed %d at %v: %d run, it can bear %.1f; replay: go test ./tests/simulation -run TestColdThroughKills -first %d -seeds 1", seed, q.now, running, capacity, seed)
 				}
-				took := longest - some(longest/4)
-				q.after(took, func() {
+				started := longest - some(longest/4)
+				q.after(started, func() {
 					running--
-					if life == mine {
-						shift(line.Finish("w", took, limit(), q.now))
+					if life == own {
+						shift(line.Finish("w", started, limit(), q.now))
 					}
 				})
 			}
@@ -74,19 +74,19 @@
 			}
 			shift(s)
 		}
-		var crowd, kill func()
-		crowd = func() {
+		var burst, kill func()
+		burst = func() {
 			for range rng.IntN(60) {
-				ask()
+				request()
 			}
-			q.after(some(400*time.Millisecond), crowd)
+			q.after(some(400*time.Millisecond), burst)
 		}
 		kill = func() {
 			kills++
-			boot()
+			incarnation()
 			q.after(longest+some(6*time.Second), kill)
 		}
-		q.after(0, crowd)
+		q.after(0, burst)
 		q.after(some(6*time.Second), kill)
 		q.run(40 * time.Second)
 		if t.Failed() {
--- a/tests/soak/backends.go
+++ b/tests/soak/backends.go
@@ -11,16 +11,16 @@
 	"curlewwalk/tests/ledger"
 )
 
-// standUp starts a new backend at a place, at an address or, if that is empty, a new one.
-func (r *Run) standUp(p *place, addr, service string) error {
-	p.serial++
+// startBackend starts a new backend at a place, at an address or, if that is empty, a new one.
+func (r *Run) startBackend(m *machine, addr, service string) error {
+	m.serial++
 	f := r.Fleet
 	if addr == "" {
-		addr = fmt.Sprintf("%s:%d", f.Site.IP(p.number), 8000+p.serial)
+		addr = fmt.Sprintf("%s:%d", f.Site.IP(m.number), 8000+m.serial)
 	}
 	b := &fakes.Backend{
-		Instance: fmt.Sprintf("%s-%d-%d", service, p.number, p.serial), Service: service, Zone: f.Zone(p.number), Capacity: f.Size.Capacity,
-		Control: f.Sidecars[p.number].Control, Plans: f.Size.Plans, Ledger: f.Ledger, Client: f.Client, Counts: (p.serial+p.number)%3 != 0,
+		Instance: fmt.Sprintf("%s-%d-%d", service, m.number, m.serial), Service: service, Zone: f.Zone(m.number), Capacity: f.Size.Capacity,
+		Control: f.Sidecars[m.number].Control, RequestPlans: f.Size.Plans, Ledger: f.Ledger, HTTP: f.HTTP, CountsAnnouncements: (m.serial+m.number)%3 != 0,
 	}
 	if err := b.Start(addr); err != nil {
 		return err
@@ -28,195 +28,195 @@
 	r.mu.Lock()
 	f.Backends = append(f.Backends, b)
 	r.mu.Unlock()
-	p.current.Store(b)
+	m.backend.Store(b)
 	return nil
 }
 
-// replace stands a new backend up, and waits with an address that was not given back yet.
-func (r *Run) replace(ctx context.Context, p *place, addr, service string) {
+// startBackendRetrying stands a new backend up, and waits with an address that was not given back yet.
+func (r *Run) startBackendRetrying(ctx context.Context, m *machine, addr, service string) {
 	for ctx.Err() == nil {
-		err := r.standUp(p, addr, service)
+		err := r.startBackend(m, addr, service)
 		if err == nil {
 			return
 		}
-		r.say("machine %d: %v", p.number, err)
-		wait(ctx, reuse)
+		r.logf("machine %d: %v", m.number, err)
+		sleep(ctx, addressReuseDelay)
 	}
 }
 
-// leavers counts the backends that left in order, beside sidecars in touch, and those of them
+// departures counts the backends that left in order, beside sidecars in touch, and those of them
 // that had no acknowledgement.
-type leavers struct {
-	mu            sync.Mutex
-	calm, unacked int
+type departures struct {
+	mu                     sync.Mutex
+	judged, unacknowledged int
 }
 
-func (l *leavers) said(acknowledged, calm bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (d *departures) record(acknowledged, calm bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	if !calm {
 		return
 	}
-	l.calm++
+	d.judged++
 	if !acknowledged {
-		l.unacked++
+		d.unacknowledged++
 	}
 }
 
 // The ways in which a backend leaves.
 const (
-	howLeaving = "leaving"        // it announces that it leaves, and later that it has gone
-	howGone    = "gone"           // it says that it has gone, and serves on
-	howTwice   = "twice"          // it says both, each twice
-	howAddress = "address-passes" // as gone; its address passes to the next one
+	variantAnnounce     = "leaving"        // it announces that it leaves, and later that it has gone
+	variantDeregister   = "gone"           // it says that it has gone, and serves on
+	variantBoth         = "twice"          // it says both, each twice
+	variantReuseAddress = "address-passes" // as gone; its address passes to the next one
 )
 
-var leavings = []string{howLeaving, howGone, howTwice, howAddress}
+var leaveVariants = []string{variantAnnounce, variantDeregister, variantBoth, variantReuseAddress}
 
-// take takes the place that an entry strikes, until its mu is unlocked; false if something is
+// lockMachine takes the place that an entry strikes, until its mu is unlocked; false if something is
 // done there already.
-func (r *Run) take(e Entry) (p *place, ok bool) {
-	p = r.places[e.Target%len(r.places)]
-	if !p.mu.TryLock() {
+func (r *Run) lockMachine(e Entry) (m *machine, ok bool) {
+	m = r.machines[e.Target%len(r.machines)]
+	if !m.mu.TryLock() {
 		r.skip(e)
 		return nil, false
 	}
-	return p, true
+	return m, true
 }
 
 // leave has a backend leave in order, with beats from before its word that come late. The
 // next one stands up beside it, or takes its address once that may be given again.
 func leave(ctx context.Context, r *Run, e Entry, rng *rand.Rand) {
-	p, ok := r.take(e)
+	m, ok := r.lockMachine(e)
 	if !ok {
 		return
 	}
-	defer p.mu.Unlock()
-	b := p.current.Load()
+	defer m.mu.Unlock()
+	b := m.backend.Load()
 	late := make([]func(context.Context) error, 1+rng.IntN(3))
 	for i := range late {
-		late[i] = b.Beat()
+		late[i] = b.CaptureAnnouncement()
 	}
 	begun := time.Now()
-	acknowledged := r.sayLeaving(ctx, b, e)
+	acknowledged := r.announceLeaving(ctx, b, e)
 	if !acknowledged {
-		r.say("%s had no acknowledgement", b.Instance)
+		r.logf("%s had no acknowledgement", b.Instance)
 	}
 	said := time.Now()
-	r.leavers.said(acknowledged, r.troubles.inTouch(r.Fleet.Site.IP(p.number), begun, begun.Add(ackWithin)))
+	r.departures.record(acknowledged, r.faults.inTouch(r.Fleet.Site.IP(m.number), begun, begun.Add(acknowledgeLimit)))
 	var beats sync.WaitGroup
 	for _, send := range late {
 		after := time.Duration(rng.Int64N(int64(seconds(e.For)) + 1))
 		for range 1 + rng.IntN(2) {
-			beats.Go(func() { r.lateBeat(ctx, b, after, send) })
+			beats.Go(func() { r.sendLateAnnouncement(ctx, b, after, send) })
 		}
 	}
-	if e.How != howAddress {
-		r.replace(ctx, p, "", b.Service)
+	if e.Variant != variantReuseAddress {
+		r.startBackendRetrying(ctx, m, "", b.Service)
 	}
-	wait(ctx, time.Until(said.Add(drain+time.Duration(rng.Int64N(int64(4*time.Second))))))
-	r.endInOrder(ctx, b, e)
-	if e.How == howAddress {
-		wait(ctx, reuse)
-		r.replace(ctx, p, b.Addr(), b.Service)
+	sleep(ctx, time.Until(said.Add(drainLimit+time.Duration(rng.Int64N(int64(4*time.Second))))))
+	r.stopBackend(ctx, b, e)
+	if e.Variant == variantReuseAddress {
+		sleep(ctx, addressReuseDelay)
+		r.startBackendRetrying(ctx, m, b.Addr(), b.Service)
 	}
 	beats.Wait()
 }
 
-// sayLeaving says that a backend leaves until that is acknowledged, or for as long as
+// announceLeaving says that a backend leaves until that is acknowledged, or for as long as
 // backends wait for it.
-func (r *Run) sayLeaving(ctx context.Context, b *fakes.Backend, e Entry) (acknowledged bool) {
-	gone := e.How == howGone || e.How == howAddress
+func (r *Run) announceLeaving(ctx context.Context, b *fakes.Backend, e Entry) (acknowledged bool) {
+	gone := e.Variant == variantDeregister || e.Variant == variantReuseAddress
 	if gone {
-		b.Silence()
+		b.StopAnnouncing()
 	}
-	for begun := time.Now(); time.Since(begun) < ackWithin && ctx.Err() == nil; wait(ctx, 200*time.Millisecond) {
+	for begun := time.Now(); time.Since(begun) < acknowledgeLimit && ctx.Err() == nil; sleep(ctx, 200*time.Millisecond) {
 		call, cancel := context.WithTimeout(ctx, time.Second)
-		err := b.Say(call, gone)
+		err := b.AnnounceLeaving(call, gone)
 		cancel()
 		if err != nil {
 			continue
 		}
-		r.Fleet.Ledger.Left(ledger.Left{Instance: b.Instance, At: time.Now()})
-		if e.How == howTwice {
-			b.Say(ctx, false)
-			b.Say(ctx, true)
+		r.Fleet.Ledger.RecordLeaving(ledger.Leaving{Instance: b.Instance, At: time.Now()})
+		if e.Variant == variantBoth {
+			b.AnnounceLeaving(ctx, false)
+			b.AnnounceLeaving(ctx, true)
 		}
 		return true
 	}
 	return false
 }
 
-// lateBeat sends a beat from before a backend said that it leaves.
-func (r *Run) lateBeat(ctx context.Context, b *fakes.Backend, after time.Duration, send func(context.Context) error) {
-	wait(ctx, after)
+// sendLateAnnouncement sends a beat from before a backend said that it leaves.
+func (r *Run) sendLateAnnouncement(ctx context.Context, b *fakes.Backend, after time.Duration, send func(context.Context) error) {
+	sleep(ctx, after)
 	call, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
 	if err := send(call); err == nil {
-		r.say("%s: a beat from before its leaving came %v late", b.Instance, after.Round(time.Millisecond))
+		r.logf("%s: a beat from before its leaving came %v late", b.Instance, after.Round(time.Millisecond))
 	}
 }
 
-// workOff is how long a backend that ends waits at most for what it works on.
-const workOff = 8 * time.Second
+// maxWorkOff is how long a backend that ends waits at most for what it works on.
+const maxWorkOff = 8 * time.Second
 
-// endInOrder says that a backend has gone and ends it once it works on nothing.
-func (r *Run) endInOrder(ctx context.Context, b *fakes.Backend, e Entry) {
-	if e.How == howLeaving {
-		b.Say(ctx, true)
+// stopBackend says that a backend has gone and ends it once it works on nothing.
+func (r *Run) stopBackend(ctx context.Context, b *fakes.Backend, e Entry) {
+	if e.Variant == variantAnnounce {
+		b.AnnounceLeaving(ctx, true)
 	}
-	b.Silence()
-	for begun := time.Now(); b.Open() > 0 && time.Since(begun) < workOff; {
-		wait(ctx, 20*time.Millisecond)
+	b.StopAnnouncing()
+	for begun := time.Now(); b.Open() > 0 && time.Since(begun) < maxWorkOff; {
+		sleep(ctx, 20*time.Millisecond)
 	}
-	r.end(b)
+	r.killBackend(b)
 }
 
-// end ends a backend; what it still works on is cut.
-func (r *Run) end(b *fakes.Backend) {
+// killBackend ends a backend; what it still works on is cut.
+func (r *Run) killBackend(b *fakes.Backend) {
 	if b.Open() > 0 {
-		defer r.troubles.begin(Trouble{Kind: kindCrash, How: "its work was not over", Machines: nil})()
+		defer r.faults.begin(Fault{Kind: kindCrash, Variant: "its work was not over", Machines: nil})()
 	}
 	b.Kill()
 }
 
 // crash has a backend end without a word; another stands up, at its address or a new one.
 func crash(ctx context.Context, r *Run, e Entry, rng *rand.Rand) {
-	p, ok := r.take(e)
+	m, ok := r.lockMachine(e)
 	if !ok {
 		return
 	}
-	defer p.mu.Unlock()
-	b := p.current.Load()
-	late := b.Beat()
-	ended := r.troubles.begin(Trouble{Kind: e.Kind, How: e.How, Machines: []string{r.Fleet.Site.IP(p.number)}})
+	defer m.mu.Unlock()
+	b := m.backend.Load()
+	late := b.CaptureAnnouncement()
+	ended := r.faults.begin(Fault{Kind: e.Kind, Variant: e.Variant, Machines: []string{r.Fleet.Site.IP(m.number)}})
 	b.Kill()
 	addr, service := "", b.Service
-	if e.How == howAddress {
+	if e.Variant == variantReuseAddress {
 		addr = b.Addr()
 		service = r.Fleet.Size.Backends[rng.IntN(len(r.Fleet.Size.Backends))]
 	}
-	wait(ctx, reuse+seconds(e.For))
-	r.replace(ctx, p, addr, service)
+	sleep(ctx, addressReuseDelay+seconds(e.For))
+	r.startBackendRetrying(ctx, m, addr, service)
 	ended()
-	r.lateBeat(ctx, b, time.Second, late)
+	r.sendLateAnnouncement(ctx, b, time.Second, late)
 }
 
 // slow has a backend work many times as long for a while.
 func slow(ctx context.Context, r *Run, e Entry, rng *rand.Rand) {
-	p := r.places[e.Target%len(r.places)]
-	b := p.current.Load()
-	b.Slowed.Store(4 + rng.Int64N(12))
-	wait(ctx, seconds(e.For))
-	b.Slowed.Store(0)
+	m := r.machines[e.Target%len(r.machines)]
+	b := m.backend.Load()
+	b.TemporarySlowFactor.Store(4 + rng.Int64N(12))
+	sleep(ctx, seconds(e.For))
+	b.TemporarySlowFactor.Store(0)
 }
 
 // garble has a backend lose answers, or send what is none, for a while.
 func garble(ctx context.Context, r *Run, e Entry, rng *rand.Rand) {
-	p := r.places[e.Target%len(r.places)]
-	b := p.current.Load()
-	defer r.troubles.begin(Trouble{Kind: e.Kind, Machines: []string{r.Fleet.Site.IP(p.number)}})()
-	b.Garble.Store(2 + rng.Int64N(20))
-	wait(ctx, seconds(e.For))
-	b.Garble.Store(0)
+	m := r.machines[e.Target%len(r.machines)]
+	b := m.backend.Load()
+	defer r.faults.begin(Fault{Kind: e.Kind, Machines: []string{r.Fleet.Site.IP(m.number)}})()
+	b.GarblePercent.Store(2 + rng.Int64N(20))
+	sleep(ctx, seconds(e.For))
+	b.GarblePercent.Store(0)
 }
--- a/tests/soak/breaches.go
+++ b/tests/soak/breaches.go
@@ -9,14 +9,14 @@
 
 // The rules that the soak judges beside the ledger's.
 const (
-	ruleLost    ledger.Rule = "LOST"    // a request that was taken got no answer
-	ruleGone    ledger.Rule = "GONE"    // work for clients that have left
-	ruleConfig  ledger.Rule = "CONFIG"  // a configuration that is late, old or another one
-	ruleDenied  ledger.Rule = "DENIED"  // a proper request refused for good
-	ruleDuty    ledger.Rule = "DUTY"    // an order or a word of leaving that nobody acknowledged
-	ruleRecover ledger.Rule = "RECOVER" // service that does not return
-	ruleStop    ledger.Rule = "STOP"    // a process that does not end in order
-	ruleStart   ledger.Rule = "START"   // a process that does not start
+	ruleLost        ledger.Rule = "LOST"    // a request that was taken got no answer
+	ruleAbandoned   ledger.Rule = "GONE"    // work for clients that have left
+	ruleConfig      ledger.Rule = "CONFIG"  // a configuration that is late, old or another one
+	ruleDenied      ledger.Rule = "DENIED"  // a proper request refused for good
+	ruleAcknowledge ledger.Rule = "DUTY"    // an order or a word of leaving that nobody acknowledged
+	ruleRecover     ledger.Rule = "RECOVER" // service that does not return
+	ruleStop        ledger.Rule = "STOP"    // a process that does not end in order
+	ruleStart       ledger.Rule = "START"   // a process that does not start
 )
 
 // breaches are those that were found while the run went on.
@@ -25,11 +25,11 @@
 	all []ledger.Breach
 }
 
-// find notes a breach.
-func (r *Run) find(rule ledger.Rule, id, format string, args ...any) {
+// breach notes a breach.
+func (r *Run) breach(rule ledger.Rule, id, format string, args ...any) {
 	b := ledger.Breach{Rule: rule, ID: id, Text: fmt.Sprintf(format, args...)}
-	r.found.mu.Lock()
-	r.found.all = append(r.found.all, b)
-	r.found.mu.Unlock()
-	r.say("BROKEN %v", b)
+	r.breaches.mu.Lock()
+	r.breaches.all = append(r.breaches.all, b)
+	r.breaches.mu.Unlock()
+	r.logf("BROKEN %v", b)
 }
--- a/tests/soak/bears.go
+++ b/tests/soak/capacity.go
@@ -7,19 +7,19 @@
 )
 
 const (
-	// mostProcesses is how many processes a run may start.
-	mostProcesses = 300
+	// maxProcesses is how many processes a run may start.
+	maxProcesses = 300
 	// processMB is what a process takes at most, about.
 	processMB = 40
 )
 
-// Bears tells whether this machine bears a plan: the processes' memory must be under half of
+// CheckCapacity tells whether this machine bears a plan: the processes' memory must be under half of
 // the machine's.
-func Bears(p Plan) error {
+func CheckCapacity(p Plan) error {
 	size := p.size()
-	processes := size.Cores + size.Machines
-	if processes > mostProcesses {
-		return fmt.Errorf("%d processes: at most %d are started", processes, mostProcesses)
+	processes := size.Replicas + size.Machines
+	if processes > maxProcesses {
+		return fmt.Errorf("%d processes: at most %d are started", processes, maxProcesses)
 	}
 	if total := memoryMB(); total > 0 && processes*processMB > total/2 {
 		return fmt.Errorf("%d processes of about %d MB are over half of this machine's %d MB", processes, processMB, total)
--- a/tests/soak/clients.go
+++ b/tests/soak/clients.go
@@ -14,105 +14,105 @@
 	"curlewwalk/tests/fleet"
 )
 
-// requests keeps how requests went for their clients.
-type requests struct {
+// exchanges keeps how requests went for their clients.
+type exchanges struct {
 	mu  sync.Mutex
 	all []fakes.Exchange
 }
 
-func (q *requests) saw(x fakes.Exchange) {
-	q.mu.Lock()
-	defer q.mu.Unlock()
-	q.all = append(q.all, x)
+func (e *exchanges) record(x fakes.Exchange) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.all = append(e.all, x)
 }
 
-// clients starts the clients of all machines, those that ask on routes that tell the
+// startClients starts the clients of all machines, those that ask on routes that tell the
 // configuration in force, and the operator that reads all the while.
-func (r *Run) clients(ctx context.Context, all *sync.WaitGroup) {
+func (r *Run) startClients(ctx context.Context, all *sync.WaitGroup) {
 	for machine := range r.Fleet.Sidecars {
 		for n := range r.Plan.Clients {
-			s := r.series(machine, fmt.Sprintf("client-%d-%d", machine, n))
+			s := r.newClient(machine, fmt.Sprintf("client-%d-%d", machine, n))
 			all.Go(func() { s.Run(ctx) })
 		}
-		s := r.series(machine, fmt.Sprintf("marks-%d", machine))
-		s.Leaves = 0
-		all.Go(func() { r.askMarks(ctx, s) })
+		s := r.newClient(machine, fmt.Sprintf("marks-%d", machine))
+		s.AbandonRate = 0
+		all.Go(func() { r.requestMarkers(ctx, s) })
 	}
-	all.Go(func() { r.reads(ctx, rand.New(rand.NewPCG(r.Plan.Seed, 3))) })
+	all.Go(func() { r.readContinuously(ctx, rand.New(rand.NewPCG(r.Plan.Seed, 3))) })
 }
 
-// clientPause is the longest pause of a client between two requests.
-const clientPause = 60 * time.Millisecond
+// maxClientPause is the longest pause of a client between two requests.
+const maxClientPause = 60 * time.Millisecond
 
-func (r *Run) series(machine int, name string) *fakes.Series {
+func (r *Run) newClient(machine int, name string) *fakes.ConnectionClient {
 	f := r.Fleet
-	return &fakes.Series{
-		Name: name, Zone: f.Zone(machine), Addr: f.Requests(machine), Plans: f.Size.Plans, Leaves: r.Plan.Leaves, Pause: clientPause,
-		Ledger: f.Ledger, Saw: r.requests.saw, Rand: rand.New(rand.NewPCG(r.Plan.Seed, uint64(len(name))<<32+uint64(machine)<<8+uint64(name[len(name)-1]))),
+	return &fakes.ConnectionClient{
+		Name: name, Zone: f.Zone(machine), Addr: f.RequestAddress(machine), Plans: f.Size.Plans, AbandonRate: r.Plan.AbandonRate, MaxPause: maxClientPause,
+		Ledger: f.Ledger, OnExchange: r.exchanges.record, Rand: rand.New(rand.NewPCG(r.Plan.Seed, uint64(len(name))<<32+uint64(machine)<<8+uint64(name[len(name)-1]))),
 	}
 }
 
 // reportPlan is of requests that may be repeated and take long: what is done for clients that
 // leave them, and what is open at the end of a stop, shows with them.
-func reportPlan(size fleet.Size) fakes.Plan {
-	return fakes.Plan{
-		Name: "report", Method: http.MethodGet, Prefix: "/report/", Service: size.Backends[1], Repeatable: true,
-		Aim: 1200 * time.Millisecond, Deadline: 8 * time.Second, Rank: 4, Share: 0.06, Work: 1200 * time.Millisecond,
+func reportPlan(size fleet.Size) fakes.RequestPlan {
+	return fakes.RequestPlan{
+		Name: "report", Method: http.MethodGet, Prefix: "/report/", Service: size.Backends[1], Idempotent: true,
+		LatencyTarget: 1200 * time.Millisecond, Deadline: 8 * time.Second, Priority: 4, Share: 0.06, Work: 1200 * time.Millisecond,
 	}
 }
 
-// markEvery is how often each sidecar is asked for a route that tells its configuration.
-const markEvery = 250 * time.Millisecond
+// markerInterval is how often each sidecar is asked for a route that tells its configuration.
+const markerInterval = 250 * time.Millisecond
 
-// askMarks sends requests on routes of the newest configurations, and of some before.
-func (r *Run) askMarks(ctx context.Context, s *fakes.Series) {
-	mark := markPlan(r.Fleet.Size)
-	for ; ctx.Err() == nil; wait(ctx, markEvery) {
-		newest := r.operator.last(time.Now())
-		number := max(1, int(newest)-s.Rand.IntN(marks+2))
+// requestMarkers sends requests on routes of the newest configurations, and of some before.
+func (r *Run) requestMarkers(ctx context.Context, s *fakes.ConnectionClient) {
+	mark := markerPlan(r.Fleet.Size)
+	for ; ctx.Err() == nil; sleep(ctx, markerInterval) {
+		newest := r.operator.newestSent(time.Now())
+		number := max(1, int(newest)-s.Rand.IntN(markersPerConfiguration+2))
 		p := mark
-		p.Prefix = fmt.Sprintf("%s%d/", markPrefix, number)
-		p.Name = markName(number)
-		s.Ask(ctx, p)
+		p.Prefix = fmt.Sprintf("%s%d/", markerPathPrefix, number)
+		p.Name = markerName(number)
+		s.Send(ctx, p)
 	}
 }
 
-const markPlanPrefix = "mark-"
+const markerNamePrefix = "mark-"
 
-func markName(number int) string { return markPlanPrefix + strconv.Itoa(number) }
+func markerName(number int) string { return markerNamePrefix + strconv.Itoa(number) }
 
-// markNumber is the number of the configuration whose route a request was for; false if it
+// markerNumber is the number of the configuration whose route a request was for; false if it
 // was for none of those.
-func markNumber(plan string) (number uint64, ok bool) {
-	text, found := strings.CutPrefix(plan, markPlanPrefix)
+func markerNumber(plan string) (number uint64, ok bool) {
+	text, found := strings.CutPrefix(plan, markerNamePrefix)
 	number, err := strconv.ParseUint(text, 10, 64)
 	return number, found && err == nil
 }
 
-// awaitService waits until each kind of request succeeds from every machine, as it is to
+// awaitRecovery waits until each kind of request succeeds from every machine, as it is to
 // within the time that service may take to return.
-func (r *Run) awaitService(ctx context.Context) {
+func (r *Run) awaitRecovery(ctx context.Context) {
 	begun := time.Now()
 	var all sync.WaitGroup
 	for machine := range r.Fleet.Sidecars {
-		all.Go(func() { r.awaitServed(ctx, machine, begun.Add(recovery)) })
+		all.Go(func() { r.awaitMachineServes(ctx, machine, begun.Add(recoveryLimit)) })
 	}
 	all.Wait()
-	r.say("service is back after %v", time.Since(begun).Round(time.Millisecond))
+	r.logf("service is back after %v", time.Since(begun).Round(time.Millisecond))
 }
 
-func (r *Run) awaitServed(ctx context.Context, machine int, until time.Time) {
-	s := r.series(machine, fmt.Sprintf("return-%d", machine))
-	s.Leaves, s.Saw = 0, nil
-	defer s.HangUp()
+func (r *Run) awaitMachineServes(ctx context.Context, machine int, until time.Time) {
+	s := r.newClient(machine, fmt.Sprintf("return-%d", machine))
+	s.AbandonRate, s.OnExchange = 0, nil
+	defer s.CloseConnection()
 	for _, p := range r.Fleet.Size.Plans {
 		served := p.Share == 0
 		for !served && time.Now().Before(until) && ctx.Err() == nil {
-			served = s.Ask(ctx, p).End == fakes.EndAnswered
-			wait(ctx, 50*time.Millisecond)
+			served = s.Send(ctx, p).Ending == fakes.Answered
+			sleep(ctx, 50*time.Millisecond)
 		}
 		if !served && ctx.Err() == nil {
-			r.find(ruleRecover, "", "%s is not served from machine %d %v after the last trouble", p.Name, machine, recovery)
+			r.breach(ruleRecover, "", "%s is not served from machine %d %v after the last trouble", p.Name, machine, recoveryLimit)
 			return
 		}
 	}
--- a/tests/soak/operator.go
+++ b/tests/soak/operator.go
@@ -18,15 +18,15 @@
 // The headers of an operator's own number of a configuration.
 const headerGeneration = "Curlewwalk-Edition"
 
-// marks is how many configurations in a row have a route: that of number n is in n to
+// markersPerConfiguration is how many configurations in a row have a route: that of number n is in n to
 // n+marks-1. So what a sidecar says of a route tells which configuration it goes by.
-const marks = 3
+const markersPerConfiguration = 3
 
-const markPrefix = "/mark/"
+const markerPathPrefix = "/mark/"
 
-// markPlan is what backends make of requests on those routes: they go to the first service.
-func markPlan(size fleet.Size) fakes.Plan {
-	return fakes.Plan{Name: "mark", Method: http.MethodGet, Prefix: markPrefix, Service: size.Backends[0], Repeatable: true, Aim: time.Second, Deadline: 3 * time.Second, Rank: 1, Work: time.Millisecond}
+// markerPlan is what backends make of requests on those routes: they go to the first service.
+func markerPlan(size fleet.Size) fakes.RequestPlan {
+	return fakes.RequestPlan{Name: "mark", Method: http.MethodGet, Prefix: markerPathPrefix, Service: size.Backends[0], Idempotent: true, LatencyTarget: time.Second, Deadline: 3 * time.Second, Priority: 1, Work: time.Millisecond}
 }
 
 // configuration is one that an operator sent.
@@ -34,8 +34,8 @@
 	number uint64
 	body   []byte
 	sent   time.Time
-	// acked is when it was acknowledged first; zero if it has not been.
-	acked time.Time
+	// acknowledged is when it was acknowledged first; zero if it has not been.
+	acknowledged time.Time
 }
 
 // operator keeps what was sent and acknowledged.
@@ -44,14 +44,14 @@
 	sent []*configuration // by number, from 1
 }
 
-// begin puts the first configuration.
-func (o *operator) begin(ctx context.Context, r *Run) error {
+// putFirst puts the first configuration.
+func (o *operator) putFirst(ctx context.Context, r *Run) error {
 	c := o.next(r)
 	for ctx.Err() == nil {
-		if r.put(ctx, c, r.Fleet.Cores[0]) == http.StatusOK {
+		if r.putConfiguration(ctx, c, r.Fleet.Replicas[0]) == http.StatusOK {
 			return nil
 		}
-		wait(ctx, 100*time.Millisecond)
+		sleep(ctx, 100*time.Millisecond)
 	}
 	return ctx.Err()
 }
@@ -75,16 +75,16 @@
 	if err := json.Unmarshal(r.Fleet.Configuration(), &all); err != nil {
 		panic(err)
 	}
-	mark := markPlan(r.Fleet.Size)
+	mark := markerPlan(r.Fleet.Size)
 	routes := all.Routes[:0]
 	for _, route := range all.Routes {
 		if route["name"] != mark.Name {
 			routes = append(routes, route)
 		}
 	}
-	for n := number; n > 0 && n+marks > number; n-- {
+	for n := number; n > 0 && n+markersPerConfiguration > number; n-- {
 		routes = append(routes, map[string]any{
-			"name": fmt.Sprintf("mark-%d", n), "prefix": fmt.Sprintf("%s%d/", markPrefix, n), "methods": []string{mark.Method},
+			"name": fmt.Sprintf("mark-%d", n), "prefix": fmt.Sprintf("%s%d/", markerPathPrefix, n), "methods": []string{mark.Method},
 			"service": mark.Service, "contract": mark.Name, "repeatable": true,
 		})
 	}
@@ -95,9 +95,9 @@
 	return b
 }
 
-// put puts a configuration to a core, and returns the status; zero if there is no answer.
-func (r *Run) put(ctx context.Context, c *configuration, core *fleet.Program) (status int) {
-	call, cancel := context.WithTimeout(ctx, ackWithin)
+// putConfiguration puts a configuration to a core, and returns the status; zero if there is no answer.
+func (r *Run) putConfiguration(ctx context.Context, c *configuration, core *fleet.Program) (status int) {
+	call, cancel := context.WithTimeout(ctx, acknowledgeLimit)
 	defer cancel()
 	reply, err := r.Fleet.Operate(call, core, http.MethodPut, "/v1/desired", c.body, headerGeneration, strconv.FormatUint(c.number, 10))
 	if err != nil {
@@ -112,25 +112,25 @@
 func (o *operator) acknowledged(c *configuration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if c.acked.IsZero() {
-		c.acked = time.Now()
+	if c.acknowledged.IsZero() {
+		c.acknowledged = time.Now()
 	}
 }
 
-// newest is the highest number that was acknowledged by a moment.
-func (o *operator) newest(by time.Time) (c configuration) {
+// newestAcknowledged is the highest number that was acknowledged by a moment.
+func (o *operator) newestAcknowledged(by time.Time) (c configuration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, each := range o.sent {
-		if !each.acked.IsZero() && !each.acked.After(by) {
+		if !each.acknowledged.IsZero() && !each.acknowledged.After(by) {
 			c = *each
 		}
 	}
 	return c
 }
 
-// last is the highest number that was sent by a moment.
-func (o *operator) last(by time.Time) (number uint64) {
+// newestSent is the highest number that was sent by a moment.
+func (o *operator) newestSent(by time.Time) (number uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, each := range o.sent {
@@ -141,8 +141,8 @@
 	return number
 }
 
-// number finds a configuration.
-func (o *operator) number(n uint64) (c configuration, ok bool) {
+// byNumber finds a configuration.
+func (o *operator) byNumber(n uint64) (c configuration, ok bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if n < 1 || n > uint64(len(o.sent)) {
@@ -153,146 +153,146 @@
 
 // The ways in which configurations come.
 const (
-	howSeries = "series"
-	howRace   = "race"   // two at a time, at two cores
-	howRepeat = "repeat" // each is sent once more after it was acknowledged, elsewhere
+	variantSeries = "series"
+	variantRace   = "race"   // two at a time, at two cores
+	variantRepeat = "repeat" // each is sent once more after it was acknowledged, elsewhere
 )
 
-var configurings = []string{howSeries, howRace, howRepeat}
+var configureVariants = []string{variantSeries, variantRace, variantRepeat}
 
 // configure sends configurations, with a pause between them.
 func configure(ctx context.Context, r *Run, e Entry, rng *rand.Rand) {
 	for range max(1, e.Count) {
 		var racing sync.WaitGroup
-		for range map[bool]int{true: 2, false: 1}[e.How == howRace] {
-			first, second := rng.IntN(len(r.Fleet.Cores)), rng.IntN(len(r.Fleet.Cores))
-			racing.Go(func() { r.order(ctx, r.operator.next(r), first, second, e.How == howRepeat) })
+		for range map[bool]int{true: 2, false: 1}[e.Variant == variantRace] {
+			first, second := rng.IntN(len(r.Fleet.Replicas)), rng.IntN(len(r.Fleet.Replicas))
+			racing.Go(func() { r.submitConfiguration(ctx, r.operator.next(r), first, second, e.Variant == variantRepeat) })
 		}
 		racing.Wait()
-		wait(ctx, seconds(e.For))
+		sleep(ctx, seconds(e.For))
 	}
 }
 
-// orderFor is how long an operator sends an order again that has no clear answer.
-const orderFor = 12 * time.Second
+// commandTimeout is how long an operator sends an order again that has no clear answer.
+const commandTimeout = 12 * time.Second
 
-// order sends a configuration, first to one core and then in turn from another on, until
+// submitConfiguration sends a configuration, first to one core and then in turn from another on, until
 // there is a clear answer.
-func (r *Run) order(ctx context.Context, c *configuration, first, second int, again bool) {
-	cores := r.Fleet.Cores
-	for try := 0; time.Since(c.sent) < orderFor && ctx.Err() == nil; try++ {
+func (r *Run) submitConfiguration(ctx context.Context, c *configuration, first, second int, again bool) {
+	cores := r.Fleet.Replicas
+	for try := 0; time.Since(c.sent) < commandTimeout && ctx.Err() == nil; try++ {
 		core := cores[first]
 		if try > 0 {
 			core = cores[(second+try)%len(cores)]
 		}
 		began := time.Now()
-		switch status := r.put(ctx, c, core); {
+		switch status := r.putConfiguration(ctx, c, core); {
 		case status == http.StatusOK:
 			if again {
-				r.put(ctx, c, cores[second])
+				r.putConfiguration(ctx, c, cores[second])
 			}
-			r.judgeAck("configuration "+strconv.FormatUint(c.number, 10), c.sent, time.Now())
+			r.judgeAcknowledgement("configuration "+strconv.FormatUint(c.number, 10), c.sent, time.Now())
 			return
 		case status >= 400 && status < 500:
-			r.find(ruleConfig, "", "configuration %d was refused with %d by %s", c.number, status, core.Name)
+			r.breach(ruleConfig, "", "configuration %d was refused with %d by %s", c.number, status, core.Name)
 			return
 		}
-		wait(ctx, time.Duration(50*(1+try))*time.Millisecond-time.Since(began)/10)
+		sleep(ctx, time.Duration(50*(1+try))*time.Millisecond-time.Since(began)/10)
 	}
-	r.judgeAck("configuration "+strconv.FormatUint(c.number, 10), c.sent, time.Time{})
+	r.judgeAcknowledgement("configuration "+strconv.FormatUint(c.number, 10), c.sent, time.Time{})
 }
 
-// judgeAck holds an order's acknowledgement against the time that there is for it where
+// judgeAcknowledgement holds an order's acknowledgement against the time that there is for it where
 // nothing is in trouble: zero if there is none.
-func (r *Run) judgeAck(what string, sent, acked time.Time) {
-	if !acked.IsZero() && acked.Sub(sent) <= ackWithin {
+func (r *Run) judgeAcknowledgement(what string, sent, acked time.Time) {
+	if !acked.IsZero() && acked.Sub(sent) <= acknowledgeLimit {
 		return
 	}
-	if r.troubles.settled(sent, sent.Add(ackWithin)) {
-		r.find(ruleDuty, "", "%s had no acknowledgement within %v, the core was settled", what, ackWithin)
+	if r.faults.controlPlaneStable(sent, sent.Add(acknowledgeLimit)) {
+		r.breach(ruleAcknowledge, "", "%s had no acknowledgement within %v, the core was settled", what, acknowledgeLimit)
 	}
 }
 
 // evacuate empties a zone and takes it back.
 func evacuate(ctx context.Context, r *Run, e Entry, _ *rand.Rand) {
 	zone := r.Fleet.Size.Zones[e.Target%len(r.Fleet.Size.Zones)]
-	if !r.zones[zone].TryLock() {
+	if !r.zoneLocks[zone].TryLock() {
 		r.skip(e)
 		return
 	}
-	defer r.zones[zone].Unlock()
+	defer r.zoneLocks[zone].Unlock()
 	path := "/v1/localities/" + zone + "/emptied"
-	if acked, ok := r.orderZone(ctx, e, http.MethodPut, path); ok {
-		r.Fleet.Ledger.Emptied(zone, acked)
-		wait(ctx, seconds(e.For))
-		r.Fleet.Ledger.TakenBack(zone, time.Now())
+	if acked, ok := r.submitEvacuation(ctx, e, http.MethodPut, path); ok {
+		r.Fleet.Ledger.RecordEvacuation(zone, acked)
+		sleep(ctx, seconds(e.For))
+		r.Fleet.Ledger.RecordRestored(zone, time.Now())
 	}
 	for ctx.Err() == nil {
-		if _, ok := r.orderZone(ctx, e, http.MethodDelete, path); ok {
+		if _, ok := r.submitEvacuation(ctx, e, http.MethodDelete, path); ok {
 			return
 		}
 	}
 }
 
-// orderZone sends an order on a zone until it is acknowledged, or for as long as operators do.
-func (r *Run) orderZone(ctx context.Context, e Entry, method, path string) (acked time.Time, ok bool) {
+// submitEvacuation sends an order on a zone until it is acknowledged, or for as long as operators do.
+func (r *Run) submitEvacuation(ctx context.Context, e Entry, method, path string) (acked time.Time, ok bool) {
 	sent := time.Now()
-	for try := e.Target; time.Since(sent) < orderFor && ctx.Err() == nil; try++ {
-		call, cancel := context.WithTimeout(ctx, ackWithin)
-		reply, err := r.Fleet.Operate(call, r.Fleet.Cores[try%len(r.Fleet.Cores)], method, path, nil)
+	for try := e.Target; time.Since(sent) < commandTimeout && ctx.Err() == nil; try++ {
+		call, cancel := context.WithTimeout(ctx, acknowledgeLimit)
+		reply, err := r.Fleet.Operate(call, r.Fleet.Replicas[try%len(r.Fleet.Replicas)], method, path, nil)
 		cancel()
 		if err == nil && reply.Status == http.StatusOK {
 			acked = time.Now()
-			r.judgeAck(method+" "+path, sent, acked)
+			r.judgeAcknowledgement(method+" "+path, sent, acked)
 			return acked, true
 		}
-		wait(ctx, 100*time.Millisecond)
+		sleep(ctx, 100*time.Millisecond)
 	}
-	r.judgeAck(method+" "+path, sent, time.Time{})
+	r.judgeAcknowledgement(method+" "+path, sent, time.Time{})
 	return acked, false
 }
 
-// readEvery is how often an operator reads the configuration during the run.
-const readEvery = 150 * time.Millisecond
+// readInterval is how often an operator reads the configuration during the run.
+const readInterval = 150 * time.Millisecond
 
-// reads reads the configuration all the while, at any core, and holds it against what was
+// readContinuously reads the configuration all the while, at any core, and holds it against what was
 // acknowledged.
-func (r *Run) reads(ctx context.Context, rng *rand.Rand) {
+func (r *Run) readContinuously(ctx context.Context, rng *rand.Rand) {
 	for ctx.Err() == nil {
-		core := r.Fleet.Cores[rng.IntN(len(r.Fleet.Cores))]
+		core := r.Fleet.Replicas[rng.IntN(len(r.Fleet.Replicas))]
 		sent := time.Now()
 		call, cancel := context.WithTimeout(ctx, time.Second)
 		reply, err := r.Fleet.Operate(call, core, http.MethodGet, "/v1/desired", nil)
 		cancel()
 		if err == nil && reply.Status == http.StatusOK {
-			r.judgeRead(core.Name, reply, r.operator.newest(sent.Add(-apply)))
+			r.judgeRead(core.Name, reply, r.operator.newestAcknowledged(sent.Add(-rolloutLimit)))
 		}
-		wait(ctx, readEvery)
+		sleep(ctx, readInterval)
 	}
 }
 
 // judgeRead holds a configuration that was read against the newest that it must not be
 // older than.
 func (r *Run) judgeRead(at string, reply fleet.Reply, newest configuration) {
-	got, known := r.operator.number(reply.Generation)
+	got, known := r.operator.byNumber(reply.Generation)
 	switch {
 	case reply.Generation < newest.number:
-		r.find(ruleConfig, "", "%s reads configuration %d, %d was acknowledged before", at, reply.Generation, newest.number)
+		r.breach(ruleConfig, "", "%s reads configuration %d, %d was acknowledged before", at, reply.Generation, newest.number)
 	case !known || !bytes.Equal(reply.Body, got.body):
-		r.find(ruleConfig, "", "%s reads other bytes than were sent under %d", at, reply.Generation)
+		r.breach(ruleConfig, "", "%s reads other bytes than were sent under %d", at, reply.Generation)
 	}
 }
 
 // readBack reads the configuration at the end, again and again, at every core.
 func (r *Run) readBack(ctx context.Context) {
-	newest := r.operator.newest(time.Now())
-	for begun := time.Now(); time.Since(begun) < contact && ctx.Err() == nil; wait(ctx, readEvery) {
-		for _, core := range r.Fleet.Cores {
+	newest := r.operator.newestAcknowledged(time.Now())
+	for begun := time.Now(); time.Since(begun) < contactTime && ctx.Err() == nil; sleep(ctx, readInterval) {
+		for _, core := range r.Fleet.Replicas {
 			call, cancel := context.WithTimeout(ctx, time.Second)
 			reply, err := r.Fleet.Operate(call, core, http.MethodGet, "/v1/desired", nil)
 			cancel()
 			if err != nil || reply.Status != http.StatusOK {
-				r.find(ruleConfig, "", "%s does not read back: %d %v", core.Name, reply.Status, err)
+				r.breach(ruleConfig, "", "%s does not read back: %d %v", core.Name, reply.Status, err)
 				continue
 			}
 			r.judgeRead(core.Name, reply, newest)
--- a/tests/soak/plan.go
+++ b/tests/soak/plan.go
@@ -26,9 +26,9 @@
 	Seconds float64 `toml:"seconds"`
 	// Clients is how many clients each machine has, Leaves the share of their requests that
 	// they leave.
-	Clients int     `toml:"clients"`
-	Leaves  float64 `toml:"leaves"`
-	Entries []Entry `toml:"entry"`
+	Clients     int     `toml:"clients"`
+	AbandonRate float64 `toml:"leaves"`
+	Entries     []Entry `toml:"entry"`
 	// Last is what happens at the end; empty for nothing.
 	Last Kind `toml:"last"`
 }
@@ -42,8 +42,8 @@
 	// Target picks whom it strikes, by number; Count how many.
 	Target int `toml:"target"`
 	Count  int `toml:"count"`
-	// How is the variant, of those that the kind has.
-	How string `toml:"how"`
+	// Variant is the variant, of those that the kind has.
+	Variant string `toml:"how"`
 }
 
 // Limits of a plan's numbers.
@@ -100,7 +100,7 @@
 	s := fleet.Deployment(p.Deployment)
 	if p.Machines > 0 {
 		services := s.Backends[:3]
-		s.Machines, s.Backends = p.Machines, fleet.Repeat(p.Machines, services...)
+		s.Machines, s.Backends = p.Machines, fleet.RepeatServices(p.Machines, services...)
 	}
 	return s
 }
@@ -109,7 +109,7 @@
 // around them is judged; the others have troubles of every kind beside them.
 func Draw(deployment string, seed uint64, length time.Duration, machines int) Plan {
 	rng := rand.New(rand.NewPCG(seed, 26))
-	p := Plan{Deployment: deployment, Seed: seed, Machines: machines, Seconds: length.Seconds(), Clients: 2 + rng.IntN(3), Leaves: 0.15 * rng.Float64()}
+	p := Plan{Deployment: deployment, Seed: seed, Machines: machines, Seconds: length.Seconds(), Clients: 2 + rng.IntN(3), AbandonRate: 0.15 * rng.Float64()}
 	names := kindNames(seed%4 == 0)
 	count := int(p.Seconds * (0.5 + rng.Float64()))
 	for range max(3, count) {
--- a/tests/soak/processes.go
+++ b/tests/soak/processes.go
@@ -16,77 +16,77 @@
 
 // The ways in which a process is stopped.
 const (
-	howPlain  = ""       // SIGTERM
-	howAgain  = "again"  // SIGTERM, and once more
-	howReload = "reload" // SIGTERM amid SIGHUPs
+	variantPlain  = ""       // SIGTERM
+	variantAgain  = "again"  // SIGTERM, and once more
+	variantReload = "reload" // SIGTERM amid SIGHUPs
 )
 
-var stops = []string{howPlain, howAgain, howReload}
+var stopVariants = []string{variantPlain, variantAgain, variantReload}
 
-// hold takes processes for as long as something is done to them; false if one of them is
+// lockProcesses takes processes for as long as something is done to them; false if one of them is
 // taken already. Of the core no more are taken at a time than it is to bear.
-func (r *Run) hold(programs ...*fleet.Program) (release func(), ok bool) {
-	var held []func()
+func (r *Run) lockProcesses(programs ...*fleet.Program) (release func(), ok bool) {
+	var unlocks []func()
 	release = func() {
-		for _, give := range held {
-			give()
+		for _, unlock := range unlocks {
+			unlock()
 		}
 	}
 	for _, p := range programs {
-		if !r.control[p].TryLock() {
+		if !r.processLocks[p].TryLock() {
 			release()
 			return nil, false
 		}
-		held = append(held, r.control[p].Unlock)
+		unlocks = append(unlocks, r.processLocks[p].Unlock)
 	}
 	return release, true
 }
 
-// holdCore takes processes of the core, each of which counts as lost until it has settled.
-func (r *Run) holdCore(programs ...*fleet.Program) (release func(), ok bool) {
-	give, ok := r.hold(programs...)
+// lockControlPlane takes processes of the core, each of which counts as lost until it has settled.
+func (r *Run) lockControlPlane(programs ...*fleet.Program) (release func(), ok bool) {
+	unlock, ok := r.lockProcesses(programs...)
 	if !ok {
 		return nil, false
 	}
-	for taken := range programs {
+	for reserved := range programs {
 		select {
-		case r.core <- true:
+		case r.controlPlaneFaults <- true:
 		default:
-			for range taken {
-				<-r.core
+			for range reserved {
+				<-r.controlPlaneFaults
 			}
-			give()
+			unlock()
 			return nil, false
 		}
 	}
 	return func() {
-		give()
+		unlock()
 		go func() {
-			wait(context.Background(), settle)
+			sleep(context.Background(), recoveryHold)
 			for range programs {
-				<-r.core
+				<-r.controlPlaneFaults
 			}
 		}()
 	}, true
 }
 
-func (r *Run) isCore(p *fleet.Program) bool { return slices.Contains(r.Fleet.Cores, p) }
+func (r *Run) isControlPlane(p *fleet.Program) bool { return slices.Contains(r.Fleet.Replicas, p) }
 
-// strike does something to processes that it alone holds meanwhile.
-func (r *Run) strike(e Entry, planned bool, programs []*fleet.Program, do func()) {
-	taking := r.hold
-	core := r.isCore(programs[0])
+// injectFault does something to processes that it alone holds meanwhile.
+func (r *Run) injectFault(e Entry, planned bool, programs []*fleet.Program, action func()) {
+	lock := r.lockProcesses
+	core := r.isControlPlane(programs[0])
 	if core {
-		taking = r.holdCore
+		lock = r.lockControlPlane
 	}
-	release, ok := taking(programs...)
+	release, ok := lock(programs...)
 	if !ok {
 		r.skip(e)
 		return
 	}
 	defer release()
-	defer r.troubles.begin(Trouble{Kind: e.Kind, How: e.How, Machines: ips(programs), Core: core, Planned: planned})()
-	do()
+	defer r.faults.begin(Fault{Kind: e.Kind, Variant: e.Variant, Machines: ips(programs), Core: core, Planned: planned})()
+	action()
 }
 
 func ips(programs []*fleet.Program) (out []string) {
@@ -105,8 +105,8 @@
 	return out
 }
 
-func (r *Run) coreOf(e Entry) []*fleet.Program {
-	return []*fleet.Program{r.Fleet.Cores[e.Target%len(r.Fleet.Cores)]}
+func (r *Run) replicaOf(e Entry) []*fleet.Program {
+	return []*fleet.Program{r.Fleet.Replicas[e.Target%len(r.Fleet.Replicas)]}
 }
 
 // stop stops sidecars in turn, a second apart, whether the last is back or not, and starts
@@ -115,43 +115,43 @@
 	var all sync.WaitGroup
 	for i, p := range r.sidecars(e) {
 		all.Go(func() {
-			wait(ctx, time.Duration(i)*time.Second)
-			r.strike(e, true, []*fleet.Program{p}, func() { r.restart(ctx, p, e.How) })
+			sleep(ctx, time.Duration(i)*time.Second)
+			r.injectFault(e, true, []*fleet.Program{p}, func() { r.restart(ctx, p, e.Variant) })
 		})
 	}
 	all.Wait()
 }
 
 func stopCore(ctx context.Context, r *Run, e Entry, _ *rand.Rand) {
-	programs := r.coreOf(e)
-	r.strike(e, true, programs, func() { r.restart(ctx, programs[0], e.How) })
+	programs := r.replicaOf(e)
+	r.injectFault(e, true, programs, func() { r.restart(ctx, programs[0], e.Variant) })
 }
 
 // restart stops a process, as the platform does, and starts it again.
-func (r *Run) restart(ctx context.Context, p *fleet.Program, how string) {
+func (r *Run) restart(ctx context.Context, p *fleet.Program, variant string) {
 	ended := make(chan int, 1)
-	if how == howReload {
+	if variant == variantReload {
 		p.Signal(syscall.SIGHUP)
 	}
 	go func() { ended <- p.Stop() }()
-	more := map[string]syscall.Signal{howAgain: syscall.SIGTERM, howReload: syscall.SIGHUP}[how]
+	repeated := map[string]syscall.Signal{variantAgain: syscall.SIGTERM, variantReload: syscall.SIGHUP}[variant]
 	tick := time.NewTicker(400 * time.Millisecond)
 	defer tick.Stop()
-	kill := time.After(grace)
-	for over := false; !over; {
+	kill := time.After(stopGrace)
+	for exited := false; !exited; {
 		select {
 		case code := <-ended:
-			if over = true; code != 0 {
-				r.find(ruleStop, "", "%s ended with %d: %s", p.Name, code, p.Said())
+			if exited = true; code != 0 {
+				r.breach(ruleStop, "", "%s ended with %d: %s", p.Name, code, p.Stderr())
 			}
 		case <-kill:
-			r.find(ruleStop, "", "%s was still there at the end of its grace time", p.Name)
+			r.breach(ruleStop, "", "%s was still there at the end of its grace time", p.Name)
 			p.Signal(syscall.SIGKILL)
 			<-ended
-			over = true
+			exited = true
 		case <-tick.C:
-			if more != 0 {
-				p.Signal(more)
+			if repeated != 0 {
+				p.Signal(repeated)
 			}
 		}
 	}
@@ -160,70 +160,70 @@
 
 // revive starts a process again, and waits until it is ready.
 func (r *Run) revive(ctx context.Context, programs ...*fleet.Program) {
-	if err := r.Fleet.Revive(programs...); err != nil {
-		r.find(ruleStart, "", "%v", err)
+	if err := r.Fleet.Restart(programs...); err != nil {
+		r.breach(ruleStart, "", "%v", err)
 		return
 	}
 	for _, p := range programs {
-		call, cancel := context.WithTimeout(ctx, recovery)
-		p.Ready(call) // a core may be cut off, or without a majority
+		call, cancel := context.WithTimeout(ctx, recoveryLimit)
+		p.AwaitReady(call) // a core may be cut off, or without a majority
 		cancel()
 	}
 }
 
 func reload(ctx context.Context, r *Run, e Entry, _ *rand.Rand) {
 	for _, p := range r.sidecars(e) {
-		if release, ok := r.hold(p); ok {
-			end := r.troubles.begin(Trouble{Kind: e.Kind, Machines: []string{p.IP}, Planned: true})
+		if release, ok := r.lockProcesses(p); ok {
+			end := r.faults.begin(Fault{Kind: e.Kind, Machines: []string{p.IP}, Planned: true})
 			p.Signal(syscall.SIGHUP)
 			end()
 			release()
 		}
-		wait(ctx, 50*time.Millisecond)
+		sleep(ctx, 50*time.Millisecond)
 	}
 }
 
 func kill(ctx context.Context, r *Run, e Entry, _ *rand.Rand) {
 	programs := r.sidecars(e)
-	r.strike(e, false, programs, func() { r.killFor(ctx, programs, e) })
+	r.injectFault(e, false, programs, func() { r.killFor(ctx, programs, e) })
 }
 
 func killCore(ctx context.Context, r *Run, e Entry, _ *rand.Rand) {
-	programs := r.coreOf(e)
-	r.strike(e, false, programs, func() { r.killFor(ctx, programs, e) })
+	programs := r.replicaOf(e)
+	r.injectFault(e, false, programs, func() { r.killFor(ctx, programs, e) })
 }
 
 // The ways in which processes end at once.
 const (
-	howKill  = "kill"  // their connections are reset
-	howPower = "power" // what was on its way is lost too
+	variantKill     = "kill"  // their connections are reset
+	variantPowerOff = "power" // what was on its way is lost too
 )
 
-var kills = []string{howKill, howPower}
+var killVariants = []string{variantKill, variantPowerOff}
 
 func (r *Run) killFor(ctx context.Context, programs []*fleet.Program, e Entry) {
-	if e.How == howPower {
+	if e.Variant == variantPowerOff {
 		r.Fleet.PowerOff(programs...)
 	} else {
 		r.Fleet.Kill(programs...)
 	}
-	wait(ctx, seconds(e.For))
+	sleep(ctx, seconds(e.For))
 	r.revive(ctx, programs...)
 }
 
-// herd ends many processes at the same moment, of the core as well; their disks stay.
-func herd(ctx context.Context, r *Run, e Entry, rng *rand.Rand) {
+// massKill ends many processes at the same moment, of the core as well; their disks stay.
+func massKill(ctx context.Context, r *Run, e Entry, rng *rand.Rand) {
 	var programs []*fleet.Program
 	for _, p := range r.Fleet.Programs() {
-		if rng.IntN(3) > 0 && r.control[p].TryLock() {
+		if rng.IntN(3) > 0 && r.processLocks[p].TryLock() {
 			programs = append(programs, p)
-			defer r.control[p].Unlock()
+			defer r.processLocks[p].Unlock()
 		}
 	}
 	if len(programs) == 0 {
 		return
 	}
-	defer r.troubles.begin(Trouble{Kind: e.Kind, How: e.How, Machines: ips(programs), Core: true})()
+	defer r.faults.begin(Fault{Kind: e.Kind, Variant: e.Variant, Machines: ips(programs), Core: true})()
 	r.killFor(ctx, programs, e)
 }
 
@@ -232,15 +232,15 @@
 }
 
 func freezeCore(ctx context.Context, r *Run, e Entry, _ *rand.Rand) {
-	r.freezeAll(ctx, e, r.coreOf(e))
+	r.freezeAll(ctx, e, r.replicaOf(e))
 }
 
 func (r *Run) freezeAll(ctx context.Context, e Entry, programs []*fleet.Program) {
-	r.strike(e, false, programs, func() {
+	r.injectFault(e, false, programs, func() {
 		for _, p := range programs {
 			p.Signal(syscall.SIGSTOP)
 		}
-		wait(ctx, seconds(e.For))
+		sleep(ctx, seconds(e.For))
 		for _, p := range programs {
 			p.Signal(syscall.SIGCONT)
 		}
@@ -249,85 +249,85 @@
 
 // loseDisk has a machine of the core come back with an empty disk.
 func loseDisk(ctx context.Context, r *Run, e Entry, _ *rand.Rand) {
-	programs := r.coreOf(e)
-	r.strike(e, false, programs, func() {
-		r.Fleet.PowerOff(programs...)
-		r.wipe(programs[0])
-		wait(ctx, seconds(e.For))
-		r.revive(ctx, programs...)
+	replicas := r.replicaOf(e)
+	r.injectFault(e, false, replicas, func() {
+		r.Fleet.PowerOff(replicas...)
+		r.eraseDisk(replicas[0])
+		sleep(ctx, seconds(e.For))
+		r.revive(ctx, replicas...)
 	})
 }
 
-// wipe empties a core's disk.
-func (r *Run) wipe(p *fleet.Program) {
+// eraseDisk empties a core's disk.
+func (r *Run) eraseDisk(p *fleet.Program) {
 	data := filepath.Join(r.Fleet.Dir, strings.ReplaceAll(p.Name, "/", "-"))
 	if err := os.RemoveAll(data); err != nil {
-		r.find(ruleStart, "", "%v", err)
+		r.breach(ruleStart, "", "%v", err)
 	}
 }
 
 // resetConnections resets all that goes to some machines' wire addresses.
 func resetConnections(_ context.Context, r *Run, e Entry, _ *rand.Rand) {
 	programs := r.sidecars(e)
-	defer r.troubles.begin(Trouble{Kind: e.Kind, Machines: ips(programs)})()
+	defer r.faults.begin(Fault{Kind: e.Kind, Machines: ips(programs)})()
 	for _, p := range programs {
-		r.Fleet.Reset(p)
+		r.Fleet.ResetConnections(p)
 	}
 }
 
 // The ways in which the network is cut.
 const (
-	howAll    = "all"     // from all machines
-	howCores  = "cores"   // from the cores
-	howOneWay = "one-way" // nothing gets from there to the cores
+	variantAll          = "all"     // from all machines
+	variantControlPlane = "cores"   // from the cores
+	variantOneWay       = "one-way" // nothing gets from there to the cores
 )
 
-var cuts = []string{howAll, howCores, howOneWay}
+var partitionVariants = []string{variantAll, variantControlPlane, variantOneWay}
 
-// cut cuts sidecars' machines off.
-func cut(ctx context.Context, r *Run, e Entry, _ *rand.Rand) {
+// partitionSidecars cuts sidecars' machines off.
+func partitionSidecars(ctx context.Context, r *Run, e Entry, _ *rand.Rand) {
 	side := ips(r.sidecars(e))
-	r.cutOff(ctx, e, side, false)
+	r.partition(ctx, e, side, false)
 }
 
-// cutCore cuts one machine of the core off.
-func cutCore(ctx context.Context, r *Run, e Entry, _ *rand.Rand) {
+// partitionReplica cuts one machine of the core off.
+func partitionReplica(ctx context.Context, r *Run, e Entry, _ *rand.Rand) {
 	select {
-	case r.core <- true:
+	case r.controlPlaneFaults <- true:
 	default:
 		r.skip(e)
 		return
 	}
-	r.cutOff(ctx, e, ips(r.coreOf(e)), true)
-	wait(ctx, settle)
-	<-r.core
+	r.partition(ctx, e, ips(r.replicaOf(e)), true)
+	sleep(ctx, recoveryHold)
+	<-r.controlPlaneFaults
 }
 
-func (r *Run) cutOff(ctx context.Context, e Entry, side []string, core bool) {
-	cores := r.Fleet.CoreIPs()
+func (r *Run) partition(ctx context.Context, e Entry, side []string, core bool) {
+	cores := r.Fleet.ReplicaIPs()
 	in := slices.Contains[[]string]
-	cut := func(from, to string) bool { return in(side, from) != in(side, to) }
-	switch e.How {
-	case howCores:
-		cut = func(from, to string) bool {
+	blocks := func(from, to string) bool { return in(side, from) != in(side, to) }
+	switch e.Variant {
+	case variantControlPlane:
+		blocks = func(from, to string) bool {
 			return in(side, from) && in(cores, to) && !in(side, to) || in(cores, from) && in(side, to) && !in(side, from)
 		}
-	case howOneWay:
-		cut = func(from, to string) bool { return in(side, from) && in(cores, to) && !in(side, to) }
+	case variantOneWay:
+		blocks = func(from, to string) bool { return in(side, from) && in(cores, to) && !in(side, to) }
 	}
-	defer r.troubles.begin(Trouble{Kind: e.Kind, How: e.How, Machines: side, Core: core})()
-	defer r.Fleet.Net.Add(cut)()
-	wait(ctx, seconds(e.For))
+	defer r.faults.begin(Fault{Kind: e.Kind, Variant: e.Variant, Machines: side, Core: core})()
+	defer r.Fleet.Network.AddPartition(blocks)()
+	sleep(ctx, seconds(e.For))
 }
 
-// split cuts half of the cores off from the other half; all others reach both.
-func split(ctx context.Context, r *Run, e Entry, _ *rand.Rand) {
-	cores := r.Fleet.CoreIPs()
+// splitControlPlane cuts half of the cores off from the other half; all others reach both.
+func splitControlPlane(ctx context.Context, r *Run, e Entry, _ *rand.Rand) {
+	cores := r.Fleet.ReplicaIPs()
 	half := cores[:len(cores)/2]
 	in := slices.Contains[[]string]
-	defer r.troubles.begin(Trouble{Kind: e.Kind, Machines: cores, Core: true})()
-	defer r.Fleet.Net.Add(func(from, to string) bool {
+	defer r.faults.begin(Fault{Kind: e.Kind, Machines: cores, Core: true})()
+	defer r.Fleet.Network.AddPartition(func(from, to string) bool {
 		return in(cores, from) && in(cores, to) && in(half, from) != in(half, to)
 	})()
-	wait(ctx, seconds(e.For))
+	sleep(ctx, seconds(e.For))
 }
--- a/tests/soak/shorten.go
+++ b/tests/soak/shorten.go
@@ -38,6 +38,6 @@
 	if err != nil {
 		return false
 	}
-	res, err := r.Do(ctx)
-	return err == nil && slices.ContainsFunc(res.Broken, func(b ledger.Breach) bool { return slices.Contains(rules, b.Rule) })
+	res, err := r.Play(ctx)
+	return err == nil && slices.ContainsFunc(res.Breaches, func(b ledger.Breach) bool { return slices.Contains(rules, b.Rule) })
 }
--- a/tests/soak/soak_test.go
+++ b/tests/soak/soak_test.go
@@ -16,7 +16,7 @@
 var (
 	first    = flag.Uint64("first", 3, "first seed")
 	seeds    = flag.Uint64("seeds", 2, "how many seeds")
-	length   = flag.Duration("length", 14*time.Second, "how long troubles may begin")
+	duration = flag.Duration("length", 14*time.Second, "how long troubles may begin")
 	machines = flag.Int("machines", 5, "how many sidecars")
 	onlyRule = flag.String("rule", "", "fail for this rule only")
 	onlyKind = flag.String("kinds", "", "only entries whose kinds have this in them")
@@ -35,15 +35,15 @@
 	defer bin.Remove()
 	for seed := *first; seed < *first+*seeds && !t.Failed(); seed++ {
 		deployment := []string{"association", "heating"}[seed%2]
-		res := play(t, Draw(deployment, seed, *length, *machines).Only(*onlyKind), bin)
-		t.Logf("%s, seed %d: sent %d, ends %v, %d backends left, %d configurations", deployment, seed, res.Sent, res.Ends, res.Departures, res.Configurations)
-		for _, b := range res.Broken {
+		res := play(t, Draw(deployment, seed, *duration, *machines).Only(*onlyKind), bin)
+		t.Logf("%s, seed %d: sent %d, ends %v, %d backends left, %d configurations", deployment, seed, res.Sent, res.Endings, res.Departures, res.Configurations)
+		for _, b := range res.Breaches {
 			if *onlyRule == "" || b.Rule == ledger.Rule(*onlyRule) {
 				t.Errorf("%v", b)
 			}
 		}
 		if t.Failed() {
-			t.Logf("%s\n%s", strings.Join(res.Stories, "\n"), res.Plan.Text())
+			t.Logf("%s\n%s", strings.Join(res.Narratives, "\n"), res.Plan.Text())
 		}
 	}
 }
@@ -56,7 +56,7 @@
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), seconds(p.Seconds)+limit)
 	defer cancel()
-	res, err := r.Do(ctx)
+	res, err := r.Play(ctx)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -96,7 +96,7 @@
 	if _, err := ReadPlan([]byte("entry = 3")); err == nil {
 		t.Error("what is no plan is read")
 	}
-	if err := Bears(Plan{Deployment: "association", Machines: mostProcesses}); err == nil {
+	if err := CheckCapacity(Plan{Deployment: "association", Machines: maxProcesses}); err == nil {
 		t.Error("more processes than are allowed")
 	}
 }
--- a/tests/soak/table.go
+++ b/tests/soak/table.go
@@ -21,11 +21,11 @@
 	return &Table{out: out}
 }
 
-// Add prints a result.
-func (t *Table) Add(r *Result) {
+// Print prints a result.
+func (t *Table) Print(r *Result) {
 	t.played++
 	counts := map[ledger.Rule]int{}
-	for _, b := range r.Broken {
+	for _, b := range r.Breaches {
 		counts[b.Rule]++
 	}
 	broken := "nothing"
@@ -33,8 +33,8 @@
 		broken = fmt.Sprint(counts)
 	}
 	fmt.Fprintf(t.out, "%-12s %6d %5d %7d %8d %8d %7d %6d %6d %6d %6d %7d %7d  %s\n",
-		r.Plan.Deployment, r.Seed, r.Size, r.Entries-r.Skipped, r.Sent, r.Ends[fakes.EndAnswered], r.Ends[fakes.EndRefused],
-		r.Ends[fakes.EndCut], r.Ends[fakes.EndLeft], r.Departures, r.Configurations, r.HalfMS, r.MostMS, broken)
+		r.Plan.Deployment, r.Seed, r.Size, r.Entries-r.Skipped, r.Sent, r.Endings[fakes.Answered], r.Endings[fakes.Refused],
+		r.Endings[fakes.Interrupted], r.Endings[fakes.Abandoned], r.Departures, r.Configurations, r.HalfMS, r.MostMS, broken)
 }
 
 // Played is how many results there were.
--- a/tests/soak/zones.go
+++ b/tests/soak/zones.go
@@ -21,57 +21,57 @@
 			sidecars = append(sidecars, p)
 		}
 	}
-	for i, p := range r.Fleet.Cores {
+	for i, p := range r.Fleet.Replicas {
 		if r.Fleet.Zone(i) == zone {
 			cores = append(cores, p)
 		}
 	}
 	if len(cores) > 0 {
-		give, ok := r.holdCore(cores...)
+		give, ok := r.lockControlPlane(cores...)
 		if !ok {
 			r.skip(e)
 			return
 		}
 		defer give()
 	}
-	r.strike(e, false, sidecars, func() { r.zoneOff(ctx, e, zone, slices.Concat(sidecars, cores)) })
+	r.injectFault(e, false, sidecars, func() { r.powerOffZone(ctx, e, zone, slices.Concat(sidecars, cores)) })
 }
 
-// zoneOff ends all that stands in a zone, and starts it again.
-func (r *Run) zoneOff(ctx context.Context, e Entry, zone string, programs []*fleet.Program) {
-	defer r.troubles.begin(Trouble{Kind: e.Kind, Machines: ips(programs), Core: true})()
-	var places []*place
-	for _, p := range r.places {
-		if r.Fleet.Zone(p.number) == zone && p.mu.TryLock() {
-			defer p.mu.Unlock()
-			places = append(places, p)
-			p.current.Load().Kill()
+// powerOffZone ends all that stands in a zone, and starts it again.
+func (r *Run) powerOffZone(ctx context.Context, e Entry, zone string, programs []*fleet.Program) {
+	defer r.faults.begin(Fault{Kind: e.Kind, Machines: ips(programs), Core: true})()
+	var affected []*machine
+	for _, m := range r.machines {
+		if r.Fleet.Zone(m.number) == zone && m.mu.TryLock() {
+			defer m.mu.Unlock()
+			affected = append(affected, m)
+			m.backend.Load().Kill()
 		}
 	}
 	r.Fleet.PowerOff(programs...)
-	wait(ctx, seconds(e.For))
+	sleep(ctx, seconds(e.For))
 	r.revive(ctx, programs...)
-	for _, p := range places {
-		r.replace(ctx, p, "", p.current.Load().Service)
+	for _, m := range affected {
+		r.startBackendRetrying(ctx, m, "", m.backend.Load().Service)
 	}
 }
 
-// mostJump is how far a wall clock jumps at most, either way.
-const mostJump = 100 * time.Hour
+// maxClockJump is how far a wall clock jumps at most, either way.
+const maxClockJump = 100 * time.Hour
 
 // jumpClocks has the wall clocks of a third of all machines jump, and back after a while.
 func jumpClocks(ctx context.Context, r *Run, e Entry, rng *rand.Rand) {
 	all := r.Fleet.Programs()
 	chosen := rng.Perm(len(all))[:len(all)/3]
 	for _, i := range chosen {
-		if err := r.Fleet.Jump(all[i], time.Duration(rng.Int64N(int64(2*mostJump)))-mostJump); err != nil {
-			r.find(ruleStart, "", "%v", err)
+		if err := r.Fleet.JumpClock(all[i], time.Duration(rng.Int64N(int64(2*maxClockJump)))-maxClockJump); err != nil {
+			r.breach(ruleStart, "", "%v", err)
 		}
 	}
-	wait(ctx, seconds(e.For))
+	sleep(ctx, seconds(e.For))
 	for _, i := range chosen {
-		if err := r.Fleet.Jump(all[i], 0); err != nil {
-			r.find(ruleStart, "", "%v", err)
+		if err := r.Fleet.JumpClock(all[i], 0); err != nil {
+			r.breach(ruleStart, "", "%v", err)
 		}
 	}
 }
@@ -87,14 +87,14 @@
 func sendInvalid(ctx context.Context, r *Run, e Entry, rng *rand.Rand) {
 	for range max(1, e.Count) {
 		body := invalidConfigurations[rng.IntN(len(invalidConfigurations))]
-		core := r.Fleet.Cores[rng.IntN(len(r.Fleet.Cores))]
-		call, cancel := context.WithTimeout(ctx, ackWithin)
-		number := strconv.FormatUint(r.operator.last(time.Now())+1000, 10)
+		core := r.Fleet.Replicas[rng.IntN(len(r.Fleet.Replicas))]
+		call, cancel := context.WithTimeout(ctx, acknowledgeLimit)
+		number := strconv.FormatUint(r.operator.newestSent(time.Now())+1000, 10)
 		reply, err := r.Fleet.Operate(call, core, http.MethodPut, "/v1/desired", []byte(body), headerGeneration, number)
 		cancel()
 		if err == nil && reply.Status < http.StatusBadRequest {
-			r.find(ruleConfig, "", "%s answered %d to an invalid configuration: %s", core.Name, reply.Status, body)
+			r.breach(ruleConfig, "", "%s answered %d to an invalid configuration: %s", core.Name, reply.Status, body)
 		}
-		wait(ctx, 200*time.Millisecond)
+		sleep(ctx, 200*time.Millisecond)
 	}
 }
