--- /dev/null
+++ b/tests/docs/doc.go
@@ -0,0 +1,3 @@
+// Package docs tests the pages under docs/ against the code: a name or a path that a page
+// quotes must exist.
+package docs
