--- a/internal/storage/fault_injected.go
+++ b/internal/storage/fault_injected.go
@@ -1,6 +1,6 @@
 //go:build proof
 
-package vault
+package storage
 
 import (
 	"os"
