--- a/internal/dataplane/idempotency/store.go
+++ b/internal/dataplane/idempotency/store.go
@@ -1,6 +1,3 @@
-// Package idempotency keeps track of requests by their Idempotency-Key, so that a repeat
-// never runs beside or after the first request: it gets that one's response.
-// (DESIGN 10.3)
 package idempotency
 
 import (
@@ -8,18 +5,24 @@
 	"time"
 )
 
-// Store runs a table of claims on one goroutine; T is the type of a response.
+// Store makes a Table available to concurrent requests: the goroutine of Run owns the
+// table, and the methods hand their operations to it. T is the type of a response.
 type Store[T any] struct {
 	responseSize func(T) int
-	operations   chan func(t *Table[T], now time.Duration)
+	operations   chan operation[T]
 }
 
-// NewStore makes the claims; size is the number of bytes that a response takes up.
-func NewStore[T any](size func(T) int) *Store[T] {
-	return &Store[T]{responseSize: size, operations: make(chan func(*Table[T], time.Duration))}
+// operation is executed on the table by the goroutine that owns it. now is the time since
+// that goroutine started.
+type operation[T any] func(table *Table[T], now time.Duration)
+
+// NewStore returns an empty store; responseSize tells the size of a response in bytes.
+// The methods block until Run is called.
+func NewStore[T any](responseSize func(T) int) *Store[T] {
+	return &Store[T]{responseSize: responseSize, operations: make(chan operation[T])}
 }
 
-// Run owns the table until ctx ends.
+// Run executes operations on the table until ctx ends.
 func (s *Store[T]) Run(ctx context.Context) {
 	table := NewTable(s.responseSize)
 	start := time.Now()
@@ -27,35 +30,38 @@
 		select {
 		case <-ctx.Done():
 			return
-		case operation := <-s.operations:
-			operation(table, time.Since(start))
+		case do := <-s.operations:
+			do(table, time.Since(start))
 		}
 	}
 }
 
-// execute has the loop run a function; false if ctx ends first.
-func (s *Store[T]) execute(ctx context.Context, operation func(t *Table[T], now time.Duration)) bool {
+// execute hands an operation to Run and reports whether it was taken before ctx ended.
+func (s *Store[T]) execute(ctx context.Context, do operation[T]) bool {
 	select {
-	case s.operations <- operation:
+	case s.operations <- do:
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// Reserve claims a key. A repeat of a request that is still running waits for its
-// response; the error is that of ctx, if it ends first.
+// Reserve asks for the reservation of a key. While the first request of the key is
+// executed, it waits for that request's response, until ctx ends: then the error is
+// ctx.Err(), and the decision is Replay if the request was waiting for a response and
+// TableFull if the table was never asked.
 func (s *Store[T]) Reserve(ctx context.Context, key Key, fingerprint Fingerprint) (Decision, T, error) {
 	var none T
 	for {
-		reply := make(chan Result[T], 1)
-		if !s.execute(ctx, func(t *Table[T], now time.Duration) {
-			t.Reserve(key, fingerprint, now, func(a Result[T]) { reply <- a })
-		}) {
+		results := make(chan Result[T], 1)
+		asked := s.execute(ctx, func(table *Table[T], now time.Duration) {
+			table.Reserve(key, fingerprint, now, func(result Result[T]) { results <- result })
+		})
+		if !asked {
 			return TableFull, none, ctx.Err()
 		}
 		select {
-		case result := <-reply:
+		case result := <-results:
 			if !result.Retry {
 				return result.Decision, result.Response, nil
 			}
@@ -65,12 +71,14 @@
 	}
 }
 
-// Complete ends a first claim; keep is false when the request surely did not run.
+// Complete ends a reservation whose decision was Proceed. keep is false if the request was
+// certainly not executed: then the reservation is released, and a replay may be executed.
 func (s *Store[T]) Complete(ctx context.Context, key Key, response T, keep bool) {
-	s.execute(ctx, func(t *Table[T], now time.Duration) { t.Complete(key, response, keep, now) })
+	s.execute(ctx, func(table *Table[T], now time.Duration) { table.Complete(key, response, keep, now) })
 }
 
-// Restore puts in a claim of an earlier incarnation of this node.
+// Restore adds a completed reservation that an earlier incarnation of this node made,
+// unless the key is reserved already.
 func (s *Store[T]) Restore(ctx context.Context, key Key, fingerprint Fingerprint, response T) {
-	s.execute(ctx, func(t *Table[T], now time.Duration) { t.Restore(key, fingerprint, response, now) })
+	s.execute(ctx, func(table *Table[T], now time.Duration) { table.Restore(key, fingerprint, response, now) })
 }
--- a/internal/dataplane/idempotency/table.go
+++ b/internal/dataplane/idempotency/table.go
@@ -3,56 +3,64 @@
 import "time"
 
 const (
-	// Retention is how long a claim is kept for repeats after its end.
+	// Retention is how long a reservation is kept for replays after its request has
+	// completed.
 	Retention = 2 * time.Minute // (ours)
-	// maxReservations bounds the claims at a time.
+	// maxReservations bounds the reservations of a table.
 	maxReservations = 65536 // (ours)
-	// maxResponseBytes bounds the bytes of all responses kept at a time.
+	// maxResponseBytes bounds the total size of the stored responses.
 	maxResponseBytes = 64 << 20 // (ours)
 )
 
-// Key identifies a claim: the calling service, and the text of its Idempotency-Key.
+// Key identifies a reservation.
 type Key struct {
+	// Caller is the service that sends the request.
 	Caller string `msgpack:"Caller"`
-	Text   string `msgpack:"Text"`
+	// Text is the value of the request's Idempotency-Key header.
+	Text string `msgpack:"Text"`
 }
 
-// Fingerprint is the fingerprint of a request: a digest that a repeat must share.
+// Fingerprint is a digest of a request, by which a replay is told from another request
+// that uses the same key.
 type Fingerprint [32]byte
 
-// Table is the claims of one sidecar, for use by one goroutine. No claim is
-// forgotten before its time: when the table is full, a new claim is refused, and
-// when responses take too many bytes, the oldest is dropped and its repeats told so.
+// Table holds the reservations of one sidecar. It is not safe for concurrent use, and
+// takes the time from its caller: a monotonic clock of any origin.
+//
+// No reservation is removed before its retention has passed. A full table refuses new
+// reservations; if the stored responses take too many bytes, the oldest are evicted, and
+// their replays learn just that. T is the type of a response.
 type Table[T any] struct {
 	responseSize func(T) int
 	reservations map[Key]*entry[T]
-	// completed are the claims that have ended, the oldest first.
+	// completed are the keys of the completed reservations, the oldest first.
 	completed []Key
-	// evicted is how many of the finished, from the oldest on, have no response any more.
+	// evicted is the length of the prefix of completed whose responses were evicted.
 	evicted int
-	// responseBytes is the size of all responses that are kept.
+	// responseBytes is the total size of the stored responses.
 	responseBytes int
 }
 
+// entry is the state of one reservation.
 type entry[T any] struct {
 	fingerprint Fingerprint
 	completed   bool
-	// evicted tells that the response is kept no longer.
-	evicted bool
-	// completedAt is when the first request ended.
+	// evicted says that the response is no longer stored.
+	evicted     bool
 	completedAt time.Duration
 	response    T
-	// waiters are the repeats that came while the first request ran.
+	// waiters get the result of the replays that arrived before the first request
+	// completed.
 	waiters []func(Result[T])
 }
 
-// NewTable makes a table; size is the number of bytes that a response takes up.
-func NewTable[T any](size func(T) int) *Table[T] {
-	return &Table[T]{responseSize: size, reservations: map[Key]*entry[T]{}}
+// NewTable returns an empty table; responseSize tells the size of a response in bytes.
+func NewTable[T any](responseSize func(T) int) *Table[T] {
+	return &Table[T]{responseSize: responseSize, reservations: map[Key]*entry[T]{}}
 }
 
-// Reserve claims a key; reply is called once there is a verdict: at once, or when the
-// first request of the key ends.
+// Reserve asks for the reservation of a key. deliver is called once with the result: at
+// once, or by the Complete of the first request of the key.
 func (t *Table[T]) Reserve(key Key, fingerprint Fingerprint, now time.Duration, deliver func(Result[T])) {
 	t.expire(now)
 	reservation, ok := t.reservations[key]
@@ -73,7 +81,7 @@
 	}
 }
 
-// expire forgets the claims that have been kept for long enough.
+// expire removes the reservations whose retention has passed.
 func (t *Table[T]) expire(now time.Duration) {
 	for len(t.completed) > 0 {
 		oldest := t.completed[0]
@@ -89,7 +97,7 @@
 	}
 }
 
-// evictOldest drops the oldest response that is still kept.
+// evictOldest removes the oldest stored response, but not its reservation.
 func (t *Table[T]) evictOldest() {
 	reservation := t.reservations[t.completed[t.evicted]]
 	t.responseBytes -= t.responseSize(reservation.response)
@@ -99,8 +107,9 @@
 	t.evicted++
 }
 
-// Complete ends a first claim. keep is false when the request surely did not run:
-// then a repeat may run.
+// Complete ends the reservation of a request whose decision was Proceed, and delivers the
+// response to the replays that wait for it. keep is false if the request was certainly not
+// executed: then the reservation is released, and a replay may be executed.
 func (t *Table[T]) Complete(key Key, response T, keep bool, now time.Duration) {
 	reservation := t.reservations[key]
 	for _, deliver := range reservation.waiters {
@@ -114,8 +123,8 @@
 	t.storeResponse(key, response, now)
 }
 
-// Restore puts in a claim of an earlier incarnation of this node; one that is
-// there already stays.
+// Restore adds a completed reservation that an earlier incarnation of this node made,
+// unless the key is reserved already.
 func (t *Table[T]) Restore(key Key, fingerprint Fingerprint, response T, now time.Duration) {
 	if _, ok := t.reservations[key]; !ok {
 		t.reservations[key] = &entry[T]{fingerprint: fingerprint}
@@ -123,7 +132,8 @@
 	}
 }
 
-// storeResponse keeps the response of a claim, and drops the oldest ones to make room.
+// storeResponse completes a reservation, and evicts the oldest responses if they take too
+// many bytes with this one.
 func (t *Table[T]) storeResponse(key Key, response T, now time.Duration) {
 	reservation := t.reservations[key]
 	reservation.completed = true
