--- a/internal/dataplane/new.go
+++ b/internal/dataplane/new.go
@@ -77,14 +77,17 @@
 // addOutbound adds the side beside the callers, with what it keeps of keys.
 func (s *Sidecar) addOutbound(calls *causality.Tracker, claims *idempotency.Store[proxy.Response]) {
 	set, p := s.settings, s.process
-	s.outbound = &proxy.Outbound{
-		Zone: set.Zone, Table: s.routingTable, View: s.membershipView, Transport: p.TransportClient, Launcher: p.Actors, Spans: s.traceQueue, Log: p.Log,
+	var lifetime context.Context
+	lifetime, s.abandonRequests = context.WithCancelCause(p.Context)
+	s.outbound = proxy.NewOutbound(proxy.OutboundConfig{
+		Zone: set.Zone, LocalService: set.Caller, EjectionTime: set.Shun, WaitShare: set.Hold,
+		MinRetryAfter: set.ComeBack, AcceptLate: set.Late, CrossZoneCost: set.Crossing,
+	}, proxy.OutboundDeps{
+		Table: s.routingTable, View: s.membershipView, Transport: p.TransportClient, Actors: p.Actors, Spans: s.traceQueue, Log: p.Log,
 		Causality: calls, Reservations: claims, RetryBudgets: s.agent.retryBudgets, Budgets: s.agent.budgets, Latencies: routing.NewLatencyTable(),
+		Bodies: &proxy.BodyLimiter{MaxBody: set.MaxBody, MaxTotal: set.BodyMemory}, Dialect: s.dialect, Lifetime: lifetime,
 		Draining: s.refusesClients, ShutdownTime: s.shutdownTime, ConfigurationUnconfirmed: s.configurationUnconfirmed, ConfigurationOutdated: s.configurationOutdated,
-		LocalService: set.Caller, Dialect: s.dialect, EjectionTime: set.Shun, WaitShare: set.Hold, MinRetryAfter: set.ComeBack, AcceptLate: set.Late, CrossZoneCost: set.Crossing,
-		Bodies: &proxy.BodyLimiter{MaxBody: set.MaxBody, MaxTotal: set.BodyMemory},
-	}
-	s.outbound.Lifetime, s.abandonRequests = context.WithCancelCause(p.Context)
+	})
 	s.replicaServer = keyreplication.NewReplicaServer()
 	s.outbound.KeyReplication = &keyreplication.Owner{
 		Addr: set.Advertise, Incarnation: p.Incarnation, Zone: set.Zone, View: s.membershipView, Client: p.TransportClient, Actors: p.Actors,
@@ -99,11 +102,13 @@
 
 // addInbound adds the side beside the own backends.
 func (s *Sidecar) addInbound(calls *causality.Tracker) {
-	s.inbound = proxy.NewInbound(s.process.Context, s.process.Actors)
-	s.inbound.Incarnation, s.inbound.Table, s.inbound.Spans, s.inbound.Causality, s.inbound.Draining = s.process.Incarnation, s.routingTable, s.traceQueue, calls, s.draining.Load
-	s.inbound.LeaseHeld, s.inbound.Dialect, s.inbound.HalfCapacityTime = s.leaseValid, s.dialect, s.settings.Halving
-	s.inbound.Bodies = &proxy.BodyLimiter{MaxBody: s.settings.MaxBody, MaxTotal: s.settings.BodyMemory}
-	s.inbound.Endpoints = func() endpoints.Registry { return *s.agent.registry.Load() }
+	s.inbound = proxy.NewInbound(s.process.Context, proxy.InboundConfig{
+		Incarnation: s.process.Incarnation, HalfCapacityTime: s.settings.Halving,
+	}, proxy.InboundDeps{
+		Actors: s.process.Actors, Endpoints: func() endpoints.Registry { return *s.agent.registry.Load() }, Table: s.routingTable,
+		Spans: s.traceQueue, Causality: calls, LeaseHeld: s.leaseValid, Draining: s.draining.Load, Dialect: s.dialect,
+		Bodies: &proxy.BodyLimiter{MaxBody: s.settings.MaxBody, MaxTotal: s.settings.BodyMemory},
+	})
 }
 
 // newMembershipQuery makes the part that asks the other sidecars when no core is heard.
--- a/internal/dataplane/proxy/configuration_test.go
+++ b/internal/dataplane/proxy/configuration_test.go
@@ -18,10 +18,10 @@
 		t.Fatal("no table")
 	}
 	unsure := false
-	n := &Outbound{
+	n := NewOutbound(OutboundConfig{}, OutboundDeps{
 		Table: func() *routing.Table { return table }, Dialect: DefaultDialect{}, Draining: func() bool { return false }, Bodies: &BodyLimiter{MaxBody: 1 << 20, MaxTotal: 1 << 20},
 		ConfigurationUnconfirmed: func() bool { return unsure },
-	}
+	})
 	for _, c := range []struct {
 		unsure bool
 		status int
@@ -44,10 +44,10 @@
 	if !ok {
 		t.Fatal("no table")
 	}
-	n := &Outbound{
+	n := NewOutbound(OutboundConfig{MinRetryAfter: 100 * time.Millisecond}, OutboundDeps{
 		Table: func() *routing.Table { return table }, Dialect: DefaultDialect{}, Draining: func() bool { return false }, Bodies: &BodyLimiter{MaxBody: 1 << 20, MaxTotal: 1 << 20},
-		ConfigurationOutdated: func() bool { return true }, MinRetryAfter: 100 * time.Millisecond,
-	}
+		ConfigurationOutdated: func() bool { return true },
+	})
 	w := httptest.NewRecorder()
 	n.Handler("").ServeHTTP(w, httptest.NewRequest(http.MethodPost, "http://orders.example/old/1", nil))
 	if w.Code != http.StatusServiceUnavailable || w.Header().Get("Curlewwalk-Outcome") != string(routing.NotRun) || w.Header().Get("Retry-After") == "" {
--- a/internal/dataplane/proxy/duplicate_test.go
+++ b/internal/dataplane/proxy/duplicate_test.go
@@ -17,8 +17,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	actors := actor.New(slog.New(slog.DiscardHandler), func(name string, cause any, _ []byte) { t.Errorf("%s: %v", name, cause) })
-	f := NewInbound(ctx, actors)
-	f.Bodies, f.Draining = &BodyLimiter{}, func() bool { return true }
+	f := NewInbound(ctx, InboundConfig{}, InboundDeps{Actors: actors, Bodies: &BodyLimiter{}, Draining: func() bool { return true }})
 	if !f.attemptLog.query(ctx, f.attemptLog.begins, "first") {
 		t.Fatal("the first did not begin")
 	}
--- a/internal/dataplane/proxy/fakebackend_test.go
+++ b/internal/dataplane/proxy/fakebackend_test.go
@@ -110,8 +110,7 @@
 	}()
 	ctx, cancel := context.WithCancel(context.Background())
 	actors := actor.New(slog.New(slog.DiscardHandler), func(name string, cause any, _ []byte) { t.Errorf("%s: %v", name, cause) })
-	f := NewInbound(ctx, actors)
-	f.Bodies, f.Dialect = &BodyLimiter{MaxBody: 1 << 20, MaxTotal: 1 << 30}, echoDialect{}
+	f := NewInbound(ctx, InboundConfig{}, InboundDeps{Actors: actors, Bodies: &BodyLimiter{MaxBody: 1 << 20, MaxTotal: 1 << 30}, Dialect: echoDialect{}})
 	f.pool.isCurrent = func(backendAddress) bool { return true }
 	table, _ := routing.NewTable(config.ControlState{})
 	f.Table = func() *routing.Table { return table }
--- a/internal/dataplane/proxy/inbound.go
+++ b/internal/dataplane/proxy/inbound.go
@@ -12,22 +12,37 @@
 	"curlewwalk/internal/transport"
 )
 
-// Inbound is the executor beside the backend. It alone admits. (DESIGN 9)
-type Inbound struct {
+// InboundConfig is how an Inbound treats attempts.
+type InboundConfig struct {
+	// Incarnation is this process's; attempts that were meant for an earlier one are refused.
 	Incarnation uint64
-	Endpoints   func() endpoints.Registry
-	Table       func() *routing.Table
-	Spans       *trace.Queue
-	Causality   *causality.Tracker
-	// LeaseHeld tells whether this sidecar may admit.
+	// HalfCapacityTime is for how long after the start a backend gets half of its capacity at
+	// most, as runs admitted by an earlier process may still be going on.
+	HalfCapacityTime time.Duration
+}
+
+// InboundDeps is what an Inbound works with. All must be set.
+type InboundDeps struct {
+	Actors *actor.System
+	// Endpoints and Table return the newest snapshots of this node's backends and of the routes.
+	Endpoints func() endpoints.Registry
+	Table     func() *routing.Table
+	Spans     *trace.Queue
+	Causality *causality.Tracker
+	// LeaseHeld tells whether this node may admit attempts.
 	LeaseHeld func() bool
-	// Draining tells whether new attempts are still taken.
+	// Draining tells whether new attempts are refused.
 	Draining func() bool
-	Counters Counters
 	Bodies   *BodyLimiter
 	Dialect  Dialect
-	// HalfCapacityTime is for how long after the start a backend is given half, at most.
-	HalfCapacityTime time.Duration
+}
+
+// Inbound is the proxy's side of the backends of this node: it alone admits attempts to them.
+// (DESIGN 9)
+type Inbound struct {
+	InboundConfig
+	InboundDeps
+	Counters Counters
 
 	started      time.Time
 	attemptLog   *attemptLogActor
@@ -35,11 +50,11 @@
 	pool         *connPool
 }
 
-// NewInbound makes the far side and starts its ledger.
-func NewInbound(ctx context.Context, actors *actor.System) *Inbound {
-	f := &Inbound{started: time.Now(), attemptLog: newAttemptLogActor()}
-	actors.Go(ctx, "ledger", f.attemptLog.run)
-	f.pool = newConnPool(ctx, actors, func(p backendAddress) bool { return f.Endpoints().IsActive(p.instance, p.address) })
+// NewInbound returns an inbound side, and starts its attempt log, which runs until ctx ends.
+func NewInbound(ctx context.Context, c InboundConfig, deps InboundDeps) *Inbound {
+	f := &Inbound{InboundConfig: c, InboundDeps: deps, started: time.Now(), attemptLog: newAttemptLogActor()}
+	deps.Actors.Go(ctx, "ledger", f.attemptLog.run)
+	f.pool = newConnPool(ctx, deps.Actors, func(p backendAddress) bool { return f.Endpoints().IsActive(p.instance, p.address) })
 	return f
 }
 
--- a/internal/dataplane/proxy/outbound.go
+++ b/internal/dataplane/proxy/outbound.go
@@ -21,54 +21,79 @@
 	"curlewwalk/internal/transport"
 )
 
-// Outbound is the executor beside the caller.
-type Outbound struct {
-	Zone           string
-	Table          func() *routing.Table
-	View           func() *membership.View
-	Transport      *transport.Client
-	Launcher       *actor.System
-	Spans          *trace.Queue
-	Log            *slog.Logger
-	Causality      *causality.Tracker
-	Reservations   *idempotency.Store[Response]
-	KeyReplication *keyreplication.Owner
-	Bodies         *BodyLimiter
-	RetryBudgets   *retrybudget.ServiceBudgets
-	Budgets        *retrybudget.LatencyBudgets
-	Latencies      *routing.LatencyTable
-	// Lifetime ends when the node has to answer whatever is still open, with ErrStopping as its
-	// cause if it is being stopped.
-	Lifetime context.Context
-	// Draining tells whether clients' requests are refused.
-	Draining func() bool
-	// ShutdownTime, if set, tells since when on what is taken may be anybody's, of a node that is
-	// being stopped: it must have ended by then. (DESIGN 11.3)
-	ShutdownTime func() (end time.Time, stopping bool)
-	Counters     Counters
-	// RouteCounters counts the requests that have ended, by route and outcome.
-	RouteCounters metrics.CounterVec
-	Dialect       Dialect
-	// EjectionTime is how long a target that failed is left out.
-	EjectionTime time.Duration
-	// LocalService is the service that all callers on this machine belong to, if one does.
+// OutboundConfig is how an Outbound treats requests.
+type OutboundConfig struct {
+	// Zone is the zone of this node; its backends are preferred.
+	Zone string
+	// LocalService is the service that all callers on this machine belong to; empty if they
+	// belong to several, or to none.
 	LocalService string
-	// WaitShare is the part of its aim for which a request may be held for a place, and
-	// ComeBack when a refused one may come again at the soonest.
-	WaitShare     float64
+	// EjectionTime is how long a backend that failed is avoided.
+	EjectionTime time.Duration
+	// WaitShare is for how long a request may wait for a backend with capacity, as a share of
+	// its latency target.
+	WaitShare float64
+	// MinRetryAfter is the least time after which a rejected client may send again.
 	MinRetryAfter time.Duration
-	// AcceptLate says that an answer past the aim is better than none.
+	// AcceptLate says that an answer past the latency target is better than none.
 	AcceptLate bool
-	// CrossZoneCost is the price of leaving the own zone with a usual request, as a part
-	// of what being in time is worth.
+	// CrossZoneCost is the cost of sending a request of usual size to another zone, as a share
+	// of the value of answering within the latency target.
 	CrossZoneCost float64
-	// ConfigurationUnconfirmed, if set, tells that this sidecar is not sure of the newest word.
+}
+
+// OutboundDeps is what an Outbound works with. All must be set, but for those that say
+// otherwise.
+type OutboundDeps struct {
+	// Table and View return the newest snapshots of the routes and of the members.
+	Table        func() *routing.Table
+	View         func() *membership.View
+	Transport    *transport.Client
+	Actors       *actor.System
+	Spans        *trace.Queue
+	Log          *slog.Logger
+	Causality    *causality.Tracker
+	Reservations *idempotency.Store[Response]
+	Bodies       *BodyLimiter
+	RetryBudgets *retrybudget.ServiceBudgets
+	Budgets      *retrybudget.LatencyBudgets
+	Latencies    *routing.LatencyTable
+	Dialect      Dialect
+	// Lifetime ends when the node has to answer all requests that are still open; its cause is
+	// ErrStopping if the node is being stopped.
+	Lifetime context.Context
+	// Draining tells whether clients' requests are rejected.
+	Draining func() bool
+	// ShutdownTime, if set, tells whether this node is being stopped, and when another node may
+	// take its place: its requests must have ended by then. (DESIGN 11.3)
+	ShutdownTime func() (end time.Time, stopping bool)
+	// ConfigurationUnconfirmed, if set, tells that a newer configuration than this node's may
+	// be in force.
 	ConfigurationUnconfirmed func() bool
-	// ConfigurationOutdated, if set, tells that a newer word is in force elsewhere, and has been kept from
-	// this sidecar for too long for its own to be followed. (DESIGN 7.2)
+	// ConfigurationOutdated, if set, tells that a newer configuration is known to be in force
+	// and has not arrived here for so long that this node's must not be used. (DESIGN 7.2)
 	ConfigurationOutdated func() bool
 }
 
+// Outbound is the proxy's side of the callers: it takes their requests, and sends each in one
+// or more attempts to the inbound sides of the sidecars beside the backends. (DESIGN 4, 10)
+type Outbound struct {
+	OutboundConfig
+	OutboundDeps
+	// KeyReplication copies the reservations of idempotency keys to other nodes. It is set
+	// after NewOutbound, as its Restore callback is RestoreKey.
+	KeyReplication *keyreplication.Owner
+	Counters       Counters
+	// RouteCounters counts the requests that have ended, by route and outcome.
+	RouteCounters metrics.CounterVec
+}
+
+// NewOutbound returns an outbound side that serves requests through its Handler. It has no
+// goroutines of its own.
+func NewOutbound(c OutboundConfig, deps OutboundDeps) *Outbound {
+	return &Outbound{OutboundConfig: c, OutboundDeps: deps}
+}
+
 // request is one client's request on its way.
 type request struct {
 	caller       string
--- a/internal/dataplane/proxy/proxypair_test.go
+++ b/internal/dataplane/proxy/proxypair_test.go
@@ -106,12 +106,14 @@
 		{Instance: "a", Service: "desk", Address: p.entry.Address, Zone: "north", Capacity: 8, CapacityShare: 1},
 	}}
 	view := membership.NewView(map[string]membership.Node{node.Addr: node}, nil)
-	p.outbound = &Outbound{
-		Zone: "north", Table: f.Table, View: func() *membership.View { return view }, Transport: transport.NewClient(actors, transport.Hello{}, nil),
-		Launcher: actors, Spans: queue, Log: slog.New(slog.DiscardHandler), Causality: lin, Bodies: &BodyLimiter{MaxBody: 1 << 20, MaxTotal: 8 << 20},
-		RetryBudgets: retrybudget.NewServiceBudgets("near", 20), Budgets: retrybudget.NewLatencyBudgets(), Latencies: routing.NewLatencyTable(), Lifetime: ctx,
-		Draining: no, Dialect: echoDialect{}, EjectionTime: time.Millisecond, MinRetryAfter: 100 * time.Millisecond,
-	}
+	p.outbound = NewOutbound(OutboundConfig{
+		Zone: "north", EjectionTime: time.Millisecond, MinRetryAfter: 100 * time.Millisecond,
+	}, OutboundDeps{
+		Table: f.Table, View: func() *membership.View { return view }, Transport: transport.NewClient(actors, transport.Hello{}, nil),
+		Actors: actors, Spans: queue, Log: slog.New(slog.DiscardHandler), Causality: lin, Bodies: &BodyLimiter{MaxBody: 1 << 20, MaxTotal: 8 << 20},
+		RetryBudgets: retrybudget.NewServiceBudgets("near", 20), Budgets: retrybudget.NewLatencyBudgets(), Latencies: routing.NewLatencyTable(),
+		Dialect: echoDialect{}, Lifetime: ctx, Draining: no,
+	})
 	actors.Go(ctx, "lineage", lin.Run)
 	actors.Go(ctx, "host", host.Run)
 	actors.Go(ctx, "net", p.outbound.Transport.Run)
--- a/internal/dataplane/proxy/retry.go
+++ b/internal/dataplane/proxy/retry.go
@@ -161,7 +161,7 @@
 
 // cancelAsync recalls an attempt whose answer nobody waits for, and does not wait either.
 func (n *Outbound) cancelAsync(ctx context.Context, node string, attempt Attempt) {
-	n.Launcher.Go(context.WithoutCancel(ctx), "recall", func(ctx context.Context) { n.sendCancel(ctx, node, attempt, cancelTimeout) })
+	n.Actors.Go(context.WithoutCancel(ctx), "recall", func(ctx context.Context) { n.sendCancel(ctx, node, attempt, cancelTimeout) })
 }
 
 // sendCancel recalls an attempt, and tells what the far sidecar says, if it says so in time.
