--- a/tests/fleet/race_on.go
+++ b/tests/fleet/race_on.go
@@ -2,4 +2,4 @@
 
 package fleet
 
-const race = true
+const raceDetector = true
