--- /dev/null
+++ b/internal/controlplane/heartbeat.go
@@ -0,0 +1,44 @@
+package controlplane
+
+import (
+	"context"
+
+	"curlewwalk/internal/controlplane/consensus"
+	"curlewwalk/internal/membership"
+	"curlewwalk/internal/transport"
+)
+
+// handleHeartbeat answers a membership.Heartbeat of another process: a replica's, or a sidecar's
+// whole state (Node) or the difference from it (NodeStatus).
+func (n *Node) handleHeartbeat(ctx context.Context, request transport.Request) (any, string) {
+	var h membership.Heartbeat
+	if !request.Decode(&h) {
+		return nil, "not a heartbeat"
+	}
+	response, sidecar := n.discovery.Respond(h, n.cluster.announcedStatus()), ""
+	switch {
+	case h.Node != nil:
+		sidecar = h.Node.Addr
+		response.Departed = n.watchServer.ObserveNode(ctx, *h.Node)
+	case h.NodeStatus != nil:
+		sidecar = h.NodeStatus.Addr
+		response.RequestFull = !n.watchServer.ObserveStatus(ctx, *h.NodeStatus)
+	}
+	if sidecar != "" && (h.WantBudgets || h.TableDigest == 0) { // an older version does not ask
+		response.Budgets = n.watchServer.Budgets()
+	}
+	if incarnation, ok := n.watchServer.Suspected(sidecar); ok {
+		response.Suspected = &incarnation
+	}
+	return response, ""
+}
+
+// catchUpFrom copies committed state from another replica if that one has a newer revision.
+// (DESIGN 6.4)
+func (n *Node) catchUpFrom(ctx context.Context, replica membership.Replica) {
+	acceptor := n.replica.Acceptor()
+	started := acceptor.Phase == consensus.PhaseEstablished || acceptor.Phase == consensus.PhaseJoining
+	if started && replica.CommittedRevision > acceptor.Committed {
+		n.process.Actors.Go(ctx, "catch-up", func(ctx context.Context) { n.replica.CatchUp(ctx, replica.Addr) })
+	}
+}
--- a/internal/controlplane/join_request.go
+++ b/internal/controlplane/join_request.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"sync/atomic"
 	"time"
 
 	"curlewwalk/internal/controlplane/consensus"
@@ -9,44 +10,57 @@
 	"curlewwalk/internal/transport"
 )
 
-// joinInterval is how often a core without a seat asks for one.
-const joinInterval = 200 * time.Millisecond // (ours)
+const (
+	// joinInterval is how often a replica that is no member asks to join.
+	joinInterval = 200 * time.Millisecond // (ours)
+	// joinTimeout is how long it waits for the reply.
+	joinTimeout = 2 * time.Second // (ours)
+)
+
+// joinRequester asks for membership while this replica has none. (DESIGN 6.5)
+type joinRequester struct {
+	cluster *cluster
+	client  *transport.Client
+	// stopping is set while the process is being stopped: then it asks no more.
+	stopping *atomic.Bool
+}
 
-// runJoinRequests asks for a seat while this core has none, until ctx ends. A core with a
-// static seat asks for none, nor does one that is being stopped. (DESIGN 6.5)
-func (n *Node) runJoinRequests(ctx context.Context) {
-	if n.cfg.HasStaticMember() {
+// Run asks until ctx ends. A replica with a static member ID never does.
+func (j *joinRequester) Run(ctx context.Context) {
+	if j.cluster.cfg.HasStaticMember() {
 		return
 	}
-	wait := time.NewTimer(joinInterval)
-	defer wait.Stop()
+	timer := time.NewTimer(joinInterval)
+	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-wait.C:
+		case <-timer.C:
 		}
 		next := membership.HeartbeatInterval
-		if n.replica.Acceptor().Phase == consensus.PhaseJoining && !n.draining.Load() {
-			n.requestMembership(ctx)
+		if j.cluster.replica.Acceptor().Phase == consensus.PhaseJoining && !j.stopping.Load() {
+			j.request(ctx)
 			next = joinInterval
 		}
-		wait.Reset(next)
+		timer.Reset(next)
 	}
 }
 
-// requestMembership asks the core on duty, or any that passes it on.
-func (n *Node) requestMembership(ctx context.Context) {
-	a := consensus.JoinRequest{DiskID: n.replica.Acceptor().Self.DiskID, Addr: n.cfg.Advertise, Zone: n.cfg.Zone}
+// request asks the coordinator. If this replica takes itself for it, any live one is asked, which
+// forwards the request.
+func (j *joinRequester) request(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
-	to := n.coordinator().Addr
-	if to == n.cfg.Advertise {
-		live := n.discovery.Replicas().Live(time.Now())
+	target := j.cluster.coordinator()
+	if j.cluster.isSelf(target) {
+		live := j.cluster.discovery.Replicas().Live(time.Now())
 		if len(live) == 0 {
 			return
 		}
-		to = live[0].Addr
+		target = live[0]
 	}
-	n.process.TransportClient.Call(ctx, to, transport.ControlTraffic, consensus.KindJoin, a)
+	join := consensus.JoinRequest{DiskID: j.cluster.replica.Acceptor().Self.DiskID, Addr: j.cluster.cfg.Advertise, Zone: j.cluster.cfg.Zone}
+	// The reply says no more than that the request arrived.
+	j.client.Call(ctx, target.Addr, transport.ControlTraffic, consensus.KindJoin, join)
 }
--- a/internal/controlplane/leave.go
+++ b/internal/controlplane/leave.go
@@ -8,40 +8,41 @@
 )
 
 const (
-	// leaveTimeout is how long a core that is being stopped tries to leave the set.
+	// leaveTimeout is how long a stopping replica tries to leave the membership.
 	leaveTimeout = 2 * time.Second // (ours)
-	// closingGrace is how long it says the farewell, after that, to operators that keep coming.
-	closingGrace = 2 * time.Second // (ours)
-	// leavePollInterval is how often it looks whether it has left, or tries again.
+	// leavePollInterval is how often it checks whether it has left, or tries again.
 	leavePollInterval = 100 * time.Millisecond // (ours)
+	// closingGrace is how long, after that, clients that keep connecting are told that the node
+	// is stopping.
+	closingGrace = 2 * time.Second // (ours)
 )
 
-// leaveMembership has this core, which is being stopped, leave a set of slots that bears no
-// fewer losses without it, and returns once the set without it is in force: no
-// majority that a next loss leaves needs this core any more. (DESIGN 6.5)
+// leaveMembership has this replica, which is stopping, leave the members if they tolerate no fewer
+// failures without it. It returns once the change is in force: then no majority that is left after
+// the next failure needs this replica. (DESIGN 6.5)
 func (n *Node) leaveMembership(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
 	defer cancel()
-	look := time.NewTicker(leavePollInterval)
-	defer look.Stop()
+	poll := time.NewTicker(leavePollInterval)
+	defer poll.Stop()
 	left := false
 	for {
 		acceptor := n.replica.Acceptor()
 		command, ok := consensus.PlanLeave(acceptor)
 		switch {
 		case left && acceptor.Phase != consensus.PhaseEstablished:
-			return // it has learnt that the set without it is in force
+			return // it was notified that the members without it are in force
 		case !left && ok:
-			result := n.submit(ctx, command)
+			result := n.commands.submit(ctx, command)
 			left = result.Outcome == consensus.OutcomeCommitted
-			n.process.Log.Info("leaves the set of slots", "slot", acceptor.Self.MemberID, "taken", string(result.Outcome))
+			n.process.Log.Info("leaving the membership", logMember, acceptor.Self.MemberID, logOutcome, string(result.Outcome))
 		case !left && len(acceptor.MemberSets().Previous) == 0:
 			return
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-look.C:
+		case <-poll.C:
 		}
 	}
 }
--- a/internal/controlplane/maintenance.go
+++ b/internal/controlplane/maintenance.go
@@ -2,26 +2,32 @@
 
 import (
 	"context"
+	"log/slog"
 	"time"
 
-	"curlewwalk/internal/clock"
 	"curlewwalk/internal/controlplane/consensus"
 	"curlewwalk/internal/maintenance"
+	"curlewwalk/internal/watch"
 )
 
-// maintenanceInterval is how often the core on duty looks at the maintenance windows.
+// maintenanceInterval is how often the coordinator checks the maintenance calendar.
 const maintenanceInterval = time.Second // (ours)
 
-// maintenanceScheduler has zones emptied and taken back as the maintenance windows say,
-// while this core is on duty: through orders like an operator's. (DESIGN 17)
+// maintenanceScheduler begins and ends the maintenance windows of the calendar while this replica
+// is the coordinator, by commands like an operator's. (DESIGN 17)
 type maintenanceScheduler struct {
-	node     *Node
+	cluster     *cluster
+	commands    *commandRouter
+	watchServer *watch.Server
+	log         *slog.Logger
+
+	// calendar is the one of the control state's calendar revision.
 	calendar maintenance.Calendar
-	revision uint64 // of the calendar
+	revision uint64
 }
 
-// run looks in rhythm until ctx ends.
-func (m *maintenanceScheduler) run(ctx context.Context) {
+// Run checks the calendar until ctx ends.
+func (m *maintenanceScheduler) Run(ctx context.Context) {
 	tick := time.NewTicker(maintenanceInterval)
 	defer tick.Stop()
 	for {
@@ -29,34 +35,31 @@
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			if m.node.IsCoordinator() && m.node.replica.Acceptor().Phase == consensus.PhaseEstablished {
-				m.applyWindows(ctx)
+			if m.cluster.IsCoordinator() && m.cluster.replica.Acceptor().Phase == consensus.PhaseEstablished {
+				m.applyCalendar(ctx)
 			}
 		}
 	}
 }
 
-// applyWindows orders what the windows ask for now.
-func (m *maintenanceScheduler) applyWindows(ctx context.Context) {
-	st, ok := m.node.directory.Status(ctx)
-	if !ok || st.ControlState.CalendarRevision == 0 && len(st.ControlState.Closures) == 0 {
+// applyCalendar submits what the calendar asks for now.
+func (m *maintenanceScheduler) applyCalendar(ctx context.Context) {
+	status, ok := m.watchServer.Status(ctx)
+	state := status.ControlState
+	if !ok || state.CalendarRevision == 0 && len(state.Closures) == 0 {
 		return
 	}
-	if st.ControlState.CalendarRevision != m.revision {
-		m.calendar, _ = parseCalendar(st.ControlState.Calendar)
-		m.revision = st.ControlState.CalendarRevision
+	if state.CalendarRevision != m.revision {
+		m.calendar, _ = parseCalendar(state.Calendar) // it was valid when it was put
+		m.revision = state.CalendarRevision
 	}
-	for _, s := range maintenance.Decide(m.calendar, st.ControlState.Closures, m.node.medianWallClock()) {
-		command := consensus.Command{Kind: consensus.CommandEndWindow, Zone: s.Zone, Window: s.Window}
-		if s.Start {
+	for _, action := range maintenance.Decide(m.calendar, state.Closures, m.cluster.medianWallClock()) {
+		command := consensus.Command{Kind: consensus.CommandEndWindow, Zone: action.Zone, Window: action.Window}
+		if action.Start {
 			command.Kind = consensus.CommandBeginWindow
 		}
-		result := m.node.execute(ctx, command)
-		m.node.process.Log.Info("a maintenance window", "step", string(command.Kind), "locality", s.Zone, "window", s.Window, "taken", string(result.Outcome))
+		result := m.commands.execute(ctx, command)
+		m.log.Info("maintenance window command executed",
+			logCommand, string(command.Kind), logZone, command.Zone, logWindow, command.Window, logOutcome, string(result.Outcome))
 	}
 }
-
-// medianWallClock is the middle one of the cores' wall clocks.
-func (n *Node) medianWallClock() time.Time {
-	return n.discovery.Replicas().MedianClock(clock.Wall(), n.replica.Acceptor().Self.MemberID, time.Now())
-}
--- a/internal/controlplane/metrics.go
+++ b/internal/controlplane/metrics.go
@@ -6,17 +6,16 @@
 	"sync/atomic"
 	"time"
 
-	"curlewwalk/internal/controlplane/consensus"
 	"curlewwalk/internal/metrics"
 	"curlewwalk/internal/watch"
 )
 
-// stateTimeout is how long a scrape waits for the directory. (ours)
-const stateTimeout = 500 * time.Millisecond
+// stateTimeout is how long a scrape waits for the watch server's status.
+const stateTimeout = 500 * time.Millisecond // (ours)
 
-// counters count what nothing else counts on a core.
+// counters count what no other part counts.
 type counters struct {
-	// commands are the writes that this core carried out as leader, by kind and result.
+	// commands are the commands that this replica executed, by kind and outcome.
 	commands metrics.CounterVec
 	// reads are the quorum reads for operators, by outcome.
 	reads metrics.CounterVec
@@ -24,20 +23,14 @@
 	renewals atomic.Uint64
 }
 
-// execute carries an order out on this core, and counts it.
-func (n *Node) execute(ctx context.Context, command consensus.Command) consensus.CommandResult {
-	result := n.replica.Submit(ctx, command)
-	n.counters.commands.Inc(string(command.Kind), string(result.Outcome))
-	return result
-}
-
-// renewLeases takes that as of a moment a quorum knew of no newer configuration.
-func (n *Node) renewLeases(ctx context.Context, asOf time.Time) {
+// renewLeases takes that at a moment a quorum knew of no newer control state: sidecars may use
+// theirs for as long as a lease lasts from then.
+func (n *Node) renewLeases(ctx context.Context, confirmedAt time.Time) {
 	n.counters.renewals.Add(1)
-	n.directory.ObserveConfirmed(ctx, asOf)
+	n.watchServer.ObserveConfirmed(ctx, confirmedAt)
 }
 
-// metricsHandler serves the core's metrics.
+// metricsHandler serves GET /metrics.
 func (n *Node) metricsHandler() http.Handler {
 	var all []*metrics.Metric
 	all = append(all, n.consensusMetrics()...)
@@ -60,7 +53,7 @@
 			emit(float64(acceptor.Committed), "committed")
 		}),
 		metrics.Gauge("leader", "Whether this core is on duty by what it hears.", nil, metrics.Scalar(func() float64 {
-			return metrics.Bool(n.IsCoordinator())
+			return metrics.Bool(n.cluster.IsCoordinator())
 		})),
 		metrics.Counter("writes_total", "Writes that this core carried out as leader, by kind and result; kind reseat is a change of the membership.", []string{"kind", "result"}, n.counters.commands.Collect),
 		metrics.Counter("quorum_reads_total", "Quorum reads of the configuration for operators, by outcome.", []string{"outcome"}, n.counters.reads.Collect),
@@ -88,32 +81,31 @@
 
 func (n *Node) watchMetrics() []*metrics.Metric {
 	return []*metrics.Metric{
-		metrics.Gauge("feed_sequence", "Number of the newest change in this core's feed; it starts anew with the process.", nil, n.directoryGauge(func(s watch.Status) float64 {
+		metrics.Gauge("feed_sequence", "Number of the newest change in this core's feed; it starts anew with the process.", nil, n.watchGauge(func(s watch.Status) float64 {
 			return float64(s.Offset)
 		})),
-		metrics.Gauge("feed_ready", "Whether the feed is served: not while the core is still being told of the sidecars.", nil, n.directoryGauge(func(s watch.Status) float64 {
+		metrics.Gauge("feed_ready", "Whether the feed is served: not while the core is still being told of the sidecars.", nil, n.watchGauge(func(s watch.Status) float64 {
 			return metrics.Bool(s.Ready)
 		})),
-		metrics.Gauge("sidecars_known", "Sidecars that this core hears.", nil, n.directoryGauge(func(s watch.Status) float64 {
+		metrics.Gauge("sidecars_known", "Sidecars that this core hears.", nil, n.watchGauge(func(s watch.Status) float64 {
 			return float64(len(s.Nodes))
 		})),
-		metrics.Gauge("sidecars_behind", "Sidecars that have an older configuration in force than the newest one here.", nil, n.directoryGauge(countBehind)),
+		metrics.Gauge("sidecars_behind", "Sidecars that have an older configuration in force than the newest one here.", nil, n.watchGauge(countBehind)),
 	}
 }
 
-// directoryGauge reads a value of the directory's state; none if the directory
-// doesn't answer in time.
-func (n *Node) directoryGauge(value func(s watch.Status) float64) metrics.ReadFunc {
+// watchGauge reads a value of the watch server's status; none if that doesn't come in time.
+func (n *Node) watchGauge(value func(s watch.Status) float64) metrics.ReadFunc {
 	return func(emit metrics.EmitFunc) {
 		ctx, cancel := context.WithTimeout(n.process.Context, stateTimeout)
 		defer cancel()
-		if state, ok := n.directory.Status(ctx); ok {
-			emit(value(state))
+		if status, ok := n.watchServer.Status(ctx); ok {
+			emit(value(status))
 		}
 	}
 }
 
-// countBehind counts the sidecars with an older configuration than the directory's.
+// countBehind counts the sidecars that have applied an older revision than the newest one here.
 func countBehind(s watch.Status) float64 {
 	count := 0
 	for _, node := range s.Nodes {
--- a/internal/controlplane/reconfigurer.go
+++ b/internal/controlplane/reconfigurer.go
@@ -2,56 +2,68 @@
 
 import (
 	"context"
-	"slices"
+	"log/slog"
 	"time"
 
 	"curlewwalk/internal/actor"
 	"curlewwalk/internal/controlplane/consensus"
 	"curlewwalk/internal/membership"
+	"curlewwalk/internal/process"
+	"curlewwalk/internal/settings"
 	"curlewwalk/internal/transport"
 )
 
-// joinTimeout is how long a core that asks for a seat waits for the answer.
-const joinTimeout = 2 * time.Second // (ours)
-
-// changeBackoff is how long operators' orders have the proposer for themselves after a change
-// of the set that was not taken.
+// changeBackoff is how long operators' commands have the proposer for themselves after a
+// membership change that was not committed.
 const changeBackoff = time.Second // (ours)
 
-// reconfigurer gives slots to cores that ask for one while this core is on duty, and has
-// the set of slots changed. (DESIGN 6.5)
+// reconfigurer admits replicas that ask to join, and removes members that have failed for good,
+// while this replica is the coordinator: one change at a time. What to change is decided by
+// consensus.Reconfigurer. (DESIGN 6.5)
 type reconfigurer struct {
-	node        *Node
-	mailbox     *actor.Mailbox
-	planner     consensus.Reconfigurer
+	cluster  *cluster
+	commands *commandRouter
+	client   *transport.Client
+	actors   *actor.System
+	log      *slog.Logger
+	mailbox  *actor.Mailbox
+
+	// The rest belongs to the actor. Times are since started.
 	started     time.Time
-	changing    bool          // an order for a change is under way
-	pausedUntil time.Duration // none before this
+	planner     consensus.Reconfigurer
+	changing    bool          // a change is being executed
+	pausedUntil time.Duration // no change begins before
 }
 
 type (
-	msgJoinRequested struct {
-		request consensus.JoinRequest
-	}
-	msgTick           struct{}
-	msgChangeFinished struct{ accepted bool }
+	// msgJoinRequested is a join request that came in.
+	msgJoinRequested struct{ request consensus.JoinRequest }
+	// msgTick asks for a look at the members.
+	msgTick struct{}
+	// msgChangeFinished ends a change.
+	msgChangeFinished struct{ committed bool }
 )
 
-// joinReply is the answer to a core that asks for a seat: its asking was heard.
+// joinReply answers a consensus.JoinRequest. Received does not tell whether the replica was
+// admitted: it learns that from the members' next messages.
 type joinReply struct {
 	Received bool `msgpack:"h"`
 }
 
-func newReconfigurer(n *Node) *reconfigurer {
-	// A core counts as not live once it was unheard for Silence; the usher waits out
-	// the rest.
-	r := &reconfigurer{node: n, started: time.Now(), planner: consensus.Reconfigurer{RemovalDelay: max(0, n.cfg.GoneAfter-membership.ReplicaTimeout)}}
-	r.mailbox = n.process.Actors.Spawn("usher", r.handle)
+// newReconfigurer starts the reconfigurer's actor. A replica counts as failed only after
+// membership.ReplicaTimeout; the removal delay is what is left of the setting after that.
+func newReconfigurer(cfg settings.ControlPlane, cluster *cluster, commands *commandRouter, p *process.Process) *reconfigurer {
+	r := &reconfigurer{
+		cluster: cluster, commands: commands, client: p.TransportClient, actors: p.Actors, log: p.Log,
+		started: time.Now(),
+		planner: consensus.Reconfigurer{RemovalDelay: max(0, cfg.GoneAfter-membership.ReplicaTimeout)},
+	}
+	r.mailbox = p.Actors.Spawn("reconfigurer", r.handle)
 	return r
 }
 
-// run looks in rhythm until ctx ends.
-func (r *reconfigurer) run(ctx context.Context) {
+// Run has the members looked at in each heartbeat interval until ctx ends.
+func (r *reconfigurer) Run(ctx context.Context) {
 	tick := time.NewTicker(membership.HeartbeatInterval)
 	defer tick.Stop()
 	for {
@@ -64,84 +76,75 @@
 	}
 }
 
-// handleJoin answers a core that asks for a seat; what is not for this core is passed on
-// to the one on duty.
+// handleJoin answers a consensus.JoinRequest of a replica that is no member. A replica that is not
+// the coordinator forwards the request to it, once.
 func (r *reconfigurer) handleJoin(ctx context.Context, request transport.Request) (any, string) {
-	var a consensus.JoinRequest
-	if !request.Decode(&a) {
+	var join consensus.JoinRequest
+	if !request.Decode(&join) {
 		return nil, "does not ask for a seat"
 	}
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
-	if duty := r.node.coordinator(); duty.Addr != r.node.cfg.Advertise {
-		var h joinReply
-		if a.Forwarded {
-			return nil, "not on duty"
-		}
-		a.Forwarded = true
-		if !r.node.process.TransportClient.Call(ctx, duty.Addr, transport.ControlTraffic, consensus.KindJoin, a).Decode(&h) {
-			return nil, "the core on duty does not answer"
-		}
-		return h, ""
+	if coordinator := r.cluster.coordinator(); !r.cluster.isSelf(coordinator) {
+		return r.forwardJoin(ctx, coordinator, join)
 	}
-	r.mailbox.Send(ctx, msgJoinRequested{a})
+	r.mailbox.Send(ctx, msgJoinRequested{join})
 	return joinReply{Received: true}, ""
 }
 
+func (r *reconfigurer) forwardJoin(ctx context.Context, coordinator membership.Replica, join consensus.JoinRequest) (any, string) {
+	if join.Forwarded {
+		return nil, "not on duty"
+	}
+	join.Forwarded = true
+	var reply joinReply
+	if !r.client.Call(ctx, coordinator.Addr, transport.ControlTraffic, consensus.KindJoin, join).Decode(&reply) {
+		return nil, "the core on duty does not answer"
+	}
+	return reply, ""
+}
+
+// handle is the actor: it plans the next change and begins it.
 func (r *reconfigurer) handle(ctx context.Context, msg any) {
-	now, acceptor := time.Since(r.started), r.node.replica.Acceptor()
+	now, acceptor := time.Since(r.started), r.cluster.replica.Acceptor()
 	switch m := msg.(type) {
 	case msgJoinRequested:
-		if acceptor.IsMember() && r.node.IsCoordinator() {
-			if command, ok := r.planner.PlanJoin(m.request, acceptor, r.memberStatus(), now); ok {
-				r.startChange(ctx, command)
+		if r.mayChange(acceptor) {
+			if command, ok := r.planner.PlanJoin(m.request, acceptor, r.cluster.memberStatuses(), now); ok {
+				r.beginChange(ctx, command)
 			}
 		}
 	case msgTick:
-		r.planner = r.planner.Observe(acceptor.MemberSets().Current, r.memberStatus(), now)
-		if acceptor.IsMember() && r.node.IsCoordinator() {
+		r.planner = r.planner.Observe(acceptor.MemberSets().Current, r.cluster.memberStatuses(), now)
+		if r.mayChange(acceptor) {
 			if command, ok := r.planner.PlanRemoval(acceptor, now); ok {
-				r.startChange(ctx, command)
+				r.beginChange(ctx, command)
 			}
 		}
 	case msgChangeFinished:
-		if r.changing = false; !m.accepted {
+		r.changing = false
+		if !m.committed {
 			r.pausedUntil = now + changeBackoff
 		}
 	}
 }
 
-// startChange has the set changed, one change at a time.
-func (r *reconfigurer) startChange(ctx context.Context, command consensus.Command) {
+// mayChange tells whether membership changes are this replica's to make.
+func (r *reconfigurer) mayChange(acceptor consensus.Acceptor) bool {
+	return acceptor.IsMember() && r.cluster.IsCoordinator()
+}
+
+// beginChange has a change executed unless one is under way, or one has just failed.
+func (r *reconfigurer) beginChange(ctx context.Context, command consensus.Command) {
 	if r.changing || time.Since(r.started) < r.pausedUntil {
 		return
 	}
 	r.changing = true
-	r.node.process.Actors.Go(ctx, "change-set", func(ctx context.Context) {
-		result := r.node.execute(ctx, command)
-		r.node.process.Log.Info("the set of slots", "comes", command.Joining.MemberID, "at", command.Joining.Addr, "goes", command.Leaving, "taken", string(result.Outcome), "stamp", result.State.Revision)
+	r.actors.Go(ctx, "membership-change", func(ctx context.Context) {
+		result := r.commands.execute(ctx, command)
+		r.log.Info("membership change finished",
+			logJoining, command.Joining.MemberID, logAddress, command.Joining.Addr, logLeaving, command.Leaving,
+			logOutcome, string(result.Outcome), logRevision, result.State.Revision)
 		r.mailbox.Send(ctx, msgChangeFinished{result.Outcome == consensus.OutcomeCommitted})
 	})
 }
-
-// memberStatus tells of each slot whether its core is live; the own one is.
-func (r *reconfigurer) memberStatus() map[int]consensus.MemberStatus {
-	out := memberStatusByID(r.node.discovery.Replicas())
-	if acceptor := r.node.replica.Acceptor(); acceptor.Self.MemberID != 0 {
-		out[acceptor.Self.MemberID] = consensus.MemberStatus{Addr: r.node.cfg.Advertise, Live: true}
-	}
-	return out
-}
-
-func memberStatusByID(s membership.ReplicaTable) map[int]consensus.MemberStatus {
-	now := time.Now()
-	live := s.Live(now)
-	out := map[int]consensus.MemberStatus{}
-	for _, c := range s.All() {
-		out[c.MemberID] = consensus.MemberStatus{
-			Addr: c.Addr,
-			Live: slices.ContainsFunc(live, func(l membership.Replica) bool { return l.MemberID == c.MemberID }),
-		}
-	}
-	return out
-}
