--- a/tests/e2e/metrics_test.go
+++ b/tests/e2e/metrics_test.go
@@ -15,7 +15,7 @@
 )
 
 // documented is a row of the metrics' table: the name, and which program has it.
-var documented = regexp.MustCompile("(?m)^\\| `(curlewwalk_[a-z_]+)` \\| (sidecar|core|both) \\|")
+var documented = regexp.MustCompile("(?m)^\\| `(curlewwalk_[a-z_]+)` \\| (sidecar|controlplane|both) \\|")
 
 // families scrapes a program as Prometheus does.
 func (r *rig) families(control string) map[string]*dto.MetricFamily {
@@ -111,7 +111,7 @@
 		}
 	}
 	checkDocumented(t, caller, "sidecar")
-	checkDocumented(t, core, "core")
+	checkDocumented(t, core, "controlplane")
 }
 
 // checkDocumented compares a program's own metrics with the table, and has their names and
