--- a/internal/membership/departures.go
+++ b/internal/membership/departures.go
@@ -2,25 +2,25 @@
 
 import "slices"
 
-// MaxDepartures is how many departures are remembered of a sidecar's backends: many more
-// than leave a machine while their late announcements may still be under way. There is no
-// bound in time, since nobody tells how late an announcement may come. (ours)
-const MaxDepartures = 256
+// MaxDepartures is how many departures of its backends a sidecar remembers: many more than
+// leave a machine while their late announcements may still be under way. There is no limit in
+// time, since an announcement may arrive arbitrarily late.
+const MaxDepartures = 256 // (ours)
 
-// MaxReportedDepartures is how many of them, the newest, a sidecar tells the cores. (ours)
-const MaxReportedDepartures = 32
+// MaxReportedDepartures is how many of them, the newest, a sidecar reports to the control plane.
+const MaxReportedDepartures = 32 // (ours)
 
-// Departures are the instances that have said that they leave, the newest MostDepartures.
-// An instance is one life of a backend, so its word is final: no announcement that comes
-// later brings it back. The value is immutable. (DESIGN 9.1)
+// Departures are the newest MaxDepartures backend instances that announced their shutdown. An
+// instance is one incarnation of a backend, so its shutdown is final: no announcement that
+// arrives later brings it back. The value is immutable. (DESIGN 9.1)
 type Departures struct {
 	instances []string // the oldest first
 }
 
-// Contains tells whether an instance has said that it leaves.
+// Contains reports whether an instance has announced its shutdown.
 func (d Departures) Contains(instance string) bool { return slices.Contains(d.instances, instance) }
 
-// Add adds instances; changed is false if all of them were known.
+// Add returns the departures with more instances; changed is false if all were known.
 func (d Departures) Add(instances ...string) (next Departures, changed bool) {
 	added := slices.Clone(d.instances)
 	for _, instance := range instances {
@@ -34,12 +34,12 @@
 	return Departures{instances: added}.Newest(MaxDepartures), true
 }
 
-// Newest are the newest of them.
+// Newest returns the newest count departures.
 func (d Departures) Newest(count int) Departures {
 	return Departures{instances: d.instances[max(0, len(d.instances)-count):]}
 }
 
-// Last is the newest; empty if there is none.
+// Last returns the newest instance; empty if there is none.
 func (d Departures) Last() string {
 	if len(d.instances) == 0 {
 		return ""
@@ -47,10 +47,10 @@
 	return d.instances[len(d.instances)-1]
 }
 
-// Len tells how many there are.
+// Len returns the number of instances.
 func (d Departures) Len() int { return len(d.instances) }
 
-// Without lists the instances that are not among others.
+// Without lists the instances that are not among others, the oldest first.
 func (d Departures) Without(others []string) []string {
 	return slices.DeleteFunc(d.List(), func(instance string) bool { return slices.Contains(others, instance) })
 }
--- a/internal/membership/digest.go
+++ b/internal/membership/digest.go
@@ -5,7 +5,8 @@
 	"hash/fnv"
 )
 
-// digestBuilder collects what a digest is taken of.
+// digestBuilder collects the bytes that a digest is computed of: numbers as varints, strings
+// and lists after their length, so that different values give different bytes.
 type digestBuilder []byte
 
 func (d digestBuilder) appendUint(n uint64) digestBuilder { return binary.AppendUvarint(d, n) }
@@ -29,28 +30,42 @@
 	return d.appendUint(0)
 }
 
-// sum is never zero.
+// sum returns the digest. It is never zero: in messages zero stands for no digest.
 func (d digestBuilder) sum() uint64 {
 	h := fnv.New64a()
 	h.Write(d)
 	return max(1, h.Sum64())
 }
 
-// WithDigest is the seat with its mark, a digest of all but the wall clock.
-func (replica Replica) WithDigest() Replica {
-	replica.Digest = digestBuilder{}.appendUint(uint64(replica.MemberID)).appendUint(uint64(replica.MemberCount)).appendString(replica.Addr).appendUint(replica.MemberIncarnation).appendUint(replica.Incarnation).appendString(replica.Zone).
-		appendBool(replica.Established).appendUint(replica.CommittedRevision).appendMemberIDs(replica.Members).appendMemberIDs(replica.PreviousMembers).appendUint(replica.AcceptedRevision).appendBool(replica.Ineligible).sum()
-	return replica
+// WithDigest returns r with its Digest set: that of all fields but WallClock, which changes
+// in every heartbeat.
+func (r Replica) WithDigest() Replica {
+	r.Digest = digestBuilder{}.
+		appendUint(uint64(r.MemberID)).
+		appendUint(uint64(r.MemberCount)).
+		appendString(r.Addr).
+		appendUint(r.MemberIncarnation).
+		appendUint(r.Incarnation).
+		appendString(r.Zone).
+		appendBool(r.Established).
+		appendUint(r.CommittedRevision).
+		appendMemberIDs(r.Members).
+		appendMemberIDs(r.PreviousMembers).
+		appendUint(r.AcceptedRevision).
+		appendBool(r.Ineligible).
+		sum()
+	return r
 }
 
-// Digest is that of what hearsay can teach: who sits where, in which incarnation, and
-// the newest set of slots. own is the teller's own seat, if it has one.
-func (table ReplicaTable) Digest(own *Replica) uint64 {
-	table = table.withOwn(own)
+// Digest returns the digest of what one process can teach another about replicas it has not
+// observed itself: who takes the place of each member, in which member incarnation, and the
+// newest members. own is the process's own replica; nil if it is a sidecar.
+func (t ReplicaTable) Digest(own *Replica) uint64 {
+	t = t.withOwn(own)
 	d := digestBuilder{}
-	for _, replica := range table.All() {
-		d = d.appendUint(uint64(replica.MemberID)).appendString(replica.Addr).appendUint(replica.MemberIncarnation)
+	for _, r := range t.All() {
+		d = d.appendUint(uint64(r.MemberID)).appendString(r.Addr).appendUint(r.MemberIncarnation)
 	}
-	members, previous, _ := table.Members()
+	members, previous, _ := t.Members()
 	return d.appendMemberIDs(members).appendMemberIDs(previous).sum()
 }
--- a/internal/membership/discovery.go
+++ b/internal/membership/discovery.go
@@ -12,69 +12,84 @@
 	"curlewwalk/internal/transport"
 )
 
-// HeartbeatInterval is the rhythm in which soft state is told again.
+// HeartbeatInterval is how often soft state is sent again.
 const HeartbeatInterval = 500 * time.Millisecond // (ours)
 
 const (
-	// budgetRoundInterval is in which beat tallies are told, and sums asked for.
+	// budgetRoundInterval is in every how many rounds of heartbeats budgets are exchanged.
 	budgetRoundInterval = 4 // (ours)
-	// minRoundInterval is how far hastened rounds are apart: a burst of changes is one.
+	// minRoundInterval is the time between two rounds that HeartbeatNow asks for: a burst of
+	// changes causes one.
 	minRoundInterval = 20 * time.Millisecond // (ours)
+	// heartbeatTimeout is how long the response to a heartbeat is waited for.
+	heartbeatTimeout = ReplicaTimeout / 2
+	// inboxSize is how many received heartbeats may wait for Run.
+	inboxSize = 64
 )
 
-// Discovery finds the cores and keeps heartbeating them. (DESIGN 7.1)
+// Discovery finds the control plane replicas and exchanges heartbeats with them. Run does the
+// work; the other methods may be called from anywhere. (DESIGN 7.1)
 type Discovery struct {
-	Local  func() Heartbeat
+	// Local returns the process's own state: its Node or its Replica.
+	Local func() Heartbeat
+	// Addr is the process's own address, which it sends no heartbeats to.
 	Addr   string
 	Client *transport.Client
 	Actors *actor.System
-	// OnReplica is told of each seat that spoke for itself; it must not wait.
+	// OnReplica is called with the status of each replica that was heard of directly. It must
+	// not block.
 	OnReplica func(ctx context.Context, replica Replica)
-	// OnResponse, if set, is handed what was told and the response to it, before whoever
-	// answered counts as heard; it must not wait.
+	// OnResponse, if set, is called with each heartbeat that was responded to, before the
+	// responder counts as live. It must not block.
 	OnResponse func(ctx context.Context, sent, response Heartbeat)
 
 	seeds   atomic.Pointer[[]string]
 	table   atomic.Pointer[ReplicaTable]
-	digest  atomic.Uint64 // of the table and the own seat
+	digest  atomic.Uint64 // of table and ownReplica
 	inbox   chan Heartbeat
 	results chan heartbeatResult
 	trigger chan struct{}
 
-	// What follows belongs to Run.
-	ownReplica *Replica // the own one, as told last
+	// The following fields belong to Run.
+	ownReplica *Replica // as last sent
 	encoders   map[string]HeartbeatEncoder
 	sequence   uint
 	rounds     int
-	lastRound  time.Time // the last round
+	lastRound  time.Time
 }
 
-// heartbeatResult is how a heartbeat went; response is nil if there is none.
+// heartbeatResult is the outcome of sending a heartbeat.
 type heartbeatResult struct {
-	addr     string
-	sent     Heartbeat
+	addr string
+	sent Heartbeat
+	// response is nil if there was none; refused tells whether the connection was refused.
 	response *Heartbeat
 	refused  bool
 }
 
-// NewDiscovery makes a seeker; the exported fields are set by the caller.
+// NewDiscovery makes a Discovery without seeds. The caller sets the exported fields before Run.
 func NewDiscovery() *Discovery {
-	d := &Discovery{inbox: make(chan Heartbeat, 64), results: make(chan heartbeatResult), trigger: make(chan struct{}, 1), encoders: map[string]HeartbeatEncoder{}}
+	d := &Discovery{
+		inbox:    make(chan Heartbeat, inboxSize),
+		results:  make(chan heartbeatResult),
+		trigger:  make(chan struct{}, 1),
+		encoders: map[string]HeartbeatEncoder{},
+	}
 	d.setTable(ReplicaTable{})
 	d.SetSeeds(nil)
 	return d
 }
 
-// SetSeeds replaces the addresses that are asked while cores are missing.
+// SetSeeds replaces the addresses that get heartbeats while replicas are missing.
 func (d *Discovery) SetSeeds(seeds []string) { d.seeds.Store(&seeds) }
 
-// Seeds are those addresses.
+// Seeds returns the addresses that SetSeeds set.
 func (d *Discovery) Seeds() []string { return *d.seeds.Load() }
 
-// Replicas is the current table.
+// Replicas returns what is known of the replicas now.
 func (d *Discovery) Replicas() ReplicaTable { return *d.table.Load() }
 
-// HeartbeatNow makes the next round of heartbeats start at once.
+// HeartbeatNow starts the next round of heartbeats at once.
 func (d *Discovery) HeartbeatNow() {
 	select {
 	case d.trigger <- struct{}{}:
@@ -82,8 +97,8 @@
 	}
 }
 
-// Receive takes what arrived in a heartbeat or its response; when the inbox is full it
-// is dropped, since it will be told again.
+// Receive takes a heartbeat or a response that arrived. It is dropped if too many wait, since
+// its content will be sent again.
 func (d *Discovery) Receive(h Heartbeat) {
 	select {
 	case d.inbox <- h:
@@ -91,8 +106,8 @@
 	}
 }
 
-// Respond is the response to a heartbeat, as far as it is of cores; own is the seat of whom
-// answers, if it has one.
+// Respond receives a heartbeat and returns the response as far as it concerns the replicas.
+// own is the process's own status, nil if it is a sidecar.
 func (d *Discovery) Respond(h Heartbeat, own *Replica) Heartbeat {
 	if h.Replica != nil || h.ReplicaDigest != 0 || len(h.KnownReplicas) > 0 {
 		d.Receive(h)
@@ -100,11 +115,11 @@
 	return d.Replicas().Respond(h, own, d.digest.Load())
 }
 
-// Run heartbeats in rhythm until ctx ends.
+// Run sends heartbeats and takes what is received until ctx ends.
 func (d *Discovery) Run(ctx context.Context) {
-	tick, rest := time.NewTicker(HeartbeatInterval), time.NewTimer(0)
+	tick, requested := time.NewTicker(HeartbeatInterval), time.NewTimer(0)
 	defer tick.Stop()
-	defer rest.Stop()
+	defer requested.Stop()
 	for {
 		select {
 		case <-ctx.Done():
@@ -113,8 +128,8 @@
 			d.rounds++
 			d.heartbeatAll(ctx, d.rounds%budgetRoundInterval == 0)
 		case <-d.trigger:
-			rest.Reset(max(0, minRoundInterval-time.Since(d.lastRound)))
-		case <-rest.C:
+			requested.Reset(max(0, minRoundInterval-time.Since(d.lastRound)))
+		case <-requested.C:
 			d.heartbeatAll(ctx, false)
 		case h := <-d.inbox:
 			d.observe(ctx, h)
@@ -124,24 +139,27 @@
 	}
 }
 
-// setTable swaps the table.
+// setTable publishes the table with its digest.
 func (d *Discovery) setTable(t ReplicaTable) {
 	d.table.Store(&t)
 	d.digest.Store(t.Digest(d.ownReplica))
 }
 
+// observe takes what a heartbeat or a response says of the replicas. A replica that was not
+// known gets a heartbeat at once.
 func (d *Discovery) observe(ctx context.Context, h Heartbeat) {
 	before := len(d.Replicas().Observed())
-	t, spoke := d.Replicas().ObserveHeartbeat(h, time.Now())
-	d.setTable(t)
-	if spoke != nil {
-		d.OnReplica(ctx, *spoke)
+	next, sender := d.Replicas().ObserveHeartbeat(h, time.Now())
+	d.setTable(next)
+	if sender != nil {
+		d.OnReplica(ctx, *sender)
 	}
-	if len(t.Observed()) > before {
+	if len(next.Observed()) > before {
 		d.HeartbeatNow()
 	}
 }
 
+// handleResult takes the outcome of sending a heartbeat.
 func (d *Discovery) handleResult(ctx context.Context, result heartbeatResult) {
 	switch {
 	case result.response != nil:
@@ -152,52 +170,68 @@
 			d.sendHeartbeat(ctx, result.addr, d.fullHeartbeat(), false)
 		}
 	case result.refused:
-		delete(d.encoders, result.addr) // who comes after it knows nothing
+		delete(d.encoders, result.addr) // the next process there has nothing yet
 		d.setTable(d.Replicas().Refused(result.addr, time.Now()))
 	}
 }
 
-// fullHeartbeat is a heartbeat that tells all.
+// fullHeartbeat returns a heartbeat with the process's whole state.
 func (d *Discovery) fullHeartbeat() Heartbeat {
 	h := d.Local()
 	d.ownReplica = h.Replica
 	d.setTable(d.Replicas())
 	h.KnownReplicas, h.TableDigest = d.Replicas().All(), d.digest.Load()
-	if d.sequence++; h.Node != nil {
+	d.sequence++
+	if h.Node != nil {
 		h.Node.Sequence = d.sequence
 	}
 	return h
 }
 
-// heartbeatAll heartbeats everybody; due tells whether tallies and sums are.
-func (d *Discovery) heartbeatAll(ctx context.Context, includeBudgets bool) {
+// heartbeatAll sends a round of heartbeats. exchangeBudgets tells whether counts by contract are
+// sent and their sums asked for in this one.
+func (d *Discovery) heartbeatAll(ctx context.Context, exchangeBudgets bool) {
 	d.lastRound = time.Now()
-	full, targets := d.fullHeartbeat(), d.Replicas().HeartbeatTargets(d.Addr, *d.seeds.Load(), d.lastRound)
+	full := d.fullHeartbeat()
+	targets := d.Replicas().HeartbeatTargets(d.Addr, d.Seeds(), d.lastRound)
 	maps.DeleteFunc(d.encoders, func(addr string, _ HeartbeatEncoder) bool { return !slices.Contains(targets, addr) })
-	// The sums come from the core that this one follows as long as all is well: each
-	// core tells the same, and they are spread evenly. (DESIGN 8.2)
-	sums := ""
-	if live := rendezvous.Rank(d.Addr, d.Replicas().Live(d.lastRound), func(replica Replica) string { return replica.Addr }); includeBudgets && len(live) > 0 {
-		sums = live[0].Addr
+	budgetSource := ""
+	if exchangeBudgets {
+		budgetSource = d.budgetSource()
 	}
 	for _, addr := range targets {
-		full.WantBudgets = addr == sums
-		d.sendHeartbeat(ctx, addr, full, includeBudgets)
+		full.WantBudgets = addr == budgetSource
+		d.sendHeartbeat(ctx, addr, full, exchangeBudgets)
+	}
+}
+
+// budgetSource returns the address of the replica that is asked for the sums of all nodes'
+// counts; empty if none is live. Each one has the same sums. The choice spreads the sidecars
+// evenly and is, as long as all replicas are live, the one that this sidecar watches too.
+// (DESIGN 8.2)
+func (d *Discovery) budgetSource() string {
+	live := rendezvous.Rank(d.Addr, d.Replicas().Live(d.lastRound), func(replica Replica) string { return replica.Addr })
+	if len(live) == 0 {
+		return ""
 	}
+	return live[0].Addr
 }
 
-// sendHeartbeat heartbeats one process with what it lacks.
+// sendHeartbeat sends what one process lacks of a full heartbeat, without waiting for the
+// response: Run gets the result.
 func (d *Discovery) sendHeartbeat(ctx context.Context, addr string, full Heartbeat, includeBudgets bool) {
 	result := heartbeatResult{addr: addr, sent: d.encoders[addr].Encode(full, includeBudgets)}
 	result.sent.KnownDigest = d.Replicas().DigestAt(addr)
 	d.Actors.Go(ctx, "heartbeat", func(ctx context.Context) {
-		call, cancel := context.WithTimeout(ctx, ReplicaTimeout/2)
+		callCtx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 		defer cancel()
-		var h Heartbeat
-		r := d.Client.Call(call, addr, transport.ControlTraffic, KindHeartbeat, result.sent)
-		if result.refused = r.ConnectionRefused; r.Decode(&h) {
-			if result.response = &h; d.OnResponse != nil {
-				d.OnResponse(ctx, result.sent, h)
+		var response Heartbeat
+		r := d.Client.Call(callCtx, addr, transport.ControlTraffic, KindHeartbeat, result.sent)
+		result.refused = r.ConnectionRefused
+		if r.Decode(&response) {
+			result.response = &response
+			if d.OnResponse != nil {
+				d.OnResponse(ctx, result.sent, response)
 			}
 		}
 		select {
--- a/internal/membership/failure_detector.go
+++ b/internal/membership/failure_detector.go
@@ -7,74 +7,80 @@
 )
 
 const (
-	// MonitorsPerNode is how many nodes watch each node.
+	// MonitorsPerNode is how many nodes monitor each node.
 	MonitorsPerNode = 3 // (ours)
-	// missesToSuspect is how many probes in a row go wrong before a node is accused.
+	// missesToSuspect is how many probes in a row fail before a node is suspected.
 	missesToSuspect = 2 // (ours)
 )
 
-// MonitorsOf names the nodes that watch a node: the first by rendezvous hashing
-// among the others.
+// MonitorsOf returns the nodes that monitor a node: the first of the others by rendezvous
+// hashing, so that all nodes agree on them and a node that goes moves only its own monitors.
 func MonitorsOf(addr string, nodes []string) []string {
 	others := slices.DeleteFunc(slices.Clone(nodes), func(n string) bool { return n == addr })
 	ranked := rendezvous.Rank(addr, others, func(n string) string { return n })
 	return ranked[:min(MonitorsPerNode, len(ranked))]
 }
 
-// FailureDetector is a decision value: whom a node watches, and whom it accuses.
+// FailureDetector decides which nodes a node monitors and which of them it suspects. It does no
+// I/O and is not safe for concurrent use.
 type FailureDetector struct {
-	own         string
-	nodes       []string
-	monitored   []string
-	misses      map[string]int
-	lastAnswers map[string]Probe // what each answered last
+	own       string
+	nodes     []string // monitored was computed from these
+	monitored []string
+	// misses counts the failed probes in a row, by address; lastResponses are the newest
+	// successful ones.
+	misses        map[string]int
+	lastResponses map[string]Probe
 }
 
-// NewFailureDetector makes the watch of a node.
+// NewFailureDetector makes the detector of the node at an address.
 func NewFailureDetector(own string) *FailureDetector {
-	return &FailureDetector{own: own, misses: map[string]int{}, lastAnswers: map[string]Probe{}}
+	return &FailureDetector{own: own, misses: map[string]int{}, lastResponses: map[string]Probe{}}
 }
 
-// Monitored lists whom to watch among the nodes known now.
-func (detector *FailureDetector) Monitored(nodes []string) []string {
-	if slices.Equal(nodes, detector.nodes) {
-		return detector.monitored
+// Monitored returns which of the nodes that exist now are to be probed.
+func (d *FailureDetector) Monitored(nodes []string) []string {
+	if slices.Equal(nodes, d.nodes) {
+		return d.monitored
 	}
-	detector.nodes, detector.monitored = slices.Clone(nodes), nil
-	kept, last := map[string]int{}, map[string]Probe{}
+	d.nodes, d.monitored = slices.Clone(nodes), nil
+	misses, lastResponses := map[string]int{}, map[string]Probe{}
 	for _, n := range nodes {
-		if n != detector.own && slices.Contains(MonitorsOf(n, nodes), detector.own) {
-			detector.monitored = append(detector.monitored, n)
-			kept[n], last[n] = detector.misses[n], detector.lastAnswers[n]
+		if n != d.own && slices.Contains(MonitorsOf(n, nodes), d.own) {
+			d.monitored = append(d.monitored, n)
+			misses[n], lastResponses[n] = d.misses[n], d.lastResponses[n]
 		}
 	}
-	detector.misses, detector.lastAnswers = kept, last
-	return detector.monitored
+	d.misses, d.lastResponses = misses, lastResponses
+	return d.monitored
 }
 
-// ObserveProbe takes how a probe went; answer is nil if there was none. A refused one
-// proves that no process is there: it counts for all.
-func (detector *FailureDetector) ObserveProbe(addr string, answer *Probe, refused bool) {
+// ObserveProbe takes the outcome of a probe; response is nil if there was none. A refused
+// connection proves that no process listens, so the node is suspected at once.
+func (d *FailureDetector) ObserveProbe(addr string, response *Probe, refused bool) {
 	switch {
-	case answer != nil:
-		detector.misses[addr], detector.lastAnswers[addr] = 0, *answer
+	case response != nil:
+		d.misses[addr], d.lastResponses[addr] = 0, *response
 	case refused:
-		detector.misses[addr] = missesToSuspect
+		d.misses[addr] = missesToSuspect
 	default:
-		detector.misses[addr]++
+		d.misses[addr]++
 	}
 }
 
-// Suspects lists whom the node accuses, given what is known of them.
-func (detector *FailureDetector) Suspects(known map[string]Node) (out []Suspicion) {
-	for _, addr := range detector.monitored {
-		if n, ok := known[addr]; ok && detector.misses[addr] >= missesToSuspect {
-			a := Suspicion{Addr: addr, Incarnation: n.Incarnation, Refutation: n.Refutation}
-			if last := detector.lastAnswers[addr]; last.Incarnation == n.Incarnation {
-				a.Refutation = max(a.Refutation, last.Refutation)
-			}
-			out = append(out, a)
+// Suspects returns the suspicions against the monitored nodes, each with the highest refutation
+// that the node is known to have issued. known are the nodes by address.
+func (d *FailureDetector) Suspects(known map[string]Node) (out []Suspicion) {
+	for _, addr := range d.monitored {
+		n, ok := known[addr]
+		if !ok || d.misses[addr] < missesToSuspect {
+			continue
 		}
+		s := Suspicion{Addr: addr, Incarnation: n.Incarnation, Refutation: n.Refutation}
+		if last := d.lastResponses[addr]; last.Incarnation == n.Incarnation {
+			s.Refutation = max(s.Refutation, last.Refutation)
+		}
+		out = append(out, s)
 	}
 	return out
 }
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -6,77 +6,81 @@
 	"curlewwalk/internal/config"
 )
 
-// KindGossip is the call's kind on the wire.
+// KindGossip is the message kind of a GossipRequest on the wire.
 const KindGossip = "gossip"
 
-// GossipRequest asks another sidecar, for want of a core, for what it has heard.
-// (DESIGN 7.4)
+// GossipRequest asks another sidecar for what it knows, while no control plane replica delivers
+// updates. (DESIGN 7.4)
 type GossipRequest struct {
-	// Sender names the asker, so that who does not know it can ask it in turn.
+	// Sender names the asking sidecar, so that one that does not know it can ask it in turn.
 	Sender Peer `msgpack:"o"`
-	// Digest is that of the cores' seats that the asker knows.
+	// Digest is the digest of the sender's ReplicaTable.
 	Digest uint64 `msgpack:"d,omitempty"`
-	// Fetch asks for what the asker found that it lacks, and for nothing else.
+	// Fetch, if set, asks for what the sender found that it lacks, and for nothing else.
 	Fetch *Fetch `msgpack:"f,omitempty"`
 }
 
-// Fetch asks one sidecar for what it was found to have. It is asked of one at a time: a
-// word may be large.
+// Fetch asks a sidecar for what it was found to have. It is sent to one sidecar at a time, since
+// a control state may be large.
 type Fetch struct {
-	// Nodes names those whose soft state is wanted.
+	// Nodes are the addresses of the nodes whose state is asked for.
 	Nodes []string `msgpack:"n,omitempty"`
-	// State asks for the word, if its stamp is above Stamp.
+	// State asks for the control state, if its revision is above Revision.
 	State    bool   `msgpack:"w,omitempty"`
 	Revision uint64 `msgpack:"s,omitempty"`
-	// ConfigurationRevision is that of the configuration that the asker has: it isn't sent again.
+	// ConfigurationRevision is that of the configuration that the sender has: if the
+	// responder's is the same, it is left out.
 	ConfigurationRevision uint64 `msgpack:"d,omitempty"`
 }
 
-// GossipResponse answers a Gossip.
+// GossipResponse answers a GossipRequest.
 type GossipResponse struct {
-	// Peers are the answerer itself and all that it knows of.
+	// Peers are the responder itself and all sidecars that it knows of.
 	Peers []Peer `msgpack:"p,omitempty"`
-	// State is the answerer's, if it was asked for and is newer than the asker's; without
-	// its configuration if the asker has that one.
+	// State is the responder's control state, if it was asked for and is newer than the
+	// sender's; without the configuration if the sender has that.
 	State *config.ControlState `msgpack:"w,omitempty"`
-	// Nodes are those that were asked for, as far as the answerer has them.
+	// Nodes are those that were asked for, as far as the responder has them.
 	Nodes []Node `msgpack:"n,omitempty"`
-	// KnownReplicas is set if the answerer knows other seats of cores than the asker.
+	// KnownReplicas is set if the responder's ReplicaTable differs from the sender's.
 	KnownReplicas []Replica `msgpack:"k,omitempty"`
 }
 
-// Peer names a sidecar.
+// Peer is a sidecar as another one knows it.
 type Peer struct {
 	Addr string `msgpack:"a"`
-	// Incarnation and Rev are of the soft state that the teller has of it; zero: it has none.
+	// Incarnation and Version are those of the Node that the sender has of it; zero if it has
+	// none.
 	Incarnation uint64 `msgpack:"b,omitempty"`
 	Version     uint64 `msgpack:"r,omitempty"`
-	// Status is what it said of itself last, if that is not too old to be of use.
+	// Status is the newest status of the sidecar that the sender has; nil if that is older
+	// than PeerStatusTTL or there is none.
 	Status *PeerStatus `msgpack:"s,omitempty"`
 }
 
-// PeerStatus is what a sidecar said of itself at a moment, or what was found of it.
+// PeerStatus is what a sidecar reported of itself at some time, or that it was found dead.
 type PeerStatus struct {
-	// Incarnation is the one that it is of; zero stands for that of its Peer.
+	// Incarnation is the one that reported it; zero stands for that of the Peer.
 	Incarnation uint64 `msgpack:"b,omitempty"`
-	// Age is how many milliseconds ago it was said, rounded up: never more than that.
+	// Age is how long ago it was reported, in milliseconds, rounded up: it may be younger than
+	// that but never older.
 	Age uint32 `msgpack:"g,omitempty"`
-	// AppliedRevision is that of its word.
+	// AppliedRevision is the revision of the control state that the sidecar has in force.
 	AppliedRevision uint64 `msgpack:"s,omitempty"`
-	// QuorumLost tells that it found that no majority of cores lives.
+	// QuorumLost is set if the sidecar found that no majority of the members is alive.
 	QuorumLost bool `msgpack:"a,omitempty"`
-	// Dead tells that its machine refused a connection: no process is there.
+	// Dead is set if its address refused a connection: no process listens there.
 	Dead bool `msgpack:"d,omitempty"`
 }
 
-// ageMilliseconds is how old a moment is, for a Statement.
+// ageMilliseconds returns the time since at as PeerStatus.Age has it.
 func ageMilliseconds(at, now time.Time) uint32 {
 	return uint32((max(0, now.Sub(at)) + time.Millisecond - 1) / time.Millisecond)
 }
 
-// statusOf is what an answerer says of itself; nothing if it says none.
-func (a *GossipResponse) statusOf(addr string) PeerStatus {
-	for _, p := range a.Peers {
+// statusOf returns the status that the response has of a sidecar; the zero status if none.
+func (r *GossipResponse) statusOf(addr string) PeerStatus {
+	for _, p := range r.Peers {
 		if p.Addr == addr && p.Status != nil {
 			return *p.Status
 		}
--- /dev/null
+++ b/internal/membership/gossip_fetch.go
@@ -0,0 +1,89 @@
+package membership
+
+import (
+	"context"
+
+	"curlewwalk/internal/config"
+	"curlewwalk/internal/transport"
+)
+
+// maxFetchNodes is how many nodes are asked for in one call.
+const maxFetchNodes = 64 // (ours)
+
+// HandleGossip handles a GossipRequest.
+func (g *Gossiper) HandleGossip(_ context.Context, in transport.Request) (any, string) {
+	var req GossipRequest
+	if !in.Decode(&req) {
+		return nil, "not a gossip"
+	}
+	view := g.View()
+	if f := req.Fetch; f != nil {
+		return GossipResponse{Nodes: view.nodesAt(f.Nodes), State: g.stateFor(*f)}, ""
+	}
+	if known, ok := view.nodes[req.Sender.Addr]; !ok || known.Incarnation != req.Sender.Incarnation {
+		select {
+		case g.unknownPeers <- req.Sender.Addr:
+		default: // it will ask again
+		}
+	}
+	now := g.now()
+	out := GossipResponse{Peers: g.statuses.Load().Report(g.ownPeer(now), view, now)}
+	if replicas := g.Replicas(); replicas.Digest(nil) != req.Digest {
+		out.KnownReplicas = replicas.All()
+	}
+	return out, ""
+}
+
+// stateFor returns the control state as a fetch asks for it; nil if it has none to get.
+func (g *Gossiper) stateFor(f Fetch) *config.ControlState {
+	state := g.State()
+	if state == nil || !f.State || state.Revision <= f.Revision {
+		return nil
+	}
+	out := *state
+	if f.ConfigurationRevision != 0 && f.ConfigurationRevision == state.ConfigurationRevision {
+		out.Configuration = nil
+	}
+	return &out
+}
+
+// fetch asks one of those that answered for what is lacking and returns what came. outdated
+// lists which of a response's peers have a newer node than the own view.
+func (g *Gossiper) fetch(ctx context.Context, req GossipRequest, answered []gossipResult, outdated func([]Peer) []string) (update GossipUpdate) {
+	have := g.State()
+	addr, f := planFetch(have, answered, outdated)
+	if addr == "" {
+		return update
+	}
+	req.Fetch = &f
+	for _, r := range g.call(ctx, []string{addr}, req) {
+		if r.response != nil {
+			update.Nodes, update.State = r.response.Nodes, r.response.State
+		}
+	}
+	if state := update.State; state != nil && state.Configuration == nil &&
+		have != nil && state.ConfigurationRevision == have.ConfigurationRevision {
+		state.Configuration = have.Configuration
+	}
+	return update
+}
+
+// planFetch decides what to fetch and from whom: from the sidecar with the newest control state
+// if that is newer than the own one, or else from the one that has the most of the nodes that
+// are lacking. addr is empty if nothing is.
+func planFetch(have *config.ControlState, answered []gossipResult, outdated func([]Peer) []string) (addr string, f Fetch) {
+	if have != nil {
+		f.Revision, f.ConfigurationRevision = have.Revision, have.ConfigurationRevision
+	}
+	newest := f.Revision
+	for _, r := range answered {
+		nodes := outdated(r.response.Peers)
+		revision := r.response.statusOf(r.addr).AppliedRevision
+		if revision > newest || !f.State && len(nodes) > len(f.Nodes) {
+			f.State, f.Nodes, addr = revision > newest, nodes, r.addr
+			newest = max(newest, revision)
+		}
+	}
+	f.Nodes = f.Nodes[:min(maxFetchNodes, len(f.Nodes))]
+	return addr, f
+}
--- a/internal/membership/gossiper.go
+++ b/internal/membership/gossiper.go
@@ -13,67 +13,75 @@
 )
 
 const (
-	// maxUpdateAge is how old news from the cores must be before others are asked.
+	// maxUpdateAge is how long updates from the replicas may be missing before other sidecars
+	// are asked.
 	maxUpdateAge = time.Second // (ours)
-	// Fanout is how many others are asked at a beat, however many there are.
+	// Fanout is how many other sidecars are asked in a round, however many there are.
 	Fanout = 3 // (ours)
-	// maxFetchNodes is of how many nodes the soft state is asked for in one call.
-	maxFetchNodes = 64 // (ours)
-	// maxUnknownPeers is how many nodes that asked, and are not known, are kept.
+	// maxUnknownPeers is how many sidecars that asked and are not known may wait to be asked.
 	maxUnknownPeers = 16 // (ours)
+	// roundTimeout is how long a round may take: it ends before the next one is due.
+	roundTimeout = HeartbeatInterval * 4 / 5 // (ours)
 )
 
-// Gossiper asks a few of the other sidecars at each beat while no core tells news: for
-// the newest word, for who they are, and for what they heard all others say of whether
-// a majority of cores lives. (DESIGN 7.4)
+// Gossiper replaces the control plane as far as possible while no replica delivers updates. In
+// every HeartbeatInterval it asks a few of the other sidecars for the newest control state, for
+// the nodes that they know, and for what they know of the status of all: a majority of the
+// sidecars can confirm that the control state in force is still the newest. (DESIGN 7.4)
 type Gossiper struct {
 	Addr   string
 	Client *transport.Client
 	Actors *actor.System
-	// Node is this node's soft state, its stamp included; View all it knows.
-	Node func() Node
-	View func() *View
-	// Replicas are the cores that it knows of.
+	// Node returns this sidecar's state, View all nodes that it knows and Replicas the control
+	// plane replicas.
+	Node     func() Node
+	View     func() *View
 	Replicas func() ReplicaTable
-	// State is its word, if there is one.
+	// State returns the control state in force; nil if there is none.
 	State func() *config.ControlState
-	// Seeds are asked while no other node is known.
+	// Seeds returns the addresses that are asked while no other node is known.
 	Seeds func() []string
-	// UpdateAge is how old the news from the cores is.
+	// UpdateAge returns how long ago updates from a replica came last.
 	UpdateAge func(now time.Time) time.Duration
-	// OnUpdate is handed what a round brought, all at once; Sure as of when a majority
-	// agreed, after each round in which one does.
-	OnUpdate    func(ctx context.Context, f GossipUpdate)
+	// OnUpdate is called once with all that a round found, if it found anything.
+	OnUpdate func(ctx context.Context, update GossipUpdate)
+	// OnConfirmed is called after each round in which a majority confirms that there was no
+	// newer control state at the time asOf.
 	OnConfirmed func(asOf time.Time)
 
 	statuses     atomic.Pointer[PeerStatusTable]
 	unknownPeers chan string
-	// What follows belongs to Run. Tests have clocks and limits of their own.
+
+	// The following fields belong to Run. Tests set their own clock and timeout.
 	cursor       int
 	now          func() time.Time
 	roundTimeout time.Duration
 }
 
-// GossipUpdate is what a round brought.
+// GossipUpdate is what a round found.
 type GossipUpdate struct {
-	// State is the newest that was told, if any was newer than the own one.
+	// State is a control state newer than the one in force; nil if none was found.
 	State *config.ControlState
-	// Nodes are soft states that differ from the own view, Dead the boots of nodes
-	// whose processes are gone.
+	// Nodes are those that the view lacks or has in an older version. Dead are the
+	// incarnations of nodes whose processes are gone, by address.
 	Nodes         []Node
 	Dead          map[string]uint64
 	KnownReplicas []Replica
 }
 
-// NewGossiper makes a roll call; the exported fields are set by the caller.
+func (u *GossipUpdate) isEmpty() bool {
+	return u.State == nil && len(u.Nodes) == 0 && len(u.Dead) == 0 && len(u.KnownReplicas) == 0
+}
+
+// NewGossiper makes a Gossiper. The caller sets the exported fields before Run.
 func NewGossiper() *Gossiper {
-	gossiper := &Gossiper{unknownPeers: make(chan string, maxUnknownPeers), now: time.Now, roundTimeout: HeartbeatInterval * 4 / 5}
-	gossiper.statuses.Store(&PeerStatusTable{})
-	return gossiper
+	g := &Gossiper{unknownPeers: make(chan string, maxUnknownPeers), now: time.Now, roundTimeout: roundTimeout}
+	g.statuses.Store(&PeerStatusTable{})
+	return g
 }
 
-// Run asks in rhythm until ctx ends.
-func (gossiper *Gossiper) Run(ctx context.Context) {
+// Run runs a round in each interval while updates are missing, until ctx ends.
+func (g *Gossiper) Run(ctx context.Context) {
 	tick := time.NewTicker(HeartbeatInterval)
 	defer tick.Stop()
 	for {
@@ -81,175 +89,124 @@
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			if gossiper.UpdateAge(gossiper.now()) > maxUpdateAge {
-				gossiper.round(ctx)
+			if g.UpdateAge(g.now()) > maxUpdateAge {
+				g.round(ctx)
 			}
 		}
 	}
 }
 
-// ownPeer is what this node tells of itself.
-func (gossiper *Gossiper) ownPeer(now time.Time) Peer {
-	n := gossiper.Node()
-	return Peer{Addr: n.Addr, Incarnation: n.Incarnation, Version: n.Version, Status: &PeerStatus{AppliedRevision: n.AppliedRevision, QuorumLost: gossiper.Replicas().QuorumLost(now)}}
-}
+// round asks a few sidecars and hands on what they know.
+func (g *Gossiper) round(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, g.roundTimeout)
+	defer cancel()
+	view, own := g.View(), g.ownPeer(g.now())
+	revision, others := own.Status.AppliedRevision, g.others(view)
+	req := GossipRequest{
+		Sender: Peer{Addr: own.Addr, Incarnation: own.Incarnation, Version: own.Version},
+		Digest: g.Replicas().Digest(nil),
+	}
+	statuses := *g.statuses.Load()
+	results := g.call(ctx, g.targets(others, statuses, revision), req)
+	statuses = g.observe(statuses, results, view)
+	g.statuses.Store(&statuses)
 
-// HandleGossip handles a Gossip call.
-func (gossiper *Gossiper) HandleGossip(_ context.Context, request transport.Request) (any, string) {
-	var req GossipRequest
-	if !request.Decode(&req) {
-		return nil, "not a gossip"
+	answered := slices.DeleteFunc(results, func(r gossipResult) bool { return r.response == nil })
+	update := g.fetch(ctx, req, answered, func(peers []Peer) []string { return statuses.Outdated(view, peers) })
+	update.Dead = statuses.deadIncarnations(view)
+	for _, r := range answered {
+		update.KnownReplicas = append(update.KnownReplicas, r.response.KnownReplicas...)
 	}
-	v := gossiper.View()
-	if f := req.Fetch; f != nil {
-		return GossipResponse{Nodes: v.nodesAt(f.Nodes), State: gossiper.stateFor(*f)}, ""
+	if !update.isEmpty() {
+		g.OnUpdate(ctx, update)
 	}
-	if have, ok := v.nodes[req.Sender.Addr]; !ok || have.Incarnation != req.Sender.Incarnation {
-		select {
-		case gossiper.unknownPeers <- req.Sender.Addr:
-		default: // it will ask again
-		}
-	}
-	now := gossiper.now()
-	out := GossipResponse{Peers: gossiper.statuses.Load().Report(gossiper.ownPeer(now), v, now)}
-	if replicas := gossiper.Replicas(); replicas.Digest(nil) != req.Digest {
-		out.KnownReplicas = replicas.All()
+	if asOf, ok := statuses.ConfirmedAsOf(g.Addr, revision, others, g.now()); ok {
+		g.OnConfirmed(asOf)
 	}
-	return out, ""
 }
 
-// stateFor is what a fetch is answered.
-func (gossiper *Gossiper) stateFor(f Fetch) *config.ControlState {
-	w := gossiper.State()
-	if w == nil || !f.State || w.Revision <= f.Revision {
-		return nil
-	}
-	out := *w
-	if f.ConfigurationRevision != 0 && f.ConfigurationRevision == w.ConfigurationRevision {
-		out.Configuration = nil
-	}
-	return &out
+// ownPeer is what this sidecar reports of itself.
+func (g *Gossiper) ownPeer(now time.Time) Peer {
+	n := g.Node()
+	status := PeerStatus{AppliedRevision: n.AppliedRevision, QuorumLost: g.Replicas().QuorumLost(now)}
+	return Peer{Addr: n.Addr, Incarnation: n.Incarnation, Version: n.Version, Status: &status}
 }
 
-// gossipResult is how a call went; answer is nil if there is none.
-type gossipResult struct {
-	addr     string
-	sentAt   time.Time
-	response *GossipResponse
-	refused  bool
-}
-
-// round asks a few others; it ends in less than a beat.
-func (gossiper *Gossiper) round(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, gossiper.roundTimeout)
-	defer cancel()
-	view, own := gossiper.View(), gossiper.ownPeer(gossiper.now())
-	revision := own.Status.AppliedRevision
+// others lists the other sidecars that may be asked: all known ones, or else the seeds.
+func (g *Gossiper) others(view *View) []string {
 	others := view.Addrs()
-	if len(others) == 0 || len(others) == 1 && others[0] == gossiper.Addr {
-		others = union(gossiper.Seeds(), nil)
-	}
-	others = slices.DeleteFunc(others, func(a string) bool { return a == gossiper.Addr })
-	req := GossipRequest{Sender: Peer{Addr: own.Addr, Incarnation: own.Incarnation, Version: own.Version}, Digest: gossiper.Replicas().Digest(nil)}
-	statuses := *gossiper.statuses.Load()
-	var found GossipUpdate
-	var answered []gossipResult
-	for _, g := range gossiper.call(ctx, gossiper.targets(others, statuses, revision), req) {
-		now := gossiper.now()
-		switch {
-		case g.response != nil:
-			statuses = statuses.Observe(gossiper.Addr, g.response.Peers, g.sentAt, now)
-			found.KnownReplicas = append(found.KnownReplicas, g.response.KnownReplicas...)
-			answered = append(answered, g)
-		case g.refused:
-			statuses = statuses.MarkDead(g.addr, view.nodes[g.addr].Incarnation, g.sentAt, now)
-		}
-	}
-	gossiper.statuses.Store(&statuses)
-	gossiper.fetch(ctx, &found, req, answered, func(peers []Peer) []string { return statuses.Outdated(view, peers) })
-	if found.Dead = statuses.deadIncarnations(view); found.hasChanges() {
-		gossiper.OnUpdate(ctx, found)
-	}
-	if asOf, ok := statuses.ConfirmedAsOf(gossiper.Addr, revision, others, gossiper.now()); ok {
-		gossiper.OnConfirmed(asOf)
+	if len(others) == 0 || len(others) == 1 && others[0] == g.Addr {
+		others = union(g.Seeds(), nil)
 	}
+	return slices.DeleteFunc(others, func(addr string) bool { return addr == g.Addr })
 }
 
-// call calls some others at the same time.
-func (gossiper *Gossiper) call(ctx context.Context, addrs []string, req GossipRequest) (out []gossipResult) {
-	back := make(chan gossipResult, len(addrs))
-	for _, addr := range addrs {
-		gossiper.Actors.Go(ctx, "gossip", func(ctx context.Context) {
-			g := gossipResult{addr: addr, sentAt: gossiper.now()}
-			var a GossipResponse
-			r := gossiper.Client.Call(ctx, addr, transport.ControlTraffic, KindGossip, req)
-			if g.refused = r.ConnectionRefused; r.Decode(&a) {
-				g.response = &a
-			}
-			back <- g
-		})
-	}
-	for range addrs {
-		out = append(out, <-back)
-	}
-	return out
-}
-
-// targets are whom to ask at this beat: those that asked and are not known, the one that
-// has the newest word, and others in turn, in an order that differs from node to node.
-func (gossiper *Gossiper) targets(others []string, statuses PeerStatusTable, revision uint64) (out []string) {
+// targets chooses whom to ask in this round: sidecars that asked and are not known, the one
+// with the newest control state, and the others in turn, in an order that differs from sidecar
+// to sidecar.
+func (g *Gossiper) targets(others []string, statuses PeerStatusTable, revision uint64) (out []string) {
 	add := func(addr string) {
-		if len(out) < Fanout && addr != gossiper.Addr && !slices.Contains(out, addr) {
+		if len(out) < Fanout && addr != g.Addr && !slices.Contains(out, addr) {
 			out = append(out, addr)
 		}
 	}
-	for range min(len(gossiper.unknownPeers), Fanout-1) {
-		add(<-gossiper.unknownPeers)
+	for range min(len(g.unknownPeers), Fanout-1) {
+		add(<-g.unknownPeers)
 	}
 	if addr, ok := statuses.NewestAbove(revision); ok {
 		add(addr)
 	}
-	ranked := rendezvous.Rank(gossiper.Addr, others, func(a string) string { return a })
+	ranked := rendezvous.Rank(g.Addr, others, func(addr string) string { return addr })
 	for range ranked {
 		if len(out) == Fanout {
 			break
 		}
-		gossiper.cursor++
-		add(ranked[gossiper.cursor%len(ranked)])
+		g.cursor++
+		add(ranked[g.cursor%len(ranked)])
 	}
 	return out
 }
 
-// fetch asks one of those that answered for what is lacking: the one with the newest
-// word, if that is newer than the own one, or else the one that has most of it.
-func (gossiper *Gossiper) fetch(ctx context.Context, found *GossipUpdate, req GossipRequest, answered []gossipResult, lacking func([]Peer) []string) {
-	have, f, from := gossiper.State(), Fetch{}, ""
-	if have != nil {
-		f.Revision, f.ConfigurationRevision = have.Revision, have.ConfigurationRevision
-	}
-	newest := f.Revision
-	for _, g := range answered {
-		nodes, revision := lacking(g.response.Peers), g.response.statusOf(g.addr).AppliedRevision
-		if revision > newest || !f.State && len(nodes) > len(f.Nodes) {
-			f.State, f.Nodes, from = revision > newest, nodes, g.addr
-			newest = max(newest, revision)
-		}
-	}
-	if from == "" {
-		return
-	}
-	f.Nodes = f.Nodes[:min(maxFetchNodes, len(f.Nodes))]
-	req.Fetch = &f
-	for _, g := range gossiper.call(ctx, []string{from}, req) {
-		if g.response != nil {
-			found.Nodes, found.State = g.response.Nodes, g.response.State
-		}
+// gossipResult is the outcome of a call.
+type gossipResult struct {
+	addr   string
+	sentAt time.Time
+	// response is nil if there was none; refused tells whether the connection was refused.
+	response *GossipResponse
+	refused  bool
+}
+
+// call sends a request to some sidecars at the same time and waits for all results.
+func (g *Gossiper) call(ctx context.Context, addrs []string, req GossipRequest) (out []gossipResult) {
+	results := make(chan gossipResult, len(addrs))
+	for _, addr := range addrs {
+		g.Actors.Go(ctx, "gossip", func(ctx context.Context) {
+			result := gossipResult{addr: addr, sentAt: g.now()}
+			var response GossipResponse
+			r := g.Client.Call(ctx, addr, transport.ControlTraffic, KindGossip, req)
+			result.refused = r.ConnectionRefused
+			if r.Decode(&response) {
+				result.response = &response
+			}
+			results <- result
+		})
 	}
-	if w := found.State; w != nil && w.Configuration == nil && have != nil && w.ConfigurationRevision == have.ConfigurationRevision {
-		w.Configuration = have.Configuration
+	for range addrs {
+		out = append(out, <-results)
 	}
+	return out
 }
 
-func (f *GossipUpdate) hasChanges() bool {
-	return f.State != nil || len(f.Nodes) > 0 || len(f.Dead) > 0 || len(f.KnownReplicas) > 0
+// observe takes the results of a round into the statuses.
+func (g *Gossiper) observe(statuses PeerStatusTable, results []gossipResult, view *View) PeerStatusTable {
+	for _, r := range results {
+		now := g.now()
+		switch {
+		case r.response != nil:
+			statuses = statuses.Observe(g.Addr, r.response.Peers, r.sentAt, now)
+		case r.refused:
+			statuses = statuses.MarkDead(r.addr, view.nodes[r.addr].Incarnation, r.sentAt, now)
+		}
+	}
+	return statuses
 }
--- a/internal/membership/heartbeat.go
+++ b/internal/membership/heartbeat.go
@@ -2,40 +2,48 @@
 
 import "curlewwalk/internal/retrybudget"
 
-// Heartbeat is how processes find and tell one another: who calls, and whom it
-// knows. The response is a Heartbeat too. To one that has shown that it understands
-// them, differences are told: a node's pulse, a seat's mark, and whom one knows
-// only while the digests differ. (DESIGN 7.1)
+// KindHeartbeat is the message kind of a heartbeat on the wire.
+const KindHeartbeat = "hail"
+
+// Heartbeat is what each process sends to the control plane replicas, and what they respond:
+// the sender's own state and the replicas that it knows of. To a receiver that has shown that
+// it understands them, differences are sent: a NodeStatus for the Node, a digest for the
+// Replica, and KnownReplicas only while the table digests differ (see HeartbeatEncoder).
+// (DESIGN 7.1)
 type Heartbeat struct {
+	// Node is a sidecar's state in full; NodeStatus stands for it towards a receiver that has
+	// that version of it.
 	Node       *Node       `msgpack:"n,omitempty"`
 	NodeStatus *NodeStatus `msgpack:"p,omitempty"`
-	Replica    *Replica    `msgpack:"s,omitempty"`
-	// ReplicaDigest is told instead of the seat: the mark of the one told before. Wall is the
-	// core's wall clock then, if it is told to a core.
-	ReplicaDigest uint64 `msgpack:"sm,omitempty"`
-	WallClock     int64  `msgpack:"w,omitempty"`
-	// KnownDigest is the mark of the seat that the caller has of whom it heartbeats.
-	KnownDigest   uint64    `msgpack:"hv,omitempty"`
+	// Replica is the sender's status, if it is a replica; ReplicaDigest is that status's
+	// digest and stands for it towards a receiver that has it. Towards a replica, WallClock
+	// then is the sender's wall clock, in nanoseconds since the Unix epoch.
+	Replica       *Replica `msgpack:"s,omitempty"`
+	ReplicaDigest uint64   `msgpack:"sm,omitempty"`
+	WallClock     int64    `msgpack:"w,omitempty"`
+	// KnownDigest is the digest of the receiver's status that the sender has.
+	KnownDigest uint64 `msgpack:"hv,omitempty"`
+	// KnownReplicas are all replicas that the sender knows of.
 	KnownReplicas []Replica `msgpack:"k,omitempty"`
-	// TableDigest is that of the seats that the teller knows. It is never zero: none is
-	// told by a version that does not understand differences.
+	// TableDigest is the digest of the sender's ReplicaTable. It is zero only if the sender's
+	// version does not understand differences.
 	TableDigest uint64 `msgpack:"d,omitempty"`
-	// RequestFull is set in a response to one who told a difference from what is not known.
+	// RequestFull is set in the response to a difference from something that the responder
+	// does not have.
 	RequestFull bool `msgpack:"wh,omitempty"`
-	// Suspected is set in a core's response to a sidecar that others accuse: the
-	// highest incarnation that they accuse.
+	// Suspected is set in a replica's response to a sidecar that others suspect: the highest
+	// Refutation that they suspect it in, which the sidecar has to exceed.
 	Suspected *uint64 `msgpack:"ac,omitempty"`
-	// Departed is set in a core's response to a sidecar that was told whole: instances
-	// that have said that they leave, to an earlier process there, and that it didn't tell.
+	// Departed is set in a replica's response to a sidecar that sent its Node: instances that
+	// announced their shutdown to an earlier process at that address and that the Node lacks.
 	Departed []string `msgpack:"de,omitempty"`
-	// WantBudgets asks for Budgets, the sums over all nodes, in a core's response to a
-	// sidecar.
+	// WantBudgets asks a replica for Budgets: the sums of the counts of all nodes.
 	WantBudgets bool                          `msgpack:"su,omitempty"`
 	Budgets     map[string]retrybudget.Counts `msgpack:"bu,omitempty"`
 }
 
-// NodeVersion is the boot and the revision of the sidecar that it tells of, whole or by its pulse;
-// zero if it tells of none.
+// NodeVersion returns the incarnation and the version of the node that the heartbeat describes,
+// in full or by its status; zeros if it describes none.
 func (h Heartbeat) NodeVersion() (incarnation, version uint64) {
 	switch {
 	case h.Node != nil:
@@ -45,6 +53,3 @@
 	}
 	return 0, 0
 }
-
-// KindHeartbeat is the call's kind on the wire.
-const KindHeartbeat = "hail"
--- a/internal/membership/heartbeat_encoder.go
+++ b/internal/membership/heartbeat_encoder.go
@@ -1,42 +1,44 @@
 package membership
 
-// HeartbeatEncoder is a decision value: what is told to one process, by what its responses have
-// shown that it has. Whoever heartbeats keeps one for each address; the zero value is for
-// one that has nothing, or whose version does not understand differences. What is
-// taken for known may be wrong, since that process may have started anew: then it asks
-// for the whole. (DESIGN 7.1)
+// HeartbeatEncoder reduces the heartbeats to one receiver to what that has not acknowledged
+// yet. The sender keeps one for each address; it is an immutable value, and the zero value is
+// for a receiver that has nothing or whose version does not understand differences. What the
+// encoder takes for acknowledged may be lost when the receiver restarts; the receiver then asks
+// for a full heartbeat. (DESIGN 7.1)
 type HeartbeatEncoder struct {
-	// incarnation and rev are of the node that it was told, mark of the seat.
+	// incarnation and version are those of the Node that the receiver has, and replicaDigest
+	// is that of the Replica.
 	incarnation, version, replicaDigest uint64
-	// tableDigest is that of the seats that it knows.
+	// tableDigest is the digest of the receiver's ReplicaTable.
 	tableDigest uint64
 }
 
-// Encode cuts a heartbeat that tells all to what is to be told; due tells whether the
-// tallies are.
-func (encoder HeartbeatEncoder) Encode(full Heartbeat, includeBudgets bool) Heartbeat {
-	if full.TableDigest == encoder.tableDigest {
+// Encode reduces a full heartbeat to what the receiver lacks. includeBudgets tells whether the
+// node's counts by contract go into a NodeStatus.
+func (e HeartbeatEncoder) Encode(full Heartbeat, includeBudgets bool) Heartbeat {
+	if full.TableDigest == e.tableDigest {
 		full.KnownReplicas = nil
 	}
-	if n := full.Node; n != nil && encoder.incarnation != 0 && n.Incarnation == encoder.incarnation && n.Version == encoder.version {
+	if n := full.Node; n != nil && e.incarnation != 0 && n.Incarnation == e.incarnation && n.Version == e.version {
 		status := n.Status(includeBudgets)
 		full.Node, full.NodeStatus = nil, &status
 	}
-	if c := full.Replica; c != nil && c.Digest != 0 && c.Digest == encoder.replicaDigest {
-		full.Replica, full.ReplicaDigest, full.WallClock = nil, c.Digest, c.WallClock
+	if r := full.Replica; r != nil && r.Digest != 0 && r.Digest == e.replicaDigest {
+		full.Replica, full.ReplicaDigest, full.WallClock = nil, r.Digest, r.WallClock
 	}
 	return full
 }
 
-// Acknowledge takes the response to what was told and returns the next value; again
-// tells whether to heartbeat at once: something was held back that is not known there.
-func (encoder HeartbeatEncoder) Acknowledge(sent, response Heartbeat) (next HeartbeatEncoder, resend bool) {
+// Acknowledge takes the response to an encoded heartbeat and returns the encoder for the next
+// one. resend tells whether that should be sent at once, because this one left out something
+// that the receiver lacks.
+func (e HeartbeatEncoder) Acknowledge(sent, response Heartbeat) (next HeartbeatEncoder, resend bool) {
 	next.tableDigest = response.TableDigest
-	resend = sent.TableDigest == encoder.tableDigest && sent.TableDigest != response.TableDigest
+	resend = sent.TableDigest == e.tableDigest && sent.TableDigest != response.TableDigest
 	if response.TableDigest == 0 || response.RequestFull {
 		return next, resend || sent.NodeStatus != nil || sent.ReplicaDigest != 0
 	}
-	next.incarnation, next.version, next.replicaDigest = encoder.incarnation, encoder.version, encoder.replicaDigest
+	next.incarnation, next.version, next.replicaDigest = e.incarnation, e.version, e.replicaDigest
 	if sent.Node != nil {
 		next.incarnation, next.version = sent.Node.Incarnation, sent.Node.Version
 	}
--- a/internal/membership/load.go
+++ b/internal/membership/load.go
@@ -5,30 +5,31 @@
 	"time"
 )
 
-// Load is what this node knows of how busy a backend is.
+// reportTTL is how long a reported load is used.
+const reportTTL = 300 * time.Millisecond // (ours)
+
+// processStart is what the times of a Load are counted from.
+var processStart = time.Now()
+
+// Load is what this sidecar knows of how busy a backend is. It is safe for concurrent use.
+// Times in it are durations since processStart.
 type Load struct {
-	// Attempts counts our own attempts now open there.
+	// Attempts counts this sidecar's own attempts that are open there now.
 	Attempts atomic.Int64
-	// reported is what the far sidecar said with its last response.
-	reported atomic.Int64
-	// reportedAt is when it did, after born.
+	// reported is the number of open requests that came with the last response, at reportedAt.
+	reported   atomic.Int64
 	reportedAt atomic.Int64
-	// ejectedUntil is until when, after born, the target is left out.
+	// ejectedUntil is until when the backend is not chosen.
 	ejectedUntil atomic.Int64
 }
 
-var processStart = time.Now()
-
-// reportTTL is how long a told load is worth something.
-const reportTTL = 300 * time.Millisecond // (ours)
-
-// Report takes the number of requests that the far sidecar had open.
+// Report takes the number of open requests that the sidecar beside the backend sent.
 func (l *Load) Report(open int) {
 	l.reported.Store(int64(open))
 	l.reportedAt.Store(int64(time.Since(processStart)))
 }
 
-// EstimateOpen estimates the open requests at the backend.
+// EstimateOpen estimates the number of requests that are open at the backend.
 func (l *Load) EstimateOpen() int64 {
 	if time.Since(processStart)-time.Duration(l.reportedAt.Load()) > reportTTL {
 		return l.Attempts.Load()
@@ -36,8 +37,9 @@
 	return max(l.reported.Load(), l.Attempts.Load())
 }
 
-// Eject leaves the target out for a while: a passive sign, acted on locally.
+// Eject keeps the backend from being chosen for a while (outlier ejection). Other sidecars are
+// not affected.
 func (l *Load) Eject(d time.Duration) { l.ejectedUntil.Store(int64(time.Since(processStart) + d)) }
 
-// Ejected tells whether the target is left out.
+// Ejected reports whether the backend is ejected now.
 func (l *Load) Ejected() bool { return int64(time.Since(processStart)) < l.ejectedUntil.Load() }
--- a/internal/membership/node_status.go
+++ b/internal/membership/node_status.go
@@ -2,9 +2,10 @@
 
 import "curlewwalk/internal/retrybudget"
 
-// NodeStatus is what changes of a node without Rev, told to a core that has the node in
-// that boot and revision. It is whole each time, so what was lost or overtaken
-// before it does not matter. (DESIGN 7.1)
+// NodeStatus carries the fields of a Node that change without its Version. It is sent in
+// place of the Node to a control plane replica that has the node in that incarnation and
+// version. Each one is complete, so it does not matter if an earlier one was lost or arrives
+// later. (DESIGN 7.1)
 type NodeStatus struct {
 	Addr        string `msgpack:"a"`
 	Incarnation uint64 `msgpack:"b"`
@@ -14,27 +15,37 @@
 	AppliedRevision uint64      `msgpack:"s,omitempty"`
 	Refutation      uint64      `msgpack:"in,omitempty"`
 	Suspects        []Suspicion `msgpack:"ac,omitempty"`
-	// OpenRequests has the zones where anything is open.
+	// OpenRequests has only the zones in which any request is open.
 	OpenRequests map[string]int64 `msgpack:"op,omitempty"`
-	// BudgetReport are told more rarely; none is no news.
+	// BudgetReport is sent in some heartbeats only; nil leaves the counts as they were.
 	BudgetReport *BudgetReport `msgpack:"ta,omitempty"`
 }
 
-// BudgetReport are a node's own, by contract; without any, it has none.
+// BudgetReport holds a node's counts by contract. An empty one says that it has none.
 type BudgetReport struct {
 	Budgets map[string]retrybudget.Counts `msgpack:"b,omitempty"`
 }
 
-// Status is the node's; with its tallies if they are due.
+// Status returns the part of n that changes without Version; the counts by contract are
+// included on demand.
 func (n Node) Status(includeBudgets bool) NodeStatus {
-	status := NodeStatus{Addr: n.Addr, Incarnation: n.Incarnation, Version: n.Version, Sequence: n.Sequence, AppliedRevision: n.AppliedRevision, Refutation: n.Refutation, Suspects: n.Suspects}
+	status := NodeStatus{
+		Addr:            n.Addr,
+		Incarnation:     n.Incarnation,
+		Version:         n.Version,
+		Sequence:        n.Sequence,
+		AppliedRevision: n.AppliedRevision,
+		Refutation:      n.Refutation,
+		Suspects:        n.Suspects,
+	}
 	for zone, open := range n.OpenRequests {
-		if open != 0 {
-			if status.OpenRequests == nil {
-				status.OpenRequests = map[string]int64{}
-			}
-			status.OpenRequests[zone] = open
+		if open == 0 {
+			continue
+		}
+		if status.OpenRequests == nil {
+			status.OpenRequests = map[string]int64{}
 		}
+		status.OpenRequests[zone] = open
 	}
 	if includeBudgets {
 		status.BudgetReport = &BudgetReport{Budgets: n.Budgets}
@@ -42,9 +53,13 @@
 	return status
 }
 
-// WithStatus takes a pulse of the same boot and revision.
+// WithStatus returns n with a status of the same incarnation and version applied.
 func (n Node) WithStatus(status NodeStatus) Node {
-	n.Sequence, n.AppliedRevision, n.Refutation, n.Suspects, n.OpenRequests = status.Sequence, status.AppliedRevision, status.Refutation, status.Suspects, status.OpenRequests
+	n.Sequence = status.Sequence
+	n.AppliedRevision = status.AppliedRevision
+	n.Refutation = status.Refutation
+	n.Suspects = status.Suspects
+	n.OpenRequests = status.OpenRequests
 	if status.BudgetReport != nil {
 		n.Budgets = status.BudgetReport.Budgets
 	}
--- a/internal/membership/peer_status_table.go
+++ b/internal/membership/peer_status_table.go
@@ -7,42 +7,49 @@
 	"time"
 )
 
-// PeerStatusTTL is how long a statement is kept and told on: as long as a claim that
-// rests on it could be good for.
+// PeerStatusTTL is how long a status is kept and passed on: as long as a lease that rests on it
+// could be valid.
 const PeerStatusTTL = 4 * time.Second // (ours)
 
-// PeerStatusTable is a decision value: what the sidecars of a membership said of themselves, as
-// it was heard from them or from others, and whether a majority of them agrees that no
-// newer word than the own one is in force. (DESIGN 7.4)
+// PeerStatusTable is what the sidecars reported of themselves, heard from them or through
+// others. It tells whether a majority of them confirms that there is no newer control state than
+// the one in force. It is an immutable value: methods that change it return the next one; the
+// zero value knows nothing. (DESIGN 7.4)
 type PeerStatusTable struct {
 	records map[string]peerRecord
 }
 
-// peerRecord is the youngest that was heard of one sidecar.
+// peerRecord is the newest that is known of one sidecar.
 type peerRecord struct {
-	// status is nil if it was only named.
+	// status is nil if others only mentioned the sidecar.
 	status *PeerStatus
-	// observedAt is not later than when it was said.
+	// observedAt is when the status was reported, or earlier, but never later.
 	observedAt time.Time
-	// mentionedAt is when anybody named it last.
+	// mentionedAt is when anybody last mentioned the sidecar.
 	mentionedAt time.Time
 }
 
-// isAlive tells whether it said of itself that it is in a boot.
+// isAlive reports whether the sidecar reported that it runs in an incarnation.
 func (r peerRecord) isAlive(incarnation uint64) bool {
 	return r.status != nil && !r.status.Dead && r.status.Incarnation == incarnation
 }
 
-// isDead tells whether nobody listens at its address, of a boot.
+// isDead reports whether the sidecar was found dead in an incarnation.
 func (r peerRecord) isDead(incarnation uint64) bool {
 	return r.status != nil && r.status.Dead && r.status.Incarnation == incarnation
 }
 
-// Observe takes what another sidecar answered to a question that was asked at a moment.
-// Ages count from there, so that a statement is never taken for younger than it is. What
-// is told of the asker itself it knows better.
-func (statuses PeerStatusTable) Observe(own string, peers []Peer, asked, now time.Time) PeerStatusTable {
-	next := statuses.unexpired(now)
+// isConfirming reports whether the sidecar confirms that no revision above the given one is in
+// force: it is dead, or found the quorum lost while it had none above.
+func (r peerRecord) isConfirming(revision uint64) bool {
+	return r.status != nil && (r.status.Dead || r.status.QuorumLost && r.status.AppliedRevision <= revision)
+}
+
+// Observe takes the peers of a response. Their ages count back from asked, when the request was
+// sent, so that a status is never taken for younger than it is. own is the asking sidecar, whose
+// status by others is ignored.
+func (t PeerStatusTable) Observe(own string, peers []Peer, asked, now time.Time) PeerStatusTable {
+	next := t.unexpired(now)
 	for _, p := range peers {
 		if p.Addr == own {
 			continue
@@ -58,18 +65,18 @@
 	return next
 }
 
-// MarkDead takes that the machine of a sidecar, known in a boot, refused a connection
-// that was tried at a moment.
-func (statuses PeerStatusTable) MarkDead(addr string, incarnation uint64, tried, now time.Time) PeerStatusTable {
-	next := statuses.unexpired(now)
+// MarkDead notes that the address of a sidecar, known in an incarnation, refused a connection
+// that was tried at the given time.
+func (t PeerStatusTable) MarkDead(addr string, incarnation uint64, tried, now time.Time) PeerStatusTable {
+	next := t.unexpired(now)
 	next.record(addr, PeerStatus{Incarnation: incarnation, Dead: true}, tried, now)
 	return next
 }
 
-// unexpired is a copy without what is too old.
-func (statuses PeerStatusTable) unexpired(now time.Time) PeerStatusTable {
-	next := PeerStatusTable{records: make(map[string]peerRecord, len(statuses.records))}
-	for addr, r := range statuses.records {
+// unexpired returns a copy without what is older than PeerStatusTTL.
+func (t PeerStatusTable) unexpired(now time.Time) PeerStatusTable {
+	next := PeerStatusTable{records: make(map[string]peerRecord, len(t.records))}
+	for addr, r := range t.records {
 		if now.Sub(r.observedAt) > PeerStatusTTL {
 			r.status = nil
 		}
@@ -80,98 +87,102 @@
 	return next
 }
 
-// mention takes that there is such a sidecar.
-func (statuses PeerStatusTable) mention(addr string, now time.Time) {
-	r := statuses.records[addr]
+// mention notes in place that the sidecar was mentioned.
+func (t PeerStatusTable) mention(addr string, now time.Time) {
+	r := t.records[addr]
 	r.mentionedAt = now
-	statuses.records[addr] = r
+	t.records[addr] = r
 }
 
-// record keeps the younger of two statements.
-func (statuses PeerStatusTable) record(addr string, status PeerStatus, at, now time.Time) {
-	statuses.mention(addr, now)
-	r := statuses.records[addr]
+// record stores a status in place, unless it has expired or a younger one is there.
+func (t PeerStatusTable) record(addr string, status PeerStatus, at, now time.Time) {
+	t.mention(addr, now)
+	r := t.records[addr]
 	if now.Sub(at) <= PeerStatusTTL && (r.status == nil || at.After(r.observedAt)) {
 		r.status, r.observedAt = &status, at
-		statuses.records[addr] = r
+		t.records[addr] = r
 	}
 }
 
-// deadIncarnations lists the boots of the nodes of a view that were found dead in just that boot.
-func (statuses PeerStatusTable) deadIncarnations(v *View) map[string]uint64 {
+// deadIncarnations returns, by address, the incarnations of those nodes of a view that were found
+// dead in just that incarnation.
+func (t PeerStatusTable) deadIncarnations(view *View) map[string]uint64 {
 	out := map[string]uint64{}
-	for addr, r := range statuses.records {
-		if n, ok := v.nodes[addr]; ok && r.isDead(n.Incarnation) {
+	for addr, r := range t.records {
+		if n, ok := view.nodes[addr]; ok && r.isDead(n.Incarnation) {
 			out[addr] = n.Incarnation
 		}
 	}
 	return out
 }
 
-// Addrs lists the addresses of all that anybody named.
-func (statuses PeerStatusTable) Addrs() []string { return slices.Sorted(maps.Keys(statuses.records)) }
+// Addrs lists the addresses of all sidecars that anybody mentioned.
+func (t PeerStatusTable) Addrs() []string { return slices.Sorted(maps.Keys(t.records)) }
 
-// Outdated lists whose soft state a teller has and a view hasn't, or has in an earlier
-// revision or boot.
-func (statuses PeerStatusTable) Outdated(v *View, peers []Peer) (out []string) {
+// Outdated lists the addresses of the peers whose nodes the view lacks, or has in an older version
+// or incarnation than the peers' sender.
+func (t PeerStatusTable) Outdated(view *View, peers []Peer) (out []string) {
 	for _, p := range peers {
-		have, ok := v.nodes[p.Addr]
-		r := statuses.records[p.Addr]
+		have, ok := view.nodes[p.Addr]
+		r := t.records[p.Addr]
 		switch {
 		case p.Incarnation == 0 || r.isDead(p.Incarnation):
-		case !ok, have.Incarnation == p.Incarnation && have.Version < p.Version, have.Incarnation != p.Incarnation && r.isAlive(p.Incarnation):
+		case !ok,
+			have.Incarnation == p.Incarnation && have.Version < p.Version,
+			have.Incarnation != p.Incarnation && r.isAlive(p.Incarnation):
 			out = append(out, p.Addr)
 		}
 	}
 	return out
 }
 
-// NewestAbove names the sidecar that told of the highest stamp above one.
-func (statuses PeerStatusTable) NewestAbove(above uint64) (addr string, ok bool) {
-	for _, a := range statuses.Addrs() {
-		if r := statuses.records[a]; r.status != nil && r.status.AppliedRevision > above {
+// NewestAbove returns the sidecar with the highest applied revision above the given one.
+func (t PeerStatusTable) NewestAbove(above uint64) (addr string, ok bool) {
+	for _, a := range t.Addrs() {
+		if r := t.records[a]; r.status != nil && r.status.AppliedRevision > above {
 			addr, above, ok = a, r.status.AppliedRevision, true
 		}
 	}
 	return addr, ok
 }
 
-// Report lists what is told to another sidecar: all that a view knows of, and all that
-// was said lately, with ages as of now.
-func (statuses PeerStatusTable) Report(own Peer, v *View, now time.Time) []Peer {
+// Report lists what is sent to another sidecar: the own peer, all nodes of the view, and all
+// unexpired statuses with their ages as of now. Sidecars that others only mentioned are not
+// passed on, or a mention would never expire.
+func (t PeerStatusTable) Report(own Peer, view *View, now time.Time) []Peer {
 	out := []Peer{own}
-	for _, addr := range union(v.Addrs(), statuses.Addrs()) {
+	for _, addr := range union(view.Addrs(), t.Addrs()) {
 		if addr == own.Addr {
 			continue
 		}
-		n, known := v.nodes[addr]
-		r := statuses.records[addr]
+		n, known := view.nodes[addr]
+		r := t.records[addr]
 		p := Peer{Addr: addr, Incarnation: n.Incarnation, Version: n.Version}
 		if r.status != nil && now.Sub(r.observedAt) <= PeerStatusTTL {
 			status := *r.status
-			if status.Age = ageMilliseconds(r.observedAt, now); status.Incarnation == p.Incarnation {
+			status.Age = ageMilliseconds(r.observedAt, now)
+			if status.Incarnation == p.Incarnation {
 				status.Incarnation = 0
 			}
 			p.Status = &status
 		}
-		if known || p.Status != nil { // what was only named by others is not passed on
+		if known || p.Status != nil {
 			out = append(out, p)
 		}
 	}
 	return out
 }
 
-// ConfirmedAsOf tells as of when a majority of all known sidecars, the own one counted in, was
-// without a newer word than the own one: the dead, and those that found that no
-// majority of cores lives. Two majorities meet, so no newer word had been in force at
-// a majority by then.
-func (statuses PeerStatusTable) ConfirmedAsOf(own string, revision uint64, known []string, now time.Time) (asOf time.Time, ok bool) {
-	all := union(known, statuses.Addrs())
+// ConfirmedAsOf returns the latest time at which a majority of all known sidecars, the own one
+// included, had no revision above the given one in force. The dead confirm it, and those that
+// found the quorum of the replicas lost. Any two majorities have a sidecar in common, so by then
+// no newer revision was in force on a majority. ok is false without such a majority.
+func (t PeerStatusTable) ConfirmedAsOf(own string, revision uint64, known []string, now time.Time) (asOf time.Time, ok bool) {
+	all := union(known, t.Addrs())
 	all = slices.DeleteFunc(all, func(a string) bool { return a == own })
 	agreed := []time.Time{now}
 	for _, addr := range all {
-		r := statuses.records[addr]
-		if r.status != nil && (r.status.Dead || r.status.QuorumLost && r.status.AppliedRevision <= revision) {
+		if r := t.records[addr]; r.isConfirming(revision) {
 			agreed = append(agreed, r.observedAt)
 		}
 	}
--- a/internal/membership/prober.go
+++ b/internal/membership/prober.go
@@ -10,79 +10,93 @@
 	"curlewwalk/internal/transport"
 )
 
-// KindProbe is the call's kind on the wire.
+// KindProbe is the message kind of a Probe on the wire.
 const KindProbe = "probe"
 
-// Probe is a watcher's question, empty, and its answer.
+// Probe is the health check of one sidecar by another. The request is empty; the response has
+// the responder's incarnation and its highest refutation.
 type Probe struct {
 	Incarnation uint64 `msgpack:"b"`
 	Refutation  uint64 `msgpack:"i"`
 }
 
-// Prober probes the nodes that this one watches. (DESIGN 7.3)
+// Prober probes the nodes that its own node monitors and keeps the list of those that it
+// suspects. (DESIGN 7.3)
 type Prober struct {
 	Addr   string
 	View   func() *View
 	Client *transport.Client
 	Actors *actor.System
-	// OnChange is told when the accusations have changed.
+	// OnChange is called when Suspects has changed. It must not block.
 	OnChange func()
 
 	suspects atomic.Pointer[[]Suspicion]
 }
 
-// NewProber makes a watcher; the exported fields are set by the caller.
+// NewProber makes a Prober. The caller sets the exported fields before Run.
 func NewProber() *Prober {
-	prober := &Prober{}
-	prober.suspects.Store(&[]Suspicion{})
-	return prober
+	p := &Prober{}
+	p.suspects.Store(&[]Suspicion{})
+	return p
 }
 
-// Suspects is whom this node accuses now.
-func (prober *Prober) Suspects() []Suspicion { return *prober.suspects.Load() }
+// Suspects returns the current suspicions. It may be called from anywhere.
+func (p *Prober) Suspects() []Suspicion { return *p.suspects.Load() }
 
+// probeResult is the outcome of a probe.
 type probeResult struct {
-	addr    string
-	answer  *Probe
-	refused bool
+	addr string
+	// response is nil if there was none from the incarnation that was probed; refused tells
+	// whether the connection was refused.
+	response *Probe
+	refused  bool
 }
 
-// Run probes in rhythm until ctx ends.
-func (prober *Prober) Run(ctx context.Context) {
-	detector := NewFailureDetector(prober.Addr)
+// Run probes in each HeartbeatInterval until ctx ends.
+func (p *Prober) Run(ctx context.Context) {
+	detector := NewFailureDetector(p.Addr)
 	tick := time.NewTicker(HeartbeatInterval)
 	defer tick.Stop()
-	back := make(chan probeResult)
+	results := make(chan probeResult)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case result := <-back:
-			detector.ObserveProbe(result.addr, result.answer, result.refused)
-			suspects := detector.Suspects(prober.View().nodes)
-			if !slices.Equal(suspects, prober.Suspects()) {
-				prober.suspects.Store(&suspects)
-				prober.OnChange()
-			}
+		case result := <-results:
+			detector.ObserveProbe(result.addr, result.response, result.refused)
+			p.setSuspects(detector.Suspects(p.View().nodes))
 		case <-tick.C:
-			v := prober.View()
-			for _, addr := range detector.Monitored(v.Addrs()) {
-				n := v.nodes[addr]
-				prober.Actors.Go(ctx, "probe", func(ctx context.Context) {
-					call, cancel := context.WithTimeout(ctx, HeartbeatInterval)
-					defer cancel()
-					var a Probe
-					r := prober.Client.Call(call, addr, transport.ControlTraffic, KindProbe, Probe{})
-					result := probeResult{addr: addr, refused: r.ConnectionRefused}
-					if r.Decode(&a) && a.Incarnation == n.Incarnation {
-						result.answer = &a
-					}
-					select {
-					case back <- result:
-					case <-ctx.Done():
-					}
-				})
+			view := p.View()
+			for _, addr := range detector.Monitored(view.Addrs()) {
+				p.probe(ctx, view.nodes[addr], results)
 			}
 		}
 	}
 }
+
+// setSuspects publishes the suspicions if they have changed.
+func (p *Prober) setSuspects(suspects []Suspicion) {
+	if slices.Equal(suspects, p.Suspects()) {
+		return
+	}
+	p.suspects.Store(&suspects)
+	p.OnChange()
+}
+
+// probe sends a probe to a node and, without waiting here, its result to results.
+func (p *Prober) probe(ctx context.Context, n Node, results chan<- probeResult) {
+	p.Actors.Go(ctx, "probe", func(ctx context.Context) {
+		callCtx, cancel := context.WithTimeout(ctx, HeartbeatInterval)
+		defer cancel()
+		var response Probe
+		r := p.Client.Call(callCtx, n.Addr, transport.ControlTraffic, KindProbe, Probe{})
+		result := probeResult{addr: n.Addr, refused: r.ConnectionRefused}
+		if r.Decode(&response) && response.Incarnation == n.Incarnation {
+			result.response = &response
+		}
+		select {
+		case results <- result:
+		case <-ctx.Done():
+		}
+	})
+}
--- a/internal/membership/replica.go
+++ b/internal/membership/replica.go
@@ -1,25 +1,37 @@
 package membership
 
-// Replica is a core in its slot.
+// Replica is the status of one control plane replica: a control plane node in the place of a
+// member. Only the replica itself issues it; others pass it on unchanged.
 type Replica struct {
-	MemberID          int    `msgpack:"s" json:"slot"`
-	MemberCount       int    `msgpack:"n" json:"slots"`
-	Addr              string `msgpack:"a" json:"address"`
+	MemberID int `msgpack:"s" json:"slot"`
+	// MemberCount is the size of Members. Older versions send it alone; the members are
+	// then 1 to MemberCount.
+	MemberCount int    `msgpack:"n" json:"slots"`
+	Addr        string `msgpack:"a" json:"address"`
+	// MemberIncarnation rises each time that a node takes the member's place; of two
+	// replicas with the same MemberID the higher one is right.
 	MemberIncarnation uint64 `msgpack:"i" json:"incarnation"`
-	Incarnation       uint64 `msgpack:"b" json:"boot"`
-	Zone              string `msgpack:"l" json:"locality"`
-	Established       bool   `msgpack:"e" json:"established"`
+	// Incarnation identifies the replica's process; it is drawn anew at each start.
+	Incarnation uint64 `msgpack:"b" json:"boot"`
+	Zone        string `msgpack:"l" json:"locality"`
+	// Established is set once the replica has joined and may vote.
+	Established bool `msgpack:"e" json:"established"`
+	// CommittedRevision is the newest revision of the control state that the replica knows
+	// to be committed.
 	CommittedRevision uint64 `msgpack:"st" json:"settled"`
-	// Members is the set of slots of the newest word that it holds, whose stamp is Held;
-	// Before is the set before, while it is not known to be settled.
+	// Members are the member IDs of the newest control state that the replica has accepted,
+	// which has AcceptedRevision. PreviousMembers are those before, as long as the replica
+	// does not know that the change is committed.
 	Members          []int  `msgpack:"set,omitempty" json:"set,omitempty"`
 	PreviousMembers  []int  `msgpack:"bef,omitempty" json:"before,omitempty"`
 	AcceptedRevision uint64 `msgpack:"h,omitempty" json:"held,omitempty"`
-	// Ineligible tells that the core can't do what the duty asks for: its disk takes no
-	// writes, or it has no contact with a majority. (DESIGN 6.3)
+	// Ineligible is set while the replica can't do what the coordinator has to: its disk
+	// takes no writes, or it has no contact with a majority. (DESIGN 6.3)
 	Ineligible bool `msgpack:"u,omitempty" json:"unable,omitempty"`
-	// WallClock is the core's wall clock, in nanoseconds, as it told this.
+	// WallClock is the replica's wall clock when it sent this, in nanoseconds since the Unix
+	// epoch.
 	WallClock int64 `msgpack:"w,omitempty" json:"-"`
-	// Digest is the core's own digest of all but Wall; zero of an older version.
+	// Digest is the replica's own digest of all fields but WallClock (see WithDigest). Older
+	// versions send zero.
 	Digest uint64 `msgpack:"m,omitempty" json:"-"`
 }
--- /dev/null
+++ b/internal/membership/replica_queries.go
@@ -0,0 +1,127 @@
+package membership
+
+import (
+	"maps"
+	"slices"
+	"time"
+)
+
+// Members returns the newest members that any replica sent, those before while that change may
+// not have been committed, and the revision of the control state that has them.
+func (t ReplicaTable) Members() (members, previous []int, accepted uint64) {
+	if len(t.newest.Members) > 0 {
+		return t.newest.Members, t.newest.PreviousMembers, t.newest.AcceptedRevision
+	}
+	for i := range t.newest.MemberCount { // an older version sends their number only
+		members = append(members, i+1)
+	}
+	return members, nil, 0
+}
+
+// Observed lists the replicas that were heard of directly, live or not, by member ID.
+func (t ReplicaTable) Observed() []Replica {
+	var out []Replica
+	for _, o := range t.byMember {
+		out = append(out, o.replica)
+	}
+	slices.SortFunc(out, byMemberID)
+	return out
+}
+
+// All lists the observed replicas and, for the other members, those that others reported, by
+// member ID.
+func (t ReplicaTable) All() []Replica {
+	out := t.Observed()
+	for memberID, replica := range t.reported {
+		if _, ok := t.byMember[memberID]; !ok {
+			out = append(out, replica)
+		}
+	}
+	slices.SortFunc(out, byMemberID)
+	return out
+}
+
+// Live lists the replicas that were heard of within ReplicaTimeout, by member ID.
+func (t ReplicaTable) Live(now time.Time) []Replica {
+	return slices.DeleteFunc(t.Observed(), func(replica Replica) bool {
+		return now.Sub(t.byMember[replica.MemberID].at) >= ReplicaTimeout
+	})
+}
+
+// Member returns the observed replica with a member ID.
+func (t ReplicaTable) Member(memberID int) (Replica, bool) {
+	o, ok := t.byMember[memberID]
+	return o.replica, ok
+}
+
+// QuorumLost reports whether so many members are known to be dead that the others, heard of or
+// not, can't be a majority. A member counts as dead for ReplicaTimeout after its address
+// refused a connection, unless it was heard of since. (DESIGN 7.2)
+func (t ReplicaTable) QuorumLost(now time.Time) bool {
+	dead := t.deadMembers(now)
+	lost := func(members []int) bool {
+		left := 0
+		for _, memberID := range members {
+			if !dead[memberID] {
+				left++
+			}
+		}
+		return left < len(members)/2+1
+	}
+	members, previous, _ := t.Members()
+	// While a change of the members may not have been committed, either set may decide.
+	return len(members) > 0 && lost(members) && (len(previous) == 0 || lost(previous))
+}
+
+// deadMembers returns the IDs of the members whose addresses refused a connection lately.
+func (t ReplicaTable) deadMembers(now time.Time) map[int]bool {
+	dead := map[int]bool{}
+	for _, replica := range t.All() {
+		at, ok := t.refused[replica.Addr]
+		if ok && now.Sub(at) < ReplicaTimeout && at.After(t.byMember[replica.MemberID].at) {
+			dead[replica.MemberID] = true
+		}
+	}
+	return dead
+}
+
+// CommittedPast reports whether a live replica has sent that a revision above the given one is
+// committed. Committed revisions only rise, so what a replica sent once stays true.
+func (t ReplicaTable) CommittedPast(revision uint64, now time.Time) bool {
+	return slices.ContainsFunc(t.Live(now), func(replica Replica) bool { return replica.CommittedRevision > revision })
+}
+
+// MedianClock returns the median of the live replicas' wall clocks, the caller's own included:
+// it is right as long as most of them are. (DESIGN 17.2)
+func (t ReplicaTable) MedianClock(own time.Time, ownMemberID int, now time.Time) time.Time {
+	clocks := []time.Time{own}
+	for _, replica := range t.Live(now) {
+		if replica.MemberID == ownMemberID || replica.WallClock == 0 {
+			continue
+		}
+		age := now.Sub(t.byMember[replica.MemberID].at)
+		clocks = append(clocks, time.Unix(0, replica.WallClock).Add(age))
+	}
+	slices.SortFunc(clocks, time.Time.Compare)
+	return clocks[(len(clocks)-1)/2]
+}
+
+// HeartbeatTargets lists the addresses to send heartbeats to: those of all known replicas and
+// candidates, and the seeds as long as any member has no live replica.
+func (t ReplicaTable) HeartbeatTargets(own string, seeds []string, now time.Time) []string {
+	addrs := map[string]bool{}
+	for _, replica := range t.All() {
+		addrs[replica.Addr] = true
+	}
+	for addr := range t.candidates {
+		addrs[addr] = true
+	}
+	members, _, _ := t.Members()
+	if live := len(t.Live(now)); live == 0 || live < len(members) {
+		for _, addr := range seeds {
+			addrs[addr] = true
+		}
+	}
+	delete(addrs, own)
+	return slices.Sorted(maps.Keys(addrs))
+}
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -1,15 +1,15 @@
 package membership
 
-// Suspicion says that a node, in one incarnation of its boot, does not answer
-// its watcher.
+// Suspicion says that a node does not answer the probes of one of its monitors.
 type Suspicion struct {
 	Addr        string `msgpack:"a" json:"address"`
 	Incarnation uint64 `msgpack:"b" json:"boot"`
-	Refutation  uint64 `msgpack:"i" json:"incarnation"`
+	// Refutation is the highest that the monitor knew of the node.
+	Refutation uint64 `msgpack:"i" json:"incarnation"`
 }
 
-// AppliesTo tells whether the accusation holds against what a node last told of
-// itself: one told in a later incarnation is refuted.
-func (a Suspicion) AppliesTo(n Node) bool {
-	return a.Addr == n.Addr && a.Incarnation == n.Incarnation && a.Refutation >= n.Refutation
+// AppliesTo reports whether the suspicion still holds against n: a node refutes it with a
+// higher Refutation, and it does not concern another incarnation.
+func (s Suspicion) AppliesTo(n Node) bool {
+	return s.Addr == n.Addr && s.Incarnation == n.Incarnation && s.Refutation >= n.Refutation
 }
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -5,41 +5,72 @@
 	"slices"
 )
 
-// View is the immutable snapshot that traffic reads: for each service the
-// backends that may be chosen. It is only a hint; the far sidecar decides.
+// View is the snapshot of the data plane that requests are routed by: the known nodes, and for
+// each service the backends that may be chosen. It is immutable, and only a hint: the sidecar
+// beside the backend decides whether it takes a request.
 type View struct {
 	byService map[string][]Target
 	nodes     map[string]Node
 }
 
-// Target is one backend behind its sidecar.
+// Target is one backend with the sidecar in front of it.
 type Target struct {
 	Backend
+	// Node is the address of the sidecar, Incarnation that of its process.
 	Node        string
 	Incarnation uint64
-	// Load is shared by all snapshots that hold the same backend.
+	// Load is shared by all views that hold the same backend.
 	Load *Load
 }
 
+// NewView makes the view of some nodes, by address. Backends that the previous view holds too
+// keep their Load; previous may be nil.
+func NewView(nodes map[string]Node, previous *View) *View {
+	loads := previous.loads()
+	v := &View{byService: map[string][]Target{}, nodes: maps.Clone(nodes)}
+	for _, addr := range slices.Sorted(maps.Keys(nodes)) {
+		n := nodes[addr]
+		for _, b := range n.Backends {
+			t := Target{Backend: b, Node: n.Addr, Incarnation: n.Incarnation}
+			if t.Load = loads[t.key()]; t.Load == nil {
+				t.Load = new(Load)
+			}
+			v.byService[b.Service] = append(v.byService[b.Service], t)
+		}
+	}
+	return v
+}
+
+// loads returns the loads of all targets by their keys.
+func (v *View) loads() map[string]*Load {
+	out := map[string]*Load{}
+	if v == nil {
+		return out
+	}
+	for _, targets := range v.byService {
+		for _, t := range targets {
+			out[t.key()] = t.Load
+		}
+	}
+	return out
+}
+
+// key identifies a backend over all views.
+func (t Target) key() string { return t.Node + " " + t.Service + " " + t.Instance }
+
 // Service lists the targets of a service.
 func (v *View) Service(name string) []Target { return v.byService[name] }
 
-// Services lists the services that there are backends of.
+// Services lists the names of the services that have backends.
 func (v *View) Services() []string { return slices.Sorted(maps.Keys(v.byService)) }
 
-// Addrs lists the addresses of all known nodes.
+// Addrs lists the addresses of all nodes.
 func (v *View) Addrs() []string { return slices.Sorted(maps.Keys(v.nodes)) }
 
-// Nodes lists all known nodes by address.
-func (v *View) Nodes() []Node {
-	var out []Node
-	for _, addr := range v.Addrs() {
-		out = append(out, v.nodes[addr])
-	}
-	return out
-}
+// Nodes lists all nodes by address.
+func (v *View) Nodes() []Node { return v.nodesAt(v.Addrs()) }
 
-// nodesAt lists those of the nodes at some addresses that are known.
+// nodesAt lists the nodes at some addresses, as far as they are known.
 func (v *View) nodesAt(addrs []string) []Node {
 	var out []Node
 	for _, addr := range addrs {
@@ -49,29 +80,3 @@
 	}
 	return out
 }
-
-// NewView builds the snapshot of nodes, keeping the loads of the one before.
-func NewView(nodes map[string]Node, before *View) *View {
-	loads := map[string]*Load{}
-	if before != nil {
-		for _, list := range before.byService {
-			for _, t := range list {
-				loads[t.key()] = t.Load
-			}
-		}
-	}
-	v := &View{byService: map[string][]Target{}, nodes: maps.Clone(nodes)}
-	for _, addr := range slices.Sorted(maps.Keys(nodes)) {
-		n := nodes[addr]
-		for _, b := range n.Backends {
-			t := Target{Backend: b, Node: n.Addr, Incarnation: n.Incarnation}
-			if t.Load = loads[t.key()]; t.Load == nil {
-				t.Load = new(Load)
-			}
-			v.byService[b.Service] = append(v.byService[b.Service], t)
-		}
-	}
-	return v
-}
-
-func (t Target) key() string { return t.Node + " " + t.Service + " " + t.Instance }
