--- a/internal/dataplane/proxy/retry.go
+++ b/internal/dataplane/proxy/retry.go
@@ -29,13 +29,13 @@
 	var last AttemptResponse
 	for {
 		action := d.Next(n.Table(), n.View(), time.Now())
-		if action.Wait > 0 {
+		if action.Kind == routing.Wait {
 			pause(ctx, action.Wait)
 			continue
 		}
-		if !action.Send {
+		if action.Kind != routing.Send {
 			response := Response{Status: last.Status, Header: last.Header, Trailer: last.Trailer, Body: last.Body, Fate: routing.Answered}
-			if action.Failure.Status != 0 {
+			if action.Kind == routing.Fail {
 				n.Log.Info("an inquiry was not answered", "trace", req.span.Trace.String(), "way", req.route.Name, "caller", req.caller,
 					"status", action.Failure.Status, "outcome", action.Failure.Outcome, "reason", action.Failure.Reason, "legs", len(d.Attempts()))
 				response = n.localReplyTo(req, action.Failure.Status, action.Failure.Outcome, action.Failure.Reason, action.Failure.RetryAfter)
--- a/internal/dataplane/routing/conditions_test.go
+++ b/internal/dataplane/routing/conditions_test.go
@@ -52,7 +52,7 @@
 				Latency: func(t membership.Target) LatencyHistogram { return s.latencies.Estimate("w", t) }, SpendRetry: func() bool { return true },
 			},
 		}
-		if action := d.Next(table, s.view, now); action.Send {
+		if action := d.Next(table, s.view, now); action.Kind == Send {
 			out[action.Target.Instance]++
 		} else if action.Failure.Status == http.StatusServiceUnavailable && action.Failure.Outcome == NotRun && action.Failure.RetryAfter >= time.Second {
 			out["refused"]++
--- a/internal/dataplane/routing/histogram.go
+++ b/internal/dataplane/routing/histogram.go
@@ -6,23 +6,30 @@
 )
 
 const (
-	bucketCount      = 64
-	bucketGrowth     = 1.2
+	// bucketCount is the number of buckets; each but the first ends at bucketGrowth times the
+	// end of the one before it.
+	bucketCount  = 64
+	bucketGrowth = 1.2
+	// firstBucketBound is where the first bucket ends, in nanoseconds.
 	firstBucketBound = float64(500 * time.Microsecond)
-	// histogramHalfLife is how long it takes until what was learned counts half.
+	// histogramHalfLife is the time after which an observation counts half.
 	histogramHalfLife = 5 * time.Second // (ours)
-	// minObservations is how much must have been learned to be believed.
+	// decayInterval is the least time between two decays.
+	decayInterval = histogramHalfLife / 50
+	// minObservations is the least weight of observations that are relied on.
 	minObservations = 8 // (ours)
 )
 
-// LatencyHistogram is what was learned of how long attempts of a way take, subtree and waiting
-// included: a histogram that ages. The last bucket is for attempts that did not
-// come back in time.
+// LatencyHistogram is what was learned of how long attempts of a route take, including their
+// wait in the backend's queue and the calls that they cause: a histogram whose observations
+// decay. The last bucket counts the attempts that were not answered in time.
 type LatencyHistogram struct {
-	weights   [bucketCount + 1]float64
-	total     float64
+	weights [bucketCount + 1]float64
+	total   float64
+	// decayedAt is when the weights were last decayed, since the start of the LatencyTable.
 	decayedAt time.Duration
-	// routeWide says that it is the way's at all backends, since too little is known of the one.
+	// routeWide says that it is that of the route at all backends, as too little is known of
+	// the one that was asked for.
 	routeWide bool
 }
 
@@ -33,72 +40,72 @@
 	return min(bucketCount-1, 1+int(math.Log(float64(d)/firstBucketBound)/math.Log(bucketGrowth)))
 }
 
-// bucketDuration is about what the attempts of a bucket took.
+// bucketDuration is the duration that stands for the attempts of a bucket.
 func bucketDuration(bucket int) time.Duration {
 	return time.Duration(firstBucketBound * math.Pow(bucketGrowth, float64(bucket)-0.5))
 }
 
-// observe takes an attempt that took so long, or, missed, did not come back in time.
-func (c *LatencyHistogram) observe(took time.Duration, missed bool, now time.Duration) {
-	c.decay(now)
-	i := bucketCount
+// observe adds an attempt that took so long or, if missed, was not answered in time.
+func (h *LatencyHistogram) observe(took time.Duration, missed bool, now time.Duration) {
+	h.decay(now)
+	bucket := bucketCount
 	if !missed {
-		i = bucketFor(took)
+		bucket = bucketFor(took)
 	}
-	c.weights[i]++
-	c.total++
+	h.weights[bucket]++
+	h.total++
 }
 
-func (c *LatencyHistogram) decay(now time.Duration) {
-	if now-c.decayedAt < histogramHalfLife/50 {
+func (h *LatencyHistogram) decay(now time.Duration) {
+	if now-h.decayedAt < decayInterval {
 		return
 	}
-	keep := math.Exp2(-float64(now-c.decayedAt) / float64(histogramHalfLife))
-	for i := range c.weights {
-		c.weights[i] *= keep
+	factor := math.Exp2(-float64(now-h.decayedAt) / float64(histogramHalfLife))
+	for i := range h.weights {
+		h.weights[i] *= factor
 	}
-	c.total *= keep
-	c.decayedAt = now
+	h.total *= factor
+	h.decayedAt = now
 }
 
-// Reliable tells whether enough was learned to be believed.
-func (c *LatencyHistogram) Reliable() bool { return c.total >= minObservations }
+// Reliable tells whether there are enough observations to rely on.
+func (h *LatencyHistogram) Reliable() bool { return h.total >= minObservations }
 
-// ShareWithin is the share of attempts that come back within d.
-func (c *LatencyHistogram) ShareWithin(d time.Duration) float64 {
-	if c.total == 0 {
+// ShareWithin is the share of attempts that are answered within d; 1 if there are none.
+func (h *LatencyHistogram) ShareWithin(d time.Duration) float64 {
+	if h.total == 0 {
 		return 1
 	}
-	in := 0.0
-	for i, m := range c.weights[:bucketCount] {
+	within := 0.0
+	for i, weight := range h.weights[:bucketCount] {
 		if bucketDuration(i) <= d {
-			in += m
+			within += weight
 		}
 	}
-	return in / c.total
+	return within / h.total
 }
 
-// Quantile is how long a share of the attempts takes at most; ok is false if it is
-// more than can be told.
-func (c *LatencyHistogram) Quantile(share float64) (d time.Duration, ok bool) {
-	left := share * c.total
-	for i, m := range c.weights[:bucketCount] {
-		if left -= m; left <= 0 && m > 0 {
+// Quantile is how long a share of the attempts takes at most; ok is false if it falls among
+// those that were not answered in time.
+func (h *LatencyHistogram) Quantile(share float64) (d time.Duration, ok bool) {
+	remaining := share * h.total
+	for i, weight := range h.weights[:bucketCount] {
+		if remaining -= weight; remaining <= 0 && weight > 0 {
 			return bucketDuration(i), true
 		}
 	}
 	return bucketDuration(bucketCount), false
 }
 
-// ExpectedLateness is how late an attempt that is sent now ends on average, given the time
-// left to its aim and by how much it may be late at most.
-func (c *LatencyHistogram) ExpectedLateness(aim, room time.Duration) time.Duration {
-	if c.total == 0 {
+// ExpectedLateness is how late an attempt that is sent now is answered on average, given the
+// time left to its target time and the most that it may be late; zero if nothing was observed.
+func (h *LatencyHistogram) ExpectedLateness(timeToTarget, maxLateness time.Duration) time.Duration {
+	if h.total == 0 {
 		return 0
 	}
-	late := c.weights[bucketCount] * float64(room)
-	for i, m := range c.weights[:bucketCount] {
-		late += m * float64(min(room, max(0, bucketDuration(i)-aim)))
+	lateness := h.weights[bucketCount] * float64(maxLateness)
+	for i, weight := range h.weights[:bucketCount] {
+		lateness += weight * float64(min(maxLateness, max(0, bucketDuration(i)-timeToTarget)))
 	}
-	return time.Duration(late / c.total)
+	return time.Duration(lateness / h.total)
 }
--- a/internal/dataplane/routing/index.go
+++ b/internal/dataplane/routing/index.go
@@ -9,26 +9,29 @@
 	"curlewwalk/internal/config"
 )
 
-// index finds ways by host and longest prefix. (DESIGN 4.1)
+// index finds routes by host and longest prefix. (DESIGN 4.1)
 type index struct {
-	// hosts has the groups of a folded host; "" is for whatever host.
+	// hosts is by case-folded host; the routes of "" are for any host.
 	hosts map[string][]*hostRoutes
 }
 
-// hostRoutes is the ways of one host, as long as it was written.
+// hostRoutes is the routes of one host. Hosts that are equal when folded may be written with
+// different lengths; each length has its own.
 type hostRoutes struct {
-	hostLength    int
-	prefixLengths []int                     // of its prefixes, the longest first
-	routes        map[string][]config.Route // by prefix, those with methods first
+	hostLength int
+	// prefixLengths has the lengths of its prefixes, the longest first.
+	prefixLengths []int
+	// routes is by prefix; of one prefix, those with methods stand first.
+	routes map[string][]config.Route
 }
 
-// newIndex takes ways in the order in which they win.
+// newIndex indexes routes that are in order of precedence.
 func newIndex(routes []config.Route) index {
 	x := index{hosts: map[string][]*hostRoutes{}}
 	for _, route := range routes {
 		key := foldCase(route.Host)
 		list := x.hosts[key]
-		// The order has the longer hosts first, and of each the longer prefixes.
+		// Longer hosts come first, and of each host the longer prefixes.
 		if len(list) == 0 || list[len(list)-1].hostLength != len(route.Host) {
 			list = append(list, &hostRoutes{hostLength: len(route.Host), routes: map[string][]config.Route{}})
 			x.hosts[key] = list
@@ -42,17 +45,21 @@
 	return x
 }
 
+// match finds the route of a request; nil if there is none. Routes of its host go before those
+// for any host.
 func (x *index) match(host, path, method string) *config.Route {
 	for _, key := range [2]string{foldCase(host), ""} {
 		for _, g := range x.hosts[key] {
-			if w := g.match(path, method); w != nil {
-				return w
+			if route := g.match(path, method); route != nil {
+				return route
 			}
 		}
 	}
 	return nil
 }
 
+// match finds the route with the longest prefix of path that takes the method; nil if there is
+// none.
 func (g *hostRoutes) match(path, method string) *config.Route {
 	for _, n := range g.prefixLengths {
 		if n > len(path) {
@@ -60,16 +67,15 @@
 		}
 		list := g.routes[path[:n]]
 		for i := range list {
-			if w := &list[i]; len(w.Methods) == 0 || slices.Contains(w.Methods, method) {
-				return w
+			if route := &list[i]; len(route.Methods) == 0 || slices.Contains(route.Methods, method) {
+				return route
 			}
 		}
 	}
 	return nil
 }
 
-// foldCase is the same for texts that strings.EqualFold holds equal, and for no
-// others.
+// foldCase maps two strings to the same one if and only if strings.EqualFold holds them equal.
 func foldCase(s string) string {
 	for i := range len(s) {
 		if s[i] >= utf8.RuneSelf {
@@ -79,8 +85,8 @@
 	return strings.ToLower(s)
 }
 
-// canonicalRune is the letter that stands for a rune and all that fold to it: the small
-// one for those of ASCII.
+// canonicalRune is the rune that stands for a rune and all that fold to it: the lower-case one
+// for those of ASCII, else the one with the lowest code point.
 func canonicalRune(r rune) rune {
 	low := r
 	for next := unicode.SimpleFold(r); next != r; next = unicode.SimpleFold(next) {
--- a/internal/dataplane/routing/lease_test.go
+++ b/internal/dataplane/routing/lease_test.go
@@ -42,7 +42,7 @@
 			},
 		}
 		action := d.Next(table, s.view, now)
-		for action.Send && len(d.Attempts()) < 20 {
+		for action.Kind == Send && len(d.Attempts()) < 20 {
 			l := AttemptResult{Target: action.Target, Outcome: NotRun, LeaseExpired: true}
 			if len(d.Attempts())+1 == c.sure {
 				l = AttemptResult{Target: action.Target, Outcome: Answered, ReachedBackend: true}
@@ -50,7 +50,7 @@
 			d.Record(l)
 			action = d.Next(table, s.view, now)
 		}
-		if len(d.Attempts()) != c.attempts || action.Wait > 0 {
+		if len(d.Attempts()) != c.attempts || action.Kind == Wait {
 			t.Errorf("%s: %d legs, then waits %v", name, len(d.Attempts()), action.Wait)
 		}
 		if c.sure == 0 && (action.Failure.Status != http.StatusServiceUnavailable || action.Failure.Outcome != NotRun || action.Failure.RetryAfter <= 0) {
--- a/internal/dataplane/routing/slowstart.go
+++ b/internal/dataplane/routing/slowstart.go
@@ -2,20 +2,22 @@
 
 import "time"
 
-// SlowStart is how a zone that was taken back is given what its backends bear: from a
-// part of it, little by little, to all of it.
+// SlowStart is how the backends of a zone that takes traffic again after an evacuation come
+// back to their capacity: from a share of it, linearly, to all of it.
 type SlowStart struct {
-	Duration     time.Duration
+	// Duration is how long it takes until they have all of their capacity.
+	Duration time.Duration
+	// InitialShare is the share of their capacity that they begin with, from 0 to 1.
 	InitialShare float64
 }
 
-// DefaultSlowStart is the climb if the settings say nothing else. (ours)
+// DefaultSlowStart is used where the settings say nothing else. (ours)
 var DefaultSlowStart = SlowStart{Duration: 10 * time.Second, InitialShare: 0.2}
 
-// ShareAfter is the share so long after it was taken back.
-func (c SlowStart) ShareAfter(since time.Duration) float64 {
-	if since >= c.Duration {
+// ShareAfter is the share of capacity after some time of the slow start.
+func (s SlowStart) ShareAfter(elapsed time.Duration) float64 {
+	if elapsed >= s.Duration {
 		return 1
 	}
-	return c.InitialShare + (1-c.InitialShare)*float64(since)/float64(c.Duration)
+	return s.InitialShare + (1-s.InitialShare)*float64(elapsed)/float64(s.Duration)
 }
--- a/internal/dataplane/routing/split_test.go
+++ b/internal/dataplane/routing/split_test.go
@@ -41,7 +41,7 @@
 		}
 		for {
 			action := d.Next(table, view, now)
-			if !action.Send {
+			if action.Kind != Send {
 				if action.Failure.Status != http.StatusServiceUnavailable {
 					t.Errorf("legs %d: ended with %+v", attempts, action.Failure)
 				}
--- a/internal/dataplane/routing/table.go
+++ b/internal/dataplane/routing/table.go
@@ -1,5 +1,3 @@
-// Package routing decides where a request goes: a decision object that is asked.
-// (DESIGN 4)
 package routing
 
 import (
@@ -13,22 +11,70 @@
 	"curlewwalk/internal/retrybudget"
 )
 
-// Table is the immutable snapshot of ways and contracts under one stamp.
+const (
+	// minEarlierRun and maxEarlierRun bound how long a run that an earlier process of this node
+	// admitted is taken to go on: the longest deadline, but not less or more than this.
+	minEarlierRun = 2 * time.Second  // (ours)
+	maxEarlierRun = 10 * time.Second // (ours)
+)
+
+// Table is an immutable snapshot of the configured routes, contracts and services, under one
+// revision of the control state.
 type Table struct {
-	Revision     uint64
+	// Revision is that of the control state; zero if no state is known yet.
+	Revision uint64
+	// SlowStart is how evacuated zones come back. It may be set until ContinueSlowStart is
+	// called.
+	SlowStart SlowStart
+
 	routes       []config.Route
 	index        index
 	contracts    map[string]config.Contract
 	services     map[string]config.Service
 	limits       config.Limits
 	drainedZones map[string]bool
-	// SlowStart is how zones are taken back. It is set before After is called.
-	SlowStart SlowStart
-	// restoredZones is since when zones that were emptied are taken back.
+	// restoredZones tells since when zones that were evacuated take traffic again.
 	restoredZones map[string]time.Time
 }
 
-// ContinueSlowStart notes which zones the table takes back, given the one before it.
+// NewTable builds the table of a control state; false if its configuration is not valid.
+func NewTable(state config.ControlState) (*Table, bool) {
+	t := &Table{Revision: state.Revision, SlowStart: DefaultSlowStart, contracts: map[string]config.Contract{}, drainedZones: map[string]bool{}}
+	for _, zone := range state.EvacuatedZones() {
+		t.drainedZones[zone] = true
+	}
+	if state.ConfigurationRevision == 0 {
+		return t, true
+	}
+	configuration, faults, ok := config.Parse(state.Configuration)
+	if !ok || len(faults) > 0 {
+		return nil, false
+	}
+	t.routes, t.limits, t.services = configuration.Routes, configuration.Limits, map[string]config.Service{}
+	for _, service := range configuration.Services {
+		t.services[service.Name] = service
+	}
+	for _, contract := range configuration.Contracts {
+		t.contracts[contract.Name] = contract
+	}
+	slices.SortStableFunc(t.routes, comparePrecedence)
+	t.index = newIndex(t.routes)
+	return t, true
+}
+
+// comparePrecedence orders routes by how closely they match, the closest first: by host, then
+// by the length of the prefix, then those with methods before those without.
+func comparePrecedence(a, b config.Route) int {
+	return cmp.Or(
+		cmp.Compare(len(b.Host), len(a.Host)),
+		cmp.Compare(len(b.Prefix), len(a.Prefix)),
+		cmp.Compare(min(1, len(b.Methods)), min(1, len(a.Methods))),
+	)
+}
+
+// ContinueSlowStart takes over from the previous table which zones are in a slow start, and
+// begins that of the zones whose evacuation has ended with this table. It must be called before
+// the table is shared.
 func (t *Table) ContinueSlowStart(previous *Table, now time.Time) {
 	t.restoredZones = map[string]time.Time{}
 	for zone, since := range previous.restoredZones {
@@ -43,7 +89,8 @@
 	}
 }
 
-// ZoneShare is the share of what a zone's backends bear that they are given now.
+// ZoneShare is the share of their capacity that the backends of a zone are given now, from 0
+// to 1: less than 1 during the zone's slow start.
 func (t *Table) ZoneShare(zone string, now time.Time) float64 {
 	since, ok := t.restoredZones[zone]
 	if !ok {
@@ -52,35 +99,11 @@
 	return t.SlowStart.ShareAfter(now.Sub(since))
 }
 
-// NewTable builds the table of a word; false if its bytes do not check.
-func NewTable(state config.ControlState) (*Table, bool) {
-	t := &Table{Revision: state.Revision, SlowStart: DefaultSlowStart, contracts: map[string]config.Contract{}, drainedZones: map[string]bool{}}
-	for _, zone := range state.EvacuatedZones() {
-		t.drainedZones[zone] = true
-	}
-	if state.ConfigurationRevision == 0 {
-		return t, true
-	}
-	configuration, faults, ok := config.Parse(state.Configuration)
-	if !ok || len(faults) > 0 {
-		return nil, false
-	}
-	t.routes, t.limits, t.services = configuration.Routes, configuration.Limits, map[string]config.Service{}
-	for _, s := range configuration.Services {
-		t.services[s.Name] = s
-	}
-	for _, c := range configuration.Contracts {
-		t.contracts[c.Name] = c
-	}
-	// The closest match stands first: host, then longer prefix, then method.
-	slices.SortStableFunc(t.routes, func(a, b config.Route) int {
-		return cmp.Or(cmp.Compare(len(b.Host), len(a.Host)), cmp.Compare(len(b.Prefix), len(a.Prefix)), cmp.Compare(min(1, len(b.Methods)), min(1, len(a.Methods))))
-	})
-	t.index = newIndex(t.routes)
-	return t, true
-}
+// ZoneDrained tells whether a zone is evacuated: no request is sent to its backends.
+func (t *Table) ZoneDrained(zone string) bool { return t.drainedZones[zone] }
 
-// Match finds the way of a request and its contract.
+// Match finds the route of a request and its contract; false if no route matches. host may
+// have a port, which is ignored.
 func (t *Table) Match(host, path, method string) (config.Route, config.Contract, bool) {
 	if h, _, err := net.SplitHostPort(host); err == nil {
 		host = h
@@ -92,14 +115,14 @@
 	return *route, t.contracts[route.Contract], true
 }
 
-// Service is what the operator said of a service; false if nothing.
+// Service is the configuration of a service; false if it has none.
 func (t *Table) Service(name string) (config.Service, bool) {
 	s, ok := t.services[name]
 	return s, ok
 }
 
-// WarmupRate is how many requests a second a cold backend of a service bears; 0 if the
-// operator said nothing of it.
+// WarmupRate is how many requests a second a backend of a service bears while it is warming up;
+// zero if none is configured.
 func (t *Table) WarmupRate(service string) float64 {
 	if s := t.services[service]; s.SlowStart != nil {
 		return s.SlowStart.RequestsPerSecond
@@ -107,29 +130,22 @@
 	return 0
 }
 
-// Limits bound what clients may send.
+// Limits are the configured limits of what clients may send.
 func (t *Table) Limits() config.Limits { return t.limits }
 
-// Services lists the services that ways lead to, and those that something was
-// said of.
+// Services lists the services that routes lead to or that have a configuration, in order of
+// their names.
 func (t *Table) Services() []string {
-	out := slices.Collect(maps.Keys(t.services))
+	services := slices.Collect(maps.Keys(t.services))
 	for i := range t.routes {
-		out = append(out, t.routes[i].Services()...)
+		services = append(services, t.routes[i].Services()...)
 	}
-	slices.Sort(out)
-	return slices.Compact(out)
+	slices.Sort(services)
+	return slices.Compact(services)
 }
 
-const (
-	// A run that an earlier sidecar let in is taken to be over after the longest
-	// deadline, but neither sooner nor later than this.
-	minEarlierRun = 2 * time.Second  // (ours)
-	maxEarlierRun = 10 * time.Second // (ours)
-)
-
-// EarlierRunsPossible tells whether runs that an earlier sidecar let in may still be going on,
-// so long after the start of this one.
+// EarlierRunsPossible tells whether runs that an earlier process of this node admitted may still
+// be going on, when this process has been up for that long.
 func (t *Table) EarlierRunsPossible(up time.Duration) bool {
 	longest := minEarlierRun
 	for _, c := range t.contracts {
@@ -138,15 +154,13 @@
 	return up < longest
 }
 
-// BudgetReports shows the budget of each contract, given the tallies.
+// BudgetReports shows the latency budget of each contract, given the counts of their requests,
+// in order of the names.
 func (t *Table) BudgetReports(counts map[string]retrybudget.Counts) []retrybudget.BudgetStatus {
-	out := []retrybudget.BudgetStatus{}
+	reports := []retrybudget.BudgetStatus{}
 	for _, name := range slices.Sorted(maps.Keys(t.contracts)) {
 		c := t.contracts[name]
-		out = append(out, retrybudget.NewBudgetStatus(name, c.Priority, c.LatencyTarget.Duration, c.Deadline.Duration, counts[name]))
+		reports = append(reports, retrybudget.NewBudgetStatus(name, c.Priority, c.LatencyTarget.Duration, c.Deadline.Duration, counts[name]))
 	}
-	return out
+	return reports
 }
-
-// ZoneDrained tells whether the operator asked for a zone to be emptied.
-func (t *Table) ZoneDrained(zone string) bool { return t.drainedZones[zone] }
--- /dev/null
+++ b/internal/dataplane/routing/target.go
@@ -0,0 +1,84 @@
+package routing
+
+import (
+	"time"
+
+	"curlewwalk/internal/membership"
+)
+
+// nextTarget chooses where the next attempt goes. Where late answers are accepted, a request
+// that was rejected often enough, or everywhere, may go to those that rejected it once more,
+// to be queued there beyond its latency target.
+func (d *Decision) nextTarget(t *Table, v *membership.View, past history, now time.Time) (target membership.Target, queuePastTarget, ok bool) {
+	queuePastTarget = d.Conditions.AcceptLate && past.rejected >= queueAfterRejections
+	if queuePastTarget {
+		d.forgiven = len(d.attempts)
+	}
+	target, ok = d.chooseTarget(t, v, now)
+	if ok || !d.Conditions.AcceptLate || past.rejected == 0 {
+		return target, queuePastTarget, ok
+	}
+	d.forgiven = len(d.attempts)
+	target, ok = d.chooseTarget(t, v, now)
+	return target, true, ok
+}
+
+// chooseTarget chooses between backends of the own zone and of the others, and takes an ejected
+// one only where there is no other.
+func (d *Decision) chooseTarget(t *Table, v *membership.View, now time.Time) (membership.Target, bool) {
+	var local, remote, ejected []membership.Target
+	for _, target := range v.Service(d.Route.Service) {
+		switch {
+		case target.Draining || t.ZoneDrained(target.Zone) || d.attempted(target):
+		case target.Load.Ejected():
+			ejected = append(ejected, target)
+		case target.Zone == d.Zone:
+			local = append(local, target)
+		default:
+			remote = append(remote, target)
+		}
+	}
+	best, ok := d.pickOfTwo(local, now)
+	if other, okRemote := d.pickOfTwo(remote, now); okRemote && (!ok || d.Conditions.shouldCrossZone(best, other, now)) {
+		best, ok = other, true
+	}
+	if !ok {
+		best, ok = d.pickOfTwo(ejected, now)
+	}
+	return best, ok
+}
+
+// pickOfTwo draws two random targets and takes the better one.
+func (d *Decision) pickOfTwo(targets []membership.Target, now time.Time) (membership.Target, bool) {
+	if len(targets) == 0 {
+		return membership.Target{}, false
+	}
+	i := d.Rand.IntN(len(targets))
+	a := targets[i]
+	if len(targets) == 1 {
+		return a, true
+	}
+	b := targets[(i+1+d.Rand.IntN(len(targets)-1))%len(targets)]
+	if utilization(b) < utilization(a) {
+		a, b = b, a
+	}
+	return d.Conditions.prefer(a, b, now), true
+}
+
+// utilization is the share of a backend's capacity that is in use.
+func utilization(t membership.Target) float64 {
+	return float64(t.Load.EstimateOpen()) / max(1, float64(t.Capacity)*t.CapacityShare)
+}
+
+// attempted tells whether a target is excluded, as an attempt has gone to this incarnation of it.
+func (d *Decision) attempted(t membership.Target) bool {
+	for i, result := range d.attempts {
+		if i < d.forgiven && !result.ReachedBackend && result.Outcome == NotRun {
+			continue
+		}
+		if result.Target.Node == t.Node && result.Target.Instance == t.Instance && result.Target.Incarnation == t.Incarnation {
+			return true
+		}
+	}
+	return false
+}
--- a/tests/mutation/catalogue.go
+++ b/tests/mutation/catalogue.go
@@ -136,7 +136,7 @@
 	{duplicateRun, "internal/dataplane/proxy/cancel.go", "case open && attempt.idempotent:", "case open:", "./internal/dataplane/proxy", "TestClientLeaves", nil},
 	{abandonedWork, "internal/dataplane/proxy/exchange.go", "context.AfterFunc(ctx, func() { conn.SetDeadline(time.Now()) })", "func() bool { return true }", "./internal/dataplane/proxy", "TestClientLeaves", nil},
 	{abandonedWork, "internal/dataplane/proxy/inbound.go", "defer context.AfterFunc(peer, func() { f.cancel(attempt.ID) })()", "_ = peer", "./internal/dataplane/proxy", "TestClientLeaves", nil},
-	{abandonedWork, "internal/dataplane/routing/decision.go", "why := d.Conditions.abandonReason(); why != \"\"", "why := d.Conditions.abandonReason(); why == \"-\"", "./internal/dataplane/proxy", "TestClientLeaves", nil},
+	{abandonedWork, "internal/dataplane/routing/decision.go", "reason := d.Conditions.abandonReason(); reason != \"\"", "reason := d.Conditions.abandonReason(); reason == \"-\"", "./internal/dataplane/proxy", "TestClientLeaves", nil},
 	{slowRecovery, "internal/watch/event_log.go", "StartupDelay = 700 * time.Millisecond", "StartupDelay = 17 * time.Second", "./tests/e2e", "TestMassRestart", nil},
 	{slowRecovery, "internal/controlplane/consensus/replica.go", "!r.joining && ", "", "./internal/controlplane/consensus", "TestJoinGrantedSlowly", nil},
 	{wrongAnswer, "internal/dataplane/proxy/exchange.go", "|| x.conn.carriedHead)", "|| x.attempt.Method == http.MethodHead)", "./internal/dataplane/proxy", "TestStrayAnswerAfterHead", nil},
--- a/tests/simulation/requests.go
+++ b/tests/simulation/requests.go
@@ -462,12 +462,12 @@
 	var next func()
 	next = func() {
 		order := decision.Next(sim.table, sim.view, sim.base.Add(sim.now))
-		if !order.Send {
-			final := clientAnswer{Outcome: routing.Answered, Text: lastBody}
-			if order.Failure.Status != 0 {
-				final = clientAnswer{Outcome: order.Failure.Outcome}
-			}
-			done(final)
+		switch order.Kind {
+		case routing.Respond:
+			done(clientAnswer{Outcome: routing.Answered, Text: lastBody})
+			return
+		case routing.Fail:
+			done(clientAnswer{Outcome: order.Failure.Outcome})
 			return
 		}
 		n.attempts++
