--- a/internal/dataplane/departure_log.go
+++ b/internal/dataplane/departure_log.go
@@ -6,68 +6,83 @@
 	"curlewwalk/internal/dataplane/endpoints"
 )
 
-// departureLog counts and tells what own backends said of leaving, and the announcements
-// that came late: such lines say afterwards why a backend was given requests, or none.
-// The steward's thread writes, metrics read.
+// departureLog counts and logs what own backends said about leaving, and announcements that
+// did not count: afterwards that explains why a backend got requests, or none. The agent's
+// actor writes it, metrics read the counts.
 type departureLog struct {
-	// notice prints a line for operators.
+	// notice logs a line for operators; nil for none.
 	notice func(message string, attributes ...any)
 	counts [numDepartureEvents]atomic.Int64
 }
 
-// departureEvent is what a backend's announcement or word of leaving came to, where that is not
-// simply that it is there.
+// departureEvent is what an announcement or a message of leaving came to, unless it simply
+// registers a backend.
 type departureEvent int
 
 const (
-	// eventLeaving is of a backend that is leaving from now on.
+	// eventLeaving: the backend is leaving from now on.
 	eventLeaving departureEvent = iota
-	// eventUnknownLeft is a word of leaving of a backend that is not known.
+	// eventUnknownLeft: a backend that isn't known has left.
 	eventUnknownLeft
-	// eventOvertaken is an announcement that a later one came before.
+	// eventOvertaken: a later announcement of the backend came before this one.
 	eventOvertaken
-	// eventLate is an announcement of a backend that has said that it leaves, and which
-	// does not say so.
+	// eventLate: a backend that has left announces itself as if it had not.
 	eventLate
-	// eventDoubted is an announcement of one that should have been heard before.
+	// eventDoubted: the announcement is not its backend's first, though none came before.
 	eventDoubted
 	numDepartureEvents
 )
 
-// departureEventNames are the words as logs and metrics name them.
-var departureEventNames = [numDepartureEvents]string{"leaving", "unknown-left", "overtaken", "late", "doubted"}
+// departureEventNames are the events' names in logs and metrics.
+var departureEventNames = [numDepartureEvents]string{
+	eventLeaving:     "leaving",
+	eventUnknownLeft: "unknown-left",
+	eventOvertaken:   "overtaken",
+	eventLate:        "late",
+	eventDoubted:     "doubted",
+}
+
+// What said that a backend is leaving, as logged.
+const (
+	sourceAnnouncement = "announcement"
+	sourceDelete       = "delete"
+)
 
-// record counts a word and prints it.
+// record counts an event and logs it.
 func (d *departureLog) record(event departureEvent, instance string, attributes ...any) {
 	d.counts[event].Add(1)
-	if d.notice != nil {
-		d.notice("backend "+departureEventNames[event], append([]any{"instance", instance}, attributes...)...)
+	if d.notice == nil {
+		return
 	}
+	attributes = append([]any{"event", departureEventNames[event], "instance", instance}, attributes...)
+	d.notice("backend departure", attributes...)
 }
 
-// observeAnnouncement compares a roster before and after an announcement.
+// observeAnnouncement records what an announcement came to, from the registry before and
+// after it.
 func (d *departureLog) observeAnnouncement(announcement endpoints.Announcement, before, after endpoints.Registry) {
-	entry, _ := before.Lookup(announcement.Instance)
+	instance, sequence := announcement.Instance, announcement.Sequence
+	endpoint, _ := before.Lookup(instance)
 	switch {
-	case before.HasDeparted(announcement.Instance) && !announcement.Draining:
-		d.record(eventLate, announcement.Instance, "count", announcement.Sequence)
-	case after.IsUnconfirmed(announcement.Instance):
-		d.record(eventDoubted, announcement.Instance, "count", announcement.Sequence)
-	case entry.Supersedes(announcement):
-		d.record(eventOvertaken, announcement.Instance, "count", announcement.Sequence)
-	case !before.HasDeparted(announcement.Instance) && after.HasDeparted(announcement.Instance):
-		d.record(eventLeaving, announcement.Instance, "by", "announcement", "count", announcement.Sequence)
+	case before.HasDeparted(instance) && !announcement.Draining:
+		d.record(eventLate, instance, "sequence", sequence)
+	case after.IsUnconfirmed(instance):
+		d.record(eventDoubted, instance, "sequence", sequence)
+	case endpoint.Supersedes(announcement):
+		d.record(eventOvertaken, instance, "sequence", sequence)
+	case !before.HasDeparted(instance) && after.HasDeparted(instance):
+		d.record(eventLeaving, instance, "source", sourceAnnouncement, "sequence", sequence)
 	}
 }
 
-// observeRemoval takes a word of leaving that is no announcement; before tells whether the instance
-// had said so already.
+// observeRemoval records a message of leaving that is not an announcement. known tells
+// whether the backend was registered, alreadyDeparted whether it had said so before.
 func (d *departureLog) observeRemoval(instance string, known, alreadyDeparted bool) {
 	switch {
 	case alreadyDeparted:
 	case known:
-		d.record(eventLeaving, instance, "by", "delete")
+		d.record(eventLeaving, instance, "source", sourceDelete)
 	default:
-		d.record(eventUnknownLeft, instance, "by", "delete")
+		d.record(eventUnknownLeft, instance, "source", sourceDelete)
 	}
 }
--- a/internal/dataplane/egress_test.go
+++ b/internal/dataplane/egress_test.go
@@ -1,25 +1,28 @@
 package dataplane
 
 import (
+	"errors"
 	"fmt"
 	"strings"
 	"testing"
 )
 
-// Two services whose names come to one port are told so; neither is given the
-// other's address.
+// Of two services whose names come to one port neither is given the other's address; the
+// error names the other.
 func TestPortCollision(t *testing.T) {
-	seen := map[uint16]string{}
+	byPort := map[uint16]string{}
 	for i := 0; ; i++ {
-		s := fmt.Sprintf("service-%d", i)
-		other, ok := seen[portOf(s)]
+		service := fmt.Sprintf("service-%d", i)
+		other, ok := byPort[portOf(service)]
 		if !ok {
-			seen[portOf(s)] = s
+			byPort[portOf(service)] = service
 			continue
 		}
-		e := &egressListeners{services: func() []string { return []string{"orders", other, s} }}
-		if addr, err := e.addr(s); err == nil || !strings.Contains(err.Error(), other) {
-			t.Errorf("%s got %q, %v though %s has the same port", s, addr, err, other)
+		e := newEgressListeners(egressConfig{}, egressDeps{Services: func() []string { return []string{"orders", other, service} }})
+		addr, err := e.addr(service)
+		var collision *portCollisionError
+		if !errors.As(err, &collision) || !strings.Contains(err.Error(), other) {
+			t.Errorf("%s got %q, %v though %s has the same port", service, addr, err, other)
 		}
 		return
 	}
--- a/internal/dataplane/metrics.go
+++ b/internal/dataplane/metrics.go
@@ -9,8 +9,14 @@
 	"curlewwalk/internal/metrics"
 )
 
-// metricsHandler serves the sidecar's metrics. The client side takes requests from
-// callers, the server side takes attempts for this machine's backends.
+// Values of the label "side": the client side takes requests of callers, the server side
+// attempts for own backends.
+const (
+	clientSide = "client"
+	serverSide = "server"
+)
+
+// metricsHandler serves the sidecar's metrics.
 func (s *Sidecar) metricsHandler() http.Handler {
 	var all []*metrics.Metric
 	all = append(all, s.trafficMetrics()...)
@@ -20,17 +26,18 @@
 	return metrics.Handler(all...)
 }
 
+// trafficMetrics are the metrics of the request path.
 func (s *Sidecar) trafficMetrics() []*metrics.Metric {
 	side := []string{"side"}
 	return []*metrics.Metric{
 		metrics.Counter("route_requests_total", "Requests of callers that a route took, by outcome.", []string{"route", "outcome"}, s.outbound.RouteCounters.Collect),
-		metrics.Counter("requests_total", "Requests of callers, and attempts for own backends, that have ended, by outcome.", []string{"side", "outcome"}, s.bySide(func(t proxy.Totals, emit metrics.EmitFunc, side string) {
-			emit(float64(t.Answered), side, string(routing.Answered))
-			emit(float64(t.NotRun), side, string(routing.NotRun))
-			emit(float64(t.Unknown), side, string(routing.Unknown))
+		metrics.Counter("requests_total", "Requests of callers, and attempts for own backends, that have ended, by outcome.", []string{"side", "outcome"}, s.bySide(func(total proxy.Totals, emit metrics.EmitFunc, side string) {
+			emit(float64(total.Answered), side, string(routing.Answered))
+			emit(float64(total.NotRun), side, string(routing.NotRun))
+			emit(float64(total.Unknown), side, string(routing.Unknown))
 		})),
-		metrics.Gauge("requests_in_flight", "Requests of callers, and attempts for own backends, that are open.", side, s.bySide(func(t proxy.Totals, emit metrics.EmitFunc, side string) {
-			emit(float64(t.InFlight), side)
+		metrics.Gauge("requests_in_flight", "Requests of callers, and attempts for own backends, that are open.", side, s.bySide(func(total proxy.Totals, emit metrics.EmitFunc, side string) {
+			emit(float64(total.InFlight), side)
 		})),
 		metrics.Counter("retries_total", "Attempts beyond a request's first.", nil, metrics.Scalar(func() float64 {
 			return float64(s.outbound.Counters.Snapshot().ExtraAttempts)
@@ -51,25 +58,26 @@
 			emit(float64(total.LeftRunning), "left-running")
 		}),
 		metrics.Gauge("retry_budget", "Retries to a service that this sidecar may make now.", []string{"service"}, func(emit metrics.EmitFunc) {
-			for service, held := range s.agent.retryBudgets.Balances() {
-				emit(held, service)
+			for service, balance := range s.retryBudgets.Balances() {
+				emit(balance, service)
 			}
 		}),
 		metrics.Gauge("body_bytes", "Bytes of request bodies held now.", side, func(emit metrics.EmitFunc) {
-			emit(float64(s.outbound.Bodies.Reserved()), "client")
-			emit(float64(s.inbound.Bodies.Reserved()), "server")
+			emit(float64(s.outbound.Bodies.Reserved()), clientSide)
+			emit(float64(s.inbound.Bodies.Reserved()), serverSide)
 		}),
 	}
 }
 
-// bySide reads the totals of both sides.
-func (s *Sidecar) bySide(read func(t proxy.Totals, emit metrics.EmitFunc, side string)) metrics.ReadFunc {
+// bySide reads the totals of both sides of the proxy.
+func (s *Sidecar) bySide(read func(total proxy.Totals, emit metrics.EmitFunc, side string)) metrics.ReadFunc {
 	return func(emit metrics.EmitFunc) {
-		read(s.outbound.Counters.Snapshot(), emit, "client")
-		read(s.inbound.Counters.Snapshot(), emit, "server")
+		read(s.outbound.Counters.Snapshot(), emit, clientSide)
+		read(s.inbound.Counters.Snapshot(), emit, serverSide)
 	}
 }
 
+// controlMetrics are the metrics of the control state.
 func (s *Sidecar) controlMetrics() []*metrics.Metric {
 	return []*metrics.Metric{
 		metrics.Gauge("lease_valid", "Whether requests may be admitted: 1 while the lease on the configuration holds.", nil, metrics.Scalar(func() float64 {
@@ -79,7 +87,7 @@
 			return s.agent.lease.Age(time.Now()).Seconds()
 		})),
 		metrics.Gauge("configuration_version", "Version of the configuration in force.", nil, metrics.Scalar(func() float64 {
-			return float64(s.agent.table.Load().Revision)
+			return float64(s.routingTable().Revision)
 		})),
 		metrics.Gauge("feed_lag_seconds", "Time since the last message of the feed from the core that is followed; absent before the first.", nil, func(emit metrics.EmitFunc) {
 			if since := s.agent.watchStatus.Load().LastUpdate; !since.IsZero() {
@@ -90,7 +98,7 @@
 			return float64(len(s.discovery.Replicas().Live(time.Now())))
 		})),
 		metrics.Gauge("sidecars_known", "Sidecars in this one's view, itself included.", nil, metrics.Scalar(func() float64 {
-			return float64(len(s.agent.view.Load().Nodes()))
+			return float64(len(s.membershipView().Nodes()))
 		})),
 		metrics.Gauge("keys_held", "Idempotency keys held for other sidecars, by state.", []string{"state"}, func(emit metrics.EmitFunc) {
 			held, completed := s.replicaServer.Count()
@@ -108,6 +116,7 @@
 	}
 }
 
+// traceMetrics are the metrics of the trace queue.
 func (s *Sidecar) traceMetrics() []*metrics.Metric {
 	return []*metrics.Metric{
 		metrics.Counter("trace_events_total", "Trace events, by what became of them.", []string{"outcome"}, func(emit metrics.EmitFunc) {
--- a/internal/dataplane/report_limiter_test.go
+++ b/internal/dataplane/report_limiter_test.go
@@ -5,33 +5,33 @@
 	"time"
 )
 
-// A single change is told at once; of a storm as many as its time allows, and the last
+// A single change is reported at once; of a storm as many as its time allows, and the last
 // one in any case.
 func TestReportLimiter(t *testing.T) {
 	var r reportLimiter
 	now := time.Unix(1000, 0)
 	if !r.changed(now) {
-		t.Fatal("a single change was not told at once")
+		t.Fatal("a single change was not reported at once")
 	}
-	told, last, newest := 0, 0, 0
+	reported, last, newest := 0, 0, 0
 	const step, storm = 10 * time.Millisecond, 3 * time.Second
 	for at := step; at < storm+2*reportInterval; at += step {
 		now = now.Add(step)
-		tells := false
+		due := false
 		if at < storm && at%(90*time.Millisecond) == 0 {
 			newest++
-			tells = r.changed(now)
+			due = r.changed(now)
 		} else if at%(100*time.Millisecond) == 0 {
-			tells = r.tick(now)
+			due = r.tick(now)
 		}
-		if tells {
-			told, last = told+1, newest
+		if due {
+			reported, last = reported+1, newest
 		}
 	}
-	if most := int(storm/reportInterval) + 1; told > most || last != newest {
-		t.Errorf("%d of %d changes were told, the newest told is %d", told, newest, last)
+	if most := int(storm/reportInterval) + 1; reported > most || last != newest {
+		t.Errorf("%d of %d changes were reported, the newest reported is %d", reported, newest, last)
 	}
 	if now = now.Add(time.Second); !r.changed(now) {
-		t.Error("a change after the storm was not told at once")
+		t.Error("a change after the storm was not reported at once")
 	}
 }
--- a/internal/dataplane/shutdown.go
+++ b/internal/dataplane/shutdown.go
@@ -10,8 +10,18 @@
 	"curlewwalk/internal/process"
 )
 
-// shutdown drains: unready at once, nothing new, what was handed over finishes.
-// (DESIGN 11.3)
+const (
+	// answerReserve is the part of the grace time that is kept for answering what is still
+	// open: rejected if it was not begun, its outcome unknown if it was. (DESIGN 11.3)
+	answerReserve = 300 * time.Millisecond // (ours)
+	// closeIdleTimeout is how long closing idle client connections may take. (ours)
+	closeIdleTimeout = 2 * time.Second
+	// stopPollInterval is how often a stopping sidecar checks whether it is done. (ours)
+	stopPollInterval = 10 * time.Millisecond
+)
+
+// shutdown drains the sidecar: it is unready at once, begins nothing new, and lets what was
+// accepted finish within the grace time. (DESIGN 11.3)
 func (s *Sidecar) shutdown() {
 	signaledAt, before := time.Now(), s.outbound.Counters.Snapshot()
 	drain := s.reloader.Drain()
@@ -21,40 +31,47 @@
 	s.abandonAt.Store(&abandonAt)
 	s.draining.Store(true)
 	s.agent.mailbox.Send(ctx, msgDrain{})
-	// Whoever sends clients here learns only at its next look that this node is not
-	// ready: until then they are served.
-	select {
-	case <-time.After(min(s.settings.ServeOn, drain/2)):
-	case <-ctx.Done():
-	}
+	s.serveOn(ctx, drain)
 	s.closed.Store(true)
-	// A backend's outgoing calls belong to requests that were handed over.
+	// Outgoing calls of own backends belong to requests that were accepted.
 	s.awaitIdle(ctx, abandonAt)
 	abandonedRequests, abandonedAttempts := s.outbound.Counters.InFlight.Load(), s.inbound.Counters.InFlight.Load()
 	s.inbound.RefuseWaiting()
 	s.abandonRequests(proxy.ErrStopping)
 	s.awaitAnswered(ctx)
-	// A client may be writing on an idle connection just as it is closed, and could
-	// not know whether that was read: so it is told first, on the connection.
-	farewellCtx, cancelFarewell := context.WithTimeout(ctx, farewellTimeout)
-	defer cancelFarewell()
-	farewellResponse := proxy.ShutdownResponse(s.outbound.Dialect)
-	farewell := process.ClosingResponse(farewellResponse.Header, farewellResponse.Body)
-	s.httpServers[1].CloseIdle(farewellCtx, farewell)
-	s.egress.sayFarewell(farewellCtx, farewell)
-	for _, w := range s.httpServers {
-		w.Shutdown(ctx)
-	}
-	s.egress.stop(ctx)
+	s.closeIdleConnections(ctx)
+	s.closeServers(ctx)
 	s.process.Close()
 	s.reportShutdown(signaledAt, before, abandonedRequests, abandonedAttempts)
 }
 
-// answerReserve is what of the time to stop is kept for answering what is still open: refused
-// if it was not begun, its outcome unknown if it was. (DESIGN 11.3)
-const answerReserve = 300 * time.Millisecond // (ours)
+// serveOn keeps serving clients for a while: whoever sends them here learns only at the next
+// health check that this sidecar is not ready.
+func (s *Sidecar) serveOn(ctx context.Context, drain time.Duration) {
+	select {
+	case <-time.After(min(s.settings.ServeOn, drain/2)):
+	case <-ctx.Done():
+	}
+}
+
+// refusesClients tells whether clients' requests are refused. The calls of an own backend
+// belong to requests that were accepted: where they can't be told from clients', all that
+// surely end before the shutdown does are taken while the backend runs one. (DESIGN 11.3)
+func (s *Sidecar) refusesClients() bool {
+	return s.closed.Load() && (s.settings.Caller == "" || s.inbound.Counters.InFlight.Load() == 0)
+}
+
+// shutdownTime is the time until which what is still taken must have ended; stopping is
+// false while clients are not refused.
+func (s *Sidecar) shutdownTime() (end time.Time, stopping bool) {
+	at := s.abandonAt.Load()
+	if at == nil || !s.closed.Load() {
+		return time.Time{}, false
+	}
+	return *at, true
+}
 
-// awaitIdle waits until nothing is open, or its time is over.
+// awaitIdle waits until nothing is open, or until end.
 func (s *Sidecar) awaitIdle(ctx context.Context, end time.Time) {
 	ctx, cancel := context.WithDeadline(ctx, end)
 	defer cancel()
@@ -79,12 +96,29 @@
 	}
 }
 
-// stopPollInterval is how often a stopping sidecar looks whether it is done.
-const stopPollInterval = 10 * time.Millisecond // (ours)
+// closeIdleConnections closes the idle connections of callers. One may be sending a request
+// just then, and could not know whether that was read: so the answer to it, that it was not
+// run, is written on the connection first.
+func (s *Sidecar) closeIdleConnections(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, closeIdleTimeout)
+	defer cancel()
+	shutdownResponse := proxy.ShutdownResponse(s.outbound.Dialect)
+	farewell := process.ClosingResponse(shutdownResponse.Header, shutdownResponse.Body)
+	s.requestServer.CloseIdle(ctx, farewell)
+	s.egress.closeIdle(ctx, farewell)
+}
+
+// closeServers closes the HTTP addresses; open requests may finish until ctx ends.
+func (s *Sidecar) closeServers(ctx context.Context) {
+	s.apiServer.Shutdown(ctx)
+	s.requestServer.Shutdown(ctx)
+	s.egress.shutdown(ctx)
+}
 
-// reportShutdown prints what became of the requests that came since the warning: the ring and
-// the metrics end with the process. givenUp counts the requests of callers that were open
-// when the time was over, attempts the ones for own backends.
+// reportShutdown prints what became of the requests that came since the signal to stop: the
+// log ring and the metrics end with the process. abandonedRequests counts the requests of
+// callers that were open when the time was over, abandonedAttempts the attempts for own
+// backends.
 func (s *Sidecar) reportShutdown(signaledAt time.Time, before proxy.Totals, abandonedRequests, abandonedAttempts int64) {
 	total := s.outbound.Counters.Snapshot()
 	fmt.Fprintf(os.Stdout, "stopped after=%v asked=%d answered=%d not-run=%d unknown=%d given-up=%d attempts-given-up=%d\n",
--- /dev/null
+++ b/internal/dataplane/wiring.go
@@ -0,0 +1,246 @@
+package dataplane
+
+import (
+	"context"
+	"maps"
+	"net/netip"
+
+	"curlewwalk/internal/dataplane/endpoints"
+	"curlewwalk/internal/dataplane/keyreplication"
+	"curlewwalk/internal/dataplane/proxy"
+	"curlewwalk/internal/dataplane/routing"
+	"curlewwalk/internal/membership"
+	"curlewwalk/internal/transport"
+	"curlewwalk/internal/watch"
+)
+
+// newAgent makes the owner of the control state.
+func (s *Sidecar) newAgent() *agent {
+	return newAgent(agentConfig{
+		Addr:              s.settings.Advertise,
+		Incarnation:       s.process.Incarnation,
+		Zone:              s.settings.Zone,
+		HeartbeatInterval: s.settings.Beat,
+		SlowStart:         routing.SlowStart{Duration: s.settings.Ramp, InitialShare: s.settings.RampFrom},
+	}, agentDeps{
+		Actors:         s.process.Actors,
+		RetryBudgets:   s.retryBudgets,
+		LatencyBudgets: s.latencyBudgets,
+		Suspects:       s.prober.Suspects,
+		HeartbeatNow:   s.discovery.HeartbeatNow,
+		Notice:         s.process.Notice,
+	})
+}
+
+// configureDiscovery connects the discovery of control plane replicas with the agent, of
+// which it tells them.
+func (s *Sidecar) configureDiscovery() {
+	s.discovery.Addr = s.settings.Advertise
+	s.discovery.Client = s.process.TransportClient
+	s.discovery.Actors = s.process.Actors
+	s.discovery.Local = s.localHeartbeat
+	s.discovery.OnResponse = s.agent.handleHeartbeatResponse
+	s.discovery.OnReplica = func(context.Context, membership.Replica) {}
+}
+
+// newProber makes the part that probes the sidecars which this one monitors.
+func (s *Sidecar) newProber() *membership.Prober {
+	prober := membership.NewProber()
+	prober.Addr = s.settings.Advertise
+	prober.View = s.membershipView
+	prober.Client = s.process.TransportClient
+	prober.Actors = s.process.Actors
+	prober.OnChange = s.discovery.HeartbeatNow
+	return prober
+}
+
+// newGossiper makes the part that asks other sidecars while no control plane replica
+// answers. (DESIGN 7.4)
+func (s *Sidecar) newGossiper() *membership.Gossiper {
+	gossiper := membership.NewGossiper()
+	gossiper.Addr = s.settings.Advertise
+	gossiper.Client = s.process.TransportClient
+	gossiper.Actors = s.process.Actors
+	gossiper.Node = s.agent.node
+	gossiper.View = s.membershipView
+	gossiper.Replicas = s.discovery.Replicas
+	gossiper.State = s.agent.controlState.Load
+	gossiper.Seeds = s.discovery.Seeds
+	gossiper.UpdateAge = s.agent.updateAge
+	gossiper.OnConfirmed = s.agent.peerLease.Renew
+	gossiper.OnUpdate = func(ctx context.Context, update membership.GossipUpdate) {
+		s.discovery.Receive(membership.Heartbeat{KnownReplicas: update.KnownReplicas})
+		s.agent.mailbox.Send(ctx, msgGossip{update})
+	}
+	return gossiper
+}
+
+// newWatcher makes the part that watches a control plane replica for updates.
+func (s *Sidecar) newWatcher() *watch.Watcher {
+	return &watch.Watcher{
+		Addr:         s.settings.Advertise,
+		Zone:         s.settings.Zone,
+		Replicas:     s.discovery.Replicas,
+		Client:       s.process.TransportClient,
+		HeartbeatNow: s.discovery.HeartbeatNow,
+		OnUpdates:    s.agent.handleUpdates,
+	}
+}
+
+// newOutbound makes the client side of the proxy.
+func (s *Sidecar) newOutbound() *proxy.Outbound {
+	var lifetime context.Context
+	lifetime, s.abandonRequests = context.WithCancelCause(s.process.Context)
+	return proxy.NewOutbound(proxy.OutboundConfig{
+		Zone:          s.settings.Zone,
+		LocalService:  s.settings.Caller,
+		EjectionTime:  s.settings.Shun,
+		WaitShare:     s.settings.Hold,
+		MinRetryAfter: s.settings.ComeBack,
+		AcceptLate:    s.settings.Late,
+		CrossZoneCost: s.settings.Crossing,
+	}, proxy.OutboundDeps{
+		Table:        s.routingTable,
+		View:         s.membershipView,
+		Transport:    s.process.TransportClient,
+		Actors:       s.process.Actors,
+		Spans:        s.traceQueue,
+		Log:          s.process.Log,
+		Causality:    s.causality,
+		Reservations: s.reservations,
+		Bodies:       s.newBodyLimiter(),
+		RetryBudgets: s.retryBudgets,
+		Budgets:      s.latencyBudgets,
+		Latencies:    routing.NewLatencyTable(),
+		Dialect:      s.dialect,
+		Lifetime:     lifetime,
+
+		Draining:                 s.refusesClients,
+		ShutdownTime:             s.shutdownTime,
+		ConfigurationUnconfirmed: s.configurationUnconfirmed,
+		ConfigurationOutdated:    s.configurationOutdated,
+	})
+}
+
+// newKeyOwner makes the part that replicates this sidecar's idempotency keys to others.
+func (s *Sidecar) newKeyOwner() *keyreplication.Owner {
+	owner := &keyreplication.Owner{
+		Addr:        s.settings.Advertise,
+		Incarnation: s.process.Incarnation,
+		Zone:        s.settings.Zone,
+		View:        s.membershipView,
+		ViewReady:   s.agent.configured,
+		Client:      s.process.TransportClient,
+		Actors:      s.process.Actors,
+		Restore:     s.outbound.RestoreKey,
+	}
+	owner.Init()
+	return owner
+}
+
+// newInbound makes the server side of the proxy, beside the own backends.
+func (s *Sidecar) newInbound() *proxy.Inbound {
+	return proxy.NewInbound(s.process.Context, proxy.InboundConfig{
+		Incarnation:      s.process.Incarnation,
+		HalfCapacityTime: s.settings.Halving,
+	}, proxy.InboundDeps{
+		Actors:    s.process.Actors,
+		Endpoints: func() endpoints.Registry { return *s.agent.registry.Load() },
+		Table:     s.routingTable,
+		Spans:     s.traceQueue,
+		Causality: s.causality,
+		LeaseHeld: s.leaseValid,
+		Draining:  s.draining.Load,
+		Bodies:    s.newBodyLimiter(),
+		Dialect:   s.dialect,
+	})
+}
+
+// newBodyLimiter bounds the memory that one side of the proxy takes for bodies.
+func (s *Sidecar) newBodyLimiter() *proxy.BodyLimiter {
+	return &proxy.BodyLimiter{MaxBody: s.settings.MaxBody, MaxTotal: s.settings.BodyMemory}
+}
+
+// newEgressListeners makes the addresses for the own backends' outgoing calls.
+func (s *Sidecar) newEgressListeners() *egressListeners {
+	return newEgressListeners(egressConfig{
+		Host:  netip.MustParseAddrPort(s.settings.Advertise).Addr(),
+		Fixed: s.settings.Outgoing,
+	}, egressDeps{
+		Services: s.agent.services,
+		Serve:    s.process.Serve,
+		Handler:  s.outbound.Handler,
+	})
+}
+
+// registerHandlers sets what other processes may call.
+func (s *Sidecar) registerHandlers() {
+	handlers := s.process.TransportServer.Handlers
+	maps.Copy(handlers, s.replicaServer.Handlers())
+	handlers[membership.KindHeartbeat] = s.handleHeartbeat
+	handlers[membership.KindProbe] = s.handleProbe
+	handlers[membership.KindGossip] = s.gossiper.HandleGossip
+	handlers[proxy.KindAttempt] = s.inbound.HandleAttempt
+	handlers[proxy.KindCancel] = s.inbound.HandleCancel
+}
+
+// handleHeartbeat answers another process's heartbeat.
+func (s *Sidecar) handleHeartbeat(_ context.Context, request transport.Request) (any, string) {
+	var heartbeat membership.Heartbeat
+	if !request.Decode(&heartbeat) {
+		return nil, "not a heartbeat"
+	}
+	return s.discovery.Respond(heartbeat, nil), ""
+}
+
+// handleProbe answers a health check of another sidecar.
+func (s *Sidecar) handleProbe(context.Context, transport.Request) (any, string) {
+	return membership.Probe{Incarnation: s.process.Incarnation, Refutation: s.agent.refutation.Load()}, ""
+}
+
+// localHeartbeat is what this sidecar tells of itself.
+func (s *Sidecar) localHeartbeat() membership.Heartbeat {
+	node := s.agent.node()
+	return membership.Heartbeat{Node: &node}
+}
+
+// listen opens the addresses, or ends the process. The names are those of the settings.
+func (s *Sidecar) listen() {
+	p := s.process
+	p.TransportServer.Listener = p.Listen("wire", s.settings.Wire)
+	s.apiServer = p.Serve(p.Listen("control", s.settings.Control), s.apiHandler())
+	s.requestServer = p.Serve(p.Listen("inquiries", s.settings.Requests), s.outbound.Handler(""))
+	for service := range s.settings.Outgoing {
+		if _, err := s.egress.addr(service); err != nil {
+			p.Fatal("outgoing "+service, err)
+		}
+	}
+}
+
+// start starts the parts' loops; they end with the process's context.
+func (s *Sidecar) start() {
+	s.run("causality", s.causality.Run)
+	s.run("idempotency", s.reservations.Run)
+	s.run("gossiper", s.gossiper.Run)
+	s.run("watcher", s.watcher.Run)
+	s.run("transport-client", s.process.TransportClient.Run)
+	s.run("transport-server", s.process.TransportServer.Run)
+	s.run("agent", s.agent.Run)
+	s.run("discovery", s.discovery.Run)
+	s.run("prober", s.prober.Run)
+	s.run("replica-server", s.replicaServer.Run)
+	s.run("key-replication", s.outbound.KeyReplication.Run)
+	for range tracePublishers {
+		s.run("trace-publisher", s.newTracePublisher().Run)
+	}
+}
+
+func (s *Sidecar) run(name string, loop func(ctx context.Context)) {
+	s.process.Actors.Go(s.process.Context, name, loop)
+}
+
+// routingTable is the routing table in force.
+func (s *Sidecar) routingTable() *routing.Table { return s.agent.table.Load() }
+
+// membershipView is the newest view of all sidecars.
+func (s *Sidecar) membershipView() *membership.View { return s.agent.view.Load() }
