--- a/internal/maintenance/action.go
+++ b/internal/maintenance/action.go
@@ -6,30 +6,37 @@
 	"curlewwalk/internal/config"
 )
 
-// Action is what the windows ask of the operator's word now: that a zone be
-// emptied for a window, or that a window be over.
+// Action is a change of the control state that the calendar asks for: to begin a window, which
+// evacuates its zone, or to end one.
 type Action struct {
-	Zone, Window string
-	Start        bool
+	Zone string
+	// Window is the Occurrence's ID.
+	Window string
+	// Start tells whether the window begins; otherwise it ends.
+	Start bool
 }
 
-// Decide compares the windows that go on with those that the word has noted.
-// What is noted is never begun again, whoever decides. (DESIGN 17.1)
-func Decide(c Calendar, begun []config.ZoneClosure, now time.Time) (out []Action) {
-	active := map[string]bool{}
-	known := map[string]bool{}
-	for _, n := range begun {
-		known[n.Window] = true
+// Decide compares the windows that are active now with those that the control state records as
+// begun. A window that is on record is not begun again, whichever replica decides. (DESIGN 17.1)
+func Decide(calendar Calendar, begun []config.ZoneClosure, now time.Time) (actions []Action) {
+	recorded := map[string]bool{}
+	for _, closure := range begun {
+		recorded[closure.Window] = true
 	}
-	for _, o := range c.Between(now, now) {
-		if active[o.ID] = o.ActiveAt(now); active[o.ID] && !known[o.ID] {
-			out = append(out, Action{Zone: o.Zone, Window: o.ID, Start: true})
+	active := map[string]bool{}
+	for _, occurrence := range calendar.Between(now, now) {
+		if !occurrence.ActiveAt(now) {
+			continue
+		}
+		active[occurrence.ID] = true
+		if !recorded[occurrence.ID] {
+			actions = append(actions, Action{Zone: occurrence.Zone, Window: occurrence.ID, Start: true})
 		}
 	}
-	for _, n := range begun {
-		if !active[n.Window] {
-			out = append(out, Action{Zone: n.Zone, Window: n.Window})
+	for _, closure := range begun {
+		if !active[closure.Window] {
+			actions = append(actions, Action{Zone: closure.Zone, Window: closure.Window})
 		}
 	}
-	return out
+	return actions
 }
--- a/internal/maintenance/calendar.go
+++ b/internal/maintenance/calendar.go
@@ -1,5 +1,3 @@
-// Package maintenance reads maintenance windows from iCalendar files and decides what
-// they ask for. (DESIGN 17)
 package maintenance
 
 import (
@@ -13,17 +11,18 @@
 )
 
 const (
-	// MaxBytes bounds a calendar.
+	// MaxBytes bounds a calendar file.
 	MaxBytes = 256 << 10
-	// maxEvents bounds its events, longest one of them.
-	maxEvents   = 200                 // (ours)
+	// maxEvents bounds its events.
+	maxEvents = 200 // (ours)
+	// maxDuration bounds one window.
 	maxDuration = 31 * 24 * time.Hour // (ours)
 )
 
-// Calendar is a checked file of windows. Each event empties the zone that its
-// LOCATION names; recurrence and time zones are as the library reads them.
+// Calendar is a valid calendar file. The zero value has no windows.
 type Calendar struct{ events []event }
 
+// event is one event of a calendar, with all its occurrences.
 type event struct {
 	uid, zone, summary string
 	start              time.Time
@@ -31,24 +30,41 @@
 	recurrence         *rrule.Set // nil if it does not recur
 }
 
-// Between lists the occurrences that go on at some moment of a stretch, by their
-// begin.
-func (c Calendar) Between(from, to time.Time) (out []Occurrence) {
+// Between lists the occurrences that are active at some moment from from to to, by their start.
+func (c Calendar) Between(from, to time.Time) (occurrences []Occurrence) {
 	for _, e := range c.events {
-		begins := []time.Time{e.start}
-		if e.recurrence != nil {
-			begins = e.recurrence.Between(from.Add(-e.duration), to, true)
-		}
-		for _, b := range begins {
-			o := Occurrence{ID: e.uid + " " + b.UTC().Format(time.RFC3339), Zone: e.zone, Start: b, End: b.Add(e.duration), Summary: e.summary}
-			if o.End.After(from) && !o.Start.After(to) {
-				out = append(out, o)
+		for _, start := range e.startsBetween(from.Add(-e.duration), to) {
+			occurrence := e.occurrenceAt(start)
+			if occurrence.End.After(from) && !occurrence.Start.After(to) {
+				occurrences = append(occurrences, occurrence)
 			}
 		}
 	}
-	slices.SortFunc(out, func(a, b Occurrence) int { return cmp.Or(a.Start.Compare(b.Start), cmp.Compare(a.ID, b.ID)) })
-	return out
+	slices.SortFunc(occurrences, func(a, b Occurrence) int {
+		return cmp.Or(a.Start.Compare(b.Start), cmp.Compare(a.ID, b.ID))
+	})
+	return occurrences
+}
+
+// startsBetween lists the starts of a recurring event in a span, or the only start of another one.
+func (e event) startsBetween(from, to time.Time) []time.Time {
+	if e.recurrence == nil {
+		return []time.Time{e.start}
+	}
+	return e.recurrence.Between(from, to, true)
 }
 
-// decode has the library read a file.
-func decode(b []byte) (*ical.Calendar, error) { return ical.NewDecoder(bytes.NewReader(b)).Decode() }
+func (e event) occurrenceAt(start time.Time) Occurrence {
+	return Occurrence{
+		ID:      e.uid + " " + start.UTC().Format(time.RFC3339),
+		Zone:    e.zone,
+		Start:   start,
+		End:     start.Add(e.duration),
+		Summary: e.summary,
+	}
+}
+
+// decode reads the first calendar of a file.
+func decode(file []byte) (*ical.Calendar, error) {
+	return ical.NewDecoder(bytes.NewReader(file)).Decode()
+}
--- a/internal/maintenance/occurrence.go
+++ b/internal/maintenance/occurrence.go
@@ -2,15 +2,16 @@
 
 import "time"
 
-// Occurrence is one time at which a zone is to be emptied.
+// Occurrence is one maintenance window: a time during which a zone is evacuated. An event that
+// recurs has many.
 type Occurrence struct {
-	// ID is that of the event and of its moment.
+	// ID is unique: the event's UID and the start, in UTC.
 	ID      string    `json:"id"`
 	Zone    string    `json:"locality"`
 	Start   time.Time `json:"begin"`
-	End     time.Time `json:"end"`
+	End     time.Time `json:"end"` // exclusive
 	Summary string    `json:"summary,omitempty"`
 }
 
-// ActiveAt tells whether it is going on.
+// ActiveAt tells whether now is in the window.
 func (o Occurrence) ActiveAt(now time.Time) bool { return !now.Before(o.Start) && now.Before(o.End) }
--- a/internal/maintenance/parse.go
+++ b/internal/maintenance/parse.go
@@ -15,150 +15,178 @@
 	"curlewwalk/internal/config"
 )
 
-// Parse reads and checks a file; the faults name its lines.
-func Parse(b []byte) (c Calendar, faults []config.FieldViolation) {
-	p := &parser{lines: bytes.SplitAfter(b, []byte("\n"))}
-	if len(b) > MaxBytes {
-		p.addFault(1, "the file is over %d bytes", MaxBytes)
-		return c, p.faults
-	}
-	cal, err := decode(b)
+// A recurring event starts within these years: from a start far off, the library would count
+// through every occurrence.
+const (
+	firstRecurrenceYear = 2000 // (ours)
+	lastRecurrenceYear  = 2100 // (ours)
+)
+
+// Parse reads and validates a calendar file. Each violation's path is a line of the file, from 1;
+// with any violation, the calendar is empty.
+func Parse(file []byte) (Calendar, []config.FieldViolation) {
+	p := &parser{lines: bytes.SplitAfter(file, []byte("\n"))}
+	calendar := p.parse(file)
+	if len(p.violations) > 0 {
+		return Calendar{}, p.violations
+	}
+	return calendar, nil
+}
+
+// parser collects violations and finds their lines, which the library does not tell.
+type parser struct {
+	lines      [][]byte
+	eventLine  int // the line on which the current event begins
+	violations []config.FieldViolation
+}
+
+func (p *parser) addViolation(line int, format string, args ...any) {
+	p.violations = append(p.violations, config.FieldViolation{Path: fmt.Sprintf("line %d", line), Message: fmt.Sprintf(format, args...)})
+}
+
+// parse reads the file as far as it can be read.
+func (p *parser) parse(file []byte) (calendar Calendar) {
+	if len(file) > MaxBytes {
+		p.addViolation(1, "the file is over %d bytes", MaxBytes)
+		return calendar
+	}
+	decoded, err := decode(file)
 	if err != nil {
-		p.addFault(p.firstBadLine(), "%v", err)
-		return c, p.faults
+		p.addViolation(p.firstBadLine(), "%v", err)
+		return calendar
 	}
-	if cal.Name != ical.CompCalendar {
-		p.addFault(1, "must be a %s", ical.CompCalendar)
-		return c, p.faults
+	if decoded.Name != ical.CompCalendar {
+		p.addViolation(1, "must be a %s", ical.CompCalendar)
+		return calendar
 	}
-	seen := map[string]int{}
-	for i, e := range cal.Events() {
+	lineOfUID := map[string]int{}
+	for i, component := range decoded.Events() {
 		p.eventLine = p.startLine(i)
 		if i >= maxEvents {
-			p.addFault(p.eventLine, "over %d events", maxEvents)
+			p.addViolation(p.eventLine, "over %d events", maxEvents)
 			break
 		}
-		ev, ok := p.parseEvent(e)
-		if first, dup := seen[ev.uid]; dup && ok {
-			p.addFault(p.propertyLine("UID"), "%q is the UID of line %d too", ev.uid, first)
+		parsed, ok := p.parseEvent(component)
+		if first, duplicate := lineOfUID[parsed.uid]; duplicate && ok {
+			p.addViolation(p.propertyLine(ical.PropUID), "%q is the UID of line %d too", parsed.uid, first)
 		}
-		seen[ev.uid] = p.eventLine
-		c.events = append(c.events, ev)
-	}
-	if len(p.faults) > 0 {
-		return Calendar{}, p.faults
+		lineOfUID[parsed.uid] = p.eventLine
+		calendar.events = append(calendar.events, parsed)
 	}
-	return c, nil
+	return calendar
 }
 
-// parser finds the lines of what is wrong.
-type parser struct {
-	lines     [][]byte
-	eventLine int // the line on which the event begins
-	faults    []config.FieldViolation
-}
-
-func (p *parser) addFault(line int, format string, args ...any) {
-	p.faults = append(p.faults, config.FieldViolation{Path: fmt.Sprintf("line %d", line), Message: fmt.Sprintf(format, args...)})
-}
-
-// firstBadLine is the first line that the library can't read: what stands before it
+// firstBadLine is the first line that the library can't read: a file that is cut off before it
 // only ends too early.
 func (p *parser) firstBadLine() int {
-	n := sort.Search(len(p.lines), func(n int) bool {
-		_, err := decode(bytes.Join(p.lines[:n+1], nil))
+	i := sort.Search(len(p.lines), func(i int) bool {
+		_, err := decode(bytes.Join(p.lines[:i+1], nil))
 		return err != nil && !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF)
 	})
-	return min(n+1, len(p.lines))
+	return min(i+1, len(p.lines))
 }
 
-// startLine is the line on which an event begins.
-func (p *parser) startLine(i int) int {
-	for n, l := range p.lines {
-		if strings.EqualFold(strings.TrimSpace(string(l)), "BEGIN:VEVENT") {
-			if i--; i < 0 {
-				return n + 1
-			}
+// startLine is the line on which the event of an index begins.
+func (p *parser) startLine(index int) int {
+	for i, line := range p.lines {
+		if !strings.EqualFold(strings.TrimSpace(string(line)), "BEGIN:VEVENT") {
+			continue
+		}
+		if index == 0 {
+			return i + 1
 		}
+		index--
 	}
 	return 1
 }
 
-// propertyLine is where a property of the event stands.
+// propertyLine is the line of a property of the current event, or else the event's.
 func (p *parser) propertyLine(name string) int {
-	for n := p.eventLine; n < len(p.lines); n++ {
-		text := strings.ToUpper(strings.TrimSpace(string(p.lines[n])))
-		if strings.HasPrefix(text, name+":") || strings.HasPrefix(text, name+";") {
-			return n + 1
+	for i := p.eventLine; i < len(p.lines); i++ {
+		line := strings.ToUpper(strings.TrimSpace(string(p.lines[i])))
+		if strings.HasPrefix(line, name+":") || strings.HasPrefix(line, name+";") {
+			return i + 1
 		}
-		if text == "END:VEVENT" {
+		if line == "END:VEVENT" {
 			break
 		}
 	}
 	return p.eventLine
 }
 
-// parseEvent takes one event.
-func (p *parser) parseEvent(e ical.Event) (ev event, ok bool) {
-	before := len(p.faults)
-	text := func(name string, required bool) string {
-		prop := e.Props.Get(name)
-		if prop == nil {
-			if required {
-				p.addFault(p.eventLine, "the event has no %s", name)
-			}
-			return ""
-		}
-		s, err := prop.Text()
-		if err != nil {
-			p.addFault(p.propertyLine(name), "%s: %v", name, err)
+// parseEvent reads the current event; ok is false if it has a violation.
+func (p *parser) parseEvent(component ical.Event) (parsed event, ok bool) {
+	before := len(p.violations)
+	parsed.uid = p.text(component, ical.PropUID, true)
+	parsed.zone = p.text(component, ical.PropLocation, true)
+	parsed.summary = p.text(component, ical.PropSummary, false)
+	if parsed.zone != "" && !config.IsValidName(parsed.zone) {
+		p.addViolation(p.propertyLine(ical.PropLocation), "LOCATION %q: must be %s", parsed.zone, config.NameRules)
+	}
+	if p.parseTimes(component, &parsed) {
+		p.parseRecurrence(component, &parsed)
+	}
+	return parsed, len(p.violations) == before
+}
+
+// text reads a property of the current event.
+func (p *parser) text(component ical.Event, name string, required bool) string {
+	property := component.Props.Get(name)
+	if property == nil {
+		if required {
+			p.addViolation(p.eventLine, "the event has no %s", name)
 		}
-		return s
+		return ""
 	}
-	ev.uid, ev.zone, ev.summary = text(ical.PropUID, true), text(ical.PropLocation, true), text(ical.PropSummary, false)
-	if ev.zone != "" && !config.IsValidName(ev.zone) {
-		p.addFault(p.propertyLine(ical.PropLocation), "LOCATION %q: must be %s", ev.zone, config.NameRules)
+	text, err := property.Text()
+	if err != nil {
+		p.addViolation(p.propertyLine(name), "%s: %v", name, err)
 	}
-	if e.Props.Get(ical.PropDateTimeStart) == nil {
-		p.addFault(p.eventLine, "the event has no DTSTART")
-		return ev, false
+	return text
+}
+
+// parseTimes reads the current event's start and duration; false if they can't be read.
+func (p *parser) parseTimes(component ical.Event, parsed *event) bool {
+	if component.Props.Get(ical.PropDateTimeStart) == nil {
+		p.addViolation(p.eventLine, "the event has no DTSTART")
+		return false
 	}
 	var err error
-	if ev.start, err = e.DateTimeStart(time.UTC); err != nil {
-		p.addFault(p.propertyLine(ical.PropDateTimeStart), "DTSTART: %v", err)
-		return ev, false
+	if parsed.start, err = component.DateTimeStart(time.UTC); err != nil {
+		p.addViolation(p.propertyLine(ical.PropDateTimeStart), "DTSTART: %v", err)
+		return false
 	}
-	end, err := e.DateTimeEnd(time.UTC)
+	end, err := component.DateTimeEnd(time.UTC)
 	if err != nil {
-		p.addFault(p.propertyLine(ical.PropDateTimeEnd), "DTEND or DURATION: %v", err)
-		return ev, false
+		p.addViolation(p.propertyLine(ical.PropDateTimeEnd), "DTEND or DURATION: %v", err)
+		return false
 	}
-	if ev.duration = end.Sub(ev.start); ev.duration <= 0 || ev.duration > maxDuration {
-		p.addFault(p.eventLine, "lasts %v: must be more than 0s, at most %v", ev.duration, maxDuration)
+	parsed.duration = end.Sub(parsed.start)
+	if parsed.duration <= 0 || parsed.duration > maxDuration {
+		p.addViolation(p.eventLine, "lasts %v: must be more than 0s, at most %v", parsed.duration, maxDuration)
 	}
-	p.parseRecurrence(e, &ev)
-	return ev, len(p.faults) == before
+	return true
 }
 
-// parseRecurrence takes the event's rule.
-func (p *parser) parseRecurrence(e ical.Event, ev *event) {
-	if e.Props.Get(ical.PropRecurrenceRule) == nil {
+// parseRecurrence reads the current event's recurrence rule, if it has one.
+func (p *parser) parseRecurrence(component ical.Event, parsed *event) {
+	if component.Props.Get(ical.PropRecurrenceRule) == nil {
 		return
 	}
-	at := p.propertyLine(ical.PropRecurrenceRule)
-	set, err := e.RecurrenceSet(time.UTC)
+	line := p.propertyLine(ical.PropRecurrenceRule)
+	set, err := component.RecurrenceSet(time.UTC)
 	if err != nil || set == nil {
-		p.addFault(at, "RRULE: %v", err)
+		p.addViolation(line, "RRULE: %v", err)
 		return
 	}
-	r := set.GetRRule()
-	if r == nil || r.OrigOptions.Freq > rrule.DAILY {
-		p.addFault(at, "RRULE: must recur by day, week, month or year")
+	rule := set.GetRRule()
+	if rule == nil || rule.OrigOptions.Freq > rrule.DAILY {
+		p.addViolation(line, "RRULE: must recur by day, week, month or year")
 		return
 	}
-	if ev.start.Year() < 2000 || ev.start.Year() > 2100 {
-		p.addFault(p.propertyLine(ical.PropDateTimeStart), "DTSTART: a recurring event must begin between 2000 and 2100")
+	if parsed.start.Year() < firstRecurrenceYear || parsed.start.Year() > lastRecurrenceYear {
+		p.addViolation(p.propertyLine(ical.PropDateTimeStart), "DTSTART: a recurring event must begin between %d and %d", firstRecurrenceYear, lastRecurrenceYear)
 		return
 	}
-	ev.recurrence = set
+	parsed.recurrence = set
 }
