--- a/internal/tracestore/store.go
+++ b/internal/tracestore/store.go
@@ -1,5 +1,3 @@
-// Package tracestore is the trace collector of a core: it stores the events of finished
-// spans and builds the tree of a trace. (DESIGN 2.6)
 package tracestore
 
 import (
@@ -10,39 +8,42 @@
 	"curlewwalk/internal/transport"
 )
 
-// Message kinds on the wire.
+// The kinds of requests that a Store serves.
 const (
 	KindPublish = "publish"
 	KindTrace   = "trace"
 )
 
-// Batch is a number of events that a sidecar publishes at once.
+// Batch is a number of events: what a sidecar publishes at once, and the response to a Query.
 type Batch struct {
 	Events []trace.Event `msgpack:"e"`
 }
 
-// PublishReply is the response to a batch: how many events were stored.
+// PublishReply is the response to a published Batch.
 type PublishReply struct {
+	// Stored is how many events were received.
 	Stored int `msgpack:"n"`
 }
 
-// Query asks a core for the events that it has of a trace.
+// Query asks a replica for the events that it has of a trace.
 type Query struct {
 	Trace trace.TraceID `msgpack:"t"`
 }
 
-// Store is a bounded store of events by trace, owned by the goroutine of Run.
+// Store holds the events of the newest traces, in bounded memory. Its table is owned by the
+// goroutine of Run; nothing is answered before Run is called.
 type Store struct {
 	batches chan []trace.Event
 	lookups chan lookup
 }
 
+// lookup asks Run's goroutine for the events of a trace.
 type lookup struct {
-	id    trace.TraceID
-	reply chan []trace.Event
+	id       trace.TraceID
+	response chan []trace.Event
 }
 
-// NewStore makes a store.
+// NewStore makes an empty store.
 func NewStore() *Store {
 	return &Store{batches: make(chan []trace.Event), lookups: make(chan lookup)}
 }
@@ -56,36 +57,36 @@
 			return
 		case batch := <-s.batches:
 			table.add(batch)
-		case q := <-s.lookups:
-			q.reply <- slices.Clone(table.byID[q.id])
+		case l := <-s.lookups:
+			l.response <- slices.Clone(table.byID[l.id])
 		}
 	}
 }
 
-// HandlePublish handles a Batch from the wire.
+// HandlePublish handles a Batch with a PublishReply.
 func (s *Store) HandlePublish(ctx context.Context, request transport.Request) (any, string) {
-	var b Batch
-	if !request.Decode(&b) {
+	var batch Batch
+	if !request.Decode(&batch) {
 		return nil, "not a batch"
 	}
 	select {
-	case s.batches <- b.Events:
-		return PublishReply{Stored: len(b.Events)}, ""
+	case s.batches <- batch.Events:
+		return PublishReply{Stored: len(batch.Events)}, ""
 	case <-ctx.Done():
 		return nil, "stopping"
 	}
 }
 
-// HandleQuery handles a Query from the wire.
+// HandleQuery handles a Query with a Batch.
 func (s *Store) HandleQuery(ctx context.Context, request transport.Request) (any, string) {
-	var q Query
-	if !request.Decode(&q) {
+	var query Query
+	if !request.Decode(&query) {
 		return nil, "not a query"
 	}
-	pending := lookup{id: q.Trace, reply: make(chan []trace.Event, 1)}
+	l := lookup{id: query.Trace, response: make(chan []trace.Event, 1)}
 	select {
-	case s.lookups <- pending:
-		return Batch{Events: <-pending.reply}, ""
+	case s.lookups <- l:
+		return Batch{Events: <-l.response}, ""
 	case <-ctx.Done():
 		return nil, "stopping"
 	}
--- a/internal/tracestore/table.go
+++ b/internal/tracestore/table.go
@@ -3,17 +3,17 @@
 import "curlewwalk/internal/trace"
 
 const (
-	// maxTraces bounds the traces that a core keeps.
+	// maxTraces bounds the traces that are kept.
 	maxTraces = 20000 // (ours)
-	// maxEvents bounds the events that are kept of one trace.
+	// maxEvents bounds the events that are kept of one trace; later ones are dropped.
 	maxEvents = 2000 // (ours)
 )
 
-// traceTable are the events of the newest traces. When there are too many traces, the
-// one that was first heard of goes.
+// traceTable has the events of the newest traces. Beyond maxTraces, the trace whose first event
+// came first is evicted.
 type traceTable struct {
 	byID map[trace.TraceID][]trace.Event
-	// order has the traces in the order in which they were first heard of.
+	// order has the traces in the order of their first events.
 	order []trace.TraceID
 }
 
@@ -21,7 +21,7 @@
 	return &traceTable{byID: map[trace.TraceID][]trace.Event{}}
 }
 
-// add stores a batch of events. What is beyond the bound of a trace is dropped.
+// add stores a batch of events.
 func (t *traceTable) add(batch []trace.Event) {
 	for _, event := range batch {
 		t.addEvent(event)
--- a/internal/tracestore/tree.go
+++ b/internal/tracestore/tree.go
@@ -7,18 +7,18 @@
 	"curlewwalk/internal/trace"
 )
 
-// Tree is a whole trace as an operator reads it.
+// Tree is a trace as GET /v1/traces/{id} shows it. A span whose parent is unknown is a root.
 type Tree struct {
 	Trace string `json:"trace"`
 	Spans int    `json:"spans"`
-	// Complete tells whether nothing is missing.
+	// Complete tells whether all spans have all their events, and their parents.
 	Complete bool        `json:"whole"`
 	Roots    []*SpanNode `json:"roots"`
-	// Unreachable lists the cores that did not answer.
+	// Unreachable has the member IDs of the replicas that did not answer.
 	Unreachable []int `json:"unasked,omitempty"`
 }
 
-// SpanNode is one span with its children.
+// SpanNode is one span with its children, each list in the order of the logical counters.
 type SpanNode struct {
 	Span   string `json:"span"`
 	Parent string `json:"parent,omitempty"`
@@ -30,68 +30,83 @@
 	Link          trace.Link  `json:"link,omitempty"`
 	Candidates    []string    `json:"candidates,omitempty"`
 	Events        []EventView `json:"events"`
-	Missing       []string    `json:"missing,omitempty"`
-	Children      []*SpanNode `json:"children,omitempty"`
+	// Missing has the kinds of the events that the span should have, and has not.
+	Missing  []string    `json:"missing,omitempty"`
+	Children []*SpanNode `json:"children,omitempty"`
 }
 
-// EventView is one event as an operator reads it.
+// EventView is one event of a span.
 type EventView struct {
-	Kind       trace.Kind `json:"kind"`
-	Node       string     `json:"node"`
-	Counter    uint64     `json:"counter"`
-	SinceStart string     `json:"since_start"`
-	Instance   string     `json:"instance,omitempty"`
-	Status     int        `json:"status,omitempty"`
-	Outcome    string     `json:"outcome,omitempty"`
-	Reason     string     `json:"reason,omitempty"`
-	Attempt    int        `json:"leg,omitempty"`
+	Kind trace.Kind `json:"kind"`
+	Node string     `json:"node"`
+	// Counter is the logical clock at the event.
+	Counter uint64 `json:"counter"`
+	// SinceStart is the time since the node's start, by its own clock.
+	SinceStart string `json:"since_start"`
+	Instance   string `json:"instance,omitempty"`
+	Status     int    `json:"status,omitempty"`
+	Outcome    string `json:"outcome,omitempty"`
+	Reason     string `json:"reason,omitempty"`
+	// Attempt is the number of the attempt, from 1; zero before any.
+	Attempt int `json:"leg,omitempty"`
 }
 
-// BuildTree puts a tree together. The order comes from the tree and the logical
-// counters, never from clocks.
+// BuildTree puts a tree together from events in any order, which it sorts in place. The order of
+// the tree comes from the spans' parents and the logical counters, never from clocks.
 func BuildTree(id trace.TraceID, events []trace.Event) Tree {
-	t := Tree{Trace: id.String(), Complete: len(events) > 0}
 	slices.SortStableFunc(events, func(a, b trace.Event) int { return cmp.Compare(a.Counter, b.Counter) })
-	nodes := map[trace.ID]*SpanNode{}
-	parents := map[trace.ID]trace.ID{}
-	var order []trace.ID
-	for _, e := range events {
-		n := nodes[e.Span]
-		if n == nil {
-			n = &SpanNode{Span: e.Span.String()}
-			nodes[e.Span] = n
-			parents[e.Span] = e.Parent
-			order = append(order, e.Span)
+	spans := groupSpans(events)
+	tree := Tree{Trace: id.String(), Spans: len(spans.order), Complete: len(events) > 0}
+	for _, id := range spans.order {
+		node, parentID := spans.nodes[id], spans.parents[id]
+		node.findMissing()
+		if parentID != 0 {
+			node.Parent = parentID.String()
 		}
-		n.addEvent(e)
-	}
-	for _, sp := range order {
-		n := nodes[sp]
-		n.findMissing()
-		t.Complete = t.Complete && len(n.Missing) == 0
-		p := parents[sp]
-		if p != 0 {
-			n.Parent = p.String()
-		}
-		if parentNode := nodes[p]; parentNode != nil {
-			parentNode.Children = append(parentNode.Children, n)
-			continue
+		if parent := spans.nodes[parentID]; parent != nil {
+			parent.Children = append(parent.Children, node)
+		} else {
+			node.ParentMissing = parentID != 0
+			tree.Roots = append(tree.Roots, node)
 		}
-		if n.ParentMissing = p != 0; n.ParentMissing {
-			t.Complete = false
+		tree.Complete = tree.Complete && len(node.Missing) == 0 && !node.ParentMissing
+	}
+	return tree
+}
+
+// spanTable has spans by their IDs.
+type spanTable struct {
+	nodes   map[trace.ID]*SpanNode
+	parents map[trace.ID]trace.ID
+	// order has the spans in the order of their first events.
+	order []trace.ID
+}
+
+// groupSpans groups sorted events by span.
+func groupSpans(events []trace.Event) spanTable {
+	spans := spanTable{nodes: map[trace.ID]*SpanNode{}, parents: map[trace.ID]trace.ID{}}
+	for _, event := range events {
+		node := spans.nodes[event.Span]
+		if node == nil {
+			node = &SpanNode{Span: event.Span.String()}
+			spans.nodes[event.Span] = node
+			spans.parents[event.Span] = event.Parent
+			spans.order = append(spans.order, event.Span)
 		}
-		t.Roots = append(t.Roots, n)
+		node.addEvent(event)
 	}
-	t.Spans = len(nodes)
-	return t
+	return spans
 }
 
+// addEvent adds an event, and takes from it what no earlier one told of the span.
 func (n *SpanNode) addEvent(e trace.Event) {
-	n.Route, n.Service, n.Caller = cmp.Or(n.Route, e.Route), cmp.Or(n.Service, e.Service), cmp.Or(n.Caller, e.Caller)
+	n.Route = cmp.Or(n.Route, e.Route)
+	n.Service = cmp.Or(n.Service, e.Service)
+	n.Caller = cmp.Or(n.Caller, e.Caller)
 	if n.Link == trace.LinkNone && e.Link != trace.LinkNone {
 		n.Link = e.Link
-		for _, c := range e.Candidates {
-			n.Candidates = append(n.Candidates, c.String())
+		for _, candidate := range e.Candidates {
+			n.Candidates = append(n.Candidates, candidate.String())
 		}
 	}
 	n.Events = append(n.Events, EventView{
@@ -100,21 +115,21 @@
 	})
 }
 
-// findMissing marks the events that should be there. A call that ended before any
-// attempt has no server's events.
+// findMissing lists the events that the span should have. A call that ended before any attempt
+// reached no server.
 func (n *SpanNode) findMissing() {
 	has := map[trace.Kind]bool{}
-	attempts := true
-	for _, e := range n.Events {
-		has[e.Kind] = true
-		if e.Kind == trace.ClientReceive {
-			attempts = e.Attempt > 0
+	attempted := true
+	for _, event := range n.Events {
+		has[event.Kind] = true
+		if event.Kind == trace.ClientReceive {
+			attempted = event.Attempt > 0
 		}
 	}
-	for _, k := range []trace.Kind{trace.ClientStart, trace.ServerReceive, trace.ServerSend, trace.ClientReceive} {
-		server := k == trace.ServerReceive || k == trace.ServerSend
-		if !has[k] && (attempts || !server) {
-			n.Missing = append(n.Missing, string(k))
+	for _, kind := range []trace.Kind{trace.ClientStart, trace.ServerReceive, trace.ServerSend, trace.ClientReceive} {
+		ofServer := kind == trace.ServerReceive || kind == trace.ServerSend
+		if !has[kind] && (attempted || !ofServer) {
+			n.Missing = append(n.Missing, string(kind))
 		}
 	}
 }
--- a/internal/tracestore/tree_test.go
+++ b/internal/tracestore/tree_test.go
@@ -8,9 +8,9 @@
 	"curlewwalk/internal/trace"
 )
 
-// events makes the events of a root with two children, each on its own node
-// and in the order of the logical counter.
-func events() []trace.Event {
+// testEvents are the events of a root with two children, each on its own node, in the order of the
+// logical counter.
+func testEvents() []trace.Event {
 	t := trace.TraceID{Lo: 9}
 	at := func(span, parent trace.ID, kind trace.Kind, counter uint64, node string) trace.Event {
 		return trace.Event{Trace: t, Span: span, Parent: parent, Kind: kind, Counter: counter, Node: node, Attempt: 1}
@@ -23,21 +23,21 @@
 	}
 }
 
-// Clocks that are skewed by hours either way, and events that come in any
-// order, change nothing of the tree.
+// Clocks that are skewed by hours either way, and events that come in any order, change nothing in
+// the tree.
 func TestSkewedClocks(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		evs := events()
+		events := testEvents()
 		skew := map[string]time.Duration{}
-		for i := range evs {
-			if _, ok := skew[evs[i].Node]; !ok {
-				skew[evs[i].Node] = time.Duration(rng.Int64N(int64(10*time.Hour))) - 5*time.Hour
+		for i := range events {
+			if _, ok := skew[events[i].Node]; !ok {
+				skew[events[i].Node] = time.Duration(rng.Int64N(int64(10*time.Hour))) - 5*time.Hour
 			}
-			evs[i].At = skew[evs[i].Node] + time.Duration(evs[i].Counter)*time.Millisecond
+			events[i].At = skew[events[i].Node] + time.Duration(events[i].Counter)*time.Millisecond
 		}
-		rng.Shuffle(len(evs), func(i, j int) { evs[i], evs[j] = evs[j], evs[i] })
-		tr := BuildTree(trace.TraceID{Lo: 9}, evs)
+		rng.Shuffle(len(events), func(i, j int) { events[i], events[j] = events[j], events[i] })
+		tr := BuildTree(trace.TraceID{Lo: 9}, events)
 		if !tr.Complete || tr.Spans != 3 || len(tr.Roots) != 1 || len(tr.Roots[0].Children) != 2 {
 			t.Fatalf("seed %d: %+v", seed, tr)
 		}
@@ -57,22 +57,22 @@
 	}
 }
 
-// Whatever is taken away is marked as missing.
+// A tree without any one event, or without a span, is not complete.
 func TestMissingIsMarked(t *testing.T) {
-	all := events()
+	all := testEvents()
 	for i := range all {
-		evs := append(append([]trace.Event{}, all[:i]...), all[i+1:]...)
-		if tr := BuildTree(trace.TraceID{Lo: 9}, evs); tr.Complete {
-			t.Errorf("without event %d the tree is called whole", i)
+		events := append(append([]trace.Event{}, all[:i]...), all[i+1:]...)
+		if tr := BuildTree(trace.TraceID{Lo: 9}, events); tr.Complete {
+			t.Errorf("without event %d the tree counts as complete", i)
 		}
 	}
-	var evs []trace.Event
+	var events []trace.Event
 	for _, e := range all {
 		if e.Span != 1 {
-			evs = append(evs, e)
+			events = append(events, e)
 		}
 	}
-	tr := BuildTree(trace.TraceID{Lo: 9}, evs)
+	tr := BuildTree(trace.TraceID{Lo: 9}, events)
 	if tr.Complete || len(tr.Roots) != 2 || !tr.Roots[0].ParentMissing {
 		t.Errorf("without the root: %+v", tr)
 	}
