--- a/internal/dataplane/proxy/cancel.go
+++ b/internal/dataplane/proxy/cancel.go
@@ -14,8 +14,12 @@
 	"curlewwalk/internal/transport"
 )
 
-// ErrStopping ends the context of what is still open when a sidecar's time to stop is over.
-var ErrStopping = eris.New("this node is stopping")
+// stoppingReason is why requests are rejected or ended while this node is being stopped.
+const stoppingReason = "this node is stopping"
+
+// ErrStopping is the cause with which the contexts of requests and attempts end that are still
+// open when the time for the shutdown is over.
+var ErrStopping = eris.New(stoppingReason)
 
 // errCancelled ends the context of an attempt that its sender wants no more.
 var errCancelled = eris.New("the attempt was recalled")
--- a/internal/dataplane/proxy/idempotency.go
+++ b/internal/dataplane/proxy/idempotency.go
@@ -4,8 +4,6 @@
 	"bytes"
 	"context"
 	"crypto/sha256"
-	"fmt"
-	"net/http"
 	"time"
 
 	"curlewwalk/internal/dataplane/idempotency"
@@ -13,64 +11,114 @@
 	"curlewwalk/internal/dataplane/routing"
 )
 
-// runKeyed runs the request under its Idempotency-Key, if it has one.
-func (n *Outbound) runKeyed(ctx context.Context, req *request, text string) Response {
-	if text == "" {
-		return n.runAttempts(ctx, req)
-	}
-	if len(text) > maxKeyLength {
-		return n.localReplyTo(req, http.StatusBadRequest, routing.NotRun, fmt.Sprintf("%s is over %d bytes", HeaderKey, maxKeyLength), 0)
+// requestKey is a request's idempotency key, with the fingerprint that a repeat must share.
+type requestKey struct {
+	idempotency.Key
+	fingerprint idempotency.Fingerprint
+}
+
+// keyedOutcome is how the first request of a key has ended.
+type keyedOutcome struct {
+	response Response
+	// keep says that repeats get the response; else the request has not run, and a repeat may.
+	keep bool
+}
+
+// runKeyed runs a request under its idempotency key; at once if it has none. The first request
+// of a key runs, and each repeat gets its response. (DESIGN 10.3, 10.4)
+func (o *Outbound) runKeyed(ctx context.Context, req *request) Response {
+	if req.metadata.IdempotencyKey == "" {
+		return o.runAttempts(ctx, req)
 	}
-	if !n.KeyReplication.Recovered() {
-		// An earlier life of this node may have run what this repeats.
-		return n.localReplyTo(req, http.StatusServiceUnavailable, routing.Unknown, "claims on keys are still being handed over to this node", time.Second)
+	key, rejection := o.newRequestKey(req)
+	if rejection != nil {
+		return o.failRequest(req, rejection)
 	}
-	key := idempotency.Key{Caller: req.caller, Text: text}
-	fingerprint := idempotency.Fingerprint(sha256.Sum256(bytes.Join([][]byte{[]byte(req.template.Method), []byte(req.template.Host), []byte(req.template.URI), req.template.Body}, []byte{0})))
-	decision, response, err := n.Reservations.Reserve(ctx, key, fingerprint)
+	first, response, rejection := o.reserveKey(ctx, key)
 	switch {
-	case err != nil && decision == idempotency.Replay:
-		return n.localReplyTo(req, http.StatusGatewayTimeout, routing.Unknown, "expired while the first inquiry of this key was running", time.Second)
-	case decision == idempotency.TableFull:
-		return n.localReplyTo(req, http.StatusServiceUnavailable, routing.NotRun, "too many keys are claimed", time.Second)
-	case decision == idempotency.ResponseEvicted:
-		return n.localReplyTo(req, http.StatusBadGateway, routing.Unknown, "the first inquiry of this key has ended; its answer is kept no longer", time.Second)
-	case decision == idempotency.KeyReused:
-		return n.localReplyTo(req, http.StatusUnprocessableEntity, routing.NotRun, "this key was used for another inquiry", 0)
-	case decision == idempotency.Replay:
-		n.Counters.Joined.Add(1)
+	case rejection != nil:
+		return o.failRequest(req, rejection)
+	case !first:
+		o.Counters.Joined.Add(1)
 		return response
 	}
-	reservation, known, ok := n.KeyReplication.Replicate(ctx, key, fingerprint, time.Until(req.deadline))
-	keep := true
+	outcome := o.runFirst(ctx, req, key)
+	o.Reservations.Complete(o.Lifetime, key.Key, outcome.response, outcome.keep)
+	return outcome.response
+}
+
+// newRequestKey is the key of a request, or tells why the request can't run under it.
+func (o *Outbound) newRequestKey(req *request) (key requestKey, rejection *routing.Failure) {
+	text := req.metadata.IdempotencyKey
+	if len(text) > maxKeyLength {
+		return requestKey{}, rejectKeyTooLong
+	}
+	if !o.KeyReplication.Recovered() {
+		// An earlier incarnation of this node may have run what this repeats.
+		return requestKey{}, rejectKeysNotRecovered
+	}
+	return requestKey{idempotency.Key{Caller: req.caller, Text: text}, req.fingerprint()}, nil
+}
+
+// fingerprint is a digest of what makes two requests the same one.
+func (req *request) fingerprint() idempotency.Fingerprint {
+	attempt := &req.template
+	parts := [][]byte{[]byte(attempt.Method), []byte(attempt.Host), []byte(attempt.URI), attempt.Body}
+	return idempotency.Fingerprint(sha256.Sum256(bytes.Join(parts, []byte{0})))
+}
+
+// reserveKey reserves a key on this node. It tells whether the request is the key's first one
+// and has to run, or returns the response of the first one, for which it waits, or tells why
+// there is none.
+func (o *Outbound) reserveKey(ctx context.Context, key requestKey) (first bool, response Response, rejection *routing.Failure) {
+	decision, response, err := o.Reservations.Reserve(ctx, key.Key, key.fingerprint)
+	switch decision {
+	case idempotency.TableFull:
+		return false, Response{}, rejectTooManyKeys
+	case idempotency.ResponseEvicted:
+		return false, Response{}, rejectResponseEvicted
+	case idempotency.KeyReused:
+		return false, Response{}, rejectKeyReused
+	case idempotency.Replay:
+		if err != nil {
+			return false, Response{}, rejectFirstStillOpen
+		}
+		return false, response, nil
+	}
+	return true, Response{}, nil
+}
+
+// runFirst runs the first request of a key, once the reservation is replicated to other nodes:
+// one of them may know an earlier request of the key, which this node has forgotten.
+func (o *Outbound) runFirst(ctx context.Context, req *request, key requestKey) keyedOutcome {
+	reservation, existing, ok := o.KeyReplication.Replicate(ctx, key.Key, key.fingerprint, time.Until(req.deadline))
 	switch {
-	case known != nil && known.Fingerprint != fingerprint:
-		response, keep = n.localReplyTo(req, http.StatusUnprocessableEntity, routing.NotRun, "this key was used for another inquiry", 0), false
-	case known != nil:
-		response = n.restoredResponse(*known)
+	case existing != nil && existing.Fingerprint != key.fingerprint:
+		return keyedOutcome{response: o.failRequest(req, rejectKeyReused)}
+	case existing != nil:
+		return keyedOutcome{response: o.storedResponse(*existing), keep: true}
 	case !ok:
-		response, keep = n.localReplyTo(req, http.StatusServiceUnavailable, routing.NotRun, "the claim on this key could not be entrusted to other nodes", time.Second), false
-		n.KeyReplication.Complete(ctx, reservation, nil)
-	default:
-		response = n.runAttempts(ctx, req)
-		keep = response.Fate != routing.NotRun
-		n.KeyReplication.Complete(ctx, reservation, response.pack(keep))
+		o.KeyReplication.Complete(ctx, reservation, nil)
+		return keyedOutcome{response: o.failRequest(req, rejectKeyNotReplicated)}
 	}
-	n.Reservations.Complete(n.Lifetime, key, response, keep)
-	return response
+	response := o.runAttempts(ctx, req)
+	keep := response.Fate != routing.NotRun
+	o.KeyReplication.Complete(ctx, reservation, response.pack(keep))
+	return keyedOutcome{response, keep}
 }
 
-// RestoreKey takes a claim of an earlier life of this node. (DESIGN 10.4)
-func (n *Outbound) RestoreKey(ctx context.Context, record keyreplication.Record) {
-	n.Reservations.Restore(ctx, record.Key, record.Fingerprint, n.restoredResponse(record))
+// RestoreKey takes over the record of a key that an earlier incarnation of this node reserved.
+// (DESIGN 10.4)
+func (o *Outbound) RestoreKey(ctx context.Context, record keyreplication.Record) {
+	o.Reservations.Restore(ctx, record.Key, record.Fingerprint, o.storedResponse(record))
 }
 
-// restoredResponse is the response of such a claim. Whether one without a response ran,
-// nobody knows.
-func (n *Outbound) restoredResponse(record keyreplication.Record) Response {
+// storedResponse is the response in a key's record. If there is none, nobody knows whether the
+// request has run.
+func (o *Outbound) storedResponse(record keyreplication.Record) Response {
 	response, ok := unmarshalResponse(record.Response)
 	if !ok {
-		response = n.localReply(http.StatusBadGateway, routing.Unknown, "this node was restarted before the first inquiry of this key was answered", "", time.Second)
+		return o.reject(rejectResponseLost)
 	}
 	return response
 }
--- a/internal/dataplane/proxy/outbound.go
+++ b/internal/dataplane/proxy/outbound.go
@@ -1,15 +1,12 @@
 package proxy
 
 import (
-	"cmp"
 	"context"
 	"log/slog"
-	"math/rand/v2"
 	"net/http"
 	"time"
 
 	"curlewwalk/internal/actor"
-	"curlewwalk/internal/config"
 	"curlewwalk/internal/dataplane/causality"
 	"curlewwalk/internal/dataplane/idempotency"
 	"curlewwalk/internal/dataplane/keyreplication"
@@ -94,193 +91,85 @@
 	return &Outbound{OutboundConfig: c, OutboundDeps: deps}
 }
 
-// request is one client's request on its way.
-type request struct {
-	caller       string
-	route        config.Route
-	contract     config.Contract
-	deadline     time.Time
-	startedAt    time.Time
-	targetTime   time.Time
-	span         trace.Span
-	cause        causality.Cause
-	clientTraced bool // the client itself sent identifiers
-	// clientTimeout is how long the client will wait; zero if it does not say.
-	clientTimeout time.Duration
-	client        *clientWatch
-	template      Attempt
-}
-
-// maxLateness is how late the request may be at all.
-func (req *request) maxLateness() time.Duration {
-	return req.contract.Deadline.Duration - req.contract.LatencyTarget.Duration
-}
-
-// Handler serves requests of one caller: a backend service, or "" for clients.
-func (n *Outbound) Handler(caller string) http.Handler {
+// Handler serves the requests of one caller: a backend service, or "" for clients.
+func (o *Outbound) Handler(caller string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if n.Draining() {
+		if o.Draining() {
 			w.Header().Set("Connection", "close")
 		}
 		if r.ContentLength != 0 {
-			// net/http takes it off again at the end of the body. Without one it is
-			// looking for the client's leaving already.
+			// net/http takes the deadline off again at the end of the body. Where there is no
+			// body, it is reading for the end of the connection already.
 			http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyReadTimeout))
 		}
-		n.serve(caller, r).write(w, r)
+		o.serve(caller, r).write(w, r)
 	})
 }
 
-// serve takes a request and comes to its response.
-func (n *Outbound) serve(caller string, r *http.Request) Response {
-	n.Counters.Requests.Add(1)
-	n.Counters.InFlight.Add(1)
-	defer n.Counters.InFlight.Add(-1)
-	response := n.handle(caller, r)
-	n.Counters.completed(response.Fate)
+// serve handles a request and counts it.
+func (o *Outbound) serve(caller string, r *http.Request) Response {
+	o.Counters.Requests.Add(1)
+	o.Counters.InFlight.Add(1)
+	defer o.Counters.InFlight.Add(-1)
+	response := o.handle(caller, r)
+	o.Counters.completed(response.Fate)
 	return response
 }
 
-func (n *Outbound) handle(caller string, r *http.Request) Response {
-	begun := time.Now()
-	// Calls of the own backends belong to requests that were handed over.
-	if caller == "" && n.Draining() {
-		return n.stoppingResponse(time.Second)
+// handle takes a request through the steps of its way: its body is read, its route found, it is
+// tied to what caused it, and then it is sent, under its idempotency key if it has one.
+func (o *Outbound) handle(caller string, r *http.Request) Response {
+	startedAt := time.Now()
+	// Calls of this node's backends belong to requests that were admitted before the drain.
+	if caller == "" && o.Draining() {
+		return o.reject(nodeStopping(briefly))
 	}
-	size, refusal := n.reserveBody(r)
-	if refusal != nil {
-		return *refusal
+	size, rejection := o.reserveBody(r)
+	if rejection != nil {
+		return o.reject(rejection)
 	}
-	defer n.Bodies.Release(size)
-	body, refusal := n.readBody(r)
-	if refusal != nil {
-		return *refusal
+	defer o.Bodies.Release(size)
+	body, rejection := o.readBody(r)
+	if rejection != nil {
+		return o.reject(rejection)
 	}
-	q := request{caller: caller, startedAt: begun}
-	if q.route, q.contract, refusal = n.matchRoute(r); refusal != nil {
-		return *refusal
+	match, rejection := o.matchRoute(r)
+	if rejection != nil {
+		return o.reject(rejection)
 	}
-	metadata := n.prepareAttempt(&q, r, body)
-	q.client = watchUnlessKeyed(r, metadata)
-	defer func() {
-		if left, after := q.client.finish(); left {
-			n.Counters.clientDisconnected(after)
-		}
-	}()
-	n.startSpan(n.Lifetime, &q, r.Header)
-	if caller == "" && n.outlivesNode(q.deadline) {
-		return n.stoppingResponse(n.retryAfter())
+	req := o.newRequest(caller, startedAt, match, r, body)
+	defer o.stopWatching(req)
+	if caller == "" && o.outlivesNode(req.deadline) {
+		return o.reject(nodeStopping(o.retryAfter()))
 	}
-	ctx, cancel := context.WithDeadline(trace.ContextWithSpan(n.Lifetime, q.span), q.deadline)
+	return o.send(req)
+}
+
+// send sends a request, in the time until its deadline.
+func (o *Outbound) send(req *request) Response {
+	ctx, cancel := context.WithDeadline(trace.ContextWithSpan(o.Lifetime, req.span), req.deadline)
 	defer cancel()
-	response := n.runKeyed(ctx, &q, metadata.IdempotencyKey)
-	if q.clientTraced {
+	response := o.runKeyed(ctx, req)
+	if req.clientTraced {
 		response.Header = response.Header.Clone()
-		trace.WriteB3(response.Header, q.span)
+		trace.WriteB3(response.Header, req.span)
 	}
-	n.RouteCounters.Inc(q.route.Name, string(response.Fate))
+	o.RouteCounters.Inc(req.route.Name, string(response.Fate))
 	return response
 }
 
-// prepareAttempt makes the attempt that all of a request's attempts are made of, and tells what the
-// request says of itself.
-func (n *Outbound) prepareAttempt(req *request, r *http.Request, body []byte) RequestMetadata {
-	req.route.Service = routing.PickService(req.route, rand.IntN) // for all its attempts
-	header := endToEnd(r.Header)
-	metadata := n.Dialect.ParseRequest(r, header)
-	// A trailer may say no more than a header.
-	trailer := endToEnd(r.Trailer)
-	n.Dialect.ParseRequest(r, trailer)
-	req.clientTimeout = metadata.ClientTimeout
-	req.template = Attempt{
-		Service: req.route.Service, Route: req.route.Name, Priority: req.contract.Priority, Idempotent: req.route.Idempotent,
-		Caller: cmp.Or(req.caller, n.LocalService), Method: r.Method, URI: r.RequestURI, Host: r.Host,
-		Header: header, Trailer: trailer, Body: body,
+// stopWatching ends the watch of a request's client, and counts the client if it has left.
+func (o *Outbound) stopWatching(req *request) {
+	if left, after := req.client.finish(); left {
+		o.Counters.clientDisconnected(after)
 	}
-	return metadata
-}
-
-// stoppingResponse is the refusal of a node that is being stopped.
-func (n *Outbound) stoppingResponse(back time.Duration) Response {
-	return n.localReply(http.StatusServiceUnavailable, routing.NotRun, "this node is stopping", "", back)
 }
 
 // outlivesNode tells whether a request with a deadline may last longer than this node.
-func (n *Outbound) outlivesNode(deadline time.Time) bool {
-	if n.ShutdownTime == nil {
+func (o *Outbound) outlivesNode(deadline time.Time) bool {
+	if o.ShutdownTime == nil {
 		return false
 	}
-	end, stopping := n.ShutdownTime()
+	end, stopping := o.ShutdownTime()
 	return stopping && deadline.After(end)
 }
-
-// watchUnlessKeyed watches a request's client. What runs under a key goes on without it: the answer is
-// kept for a repeat of the key.
-func watchUnlessKeyed(r *http.Request, metadata RequestMetadata) *clientWatch {
-	if metadata.IdempotencyKey != "" {
-		return ignoreClient()
-	}
-	return watchConnection(r.Context())
-}
-
-// matchRoute finds a request's route and contract, or how it is refused.
-func (n *Outbound) matchRoute(r *http.Request) (config.Route, config.Contract, *Response) {
-	refuse := func(status int, reason string, back time.Duration) (config.Route, config.Contract, *Response) {
-		return config.Route{}, config.Contract{}, n.reject(status, reason, back)
-	}
-	if n.ConfigurationOutdated != nil && n.ConfigurationOutdated() {
-		return refuse(http.StatusServiceUnavailable, "a newer configuration is in force, and not known here yet", n.retryAfter())
-	}
-	table := n.Table()
-	route, contract, ok := table.Match(r.Host, r.URL.Path, r.Method)
-	switch {
-	case ok:
-		return route, contract, nil
-	case table.Revision == 0:
-		return refuse(http.StatusServiceUnavailable, "no configuration is known here yet", time.Second)
-	case n.ConfigurationUnconfirmed != nil && n.ConfigurationUnconfirmed():
-		return refuse(http.StatusServiceUnavailable, "no way is known here, but a newer configuration may be in force", time.Second)
-	}
-	return refuse(http.StatusNotFound, "no way takes this inquiry", 0)
-}
-
-// localReply words an answer of our own.
-func (n *Outbound) localReply(status int, f routing.Outcome, reason, trace string, back time.Duration) Response {
-	return n.Dialect.BuildReply(LocalReply{Status: status, Outcome: f, Reason: reason, TraceID: trace, RetryAfter: back})
-}
-
-// startSpan ties the request to its cause and opens its span. (DESIGN 2.5)
-func (n *Outbound) startSpan(ctx context.Context, req *request, h http.Header) {
-	clientSpan, traced := trace.ReadB3(h)
-	req.clientTraced = traced
-	req.targetTime = req.startedAt.Add(req.contract.LatencyTarget.Duration)
-	req.deadline = req.startedAt.Add(req.contract.Deadline.Duration)
-	if req.clientTimeout > 0 && req.clientTimeout < req.contract.Deadline.Duration {
-		req.deadline = req.startedAt.Add(req.clientTimeout)
-	}
-	if req.caller != "" {
-		req.cause = n.Causality.Link(ctx, req.caller, req.route.Name, clientSpan)
-		if e := req.cause.Deadline; !e.IsZero() && e.Before(req.deadline) {
-			req.deadline = e
-		}
-		if req.cause.Priority > 0 {
-			req.template.Priority = req.cause.Priority
-		}
-	}
-	if req.caller == "" && n.LocalService != "" {
-		// It says itself how long its client waits: what is inferred decides nothing.
-		req.cause = n.Causality.LinkMixed(ctx, n.LocalService, req.route.Name, clientSpan, time.Until(req.deadline))
-	}
-	switch {
-	case !req.cause.Parent.IsZero():
-		req.span = req.cause.Parent.Child()
-	case traced:
-		req.span = clientSpan.Child()
-	default:
-		req.span = trace.Root()
-	}
-}
-
-func (n *Outbound) localReplyTo(req *request, status int, f routing.Outcome, reason string, retry time.Duration) Response {
-	return n.localReply(status, f, reason, req.span.Trace.String(), retry)
-}
--- a/internal/dataplane/proxy/response.go
+++ b/internal/dataplane/proxy/response.go
@@ -25,7 +25,7 @@
 // ShutdownResponse is what a stopping sidecar answers on an idle connection, in a dialect.
 // (DESIGN 11.3)
 func ShutdownResponse(d Dialect) Response {
-	return d.BuildReply(LocalReply{Status: http.StatusRequestTimeout, Outcome: routing.NotRun, Reason: "this node is stopping", RetryAfter: time.Second})
+	return d.BuildReply(LocalReply{Status: http.StatusRequestTimeout, Outcome: routing.NotRun, Reason: stoppingReason, RetryAfter: time.Second})
 }
 
 // pack writes a response for those who hold its claim; nothing if it need not be
--- /dev/null
+++ b/internal/dataplane/proxy/sendcancel.go
@@ -0,0 +1,45 @@
+package proxy
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"curlewwalk/internal/dataplane/routing"
+	"curlewwalk/internal/transport"
+)
+
+// cancelLost cancels an attempt whose reply was lost. Only the inbound side's word that it has
+// not run, and never will, proves that; else it may have run. Past the deadline nobody waits for
+// that word; at the end of a shutdown it is waited for, but only shortly. (DESIGN 10.2)
+func (o *Outbound) cancelLost(ctx context.Context, attempt *outgoingAttempt) routing.AttemptResult {
+	lost := routing.AttemptResult{Target: attempt.target, Outcome: routing.Unknown, Reason: "lost on the way", ReachedBackend: true}
+	timeout := cancelTimeout
+	switch {
+	case ctx.Err() == nil:
+	case errors.Is(context.Cause(ctx), ErrStopping):
+		ctx, timeout = context.WithoutCancel(ctx), shutdownCancelTimeout
+	default:
+		o.cancelAsync(ctx, attempt)
+		return lost
+	}
+	if response, ok := o.sendCancel(ctx, attempt, timeout); ok && response.Outcome == routing.NotRun {
+		return routing.AttemptResult{Target: attempt.target, Outcome: routing.NotRun, Reason: response.Reason}
+	}
+	return lost
+}
+
+// cancelAsync cancels an attempt whose reply nobody waits for, without waiting.
+func (o *Outbound) cancelAsync(ctx context.Context, attempt *outgoingAttempt) {
+	o.Actors.Go(context.WithoutCancel(ctx), "cancel-attempt", func(ctx context.Context) { o.sendCancel(ctx, attempt, cancelTimeout) })
+}
+
+// sendCancel asks the inbound side to cancel an attempt, and returns its answer; false if there
+// is none in time.
+func (o *Outbound) sendCancel(ctx context.Context, attempt *outgoingAttempt, timeout time.Duration) (response AttemptResponse, ok bool) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
+	defer cancel()
+	request := CancelRequest{ID: attempt.ID, Incarnation: attempt.Incarnation}
+	ok = o.Transport.Call(ctx, attempt.target.Node, transport.ControlTraffic, KindCancel, request).Decode(&response)
+	return response, ok && response.answers(&attempt.Attempt)
+}
--- a/tests/mutation/soak_catalogue.go
+++ b/tests/mutation/soak_catalogue.go
@@ -12,10 +12,10 @@
 	soakMutation(sentAfterEvacuation, "EVAC", "internal/dataplane/routing/table.go", "return t.drainedZones[zone] }", "return t.drainedZones[zone] && false }"),
 	soakMutation(staleConfiguration, "CONFIG", "internal/watch/event_log.go", "\tlog.state = &state\n\tlog.appendEvent(Event{State: &state})", "\tlog.state = &state"),
 	soakMutation(staleRead, "CONFIG", "internal/controlplane/operator.go", "state, ok = n.replica.LinearizableRead(ctx, n.commands.confirmCommitted)", "state, ok = n.replica.Acceptor().State, ctx.Err() == nil"),
-	soakMutation(staleConfiguration, "DENIED", "internal/dataplane/proxy/outbound.go", "return refuse(http.StatusServiceUnavailable, \"no configuration is known here yet\", time.Second)", "return refuse(http.StatusNotFound, \"no way takes this inquiry\", 0)"),
+	soakMutation(staleConfiguration, "DENIED", "internal/dataplane/proxy/request.go", "return routeMatch{}, rejectNoConfiguration", "return routeMatch{}, rejectNoRoute"),
 	soakMutation(slowRecovery, "DUTY", "internal/controlplane/operator.go", "if !n.replica.Connected() || n.replica.RecentlyResumed() {", "if n.replica.Connected() || n.replica.RecentlyResumed() {"),
 	soakMutation(slowRecovery, "RECOVER", "internal/watch/event_log.go", "StartupDelay = 700 * time.Millisecond", "StartupDelay = 17 * time.Second"),
-	soakMutation(abandonedWork, "GONE", "internal/dataplane/proxy/outbound.go", "return watchConnection(r.Context())", "return ignoreClient()"),
+	soakMutation(abandonedWork, "GONE", "internal/dataplane/proxy/request.go", "return watchConnection(r.Context())", "return ignoreClient()"),
 	soakMutation(droppedInRestart, "LOST", "internal/dataplane/shutdown.go", "abandonAt := signaledAt.Add(drain - min(answerReserve, drain/4))", "abandonAt := signaledAt.Add(drain / 50)"),
 	soakMutation(droppedInRestart, "STOP", "internal/dataplane/shutdown.go", "\ts.process.Close()\n", "\ts.process.Close()\n\tselect {}\n"),
 }
