--- a/tests/golden/live_test.go
+++ b/tests/golden/live_test.go
@@ -1,6 +1,7 @@
 package golden_test
 
 import (
+	"bytes"
 	"encoding/json"
 	"fmt"
 	"io"
@@ -12,6 +13,8 @@
 	"testing"
 	"time"
 
+	"github.com/prometheus/common/expfmt"
+
 	"curlewwalk/internal/controlplane"
 	"curlewwalk/internal/dataplane"
 	"curlewwalk/internal/settings"
@@ -52,14 +55,18 @@
 // passing are the keys that are there or not as the moment wills.
 var passing = []string{"behind", "fault", "done_for"}
 
-// ask sends a request until it is answered with a status.
-func ask(t *testing.T, method, url, body string, status int) (header http.Header, answer []byte) {
+// ask sends a request until it is answered with a status; headers are given as name and value
+// in turn.
+func ask(t *testing.T, method, url, body string, status int, headers ...string) (header http.Header, answer []byte) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); ; time.Sleep(20 * time.Millisecond) {
 		request, err := http.NewRequestWithContext(t.Context(), method, url, strings.NewReader(body))
 		if err != nil {
 			t.Fatal(err)
 		}
+		for i := 0; i+1 < len(headers); i += 2 {
+			request.Header.Set(headers[i], headers[i+1])
+		}
 		response, err := http.DefaultClient.Do(request)
 		if err != nil {
 			t.Fatal(err)
@@ -80,55 +87,96 @@
 	anyCalendar      = "BEGIN:VCALENDAR\r\nVERSION:2.0\r\nPRODID:-//x//x//EN\r\nEND:VCALENDAR\r\n"
 )
 
+// served notes what running programs serve.
+type served struct {
+	t     *testing.T
+	lines map[string]bool
+}
+
+// look notes the answer to a request: its status, the headers that are our own, and the keys.
+func (s *served) look(program, method, control, path, body string, status int, headers ...string) {
+	s.t.Helper()
+	header, answer := ask(s.t, method, "http://"+control+path, body, status, headers...)
+	at := fmt.Sprintf("%s %s %s %d", program, method, path, status)
+	if len(headers) > 0 {
+		at += " with " + headers[0]
+	}
+	s.lines[at+" "+header.Get("Content-Type")] = true
+	for name := range header {
+		if strings.HasPrefix(name, "Curlewwalk") || name == "Etag" || name == "Retry-After" {
+			s.lines[at+" header "+name] = true
+		}
+	}
+	var document any
+	if json.Unmarshal(answer, &document) == nil {
+		for _, key := range keys(document) {
+			s.lines[at+" key "+key] = true
+		}
+	}
+}
+
+// scrape notes the types of the metrics, and the values of their labels where these are not
+// names of routes, services and messages, nor depend on what was asked so far.
+func (s *served) scrape(program, control string) {
+	s.t.Helper()
+	_, text := ask(s.t, "GET", "http://"+control+"/metrics", "", 200)
+	families, err := (&expfmt.TextParser{}).TextToMetricFamilies(bytes.NewReader(text))
+	if err != nil {
+		s.t.Fatal(err)
+	}
+	for name, family := range families {
+		if !strings.HasPrefix(name, "curlewwalk_") || slices.Contains(open, strings.TrimPrefix(name, "curlewwalk_")) {
+			continue
+		}
+		for _, m := range family.GetMetric() {
+			line := fmt.Sprintf("%s metric %s %s", program, name, family.GetType())
+			for _, label := range m.GetLabel() {
+				line += fmt.Sprintf(" %s=%s", label.GetName(), label.GetValue())
+			}
+			s.lines[line] = true
+		}
+	}
+}
+
+// open are the metrics whose samples depend on what was asked so far.
+var open = []string{"writes_total", "quorum_reads_total", "route_requests_total", "retry_budget", "wire_messages_total", "wire_bytes_total"}
+
 // Running programs serve the paths under /v1 that they always have, and the documents there
-// have the keys that they always had.
+// have the keys that they always had; so have the metrics their labels.
 func TestServedDocuments(t *testing.T) {
 	common := func() settings.Common {
 		wire := freePort(t)
 		return settings.Common{Zone: "north", Wire: wire, Advertise: wire, Control: freePort(t), LogLines: 100}
 	}
-	coreSet := settings.ControlPlane{Common: common(), Slot: 1, Slots: 1, GoneAfter: time.Second, Data: t.TempDir()}
-	controlplane.New(coreSet, nil)
-	sidecarSet := settings.Sidecar{
+	replicaSettings := settings.ControlPlane{Common: common(), Slot: 1, Slots: 1, GoneAfter: time.Second, Data: t.TempDir()}
+	controlplane.New(replicaSettings, nil)
+	sidecarSettings := settings.Sidecar{
 		Common: common(), Requests: freePort(t), MaxBody: 1 << 20, BodyMemory: 1 << 24, ComeBack: time.Second,
 		ExtraAttempts: 20, Beat: 500 * time.Millisecond, Shun: time.Second, Ramp: time.Second, RampFrom: 0.2, TraceQueue: 100, NoKeys: true,
 	}
-	sidecarSet.Seeds = []string{coreSet.Wire}
-	dataplane.New(sidecarSet, nil)
+	sidecarSettings.Seeds = []string{replicaSettings.Wire}
+	dataplane.New(sidecarSettings, nil)
 
-	lines := map[string]bool{}
-	look := func(program, method, control, path, body string, status int) {
-		t.Helper()
-		header, answer := ask(t, method, "http://"+control+path, body, status)
-		at := fmt.Sprintf("%s %s %s %d", program, method, path, status)
-		lines[at+" "+header.Get("Content-Type")] = true
-		for name := range header {
-			if strings.HasPrefix(name, "Curlewwalk") || name == "Etag" || name == "Retry-After" {
-				lines[at+" header "+name] = true
-			}
-		}
-		var document any
-		if json.Unmarshal(answer, &document) == nil {
-			for _, key := range keys(document) {
-				lines[at+" key "+key] = true
-			}
-		}
-	}
-	onCore := func(method, path, body string, status int) {
+	s := &served{t, map[string]bool{}}
+	onReplica := func(method, path, body string, status int, headers ...string) {
 		t.Helper()
-		look("core", method, coreSet.Control, path, body, status)
+		s.look("core", method, replicaSettings.Control, path, body, status, headers...)
 	}
 	onSidecar := func(method, path, body string, status int) {
 		t.Helper()
-		look("sidecar", method, sidecarSet.Control, path, body, status)
+		s.look("sidecar", method, sidecarSettings.Control, path, body, status)
 	}
-	onCore("GET", "/live", "", 200)
-	onCore("GET", "/ready", "", 200)
-	onCore("GET", "/v1/desired", "", 404)
-	onCore("PUT", "/v1/desired", anyConfiguration, 200)
-	onCore("PUT", "/v1/desired", `{"ways":[]`, 400)
-	onCore("PUT", "/v1/desired", `{"ways":[{"name":"w"}],"contracts":[]}`, 422)
-	onCore("GET", "/v1/desired", "", 200)
+	onReplica("GET", "/live", "", 200)
+	onReplica("GET", "/ready", "", 200)
+	onReplica("GET", "/v1/desired", "", 404)
+	onReplica("PUT", "/v1/desired", anyConfiguration, 200)
+	onReplica("PUT", "/v1/desired", `{"ways":[]`, 400)
+	onReplica("PUT", "/v1/desired", `{"ways":[{"name":"w"}],"contracts":[]}`, 422)
+	onReplica("GET", "/v1/desired", "", 200)
+	onReplica("PUT", "/v1/desired", anyConfiguration, 412, "If-Match", `"77"`)
+	onReplica("PUT", "/v1/desired", anyConfiguration, 200, "Curlewwalk-Edition", "5")
+	onReplica("PUT", "/v1/desired", anyConfiguration+" ", 409, "Curlewwalk-Edition", "5")
+	onReplica("GET", "/v1/desired", "", 200)
 	onSidecar("GET", "/ready", "", 200)
 	onSidecar("POST", "/v1/backends", `{"instance":"i","service":"s","address":"127.0.0.1:1","locality":"north","capacity":1}`, 200)
 	onSidecar("POST", "/v1/backends", `{"instance":"i"}`, 422)
@@ -140,19 +188,22 @@
 	onSidecar("GET", "/v1/costs", "", 200)
 	onSidecar("GET", "/v1/log", "", 200)
 	onSidecar("DELETE", "/v1/backends/unknown", "", 404)
-	onCore("PUT", "/v1/localities/south/emptied", "", 200)
-	onCore("GET", "/v1/localities", "", 200)
-	onCore("GET", "/v1/localities/south", "", 200)
-	onCore("DELETE", "/v1/localities/south/emptied", "", 200)
-	onCore("PUT", "/v1/windows", anyCalendar, 200)
-	onCore("GET", "/v1/windows", "", 200)
-	onCore("DELETE", "/v1/windows", "", 200)
-	onCore("GET", "/v1/budgets", "", 200)
-	onCore("GET", "/v1/state", "", 200)
-	onCore("GET", "/v1/reload", "", 200)
-	onCore("GET", "/v1/log", "", 200)
-	onCore("GET", "/v1/traces/0123456789abcdef", "", 404)
-	onCore("GET", "/v1/traces/none", "", 400)
-
-	golden.Check(t, "documents/served.txt", []byte(strings.Join(slices.Sorted(maps.Keys(lines)), "\n")+"\n"))
+	onReplica("PUT", "/v1/localities/south/emptied", "", 200)
+	onReplica("GET", "/v1/localities", "", 200)
+	onReplica("GET", "/v1/localities/south", "", 200)
+	onReplica("DELETE", "/v1/localities/south/emptied", "", 200)
+	onReplica("PUT", "/v1/windows", anyCalendar, 200)
+	onReplica("GET", "/v1/windows", "", 200)
+	onReplica("DELETE", "/v1/windows", "", 200)
+	onReplica("GET", "/v1/budgets", "", 200)
+	onReplica("GET", "/v1/state", "", 200)
+	onReplica("GET", "/v1/reload", "", 200)
+	onReplica("GET", "/v1/log", "", 200)
+	onReplica("GET", "/v1/traces/0123456789abcdef", "", 404)
+	onReplica("GET", "/v1/traces/none", "", 400)
+
+	s.scrape("core", replicaSettings.Control)
+	s.scrape("sidecar", sidecarSettings.Control)
+
+	golden.Check(t, "documents/served.txt", []byte(strings.Join(slices.Sorted(maps.Keys(s.lines)), "\n")+"\n"))
 }
