--- a/internal/controlplane/consensus/quorum.go
+++ b/internal/controlplane/consensus/quorum.go
@@ -45,6 +45,11 @@
 // sameMember tells whether two are one disk in one slot.
 func sameMember(a, b config.Member) bool { return a.MemberID == b.MemberID && a.DiskID == b.DiskID }
 
+// containsMember tells whether a set has a member with the same ID and disk.
+func containsMember(members []config.Member, member config.Member) bool {
+	return slices.ContainsFunc(members, func(m config.Member) bool { return sameMember(m, member) })
+}
+
 // MemberIDs lists the slots of a set.
 func MemberIDs(members []config.Member) []int {
 	var ids []int
--- a/internal/controlplane/consensus/reconfiguration_test.go
+++ b/internal/controlplane/consensus/reconfiguration_test.go
@@ -51,8 +51,8 @@
 		t.Fatalf("phase %d, asked %v", p.phase, asked)
 	}
 	give(5)
-	if p.phase != proposerAccepting || string(p.state.Configuration) != "new" {
-		t.Fatalf("phase %d, proposes %q", p.phase, p.state.Configuration)
+	if p.phase != proposerAccepting || string(p.proposal.state.Configuration) != "new" {
+		t.Fatalf("phase %d, proposes %q", p.phase, p.proposal.state.Configuration)
 	}
 }
 
--- a/internal/controlplane/consensus/state_encoding.go
+++ b/internal/controlplane/consensus/state_encoding.go
@@ -16,7 +16,8 @@
 // Clone is a copy of the proposer that shares nothing that changes.
 func (p *Proposer) Clone() *Proposer {
 	out := *p
-	out.grants, out.rejections, out.commands = maps.Clone(p.grants), maps.Clone(p.rejections), slices.Clone(p.commands)
+	out.commands = slices.Clone(p.commands)
+	out.exchange.grants, out.exchange.rejections = maps.Clone(p.exchange.grants), maps.Clone(p.exchange.rejections)
 	return &out
 }
 
@@ -26,13 +27,13 @@
 	b = appendSender(b, p.Self)
 	b = appendMembers(b, p.initialMembers)
 	b = appendMemberSets(b, p.memberSets)
-	b = appendMembers(b, p.recipients)
+	b = appendMembers(b, p.exchange.recipients)
 	b = appendNumbers(b, uint64(p.phase), p.term, p.highestTerm)
-	b = appendPosition(b, p.position)
-	b = AppendControlState(b, p.state)
-	b = appendPosition(b, p.basePosition)
-	b = AppendControlState(b, p.baseState)
-	b = appendFlags(b, p.forCommand, now < p.backoffUntil)
+	b = appendPosition(b, p.proposal.position)
+	b = AppendControlState(b, p.proposal.state)
+	b = appendPosition(b, p.base.position)
+	b = AppendControlState(b, p.base.state)
+	b = appendFlags(b, p.proposal.forCommand, now < p.backoffUntil)
 	b = appendNumbers(b, uint64(len(p.commands)))
 	for _, command := range p.commands {
 		b = appendNumbers(b, command.ID)
@@ -42,7 +43,7 @@
 	if p.phase == proposerIdle {
 		return b // the votes of a round that is over count for nothing
 	}
-	return appendReplies(appendReplies(b, p.grants), p.rejections)
+	return appendReplies(appendReplies(b, p.exchange.grants), p.exchange.rejections)
 }
 
 func appendReplies(b []byte, replies map[int]Reply) []byte {
@@ -153,7 +154,7 @@
 // belongs to the round of votes that is open, or to one that a change of the set may open
 // again under the same epoch.
 func (p *Proposer) CanAffect(reply Reply) bool {
-	if len(p.commands) == 0 && (p.phase == proposerIdle || p.forCommand) {
+	if len(p.commands) == 0 && (p.phase == proposerIdle || p.proposal.forCommand) {
 		return false
 	}
 	if reply.Promised > p.highestTerm {
@@ -167,7 +168,7 @@
 	case MsgPrepare:
 		return p.phase == proposerPreparing || changes
 	case MsgAccept:
-		return p.phase == proposerAccepting && (!reply.Granted || reply.Position == p.position)
+		return p.phase == proposerAccepting && (!reply.Granted || reply.Position == p.proposal.position)
 	}
 	return false
 }
--- a/internal/controlplane/consensus/state_encoding_test.go
+++ b/internal/controlplane/consensus/state_encoding_test.go
@@ -7,18 +7,21 @@
 )
 
 // A field that the encodings leave out would have states merged that behave otherwise:
-// each field is listed here as told, or as one that needs no telling.
+// each field is listed here as encoded, or as one that need not be.
 func TestStateEncodingCoversEveryField(t *testing.T) {
 	for _, c := range []struct {
 		of     any
 		fields []string
 	}{
-		// Founded is zero where slots come and go; opened, sent, rest and began are told as
-		// far as they matter.
+		// StaticSize is zero where members come and go; backoffUntil, termStarted, startedAt and
+		// lastSent are encoded as far as they matter.
 		{Proposer{}, []string{
-			"Self", "StaticSize", "initialMembers", "memberSets", "recipients", "phaseStarted", "phase", "term", "highestTerm", "position", "state", "basePosition", "baseState",
-			"forCommand", "commands", "grants", "rejections", "lastSent", "backoffUntil", "termStarted",
+			"Self", "StaticSize", "initialMembers", "memberSets", "phase", "term", "termStarted", "highestTerm", "backoffUntil",
+			"base", "proposal", "commands", "exchange",
 		}},
+		{stateSnapshot{}, []string{"position", "state"}},
+		{proposal{}, []string{"stateSnapshot", "forCommand"}},
+		{phaseExchange{}, []string{"recipients", "startedAt", "lastSent", "grants", "rejections"}},
 		{Acceptor{}, []string{"Self", "StaticSize", "InitialMembers", "Phase", "Promised", "Position", "State", "Members", "Committed", "PromiseDirty", "StateDirty"}},
 		{Reply{}, []string{"Sender", "Type", "Term", "Granted", "Phase", "Promised", "Position", "State", "Committed", "Members", "MemberSets"}},
 		{Message{}, []string{"Sender", "Type", "Term", "Position", "State"}},
@@ -26,7 +29,7 @@
 		of := reflect.TypeOf(c.of)
 		for i := range of.NumField() {
 			if name := of.Field(i).Name; !slices.Contains(c.fields, name) {
-				t.Errorf("%s.%s: is it told by AppendState, and copied by Clone?", of.Name(), name)
+				t.Errorf("%s.%s: is it encoded by AppendState, and copied by Clone?", of.Name(), name)
 			}
 		}
 	}
