--- a/cmd/controlplane/main.go
+++ b/cmd/controlplane/main.go
@@ -1,5 +1,5 @@
-// Command controlplane is the control plane: it keeps the operator's word on its disk,
-// tells the data plane the news, and collects spans. (DESIGN 1)
+// Command controlplane is one replica of the control plane: it stores the operator's configuration
+// on its disk, serves it to the sidecars that watch it, and collects spans. (DESIGN 1)
 package main
 
 import (
@@ -11,7 +11,8 @@
 )
 
 func main() {
-	set, exit := settings.ReadControlPlane(os.Args[1:])
+	readSettings := func() (settings.ControlPlane, settings.Exit) { return settings.ReadControlPlane(os.Args[1:]) }
+	cfg, exit := readSettings()
 	process.Exit(exit)
-	controlplane.New(set, nil).Run(func() (settings.ControlPlane, settings.Exit) { return settings.ReadControlPlane(os.Args[1:]) })
+	controlplane.New(cfg, nil).Run(readSettings)
 }
--- a/cmd/planner/golden_test.go
+++ b/cmd/planner/golden_test.go
@@ -6,5 +6,5 @@
 	"curlewwalk/tests/golden"
 )
 
-// The planner's flags have the names and defaults that they have always had.
+// The planner's flags keep their names and defaults.
 func TestGoldenFlags(t *testing.T) { golden.Settings(t, "flags.txt", &options{}) }
--- a/cmd/planner/main.go
+++ b/cmd/planner/main.go
@@ -1,6 +1,7 @@
-// Command planner shows what a change would move, from a live core's state or
-// from a file, and changes nothing. Exit codes: 0 nothing moves, 1 something
-// moves, 2 bad input. (DESIGN 16)
+// Command planner shows what a change of the configuration, the zones or the nodes would affect, by
+// the state of a live control plane node or of a file. It changes nothing. (DESIGN 16)
+//
+// Exit codes: 0 nothing is affected, 1 something is, 2 invalid input.
 package main
 
 import (
@@ -14,6 +15,12 @@
 	"curlewwalk/internal/plan"
 )
 
+// The exit codes.
+const (
+	exitAffected = 1
+	exitInvalid  = 2
+)
+
 type options struct {
 	Core          string   `long:"core" description:"control address of a core to read the state from (IP:port)"`
 	State         string   `long:"state" description:"file to read the state from, as --save wrote it"`
@@ -33,48 +40,50 @@
 		if errors.As(err, &help) && help.Type == flags.ErrHelp {
 			return
 		}
-		os.Exit(2)
+		os.Exit(exitInvalid)
 	}
-	m, err := assess(o)
+	impact, err := assess(o)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "planner:", err)
-		os.Exit(2)
+		os.Exit(exitInvalid)
 	}
-	if o.JSON {
-		enc := json.NewEncoder(os.Stdout)
-		enc.SetIndent("", "  ")
-		enc.Encode(m)
-	} else {
-		fmt.Print(m)
-	}
-	if m.HasChanges() {
-		os.Exit(1)
+	printImpact(impact, o.JSON)
+	if impact.HasChanges() {
+		os.Exit(exitAffected)
 	}
 }
 
-func assess(o options) (m plan.Impact, err error) {
-	s, err := readSnapshot(o)
+// assess reads a snapshot, saves it if that is asked for, and works out a change's impact on it.
+func assess(o options) (plan.Impact, error) {
+	snapshot, err := readSnapshot(o)
 	if err != nil {
-		return m, err
+		return plan.Impact{}, err
 	}
 	if o.Save != "" {
-		b, err := json.MarshalIndent(s, "", "  ")
-		if err != nil {
-			return m, err
-		}
-		if err := os.WriteFile(o.Save, b, 0o640); err != nil {
-			return m, err
+		if err := saveSnapshot(o.Save, snapshot); err != nil {
+			return plan.Impact{}, err
 		}
 	}
-	c := plan.Change{Evacuate: o.Evacuate, Restore: o.Restore, Remove: o.Remove, Add: o.Add}
+	change := plan.Change{Evacuate: o.Evacuate, Restore: o.Restore, Remove: o.Remove, Add: o.Add}
 	if o.Configuration != "" {
-		if c.Configuration, err = os.ReadFile(o.Configuration); err != nil {
-			return m, err
+		if change.Configuration, err = os.ReadFile(o.Configuration); err != nil {
+			return plan.Impact{}, err
 		}
 	}
-	m, faults := plan.Assess(s, c)
-	for _, f := range faults {
-		err = errors.Join(err, fmt.Errorf("%s: %s", f.Path, f.Message))
+	impact, violations := plan.Assess(snapshot, change)
+	for _, v := range violations {
+		err = errors.Join(err, fmt.Errorf("%s: %s", v.Path, v.Message))
+	}
+	return impact, err
+}
+
+// printImpact prints an impact as text, or as JSON.
+func printImpact(impact plan.Impact, asJSON bool) {
+	if !asJSON {
+		fmt.Print(impact)
+		return
 	}
-	return m, err
+	enc := json.NewEncoder(os.Stdout)
+	enc.SetIndent("", "  ")
+	enc.Encode(impact)
 }
--- a/cmd/planner/snapshot.go
+++ b/cmd/planner/snapshot.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"net/http"
@@ -13,81 +14,124 @@
 	"curlewwalk/internal/plan"
 )
 
-// readSnapshot takes the state from a file or from a live core.
-func readSnapshot(o options) (s plan.Snapshot, err error) {
+// fetchTimeout bounds each request to the control plane node.
+const fetchTimeout = 5 * time.Second // (ours)
+
+// errNoSource is that of options which name no source of the state, or two.
+var errNoSource = errors.New("one of --core and --state is needed")
+
+// readSnapshot takes the state from a file, or from a live control plane node.
+func readSnapshot(o options) (plan.Snapshot, error) {
 	switch {
 	case (o.Core == "") == (o.State == ""):
-		return s, fmt.Errorf("one of --core and --state is needed")
+		return plan.Snapshot{}, errNoSource
 	case o.State != "":
-		b, err := os.ReadFile(o.State)
-		if err != nil {
-			return s, err
-		}
-		return s, json.Unmarshal(b, &s)
+		return loadSnapshot(o.State)
+	}
+	return fetchSnapshot(o.Core)
+}
+
+func loadSnapshot(file string) (snapshot plan.Snapshot, err error) {
+	b, err := os.ReadFile(file)
+	if err != nil {
+		return snapshot, err
+	}
+	return snapshot, json.Unmarshal(b, &snapshot)
+}
+
+func saveSnapshot(file string, snapshot plan.Snapshot) error {
+	b, err := json.MarshalIndent(snapshot, "", "  ")
+	if err != nil {
+		return err
 	}
-	var state struct {
-		Cores     []membership.Replica `json:"cores"`
-		Self      membership.Replica   `json:"self"`
-		Directory struct {
+	return os.WriteFile(file, b, 0o640)
+}
+
+// The parts of the /v1 documents that a snapshot is made of.
+type (
+	stateDocument struct {
+		Replicas []membership.Replica `json:"cores"`
+		Self     membership.Replica   `json:"self"`
+		Watch    struct {
 			Nodes []membership.Node `json:"nodes"`
 		} `json:"directory"`
 	}
-	var localities struct {
-		Emptied []string `json:"emptied"`
+	zonesDocument struct {
+		Evacuated []string `json:"emptied"`
 	}
-	var windows struct {
-		Coming []maintenance.Occurrence `json:"coming"`
+	windowsDocument struct {
+		Upcoming []maintenance.Occurrence `json:"coming"`
 	}
-	for path, into := range map[string]any{"/v1/state": &state, "/v1/localities": &localities, "/v1/windows": &windows} {
-		b, status, err := fetch(o.Core, path)
-		if err != nil {
-			return s, err
-		}
-		if status != http.StatusOK {
-			return s, fmt.Errorf("%s: status %d", path, status)
-		}
-		if err := json.Unmarshal(b, into); err != nil {
-			return s, fmt.Errorf("%s: %w", path, err)
+)
+
+// fetchSnapshot reads the state of a live node by its control address.
+func fetchSnapshot(addr string) (snapshot plan.Snapshot, err error) {
+	var state stateDocument
+	var zones zonesDocument
+	var windows windowsDocument
+	for path, document := range map[string]any{"/v1/state": &state, "/v1/localities": &zones, "/v1/windows": &windows} {
+		if err := fetchDocument(addr, path, document); err != nil {
+			return snapshot, err
 		}
 	}
-	b, status, err := fetch(o.Core, "/v1/desired")
+	snapshot = plan.Snapshot{
+		EvacuatedZones: zones.Evacuated,
+		Nodes:          state.Watch.Nodes,
+		Replicas:       insertSelf(state.Replicas, state.Self),
+		Windows:        windows.Upcoming,
+	}
+	body, status, err := fetch(addr, "/v1/desired")
 	switch {
 	case err != nil:
-		return s, err
+		return snapshot, err
 	case status == http.StatusOK:
-		s.Configuration = string(b)
+		snapshot.Configuration = string(body)
 	case status != http.StatusNotFound:
-		return s, fmt.Errorf("/v1/desired: status %d", status)
+		return snapshot, fmt.Errorf("/v1/desired: status %d", status)
 	}
-	s.EvacuatedZones, s.Nodes, s.Replicas = localities.Emptied, state.Directory.Nodes, insertSelf(state.Cores, state.Self)
-	s.Windows = windows.Coming
-	return s, nil
+	return snapshot, nil
 }
 
-// insertSelf puts the core that was asked among those that it knows, by slot.
-func insertSelf(cores []membership.Replica, self membership.Replica) (out []membership.Replica) {
-	placed := false
-	for _, c := range cores {
-		if !placed && self.MemberID <= c.MemberID {
-			out, placed = append(out, self), true
+// insertSelf puts the replica that was asked among those that it knows, by member ID. It replaces
+// one that it knows under its own.
+func insertSelf(replicas []membership.Replica, self membership.Replica) (all []membership.Replica) {
+	inserted := false
+	for _, replica := range replicas {
+		if !inserted && self.MemberID <= replica.MemberID {
+			all, inserted = append(all, self), true
 		}
-		if c.MemberID != self.MemberID {
-			out = append(out, c)
+		if replica.MemberID != self.MemberID {
+			all = append(all, replica)
 		}
 	}
-	if !placed {
-		out = append(out, self)
+	if !inserted {
+		all = append(all, self)
+	}
+	return all
+}
+
+// fetchDocument reads a JSON document that must exist.
+func fetchDocument(addr, path string, document any) error {
+	body, status, err := fetch(addr, path)
+	if err != nil {
+		return err
+	}
+	if status != http.StatusOK {
+		return fmt.Errorf("%s: status %d", path, status)
+	}
+	if err := json.Unmarshal(body, document); err != nil {
+		return fmt.Errorf("%s: %w", path, err)
 	}
-	return out
+	return nil
 }
 
-func fetch(core, path string) ([]byte, int, error) {
-	client := http.Client{Timeout: 5 * time.Second}
-	resp, err := client.Get("http://" + core + path)
+func fetch(addr, path string) (body []byte, status int, err error) {
+	client := http.Client{Timeout: fetchTimeout}
+	resp, err := client.Get("http://" + addr + path)
 	if err != nil {
 		return nil, 0, err
 	}
 	defer resp.Body.Close()
-	b, err := io.ReadAll(resp.Body)
-	return b, resp.StatusCode, err
+	body, err = io.ReadAll(resp.Body)
+	return body, resp.StatusCode, err
 }
