--- a/internal/plan/change.go
+++ b/internal/plan/change.go
@@ -1,12 +1,14 @@
 package plan
 
-// Change is what an operator thinks of doing, or fears.
+// Change is what an operator considers doing, or fears.
 type Change struct {
-	// Configuration is a candidate configuration; nil leaves it as it is.
+	// Configuration is a candidate configuration, a JSON document; nil leaves it as it is.
 	Configuration []byte
-	Evacuate      []string
-	Restore       []string
-	// Remove lists wire addresses of nodes and cores, Gain those of new nodes.
+	// Evacuate and Restore name zones; one that is in both is restored.
+	Evacuate []string
+	Restore  []string
+	// Remove has the transport addresses of sidecars and control plane nodes that are lost, Add
+	// those of new sidecars.
 	Remove []string
 	Add    []string
 }
--- /dev/null
+++ b/internal/plan/diff.go
@@ -0,0 +1,35 @@
+package plan
+
+import (
+	"encoding/json"
+	"slices"
+)
+
+// diffByName tells which items of two lists are new, changed or gone, by name.
+func diffByName[T any](before, after []T, name func(T) string) (differences []string) {
+	old := map[string]string{}
+	for _, item := range before {
+		old[name(item)] = canonicalJSON(item)
+	}
+	for _, item := range after {
+		previous, existed := old[name(item)]
+		switch {
+		case !existed:
+			differences = append(differences, name(item)+": new")
+		case previous != canonicalJSON(item):
+			differences = append(differences, name(item)+": changed")
+		}
+		delete(old, name(item))
+	}
+	for gone := range old {
+		differences = append(differences, gone+": gone")
+	}
+	slices.Sort(differences)
+	return differences
+}
+
+// canonicalJSON is the text by which parts of a configuration are compared.
+func canonicalJSON(part any) string {
+	b, _ := json.Marshal(part) // the configuration's types always marshal
+	return string(b)
+}
--- a/internal/plan/impact.go
+++ b/internal/plan/impact.go
@@ -2,43 +2,44 @@
 
 import (
 	"fmt"
-	"slices"
+	"io"
 	"strings"
 	"time"
 
 	"curlewwalk/internal/maintenance"
 )
 
-// Impact is what a change would move.
+// Impact is what a change would affect.
 type Impact struct {
+	// Routes, Contracts and Services list what is new, changed or gone in the configuration;
+	// Limits tells whether its limits change.
 	Routes    []string `json:"ways"`
 	Contracts []string `json:"contracts"`
-	// Services lists those of which something else is said; Limits tells whether
-	// clients are bound otherwise.
-	Services []string `json:"services,omitempty"`
-	Limits   bool     `json:"limits,omitempty"`
-	// Capacities lists services and zones whose places change.
+	Services  []string `json:"services,omitempty"`
+	Limits    bool     `json:"limits,omitempty"`
+	// Capacities lists the services and zones whose capacity changes.
 	Capacities []CapacityChange `json:"capacity"`
-	// Watchers lists nodes that would follow another core.
+	// Watchers lists the sidecars that would watch another control plane node.
 	Watchers    []Reassignment `json:"followers"`
 	Coordinator *Reassignment  `json:"duty,omitempty"`
-	// MovedTraces is the share of traces that would go to another core.
+	// MovedTraces is the share of traces that would be collected by another control plane node,
+	// from 0 to 1.
 	MovedTraces float64 `json:"collectors"`
-	// AtRisk lists contracts that may not be kept, and why.
+	// AtRisk lists the contracts that may not be kept.
 	AtRisk []Risk `json:"at_risk"`
-	// Windows are the coming maintenance windows and what each would move, after
-	// the change; they are shown, and count as no move of the change.
+	// Windows are the upcoming maintenance windows, and what each affects after the change. They
+	// are shown for information, and are no impact of the change.
 	Windows []WindowImpact `json:"windows,omitempty"`
 }
 
-// WindowImpact is a maintenance window and what it would move.
+// WindowImpact is what a maintenance window affects.
 type WindowImpact struct {
 	maintenance.Occurrence
 	Capacities []CapacityChange `json:"capacity"`
 	AtRisk     []Risk           `json:"at_risk"`
 }
 
-// CapacityChange is how many places a service has in a zone.
+// CapacityChange is how many requests a service can run at once in a zone.
 type CapacityChange struct {
 	Service string `json:"service"`
 	Zone    string `json:"locality"`
@@ -46,70 +47,78 @@
 	After   int    `json:"after"`
 }
 
-// Reassignment is something that goes from one core to another.
+// Reassignment is something that goes from one control plane node to another, by their addresses.
 type Reassignment struct {
 	Subject string `json:"what"`
 	From    string `json:"from"`
 	To      string `json:"to"`
 }
 
-// Risk is a contract that a change puts at risk.
+// Risk is a contract that may not be kept, and why.
 type Risk struct {
 	Contract string `json:"contract"`
 	Reason   string `json:"why"`
 }
 
-// HasChanges tells whether anything moves.
-func (impact Impact) HasChanges() bool {
-	return impact.Limits || len(impact.Routes)+len(impact.Contracts)+len(impact.Services)+len(impact.Capacities)+len(impact.Watchers)+len(impact.AtRisk) > 0 || impact.Coordinator != nil || impact.MovedTraces > 0
+// HasChanges tells whether the change affects anything.
+func (i Impact) HasChanges() bool {
+	lists := len(i.Routes) + len(i.Contracts) + len(i.Services) + len(i.Capacities) + len(i.Watchers) + len(i.AtRisk)
+	return lists > 0 || i.Limits || i.Coordinator != nil || i.MovedTraces > 0
 }
 
-// String is the moves as text.
-func (impact Impact) String() string {
+// String is the impact as text, one line for each thing that is affected.
+func (i Impact) String() string {
 	var b strings.Builder
-	for _, w := range impact.Routes {
-		fmt.Fprintf(&b, "way %s\n", w)
-	}
-	for _, c := range impact.Contracts {
-		fmt.Fprintf(&b, "contract %s\n", c)
+	i.printConfiguration(&b)
+	printCapacities(&b, "", i.Capacities)
+	i.printReassignments(&b)
+	printRisks(&b, "", i.AtRisk)
+	if !i.HasChanges() {
+		b.WriteString("nothing moves\n")
 	}
-	for _, s := range impact.Services {
-		fmt.Fprintf(&b, "service %s\n", s)
+	for _, w := range i.Windows {
+		fmt.Fprintf(&b, "window %s of %s from %s to %s\n", w.Zone, w.ID, w.Start.Format(time.RFC3339), w.End.Format(time.RFC3339))
+		printCapacities(&b, "  ", w.Capacities)
+		printRisks(&b, "  ", w.AtRisk)
 	}
-	if impact.Limits {
-		fmt.Fprintf(&b, "limits: changed\n")
+	return b.String()
+}
+
+func (i Impact) printConfiguration(w io.Writer) {
+	for _, route := range i.Routes {
+		fmt.Fprintf(w, "way %s\n", route)
 	}
-	for _, c := range impact.Capacities {
-		fmt.Fprintf(&b, "places of %s in %s: %d -> %d\n", c.Service, c.Zone, c.Before, c.After)
+	for _, contract := range i.Contracts {
+		fmt.Fprintf(w, "contract %s\n", contract)
 	}
-	if impact.Coordinator != nil {
-		fmt.Fprintf(&b, "%s: %s -> %s\n", impact.Coordinator.Subject, impact.Coordinator.From, impact.Coordinator.To)
+	for _, service := range i.Services {
+		fmt.Fprintf(w, "service %s\n", service)
 	}
-	for _, f := range impact.Watchers {
-		fmt.Fprintf(&b, "%s follows %s -> %s\n", f.Subject, f.From, f.To)
+	if i.Limits {
+		fmt.Fprintln(w, "limits: changed")
 	}
-	if impact.MovedTraces > 0 {
-		fmt.Fprintf(&b, "%.0f%% of traces go to another core\n", 100*impact.MovedTraces)
+}
+
+func (i Impact) printReassignments(w io.Writer) {
+	if i.Coordinator != nil {
+		fmt.Fprintf(w, "%s: %s -> %s\n", i.Coordinator.Subject, i.Coordinator.From, i.Coordinator.To)
 	}
-	for _, r := range impact.AtRisk {
-		fmt.Fprintf(&b, "AT RISK: contract %s: %s\n", r.Contract, r.Reason)
+	for _, watcher := range i.Watchers {
+		fmt.Fprintf(w, "%s follows %s -> %s\n", watcher.Subject, watcher.From, watcher.To)
 	}
-	if !impact.HasChanges() {
-		b.WriteString("nothing moves\n")
+	if i.MovedTraces > 0 {
+		fmt.Fprintf(w, "%.0f%% of traces go to another core\n", 100*i.MovedTraces)
 	}
-	for _, w := range impact.Windows {
-		fmt.Fprintf(&b, "window %s of %s from %s to %s\n", w.Zone, w.ID, w.Start.Format(time.RFC3339), w.End.Format(time.RFC3339))
-		for _, c := range w.Capacities {
-			fmt.Fprintf(&b, "  places of %s in %s: %d -> %d\n", c.Service, c.Zone, c.Before, c.After)
-		}
-		for _, r := range w.AtRisk {
-			fmt.Fprintf(&b, "  AT RISK: contract %s: %s\n", r.Contract, r.Reason)
-		}
+}
+
+func printCapacities(w io.Writer, indent string, changes []CapacityChange) {
+	for _, c := range changes {
+		fmt.Fprintf(w, "%splaces of %s in %s: %d -> %d\n", indent, c.Service, c.Zone, c.Before, c.After)
 	}
-	return b.String()
 }
 
-func sortedBy[T any](list []T, less func(a, b T) int) []T {
-	slices.SortFunc(list, less)
-	return list
+func printRisks(w io.Writer, indent string, risks []Risk) {
+	for _, r := range risks {
+		fmt.Fprintf(w, "%sAT RISK: contract %s: %s\n", indent, r.Contract, r.Reason)
+	}
 }
--- a/internal/plan/plan_test.go
+++ b/internal/plan/plan_test.go
@@ -7,8 +7,8 @@
 	"curlewwalk/internal/membership"
 )
 
-// What is said of services and clients moves too; a service that only has a part
-// of a way puts its contract at risk as well.
+// Changes of services and limits are an impact too; a service that gets only a share of a route puts
+// its contract at risk as well.
 func TestServicesMove(t *testing.T) {
 	head := `{"contracts":[{"name":"c","aim":"1s","expiry":"2s","rank":1}],"ways":[{"name":"w","prefix":"/","contract":"c","split":[{"service":"a","weight":9},{"service":"b","weight":1}]}],`
 	was := head + `"services":[{"name":"a","connections":3,"cold":{"for":"3s","rate":9}},{"name":"b"}]}`
--- a/internal/plan/snapshot.go
+++ b/internal/plan/snapshot.go
@@ -1,5 +1,3 @@
-// Package plan shows what a change would move, and changes nothing.
-// (DESIGN 16)
 package plan
 
 import (
@@ -7,13 +5,16 @@
 	"curlewwalk/internal/membership"
 )
 
-// Snapshot is what a plan starts from: a core's state, from a live core or a
-// file.
+// Snapshot is the state that a change is assessed against, from a live control plane node or from
+// a file.
 type Snapshot struct {
-	Configuration  string               `json:"desired"`
-	EvacuatedZones []string             `json:"emptied"`
-	Nodes          []membership.Node    `json:"nodes"`
-	Replicas       []membership.Replica `json:"cores"`
-	// Windows are the coming maintenance windows.
+	// Configuration is the JSON document of a config.Configuration; empty: none was put.
+	Configuration  string   `json:"desired"`
+	EvacuatedZones []string `json:"emptied"`
+	// Nodes are the sidecars, with their backends.
+	Nodes []membership.Node `json:"nodes"`
+	// Replicas are the control plane's, sorted by member ID.
+	Replicas []membership.Replica `json:"cores"`
+	// Windows are the upcoming maintenance windows.
 	Windows []maintenance.Occurrence `json:"windows,omitempty"`
 }
