--- a/internal/settings/control_plane.go
+++ b/internal/settings/control_plane.go
@@ -27,7 +27,7 @@
 // is to end at once, with which code and text.
 func ReadControlPlane(args []string, groups ...Group) (ControlPlane, Exit) {
 	var s ControlPlane
-	exit := read("controlplane", &s, &s.Common, args, groups, s.check)
+	exit := read("controlplane", &s, &s.Common, args, groups, s.validate)
 	// Whoever founds the system can be asked for the others as well.
 	for _, founder := range s.Founders {
 		if !slices.Contains(s.Seeds, founder) {
@@ -37,51 +37,51 @@
 	return s, exit
 }
 
-// check reports what is wrong.
-func (s *ControlPlane) check(c *checker) {
+// validate reports what is wrong.
+func (s *ControlPlane) validate(v *validator) {
 	s.Founders = splitLists(s.Founders)
-	s.checkMemberID(c)
-	s.checkFounders(c)
+	s.validateMemberID(v)
+	s.validateFounders(v)
 	if s.GoneAfter < 2*time.Second {
-		c.addFault("gone-after", s.GoneAfter, "2s or more")
+		v.addViolation("gone-after", s.GoneAfter, "2s or more")
 	}
 	if s.Data == "" {
-		c.addFault("data", s.Data, "a folder's path")
+		v.addViolation("data", s.Data, "a folder's path")
 	}
 }
 
-// checkMemberID checks the static slot, which a core must have that has nobody to ask
+// validateMemberID checks the static slot, which a core must have that has nobody to ask
 // for one.
-func (s *ControlPlane) checkMemberID(c *checker) {
+func (s *ControlPlane) validateMemberID(v *validator) {
 	asks := !s.HasStaticMember() && (s.First || len(s.Founders) > 0 || len(s.Seeds) > 0)
 	if s.Slots < 1 || s.Slots > 7 || s.Slots%2 == 0 {
-		c.addFault("slots", s.Slots, "1, 3, 5 or 7")
+		v.addViolation("slots", s.Slots, "1, 3, 5 or 7")
 		return
 	}
 	if !asks && (s.Slot < 1 || s.Slot > s.Slots) {
-		c.addFault("slot", s.Slot, "1 to slots, or none, with founders or seeds to ask")
+		v.addViolation("slot", s.Slot, "1 to slots, or none, with founders or seeds to ask")
 	}
 }
 
-func (s *ControlPlane) checkFounders(c *checker) {
+func (s *ControlPlane) validateFounders(v *validator) {
 	for i, founder := range s.Founders {
-		c.address("founders", founder, true)
+		v.address("founders", founder, true)
 		if slices.Contains(s.Founders[:i], founder) {
-			c.addFault("founders", founder, "given once")
+			v.addViolation("founders", founder, "given once")
 		}
 	}
 	if len(s.Founders) > maxFounders {
-		c.addFault("founders", len(s.Founders), "at most 31 addresses")
+		v.addViolation("founders", len(s.Founders), "at most 31 addresses")
 	}
 	if s.First && len(s.Founders) == 0 {
-		c.addFault("first", s.First, "given with founders only")
+		v.addViolation("first", s.First, "given with founders only")
 	}
 }
 
 // splitLists takes lists with commas apart.
-func splitLists(lists []string) []string {
+func splitLists(values []string) []string {
 	var out []string
-	for _, l := range lists {
+	for _, l := range values {
 		for _, a := range strings.Split(l, ",") {
 			if a = strings.TrimSpace(a); a != "" {
 				out = append(out, a)
--- a/internal/settings/read.go
+++ b/internal/settings/read.go
@@ -13,31 +13,31 @@
 
 // read fills settings from the file that args name, then from args, and checks
 // them. common is the part of settings that both programs have.
-func read(program string, settings any, common *Common, args []string, groups []Group, check func(*checker)) Exit {
+func read(program string, settings any, common *Common, args []string, groups []Group, validate func(*validator)) Exit {
 	parser := newParser(program, settings, groups)
 	if err := parseArgs(parser, args); err != nil {
 		var help *flags.Error
 		if errors.As(err, &help) && help.Type == flags.ErrHelp {
 			return Exit{Now: true, Text: err.Error()}
 		}
-		return failure(program, err.Error())
+		return invalid(program, err.Error())
 	}
 	if common.Version {
 		return Exit{Now: true, Text: Version}
 	}
 	if err := parseFile(parser, common.File, args); err != nil {
-		return failure(program, err.Error())
+		return invalid(program, err.Error())
 	}
 	for _, group := range groups {
 		if group.Apply != nil {
 			group.Apply(settings)
 		}
 	}
-	c := &checker{}
-	c.common(common)
-	check(c)
-	if len(c.faults) > 0 {
-		return failure(program, c.faults[0])
+	v := &validator{}
+	v.common(common)
+	validate(v)
+	if len(v.violations) > 0 {
+		return invalid(program, v.violations[0])
 	}
 	if common.Advertise == "" {
 		common.Advertise = common.Wire
@@ -84,7 +84,7 @@
 	return parseArgs(parser, args)
 }
 
-// failure is the exit over settings that can't be used, on one line.
-func failure(program, text string) Exit {
+// invalid is the exit over settings that can't be used, on one line.
+func invalid(program, text string) Exit {
 	return Exit{Now: true, Code: 2, Text: program + ": settings: " + strings.ReplaceAll(text, "\n", "; ")}
 }
--- a/internal/settings/reload.go
+++ b/internal/settings/reload.go
@@ -19,9 +19,9 @@
 // they can be put in force without a restart.
 func Diff(old, next any) ReloadResult {
 	var r ReloadResult
-	a, b := reflect.ValueOf(old), reflect.ValueOf(next)
-	for i := range a.NumField() {
-		f, x, y := a.Type().Field(i), a.Field(i).Interface(), b.Field(i).Interface()
+	oldValue, newValue := reflect.ValueOf(old), reflect.ValueOf(next)
+	for i := range oldValue.NumField() {
+		f, x, y := oldValue.Type().Field(i), oldValue.Field(i).Interface(), newValue.Field(i).Interface()
 		name := f.Tag.Get("long")
 		switch {
 		case f.Anonymous:
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -10,7 +10,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-const good = `locality = north
+const validSettings = `locality = north
 wire = 127.0.0.1:7400
 control = 127.0.0.1:7401
 inquiries = 127.0.0.1:7402
@@ -20,7 +20,7 @@
 drain = 3s
 `
 
-func file(t *testing.T, text string) string {
+func writeFile(t *testing.T, text string) string {
 	t.Helper()
 	name := filepath.Join(t.TempDir(), "settings.ini")
 	if err := os.WriteFile(name, []byte(text), 0o600); err != nil {
@@ -31,7 +31,7 @@
 
 // Settings come from the file; a flag wins over it.
 func TestFileAndFlags(t *testing.T) {
-	s, exit := ReadSidecar([]string{"--settings", file(t, good), "--drain=5s", "--seed=10.0.0.9:1", "--advertise=10.0.0.7:7400"})
+	s, exit := ReadSidecar([]string{"--settings", writeFile(t, validSettings), "--drain=5s", "--seed=10.0.0.9:1", "--advertise=10.0.0.7:7400"})
 	if exit.Now {
 		t.Fatal(exit.Text)
 	}
@@ -41,7 +41,7 @@
 	if d := cmp.Diff([]string{"10.0.0.9:1"}, s.Seeds); d != "" {
 		t.Error(d)
 	}
-	if s, _ := ReadSidecar([]string{"--settings", file(t, good)}); len(s.Seeds) != 2 || s.Advertise != s.Wire {
+	if s, _ := ReadSidecar([]string{"--settings", writeFile(t, validSettings)}); len(s.Seeds) != 2 || s.Advertise != s.Wire {
 		t.Errorf("%+v", s)
 	}
 }
@@ -49,7 +49,7 @@
 // A bad setting is one line that names the field, the value and what is
 // allowed; exit 2. Checking, help and version end with 0.
 func TestExits(t *testing.T) {
-	f := file(t, good)
+	f := writeFile(t, validSettings)
 	core := []string{"--locality=n", "--wire=127.0.0.1:1", "--control=127.0.0.1:2", "--slot=1", "--data=x"}
 	for _, c := range []struct {
 		args  []string
@@ -76,7 +76,7 @@
 		{[]string{"--settings", f, "--seed=1.1.1.1:1", "--seed=1.1.1.1:2", "--seed=1.1.1.1:3", "--seed=1.1.1.1:4"}, false, 2, []string{"seed", "three"}},
 		{[]string{"--settings", f, "--outgoing=orders:here"}, false, 2, []string{"outgoing orders", `"here"`}},
 		{[]string{"--settings", f + ".none"}, false, 2, []string{".none"}},
-		{[]string{"--settings", file(t, good+"colour = red\n")}, false, 2, []string{"colour"}},
+		{[]string{"--settings", writeFile(t, validSettings+"colour = red\n")}, false, 2, []string{"colour"}},
 		{[]string{"--settings", f, "--colour=red"}, false, 2, []string{"colour"}},
 		{[]string{"--settings", f, "stray"}, false, 2, []string{`"stray"`}},
 		{nil, false, 2, []string{"locality", `""`}},
@@ -107,7 +107,7 @@
 
 // What is not given is as it always was; bodies may have a quarter of a bounded memory.
 func TestBounds(t *testing.T) {
-	f := file(t, good)
+	f := writeFile(t, validSettings)
 	s, exit := ReadSidecar([]string{"--settings", f})
 	if exit.Now || s.Beat != 500*time.Millisecond || s.Halving != 10*time.Second || s.Shun != time.Second || s.Ramp != 10*time.Second || s.RampFrom != 0.2 || s.Memory != 0 || s.BodyMemory != 256<<20 {
 		t.Errorf("%+v %+v", s, exit)
@@ -121,7 +121,7 @@
 
 // A reload tells what it can put in force from what it can't.
 func TestCompare(t *testing.T) {
-	f := file(t, good)
+	f := writeFile(t, validSettings)
 	old, _ := ReadSidecar([]string{"--settings", f})
 	next, _ := ReadSidecar([]string{"--settings", f, "--drain=9s", "--seed=10.0.0.9:1", "--inquiries=127.0.0.1:9"})
 	want := ReloadResult{Applied: []string{"seed", "drain"}, NeedsRestart: []string{"inquiries"}}
--- a/internal/settings/sidecar.go
+++ b/internal/settings/sidecar.go
@@ -41,57 +41,57 @@
 // program is to end at once, with which code and text.
 func ReadSidecar(args []string, groups ...Group) (Sidecar, Exit) {
 	var s Sidecar
-	exit := read("sidecar", &s, &s.Common, args, groups, s.check)
+	exit := read("sidecar", &s, &s.Common, args, groups, s.validate)
 	return s, exit
 }
 
-// check fills in what depends on other settings and reports what is wrong. The
+// validate fills in what depends on other settings and reports what is wrong. The
 // fault of the setting that stands first here is the one that is printed.
-func (s *Sidecar) check(c *checker) {
-	c.address("inquiries", s.Requests, true)
+func (s *Sidecar) validate(v *validator) {
+	v.address("inquiries", s.Requests, true)
 	for service, addr := range s.Outgoing {
-		c.address("outgoing "+service, addr, true)
+		v.address("outgoing "+service, addr, true)
 	}
-	s.checkSizes(c)
-	c.duration("beat", s.Beat, 50*time.Millisecond, 10*time.Second)
-	c.duration("fresh-halving", s.Halving, 0, time.Minute)
-	c.duration("shun", s.Shun, 0, time.Minute)
-	c.duration("ramp", s.Ramp, 0, time.Minute)
+	s.validateSizes(v)
+	v.duration("beat", s.Beat, 50*time.Millisecond, 10*time.Second)
+	v.duration("fresh-halving", s.Halving, 0, time.Minute)
+	v.duration("shun", s.Shun, 0, time.Minute)
+	v.duration("ramp", s.Ramp, 0, time.Minute)
 	if !(s.RampFrom > 0 && s.RampFrom <= 1) {
-		c.addFault("ramp-from", s.RampFrom, "above 0 and at most 1")
+		v.addViolation("ramp-from", s.RampFrom, "above 0 and at most 1")
 	}
 	if s.BodyMemory < s.MaxBody {
-		c.addFault("body-memory", s.BodyMemory, "at least max-body")
+		v.addViolation("body-memory", s.BodyMemory, "at least max-body")
 	}
 	if s.ServeOn < 0 {
-		c.addFault("serve-on", s.ServeOn, "a duration of 0s or more")
+		v.addViolation("serve-on", s.ServeOn, "a duration of 0s or more")
 	}
-	c.share("hold", s.Hold, 0.5)
-	c.share("crossing", s.Crossing, 1)
+	v.share("hold", s.Hold, 0.5)
+	v.share("crossing", s.Crossing, 1)
 	if s.ComeBack <= 0 {
-		c.addFault("come-back", s.ComeBack, "a duration of more than 0s")
+		v.addViolation("come-back", s.ComeBack, "a duration of more than 0s")
 	}
-	c.atLeast("extra-legs", s.ExtraAttempts, 0)
-	c.atLeast("trace-queue", s.TraceQueue, 1)
+	v.atLeast("extra-legs", s.ExtraAttempts, 0)
+	v.atLeast("trace-queue", s.TraceQueue, 1)
 }
 
-// checkSizes checks the bounds on bodies and memory, and sets the one on all
+// validateSizes checks the bounds on bodies and memory, and sets the one on all
 // bodies if it isn't given.
-func (s *Sidecar) checkSizes(c *checker) {
+func (s *Sidecar) validateSizes(v *validator) {
 	if s.MaxBody < 1<<10 || s.MaxBody > maxBodyLimit {
-		c.addFault("max-body", s.MaxBody, fmt.Sprintf("1024 to %d", maxBodyLimit))
+		v.addViolation("max-body", s.MaxBody, fmt.Sprintf("1024 to %d", maxBodyLimit))
 	}
-	if s.Memory != 0 && (s.Memory > 1<<30 || s.bodyShare() < s.MaxBody) {
-		c.addFault("memory", s.Memory, "0, or at least 4 times max-body")
+	if s.Memory != 0 && (s.Memory > 1<<30 || s.bodyMemoryShare() < s.MaxBody) {
+		v.addViolation("memory", s.Memory, "0, or at least 4 times max-body")
 	}
 	if s.BodyMemory != 0 {
 		return
 	}
 	s.BodyMemory = defaultBodyMemory
 	if s.Memory > 0 {
-		s.BodyMemory = min(defaultBodyMemory, s.bodyShare())
+		s.BodyMemory = min(defaultBodyMemory, s.bodyMemoryShare())
 	}
 }
 
-// bodyShare is the part of the memory that bodies may take, in bytes.
-func (s *Sidecar) bodyShare() int64 { return s.Memory << 20 / 4 }
+// bodyMemoryShare is the part of the memory that bodies may take, in bytes.
+func (s *Sidecar) bodyMemoryShare() int64 { return s.Memory << 20 / 4 }
