--- a/internal/membership/departures_test.go
+++ b/internal/membership/departures_test.go
@@ -7,7 +7,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Departures are bounded by number; the newest stay, and earlier values are as they were.
+// Departures are bounded by number: the newest stay. Earlier values do not change.
 func TestDepartures(t *testing.T) {
 	var d Departures
 	for i := range MaxDepartures + 10 {
@@ -25,6 +25,6 @@
 		t.Error("what is known changes it")
 	}
 	if got := d.Without(d.List()[1:]); cmp.Diff([]string{"10"}, got) != "" {
-		t.Errorf("beyond the others there are %v", got)
+		t.Errorf("without the others there are %v", got)
 	}
 }
--- a/internal/membership/failure_detector_test.go
+++ b/internal/membership/failure_detector_test.go
@@ -14,23 +14,23 @@
 	return out
 }
 
-// Each node has three watchers among the others, everybody agrees on whom, and
-// a node that goes moves no watcher but its own places.
+// Each node has three monitors among the others, all nodes agree on them, and a node that goes
+// moves no monitors but its own.
 func TestMonitors(t *testing.T) {
 	for _, size := range []int{1, 2, 3, 4, 13, 60} {
 		nodes := nodeAddrs(size)
-		watched := map[string]int{}
+		monitors := map[string]int{}
 		for _, own := range nodes {
 			for _, n := range NewFailureDetector(own).Monitored(nodes) {
-				watched[n]++
+				monitors[n]++
 				if n == own {
-					t.Errorf("%s watches itself", own)
+					t.Errorf("%s monitors itself", own)
 				}
 			}
 		}
 		for _, n := range nodes {
-			if watched[n] != min(MonitorsPerNode, size-1) {
-				t.Errorf("of %d nodes %s has %d watchers", size, n, watched[n])
+			if monitors[n] != min(MonitorsPerNode, size-1) {
+				t.Errorf("of %d nodes %s has %d monitors", size, n, monitors[n])
 			}
 		}
 	}
@@ -41,36 +41,44 @@
 		before, after := MonitorsOf(n, nodes), MonitorsOf(n, less)
 		for _, w := range before {
 			if w != gone && !slices.Contains(after, w) {
-				t.Errorf("%s lost its watcher %s though %s went", n, w, gone)
+				t.Errorf("%s lost its monitor %s though %s went", n, w, gone)
 			}
 		}
 	}
 }
 
-// A node is accused after two probes in a row went wrong, or one was refused,
-// in the incarnation that it last told; a later one refutes that.
+// A node is suspected after two probes in a row failed, or one was refused, with the highest
+// refutation that it has sent; a higher one refutes that.
 func TestSuspicion(t *testing.T) {
 	nodes := nodeAddrs(2)
 	detector := NewFailureDetector(nodes[0])
 	detector.Monitored(nodes)
 	known := map[string]Node{nodes[1]: {Addr: nodes[1], Incarnation: 7}}
-	for i, c := range []struct {
-		answer  *Probe
-		refused bool
-		accused int
-	}{{nil, false, 0}, {nil, false, 1}, {&Probe{Incarnation: 7, Refutation: 3}, false, 0}, {nil, false, 0}, {&Probe{Incarnation: 7, Refutation: 4}, false, 0}, {nil, true, 1}} {
-		detector.ObserveProbe(nodes[1], c.answer, c.refused)
-		if got := detector.Suspects(known); len(got) != c.accused {
-			t.Errorf("step %d: %+v", i, got)
+	for _, c := range []struct { // one after another
+		name     string
+		response *Probe
+		refused  bool
+		suspects int
+	}{
+		{"first miss", nil, false, 0},
+		{"second miss", nil, false, 1},
+		{"response", &Probe{Incarnation: 7, Refutation: 3}, false, 0},
+		{"miss after a response", nil, false, 0},
+		{"response again", &Probe{Incarnation: 7, Refutation: 4}, false, 0},
+		{"refused", nil, true, 1},
+	} {
+		detector.ObserveProbe(nodes[1], c.response, c.refused)
+		if got := detector.Suspects(known); len(got) != c.suspects {
+			t.Errorf("%s: %+v", c.name, got)
 		}
 	}
-	a := detector.Suspects(known)[0]
-	for inc, holds := range map[uint64]bool{3: true, 4: true, 5: false} {
-		if a.AppliesTo(Node{Addr: nodes[1], Incarnation: 7, Refutation: inc}) != holds {
-			t.Errorf("accused in %d, told in %d: holds %v", a.Refutation, inc, !holds)
+	suspicion := detector.Suspects(known)[0]
+	for refutation, holds := range map[uint64]bool{3: true, 4: true, 5: false} {
+		if suspicion.AppliesTo(Node{Addr: nodes[1], Incarnation: 7, Refutation: refutation}) != holds {
+			t.Errorf("suspected in %d, refuted in %d: holds %v", suspicion.Refutation, refutation, !holds)
 		}
 	}
-	if a.AppliesTo(Node{Addr: nodes[1], Incarnation: 8}) {
-		t.Error("it holds against a new boot")
+	if suspicion.AppliesTo(Node{Addr: nodes[1], Incarnation: 8}) {
+		t.Error("it holds against a new incarnation")
 	}
 }
--- a/internal/membership/peer_status_table_test.go
+++ b/internal/membership/peer_status_table_test.go
@@ -18,38 +18,39 @@
 	return Peer{Addr: addr, Incarnation: 1, Status: &PeerStatus{Age: age, AppliedRevision: revision, QuorumLost: true}}
 }
 
-// A majority of all that are known must have said that no newer word is in force, and
-// the oldest of just so many statements tells as of when that is sure.
+// A majority of all known sidecars must have confirmed that no newer control state is in force; it
+// is confirmed as of the oldest of the youngest statuses that make the majority.
 func TestConfirmedAsOf(t *testing.T) {
 	five := []string{"a", "b", "c", "d", "e"} // the own one is a
 	asked := noon.Add(-ms(100))
 	for name, c := range map[string]struct {
-		known  []string
-		heard  []Peer
-		asOf   time.Duration // before noon
-		denied bool
+		known    []string
+		observed []Peer
+		asOf     time.Duration // before noon
+		denied   bool
 	}{
 		"the second youngest of those that are needed": {five, []Peer{quorumLostPeer("b", 7, 50), quorumLostPeer("c", 7, 900), quorumLostPeer("d", 7, 2000)}, ms(1000), false},
-		"too few":                             {five, []Peer{quorumLostPeer("b", 7, 50)}, 0, true},
-		"one that has a newer word":           {five, []Peer{quorumLostPeer("b", 7, 50), quorumLostPeer("c", 8, 50)}, 0, true},
-		"one that has an older word":          {five, []Peer{quorumLostPeer("b", 7, 50), quorumLostPeer("c", 6, 50)}, ms(150), false},
-		"one that hears cores":                {five, []Peer{quorumLostPeer("b", 7, 50), {Addr: "c", Status: &PeerStatus{AppliedRevision: 7}}}, 0, true},
-		"one that is dead":                    {five, []Peer{quorumLostPeer("b", 7, 50), {Addr: "c", Status: &PeerStatus{Dead: true, Age: 20}}}, ms(150), false},
-		"one that is only named":              {five, []Peer{quorumLostPeer("b", 7, 50), {Addr: "c"}}, 0, true},
-		"others that only others know":        {five[:3], []Peer{quorumLostPeer("b", 7, 50), quorumLostPeer("c", 7, 50), {Addr: "d"}, {Addr: "e"}, {Addr: "f"}}, 0, true},
-		"what is too old":                     {five, []Peer{quorumLostPeer("b", 7, 50), quorumLostPeer("c", 7, 3950)}, 0, true},
-		"nobody else":                         {five[:1], nil, 0, false},
-		"of the own one others say something": {five[:1], []Peer{quorumLostPeer("a", 9, 0)}, 0, false},
+		"too few":                              {five, []Peer{quorumLostPeer("b", 7, 50)}, 0, true},
+		"one that has a newer revision":        {five, []Peer{quorumLostPeer("b", 7, 50), quorumLostPeer("c", 8, 50)}, 0, true},
+		"one that has an older revision":       {five, []Peer{quorumLostPeer("b", 7, 50), quorumLostPeer("c", 6, 50)}, ms(150), false},
+		"one that has a quorum":                {five, []Peer{quorumLostPeer("b", 7, 50), {Addr: "c", Status: &PeerStatus{AppliedRevision: 7}}}, 0, true},
+		"one that is dead":                     {five, []Peer{quorumLostPeer("b", 7, 50), {Addr: "c", Status: &PeerStatus{Dead: true, Age: 20}}}, ms(150), false},
+		"one that is only mentioned":           {five, []Peer{quorumLostPeer("b", 7, 50), {Addr: "c"}}, 0, true},
+		"others that only others mention":      {five[:3], []Peer{quorumLostPeer("b", 7, 50), quorumLostPeer("c", 7, 50), {Addr: "d"}, {Addr: "e"}, {Addr: "f"}}, 0, true},
+		"what is too old":                      {five, []Peer{quorumLostPeer("b", 7, 50), quorumLostPeer("c", 7, 3950)}, 0, true},
+		"nobody else":                          {five[:1], nil, 0, false},
+		"a status of the asking one by others": {five[:1], []Peer{quorumLostPeer("a", 9, 0)}, 0, false},
 	} {
-		statuses := PeerStatusTable{}.Observe("a", c.heard, asked, noon)
-		if asOf, ok := statuses.ConfirmedAsOf("a", 7, c.known, noon); ok == c.denied || ok && noon.Sub(asOf) != c.asOf {
-			t.Errorf("%s: %v before noon, %v", name, noon.Sub(asOf), ok)
-		}
+		t.Run(name, func(t *testing.T) {
+			statuses := PeerStatusTable{}.Observe("a", c.observed, asked, noon)
+			if asOf, ok := statuses.ConfirmedAsOf("a", 7, c.known, noon); ok == c.denied || ok && noon.Sub(asOf) != c.asOf {
+				t.Errorf("%v before noon, %v", noon.Sub(asOf), ok)
+			}
+		})
 	}
 }
 
-// The younger statement stays, from whomever it came, and a name without a statement
-// takes none away.
+// The younger status stays, whoever sent it, and a mention without a status takes none away.
 func TestNewerStatusWins(t *testing.T) {
 	statuses := PeerStatusTable{}.Observe("own", []Peer{quorumLostPeer("a", 3, 10)}, noon, noon)
 	statuses = statuses.Observe("own", []Peer{{Addr: "a", Incarnation: 1, Status: &PeerStatus{Age: 500, AppliedRevision: 2}}}, noon, noon)
@@ -59,7 +60,7 @@
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
-	// One that starts again after it was found dead says so itself.
+	// One that restarts after it was found dead reports so itself.
 	statuses = statuses.MarkDead("a", 1, noon.Add(ms(100)), noon.Add(ms(101)))
 	if got := statuses.deadIncarnations(NewView(map[string]Node{"a": {Addr: "a", Incarnation: 1}}, nil)); len(got) != 1 {
 		t.Errorf("dead: %v", got)
@@ -70,7 +71,7 @@
 	}
 }
 
-// A name that nobody has in its view any more is not told on for ever.
+// A sidecar that nobody has in its view any more is not mentioned for ever.
 func TestMentionsExpire(t *testing.T) {
 	a, b, now := PeerStatusTable{}, PeerStatusTable{}, noon
 	none := NewView(nil, nil)
@@ -81,14 +82,14 @@
 		a, b = a.Observe("a", b.Report(Peer{Addr: "b"}, none, now), now, now), b.Observe("b", a.Report(Peer{Addr: "a"}, none, now), now, now)
 	}
 	if got := union(a.Addrs(), b.Addrs()); !slices.Equal(got, []string{"a", "b"}) {
-		t.Errorf("still named: %v", got)
+		t.Errorf("still mentioned: %v", got)
 	}
 }
 
-// Of what a teller has that is lacking which the own view has not, or in an earlier
-// revision, or in another boot than the sidecar's own statement says; not the dead.
+// A peer is outdated if the own view lacks its node, or has it in an earlier version or in another
+// incarnation than its own status says; the dead are not.
 func TestOutdated(t *testing.T) {
-	v := NewView(map[string]Node{"a": {Addr: "a", Incarnation: 1, Version: 5}, "b": {Addr: "b", Incarnation: 1, Version: 5}, "c": {Addr: "c", Incarnation: 1}, "d": {Addr: "d", Incarnation: 1}}, nil)
+	view := NewView(map[string]Node{"a": {Addr: "a", Incarnation: 1, Version: 5}, "b": {Addr: "b", Incarnation: 1, Version: 5}, "c": {Addr: "c", Incarnation: 1}, "d": {Addr: "d", Incarnation: 1}}, nil)
 	peers := []Peer{
 		{Addr: "a", Incarnation: 1, Version: 5},
 		{Addr: "b", Incarnation: 1, Version: 6},
@@ -98,20 +99,20 @@
 		{Addr: "f", Incarnation: 3, Status: &PeerStatus{Dead: true}},
 		{Addr: "g", Status: &PeerStatus{Incarnation: 4}},
 	}
-	if got := (PeerStatusTable{}).Observe("own", peers, noon, noon).Outdated(v, peers); !slices.Equal(got, []string{"b", "d", "e"}) {
-		t.Errorf("lacking: %v", got)
+	if got := (PeerStatusTable{}).Observe("own", peers, noon, noon).Outdated(view, peers); !slices.Equal(got, []string{"b", "d", "e"}) {
+		t.Errorf("outdated: %v", got)
 	}
 }
 
-// However statements travel, and however late, none is ever believed to be younger than
-// it is: after any way through others its time lies at or before that of the saying.
+// However statuses travel, and however late, none is ever taken for younger than it is: on any way
+// through others its time is at or before that of the report.
 func TestStatusAges(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		nodes, now := make([]PeerStatusTable, 6), noon
-		said := map[string]map[uint64]time.Time{} // when each stamp was said first
+		reported := map[string]map[uint64]time.Time{} // when each revision was reported first
 		for i := range nodes {
-			said[fmt.Sprint(i)] = map[uint64]time.Time{}
+			reported[fmt.Sprint(i)] = map[uint64]time.Time{}
 		}
 		for step := range 200 {
 			now = now.Add(time.Duration(rng.Int64N(int64(ms(300)))))
@@ -119,11 +120,11 @@
 			if from == to {
 				continue
 			}
-			// The answer is made some time after the question, and comes later still.
+			// The response is made some time after the request, and arrives later still.
 			asked, revision := now, uint64(step)
 			now = now.Add(time.Duration(rng.Int64N(int64(ms(400)))))
 			addr := fmt.Sprint(from)
-			said[addr][revision] = now
+			reported[addr][revision] = now
 			peers := nodes[from].Report(quorumLostPeer(addr, revision, 0), NewView(nil, nil), now)
 			now = now.Add(time.Duration(rng.Int64N(int64(ms(400)))))
 			nodes[to] = nodes[to].Observe(fmt.Sprint(to), peers, asked, now)
@@ -133,8 +134,8 @@
 				if r.status == nil {
 					continue
 				}
-				if when := said[addr][r.status.AppliedRevision]; r.observedAt.After(when) {
-					t.Fatalf("seed %d: %d believes that %s said %d at %v, it was %v", seed, i, addr, r.status.AppliedRevision, r.observedAt.Sub(noon), when.Sub(noon))
+				if when := reported[addr][r.status.AppliedRevision]; r.observedAt.After(when) {
+					t.Fatalf("seed %d: %d takes the report by %s of %d to be of %v, it was %v", seed, i, addr, r.status.AppliedRevision, r.observedAt.Sub(noon), when.Sub(noon))
 				}
 			}
 		}
