--- a/internal/controlplane/consensus/command.go
+++ b/internal/controlplane/consensus/command.go
@@ -6,52 +6,62 @@
 	"curlewwalk/internal/config"
 )
 
-// CommandKind is what an operator wants done to the word.
+// CommandKind is what a command does to the control state. The strings go over the wire.
 type CommandKind string
 
-// The kinds. Refresh changes nothing: it makes sure that the newest word is
-// held by a majority.
 const (
+	// CommandPutConfiguration replaces the configuration.
 	CommandPutConfiguration CommandKind = "put"
-	CommandEvacuate         CommandKind = "empty"
+	// CommandEvacuate has a zone evacuated.
+	CommandEvacuate CommandKind = "empty"
+	// CommandRevokeEvacuation ends that, and waives a maintenance window of the zone.
 	CommandRevokeEvacuation CommandKind = "take-back"
-	CommandRefresh          CommandKind = "refresh"
-	// CommandPutCalendar puts the calendar of maintenance windows; Begin and End note that
-	// one of them begins or is over.
+	// CommandRefresh changes nothing: it makes sure that a majority holds the newest state.
+	CommandRefresh CommandKind = "refresh"
+	// CommandPutCalendar replaces the calendar of maintenance windows.
 	CommandPutCalendar CommandKind = "calendar"
+	// CommandBeginWindow notes that a maintenance window begins.
 	CommandBeginWindow CommandKind = "begin"
-	CommandEndWindow   CommandKind = "end"
-	// CommandReconfigure changes the set of slots: one comes, one goes, or one comes for another.
+	// CommandEndWindow notes that it is over.
+	CommandEndWindow CommandKind = "end"
+	// CommandReconfigure changes the member set: a member joins, leaves or replaces another.
 	CommandReconfigure CommandKind = "reseat"
 )
 
-// Command is one operator's write for the proposer.
+// Command is a write to the control state, for the proposer.
 type Command struct {
-	ID      uint64      `msgpack:"i"`
-	Kind    CommandKind `msgpack:"k"`
-	Payload []byte      `msgpack:"b"`
-	// Generation is the operator's own number of what is put, from 1; zero: none.
+	// ID tells the commands of one replica apart.
+	ID   uint64      `msgpack:"i"`
+	Kind CommandKind `msgpack:"k"`
+	// Payload is the configuration or the calendar.
+	Payload []byte `msgpack:"b"`
+	// Generation is the operator's own number of a configuration, from 1; zero: none.
 	Generation uint64 `msgpack:"ed,omitempty"`
 	// Submitted is what the operator sent of a generation, if in another form.
 	Submitted []byte `msgpack:"st,omitempty"`
 	// Digest identifies a numbered configuration as it was sent.
 	Digest []byte `msgpack:"dg,omitempty"`
-	Zone   string `msgpack:"l"`
-	// SinceRevision, of an order on a zone, is the newest settled stamp when it came: it is
-	// not to undo what was ordered there after that. Nil: it can't be told.
+	// Zone is that of an evacuation or a maintenance window.
+	Zone string `msgpack:"l"`
+	// SinceRevision, of a command on a zone, is the newest committed revision when it came: it
+	// is not to undo what was committed for that zone after that. Nil: not known.
 	SinceRevision *uint64 `msgpack:"si,omitempty"`
-	Window        string  `msgpack:"w,omitempty"`
-	IfMatch       *uint64 `msgpack:"m"`
-	// Joining is who comes with a Reseat, Out the slot that goes; zero for none. Of is
-	// the set that it was decided on.
+	// Window names a maintenance window.
+	Window string `msgpack:"w,omitempty"`
+	// IfMatch binds the command to the newest revision of the calendar, for one that replaces
+	// it, and of the configuration for all others. Nil: not bound.
+	IfMatch *uint64 `msgpack:"m"`
+	// Joining is the member that a reconfiguration adds, Leaving the ID of the one that it
+	// removes; zero for none. ExpectedMembers is the set that it was decided on.
 	Joining         config.Member   `msgpack:"sm"`
 	Leaving         int             `msgpack:"ou,omitempty"`
 	ExpectedMembers []config.Member `msgpack:"of,omitempty"`
-	// RevisionsOnly says that of the word the answer needs only its numbers.
-	RevisionsOnly bool          `msgpack:"br,omitempty"`
-	Deadline      time.Duration `msgpack:"-"`
+	// RevisionsOnly says that the sender needs only the revisions of the resulting state.
+	RevisionsOnly bool `msgpack:"br,omitempty"`
+	// Deadline is when nobody waits for the command any more, after the replica's start.
+	Deadline time.Duration `msgpack:"-"`
 	// enqueuedAt is when the proposer took it.
 	enqueuedAt time.Duration
-	// proposedAt is the mark under which the order went out, if it did.
+	// proposedAt is the position under which it was proposed last, if it was.
 	proposedAt Position
 }
--- a/internal/controlplane/consensus/delta_messages.go
+++ b/internal/controlplane/consensus/delta_messages.go
@@ -191,15 +191,6 @@
 	return r.Submit(ctx, command).forSender(command), ""
 }
 
-// forSender is the answer as another core needs it: with the numbers of its word only, if it
-// asked so.
-func (r CommandResult) forSender(command Command) CommandResult {
-	if state := r.State; command.RevisionsOnly {
-		r.State = config.ControlState{Revision: state.Revision, ConfigurationRevision: state.ConfigurationRevision, CalendarRevision: state.CalendarRevision, Generation: state.Generation}
-	}
-	return r
-}
-
 // Handlers are what a keeper answers, by kind.
 func (r *Replica) Handlers() map[string]transport.Handler {
 	return map[string]transport.Handler{
--- a/internal/controlplane/consensus/phase.go
+++ b/internal/controlplane/consensus/phase.go
@@ -1,15 +1,16 @@
 package consensus
 
-// Phase is how far an acceptor's disk has come.
+// Phase is how far an acceptor's disk has come. The strings go over the wire and to disk.
 type Phase string
 
-// A virgin disk never held anything; a lost one is known to have held more
-// than can be read; an established one votes.
 const (
-	PhaseEmpty       Phase = "virgin"
-	PhaseLost        Phase = "lost"
+	// PhaseEmpty is a disk that never held anything.
+	PhaseEmpty Phase = "virgin"
+	// PhaseLost is a disk that is known to have held more than can be read.
+	PhaseLost Phase = "lost"
+	// PhaseEstablished is a member's disk: it votes.
 	PhaseEstablished Phase = "established"
-	// A seeking one has no seat that it knows of. It votes all the same, since its
-	// disk never lost anything; only sets that name it count that.
+	// PhaseJoining is the disk of a replica that does not know to be a member. It votes all
+	// the same, since it never lost anything; only member sets that name it count that.
 	PhaseJoining Phase = "seeking"
 )
--- a/internal/controlplane/consensus/position.go
+++ b/internal/controlplane/consensus/position.go
@@ -1,17 +1,15 @@
-// Package consensus holds the operator's word on the cores: acceptors that keep
-// it, and the proposer of the duty core that writes it. Both are plain decision
-// values. (DESIGN 6)
 package consensus
 
 import "cmp"
 
-// Position orders accepted words: by the epoch that wrote them, then by stamp.
+// Position orders accepted control states: by the term that wrote them, then by revision. The
+// JSON keys are those of stored files.
 type Position struct {
 	Term     uint64 `msgpack:"e" json:"Epoch"`
 	Revision uint64 `msgpack:"s" json:"Stamp"`
 }
 
-// Compare orders two marks.
-func (position Position) Compare(o Position) int {
-	return cmp.Or(cmp.Compare(position.Term, o.Term), cmp.Compare(position.Revision, o.Revision))
+// Compare is negative if the position is before another one, and positive if it is after it.
+func (p Position) Compare(other Position) int {
+	return cmp.Or(cmp.Compare(p.Term, other.Term), cmp.Compare(p.Revision, other.Revision))
 }
--- a/internal/controlplane/consensus/reply.go
+++ b/internal/controlplane/consensus/reply.go
@@ -2,23 +2,28 @@
 
 import "curlewwalk/internal/config"
 
-// Reply is an acceptor's response.
+// Reply is an acceptor's answer to a message of the same type and term.
 type Reply struct {
-	Sender    Sender               `msgpack:"f"`
-	Type      MessageType          `msgpack:"a"`
-	Term      uint64               `msgpack:"e"`
-	Granted   bool                 `msgpack:"ok"`
-	Phase     Phase                `msgpack:"ph"`
-	Promised  uint64               `msgpack:"p"`
-	Position  Position             `msgpack:"m"`
-	State     config.ControlState  `msgpack:"w"`
-	Committed uint64               `msgpack:"se"`
-	Members   map[int]MemberRecord `msgpack:"st"`
-	// MemberSets are those of the word that it holds.
+	Sender Sender      `msgpack:"f"`
+	Type   MessageType `msgpack:"a"`
+	Term   uint64      `msgpack:"e"`
+	// Granted tells whether the acceptor did what the message asks for.
+	Granted bool  `msgpack:"ok"`
+	Phase   Phase `msgpack:"ph"`
+	// Promised is the highest term that the acceptor has promised.
+	Promised uint64 `msgpack:"p"`
+	// Position and State are what it accepted last; the state only where the message needs it.
+	Position Position            `msgpack:"m"`
+	State    config.ControlState `msgpack:"w"`
+	// Committed is the highest revision that it knows to be committed.
+	Committed uint64 `msgpack:"se"`
+	// Members has the highest incarnation that it knows of each member ID.
+	Members map[int]MemberRecord `msgpack:"st"`
+	// MemberSets are those of its accepted state.
 	MemberSets MemberSets `msgpack:"sg"`
 }
 
-// sendingMember is the acceptor as a member of the sets that it holds, which tell its address.
+// sendingMember is the acceptor as a member of its own member sets, which tell its address.
 func (r Reply) sendingMember() config.Member {
 	for _, m := range r.MemberSets.Union() {
 		if containsSender([]config.Member{m}, r.Sender) {
@@ -28,8 +33,9 @@
 	return config.Member{MemberID: r.Sender.MemberID, DiskID: r.Sender.DiskID}
 }
 
-// FromMember checks that a vote came from a member. One that has no seat for sure is told by
-// its identity: it may know of no slot yet, or of one that it was not given after all.
+// FromMember is the reply, if it came from a member, and nil if not. A joining acceptor is
+// known by its disk ID: it may not know its member ID yet, or have one that it was not given
+// after all.
 func (r Reply) FromMember(m config.Member) *Reply {
 	if r.Phase == PhaseJoining && m.DiskID != 0 && r.Sender.DiskID == m.DiskID {
 		r.Sender.MemberID = m.MemberID
--- a/internal/controlplane/consensus/sender.go
+++ b/internal/controlplane/consensus/sender.go
@@ -1,14 +1,21 @@
 package consensus
 
-// Sender names a sender: its slot, the incarnation in which it sits there, and
-// the identity that its disk drew when it was empty.
+// Sender identifies a replica: its member ID, the incarnation in which its disk has that ID,
+// and the disk ID, which was drawn when the disk was empty.
 type Sender struct {
 	MemberID    int    `msgpack:"s"`
 	Incarnation uint64 `msgpack:"i"`
 	DiskID      uint64 `msgpack:"d"`
 }
 
-// isCurrent tells whether a sender still has its seat, as far as a chair says.
+// MemberRecord is what an acceptor knows of a member ID: its highest incarnation, and the disk
+// that has it. A DiskID of zero is not known.
+type MemberRecord struct {
+	Incarnation uint64 `msgpack:"i" json:"incarnation"`
+	DiskID      uint64 `msgpack:"d" json:"id"`
+}
+
+// isCurrent tells whether no other disk has replaced the sender's, as far as a record says.
 func (s Sender) isCurrent(record MemberRecord) bool {
 	return s.Incarnation > record.Incarnation || s.Incarnation == record.Incarnation && (record.DiskID == 0 || record.DiskID == s.DiskID)
 }
--- a/internal/controlplane/consensus/state_store.go
+++ b/internal/controlplane/consensus/state_store.go
@@ -1,18 +1,15 @@
 package consensus
 
 import (
-	"bytes"
-	"encoding/json"
 	"fmt"
 	"math/rand/v2"
 
 	"github.com/rotisserie/eris"
 
-	"curlewwalk/internal/config"
 	"curlewwalk/internal/storage"
 )
 
-// The kinds of file. (DESIGN 6.1)
+// The kinds of file in the data directory. (DESIGN 6.1)
 const (
 	kindPromise = "oath"
 	kindState   = "word"
@@ -20,108 +17,65 @@
 
 const (
 	keepPromises = 3
-	keepStates   = 16 // old words stay for operators to look at (ours)
+	keepStates   = 16 // earlier states stay for operators to look at (ours)
 )
 
-// StateStore keeps an acceptor in a vault.
+// StateStore keeps an acceptor on disk: its promises in files of one kind, and the control
+// state that it accepted in files of another.
 type StateStore struct {
-	Store           *storage.Store
+	Store *storage.Store
+	// promiseSequence numbers the files with promises.
 	promiseSequence uint64
 }
 
-// promiseFile is the small part of an acceptor: what it promised and who sits where.
-type promiseFile struct {
-	DiskID      uint64               `json:"id"`
-	Incarnation uint64               `json:"incarnation"`
-	Phase       Phase                `json:"phase"`
-	Promised    uint64               `json:"promised"`
-	Members     map[int]MemberRecord `json:"seats"`
-	// MemberID, Founded and Founders are not in the files of older versions: their
-	// settings say them.
-	MemberID       *int            `json:"slot,omitempty"`
-	StaticSize     int             `json:"founded,omitempty"`
-	InitialMembers []config.Member `json:"founders,omitempty"`
-}
-
-// stateHeader is the first line of a word's file; the operator's bytes follow.
-type stateHeader struct {
-	Position
-	ConfigurationRevision uint64   `json:"desired_stamp"`
-	Emptied               []string `json:"emptied"`
-
-	CalendarRevision uint64               `json:"calendar_stamp,omitempty"`
-	Calendar         []byte               `json:"calendar,omitempty"`
-	Closures         []config.ZoneClosure `json:"closures,omitempty"`
-
-	Generation uint64                      `json:"edition,omitempty"`
-	Sent       []byte                      `json:"sent,omitempty"`
-	Taken      []config.AcceptedGeneration `json:"taken,omitempty"`
-
-	Evacuations []config.Evacuation `json:"evacuations,omitempty"`
-	Forgotten   uint64              `json:"forgotten,omitempty"`
-
-	Slots    []config.Member `json:"slots,omitempty"`
-	Formerly []config.Member `json:"formerly,omitempty"`
-	Top      int             `json:"top,omitempty"`
-}
-
-// Load reads an acceptor. One whose newest files can't be read whole has lost what
-// it promised: its files are set aside and it must take its seat anew.
+// Load reads the acceptor. An empty disk gets the first state that the settings ask for. If the
+// latest files can't be read, the acceptor has lost what it promised: the files are quarantined
+// and it must join anew under another disk ID.
 func (s *StateStore) Load(bootstrap Bootstrap) (Acceptor, error) {
-	acceptor := bootstrap.InitialState(rand.Uint64() | 1)
-	promiseName, promiseData, promiseCorrupt, err := s.Store.Latest(kindPromise)
+	empty := bootstrap.InitialState(newDiskID())
+	promise, err := s.Store.Latest(kindPromise)
 	if err != nil {
-		return acceptor, err
+		return empty, eris.Wrap(err, "load promise")
 	}
-	stateName, stateData, stateCorrupt, err := s.Store.Latest(kindState)
+	state, err := s.Store.Latest(kindState)
 	if err != nil {
-		return acceptor, err
+		return empty, eris.Wrap(err, "load control state")
 	}
-	if promiseName == "" && stateName == "" {
-		// An empty disk has its identity, or a founder's seat, before it says anything.
-		return acceptor, s.Save(acceptor)
+	if promise.Name == "" && state.Name == "" {
+		// The disk ID, or an initial member's, is on disk before the replica sends anything.
+		return empty, s.Save(empty)
 	}
-	var promise promiseFile
-	if promiseName == "" || promiseCorrupt || stateCorrupt || json.Unmarshal(promiseData, &promise) != nil {
-		return s.resetIdentity(bootstrap, promiseName)
+	if promise.Name == "" || promise.Corrupt || state.Corrupt {
+		return s.resetIdentity(bootstrap, promise.Name)
 	}
-	fmt.Sscanf(promiseName, "%d", &s.promiseSequence)
-	acceptor = Acceptor{Self: Sender{MemberID: bootstrap.MemberID, DiskID: promise.DiskID, Incarnation: promise.Incarnation}, StaticSize: bootstrap.StaticSize, Phase: promise.Phase, Promised: promise.Promised, Members: promise.Members}
-	if promise.MemberID != nil {
-		acceptor.Self.MemberID, acceptor.StaticSize, acceptor.InitialMembers = *promise.MemberID, promise.StaticSize, promise.InitialMembers
-	}
-	if acceptor.Members == nil {
-		acceptor.Members = map[int]MemberRecord{}
+	acceptor, err := decodePromise(promise.Data, bootstrap)
+	if err != nil {
+		return s.resetIdentity(bootstrap, promise.Name)
 	}
-	if stateName != "" && acceptor.Phase == PhaseLost {
-		return acceptor, s.Store.Quarantine(kindState, 0) // lose ended before that
+	s.continueSequence(promise.Name)
+	if state.Name == "" {
+		return acceptor, nil
 	}
-	if stateName != "" && (acceptor.Phase == PhaseEstablished || acceptor.Phase == PhaseJoining) {
-		head, body, _ := bytes.Cut(stateData, []byte("\n"))
-		var header stateHeader
-		if json.Unmarshal(head, &header) != nil {
-			return s.resetIdentity(bootstrap, promiseName)
-		}
-		acceptor.Position = header.Position
-		acceptor.State = config.ControlState{
-			Revision: header.Revision, ConfigurationRevision: header.ConfigurationRevision, EvacuatedByOperator: header.Emptied, Configuration: body,
-			CalendarRevision: header.CalendarRevision, Calendar: header.Calendar, Closures: header.Closures,
-			Generation: header.Generation, Submitted: header.Sent, AcceptedGenerations: header.Taken,
-			Evacuations: header.Evacuations, CompactedRevision: header.Forgotten,
-			Members: header.Slots, PreviousMembers: header.Formerly, HighestMemberID: header.Top,
+	switch acceptor.Phase {
+	case PhaseLost:
+		return acceptor, s.Store.Quarantine(kindState, 0) // resetIdentity ended before that
+	case PhaseEstablished, PhaseJoining:
+		loaded, err := acceptor.withEncodedState(state.Data)
+		if err != nil {
+			return s.resetIdentity(bootstrap, promise.Name)
 		}
-		acceptor.Promised = max(acceptor.Promised, header.Term)
+		return loaded, nil
 	}
 	return acceptor, nil
 }
 
-// resetIdentity takes a new identity, and sets aside what was before. The identity is on disk before
-// anything else changes: wherever this ends, what is found next is as it was, or has the
-// new identity, and is never an empty disk, which a founder's would be born on once more.
+// resetIdentity takes a new disk ID, and quarantines what was there. The ID is on disk before
+// anything else changes: wherever this is interrupted, the disk is as it was or has the new ID.
+// It never looks empty, which would make an initial member of it once more.
 func (s *StateStore) resetIdentity(bootstrap Bootstrap, latestPromise string) (Acceptor, error) {
-	fmt.Sscanf(latestPromise, "%d", &s.promiseSequence)
+	s.continueSequence(latestPromise)
 	bootstrap.NewCluster = false
-	acceptor := bootstrap.InitialState(rand.Uint64() | 1)
+	acceptor := bootstrap.InitialState(newDiskID())
 	if acceptor.Phase == PhaseEmpty {
 		acceptor.Phase = PhaseLost
 	}
@@ -134,41 +88,48 @@
 	return acceptor, s.Store.Quarantine(kindState, 0)
 }
 
-// Save puts the dirty parts of an acceptor on disk: the word first, since an oath
-// says that what it stands for is there.
+// continueSequence numbers the next file with promises after the latest one.
+func (s *StateStore) continueSequence(latestPromise string) {
+	fmt.Sscanf(latestPromise, "%d", &s.promiseSequence)
+}
+
+// newDiskID draws the ID of a disk, which is never zero.
+func newDiskID() uint64 { return rand.Uint64() | 1 }
+
+// Save writes the dirty parts of an acceptor: the control state first, since a promise says
+// that the state that it stands for is there.
 func (s *StateStore) Save(acceptor Acceptor) error {
 	if acceptor.StateDirty {
-		head, err := json.Marshal(stateHeader{
-			Position: acceptor.Position, ConfigurationRevision: acceptor.State.ConfigurationRevision, Emptied: acceptor.State.EvacuatedByOperator,
-			CalendarRevision: acceptor.State.CalendarRevision, Calendar: acceptor.State.Calendar, Closures: acceptor.State.Closures,
-			Generation: acceptor.State.Generation, Sent: acceptor.State.Submitted, Taken: acceptor.State.AcceptedGenerations,
-			Evacuations: acceptor.State.Evacuations, Forgotten: acceptor.State.CompactedRevision,
-			Slots: acceptor.State.Members, Formerly: acceptor.State.PreviousMembers, Top: acceptor.State.HighestMemberID,
-		})
-		if err != nil {
-			return eris.Wrap(err, "word")
-		}
-		name := fmt.Sprintf("%020d.%020d", acceptor.Position.Term, acceptor.Position.Revision)
-		if err := s.Store.Save(kindState, name, append(append(head, '\n'), acceptor.State.Configuration...)); err != nil {
-			return err
-		}
-		if err := s.Store.Prune(kindState, keepStates); err != nil {
+		if err := s.saveState(acceptor); err != nil {
 			return err
 		}
 	}
 	if acceptor.PromiseDirty {
-		data, err := json.Marshal(promiseFile{
-			DiskID: acceptor.Self.DiskID, Incarnation: acceptor.Self.Incarnation, Phase: acceptor.Phase, Promised: acceptor.Promised, Members: acceptor.Members,
-			MemberID: &acceptor.Self.MemberID, StaticSize: acceptor.StaticSize, InitialMembers: acceptor.InitialMembers,
-		})
-		if err != nil {
-			return eris.Wrap(err, "oath")
-		}
-		s.promiseSequence++
-		if err := s.Store.Save(kindPromise, fmt.Sprintf("%020d", s.promiseSequence), data); err != nil {
-			return err
-		}
-		return s.Store.Prune(kindPromise, keepPromises)
+		return s.savePromise(acceptor)
 	}
 	return nil
 }
+
+func (s *StateStore) saveState(acceptor Acceptor) error {
+	data, err := acceptor.encodeState()
+	if err != nil {
+		return eris.Wrap(err, "encode control state")
+	}
+	name := fmt.Sprintf("%020d.%020d", acceptor.Position.Term, acceptor.Position.Revision)
+	if err := s.Store.Save(kindState, name, data); err != nil {
+		return eris.Wrap(err, "save control state")
+	}
+	return eris.Wrap(s.Store.Prune(kindState, keepStates), "prune control states")
+}
+
+func (s *StateStore) savePromise(acceptor Acceptor) error {
+	data, err := acceptor.encodePromise()
+	if err != nil {
+		return eris.Wrap(err, "encode promise")
+	}
+	s.promiseSequence++
+	if err := s.Store.Save(kindPromise, fmt.Sprintf("%020d", s.promiseSequence), data); err != nil {
+		return eris.Wrap(err, "save promise")
+	}
+	return eris.Wrap(s.Store.Prune(kindPromise, keepPromises), "prune promises")
+}
--- a/internal/controlplane/consensus/term.go
+++ b/internal/controlplane/consensus/term.go
@@ -1,18 +1,18 @@
 package consensus
 
-// termStride is how far a slot's epochs lie apart where slots come and go; MaxMemberID
-// bounds slot numbers, of which each disk gets a new one. 29 bits of slots and 35 of
-// rounds: a replacement every ten seconds, or ten epochs a second, for decades. It is
-// a multiple of the stride of earlier versions, 1 << 16, so the epochs of slots below
-// that stay apart from those which such a version takes.
 const (
-	termStride  = 1 << 29
+	// termStride is how far the terms of a member lie apart where members come and go: 29 bits
+	// for member IDs and 35 for terms last for decades with a replacement every ten seconds, or
+	// ten terms a second. It is a multiple of the stride of earlier versions, 1 << 16, so that
+	// the terms of members with an ID below that differ from those of such a version.
+	termStride = 1 << 29
+	// MaxMemberID bounds member IDs, of which each disk gets a new one.
 	MaxMemberID = termStride - 1
 )
 
-// nextTerm is the next epoch of a slot after all known ones. No two slots ever
-// get the same: a system of static slots counts by their number, as older versions
-// do, and any other one by the stride. (DESIGN 6.5)
+// nextTerm is the next term of a member after the highest known one. No two members ever get
+// the same: static members count by their number, as earlier versions do, all others by the
+// stride. (DESIGN 6.5)
 func nextTerm(highest uint64, memberID, staticSize int) uint64 {
 	stride := uint64(termStride)
 	if staticSize > 0 {
--- a/internal/storage/directory.go
+++ b/internal/storage/directory.go
@@ -5,35 +5,36 @@
 	"path/filepath"
 )
 
-// Directory is one folder of files, and what lasts of it: what was written to a file lasts
-// once that was synced; names that were made, changed or removed last, each by itself,
-// once the folder was synced.
+// Directory is a directory of files, and what of it survives a loss of power: what was written
+// to a file does once File.Sync has returned; names that were created, renamed or removed do,
+// each by itself, once Directory.Sync has returned.
 type Directory interface {
-	// Create makes a file, or empties it.
+	// Create creates a file, or truncates it.
 	Create(name string) (File, error)
 	Rename(from, to string) error
 	Remove(name string) error
 	Read(name string) ([]byte, error)
-	// List lists the names of all files.
+	// List lists the names of all files, in any order.
 	List() ([]string, error)
-	// Sync has the names last.
+	// Sync makes the names durable.
 	Sync() error
 }
 
-// File is a file that is written.
+// File is a file that is being written.
 type File interface {
 	Write(b []byte) (int, error)
+	// Sync makes the content durable.
 	Sync() error
 	Close() error
 }
 
-// osDirectory is a folder of the file system.
+// osDirectory is a directory of the file system, by its path.
 type osDirectory string
 
-// openDirectory makes a folder if need be, and has it last: a folder too is a name in
-// another one.
+// openDirectory creates a directory if need be, and makes it durable: it too is a name in
+// another directory.
 func openDirectory(dir string) (osDirectory, error) {
-	var parents []osDirectory // the folders that get a new name
+	var parents []osDirectory // the directories that get a new name
 	for path := dir; ; path = filepath.Dir(path) {
 		if _, err := os.Stat(path); err == nil || path == filepath.Dir(path) {
 			break
@@ -53,34 +54,34 @@
 
 func (d osDirectory) path(name string) string { return filepath.Join(string(d), name) }
 
-// Create implements Files.
+// Create implements Directory.
 func (d osDirectory) Create(name string) (File, error) {
 	return os.OpenFile(d.path(name), os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o640)
 }
 
-// Rename implements Files.
+// Rename implements Directory.
 func (d osDirectory) Rename(from, to string) error { return os.Rename(d.path(from), d.path(to)) }
 
-// Remove implements Files.
+// Remove implements Directory.
 func (d osDirectory) Remove(name string) error { return os.Remove(d.path(name)) }
 
-// Read implements Files.
+// Read implements Directory.
 func (d osDirectory) Read(name string) ([]byte, error) { return os.ReadFile(d.path(name)) }
 
-// List implements Files.
+// List implements Directory.
 func (d osDirectory) List() ([]string, error) {
 	entries, err := os.ReadDir(string(d))
 	if err != nil {
 		return nil, err
 	}
-	var out []string
+	var names []string
 	for _, e := range entries {
-		out = append(out, e.Name())
+		names = append(names, e.Name())
 	}
-	return out, nil
+	return names, nil
 }
 
-// Sync implements Files.
+// Sync implements Directory.
 func (d osDirectory) Sync() error {
 	directory, err := os.Open(string(d))
 	if err != nil {
--- a/internal/storage/fault_injected.go
+++ b/internal/storage/fault_injected.go
@@ -8,27 +8,39 @@
 	"time"
 )
 
-// trouble is what a file says about the disk, at each write: it takes nothing while the
-// file says full, does not answer while it says stall, and is late while it says slow.
-func trouble() func() error {
-	path := os.Getenv("CURLEWWALK_PROOF_DISK")
+// The variable that names the file with the fault, and the faults that the file may hold.
+const (
+	faultVariable = "CURLEWWALK_PROOF_DISK"
+	faultFull     = "full"  // every write fails
+	faultStall    = "stall" // a write waits until the file holds something else
+	faultSlow     = "slow"  // a write takes slowWrite longer
+)
+
+const (
+	stallPollInterval = 10 * time.Millisecond
+	slowWrite         = 300 * time.Millisecond
+)
+
+// diskFault is called before each write; it has the fault that a file names at that moment.
+func diskFault() func() error {
+	path := os.Getenv(faultVariable)
 	if path == "" {
 		return nil
 	}
+	current := func() string {
+		b, _ := os.ReadFile(path)
+		return string(b)
+	}
 	return func() error {
-		state := func() string {
-			b, _ := os.ReadFile(path)
-			return string(b)
-		}
-		tick := time.NewTicker(10 * time.Millisecond)
+		tick := time.NewTicker(stallPollInterval)
 		defer tick.Stop()
-		for state() == "stall" {
+		for current() == faultStall {
 			<-tick.C
 		}
-		if state() == "slow" {
-			time.Sleep(300 * time.Millisecond)
+		if current() == faultSlow {
+			time.Sleep(slowWrite)
 		}
-		if state() == "full" {
+		if current() == faultFull {
 			return syscall.ENOSPC
 		}
 		return nil
--- a/internal/storage/fault_none.go
+++ b/internal/storage/fault_none.go
@@ -2,5 +2,5 @@
 
 package storage
 
-// trouble is none outside of proofs.
-func trouble() func() error { return nil }
+// diskFault is nil: only builds for tests have disk faults injected.
+func diskFault() func() error { return nil }
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -1,5 +1,7 @@
-// Package storage keeps versions as plain files: one file a version, written
-// aside, synced, renamed, and the folder synced. (DESIGN 6.1)
+// Package storage keeps versions of documents as plain files in one directory: one file a
+// version, which begins with a checksum. A version is written to a temporary file, synced and
+// renamed, and the directory is synced: after a loss of power each version is either there as
+// a whole or not at all, and one that Save has returned for is there. (DESIGN 6.1)
 package storage
 
 import (
@@ -12,123 +14,150 @@
 	"github.com/rotisserie/eris"
 )
 
-// Store is one data folder.
+const (
+	// temporarySuffix ends the names of files that are being written.
+	temporarySuffix = ".aside"
+	// quarantinePrefix begins the names of files that are kept only for operators.
+	quarantinePrefix = "torn-"
+)
+
+// Store keeps versions in one directory. It is not safe for concurrent use.
 type Store struct {
 	directory Directory
-	// BeforeWrite, if set, comes before each version is written, which fails as it does.
-	// Proofs use it for disks in trouble.
+	// BeforeWrite, if set, is called before each version is written; its error fails the
+	// write. Tests use it for disks with faults.
 	BeforeWrite func() error
 }
 
-// Open makes the folder if need be.
+// Version is one version of a document as it was found on disk.
+type Version struct {
+	// Name is what it was saved under; empty if there is no version of that kind.
+	Name string
+	Data []byte
+	// Corrupt is set, without data, if the file does not match its checksum.
+	Corrupt bool
+}
+
+// Open makes a store in a directory of the file system, which it creates if need be.
 func Open(dir string) (*Store, error) {
 	d, err := openDirectory(dir)
 	if err != nil {
-		return nil, eris.Wrap(err, "data folder")
+		return nil, eris.Wrap(err, "open data directory")
 	}
-	return &Store{directory: d, BeforeWrite: trouble()}, nil
+	return &Store{directory: d, BeforeWrite: diskFault()}, nil
 }
 
-// NewStore is a vault in a folder of any making.
-func NewStore(files Directory) *Store { return &Store{directory: files} }
+// NewStore makes a store in any directory.
+func NewStore(directory Directory) *Store { return &Store{directory: directory} }
 
-// Save stores one version of a kind; it returns once the version is on disk.
-// Versions of a kind sort as text.
+// Save writes one version of a kind of document; it returns once the version is on disk.
+// Versions of a kind are ordered by name, as text.
 func (s *Store) Save(kind, version string, data []byte) error {
 	if s.BeforeWrite != nil {
 		if err := s.BeforeWrite(); err != nil {
-			return eris.Wrap(err, "write")
+			return eris.Wrap(err, "write version")
 		}
 	}
-	sum := sha256.Sum256(data)
-	body := append([]byte(hex.EncodeToString(sum[:])+"\n"), data...)
-	name := kind + "." + version
-	temporary := name + ".aside"
-	f, err := s.directory.Create(temporary)
+	name := fileName(kind, version)
+	temporary := name + temporarySuffix
+	if err := s.writeFile(temporary, append([]byte(checksum(data)+"\n"), data...)); err != nil {
+		return eris.Wrap(err, "write temporary file")
+	}
+	if err := s.directory.Rename(temporary, name); err != nil {
+		return eris.Wrap(err, "rename temporary file")
+	}
+	return s.syncDirectory()
+}
+
+// writeFile writes a file and syncs it.
+func (s *Store) writeFile(name string, data []byte) error {
+	f, err := s.directory.Create(name)
 	if err != nil {
-		return eris.Wrap(err, "write aside")
+		return err
 	}
-	_, err = f.Write(body)
+	_, err = f.Write(data)
 	if err == nil {
 		err = f.Sync()
 	}
-	if cerr := f.Close(); err == nil {
-		err = cerr
+	if closeErr := f.Close(); err == nil {
+		err = closeErr
 	}
-	if err != nil {
-		return eris.Wrap(err, "write aside")
-	}
-	if err := s.directory.Rename(temporary, name); err != nil {
-		return eris.Wrap(err, "rename")
-	}
-	return s.syncDirectory()
+	return err
 }
 
-func (s *Store) syncDirectory() error { return eris.Wrap(s.directory.Sync(), "sync folder") }
+func (s *Store) syncDirectory() error { return eris.Wrap(s.directory.Sync(), "sync directory") }
 
-// Latest reads the newest version of a kind. A version that does not match its
-// checksum is set aside and reported as torn: what came before it must not be
-// taken for the newest.
-func (s *Store) Latest(kind string) (version string, data []byte, corrupt bool, err error) {
+// Latest reads the latest version of a kind. If that is corrupt, no earlier one takes its
+// place: what came before it must not be taken for the latest.
+func (s *Store) Latest(kind string) (Version, error) {
 	names, err := s.listVersions(kind)
 	if err != nil || len(names) == 0 {
-		return "", nil, false, err
+		return Version{}, err
 	}
-	version = names[len(names)-1]
-	body, err := s.directory.Read(kind + "." + version)
+	latest := Version{Name: names[len(names)-1]}
+	body, err := s.directory.Read(fileName(kind, latest.Name))
 	if err != nil {
-		return version, nil, false, eris.Wrap(err, "read")
+		return latest, eris.Wrap(err, "read version")
 	}
 	sum, data, ok := bytes.Cut(body, []byte("\n"))
-	want := sha256.Sum256(data)
-	if !ok || string(sum) != hex.EncodeToString(want[:]) {
-		return version, nil, true, nil
+	if !ok || string(sum) != checksum(data) {
+		latest.Corrupt = true
+		return latest, nil
 	}
-	return version, data, false, nil
+	latest.Data = data
+	return latest, nil
 }
 
-// Quarantine renames all but the newest keep versions of a kind, so that none is read
-// again and all stay for the operator to look at.
+// Quarantine renames all but the latest keep versions of a kind, so that none of them is read
+// again and all stay for operators to look at.
 func (s *Store) Quarantine(kind string, keep int) error {
 	names, err := s.listVersions(kind)
 	if err != nil || len(names) <= keep {
 		return err
 	}
-	names = names[:len(names)-keep]
-	for _, n := range names {
-		if err := s.directory.Rename(kind+"."+n, "torn-"+kind+"."+n); err != nil {
-			return eris.Wrap(err, "set aside")
+	for _, n := range names[:len(names)-keep] {
+		name := fileName(kind, n)
+		if err := s.directory.Rename(name, quarantinePrefix+name); err != nil {
+			return eris.Wrap(err, "quarantine version")
 		}
 	}
 	return s.syncDirectory()
 }
 
-// Prune removes all but the newest keep versions of a kind.
+// Prune removes all but the latest keep versions of a kind.
 func (s *Store) Prune(kind string, keep int) error {
 	names, err := s.listVersions(kind)
-	if err != nil {
+	if err != nil || len(names) <= keep {
 		return err
 	}
-	for len(names) > keep {
-		if err := s.directory.Remove(kind + "." + names[0]); err != nil {
-			return eris.Wrap(err, "thin")
+	for _, n := range names[:len(names)-keep] {
+		if err := s.directory.Remove(fileName(kind, n)); err != nil {
+			return eris.Wrap(err, "prune version")
 		}
-		names = names[1:]
 	}
 	return nil
 }
 
+// listVersions lists the names of the versions of a kind, the latest last.
 func (s *Store) listVersions(kind string) ([]string, error) {
 	entries, err := s.directory.List()
 	if err != nil {
-		return nil, eris.Wrap(err, "list")
+		return nil, eris.Wrap(err, "list versions")
 	}
-	var out []string
+	var names []string
 	for _, e := range entries {
-		if n, ok := strings.CutPrefix(e, kind+"."); ok && !strings.HasSuffix(n, ".aside") {
-			out = append(out, n)
+		if n, ok := strings.CutPrefix(e, fileName(kind, "")); ok && !strings.HasSuffix(n, temporarySuffix) {
+			names = append(names, n)
 		}
 	}
-	slices.Sort(out)
-	return out, nil
+	slices.Sort(names)
+	return names, nil
+}
+
+func fileName(kind, version string) string { return kind + "." + version }
+
+// checksum is the first line of a file, in hex.
+func checksum(data []byte) string {
+	sum := sha256.Sum256(data)
+	return hex.EncodeToString(sum[:])
 }
