--- a/internal/settings/common.go
+++ b/internal/settings/common.go
@@ -1,10 +1,8 @@
-// Package settings reads and checks a process's settings, from a file and from
-// flags; a flag wins over the file. (DESIGN 11)
 package settings
 
 import "time"
 
-// Common are the settings that both programs have.
+// Common has the settings of both programs.
 type Common struct {
 	File    string `long:"settings" short:"f" description:"settings file (INI: name = value); a flag wins over it" no-ini:"true"`
 	Check   bool   `long:"check" description:"check the settings, print what they come to, and exit" no-ini:"true"`
--- a/internal/settings/docs_test.go
+++ b/internal/settings/docs_test.go
@@ -7,19 +7,19 @@
 	"testing"
 )
 
-// settingNames lists the names of a group's settings.
-func settingNames(t reflect.Type) (out []string) {
+// settingNames lists the names of a struct's settings.
+func settingNames(t reflect.Type) (names []string) {
 	for i := range t.NumField() {
 		if f := t.Field(i); f.Anonymous {
-			out = append(out, settingNames(f.Type)...)
+			names = append(names, settingNames(f.Type)...)
 		} else if name := f.Tag.Get("long"); name != "" {
-			out = append(out, name)
+			names = append(names, name)
 		}
 	}
-	return out
+	return names
 }
 
-// Each setting has its line in the operators' page.
+// Each setting has its line in docs/OPERATING.md.
 func TestEachSettingIsDocumented(t *testing.T) {
 	page, err := os.ReadFile("../../docs/OPERATING.md")
 	if err != nil {
@@ -29,12 +29,12 @@
 	table, _, _ = strings.Cut(table, "\n\n")
 	all := append(settingNames(reflect.TypeFor[ControlPlane]()), settingNames(reflect.TypeFor[Sidecar]())...)
 	for _, name := range all {
-		told := false
+		documented := false
 		for line := range strings.Lines(table) {
 			cells := strings.SplitN(line, "|", 3)
-			told = told || len(cells) == 3 && strings.Contains(cells[1], "`"+name+"`")
+			documented = documented || len(cells) == 3 && strings.Contains(cells[1], "`"+name+"`")
 		}
-		if !told {
+		if !documented {
 			t.Errorf("%s has no line", name)
 		}
 	}
--- a/internal/settings/read.go
+++ b/internal/settings/read.go
@@ -11,8 +11,11 @@
 // Version is the version that --version prints.
 const Version = "curlewwalk 0.1"
 
-// read fills settings from the file that args name, then from args, and checks
-// them. common is the part of settings that both programs have.
+// codeInvalid is the exit code over settings that are not valid.
+const codeInvalid = 2
+
+// read fills settings, a pointer to a struct, from the file that args name and from args, and
+// validates them. common is the part of settings that both programs have.
 func read(program string, settings any, common *Common, args []string, groups []Group, validate func(*validator)) Exit {
 	parser := newParser(program, settings, groups)
 	if err := parseArgs(parser, args); err != nil {
@@ -48,8 +51,8 @@
 	return Exit{}
 }
 
-// newParser makes the parser of a program's settings and of further groups. It
-// panics if their tags are wrong, which no input can cause.
+// newParser makes the parser of a program's settings and of further groups. It panics if a struct's
+// tags are wrong, which no input can cause.
 func newParser(program string, settings any, groups []Group) *flags.Parser {
 	parser := flags.NewNamedParser(program, flags.HelpFlag|flags.PassDoubleDash)
 	if _, err := parser.AddGroup("Settings", "", settings); err != nil {
@@ -72,8 +75,8 @@
 	return err
 }
 
-// parseFile parses a settings file, if there is one, and then the flags again: a
-// flag wins over the file.
+// parseFile parses a settings file, if there is one, and then the flags again, so that a flag wins
+// over the file.
 func parseFile(parser *flags.Parser, name string, args []string) error {
 	if name == "" {
 		return nil
@@ -84,7 +87,7 @@
 	return parseArgs(parser, args)
 }
 
-// invalid is the exit over settings that can't be used, on one line.
+// invalid is the exit over settings that are not valid, with its text on one line.
 func invalid(program, text string) Exit {
-	return Exit{Now: true, Code: 2, Text: program + ": settings: " + strings.ReplaceAll(text, "\n", "; ")}
+	return Exit{Now: true, Code: codeInvalid, Text: program + ": settings: " + strings.ReplaceAll(text, "\n", "; ")}
 }
--- a/internal/settings/reload.go
+++ b/internal/settings/reload.go
@@ -5,34 +5,36 @@
 	"slices"
 )
 
-// reloadable names the settings that a SIGHUP puts in force.
+// reloadable has the settings that a SIGHUP applies, by name.
 var reloadable = []string{"seed", "drain"}
 
-// ReloadResult tells what the last SIGHUP came to.
+// ReloadResult is the outcome of a SIGHUP, by the names of the settings that have changed.
 type ReloadResult struct {
 	Applied      []string `json:"applied"`
 	NeedsRestart []string `json:"needs_restart"`
-	Fault        string   `json:"fault,omitempty"`
+	// Fault tells why the settings could not be read; then nothing was applied.
+	Fault string `json:"fault,omitempty"`
 }
 
-// Diff lists which settings of two structs of one type differ, by whether
-// they can be put in force without a restart.
-func Diff(old, next any) ReloadResult {
-	var r ReloadResult
-	oldValue, newValue := reflect.ValueOf(old), reflect.ValueOf(next)
+// Diff lists which settings of two structs of one type differ, by whether they can be applied
+// without a restart.
+func Diff(old, next any) (result ReloadResult) {
+	oldValue, nextValue := reflect.ValueOf(old), reflect.ValueOf(next)
 	for i := range oldValue.NumField() {
-		f, x, y := oldValue.Type().Field(i), oldValue.Field(i).Interface(), newValue.Field(i).Interface()
-		name := f.Tag.Get("long")
+		field := oldValue.Type().Field(i)
+		before, after := oldValue.Field(i).Interface(), nextValue.Field(i).Interface()
+		name := field.Tag.Get("long")
 		switch {
-		case f.Anonymous:
-			in := Diff(x, y)
-			r.Applied, r.NeedsRestart = append(r.Applied, in.Applied...), append(r.NeedsRestart, in.NeedsRestart...)
-		case reflect.DeepEqual(x, y):
+		case field.Anonymous:
+			embedded := Diff(before, after)
+			result.Applied = append(result.Applied, embedded.Applied...)
+			result.NeedsRestart = append(result.NeedsRestart, embedded.NeedsRestart...)
+		case reflect.DeepEqual(before, after):
 		case slices.Contains(reloadable, name):
-			r.Applied = append(r.Applied, name)
+			result.Applied = append(result.Applied, name)
 		default:
-			r.NeedsRestart = append(r.NeedsRestart, name)
+			result.NeedsRestart = append(result.NeedsRestart, name)
 		}
 	}
-	return r
+	return result
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -10,6 +10,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
+// validSettings is a settings file of a sidecar.
 const validSettings = `locality = north
 wire = 127.0.0.1:7400
 control = 127.0.0.1:7401
@@ -20,6 +21,7 @@
 drain = 3s
 `
 
+// writeFile writes a settings file and returns its name.
 func writeFile(t *testing.T, text string) string {
 	t.Helper()
 	name := filepath.Join(t.TempDir(), "settings.ini")
@@ -46,16 +48,16 @@
 	}
 }
 
-// A bad setting is one line that names the field, the value and what is
-// allowed; exit 2. Checking, help and version end with 0.
+// A setting that is not valid is reported on one line that names the setting, the value and what is
+// allowed; exit code 2. --check, --help and --version end with 0.
 func TestExits(t *testing.T) {
 	f := writeFile(t, validSettings)
-	core := []string{"--locality=n", "--wire=127.0.0.1:1", "--control=127.0.0.1:2", "--slot=1", "--data=x"}
+	controlPlane := []string{"--locality=n", "--wire=127.0.0.1:1", "--control=127.0.0.1:2", "--slot=1", "--data=x"}
 	for _, c := range []struct {
-		args  []string
-		core  bool
-		code  int
-		names []string
+		args         []string
+		controlPlane bool
+		code         int
+		names        []string
 	}{
 		{[]string{"--settings", f, "--wire=nowhere"}, false, 2, []string{"wire", `"nowhere"`, "IP address and port"}},
 		{[]string{"--settings", f, "--locality=No Where"}, false, 2, []string{"locality", `"No Where"`, "lower-case"}},
@@ -80,32 +82,34 @@
 		{[]string{"--settings", f, "--colour=red"}, false, 2, []string{"colour"}},
 		{[]string{"--settings", f, "stray"}, false, 2, []string{`"stray"`}},
 		{nil, false, 2, []string{"locality", `""`}},
-		{append(core, "--slots=4"), true, 2, []string{"slots", `"4"`, "3"}},
-		{append(core, "--slots=3", "--slot=4"), true, 2, []string{"slot", `"4"`}},
-		{append(core, "--data="), true, 2, []string{"data"}},
-		{append(core, "--check"), true, 0, []string{"good"}},
+		{append(controlPlane, "--slots=4"), true, 2, []string{"slots", `"4"`, "3"}},
+		{append(controlPlane, "--slots=3", "--slot=4"), true, 2, []string{"slot", `"4"`}},
+		{append(controlPlane, "--data="), true, 2, []string{"data"}},
+		{append(controlPlane, "--check"), true, 0, []string{"good"}},
 		{[]string{"--settings", f, "--check"}, false, 0, []string{"good"}},
 		{[]string{"--version"}, false, 0, []string{"curlewwalk"}},
 		{[]string{"--help"}, true, 0, []string{"--slot", "--data"}},
 	} {
-		var exit Exit
-		if c.core {
-			_, exit = ReadControlPlane(c.args)
-		} else {
-			_, exit = ReadSidecar(c.args)
-		}
-		if !exit.Now || exit.Code != c.code || c.code == 2 && strings.Contains(exit.Text, "\n") {
-			t.Errorf("%v: %+v", c.args, exit)
-		}
-		for _, n := range c.names {
-			if !strings.Contains(exit.Text, n) {
-				t.Errorf("%v: %q does not name %s", c.args, exit.Text, n)
+		t.Run(strings.Join(c.names, " "), func(t *testing.T) {
+			var exit Exit
+			if c.controlPlane {
+				_, exit = ReadControlPlane(c.args)
+			} else {
+				_, exit = ReadSidecar(c.args)
 			}
-		}
+			if !exit.Now || exit.Code != c.code || c.code == codeInvalid && strings.Contains(exit.Text, "\n") {
+				t.Errorf("%v: %+v", c.args, exit)
+			}
+			for _, n := range c.names {
+				if !strings.Contains(exit.Text, n) {
+					t.Errorf("%v: %q does not name %s", c.args, exit.Text, n)
+				}
+			}
+		})
 	}
 }
 
-// What is not given is as it always was; bodies may have a quarter of a bounded memory.
+// Settings that are not given have their defaults; bodies may have a quarter of a bounded memory.
 func TestBounds(t *testing.T) {
 	f := writeFile(t, validSettings)
 	s, exit := ReadSidecar([]string{"--settings", f})
@@ -119,8 +123,8 @@
 	}
 }
 
-// A reload tells what it can put in force from what it can't.
-func TestCompare(t *testing.T) {
+// A reload tells the settings that it can apply from those that need a restart.
+func TestDiff(t *testing.T) {
 	f := writeFile(t, validSettings)
 	old, _ := ReadSidecar([]string{"--settings", f})
 	next, _ := ReadSidecar([]string{"--settings", f, "--drain=9s", "--seed=10.0.0.9:1", "--inquiries=127.0.0.1:9"})
