--- a/internal/process/document.go
+++ b/internal/process/document.go
@@ -9,13 +9,13 @@
 	"time"
 )
 
-// documentTimeout is how long an operator's document may take to come. (ours)
+// documentTimeout is how long an operator's document may take to arrive. (ours)
 const documentTimeout = 30 * time.Second
 
-// DocumentError tells why a document was not read whole.
+// DocumentError tells why a document was not read completely.
 type DocumentError struct {
-	// Status is what its caller is to be told: 413 over the bound, 408 if it did not come
-	// in time, 400 if it was cut short.
+	// Status is the response's: 413 over the size limit, 408 if the document did not arrive in
+	// time, 400 if it was truncated.
 	Status  int
 	Message string
 }
@@ -23,20 +23,20 @@
 // Error implements error.
 func (e *DocumentError) Error() string { return e.Message }
 
-// ReadDocument reads an operator's document of at most so many bytes, whole.
+// ReadDocument reads a request's body of at most maxBytes, within documentTimeout.
 func ReadDocument(w http.ResponseWriter, r *http.Request, maxBytes int64) ([]byte, *DocumentError) {
 	return readDocument(w, r, maxBytes, documentTimeout)
 }
 
 func readDocument(w http.ResponseWriter, r *http.Request, maxBytes int64, timeout time.Duration) ([]byte, *DocumentError) {
-	// net/http takes the deadline off again at the end of the body.
+	// net/http removes the deadline again at the end of the body.
 	http.NewResponseController(w).SetReadDeadline(time.Now().Add(timeout))
-	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBytes))
-	var big *http.MaxBytesError
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBytes))
+	var tooLarge *http.MaxBytesError
 	switch {
 	case err == nil:
-		return b, nil
-	case errors.As(err, &big):
+		return body, nil
+	case errors.As(err, &tooLarge):
 		return nil, &DocumentError{http.StatusRequestEntityTooLarge, fmt.Sprintf("over %d bytes", maxBytes)}
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return nil, &DocumentError{http.StatusRequestTimeout, "the body did not come in time"}
--- a/internal/process/document_test.go
+++ b/internal/process/document_test.go
@@ -11,11 +11,11 @@
 	"time"
 )
 
-// A document that does not come in time is refused so that its caller may go elsewhere;
-// the connection of one that came whole is not bound to that time any more.
+// A document that does not arrive in time is rejected, so that its caller may go elsewhere; the
+// connection of a complete one is not bound to that time any more.
 func TestDocumentInTime(t *testing.T) {
 	const wait = 100 * time.Millisecond
-	held := make(chan error, 1)
+	handled := make(chan error, 1)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		b, err := readDocument(w, r, 10, wait)
 		if err != nil {
@@ -24,14 +24,14 @@
 		}
 		select { // longer than the document had
 		case <-r.Context().Done():
-			held <- r.Context().Err()
+			handled <- r.Context().Err()
 		case <-time.After(3 * wait):
-			held <- nil
+			handled <- nil
 		}
 		w.Write(b)
 	}))
 	defer s.Close()
-	ask := func(text string) (int, string) {
+	send := func(text string) (int, string) {
 		t.Helper()
 		c, err := net.Dial("tcp", s.Listener.Addr().String())
 		if err != nil {
@@ -46,16 +46,16 @@
 		b, _ := io.ReadAll(resp.Body)
 		return resp.StatusCode, string(b)
 	}
-	if status, body := ask("Content-Length: 5\r\n\r\nhello"); status != 200 || body != "hello" {
-		t.Errorf("a whole one: %d %q", status, body)
+	if status, body := send("Content-Length: 5\r\n\r\nhello"); status != 200 || body != "hello" {
+		t.Errorf("a complete one: %d %q", status, body)
 	}
-	if err := <-held; err != nil {
-		t.Errorf("a whole one: %v", err)
+	if err := <-handled; err != nil {
+		t.Errorf("a complete one: %v", err)
 	}
-	if status, _ := ask("Content-Length: 5\r\n\r\nhell"); status != 408 {
+	if status, _ := send("Content-Length: 5\r\n\r\nhell"); status != 408 {
 		t.Errorf("a late one: %d", status)
 	}
-	if status, _ := ask("Content-Length: 11\r\n\r\nhello world"); status != 413 {
+	if status, _ := send("Content-Length: 11\r\n\r\nhello world"); status != 413 {
 		t.Errorf("a large one: %d", status)
 	}
 }
--- a/internal/process/process_test.go
+++ b/internal/process/process_test.go
@@ -9,8 +9,8 @@
 	"curlewwalk/internal/settings"
 )
 
-// A signal that comes before a process waits for one, when it serves already, does not end
-// it at once.
+// A signal that arrives before a process waits for one, when it serves already, does not end it at
+// once.
 func TestEarlySignals(t *testing.T) {
 	p := New("test", settings.Common{Wire: "127.0.0.1:0", LogLines: 8})
 	send := func(s syscall.Signal) {
@@ -21,10 +21,10 @@
 	}
 	send(syscall.SIGHUP)
 	reloads := make(chan bool, 9)
-	warned := make(chan bool)
+	stopping := make(chan bool)
 	go func() {
 		p.WaitForStop(func() { reloads <- true })
-		close(warned)
+		close(stopping)
 	}()
 	wait := func(what string, ch <-chan bool) {
 		t.Helper()
@@ -36,5 +36,5 @@
 	}
 	wait("the reload", reloads)
 	send(syscall.SIGTERM)
-	wait("the warning", warned)
+	wait("the stop signal", stopping)
 }
--- a/internal/process/reload.go
+++ b/internal/process/reload.go
@@ -9,36 +9,38 @@
 	"curlewwalk/internal/settings"
 )
 
-// Reloader puts in force what a SIGHUP can, and shows what it could not.
+// Reloader applies the settings that can be changed by a SIGHUP, and serves GET /v1/reload, which
+// shows the outcome of the last one.
 type Reloader struct {
 	Discovery *membership.Discovery
-	drain     atomic.Int64
+	drain     atomic.Int64 // a time.Duration
 	last      atomic.Pointer[settings.ReloadResult]
 }
 
-// Apply puts the reloadable settings in force.
-func (r *Reloader) Apply(c settings.Common) {
-	r.Discovery.SetSeeds(c.Seeds)
-	r.drain.Store(int64(c.Drain))
+// Apply applies the reloadable settings.
+func (r *Reloader) Apply(cfg settings.Common) {
+	r.Discovery.SetSeeds(cfg.Seeds)
+	r.drain.Store(int64(cfg.Drain))
 }
 
-// Drain is how long what was handed over may take to finish.
+// Drain is how long a graceful shutdown may take.
 func (r *Reloader) Drain() time.Duration { return time.Duration(r.drain.Load()) }
 
-// Reload takes newly read settings next in place of old.
+// Reload takes newly read settings, next, in place of old, which are of the same type; common are
+// those of next. An exit says that they are not valid: then nothing is applied.
 func (r *Reloader) Reload(p *Process, old, next any, common settings.Common, exit settings.Exit) {
 	if exit.Now {
 		r.last.Store(&settings.ReloadResult{Fault: exit.Text})
 		p.Log.Error("settings were not reloaded", "fault", exit.Text)
 		return
 	}
-	diff := settings.Diff(old, next)
+	result := settings.Diff(old, next)
 	r.Apply(common)
-	r.last.Store(&diff)
-	p.Log.Info("settings reloaded", "applied", diff.Applied, "needs_restart", diff.NeedsRestart)
+	r.last.Store(&result)
+	p.Log.Info("settings reloaded", "applied", result.Applied, "needs_restart", result.NeedsRestart)
 }
 
-// ServeHTTP shows what the last SIGHUP came to.
+// ServeHTTP implements http.Handler.
 func (r *Reloader) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	JSON(w, http.StatusOK, r.last.Load())
 }
--- a/internal/process/stop_test.go
+++ b/internal/process/stop_test.go
@@ -15,11 +15,11 @@
 	"curlewwalk/internal/actor"
 )
 
-// testClosingResponse is what a stopping server of these tests says.
+// testClosingResponse is the closing response of these tests.
 const testClosingResponse = "HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 
-// blockedListener accepts nothing until it is released: what connects meanwhile is taken on
-// by the kernel alone.
+// blockedListener accepts nothing until it is released: connections made meanwhile are with the
+// kernel alone.
 type blockedListener struct {
 	*net.TCPListener
 	released chan struct{}
@@ -31,26 +31,27 @@
 	return l.TCPListener.Accept()
 }
 
-// serve serves h on a listener; stop says farewell and is done when the server has ended.
+// serve serves h on a listener. stop shuts the server down; it is done when the server has ended.
 func serve(t *testing.T, ln net.Listener, h http.Handler) (stop func() (done <-chan struct{})) {
 	t.Helper()
-	life, end := context.WithTimeout(context.Background(), 20*time.Second)
-	t.Cleanup(end)
-	launcher := actor.New(slog.New(slog.DiscardHandler), func(name string, cause any, stack []byte) { t.Errorf("%s: %v\n%s", name, cause, stack) })
-	t.Cleanup(launcher.Stop)
-	p := &Process{Context: life, Actors: launcher}
-	web := p.Serve(ln, h)
+	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
+	t.Cleanup(cancel)
+	actors := actor.New(slog.New(slog.DiscardHandler), func(name string, cause any, stack []byte) { t.Errorf("%s: %v\n%s", name, cause, stack) })
+	t.Cleanup(actors.Stop)
+	p := &Process{Context: ctx, Actors: actors}
+	server := p.Serve(ln, h)
 	return func() <-chan struct{} {
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			web.CloseIdle(life, []byte(testClosingResponse))
-			web.Shutdown(life)
+			server.CloseIdle(ctx, []byte(testClosingResponse))
+			server.Shutdown(ctx)
 		}()
 		return done
 	}
 }
 
+// listen listens on a free port.
 func listen(t *testing.T) *net.TCPListener {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -60,7 +61,7 @@
 	return ln.(*net.TCPListener)
 }
 
-// dial connects and sends requests, one behind the other.
+// dial connects and sends pipelined requests.
 func dial(t *testing.T, addr net.Addr, requests int) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", addr.String())
@@ -77,19 +78,19 @@
 	return c
 }
 
-// status reads the next answer on a connection.
-func status(t *testing.T, answers *bufio.Reader) int {
+// status reads the next response on a connection.
+func status(t *testing.T, responses *bufio.Reader) int {
 	t.Helper()
-	resp, err := http.ReadResponse(answers, nil)
+	resp, err := http.ReadResponse(responses, nil)
 	if err != nil {
-		t.Fatalf("no answer: %v", err)
+		t.Fatalf("no response: %v", err)
 	}
 	io.Copy(io.Discard, resp.Body)
 	return resp.StatusCode
 }
 
-// A client whose connection the kernel has taken on for a server that stops gets the
-// farewell, though the server's own thread had not come to accept it yet. (DESIGN 11.3)
+// A client whose connection the kernel has accepted for a server that stops gets the closing response,
+// though the server itself had not accepted it yet. (DESIGN 11.3)
 func TestStopWithPendingConnection(t *testing.T) {
 	ln := blockedListener{listen(t), make(chan struct{})}
 	stop := serve(t, ln, http.NotFoundHandler())
@@ -108,8 +109,8 @@
 	<-done
 }
 
-// A request that came behind another and is already running when the server stops gets
-// its own answer: the farewell would promise that it has not run.
+// A pipelined request that is already running when the server stops gets its own response: the closing
+// response would promise that it has not run.
 func TestStopWhilePipelinedRequestRuns(t *testing.T) {
 	ln := listen(t)
 	var ran atomic.Int32
@@ -122,41 +123,41 @@
 		io.WriteString(w, "good day")
 	}))
 	c := dial(t, ln.Addr(), 2)
-	answers := bufio.NewReader(c)
-	if got := status(t, answers); got != http.StatusOK {
+	responses := bufio.NewReader(c)
+	if got := status(t, responses); got != http.StatusOK {
 		t.Fatalf("the first got %d", got)
 	}
 	<-second
 	done := stop()
-	// The farewell would be said within a few looks.
+	// The closing response would be sent within a few polls.
 	select {
 	case <-done:
 		t.Error("the server stopped while a request ran")
 	case <-time.After(10 * shutdownPollInterval):
 	}
 	close(release)
-	if got := status(t, answers); got != http.StatusOK {
+	if got := status(t, responses); got != http.StatusOK {
 		t.Errorf("the second ran and got %d", got)
 	}
 	c.Close()
 	<-done
 }
 
-// A part that does not end keeps its process for a short while only: the grace time is
+// A part that does not end delays the end of its process for a short time only: the grace time is
 // nearly over when the parts are ended.
 func TestEndIsBounded(t *testing.T) {
-	life, end := context.WithCancel(context.Background())
-	launcher := actor.New(slog.New(slog.DiscardHandler), func(name string, cause any, stack []byte) { t.Errorf("%s: %v\n%s", name, cause, stack) })
-	p := &Process{Context: life, cancel: end, Actors: launcher}
+	ctx, cancel := context.WithCancel(context.Background())
+	actors := actor.New(slog.New(slog.DiscardHandler), func(name string, cause any, stack []byte) { t.Errorf("%s: %v\n%s", name, cause, stack) })
+	p := &Process{Context: ctx, cancel: cancel, Actors: actors}
 	stuck := make(chan struct{})
 	defer close(stuck)
-	launcher.Go(life, "stuck", func(context.Context) { <-stuck })
+	actors.Go(ctx, "stuck", func(context.Context) { <-stuck })
 	began := time.Now()
 	p.Close()
 	if took := time.Since(began); took > time.Second {
 		t.Errorf("the process went on for %v", took)
 	}
-	if life.Err() == nil {
-		t.Error("its parts were not told to end")
+	if ctx.Err() == nil {
+		t.Error("its context was not cancelled")
 	}
 }
--- a/internal/process/tracked_listener.go
+++ b/internal/process/tracked_listener.go
@@ -1,16 +1,18 @@
 package process
 
 import (
+	"maps"
 	"net"
+	"slices"
 	"sync"
 	"syscall"
 
 	"golang.org/x/sys/unix"
 )
 
-// trackedListener is a listener that knows its open connections, from the moment they are
-// accepted on, and that can be closed without resetting what the kernel has taken on for
-// it. (DESIGN 11.3)
+// trackedListener is a listener that knows its open connections, from the moment that they are
+// accepted, and whether the kernel holds more of them: closing the listener would reset those.
+// (DESIGN 11.3)
 type trackedListener struct {
 	net.Listener
 	mu   sync.Mutex
@@ -34,45 +36,41 @@
 	return c, nil
 }
 
-// remove takes that a connection has ended.
+// remove forgets a connection that has ended.
 func (l *trackedListener) remove(c *trackedConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.open, c)
 }
 
-// connections lists the open ones.
+// connections lists the open connections.
 func (l *trackedListener) connections() []*trackedConn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	list := make([]*trackedConn, 0, len(l.open))
-	for c := range l.open {
-		list = append(list, c)
-	}
-	return list
+	return slices.Collect(maps.Keys(l.open))
 }
 
-// hasPending tells whether the kernel holds connections that were not accepted yet. One that
-// is made between this look and the close of the listener is still reset: nothing on a
-// socket ends that span, it is only as short as can be.
-func (l *trackedListener) hasPending() (yes bool) {
+// hasPending tells whether the kernel holds connections that were not accepted yet. One that is
+// made between this check and the close of the listener is still reset: a socket has no means
+// against that, so the time between is kept as short as possible.
+func (l *trackedListener) hasPending() (pending bool) {
 	l.withSocket(func(fd int) {
-		look := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}
-		n, err := unix.Poll(look, 0)
-		yes = err == nil && n > 0
+		fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}
+		n, err := unix.Poll(fds, 0)
+		pending = err == nil && n > 0
 	})
-	return yes
+	return pending
 }
 
-// withSocket runs f on the listening socket, if there is one.
+// withSocket calls f with the listening socket, if there is one.
 func (l *trackedListener) withSocket(f func(fd int)) {
 	socket, ok := l.Listener.(syscall.Conn)
 	if !ok {
 		return
 	}
-	raw, err := socket.SyscallConn()
+	rawConn, err := socket.SyscallConn()
 	if err != nil {
 		return
 	}
-	_ = raw.Control(func(fd uintptr) { f(int(fd)) }) // a closed one has nothing pending
+	_ = rawConn.Control(func(fd uintptr) { f(int(fd)) }) // a closed one has nothing pending
 }
