--- a/internal/ringlog/ringlog.go
+++ b/internal/ringlog/ringlog.go
@@ -1,4 +1,4 @@
-// Package ringlog is the log: a ring in memory that is written out when something
+// Package ringlog is a log in memory: a ring of the newest lines, which is written out when something
 // goes wrong. (DESIGN 12)
 package ringlog
 
@@ -10,60 +10,64 @@
 	"sync"
 )
 
-// Ring is a slog.Handler that keeps the newest lines.
+// Ring is a slog.Handler that keeps the newest lines, as text. It is safe for concurrent use.
 type Ring struct {
 	slog.Handler
 	buffer *buffer
 }
 
-// buffer is the io.Writer behind the handler: one Write is one line.
-type buffer struct {
-	mu      sync.Mutex
-	entries [][]byte
-	next    int
-	// echo is written to too, if set.
-	echo io.Writer
-}
-
-// New makes a ring of the given number of lines; each is written to echo too, if that
-// is not nil.
+// New makes a ring of size lines. Each line is written to echo too, if that is not nil.
 func New(size int, echo io.Writer) *Ring {
-	l := &buffer{entries: make([][]byte, size), echo: echo}
-	return &Ring{Handler: slog.NewTextHandler(l, &slog.HandlerOptions{Level: slog.LevelInfo}), buffer: l}
+	b := &buffer{lines: make([][]byte, size), echo: echo}
+	return &Ring{Handler: slog.NewTextHandler(b, &slog.HandlerOptions{Level: slog.LevelInfo}), buffer: b}
 }
 
 // Enabled implements slog.Handler: all but debug lines are kept.
-func (r *Ring) Enabled(ctx context.Context, l slog.Level) bool { return r.Handler.Enabled(ctx, l) }
+func (r *Ring) Enabled(ctx context.Context, level slog.Level) bool {
+	return r.Handler.Enabled(ctx, level)
+}
 
 // WithAttrs implements slog.Handler.
-func (r *Ring) WithAttrs(a []slog.Attr) slog.Handler {
-	return &Ring{Handler: r.Handler.WithAttrs(a), buffer: r.buffer}
+func (r *Ring) WithAttrs(attrs []slog.Attr) slog.Handler {
+	return &Ring{Handler: r.Handler.WithAttrs(attrs), buffer: r.buffer}
 }
 
 // WithGroup implements slog.Handler.
-func (r *Ring) WithGroup(g string) slog.Handler {
-	return &Ring{Handler: r.Handler.WithGroup(g), buffer: r.buffer}
+func (r *Ring) WithGroup(name string) slog.Handler {
+	return &Ring{Handler: r.Handler.WithGroup(name), buffer: r.buffer}
 }
 
-// WriteTo writes the kept lines, the oldest first.
+// WriteTo implements io.WriterTo: it writes the lines that are kept, the oldest first.
 func (r *Ring) WriteTo(w io.Writer) (int64, error) {
-	r.buffer.mu.Lock()
-	defer r.buffer.mu.Unlock()
-	var b bytes.Buffer
-	for i := range r.buffer.entries {
-		b.Write(r.buffer.entries[(r.buffer.next+i)%len(r.buffer.entries)])
-	}
-	return b.WriteTo(w)
+	return r.buffer.writeTo(w)
+}
+
+// buffer is the io.Writer behind the handler, which calls Write once for each line.
+type buffer struct {
+	mu    sync.Mutex
+	lines [][]byte // nil where none was written yet
+	next  int      // the index of the oldest line, which is overwritten next
+	echo  io.Writer
 }
 
 // Write implements io.Writer.
-func (l *buffer) Write(b []byte) (int, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.entries[l.next] = bytes.Clone(b)
-	l.next = (l.next + 1) % len(l.entries)
-	if l.echo != nil {
-		l.echo.Write(b)
+func (b *buffer) Write(line []byte) (int, error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.lines[b.next] = bytes.Clone(line)
+	b.next = (b.next + 1) % len(b.lines)
+	if b.echo != nil {
+		b.echo.Write(line)
+	}
+	return len(line), nil
+}
+
+func (b *buffer) writeTo(w io.Writer) (int64, error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	var text bytes.Buffer
+	for i := range b.lines {
+		text.Write(b.lines[(b.next+i)%len(b.lines)])
 	}
-	return len(b), nil
+	return text.WriteTo(w)
 }
