--- a/internal/watch/departures.go
+++ b/internal/watch/departures.go
@@ -6,23 +6,26 @@
 	"curlewwalk/internal/membership"
 )
 
-// maxDepartures bounds how many departed instances a core remembers in all: those of the
-// sidecars that told of theirs longest ago are forgotten first. (ours)
-const maxDepartures = 65536
+// maxDepartures bounds how many departed instances a replica remembers in all. Those of the
+// sidecars that reported theirs longest ago are dropped first.
+const maxDepartures = 65536 // (ours)
 
-// departureLog is what sidecars told of departures, beyond the life of their processes: one that
-// is started anew is told again what it had acknowledged. (DESIGN 9.1)
+// departureLog remembers the departures that sidecars reported, beyond the end of their processes:
+// a sidecar that restarts gets back what an earlier process at its address had acknowledged.
+// (DESIGN 9.1)
 type departureLog struct {
 	byNode map[string]nodeDepartures
-	count  int
+	// count is the number of departures of all nodes.
+	count int
 }
 
+// nodeDepartures are the departures of one node and when it last reported any.
 type nodeDepartures struct {
 	departures membership.Departures
 	reportedAt time.Duration
 }
 
-// observe takes what a sidecar tells, and returns what else is known of its departures.
+// observe takes the departures that a node reports and returns the other ones known of it.
 func (d *departureLog) observe(n membership.Node, now time.Duration) (missing []string) {
 	old := d.byNode[n.Addr]
 	next, changed := old.departures.Add(n.Departed...)
@@ -41,7 +44,7 @@
 	return next.Without(n.Departed)
 }
 
-// evictOldest forgets the sidecar that told of its departures longest ago.
+// evictOldest drops the departures of the node that reported any longest ago.
 func (d *departureLog) evictOldest() {
 	oldest := ""
 	for addr, n := range d.byNode {
--- a/internal/watch/drain.go
+++ b/internal/watch/drain.go
@@ -5,65 +5,58 @@
 	"time"
 )
 
-// DrainStatus is the report on a zone that is being emptied, or is.
+// DrainStatus says how far the evacuation of a zone has come.
 type DrainStatus struct {
-	Zone      string `json:"locality"`
+	Zone string `json:"locality"`
+	// Evacuated tells whether the control state has the zone evacuated, and Revision is that
+	// control state's.
 	Evacuated bool   `json:"emptied"`
 	Revision  uint64 `json:"stamp"`
-	// OpenRequests is what still runs or waits there.
+	// OpenRequests is how many requests still run or wait in the zone.
 	OpenRequests int64 `json:"open"`
-	// LaggingNodes lists the nodes that do not have the stamp in force yet.
+	// LaggingNodes lists the addresses of the nodes that have not applied Revision yet.
 	LaggingNodes []string `json:"behind"`
-	// Done is set once nothing is open and nobody is behind; For is since when.
+	// Done is set once no request is open and no node lags; DoneFor is for how long, as
+	// time.Duration prints it.
 	Done    bool   `json:"done"`
 	DoneFor string `json:"done_for,omitempty"`
 }
 
-// DrainStatus reports on a zone.
-func (log *EventLog) DrainStatus(zone string, now time.Duration) DrainStatus {
+// DrainStatus returns the status of a zone.
+func (l *EventLog) DrainStatus(zone string, now time.Duration) DrainStatus {
 	d := DrainStatus{Zone: zone}
-	if log.state != nil {
-		d.Revision, d.Evacuated = log.state.Revision, slices.Contains(log.state.EvacuatedZones(), zone)
+	if l.state != nil {
+		d.Revision, d.Evacuated = l.state.Revision, slices.Contains(l.state.EvacuatedZones(), zone)
 	}
-	for _, n := range log.nodes {
+	for _, n := range l.nodes {
 		d.OpenRequests += n.OpenRequests[zone]
 	}
-	d.LaggingNodes = log.LaggingNodes(d.Revision)
-	if d.Done = d.Evacuated && d.OpenRequests == 0 && len(d.LaggingNodes) == 0; d.Done {
-		since, ok := log.drainedSince[zone]
+	d.LaggingNodes = l.LaggingNodes(d.Revision)
+	d.Done = d.Evacuated && d.OpenRequests == 0 && len(d.LaggingNodes) == 0
+	if d.Done {
+		since, ok := l.drainedSince[zone]
 		if !ok {
-			since = now // it has come about since the last tick
+			since = now // since after the last tick
 		}
 		d.DoneFor = (now - since).String()
 	}
 	return d
 }
 
-// LaggingNodes lists the nodes that do not have a stamp in force yet.
-func (log *EventLog) LaggingNodes(revision uint64) []string {
-	out := []string{}
-	for _, n := range log.Nodes() {
-		if n.AppliedRevision < revision {
-			out = append(out, n.Addr)
-		}
-	}
-	return out
-}
-
-// updateDrainedZones keeps since when each emptied zone is done.
-func (log *EventLog) updateDrainedZones(now time.Duration) {
-	if log.state == nil {
+// updateDrainedZones records since when each evacuated zone is drained.
+func (l *EventLog) updateDrainedZones(now time.Duration) {
+	if l.state == nil {
 		return
 	}
-	since := map[string]time.Duration{}
-	for _, zone := range log.state.EvacuatedZones() {
-		if !log.DrainStatus(zone, now).Done {
+	drainedSince := map[string]time.Duration{}
+	for _, zone := range l.state.EvacuatedZones() {
+		if !l.DrainStatus(zone, now).Done {
 			continue
 		}
-		since[zone] = now
-		if old, ok := log.drainedSince[zone]; ok {
-			since[zone] = old
+		drainedSince[zone] = now
+		if since, ok := l.drainedSince[zone]; ok {
+			drainedSince[zone] = since
 		}
 	}
-	log.drainedSince = since
+	l.drainedSince = drainedSince
 }
--- a/internal/watch/event.go
+++ b/internal/watch/event.go
@@ -1,5 +1,3 @@
-// Package watch is how news reaches the data plane: a numbered feed that nodes
-// follow from a place on, starting from a snapshot. (DESIGN 8)
 package watch
 
 import (
@@ -7,14 +5,17 @@
 	"curlewwalk/internal/membership"
 )
 
-// Event is one change.
+// Event is one change. Exactly one field is set; an event without any stands for a control state
+// that a newer one superseded.
 type Event struct {
-	State       *config.ControlState `msgpack:"w,omitempty"`
-	Node        *membership.Node     `msgpack:"n,omitempty"`
-	RemovedNode string               `msgpack:"g,omitempty"`
-	// StatePatch stands for Word, towards a follower that told what it has.
-	StatePatch *config.Patch `msgpack:"p,omitempty"`
+	// State is a newly committed control state, StatePatch its difference from the one that
+	// the receiver has.
+	State *config.ControlState `msgpack:"w,omitempty"`
+	// Node is a node that was added or changed; RemovedNode is the address of one that is gone.
+	Node        *membership.Node `msgpack:"n,omitempty"`
+	RemovedNode string           `msgpack:"g,omitempty"`
+	StatePatch  *config.Patch    `msgpack:"p,omitempty"`
 }
 
-// superseded tells whether the item was a word that a newer one came after.
+// superseded reports whether the event was a control state that a newer one superseded.
 func (event Event) superseded() bool { return event == Event{} }
--- a/internal/watch/event_log.go
+++ b/internal/watch/event_log.go
@@ -1,228 +1,148 @@
 package watch
 
 import (
-	"maps"
 	"slices"
 	"time"
 
 	"curlewwalk/internal/config"
 	"curlewwalk/internal/membership"
-	"curlewwalk/internal/retrybudget"
 )
 
 const (
-	maxEvents = 1024 // changes kept for followers to resume from (ours)
-	// StartupDelay is how long after its start a core only listens: its directory
-	// must be told again before a snapshot of it means anything.
+	// maxEvents is how many events are kept for watchers to continue from.
+	maxEvents = 1024 // (ours)
+	// StartupDelay is how long a replica only listens after its start or a pause: until the
+	// nodes have sent their heartbeats, a snapshot would lack most of them.
 	StartupDelay = 700 * time.Millisecond // (ours)
-	// nodeTimeout is when a silent node is taken out, whoever accuses it or not.
-	nodeTimeout = 2 * time.Second // (ours)
-	// suspectedNodeTimeout is how long a node that its watchers accuse must be silent towards
-	// this core too.
-	suspectedNodeTimeout = 750 * time.Millisecond // (ours)
-	// suspicionQuorum is how many watchers must accuse it, if there are so many.
-	suspicionQuorum = 2 // (ours)
 )
 
-// EventLog is a core's directory and its numbered changes: a decision value that
-// one thread owns. Times are durations since the owner's start.
+// EventLog is what a replica delivers to watchers: the newest committed control state, the nodes,
+// and the numbered changes of both. It also answers what only the replica itself asks: which nodes
+// lag, are suspected, or still run requests in a zone that is drained.
+//
+// It is not safe for concurrent use. Times are durations since the owner's start.
 type EventLog struct {
-	ID     uint64
+	// ID identifies the log: offsets of another one mean nothing in it.
+	ID uint64
+	// offset is the number of the newest event, the last of events.
 	offset uint64
-	events []Event // items[i] has number place-len(items)+1+i
-	state  *config.ControlState
-	// version is that word's; versions are those of late, to tell differences from.
-	version   config.Version
-	history   config.VersionHistory
-	nodes     map[string]membership.Node
-	lastHeard map[string]time.Duration
-	// drainedSince is since when an emptied zone has nothing open.
+	events []Event
+
+	// state is the newest committed control state, version its encoding, and history has the
+	// latest versions to make patches from.
+	state   *config.ControlState
+	version config.Version
+	history config.VersionHistory
+
+	// nodes are the known nodes by address, and lastHeartbeat is when each sent one.
+	nodes         map[string]membership.Node
+	lastHeartbeat map[string]time.Duration
+	departures    departureLog
+	// drainedSince is since when an evacuated zone is drained.
 	drainedSince map[string]time.Duration
-	departures   departureLog
-	readyAt      time.Duration // not before this is the feed served
-	lastTick     time.Duration
+
+	// readyAt is when the log may be delivered.
+	readyAt  time.Duration
+	lastTick time.Duration
 }
 
-// NewEventLog makes an empty feed.
+// NewEventLog makes an empty log.
 func NewEventLog(id uint64, now time.Duration) *EventLog {
-	return &EventLog{ID: id, nodes: map[string]membership.Node{}, lastHeard: map[string]time.Duration{}, readyAt: now + StartupDelay, lastTick: now}
+	return &EventLog{
+		ID:            id,
+		nodes:         map[string]membership.Node{},
+		lastHeartbeat: map[string]time.Duration{},
+		readyAt:       now + StartupDelay,
+		lastTick:      now,
+	}
 }
 
-func (log *EventLog) appendEvent(event Event) {
-	log.offset++
-	log.events = append(log.events, event)
-	if len(log.events) > maxEvents {
-		log.events = slices.Delete(log.events, 0, len(log.events)-maxEvents)
+// DetectPause is called before anything else that happens. If the ticks have stopped for a while,
+// the process was frozen or starved: heartbeats could not arrive meanwhile, so the log starts
+// anew, under a new ID. The control state and the departures stay.
+func (l *EventLog) DetectPause(now time.Duration) {
+	if now-l.lastTick <= nodeTimeout/2 {
+		return
 	}
+	next := NewEventLog(l.ID+1, now)
+	next.state, next.version, next.history = l.state, l.version, l.history
+	next.departures = l.departures
+	*l = *next
 }
 
-// ObserveCommitted takes a majority-held word; true if it is news.
-func (log *EventLog) ObserveCommitted(state config.ControlState) bool {
-	if log.state != nil && state.Revision <= log.state.Revision {
+// Ready reports whether the log may be delivered yet.
+func (l *EventLog) Ready(now time.Duration) bool { return now >= l.readyAt }
+
+// State returns the newest committed control state, nil if there is none.
+func (l *EventLog) State() *config.ControlState { return l.state }
+
+// ObserveCommitted takes a committed control state; it reports whether that is newer than the one
+// before.
+func (l *EventLog) ObserveCommitted(state config.ControlState) bool {
+	if l.state != nil && state.Revision <= l.state.Revision {
 		return false
 	}
 	state = state.ForSidecars()
-	for i := range log.events {
-		if log.events[i].State != nil {
-			log.events[i] = Event{} // nobody needs it any more, however far behind
+	for i := range l.events {
+		if l.events[i].State != nil {
+			l.events[i] = Event{} // superseded: no watcher needs it, however far behind
 		}
 	}
-	log.version, _ = config.NewVersion(state)
-	log.history.Add(log.version)
-	log.state = &state
-	log.appendEvent(Event{State: &state})
+	l.version, _ = config.NewVersion(state)
+	l.history.Add(l.version)
+	l.state = &state
+	l.appendEvent(Event{State: &state})
 	return true
 }
 
-// ObserveNode takes a node's own word; true if it is news.
-func (log *EventLog) ObserveNode(n membership.Node, now time.Duration) bool {
-	old, ok := log.nodes[n.Addr]
-	log.lastHeard[n.Addr] = now
-	if ok && old.Incarnation == n.Incarnation && (old.Version > n.Version || old.Version == n.Version && old.Sequence > n.Sequence) {
-		return false // overtaken on the way
-	}
-	log.nodes[n.Addr] = n
-	if ok && old.Incarnation == n.Incarnation && old.Version == n.Version {
-		return false
+func (l *EventLog) appendEvent(event Event) {
+	l.offset++
+	l.events = append(l.events, event)
+	if len(l.events) > maxEvents {
+		l.events = slices.Delete(l.events, 0, len(l.events)-maxEvents)
 	}
-	log.appendEvent(nodeEvent(n))
-	return true
 }
 
-// ObserveDepartures takes the departures that a node tells of, however late that comes, and returns
-// what earlier processes at its address told besides.
-func (log *EventLog) ObserveDepartures(n membership.Node, now time.Duration) (missing []string) {
-	return log.departures.observe(n, now)
-}
-
-// ObserveStatus takes a node's pulse; false if the node is not known as whole as it was when
-// that was told. Until it is told whole it stays as it was, its backends with it.
-func (log *EventLog) ObserveStatus(status membership.NodeStatus, now time.Duration) bool {
-	n, ok := log.nodes[status.Addr]
-	if !ok || n.Incarnation != status.Incarnation {
-		return false
+// Since returns what a watcher asks for, except for Age; fresh is false if there is nothing new
+// for it.
+func (l *EventLog) Since(req Request) (updates Updates, fresh bool) {
+	updates = Updates{LogID: l.ID, Offset: l.offset}
+	first := l.offset - uint64(len(l.events))
+	if req.LogID != l.ID || req.Offset < first || req.Offset > l.offset {
+		updates.Snapshot, updates.Events = true, l.snapshot(req.StateFingerprint)
+		return updates, true
 	}
-	log.lastHeard[status.Addr] = now
-	if n.Version == status.Version && n.Sequence <= status.Sequence {
-		log.nodes[status.Addr] = n.WithStatus(status)
-	}
-	return n.Version >= status.Version
+	events := slices.DeleteFunc(slices.Clone(l.events[req.Offset-first:]), Event.superseded)
+	fresh = len(events) > 0
+	updates.Events = l.withStatePatch(events, req.StateFingerprint)
+	return updates, fresh
 }
 
-// DetectPause comes before anything else that happens. After a gap in the ticks (a
-// freeze) the feed starts anew: nobody could be heard meanwhile, and what piled
-// up must not be answered from what was known before.
-func (log *EventLog) DetectPause(now time.Duration) {
-	if now-log.lastTick > nodeTimeout/2 {
-		*log = EventLog{ID: log.ID + 1, state: log.state, version: log.version, history: log.history, nodes: map[string]membership.Node{}, lastHeard: map[string]time.Duration{}, departures: log.departures, readyAt: now + StartupDelay, lastTick: now}
+// snapshot returns the control state and all nodes as events.
+func (l *EventLog) snapshot(fingerprint []byte) (events []Event) {
+	if l.state != nil {
+		events = l.withStatePatch([]Event{{State: l.state}}, fingerprint)
 	}
-}
-
-// nodeEvent is a node as followers get it: without what only cores sum up.
-func nodeEvent(n membership.Node) Event {
-	n.Budgets, n.Suspects, n.OpenRequests, n.Departed, n.Sequence = nil, nil, nil, nil, 0
-	return Event{Node: &n}
-}
-
-// Tick takes out silent nodes; true if there was news.
-func (log *EventLog) Tick(now time.Duration) bool {
-	log.lastTick = now
-	log.updateDrainedZones(now)
-	changed := false
-	for _, addr := range slices.Sorted(maps.Keys(log.nodes)) {
-		silent := now - log.lastHeard[addr]
-		if silent > nodeTimeout || silent > suspectedNodeTimeout && log.suspectedByQuorum(addr) {
-			delete(log.nodes, addr)
-			delete(log.lastHeard, addr)
-			log.appendEvent(Event{RemovedNode: addr})
-			changed = true
-		}
-	}
-	return changed
-}
-
-// Ready tells whether the feed may be served yet.
-func (log *EventLog) Ready(now time.Duration) bool { return now >= log.readyAt }
-
-// Since answers a follower; fresh is false when there is nothing new for it.
-func (log *EventLog) Since(req Request) (updates Updates, fresh bool) {
-	updates = Updates{LogID: log.ID, Offset: log.offset}
-	first := log.offset - uint64(len(log.events))
-	if req.LogID == log.ID && req.Offset >= first && req.Offset <= log.offset {
-		updates.Events = slices.DeleteFunc(slices.Clone(log.events[req.Offset-first:]), Event.superseded)
-		fresh = len(updates.Events) > 0
-		updates.Events = log.withStatePatch(updates.Events, req.StateFingerprint)
-		return updates, fresh
+	for _, n := range l.Nodes() {
+		events = append(events, nodeEvent(n))
 	}
-	updates.Snapshot = true
-	if log.state != nil {
-		updates.Events = log.withStatePatch([]Event{{State: log.state}}, req.StateFingerprint)
-	}
-	for _, addr := range slices.Sorted(maps.Keys(log.nodes)) {
-		updates.Events = append(updates.Events, nodeEvent(log.nodes[addr]))
-	}
-	return updates, true
+	return events
 }
 
-// withStatePatch is a list of items as a follower is told them that has a configuration already: the
-// newest by its difference, or not at all if it has that.
-func (log *EventLog) withStatePatch(events []Event, fingerprint []byte) []Event {
+// withStatePatch replaces the control state among events by a patch of the one that the watcher
+// has, given by its fingerprint, if that is much shorter; it removes the control state if the
+// watcher has it. It changes events in place.
+func (l *EventLog) withStatePatch(events []Event, fingerprint []byte) []Event {
 	i := slices.IndexFunc(events, func(event Event) bool { return event.State != nil })
-	if i < 0 || len(fingerprint) != len(log.version.Fingerprint) {
+	if i < 0 || len(fingerprint) != len(l.version.Fingerprint) {
 		return events
 	}
 	base := config.Fingerprint(fingerprint)
-	if base == log.version.Fingerprint {
+	if base == l.version.Fingerprint {
 		return slices.Delete(events, i, i+1)
 	}
-	if p, worthwhile := log.history.PatchFrom(log.version, base); worthwhile {
-		events[i] = Event{StatePatch: &p}
+	if patch, worthwhile := l.history.PatchFrom(l.version, base); worthwhile {
+		events[i] = Event{StatePatch: &patch}
 	}
 	return events
 }
-
-// State is the newest majority-held word, if any.
-func (log *EventLog) State() *config.ControlState { return log.state }
-
-// Nodes lists the known nodes by address.
-func (log *EventLog) Nodes() []membership.Node {
-	var out []membership.Node
-	for _, addr := range slices.Sorted(maps.Keys(log.nodes)) {
-		out = append(out, log.nodes[addr])
-	}
-	return out
-}
-
-// Budgets lists each node's newest tally.
-func (log *EventLog) Budgets() (out []map[string]retrybudget.Counts) {
-	for _, n := range log.nodes {
-		out = append(out, n.Budgets)
-	}
-	return out
-}
-
-// suspectedByQuorum tells whether enough watchers accuse a node.
-func (log *EventLog) suspectedByQuorum(addr string) bool {
-	n := 0
-	for _, monitor := range log.nodes {
-		for _, a := range monitor.Suspects {
-			if a.AppliesTo(log.nodes[addr]) {
-				n++
-			}
-		}
-	}
-	return n > 0 && n >= min(suspicionQuorum, len(log.nodes)-1)
-}
-
-// Suspected lists the accused nodes with the incarnations to refute.
-func (log *EventLog) Suspected() map[string]uint64 {
-	out := map[string]uint64{}
-	for _, monitor := range log.nodes {
-		for _, a := range monitor.Suspects {
-			if n, ok := log.nodes[a.Addr]; ok && a.AppliesTo(n) {
-				out[a.Addr] = max(out[a.Addr], a.Refutation)
-			}
-		}
-	}
-	return out
-}
--- a/internal/watch/mirror.go
+++ b/internal/watch/mirror.go
@@ -5,60 +5,63 @@
 	"curlewwalk/internal/membership"
 )
 
-// Mirror is what a node has of the feeds that it followed: a decision value that
-// one thread owns. (DESIGN 8.2)
+// Mirror is what a sidecar has of the nodes and of the control state's revision, from the replicas
+// that it watched and from other sidecars. It is not safe for concurrent use. (DESIGN 8.2)
 type Mirror struct {
-	Nodes    map[string]membership.Node
+	// Nodes are the known nodes by address.
+	Nodes map[string]membership.Node
+	// revision is that of the newest control state that was accepted.
 	revision uint64
 }
 
-// NewMirror makes an empty copy.
+// NewMirror makes an empty mirror.
 func NewMirror() *Mirror { return &Mirror{Nodes: map[string]membership.Node{}} }
 
-// Apply takes news. word is set if there is one to be put in force; changed tells
-// whether nodes came, went or changed.
-func (mirror *Mirror) Apply(updates Updates) (word *config.ControlState, changed bool) {
+// Apply takes updates whose patches are decoded. state is a control state to put in force, nil if
+// there is none newer; changed tells whether there was any event.
+func (m *Mirror) Apply(updates Updates) (state *config.ControlState, changed bool) {
 	if updates.Snapshot {
-		clear(mirror.Nodes)
+		clear(m.Nodes)
 	}
 	for _, event := range updates.Events {
 		switch {
 		case event.State != nil:
-			if mirror.AdvanceTo(*event.State) {
-				word = event.State
+			if m.AdvanceTo(*event.State) {
+				state = event.State
 			}
 		case event.Node != nil:
-			mirror.Nodes[event.Node.Addr] = *event.Node
+			m.Nodes[event.Node.Addr] = *event.Node
 		default:
-			delete(mirror.Nodes, event.RemovedNode)
+			delete(m.Nodes, event.RemovedNode)
 		}
 	}
-	return word, len(updates.Events) > 0 || updates.Snapshot
+	return state, len(updates.Events) > 0 || updates.Snapshot
 }
 
-// AdvanceTo takes a word from anywhere; false if it is none newer than what was taken
-// before: a node never goes back.
-func (mirror *Mirror) AdvanceTo(state config.ControlState) bool {
-	if state.Revision <= mirror.revision {
+// AdvanceTo accepts a control state from any source, unless it is no newer than the one accepted
+// before: the revision in force never goes back.
+func (m *Mirror) AdvanceTo(state config.ControlState) bool {
+	if state.Revision <= m.revision {
 		return false
 	}
-	mirror.revision = state.Revision
+	m.revision = state.Revision
 	return true
 }
 
-// MergeNodes takes the soft states that other nodes than a core tell of, and the boots of
-// nodes whose processes are gone; it tells whether that changed anything. Of one boot
-// the later revision stays.
-func (mirror *Mirror) MergeNodes(nodes []membership.Node, dead map[string]uint64) (changed bool) {
+// MergeNodes takes nodes from other sidecars than their own, and the incarnations of nodes whose
+// processes are gone, by address. It reports whether anything changed. Of one incarnation the
+// higher version stays.
+func (m *Mirror) MergeNodes(nodes []membership.Node, dead map[string]uint64) (changed bool) {
 	for _, n := range nodes {
-		if old, ok := mirror.Nodes[n.Addr]; ok && old.Incarnation == n.Incarnation && old.Version >= n.Version {
+		old, ok := m.Nodes[n.Addr]
+		if ok && old.Incarnation == n.Incarnation && old.Version >= n.Version {
 			continue
 		}
-		mirror.Nodes[n.Addr], changed = n, true
+		m.Nodes[n.Addr], changed = n, true
 	}
 	for addr, incarnation := range dead {
-		if n, ok := mirror.Nodes[addr]; ok && n.Incarnation == incarnation {
-			delete(mirror.Nodes, addr)
+		if n, ok := m.Nodes[addr]; ok && n.Incarnation == incarnation {
+			delete(m.Nodes, addr)
 			changed = true
 		}
 	}
--- a/internal/watch/request.go
+++ b/internal/watch/request.go
@@ -2,16 +2,17 @@
 
 import "time"
 
-// KindWatch is the call's kind on the wire.
+// KindWatch is the message kind of a Request on the wire.
 const KindWatch = "follow"
 
-// Request asks for what came after a place of a feed. Wait is how long the core
-// may hold the call when there is no news.
+// Request asks a replica for the events of its log after an offset. The zero LogID and Offset ask
+// for a snapshot.
 type Request struct {
-	LogID  uint64        `msgpack:"f"`
-	Offset uint64        `msgpack:"p"`
-	Wait   time.Duration `msgpack:"w"`
-	// StateFingerprint is the fingerprint of the configuration that the follower was told last. Who
-	// tells none is told configurations whole.
+	LogID  uint64 `msgpack:"f"`
+	Offset uint64 `msgpack:"p"`
+	// Wait is how long the replica may wait for an event if there is none yet.
+	Wait time.Duration `msgpack:"w"`
+	// StateFingerprint is the fingerprint of the control state that the watcher has. If it is
+	// empty, control states are sent in full.
 	StateFingerprint []byte `msgpack:"h,omitempty"`
 }
--- /dev/null
+++ b/internal/watch/server_actor.go
@@ -0,0 +1,162 @@
+package watch
+
+import (
+	"context"
+	"slices"
+	"time"
+
+	"curlewwalk/internal/config"
+	"curlewwalk/internal/membership"
+	"curlewwalk/internal/retrybudget"
+)
+
+const (
+	// appliedTimeout is how long AwaitApplied waits for all nodes.
+	appliedTimeout = time.Second // (ours)
+	// appliedGrace is how much longer it waits for more than half of them.
+	appliedGrace = 2 * time.Second // (ours)
+)
+
+// The messages to a Server's actor. Those with a reply channel get exactly one reply.
+type (
+	msgNode struct {
+		node  membership.Node
+		reply chan<- []string
+	}
+	msgNodeStatus struct {
+		status membership.NodeStatus
+		reply  chan<- bool
+	}
+	msgCommitted struct{ state config.ControlState }
+	msgConfirmed struct{ asOf time.Time }
+	msgTick      struct{}
+	// msgWatch is replied to later; nil says that the log is not ready.
+	msgWatch struct {
+		request Request
+		reply   chan<- *Updates
+	}
+	// msgAwaitApplied is replied to later; nil says that the nodes are not known yet.
+	msgAwaitApplied struct {
+		revision uint64
+		reply    chan<- []string
+	}
+	msgStatus struct{ reply chan<- Status }
+	msgDrain  struct {
+		zone  string
+		reply chan<- DrainStatus
+	}
+)
+
+// pendingWatch is a request that waits for events.
+type pendingWatch struct {
+	request  Request
+	deadline time.Duration
+	reply    chan<- *Updates
+}
+
+// revisionWait is a caller that waits for a revision to be applied.
+type revisionWait struct {
+	revision uint64
+	deadline time.Duration
+	reply    chan<- []string
+}
+
+// handle handles one message to the actor.
+func (s *Server) handle(_ context.Context, msg any) {
+	now := time.Since(s.start)
+	s.log.DetectPause(now)
+	switch m := msg.(type) {
+	case msgNode:
+		m.reply <- s.log.ObserveDepartures(m.node, now)
+		if !s.log.ObserveNode(m.node, now) {
+			s.answerRevisionWaits(now)
+			return // no event for watchers
+		}
+	case msgNodeStatus:
+		m.reply <- s.log.ObserveStatus(m.status, now)
+		s.answerRevisionWaits(now)
+		return // no event for watchers
+	case msgCommitted:
+		s.log.ObserveCommitted(m.state)
+	case msgConfirmed:
+		s.confirmedAt = m.asOf
+	case msgTick:
+		s.tick(now)
+	case msgWatch:
+		if !s.log.Ready(now) {
+			m.reply <- nil
+			return
+		}
+		s.watches = append(s.watches, pendingWatch{request: m.request, deadline: now + m.request.Wait, reply: m.reply})
+	case msgAwaitApplied:
+		s.revisionWaits = append(s.revisionWaits, revisionWait{revision: m.revision, deadline: now + appliedTimeout, reply: m.reply})
+	case msgDrain:
+		m.reply <- s.log.DrainStatus(m.zone, now)
+	case msgStatus:
+		m.reply <- s.status(now)
+	}
+	s.answerWatches(now)
+	s.answerRevisionWaits(now)
+}
+
+// tick removes nodes that have timed out and publishes what is summed up over all nodes.
+func (s *Server) tick(now time.Duration) {
+	s.log.Tick(now)
+	sums := retrybudget.Merge(s.log.Budgets())
+	s.budgets.Store(&sums)
+	suspected := s.log.Suspected()
+	s.suspected.Store(&suspected)
+}
+
+// status returns a snapshot of the log.
+func (s *Server) status(now time.Duration) Status {
+	status := Status{LogID: s.log.ID, Offset: s.log.offset, Ready: s.log.Ready(now), Nodes: s.log.Nodes()}
+	if state := s.log.State(); state != nil {
+		status.Revision, status.ControlState = state.Revision, *state
+	}
+	return status
+}
+
+// answerWatches replies to the watchers that there are events for, or that have waited long
+// enough.
+func (s *Server) answerWatches(now time.Duration) {
+	s.watches = slices.DeleteFunc(s.watches, func(w pendingWatch) bool {
+		updates, fresh := s.log.Since(w.request)
+		if !fresh && now < w.deadline {
+			return false
+		}
+		updates.Age = neverConfirmed
+		if !s.confirmedAt.IsZero() {
+			updates.Age = time.Since(s.confirmedAt)
+		}
+		w.reply <- &updates
+		return true
+	})
+}
+
+// answerRevisionWaits replies to the callers that wait for a revision, if all nodes have applied
+// it or they have waited long enough.
+func (s *Server) answerRevisionWaits(now time.Duration) {
+	s.revisionWaits = slices.DeleteFunc(s.revisionWaits, func(w revisionWait) bool {
+		var lagging []string // nil while the nodes are not known yet
+		if s.log.Ready(now) {
+			lagging = s.log.LaggingNodes(w.revision)
+		}
+		if !w.isOver(lagging, len(s.log.nodes), now) {
+			return false
+		}
+		w.reply <- lagging
+		return true
+	})
+}
+
+// isOver reports whether a wait is over, given the nodes that have not applied the revision yet,
+// nil if they are not known, and the number of all.
+func (w revisionWait) isOver(lagging []string, nodes int, now time.Duration) bool {
+	known := lagging != nil
+	if known && len(lagging) == 0 {
+		return true
+	}
+	mostApplied := known && 2*len(lagging) < nodes
+	return now >= w.deadline && (mostApplied || now >= w.deadline+appliedGrace)
+}
--- a/internal/watch/state_decoder.go
+++ b/internal/watch/state_decoder.go
@@ -2,45 +2,50 @@
 
 import "curlewwalk/internal/config"
 
-// StateDecoder is the configuration that a follower was told last, to be told the next one by
-// its difference. It is a decision value that one thread owns. (DESIGN 8.3)
+// StateDecoder keeps the control state that a watcher received last, so that the next one can be
+// sent as a patch of it. The zero value has none. It is not safe for concurrent use.
+// (DESIGN 8.3)
 type StateDecoder struct{ version config.Version }
 
-// Prepare completes a question with what the follower holds.
-func (decoder *StateDecoder) Prepare(req Request) Request {
+// Prepare returns a request with the fingerprint of the control state that the watcher has.
+func (d *StateDecoder) Prepare(req Request) Request {
 	req.StateFingerprint = nil
-	if decoder.version.Size() > 0 {
-		req.StateFingerprint = decoder.version.Fingerprint[:]
+	if d.version.Size() > 0 {
+		req.StateFingerprint = d.version.Fingerprint[:]
 	}
 	return req
 }
 
-// Decode makes whole what was told by difference. False if that can't be done: then nothing
-// of the news may be used, and the same is asked for again, whole.
-func (decoder *StateDecoder) Decode(n *Updates) bool {
-	for i := range n.Events {
-		if !decoder.decodeEvent(&n.Events[i]) {
-			decoder.version = config.Version{}
+// Decode replaces patches among the updates by the control states that they make. It returns false
+// if one can't be applied: then nothing of the updates may be used, and the same request, prepared
+// again, brings them without patches.
+func (d *StateDecoder) Decode(updates *Updates) bool {
+	for i := range updates.Events {
+		if !d.decodeEvent(&updates.Events[i]) {
+			d.version = config.Version{}
 			return false
 		}
 	}
 	return true
 }
 
-func (decoder *StateDecoder) decodeEvent(it *Event) bool {
-	if it.State != nil {
-		decoder.version, _ = config.NewVersion(*it.State)
+func (d *StateDecoder) decodeEvent(event *Event) bool {
+	if event.State != nil {
+		d.version, _ = config.NewVersion(*event.State)
 		return true
 	}
-	if it.StatePatch == nil {
+	if event.StatePatch == nil {
 		return true
 	}
-	next, ok := decoder.version.Apply(*it.StatePatch)
+	next, ok := d.version.Apply(*event.StatePatch)
+	if !ok {
+		return false
+	}
 	var state config.ControlState
-	if !ok || next.Decode(&state) != nil {
+	if next.Decode(&state) != nil {
 		return false
 	}
-	decoder.version = next
-	*it = Event{State: &state}
+	d.version = next
+	*event = Event{State: &state}
 	return true
 }
--- a/internal/watch/watcher.go
+++ b/internal/watch/watcher.go
@@ -9,56 +9,35 @@
 	"curlewwalk/internal/transport"
 )
 
-// maxWait is how long a core may hold a Follow.
+// maxWait is how long a replica may wait for an event before it responds.
 const maxWait = 500 * time.Millisecond // (ours)
 
-// Watcher follows one core's feed and changes core on loss. (DESIGN 8.2)
+// Watcher gets a sidecar its updates from one replica, and changes to another one if that fails.
+// (DESIGN 8.2)
 type Watcher struct {
-	Addr         string
-	Zone         string
+	Addr string
+	Zone string
+	// Replicas returns the known replicas; HeartbeatNow has missing ones looked for.
 	Replicas     func() membership.ReplicaTable
-	Client       *transport.Client
 	HeartbeatNow func()
-	// OnUpdates is handed each piece of news in order, with the core it came from.
-	// What the core was sure of counts from when it was asked.
+	Client       *transport.Client
+	// OnUpdates is called with each response in order and the replica that it came from; the
+	// next one is asked for after it returns. Updates.Age counts back from asked, when the
+	// request was sent.
 	OnUpdates func(ctx context.Context, replica membership.Replica, updates Updates, asked time.Time)
 }
 
-// Run follows until ctx ends.
+// Run watches until ctx ends.
 func (w *Watcher) Run(ctx context.Context) {
-	var req Request
-	var replica membership.Replica
-	var decoder StateDecoder
-	selector := newReplicaSelector(w.Addr, w.Zone)
+	s := &session{watcher: w, selector: newReplicaSelector(w.Addr, w.Zone)}
 	pause := time.NewTimer(0)
 	defer pause.Stop()
 	<-pause.C
 	for ctx.Err() == nil {
-		next, ok := selector.choose(w.Replicas().Live(time.Now()), time.Now())
-		if !ok {
-			selector.growBackoff()
-			w.HeartbeatNow()
-		} else {
-			if next.Addr != replica.Addr || next.Incarnation != replica.Incarnation {
-				replica, req = next, Request{Wait: maxWait}
-			}
-			asked := time.Now()
-			updates, answered := w.request(ctx, replica, decoder.Prepare(req), selector.timeout)
-			if answered && !decoder.Decode(&updates) {
-				continue // the same is told whole now
-			}
-			if answered {
-				req.LogID, req.Offset = updates.LogID, updates.Offset
-				w.OnUpdates(ctx, replica, updates, asked)
-				selector.recordResponse(updates.Age, time.Now())
-				if updates.Age <= maxConfirmationAge {
-					continue
-				}
-			} else {
-				selector.recordFailure(time.Since(asked) >= selector.timeout, time.Now())
-			}
+		if s.poll(ctx) {
+			continue
 		}
-		pause.Reset(jitter(max(initialBackoff, selector.backoff)))
+		pause.Reset(jitter(max(initialBackoff, s.selector.backoff)))
 		select {
 		case <-pause.C:
 		case <-ctx.Done():
@@ -66,7 +45,45 @@
 	}
 }
 
-// request asks a core for what came after a place; false if no answer came in time.
+// session is the state of a running Watcher.
+type session struct {
+	watcher  *Watcher
+	selector *replicaSelector
+	decoder  StateDecoder
+	// replica is the one that is watched, and req continues after its last response.
+	replica membership.Replica
+	req     Request
+}
+
+// poll sends one request and handles its response; it reports whether the next one is due at once
+// rather than after a pause.
+func (s *session) poll(ctx context.Context) (immediately bool) {
+	w := s.watcher
+	next, ok := s.selector.choose(w.Replicas().Live(time.Now()), time.Now())
+	if !ok {
+		s.selector.growBackoff()
+		w.HeartbeatNow()
+		return false
+	}
+	if next.Addr != s.replica.Addr || next.Incarnation != s.replica.Incarnation {
+		s.replica, s.req = next, Request{Wait: maxWait}
+	}
+	asked := time.Now()
+	updates, ok := w.request(ctx, s.replica, s.decoder.Prepare(s.req), s.selector.timeout)
+	if !ok {
+		s.selector.recordFailure(time.Since(asked) >= s.selector.timeout, time.Now())
+		return false
+	}
+	if !s.decoder.Decode(&updates) {
+		return true // the same is asked for again, in full
+	}
+	s.req.LogID, s.req.Offset = updates.LogID, updates.Offset
+	w.OnUpdates(ctx, s.replica, updates, asked)
+	s.selector.recordResponse(updates.Age, time.Now())
+	return updates.Age <= maxConfirmationAge
+}
+
+// request sends a request to a replica; ok is false if no response came in time.
 func (w *Watcher) request(ctx context.Context, replica membership.Replica, req Request, timeout time.Duration) (updates Updates, ok bool) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -74,8 +91,8 @@
 	return updates, ok
 }
 
-// jitter is a pause, by up to half of it longer, so that those who lost the same core do
-// not come back together.
+// jitter returns a pause that is longer by up to a half, so that watchers that lost the same
+// replica do not come back together.
 func jitter(pause time.Duration) time.Duration {
 	return pause + time.Duration(rand.Int64N(int64(pause/2)))
 }
--- a/tests/mutation/soak_catalogue.go
+++ b/tests/mutation/soak_catalogue.go
@@ -10,7 +10,7 @@
 	soakMutation(wrongAnswer, "MIXED", "internal/dataplane/proxy/exchange.go", "case err != nil:\n\t\treturn nil, nil, \"backend's answer was cut short\"", "case err != nil && false:"),
 	soakMutation(retryExcess, "BUDGET", "internal/retrybudget/budget.go", "if balance < attemptCost {", "if balance < -1<<40 {"),
 	soakMutation(sentAfterEvacuation, "EVAC", "internal/dataplane/routing/table.go", "return t.drainedZones[zone] }", "return t.drainedZones[zone] && false }"),
-	soakMutation(staleConfiguration, "CONFIG", "internal/watch/event_log.go", "\tlog.state = &state\n\tlog.appendEvent(Event{State: &state})", "\tlog.state = &state"),
+	soakMutation(staleConfiguration, "CONFIG", "internal/watch/event_log.go", "\tl.state = &state\n\tl.appendEvent(Event{State: &state})", "\tl.state = &state"),
 	soakMutation(staleRead, "CONFIG", "internal/controlplane/operator.go", "state, ok = n.replica.LinearizableRead(ctx, n.commands.confirmCommitted)", "state, ok = n.replica.Acceptor().State, ctx.Err() == nil"),
 	soakMutation(staleConfiguration, "DENIED", "internal/dataplane/proxy/request.go", "return routeMatch{}, rejectNoConfiguration", "return routeMatch{}, rejectNoRoute"),
 	soakMutation(slowRecovery, "DUTY", "internal/controlplane/operator.go", "if !n.replica.Connected() || n.replica.RecentlyResumed() {", "if n.replica.Connected() || n.replica.RecentlyResumed() {"),
