--- a/internal/dataplane/keyreplication/placement.go
+++ b/internal/dataplane/keyreplication/placement.go
@@ -8,29 +8,30 @@
 	"curlewwalk/internal/rendezvous"
 )
 
-// ReplicationFactor is how many nodes hold each claim.
+// ReplicationFactor is the number of peers that store each record.
 const ReplicationFactor = 2 // (ours)
 
-// Peers lists the nodes in view but one.
+// Peers returns the nodes of a view without the one at ownAddr.
 func Peers(v *membership.View, ownAddr string) []membership.Node {
 	return slices.DeleteFunc(v.Nodes(), func(n membership.Node) bool { return n.Addr == ownAddr })
 }
 
-// RankReplicas ranks the nodes that may hold a claim: by rendezvous hashing, one of
-// each other zone before a second of any.
-func RankReplicas(ownAddr, zone string, key idempotency.Key, nodes []membership.Node) (out []membership.Node) {
+// RankReplicas returns the nodes other than the owner, those that are to store the record
+// of a key first. The order is that of rendezvous hashing, except that the first node of
+// each zone other than the owner's precedes all further nodes.
+func RankReplicas(ownAddr, zone string, key idempotency.Key, nodes []membership.Node) []membership.Node {
 	ranked := rendezvous.Rank(ownAddr+" "+key.Caller+" "+key.Text, nodes, func(n membership.Node) string { return n.Addr })
 	usedZones := map[string]bool{zone: true}
-	var rest []membership.Node
+	var firstOfZone, others []membership.Node
 	for _, n := range ranked {
 		switch {
 		case n.Addr == ownAddr:
 		case usedZones[n.Zone]:
-			rest = append(rest, n)
+			others = append(others, n)
 		default:
 			usedZones[n.Zone] = true
-			out = append(out, n)
+			firstOfZone = append(firstOfZone, n)
 		}
 	}
-	return append(out, rest...)
+	return append(firstOfZone, others...)
 }
--- a/internal/dataplane/keyreplication/replica_server.go
+++ b/internal/dataplane/keyreplication/replica_server.go
@@ -8,24 +8,31 @@
 	"curlewwalk/internal/transport"
 )
 
-// ReplicaServer runs Holdings. Its loop is the only one to touch them.
+// ReplicaServer answers the calls of owners from a ReplicaStore: the goroutine of Run owns
+// the store, and the handlers hand their operations to it.
 type ReplicaServer struct {
-	operations         chan func(s *ReplicaStore, now time.Duration)
+	operations chan storeOperation
+	// records and completed are the store's counts after the latest operation.
 	records, completed atomic.Int64
 }
 
-// NewReplicaServer makes a holder.
+// storeOperation is executed on the store by the goroutine that owns it. now is the time
+// since that goroutine started.
+type storeOperation func(store *ReplicaStore, now time.Duration)
+
+// NewReplicaServer returns a server with an empty store. Its handlers block until Run is
+// called.
 func NewReplicaServer() *ReplicaServer {
-	return &ReplicaServer{operations: make(chan func(*ReplicaStore, time.Duration))}
+	return &ReplicaServer{operations: make(chan storeOperation)}
 }
 
-// Run owns the holdings until ctx ends.
+// Run executes operations on the store until ctx ends.
 func (s *ReplicaServer) Run(ctx context.Context) {
 	store, start := NewReplicaStore(), time.Now()
 	for {
 		select {
-		case operation := <-s.operations:
-			operation(store, time.Since(start))
+		case do := <-s.operations:
+			do(store, time.Since(start))
 			records, completed := store.Count()
 			s.records.Store(int64(records))
 			s.completed.Store(int64(completed))
@@ -35,30 +42,12 @@
 	}
 }
 
-// Count is how many claims are held for others, and how many of them with a
-// response.
+// Count returns the number of records stored for others, and of those with a response.
 func (s *ReplicaServer) Count() (records, completed int64) {
 	return s.records.Load(), s.completed.Load()
 }
 
-// handle has the loop answer a call whose body is a Q.
-func handle[Q, A any](s *ReplicaServer, serve func(store *ReplicaStore, body Q, now time.Duration) A) transport.Handler {
-	return func(ctx context.Context, request transport.Request) (any, string) {
-		var body Q
-		if !request.Decode(&body) {
-			return nil, "not of this kind"
-		}
-		reply := make(chan A, 1)
-		select {
-		case s.operations <- func(store *ReplicaStore, now time.Duration) { reply <- serve(store, body, now) }:
-			return <-reply, ""
-		case <-ctx.Done():
-			return nil, "stopping"
-		}
-	}
-}
-
-// Handlers answer the calls of owners.
+// Handlers returns the handlers of this package's calls by their kind.
 func (s *ReplicaServer) Handlers() map[string]transport.Handler {
 	return map[string]transport.Handler{
 		KindStore: handle(s, func(store *ReplicaStore, record Record, now time.Duration) StoreReply {
@@ -73,3 +62,20 @@
 		}),
 	}
 }
+
+// handle returns a handler that decodes a call's body into a Body and has Run answer it.
+func handle[Body, Reply any](s *ReplicaServer, answer func(store *ReplicaStore, body Body, now time.Duration) Reply) transport.Handler {
+	return func(ctx context.Context, request transport.Request) (any, string) {
+		var body Body
+		if !request.Decode(&body) {
+			return nil, "not of this kind"
+		}
+		reply := make(chan Reply, 1)
+		select {
+		case s.operations <- func(store *ReplicaStore, now time.Duration) { reply <- answer(store, body, now) }:
+			return <-reply, ""
+		case <-ctx.Done():
+			return nil, "stopping"
+		}
+	}
+}
--- a/internal/dataplane/keyreplication/replica_store.go
+++ b/internal/dataplane/keyreplication/replica_store.go
@@ -7,18 +7,26 @@
 )
 
 const (
-	maxRecords       = 131072   // entries held at a time (ours)
-	maxResponseBytes = 64 << 20 // bytes of responses held at a time (ours)
-	maxHandoverBytes = 24 << 20 // and handed over in one answer, which is one frame (ours)
+	// maxRecords bounds the records of a ReplicaStore.
+	maxRecords = 131072 // (ours)
+	// maxResponseBytes bounds the total size of the responses in a ReplicaStore or a
+	// ReplicationTracker.
+	maxResponseBytes = 64 << 20 // (ours)
+	// maxHandoverBytes bounds the total size of the responses in a HandoverReply, which
+	// has to fit into one frame.
+	maxHandoverBytes = 24 << 20 // (ours)
 )
 
-// ReplicaStore is a decision value: the claims that a node holds for others.
+// ReplicaStore holds the records that a node stores for others. It is not safe for
+// concurrent use, and takes the time from its caller: a monotonic clock of any origin.
 type ReplicaStore struct {
-	records       map[recordKey]storedRecord
+	records map[recordKey]storedRecord
+	// responseBytes is the total size of the responses, completed their number.
 	responseBytes int
 	completed     int
 }
 
+// recordKey identifies a record: keys are unique for each owner.
 type recordKey struct {
 	owner string
 	key   idempotency.Key
@@ -29,18 +37,17 @@
 	expiresAt time.Duration
 }
 
-// NewReplicaStore makes empty holdings.
+// NewReplicaStore returns an empty store.
 func NewReplicaStore() *ReplicaStore { return &ReplicaStore{records: map[recordKey]storedRecord{}} }
 
-// Store holds a claim, or what has become of it. A claim of an earlier boot is
-// never overwritten by a new one: it is told instead.
+// Store adds a record, or the response to one that is stored. The record of an earlier
+// incarnation of the owner is never replaced: the reply returns it. A full store accepts
+// no new record, and drops a response that it has no room for rather than the record:
+// without the response a replay learns that the outcome is unknown, without the record it
+// would be executed again.
 func (s *ReplicaStore) Store(record Record, now time.Duration) StoreReply {
 	if len(s.records) >= maxRecords || s.responseBytes+len(record.Response) > maxResponseBytes {
-		for key, k := range s.records {
-			if now >= k.expiresAt {
-				s.remove(key)
-			}
-		}
+		s.removeExpired(now)
 	}
 	key := recordKey{record.Owner, record.Key}
 	old, ok := s.records[key]
@@ -52,11 +59,11 @@
 	case ok && old.Incarnation != record.Incarnation:
 		return StoreReply{Existing: &old.Record}
 	case ok && old.Sequence > record.Sequence, ok && old.Sequence == record.Sequence && record.Response == nil:
-		return StoreReply{Accepted: true} // overtaken on the way
+		return StoreReply{Accepted: true} // superseded on its way
 	case !ok && len(s.records) >= maxRecords:
 		return StoreReply{}
 	case s.responseBytes+len(record.Response) > maxResponseBytes:
-		record.Response = nil // that it was claimed is worth more than what was answered
+		record.Response = nil
 	}
 	s.remove(key)
 	s.records[key] = storedRecord{Record: record, expiresAt: now + record.TTL}
@@ -67,22 +74,23 @@
 	return StoreReply{Accepted: true}
 }
 
-// Release gives up a claim whose request surely did not run; not a later one.
+// Release removes a record whose request was certainly not executed. The record of a later
+// reservation of the same key stays.
 func (s *ReplicaStore) Release(record Record) {
 	key := recordKey{record.Owner, record.Key}
-	if old, ok := s.records[key]; ok && old.Incarnation == record.Incarnation && old.Sequence == record.Sequence {
+	if old, ok := s.records[key]; ok && old.sameReservation(record) {
 		s.remove(key)
 	}
 }
 
-// Handover lists what earlier boots of a node laid claim to: all of it, with as many
-// of the responses as one answer bears.
+// Handover returns all records of an owner's earlier incarnations, with as many of their
+// responses as fit into one reply.
 func (s *ReplicaStore) Handover(request HandoverRequest, now time.Duration) (reply HandoverReply) {
-	bytes := 0
+	responseBytes := 0
 	for _, stored := range s.records {
 		if stored.Owner == request.Owner && stored.Incarnation != request.Incarnation && now < stored.expiresAt {
 			record := stored.Record
-			if bytes += len(record.Response); bytes > maxHandoverBytes {
+			if responseBytes += len(record.Response); responseBytes > maxHandoverBytes {
 				record.Response = nil
 			}
 			reply.Records = append(reply.Records, record)
@@ -91,12 +99,21 @@
 	return reply
 }
 
-// Count is how many claims are held, and how many of them with a response.
+// Count returns the number of records, and of those with a response.
 func (s *ReplicaStore) Count() (records, completed int) { return len(s.records), s.completed }
 
+func (s *ReplicaStore) removeExpired(now time.Duration) {
+	for key, stored := range s.records {
+		if now >= stored.expiresAt {
+			s.remove(key)
+		}
+	}
+}
+
+// remove removes a record, if there is one.
 func (s *ReplicaStore) remove(key recordKey) {
-	if r := s.records[key].Response; r != nil {
-		s.responseBytes -= len(r)
+	if response := s.records[key].Response; response != nil {
+		s.responseBytes -= len(response)
 		s.completed--
 	}
 	delete(s.records, key)
--- a/internal/dataplane/keyreplication/tracker.go
+++ b/internal/dataplane/keyreplication/tracker.go
@@ -7,35 +7,42 @@
 	"curlewwalk/internal/membership"
 )
 
-// ReplicationTracker is a decision value: which of an owner's claims are held by whom, and
-// what must be entrusted anew because a holder has gone. (DESIGN 10.4)
+// ReplicationTracker knows which peers store an owner's records, and finds the records
+// that need another replica because a peer has gone or restarted. It is not safe for
+// concurrent use, and takes the time from its caller: a monotonic clock of any origin.
+// (DESIGN 10.4)
 type ReplicationTracker struct {
 	ownAddr, zone string
 	records       map[idempotency.Key]*trackedRecord
-	responseBytes int // of responses
+	// responseBytes is the total size of the responses in records.
+	responseBytes int
 }
 
+// trackedRecord is a record with its replicas.
 type trackedRecord struct {
 	Record
-	replicas  map[string]uint64 // boots of the holders, by address
+	// replicas are the incarnations of the peers that store the record, by address: a
+	// peer in another incarnation has lost it.
+	replicas  map[string]uint64
 	expiresAt time.Duration
 }
 
-// MissingReplica is a claim that another node must take now.
+// MissingReplica is a record that Target is to store in place of a lost replica.
 type MissingReplica struct {
 	Record
 	Target membership.Node
 }
 
-// NewReplicationTracker makes the trusts of an owner.
+// NewReplicationTracker returns an empty tracker for the records of the sidecar at ownAddr.
 func NewReplicationTracker(ownAddr, zone string) *ReplicationTracker {
 	return &ReplicationTracker{ownAddr: ownAddr, zone: zone, records: map[idempotency.Key]*trackedRecord{}}
 }
 
-// AddReplica takes that a node holds a claim, in the state that e tells.
-func (t *ReplicationTracker) AddReplica(record Record, node membership.Node, now time.Duration) {
+// AddReplica notes that a peer stores a record. A record that is not tracked yet is added,
+// in place of another reservation of its key.
+func (t *ReplicationTracker) AddReplica(record Record, peer membership.Node, now time.Duration) {
 	tracked := t.records[record.Key]
-	if tracked == nil || tracked.Incarnation != record.Incarnation || tracked.Sequence != record.Sequence {
+	if tracked == nil || !tracked.sameReservation(record) {
 		t.removeKey(record.Key)
 		tracked = &trackedRecord{replicas: map[string]uint64{}}
 		t.records[record.Key] = tracked
@@ -43,77 +50,93 @@
 	if tracked.Response == nil {
 		t.update(tracked, record, now)
 	}
-	tracked.replicas[node.Addr] = node.Incarnation
+	tracked.replicas[peer.Addr] = peer.Incarnation
 }
 
-// Complete takes what was answered under a claim.
+// Complete adds the response to a tracked record.
 func (t *ReplicationTracker) Complete(record Record, now time.Duration) {
-	if tracked := t.records[record.Key]; tracked != nil && tracked.Incarnation == record.Incarnation && tracked.Sequence == record.Sequence {
+	if tracked := t.records[record.Key]; tracked != nil && tracked.sameReservation(record) {
 		t.update(tracked, record, now)
 	}
 }
 
-// update keeps what became of a claim. Beyond the bound its response is let go: that it
-// was claimed is worth more than what was answered.
-func (t *ReplicationTracker) update(tracked *trackedRecord, record Record, now time.Duration) {
-	if t.responseBytes+len(record.Response) > maxResponseBytes {
-		record.Response = nil
-	}
-	t.responseBytes += len(record.Response) - len(tracked.Response)
-	tracked.Record, tracked.expiresAt = record, now+record.TTL
-}
-
-func (t *ReplicationTracker) removeKey(key idempotency.Key) {
-	if tracked := t.records[key]; tracked != nil {
-		t.responseBytes -= len(tracked.Response)
-		delete(t.records, key)
-	}
-}
-
-// Remove gives a claim up.
+// Remove ends the tracking of a record: its reservation was released.
 func (t *ReplicationTracker) Remove(record Record) {
-	if tracked := t.records[record.Key]; tracked != nil && tracked.Incarnation == record.Incarnation && tracked.Sequence == record.Sequence {
+	if tracked := t.records[record.Key]; tracked != nil && tracked.sameReservation(record) {
 		t.removeKey(record.Key)
 	}
 }
 
-// MissingReplicas lists up to most claims that too few of the nodes in view hold, and who
-// should take each. A holder in another boot has lost what it held.
-func (t *ReplicationTracker) MissingReplicas(nodes []membership.Node, limit int, now time.Duration) (missing []MissingReplica) {
+// MissingReplicas returns the replicas that are to be added, so that each record has
+// ReplicationFactor of them on the given peers, or one on each if they are fewer. Once
+// there are limit of them, no further record is looked at. Expired records are removed.
+func (t *ReplicationTracker) MissingReplicas(peers []membership.Node, limit int, now time.Duration) (missing []MissingReplica) {
 	incarnations := map[string]uint64{}
-	for _, n := range nodes {
-		incarnations[n.Addr] = n.Incarnation
+	for _, peer := range peers {
+		incarnations[peer.Addr] = peer.Incarnation
 	}
+	want := min(ReplicationFactor, len(peers))
 	for key, tracked := range t.records {
 		if now >= tracked.expiresAt {
 			t.removeKey(key)
 			continue
 		}
-		holds := func(addr string) bool {
-			incarnation, ok := tracked.replicas[addr]
-			return ok && incarnations[addr] == incarnation
-		}
-		count := 0
-		for addr := range tracked.replicas {
-			if holds(addr) {
-				count++
-			}
-		}
-		want := min(ReplicationFactor, len(nodes))
+		count := tracked.countReplicas(incarnations)
 		if count >= want || len(missing) >= limit {
 			continue
 		}
-		for _, n := range RankReplicas(t.ownAddr, t.zone, key, nodes) {
-			if holds(n.Addr) {
-				continue
-			}
-			record := tracked.Record
-			record.TTL = tracked.expiresAt - now
-			missing = append(missing, MissingReplica{Record: record, Target: n})
-			if count++; count == want {
-				break
-			}
+		record := tracked.Record
+		record.TTL = tracked.expiresAt - now
+		for _, target := range t.newReplicas(tracked, peers, incarnations, want-count) {
+			missing = append(missing, MissingReplica{Record: record, Target: target})
 		}
 	}
 	return missing
 }
+
+// newReplicas chooses up to n peers for further replicas of a record.
+func (t *ReplicationTracker) newReplicas(tracked *trackedRecord, peers []membership.Node, incarnations map[string]uint64, n int) (targets []membership.Node) {
+	for _, peer := range RankReplicas(t.ownAddr, t.zone, tracked.Key, peers) {
+		if len(targets) == n {
+			break
+		}
+		if !tracked.storedOn(peer.Addr, incarnations) {
+			targets = append(targets, peer)
+		}
+	}
+	return targets
+}
+
+// countReplicas counts the replicas on the peers of the given incarnations.
+func (r *trackedRecord) countReplicas(incarnations map[string]uint64) (count int) {
+	for addr := range r.replicas {
+		if r.storedOn(addr, incarnations) {
+			count++
+		}
+	}
+	return count
+}
+
+// storedOn reports whether the peer at addr still stores the record, given the current
+// incarnations of the peers by address.
+func (r *trackedRecord) storedOn(addr string, incarnations map[string]uint64) bool {
+	incarnation, ok := r.replicas[addr]
+	return ok && incarnations[addr] == incarnation
+}
+
+// update takes over the state of a record. If there is no room for its response, the record
+// is kept without it: a replay must not be executed, even if it can't be answered.
+func (t *ReplicationTracker) update(tracked *trackedRecord, record Record, now time.Duration) {
+	if t.responseBytes+len(record.Response) > maxResponseBytes {
+		record.Response = nil
+	}
+	t.responseBytes += len(record.Response) - len(tracked.Response)
+	tracked.Record, tracked.expiresAt = record, now+record.TTL
+}
+
+func (t *ReplicationTracker) removeKey(key idempotency.Key) {
+	if tracked := t.records[key]; tracked != nil {
+		t.responseBytes -= len(tracked.Response)
+		delete(t.records, key)
+	}
+}
--- a/internal/dataplane/wiring.go
+++ b/internal/dataplane/wiring.go
@@ -124,18 +124,17 @@
 
 // newKeyOwner makes the part that replicates this sidecar's idempotency keys to others.
 func (s *Sidecar) newKeyOwner() *keyreplication.Owner {
-	owner := &keyreplication.Owner{
+	return keyreplication.NewOwner(keyreplication.OwnerConfig{
 		Addr:        s.settings.Advertise,
 		Incarnation: s.process.Incarnation,
 		Zone:        s.settings.Zone,
-		View:        s.membershipView,
-		ViewReady:   s.agent.configured,
-		Client:      s.process.TransportClient,
-		Actors:      s.process.Actors,
-		Restore:     s.outbound.RestoreKey,
-	}
-	owner.Init()
-	return owner
+	}, keyreplication.OwnerDeps{
+		View:      s.membershipView,
+		ViewReady: s.agent.configured,
+		Client:    s.process.TransportClient,
+		Actors:    s.process.Actors,
+		Restore:   s.outbound.RestoreKey,
+	})
 }
 
 // newInbound makes the server side of the proxy, beside the own backends.
