--- a/internal/dataplane/endpoints/admission.go
+++ b/internal/dataplane/endpoints/admission.go
@@ -2,15 +2,16 @@
 
 import "time"
 
-// AdmissionRequest is what an attempt wants of the gate.
+// AdmissionRequest names the backend that an attempt is for.
 type AdmissionRequest struct {
 	Service, Instance string
 }
 
-// Rejection says why the gate is shut; empty means open.
+// Rejection says why an attempt is not admitted; Admitted if it is. It goes out as the
+// reason of a response.
 type Rejection string
 
-// The refusals. But for Recalled, all of them come before a byte was written.
+// The rejections. All but Canceled precede the first byte to the backend.
 const (
 	Admitted         Rejection = ""
 	UnknownBackend   Rejection = "no-such-backend"
@@ -22,13 +23,14 @@
 	DeadlineExpired  Rejection = "expired"
 	NodeDraining     Rejection = "node-draining"
 	LeaseExpired     Rejection = "claim-lapsed"
-	// Canceled is of an attempt that its sender wants no more, which ends one that was begun
-	// as well, if that may be stopped.
+	// Canceled is that of an attempt whose sender no longer wants it. It also ends a
+	// running attempt, if that may be stopped.
 	Canceled Rejection = "recalled"
 )
 
-// Admit asks whether an attempt may go to its backend at this moment. (DESIGN 9.2)
-func (r Registry) Admit(request AdmissionRequest, emptied func(zone string) bool, now time.Time) (Endpoint, Rejection) {
+// Admit returns the endpoint that an attempt is for, and whether it may go there at this
+// moment. zoneDrained reports whether a zone is to get no requests. (DESIGN 9.2)
+func (r Registry) Admit(request AdmissionRequest, zoneDrained func(zone string) bool, now time.Time) (Endpoint, Rejection) {
 	endpoint, ok := r.endpoints[request.Instance]
 	switch {
 	case !ok || endpoint.Service != request.Service:
@@ -37,13 +39,13 @@
 		return endpoint, HeartbeatExpired
 	case endpoint.Draining:
 		return endpoint, BackendDraining
-	case emptied(endpoint.Zone):
+	case zoneDrained(endpoint.Zone):
 		return endpoint, ZoneDrained
 	}
 	return endpoint, Admitted
 }
 
-// IsActive tells whether an instance still has an address and is not leaving.
+// IsActive reports whether an instance still has an address and is not draining.
 func (r Registry) IsActive(instance, address string) bool {
 	endpoint, ok := r.endpoints[instance]
 	return ok && endpoint.Address == address && !endpoint.Draining
--- a/internal/dataplane/endpoints/announcement.go
+++ b/internal/dataplane/endpoints/announcement.go
@@ -1,5 +1,3 @@
-// Package endpoints keeps a sidecar's own backends and is the last gate before a
-// backend. (DESIGN 9)
 package endpoints
 
 import (
@@ -11,86 +9,106 @@
 	"curlewwalk/internal/config"
 )
 
-// Announcement is what a backend says of itself about once a beat.
+const (
+	// maxInstanceLength is the length in bytes of the longest name of an instance.
+	maxInstanceLength = 128
+	// maxCapacity bounds the capacity that a backend may announce.
+	maxCapacity = 100000 // (ours)
+	// maxWarmup bounds the time for which a backend may announce that it is warming up.
+	maxWarmup = time.Hour // (ours)
+)
+
+// Announcement is what a backend reports about itself at each heartbeat.
 type Announcement struct {
-	Instance string  `json:"instance"`
-	Service  string  `json:"service"`
-	Address  string  `json:"address"`
-	Zone     string  `json:"locality"`
-	Capacity int     `json:"capacity"`
-	Warmup   *Warmup `json:"warmup"`
-	Draining bool    `json:"leaving"`
-	// Sequence rises with each announcement of an instance, so that an overtaken one is
-	// known; zero if it does not say.
+	Instance string `json:"instance"`
+	Service  string `json:"service"`
+	// Address is the backend's IP address and port.
+	Address string `json:"address"`
+	// Zone is the backend's zone; empty for that of its sidecar.
+	Zone string `json:"locality"`
+	// Capacity is the number of requests that the warm backend can execute at a time.
+	Capacity int `json:"capacity"`
+	// Warmup is nil if the backend is warm.
+	Warmup *Warmup `json:"warmup"`
+	// Draining says that the backend is about to stop and takes no more requests.
+	Draining bool `json:"leaving"`
+	// Sequence rises with each announcement of an instance, so that one which arrives out
+	// of order can be told; zero if the backend does not number them.
 	Sequence uint64 `json:"count,omitempty"`
 }
 
-// Warmup is how much of its capacity a cold backend can bear now, and how long
-// until it can bear all of it; or how much longer it bears only its service's rate.
+// Warmup is the state of a backend that is warming up: either its share of capacity rises,
+// or it bears only its service's rate of requests for a time.
 type Warmup struct {
-	Share     float64 `json:"share"`
-	Ramp      string  `json:"ramp"`
-	Remaining string  `json:"left"`
+	// Share is the fraction of its capacity that the backend bears now: above 0, at most 1.
+	Share float64 `json:"share"`
+	// Ramp is the time until it bears all of its capacity, as a Go duration.
+	Ramp string `json:"ramp"`
+	// Remaining is the time for which it bears only its service's rate, as a Go duration.
+	Remaining string `json:"left"`
 }
 
-// maxWarmup bounds for how long a backend may say that it is cold. (ours)
-const maxWarmup = time.Hour
-
-// maxCapacity bounds what a backend may say that it can bear. (ours)
-const maxCapacity = 100000
+// slowStart is the state of a backend's slow start, as its announcement tells it.
+type slowStart struct {
+	// share is the fraction of its capacity that it bears now, ramp the time until that
+	// is 1.
+	share float64
+	ramp  time.Duration
+	// remaining is the time for which it bears only its service's rate.
+	remaining time.Duration
+}
 
-// violations collects what is wrong with an announcement, in words for its sender.
+// violations are the faults of an announcement, worded for its sender.
 type violations []string
 
-func (f *violations) add(format string, args ...any) { *f = append(*f, fmt.Sprintf(format, args...)) }
+func (v *violations) add(format string, args ...any) { *v = append(*v, fmt.Sprintf(format, args...)) }
 
-// validate lists what is wrong and reads the warmup.
-func (a *Announcement) validate() (share float64, ramp, remaining time.Duration, wrong []string) {
-	var f violations
-	if a.Instance == "" || len(a.Instance) > 128 {
-		f.add("instance: must have 1 to 128 bytes")
+// validate checks an announcement, and returns its slow start and its faults.
+func (a *Announcement) validate() (slowStart, violations) {
+	var faults violations
+	if a.Instance == "" || len(a.Instance) > maxInstanceLength {
+		faults.add("instance: must have 1 to %d bytes", maxInstanceLength)
 	}
 	if !config.IsValidName(a.Service) {
-		f.add("service: %q must be %s", a.Service, config.NameRules)
+		faults.add("service: %q must be %s", a.Service, config.NameRules)
 	}
 	if addr, err := netip.ParseAddrPort(a.Address); err != nil || addr.Port() == 0 {
-		f.add("address: %q is no IP address and port", a.Address)
+		faults.add("address: %q is no IP address and port", a.Address)
 	}
 	if a.Capacity < 1 || a.Capacity > maxCapacity {
-		f.add("capacity: %d is not from 1 to %d", a.Capacity, maxCapacity)
+		faults.add("capacity: %d is not from 1 to %d", a.Capacity, maxCapacity)
 	}
 	if a.Zone != "" && !config.IsValidName(a.Zone) {
-		f.add("locality: %q must be %s", a.Zone, config.NameRules)
+		faults.add("locality: %q must be %s", a.Zone, config.NameRules)
 	}
 	if a.Warmup == nil {
-		return 1, 0, 0, f
+		return slowStart{share: 1}, faults
 	}
-	share, ramp, remaining = a.Warmup.parse(&f)
-	return share, ramp, remaining, f
+	start := a.Warmup.validate(&faults)
+	return start, faults
 }
 
-// parse reads the share of its capacity that the backend can bear now, how long
-// until it can bear all of it, and how much longer it bears only its service's rate.
-func (w *Warmup) parse(f *violations) (share float64, ramp, remaining time.Duration) {
-	share = w.Share
-	if share == 0 && w.Remaining != "" {
-		share = 1
+// validate adds the faults of the slow start, and returns it.
+func (w *Warmup) validate(faults *violations) (start slowStart) {
+	start.share = w.Share
+	if start.share == 0 && w.Remaining != "" {
+		start.share = 1
 	}
-	if math.IsNaN(share) || share <= 0 || share > 1 {
-		f.add("warmup.share: %v is not above 0 and at most 1", w.Share)
+	if math.IsNaN(start.share) || start.share <= 0 || start.share > 1 {
+		faults.add("warmup.share: %v is not above 0 and at most 1", w.Share)
 	}
 	var err error
 	if w.Ramp != "" {
-		ramp, err = time.ParseDuration(w.Ramp)
-		if err != nil || ramp < 0 {
-			f.add("warmup.ramp: %q is no duration", w.Ramp)
+		start.ramp, err = time.ParseDuration(w.Ramp)
+		if err != nil || start.ramp < 0 {
+			faults.add("warmup.ramp: %q is no duration", w.Ramp)
 		}
 	}
 	if w.Remaining != "" {
-		remaining, err = time.ParseDuration(w.Remaining)
-		if err != nil || remaining < 0 || remaining > maxWarmup {
-			f.add("warmup.left: %q is no duration of at most %v", w.Remaining, maxWarmup)
+		start.remaining, err = time.ParseDuration(w.Remaining)
+		if err != nil || start.remaining < 0 || start.remaining > maxWarmup {
+			faults.add("warmup.left: %q is no duration of at most %v", w.Remaining, maxWarmup)
 		}
 	}
-	return share, ramp, remaining
+	return start
 }
--- a/internal/dataplane/endpoints/controller.go
+++ b/internal/dataplane/endpoints/controller.go
@@ -6,68 +6,57 @@
 	"time"
 )
 
-// AdmissionController is a backend's line with those who stand in it.
+// AdmissionController admits requests to one backend: it runs the backend's AdmissionQueue
+// and SlowStartLimiter for concurrent requests.
 type AdmissionController struct {
 	mu      sync.Mutex
 	queue   AdmissionQueue
 	limiter SlowStartLimiter
+	// waiters get by their id whether they may start.
 	waiters map[uint64]chan bool
 	start   time.Time
 }
 
-// NewAdmissionController makes an empty desk.
+// NewAdmissionController returns a controller without requests.
 func NewAdmissionController() *AdmissionController {
 	return &AdmissionController{waiters: map[uint64]chan bool{}, start: time.Now()}
 }
 
-// Outstanding is how many requests run or wait.
+// Outstanding returns the number of requests that run or wait.
 func (c *AdmissionController) Outstanding() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.queue.Len()
 }
 
-// Acquire asks for a place at the backend, and waits for it if the line says so.
-// done must be called when the run has ended, and be told whether it was stopped; without
-// done, back tells when to come again. limit is asked at each change.
-func (c *AdmissionController) Acquire(ctx context.Context, request QueueRequest, limit func() int64) (done func(stopped bool), retryAfter time.Duration) {
+// Acquire asks for a slot of the backend, and waits for one in the queue until ctx ends.
+// limit returns the number of slots; it is called at each change of the queue.
+//
+// With a slot, done is not nil. It must be called when the request has ended, with canceled
+// set if it was stopped before its end, so that its duration tells nothing. Without a slot,
+// done is nil, and retryAfter is the time after which another request is worth it; zero if
+// that is not known.
+func (c *AdmissionController) Acquire(ctx context.Context, request QueueRequest, limit func() int64) (done func(canceled bool), retryAfter time.Duration) {
 	c.mu.Lock()
-	decision, id, retryAfter, transition := c.queue.Enqueue(request, limit(), time.Since(c.start))
+	enqueued := c.queue.Enqueue(request, limit(), time.Since(c.start))
 	var granted chan bool
-	if decision == Wait {
+	if enqueued.Decision == Wait {
 		granted = make(chan bool, 1)
-		c.waiters[id] = granted
+		c.waiters[enqueued.ID] = granted
 	}
-	c.notify(transition)
+	c.notify(enqueued.Transition)
 	c.mu.Unlock()
-	if decision == Reject {
-		return nil, retryAfter
-	}
-	if decision == Wait && !c.wait(ctx, id, granted) {
+	switch {
+	case enqueued.Decision == Reject:
+		return nil, enqueued.RetryAfter
+	case enqueued.Decision == Wait && !c.wait(ctx, enqueued.ID, granted):
 		return nil, 0
 	}
 	startedAt := time.Now()
-	return func(stopped bool) {
-		c.mu.Lock()
-		defer c.mu.Unlock()
-		now := time.Since(c.start)
-		if stopped {
-			c.notify(c.queue.Cancel(limit(), now))
-			return
-		}
-		c.notify(c.queue.Finish(request.Route, time.Since(startedAt), limit(), now))
-	}, 0
+	return func(canceled bool) { c.release(request.Route, startedAt, canceled, limit) }, 0
 }
 
-// AllowWarmup lets an attempt in to a cold backend, of a rate a second, or tells when to come
-// again. up is how long the sidecar has been up.
-func (c *AdmissionController) AllowWarmup(rate float64, up time.Duration) (ok bool, retryAfter time.Duration) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.limiter.Allow(rate, time.Since(c.start), up)
-}
-
-// wait waits for the turn; false if it was refused or its time is over.
+// wait waits for a slot; it reports false if the queue rejects the request or ctx ends.
 func (c *AdmissionController) wait(ctx context.Context, id uint64, granted chan bool) bool {
 	select {
 	case ok := <-granted:
@@ -80,9 +69,22 @@
 		delete(c.waiters, id)
 		return false
 	}
-	return <-granted // it was told in the meantime
+	return <-granted // the queue has decided in the meantime
+}
+
+// release ends a request that had a slot since startedAt.
+func (c *AdmissionController) release(route string, startedAt time.Time, canceled bool, limit func() int64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	now := time.Since(c.start)
+	if canceled {
+		c.notify(c.queue.Cancel(limit(), now))
+		return
+	}
+	c.notify(c.queue.Finish(route, time.Since(startedAt), limit(), now))
 }
 
+// notify tells the waiters what a change of the queue decided for them; mu is held.
 func (c *AdmissionController) notify(transition Transition) {
 	for _, id := range transition.Started {
 		c.waiters[id] <- true
@@ -93,3 +95,12 @@
 		delete(c.waiters, id)
 	}
 }
+
+// AllowWarmup reports whether a backend that is warming up may get another request at a
+// rate, in requests a second; if not, retryAfter is when it may. uptime is how long the
+// sidecar has been running.
+func (c *AdmissionController) AllowWarmup(rate float64, uptime time.Duration) (ok bool, retryAfter time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.limiter.Allow(rate, time.Since(c.start), uptime)
+}
--- a/internal/dataplane/endpoints/queue.go
+++ b/internal/dataplane/endpoints/queue.go
@@ -1,135 +1,95 @@
 package endpoints
 
 import (
-	"cmp"
-	"math/bits"
 	"slices"
 	"time"
 )
 
-// maxWaitersPerSlot is how many may wait for each place at a backend.
+// maxWaitersPerSlot bounds the length of each of a queue's two lists, for each slot of the
+// backend.
 const maxWaitersPerSlot = 4 // (ours)
 
-// QueueRequest is what an attempt asks of a line.
+// QueueRequest is what a request tells the queue about itself.
 type QueueRequest struct {
+	// Priority is that of the contract; the lowest number comes first.
 	Priority int
 	Route    string
-	// Remaining is the time left in which the answer is in time.
+	// Remaining is the time until the latency target passes.
 	Remaining time.Duration
-	// LateRemaining is the time left in which a late answer is still worth something; zero:
-	// it is worth nothing.
+	// LateRemaining is the time for which a response past the target is still worth
+	// something; zero if it is worth nothing.
 	LateRemaining time.Duration
 }
 
-// QueueDecision is what a line decides on a bid.
+// QueueDecision says what becomes of a request.
 type QueueDecision int
 
-// The attempt runs now, waits for its turn, or is refused.
+// The decisions: the request runs at once, waits for a slot, or is rejected.
 const (
 	Start QueueDecision = iota
 	Wait
 	Reject
 )
 
-// AdmissionQueue is who runs at a backend and who waits: a decision value. Higher ranks
-// go before lower ones, and within a rank short runs, then who has to begin first; nobody waits who could
-// no longer be served in time. Those that can only be late, if that is worth something
-// to them, stand aside and get what the others leave. (DESIGN 15.2)
-type AdmissionQueue struct {
-	running      int64
-	waiting      []waiter
-	overdue      []waiter
-	lastID       uint64
-	meanDuration time.Duration // of a run
-	durations    map[string]durationEstimate
-}
-
-// durationEstimate is what runs of a way take: on average, and by how much they stray from it.
-type durationEstimate struct{ mean, deviation time.Duration }
-
-// deviationMargin is how many strays beyond the average a run is given room for. Under overload
-// all wait until they just can, so this decides how many then end in time.
-const deviationMargin = 1.5 // (ours)
-
-// shortestSizeClass is the shortest run that is told from shorter ones. (ours)
-const shortestSizeClass = 4 * time.Millisecond
-
-// required is the time that all but few of the runs take.
-func (c durationEstimate) required() time.Duration {
-	return c.mean + time.Duration(deviationMargin*float64(c.deviation))
+// Enqueued is the result of a request to a queue.
+type Enqueued struct {
+	Decision QueueDecision
+	// ID names the waiter in later transitions, for Wait.
+	ID uint64
+	// RetryAfter is the time that the backlog takes, for Reject.
+	RetryAfter time.Duration
+	Transition Transition
 }
 
-// observe takes a run.
-func (c durationEstimate) observe(took time.Duration) durationEstimate {
-	if c.mean == 0 {
-		return durationEstimate{mean: took}
-	}
-	return durationEstimate{mean: movingAverage(c.mean, took), deviation: c.deviation + ((took-c.mean).Abs()-c.deviation)/8}
+// Transition is what a change of the queue decides for waiters, by their IDs: some get a
+// slot, and some are rejected.
+type Transition struct {
+	Started, Rejected []uint64
 }
 
-type waiter struct {
-	id        uint64
-	priority  int
-	sizeClass int           // of its run, each twice the one before
-	startBy   time.Duration // when it can't be served in time any more
-	// lateStartBy is when it is not worth serving any more. Nobody stands aside for more than
-	// half of the time left: it had better be told, and come again.
-	lateStartBy time.Duration
+// AdmissionQueue bounds the requests that run at a backend and orders those that wait. It
+// is not safe for concurrent use, and takes the time from its caller: a monotonic clock of
+// any origin.
+//
+// The limit, the number of the backend's slots, comes with each call, since it changes.
+// Higher priorities go first, within a priority shorter requests, and then those that have
+// to start first; a request that can no longer be completed by its target does not wait.
+// If a late response is worth something to it, it is overdue instead: overdue requests get
+// the slots that no other request waits for. (DESIGN 15.2)
+type AdmissionQueue struct {
+	running int64
+	// waiting and overdue are sorted by waiter.compare.
+	waiting []waiter
+	overdue []waiter
+	lastID  uint64
+	// meanDuration is that of all requests, durations those of the routes.
+	meanDuration time.Duration
+	durations    map[string]durationEstimate
 }
 
-// Transition is what a change of the line means for those who waited: some run now,
-// some are refused.
-type Transition struct {
-	Started, Rejected []uint64
-}
+// Len returns the number of requests that run or wait.
+func (q *AdmissionQueue) Len() int64 { return q.running + int64(len(q.waiting)+len(q.overdue)) }
 
-// Enqueue takes a bid under the limit of this moment. id names the place of one who
-// waits; back is when a refused one should come again.
-func (q *AdmissionQueue) Enqueue(request QueueRequest, limit int64, now time.Duration) (decision QueueDecision, id uint64, retryAfter time.Duration, transition Transition) {
+// Enqueue decides on a request.
+func (q *AdmissionQueue) Enqueue(request QueueRequest, limit int64, now time.Duration) Enqueued {
 	if q.running < limit && len(q.waiting) == 0 {
 		q.running++
-		return Start, 0, 0, transition
+		return Enqueued{Decision: Start}
 	}
 	expected := q.durations[request.Route].required()
-	w := waiter{id: q.lastID + 1, priority: request.Priority, sizeClass: bits.Len64(uint64(expected / shortestSizeClass)), startBy: now + request.Remaining - expected, lateStartBy: now + min(request.LateRemaining-expected, request.LateRemaining/2)}
+	w := newWaiter(q.lastID+1, request, expected, now)
 	position, _ := slices.BinarySearchFunc(q.waiting, w, waiter.compare)
 	switch {
 	case request.Remaining >= q.expectedWait(position, limit)+expected && position < maxWaitersPerSlot*int(limit):
 		q.waiting = slices.Insert(q.waiting, position, w)
 	case request.LateRemaining <= 0 || !q.enqueueOverdue(w, limit, now):
-		return Reject, 0, q.expectedWait(len(q.waiting), limit), transition
+		return Enqueued{Decision: Reject, RetryAfter: q.expectedWait(len(q.waiting), limit)}
 	}
 	q.lastID++
-	transition = q.advance(limit, now)
-	return Wait, q.lastID, 0, transition
-}
-
-// compare orders places: by rank, then shorter runs first, since of them more are in time
-// and their callers often hold a place elsewhere meanwhile; then by who has to begin
-// first, then by arrival.
-func (w waiter) compare(other waiter) int {
-	if c := cmp.Or(cmp.Compare(w.priority, other.priority), cmp.Compare(w.sizeClass, other.sizeClass), cmp.Compare(w.startBy, other.startBy)); c != 0 {
-		return c
-	}
-	return -1
-}
-
-// enqueueOverdue has a place stand aside, if it is worth it and there is room.
-func (q *AdmissionQueue) enqueueOverdue(w waiter, limit int64, now time.Duration) bool {
-	position, _ := slices.BinarySearchFunc(q.overdue, w, waiter.compare)
-	if now+q.expectedWait(len(q.waiting)+position, limit) > w.lateStartBy || len(q.overdue) >= maxWaitersPerSlot*int(limit) {
-		return false
-	}
-	q.overdue = slices.Insert(q.overdue, position, w)
-	return true
-}
-
-// expectedWait is how long the place at an index waits, as far as is known.
-func (q *AdmissionQueue) expectedWait(position int, limit int64) time.Duration {
-	return time.Duration(int64(q.meanDuration) * int64(position+1) / limit)
+	return Enqueued{Decision: Wait, ID: w.id, Transition: q.advance(limit, now)}
 }
 
-// Finish takes that a run has ended, and how long it took.
+// Finish ends a running request of a route, and learns how long it took.
 func (q *AdmissionQueue) Finish(route string, took time.Duration, limit int64, now time.Duration) Transition {
 	q.running--
 	if q.durations == nil {
@@ -140,66 +100,94 @@
 	return q.advance(limit, now)
 }
 
-// Cancel takes that a run was stopped, of which nothing is learned.
+// Cancel ends a running request that was stopped before its end; nothing is learned of it.
 func (q *AdmissionQueue) Cancel(limit int64, now time.Duration) Transition {
 	q.running--
 	return q.advance(limit, now)
 }
 
-func movingAverage(old, took time.Duration) time.Duration {
-	if old == 0 {
-		return took
-	}
-	return old + (took-old)/8
+// Remove removes a waiter, and reports whether it was still waiting.
+func (q *AdmissionQueue) Remove(id uint64) bool {
+	before := q.Len()
+	hasID := func(w waiter) bool { return w.id == id }
+	q.waiting = slices.DeleteFunc(q.waiting, hasID)
+	q.overdue = slices.DeleteFunc(q.overdue, hasID)
+	return q.Len() < before
 }
 
-// Remove takes one who no longer waits; false if it does not wait any more.
-func (q *AdmissionQueue) Remove(id uint64) bool {
-	n := len(q.waiting) + len(q.overdue)
-	own := func(w waiter) bool { return w.id == id }
-	q.waiting, q.overdue = slices.DeleteFunc(q.waiting, own), slices.DeleteFunc(q.overdue, own)
-	return len(q.waiting)+len(q.overdue) < n
+// expectedWait is how long the waiter at a position is expected to wait.
+func (q *AdmissionQueue) expectedWait(position int, limit int64) time.Duration {
+	return time.Duration(int64(q.meanDuration) * int64(position+1) / limit)
 }
 
-// Len is how many run and wait.
-func (q *AdmissionQueue) Len() int64 { return q.running + int64(len(q.waiting)+len(q.overdue)) }
+// enqueueOverdue makes a waiter overdue. It reports false if there is no room, or if it is
+// expected to start too late to be worth anything.
+func (q *AdmissionQueue) enqueueOverdue(w waiter, limit int64, now time.Duration) bool {
+	position, _ := slices.BinarySearchFunc(q.overdue, w, waiter.compare)
+	if now+q.expectedWait(len(q.waiting)+position, limit) > w.lateStartBy || len(q.overdue) >= maxWaitersPerSlot*int(limit) {
+		return false
+	}
+	q.overdue = slices.Insert(q.overdue, position, w)
+	return true
+}
 
-// advance lets run whom there is room for, and refuses whom time or depth has
-// run out for.
+// advance gives the free slots to waiters, and rejects those that can't be served any more.
 func (q *AdmissionQueue) advance(limit int64, now time.Duration) (transition Transition) {
-	late := func(w waiter) {
-		if !q.enqueueOverdue(w, limit, now) {
-			transition.Rejected = append(transition.Rejected, w.id)
-		}
-	}
+	q.startWaiting(&transition, limit, now)
+	q.dropHopeless(&transition, limit, now)
+	q.startOverdue(&transition, limit, now)
+	return transition
+}
+
+// startWaiting gives the free slots to waiters in time.
+func (q *AdmissionQueue) startWaiting(transition *Transition, limit int64, now time.Duration) {
 	for len(q.waiting) > 0 && q.running < limit {
-		w := q.waiting[0]
+		first := q.waiting[0]
 		q.waiting = q.waiting[1:]
-		if now > w.startBy {
-			late(w)
+		if now > first.startBy {
+			q.postpone(first, transition, limit, now)
 			continue
 		}
-		q.running++
-		transition.Started = append(transition.Started, w.id)
+		q.start(first, transition)
 	}
+}
+
+// dropHopeless takes out the waiters that are not expected to start in time, and those
+// beyond the bound, which falls with the limit.
+func (q *AdmissionQueue) dropHopeless(transition *Transition, limit int64, now time.Duration) {
 	kept := q.waiting[:0]
 	for _, w := range q.waiting {
 		if len(kept) >= maxWaitersPerSlot*int(limit) || now+q.expectedWait(len(kept), limit) > w.startBy {
-			late(w)
+			q.postpone(w, transition, limit, now)
 			continue
 		}
 		kept = append(kept, w)
 	}
 	q.waiting = kept
+}
+
+// startOverdue gives the slots that nobody in time waits for to overdue waiters.
+func (q *AdmissionQueue) startOverdue(transition *Transition, limit int64, now time.Duration) {
 	for len(q.overdue) > 0 && q.running < limit {
-		w := q.overdue[0]
+		first := q.overdue[0]
 		q.overdue = q.overdue[1:]
-		if now > w.lateStartBy {
-			transition.Rejected = append(transition.Rejected, w.id)
+		if now > first.lateStartBy {
+			transition.Rejected = append(transition.Rejected, first.id)
 			continue
 		}
-		q.running++
-		transition.Started = append(transition.Started, w.id)
+		q.start(first, transition)
+	}
+}
+
+// start gives a slot to a waiter that is no longer in the queue.
+func (q *AdmissionQueue) start(w waiter, transition *Transition) {
+	q.running++
+	transition.Started = append(transition.Started, w.id)
+}
+
+// postpone makes a waiter overdue, or rejects it.
+func (q *AdmissionQueue) postpone(w waiter, transition *Transition, limit int64, now time.Duration) {
+	if !q.enqueueOverdue(w, limit, now) {
+		transition.Rejected = append(transition.Rejected, w.id)
 	}
-	return transition
 }
--- a/internal/dataplane/endpoints/queue_test.go
+++ b/internal/dataplane/endpoints/queue_test.go
@@ -1,187 +1,212 @@
 package endpoints
 
 import (
+	"fmt"
 	"math/rand/v2"
 	"slices"
 	"testing"
 	"time"
 )
 
-// Under seeded overload, with limits that change: never more run than the limit
-// let in, nobody is let in past the time in which it could be served, and a
-// lower rank is never let in while a higher one waits.
+const ms = time.Millisecond
+
+// TestAdmissionQueue checks under random overload, with limits that change, that no request
+// starts beyond the limit or too late to be completed in time, and that no lower priority
+// starts while a higher one waits.
 func TestAdmissionQueue(t *testing.T) {
 	for seed := range uint64(50) {
-		rng := rand.New(rand.NewPCG(seed, 5))
-		var l AdmissionQueue
-		type bid struct {
-			rank   int
-			giveUp time.Duration
-		}
-		waiting := map[uint64]bid{}
-		var ends []time.Duration
-		ran, refused, waited := 0, 0, 0
-		limit := int64(4)
-		take := func(transition Transition, now time.Duration) {
-			for _, id := range transition.Started {
-				b := waiting[id]
-				delete(waiting, id)
-				if now > b.giveUp {
-					t.Fatalf("seed %d: let in %v after it could be served", seed, now-b.giveUp)
-				}
-				for _, o := range waiting {
-					if o.rank < b.rank {
-						t.Fatalf("seed %d: rank %d let in while rank %d waits", seed, b.rank, o.rank)
-					}
-				}
-				ends = append(ends, now+time.Duration(rng.Int64N(int64(40*time.Millisecond))))
-				ran++
-				waited++
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
+			o := &overload{t: t, rng: rand.New(rand.NewPCG(seed, 5)), limit: 4, waiting: map[uint64]waitingRequest{}}
+			for now := time.Duration(0); now < 3*time.Second; now += time.Millisecond {
+				o.step(now)
 			}
-			for _, id := range transition.Rejected {
-				delete(waiting, id)
-				refused++
-			}
-			if len(transition.Started) > 0 && int64(len(ends)) > limit {
-				t.Fatalf("seed %d: %d run under a limit of %d", seed, len(ends), limit)
+			if o.started == 0 || o.rejected == 0 || o.startedAfterWait == 0 {
+				t.Errorf("%d started, %d of them after a wait, %d rejected", o.started, o.startedAfterWait, o.rejected)
 			}
+		})
+	}
+}
+
+// waitingRequest is what overload knows of a request that waits.
+type waitingRequest struct {
+	priority int
+	startBy  time.Duration
+}
+
+// overload drives a queue at random, and checks what it decides.
+type overload struct {
+	t       *testing.T
+	rng     *rand.Rand
+	queue   AdmissionQueue
+	limit   int64
+	waiting map[uint64]waitingRequest
+	// ends are when the running requests end.
+	ends                                []time.Duration
+	started, startedAfterWait, rejected int
+}
+
+// step lets requests end and arrive for a millisecond.
+func (o *overload) step(now time.Duration) {
+	o.t.Helper()
+	if o.rng.IntN(200) == 0 {
+		o.limit = 1 + o.rng.Int64N(6)
+	}
+	before := len(o.ends)
+	o.ends = slices.DeleteFunc(o.ends, func(end time.Duration) bool { return end <= now })
+	for range before - len(o.ends) {
+		o.check(o.queue.Finish("w", 20*ms, o.limit, now), now)
+	}
+	if o.rng.IntN(3) > 0 {
+		o.arrive(now)
+	}
+	if o.queue.Len() != int64(len(o.ends)+len(o.waiting)) {
+		o.t.Fatalf("the queue counts %d, %d run and %d wait", o.queue.Len(), len(o.ends), len(o.waiting))
+	}
+}
+
+// arrive puts a request.
+func (o *overload) arrive(now time.Duration) {
+	o.t.Helper()
+	request := QueueRequest{Priority: 1 + o.rng.IntN(3), Route: "w", Remaining: time.Duration(o.rng.Int64N(int64(150 * ms)))}
+	enqueued := o.queue.Enqueue(request, o.limit, now)
+	switch enqueued.Decision {
+	case Start:
+		if int64(len(o.ends)) >= o.limit {
+			o.t.Fatal("started beyond the limit")
 		}
-		for now := time.Duration(0); now < 3*time.Second; now += time.Millisecond {
-			if rng.IntN(200) == 0 {
-				limit = 1 + rng.Int64N(6)
-			}
-			kept := ends[:0]
-			over := 0
-			for _, e := range ends {
-				if e <= now {
-					over++
-				} else {
-					kept = append(kept, e)
-				}
-			}
-			ends = kept
-			for range over {
-				take(l.Finish("w", 20*time.Millisecond, limit, now), now)
-			}
-			if rng.IntN(3) > 0 {
-				request := QueueRequest{Priority: 1 + rng.IntN(3), Route: "w", Remaining: time.Duration(rng.Int64N(int64(150 * time.Millisecond)))}
-				v, id, back, transition := l.Enqueue(request, limit, now)
-				switch v {
-				case Start:
-					if int64(len(ends)) >= limit {
-						t.Fatalf("seed %d: let in beyond the limit", seed)
-					}
-					ends = append(ends, now+20*time.Millisecond)
-					ran++
-				case Wait:
-					waiting[id] = bid{rank: request.Priority, giveUp: now + request.Remaining}
-				case Reject:
-					refused++
-					if l.meanDuration > 0 && back <= 0 {
-						t.Fatalf("seed %d: refused without a time to come back", seed)
-					}
-				}
-				take(transition, now)
-			}
-			if l.Len() != int64(len(ends)+len(waiting)) {
-				t.Fatalf("seed %d: the line counts %d, there are %d and %d", seed, l.Len(), len(ends), len(waiting))
-			}
+		o.ends = append(o.ends, now+20*ms)
+		o.started++
+	case Wait:
+		o.waiting[enqueued.ID] = waitingRequest{priority: request.Priority, startBy: now + request.Remaining}
+	case Reject:
+		o.rejected++
+		if o.queue.meanDuration > 0 && enqueued.RetryAfter <= 0 {
+			o.t.Fatal("rejected without a time to retry after")
+		}
+	}
+	o.check(enqueued.Transition, now)
+}
+
+// check takes over what a transition decides.
+func (o *overload) check(transition Transition, now time.Duration) {
+	o.t.Helper()
+	for _, id := range transition.Started {
+		first := o.waiting[id]
+		delete(o.waiting, id)
+		if now > first.startBy {
+			o.t.Fatalf("started %v after it could be completed in time", now-first.startBy)
 		}
-		if ran == 0 || refused == 0 || waited == 0 {
-			t.Errorf("seed %d: ran %d, refused %d, waited %d", seed, ran, refused, waited)
+		for _, other := range o.waiting {
+			if other.priority < first.priority {
+				o.t.Fatalf("priority %d started while priority %d waits", first.priority, other.priority)
+			}
 		}
+		o.ends = append(o.ends, now+time.Duration(o.rng.Int64N(int64(40*ms))))
+		o.started++
+		o.startedAfterWait++
+	}
+	for _, id := range transition.Rejected {
+		delete(o.waiting, id)
+		o.rejected++
+	}
+	if len(transition.Started) > 0 && int64(len(o.ends)) > o.limit {
+		o.t.Fatalf("%d run under a limit of %d", len(o.ends), o.limit)
 	}
 }
 
-// One who can only be late stands aside, behind all who can be in time, whatever their
-// rank, and is let in as long as it is worth something; who says that late is worth
-// nothing is refused at once. Within a rank, who has to begin first goes first.
+// TestOverdueWaiters checks that a request that can only be late is overdue, behind all that
+// can be in time, whatever their priority, and starts as long as its response is worth
+// something; that one whose late response is worth nothing is rejected at once; and that
+// within a priority the request that has to start first does so.
 func TestOverdueWaiters(t *testing.T) {
-	const ms = time.Millisecond
-	var l AdmissionQueue
-	bid := func(rank int, left, last time.Duration, now time.Duration) (QueueDecision, uint64) {
-		v, id, _, transition := l.Enqueue(QueueRequest{Priority: rank, Route: "w", Remaining: left, LateRemaining: last}, 1, now)
-		if len(transition.Started) > 0 || len(transition.Rejected) > 0 {
-			t.Errorf("asking shifted %+v", transition)
+	var q AdmissionQueue
+	enqueue := func(priority int, remaining, lateRemaining, now time.Duration) (QueueDecision, uint64) {
+		t.Helper()
+		enqueued := q.Enqueue(QueueRequest{Priority: priority, Route: "w", Remaining: remaining, LateRemaining: lateRemaining}, 1, now)
+		if len(enqueued.Transition.Started) > 0 || len(enqueued.Transition.Rejected) > 0 {
+			t.Errorf("another request changed what waits: %+v", enqueued.Transition)
 		}
-		return v, id
+		return enqueued.Decision, enqueued.ID
 	}
-	bid(1, ms, 0, 0)
-	l.Finish("w", 100*ms, 1, 0) // a run takes 100 ms
-	if v, _ := bid(1, 100*ms, 0, 0); v != Start {
-		t.Fatal("the first does not run")
+	enqueue(1, ms, 0, 0)
+	q.Finish("w", 100*ms, 1, 0) // a request takes 100 ms
+	if decision, _ := enqueue(1, 100*ms, 0, 0); decision != Start {
+		t.Fatal("the first request does not start")
 	}
-	if v, _ := bid(1, 150*ms, 0, 0); v != Reject {
-		t.Error("one that can't be in time waits")
+	if decision, _ := enqueue(1, 150*ms, 0, 0); decision != Reject {
+		t.Error("a request that can't be in time waits")
 	}
-	_, late := bid(1, 150*ms, 900*ms, 0)
-	_, soon := bid(2, 500*ms, 900*ms, 0)
-	_, sooner := bid(2, 400*ms, 900*ms, 0)
-	_, dead := bid(3, 10*ms, 810*ms, 0)
-	if l.Len() != 5 {
-		t.Errorf("%d stand in line", l.Len())
+	_, overdue := enqueue(1, 150*ms, 900*ms, 0)
+	_, later := enqueue(2, 500*ms, 900*ms, 0)
+	_, sooner := enqueue(2, 400*ms, 900*ms, 0)
+	_, hopeless := enqueue(3, 10*ms, 810*ms, 0)
+	if q.Len() != 5 {
+		t.Errorf("%d requests run or wait", q.Len())
 	}
 	var order []uint64
 	for now := 150 * ms; now <= 750*ms; now += 150 * ms {
-		transition := l.Finish("w", 100*ms, 1, now)
+		transition := q.Finish("w", 100*ms, 1, now)
 		order = append(order, transition.Started...)
 		for _, id := range transition.Rejected {
-			if id != dead || now <= 405*ms {
-				t.Errorf("%d was refused at %v", id, now)
+			if id != hopeless || now <= 405*ms {
+				t.Errorf("%d was rejected at %v", id, now)
 			}
 		}
 	}
-	if v, _ := bid(3, 10*ms, 40*ms, 750*ms); v != Start {
-		t.Error("an empty line refuses")
+	if decision, _ := enqueue(3, 10*ms, 40*ms, 750*ms); decision != Start {
+		t.Error("an empty queue rejects")
 	}
-	if want := []uint64{sooner, soon, late}; !slices.Equal(order, want) {
-		t.Errorf("ran %v, want %v", order, want)
+	if want := []uint64{sooner, later, overdue}; !slices.Equal(order, want) {
+		t.Errorf("started in the order %v, want %v", order, want)
 	}
 }
 
-// Within a rank a short run goes before a long one, though that has to begin first.
+// TestShortRunsFirst checks that within a priority a short request starts before a long one,
+// even if that has to start first.
 func TestShortRunsFirst(t *testing.T) {
-	const ms = time.Millisecond
-	var l AdmissionQueue
-	for _, r := range []struct {
+	var q AdmissionQueue
+	for _, learned := range []struct {
 		route string
 		took  time.Duration
 	}{{"short", 40 * ms}, {"long", 200 * ms}} {
-		l.Enqueue(QueueRequest{Priority: 1, Route: r.route, Remaining: time.Second}, 1, 0)
-		l.Finish(r.route, r.took, 1, 0)
+		q.Enqueue(QueueRequest{Priority: 1, Route: learned.route, Remaining: time.Second}, 1, 0)
+		q.Finish(learned.route, learned.took, 1, 0)
 	}
-	l.Enqueue(QueueRequest{Priority: 1, Route: "long", Remaining: time.Second}, 1, 0)
-	_, long, _, _ := l.Enqueue(QueueRequest{Priority: 1, Route: "long", Remaining: 700 * ms}, 1, 0)
-	_, short, _, _ := l.Enqueue(QueueRequest{Priority: 1, Route: "short", Remaining: 900 * ms}, 1, 0)
-	_, first, _, _ := l.Enqueue(QueueRequest{Priority: 0, Route: "long", Remaining: 900 * ms}, 1, 0)
+	enqueue := func(priority int, route string, remaining time.Duration) uint64 {
+		return q.Enqueue(QueueRequest{Priority: priority, Route: route, Remaining: remaining}, 1, 0).ID
+	}
+	enqueue(1, "long", time.Second)
+	long := enqueue(1, "long", 700*ms)
+	short := enqueue(1, "short", 900*ms)
+	urgent := enqueue(0, "long", 900*ms)
 	var order []uint64
 	for range 3 {
-		order = append(order, l.Finish("long", 200*ms, 1, 100*ms).Started...)
+		order = append(order, q.Finish("long", 200*ms, 1, 100*ms).Started...)
 	}
-	if want := []uint64{first, short, long}; !slices.Equal(order, want) {
-		t.Errorf("ran %v, want %v", order, want)
+	if want := []uint64{urgent, short, long}; !slices.Equal(order, want) {
+		t.Errorf("started in the order %v, want %v", order, want)
 	}
 }
 
-// A run that was stopped frees its place, and nothing is learned of it.
+// TestCancelFreesSlot checks that a request that was stopped frees its slot, and that
+// nothing is learned of it.
 func TestCancelFreesSlot(t *testing.T) {
-	const ms = time.Millisecond
-	var l AdmissionQueue
-	l.Finish("w", 100*ms, 1, 0)
-	l.running = 0
-	mean, cost := l.meanDuration, l.durations["w"]
-	bid := QueueRequest{Route: "w", Remaining: time.Second}
-	if v, _, _, _ := l.Enqueue(bid, 1, 0); v != Start {
-		t.Fatalf("the first: %v", v)
-	}
-	v, second, _, _ := l.Enqueue(bid, 1, 0)
-	if v != Wait {
-		t.Fatalf("the second: %v", v)
-	}
-	if transition := l.Cancel(1, ms); len(transition.Started) != 1 || transition.Started[0] != second || l.Len() != 1 {
-		t.Errorf("%+v, %d in all", transition, l.Len())
-	}
-	if l.meanDuration != mean || l.durations["w"] != cost {
-		t.Errorf("it learned %v %+v, had %v %+v", l.meanDuration, l.durations["w"], mean, cost)
+	var q AdmissionQueue
+	q.Finish("w", 100*ms, 1, 0)
+	q.running = 0
+	mean, estimate := q.meanDuration, q.durations["w"]
+	request := QueueRequest{Route: "w", Remaining: time.Second}
+	if first := q.Enqueue(request, 1, 0); first.Decision != Start {
+		t.Fatalf("the first request: decision %v", first.Decision)
+	}
+	second := q.Enqueue(request, 1, 0)
+	if second.Decision != Wait {
+		t.Fatalf("the second request: decision %v", second.Decision)
+	}
+	if transition := q.Cancel(1, ms); len(transition.Started) != 1 || transition.Started[0] != second.ID || q.Len() != 1 {
+		t.Errorf("after the cancellation: %+v, %d in all", transition, q.Len())
+	}
+	if q.meanDuration != mean || q.durations["w"] != estimate {
+		t.Errorf("learned %v %+v, had %v %+v", q.meanDuration, q.durations["w"], mean, estimate)
 	}
 }
--- a/internal/dataplane/endpoints/registry.go
+++ b/internal/dataplane/endpoints/registry.go
@@ -9,31 +9,35 @@
 	"curlewwalk/internal/membership"
 )
 
-// Registry is an immutable table of own backends by instance.
+// Registry is the table of the own backends by instance. It is immutable: each change
+// returns another registry. The zero value is empty.
 type Registry struct {
+	// Version rises with each change that other nodes are to learn of.
 	Version uint64
-	// Heartbeats is how often they announce themselves.
+	// Heartbeats tells how often backends announce themselves.
 	Heartbeats HeartbeatPolicy
-	// Started is when this process began to hear announcements.
+	// Started is when this process began to receive announcements.
 	Started   time.Time
 	endpoints map[string]Endpoint
-	// departures are those that have said that they leave, known or not.
+	// departures are the instances that have announced that they leave, also ones that
+	// were not known before.
 	departures membership.Departures
-	// displaced are those whose address another one has taken; doubted those that were
-	// heard for the first time when they should have been heard before.
-	displaced   membership.Departures
+	// displaced are the instances whose address another one has taken over.
+	displaced membership.Departures
+	// unconfirmed are announcements that may be stale; see needsConfirmation.
 	unconfirmed []unconfirmedAnnouncement
-	// draining tells that the sidecar is stopping: all its backends are told as leaving.
+	// draining says that the sidecar is stopping, and all its backends are reported as
+	// draining.
 	draining bool
 }
 
-// Announce takes a backend's word and returns the next roster, or the faults. Of one that
-// has said that it leaves, what says otherwise is late and tells nothing any more; and it
-// takes no address, since another instance may have that by now. (DESIGN 9.1)
+// Announce returns the registry after an announcement, or the announcement's faults, worded
+// for its sender. A stale announcement changes nothing. A draining backend that is not known
+// gets no endpoint, since another instance may have its address by now. (DESIGN 9.1)
 func (r Registry) Announce(a Announcement, defaultZone string, now time.Time) (Registry, []string) {
-	share, ramp, remaining, violations := a.validate()
-	if len(violations) > 0 {
-		return r, violations
+	start, faults := a.validate()
+	if len(faults) > 0 {
+		return r, faults
 	}
 	previous, known := r.endpoints[a.Instance]
 	switch {
@@ -44,17 +48,9 @@
 	case !known && r.needsConfirmation(a, now):
 		return r.withUnconfirmed(a), nil
 	}
-	e := Endpoint{LastHeartbeat: now, warmupRamp: ramp, announcedShare: share, warmAt: now.Add(remaining), Admission: previous.Admission, sequence: a.Sequence, Backend: membership.Backend{
-		Instance: a.Instance, Service: a.Service, Address: a.Address, Capacity: a.Capacity, CapacityShare: share,
-		Zone: cmp.Or(a.Zone, defaultZone), Draining: a.Draining || r.draining,
-	}}
-	if e.Admission == nil || previous.Address != a.Address || previous.Service != a.Service {
-		e.Admission = NewAdmissionController()
-	}
+	e := r.newEndpoint(a, start, defaultZone, now)
+	e.continueFrom(previous)
 	e.confirmed = known && (previous.confirmed || r.isNewer(previous, a, now))
-	if previous.announcedShare == share {
-		e.CapacityShare = previous.CapacityShare // as it is shaded
-	}
 	next := r.withEndpoint(e)
 	if a.Draining && !r.departures.Contains(a.Instance) {
 		next.departures, _ = r.departures.Add(a.Instance)
@@ -66,8 +62,34 @@
 	return next, nil
 }
 
-// withEndpoint is the roster with a backend that has announced itself. An address that it announces
-// is no longer an earlier one's.
+// newEndpoint returns the endpoint that an announcement describes.
+func (r Registry) newEndpoint(a Announcement, start slowStart, defaultZone string, now time.Time) Endpoint {
+	return Endpoint{
+		Backend: membership.Backend{
+			Instance: a.Instance, Service: a.Service, Address: a.Address,
+			Zone: cmp.Or(a.Zone, defaultZone), Capacity: a.Capacity, CapacityShare: start.share,
+			Draining: a.Draining || r.draining,
+		},
+		LastHeartbeat: now, announcedShare: start.share, warmupRamp: start.ramp, warmAt: now.Add(start.remaining),
+		sequence: a.Sequence,
+	}
+}
+
+// continueFrom takes over from the previous endpoint of the instance, or the zero value, what
+// an announcement does not change: the requests at the same address and service, and the
+// share that ScaleShares has set.
+func (e *Endpoint) continueFrom(previous Endpoint) {
+	e.Admission = previous.Admission
+	if e.Admission == nil || previous.Address != e.Address || previous.Service != e.Service {
+		e.Admission = NewAdmissionController()
+	}
+	if previous.announcedShare == e.announcedShare {
+		e.CapacityShare = previous.CapacityShare
+	}
+}
+
+// withEndpoint returns the registry with an endpoint. Other endpoints with its address are
+// displaced.
 func (r Registry) withEndpoint(e Endpoint) Registry {
 	next := r.clone()
 	maps.DeleteFunc(next.endpoints, func(_ string, other Endpoint) bool {
@@ -77,12 +99,12 @@
 		}
 		return displaced
 	})
-	next.unconfirmed = slices.DeleteFunc(slices.Clone(r.unconfirmed), func(d unconfirmedAnnouncement) bool { return d.instance == e.Instance })
+	next.unconfirmed = r.unconfirmedExcept(e.Instance)
 	next.endpoints[e.Instance] = e
 	return next
 }
 
-// clone is the same roster with a table of its own to change.
+// clone returns the same registry with a table of endpoints that may be changed.
 func (r Registry) clone() Registry {
 	next := r
 	if next.endpoints = maps.Clone(r.endpoints); next.endpoints == nil {
@@ -91,7 +113,7 @@
 	return next
 }
 
-// MarkDeparted takes that instances have said that they leave, whether they are known or not.
+// MarkDeparted notes that instances have announced that they leave. They need not be known.
 func (r Registry) MarkDeparted(instances ...string) Registry {
 	departures, changed := r.departures.Add(instances...)
 	if !changed {
@@ -109,21 +131,22 @@
 	return next
 }
 
-// HasDeparted tells whether an instance has said that it leaves.
+// HasDeparted reports whether an instance has announced that it leaves.
 func (r Registry) HasDeparted(instance string) bool { return r.departures.Contains(instance) }
 
-// DepartedSince tells whether an instance has said that it leaves since an earlier roster.
+// DepartedSince reports whether any instance has departed since an earlier registry.
 func (r Registry) DepartedSince(earlier Registry) bool {
 	return r.departures.Last() != earlier.departures.Last()
 }
 
-// RecentDepartures lists the departures that are told to the cores.
+// RecentDepartures returns the newest departures, as many as are reported to the control
+// plane.
 func (r Registry) RecentDepartures() []string {
 	return r.departures.Newest(membership.MaxReportedDepartures).List()
 }
 
-// Drain has all backends told as leaving: the sidecar is stopping. Their own words stand as
-// they are, since they may go on after it has started again.
+// Drain returns the registry of a sidecar that is stopping: all its backends are reported as
+// draining. They are not departures, since they may go on after the sidecar's restart.
 func (r Registry) Drain() Registry {
 	next := r.clone()
 	next.draining = true
@@ -135,10 +158,12 @@
 	return next
 }
 
-// ExpireSilent takes silent backends off.
+// ExpireSilent removes the backends that have been silent for too long.
 func (r Registry) ExpireSilent(now time.Time) Registry {
 	next := r.clone()
-	maps.DeleteFunc(next.endpoints, func(_ string, e Endpoint) bool { return now.Sub(e.LastHeartbeat) > r.Heartbeats.RemoveAfter() })
+	maps.DeleteFunc(next.endpoints, func(_ string, e Endpoint) bool {
+		return now.Sub(e.LastHeartbeat) > r.Heartbeats.RemoveAfter()
+	})
 	if len(next.endpoints) == len(r.endpoints) {
 		return r
 	}
@@ -146,22 +171,22 @@
 	return next
 }
 
-// warmupSeconds is the stretch of its rate that a cold backend's share is told as: about
-// what may run there at a time. (ours)
+// warmupSeconds converts the rate of a backend that is warming up to the number of requests
+// that are reported as its capacity: about as many as run there at a time. (ours)
 const warmupSeconds = 0.3
 
-// ScaleShares lets the share that others are told of cold backends be what the rates of their
-// services come to; rate is 0 for a service without one.
+// ScaleShares sets the share of capacity that is reported of backends that are warming up,
+// by the rates of their services in requests a second; 0 is no rate.
 func (r Registry) ScaleShares(rate func(service string) float64, now time.Time) Registry {
 	next := r.clone()
-	for k, e := range next.endpoints {
+	for instance, e := range next.endpoints {
 		share := e.announcedShare
-		if n := rate(e.Service); n > 0 && e.WarmingUp(now) {
-			share = min(share, n*warmupSeconds/float64(e.Capacity))
+		if perSecond := rate(e.Service); perSecond > 0 && e.WarmingUp(now) {
+			share = min(share, perSecond*warmupSeconds/float64(e.Capacity))
 		}
 		if e.CapacityShare != share {
 			e.CapacityShare = share
-			next.endpoints[k] = e
+			next.endpoints[instance] = e
 			next.Version = r.Version + 1
 		}
 	}
@@ -171,35 +196,35 @@
 	return next
 }
 
-// Lookup finds a backend; the zero Entry if it is not known.
+// Lookup returns the endpoint of an instance.
 func (r Registry) Lookup(instance string) (e Endpoint, known bool) {
 	e, known = r.endpoints[instance]
 	return e, known
 }
 
-// Endpoints lists the backends by instance.
+// Endpoints returns all endpoints, sorted by instance.
 func (r Registry) Endpoints() []Endpoint {
-	var out []Endpoint
-	for _, k := range slices.Sorted(maps.Keys(r.endpoints)) {
-		out = append(out, r.endpoints[k])
+	var endpoints []Endpoint
+	for _, instance := range slices.Sorted(maps.Keys(r.endpoints)) {
+		endpoints = append(endpoints, r.endpoints[instance])
 	}
-	return out
+	return endpoints
 }
 
-// Outstanding counts what runs and waits, by zone.
+// Outstanding returns the numbers of requests that run or wait, by zone.
 func (r Registry) Outstanding() map[string]int64 {
-	out := map[string]int64{}
+	byZone := map[string]int64{}
 	for _, e := range r.endpoints {
-		out[e.Zone] += e.Admission.Outstanding()
+		byZone[e.Zone] += e.Admission.Outstanding()
 	}
-	return out
+	return byZone
 }
 
-// Backends lists what is told to others.
+// Backends returns what is reported to other nodes, sorted by instance.
 func (r Registry) Backends() []membership.Backend {
-	var out []membership.Backend
+	var backends []membership.Backend
 	for _, e := range r.Endpoints() {
-		out = append(out, e.Backend)
+		backends = append(backends, e.Backend)
 	}
-	return out
+	return backends
 }
--- a/internal/dataplane/endpoints/slow_start.go
+++ b/internal/dataplane/endpoints/slow_start.go
@@ -5,25 +5,35 @@
 	"time"
 )
 
-// limiterWindow is the stretch over which a rate a second is held to: a bit more than a
-// second, since what was let in evenly may arrive a bit closer. (ours)
-const limiterWindow = 1020 * time.Millisecond
+const (
+	// limiterWindow is the time over which a rate per second is held to. It is a little
+	// longer than a second, since requests may arrive closer together than they were
+	// admitted.
+	limiterWindow = 1020 * time.Millisecond // (ours)
+	// minRate is the lowest rate that is told from none, in requests a second.
+	minRate = 1e-3
+)
 
-// SlowStartLimiter is a decision value: it lets in no more than a rate over any second. It counts
-// the first second after the sidecar's own start as full, since a killed predecessor
-// may have let in as many just before. (DESIGN 15.5)
-type SlowStartLimiter struct{ admitted []time.Duration }
+// SlowStartLimiter bounds the rate at which a backend that is warming up gets requests: no
+// more than the rate in any second. The first second after the sidecar's start counts as
+// used up, since an earlier incarnation may have admitted as many just before. It is not
+// safe for concurrent use, and takes the time from its caller: a monotonic clock of any
+// origin. (DESIGN 15.5)
+type SlowStartLimiter struct {
+	// admitted are the times of the requests within the window, the oldest first.
+	admitted []time.Duration
+}
 
-// Allow lets one in at a moment, or tells when there is room. up is how long the sidecar
-// has been up.
-func (l *SlowStartLimiter) Allow(rate float64, now, up time.Duration) (ok bool, retryAfter time.Duration) {
+// Allow admits a request at a rate, in requests a second, or returns when to retry. uptime
+// is how long the sidecar has been running.
+func (l *SlowStartLimiter) Allow(rate float64, now, uptime time.Duration) (ok bool, retryAfter time.Duration) {
 	burst, window := int(rate), limiterWindow
 	if burst < 1 {
-		// Less than one a second: one over as long as it takes.
-		burst, window = 1, time.Duration(float64(window)/max(rate, 1e-3))
+		// Below one a second, one in a longer window.
+		burst, window = 1, time.Duration(float64(window)/max(rate, minRate))
 	}
-	if up < window {
-		return false, window - up
+	if uptime < window {
+		return false, window - uptime
 	}
 	l.admitted = slices.DeleteFunc(l.admitted, func(at time.Duration) bool { return now-at >= window })
 	if len(l.admitted) >= burst {
--- a/internal/dataplane/endpoints/stale.go
+++ b/internal/dataplane/endpoints/stale.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// maxUnconfirmed is how many instances are remembered that were heard for the first time at a
-// moment when whoever is there should have been heard before. (ours)
-const maxUnconfirmed = 64
+// maxUnconfirmed bounds the announcements that are remembered as unconfirmed.
+const maxUnconfirmed = 64 // (ours)
 
-// unconfirmedAnnouncement is such an instance, and the count of its announcement.
+// unconfirmedAnnouncement is the first announcement of an instance, which changed nothing
+// because it may be stale.
 type unconfirmedAnnouncement struct {
 	instance string
 	sequence uint64
 }
 
-// isStale tells whether an announcement comes from before what is known by now, so that it
-// tells nothing any more: a later one of the instance was taken, the instance has said that
-// it leaves, or another has its address and is there. (DESIGN 9.1)
+// isStale reports whether an announcement was overtaken by what is known: by a later one of
+// the instance, by the instance's departure, or by another instance that has the address and
+// is there. (DESIGN 9.1)
 func (r Registry) isStale(a Announcement, now time.Time) bool {
 	if r.endpoints[a.Instance].Supersedes(a) {
 		return true
@@ -28,8 +28,8 @@
 	return r.displaced.Contains(a.Instance) && r.addressTaken(a, now)
 }
 
-// addressTaken tells whether another instance has the address, was heard lately, and again
-// after its first announcement here: one alone may be the late one.
+// addressTaken reports whether another instance has the announced address: it was heard
+// from lately, and more than once, since a single announcement may itself be the stale one.
 func (r Registry) addressTaken(a Announcement, now time.Time) bool {
 	for _, e := range r.endpoints {
 		if e.Address == a.Address && e.Instance != a.Instance && e.confirmed && now.Sub(e.LastHeartbeat) <= r.Heartbeats.Freshness() {
@@ -39,7 +39,8 @@
 	return false
 }
 
-// isNewer tells whether an announcement is not just its backend's last one, doubled.
+// isNewer reports whether an announcement was sent after the previous one of its instance,
+// and is not that one, duplicated on the way.
 func (r Registry) isNewer(previous Endpoint, a Announcement, now time.Time) bool {
 	if a.Sequence != 0 {
 		return a.Sequence > previous.sequence
@@ -47,28 +48,33 @@
 	return now.Sub(previous.LastHeartbeat) >= r.Heartbeats.interval()/2
 }
 
-// needsConfirmation tells whether an announcement of an unknown instance may be late, from before this
-// process started: it isn't the instance's first, and whoever is there has been heard by now,
-// or another is known to have its address. It is taken once a later one of the instance comes.
+// needsConfirmation reports whether the announcement of an unknown instance may be stale,
+// sent before this process started. It may if it is not the instance's first, and either all
+// instances that are there have been heard from by now, or another has the address. A later
+// announcement of the instance confirms it.
 func (r Registry) needsConfirmation(a Announcement, now time.Time) bool {
 	discovered := !r.Started.IsZero() && now.Sub(r.Started) > r.Heartbeats.DiscoveryDelay()
 	if a.Sequence <= 1 || !discovered && !r.addressTaken(a, now) {
 		return false
 	}
-	i := slices.IndexFunc(r.unconfirmed, func(d unconfirmedAnnouncement) bool { return d.instance == a.Instance })
+	i := slices.IndexFunc(r.unconfirmed, func(u unconfirmedAnnouncement) bool { return u.instance == a.Instance })
 	return i < 0 || a.Sequence <= r.unconfirmed[i].sequence
 }
 
-// withUnconfirmed remembers an announcement that is not taken yet.
+// withUnconfirmed returns the registry with an announcement that needs to be confirmed.
 func (r Registry) withUnconfirmed(a Announcement) Registry {
 	next := r
-	next.unconfirmed = slices.DeleteFunc(slices.Clone(r.unconfirmed), func(d unconfirmedAnnouncement) bool { return d.instance == a.Instance })
-	next.unconfirmed = append(next.unconfirmed, unconfirmedAnnouncement{instance: a.Instance, sequence: a.Sequence})
+	next.unconfirmed = append(r.unconfirmedExcept(a.Instance), unconfirmedAnnouncement{instance: a.Instance, sequence: a.Sequence})
 	next.unconfirmed = next.unconfirmed[max(0, len(next.unconfirmed)-maxUnconfirmed):]
 	return next
 }
 
-// IsUnconfirmed tells whether an instance has announced itself and was not taken yet.
+// unconfirmedExcept returns a copy of the unconfirmed announcements without an instance's.
+func (r Registry) unconfirmedExcept(instance string) []unconfirmedAnnouncement {
+	return slices.DeleteFunc(slices.Clone(r.unconfirmed), func(u unconfirmedAnnouncement) bool { return u.instance == instance })
+}
+
+// IsUnconfirmed reports whether an instance has announced itself and needs to be confirmed.
 func (r Registry) IsUnconfirmed(instance string) bool {
-	return slices.ContainsFunc(r.unconfirmed, func(d unconfirmedAnnouncement) bool { return d.instance == instance })
+	return slices.ContainsFunc(r.unconfirmed, func(u unconfirmedAnnouncement) bool { return u.instance == instance })
 }
--- a/internal/dataplane/endpoints/superseded_test.go
+++ b/internal/dataplane/endpoints/superseded_test.go
@@ -1,12 +1,14 @@
 package endpoints
 
 import (
+	"fmt"
 	"testing"
 	"time"
 )
 
-// An announcement that was overtaken on its way, however late, tells nothing: nor does one
-// that counts nothing, of a backend that has said that it leaves.
+// TestSupersededAnnouncement checks that an announcement that was overtaken on its way,
+// however late, changes nothing, and neither does one without a sequence number of a backend
+// that has left.
 func TestSupersededAnnouncement(t *testing.T) {
 	now := time.Now()
 	a := Announcement{Instance: "a", Service: "s", Address: "10.0.0.1:80", Capacity: 9, Sequence: 7}
@@ -14,20 +16,19 @@
 	if len(faults) > 0 {
 		t.Fatal(faults)
 	}
-	gone, late := a, a
-	gone.Draining, gone.Sequence, late.Sequence = true, 9, 8
-	r, _ = r.Announce(gone, "north", now)
-	for _, after := range []time.Duration{time.Millisecond, 3 * time.Second} {
-		next, _ := r.Announce(late, "north", now.Add(after))
-		if e := next.endpoints["a"]; !e.Draining || e.LastHeartbeat != now {
-			t.Errorf("after %v an overtaken beat was taken: %+v", after, e)
-		}
-	}
-	late.Sequence = 0
-	for _, after := range []time.Duration{time.Millisecond, 3 * time.Second} {
-		next, _ := r.Announce(late, "north", now.Add(after))
-		if e := next.endpoints["a"]; !e.Draining || e.LastHeartbeat != now {
-			t.Errorf("after %v one that does not count was taken: %+v", after, e)
+	draining := a
+	draining.Draining, draining.Sequence = true, 9
+	r, _ = r.Announce(draining, "north", now)
+	for _, sequence := range []uint64{8, 0} {
+		for _, after := range []time.Duration{time.Millisecond, 3 * time.Second} {
+			t.Run(fmt.Sprintf("sequence %d, after %v", sequence, after), func(t *testing.T) {
+				superseded := a
+				superseded.Sequence = sequence
+				next, _ := r.Announce(superseded, "north", now.Add(after))
+				if e := next.endpoints["a"]; !e.Draining || e.LastHeartbeat != now {
+					t.Errorf("it was taken: %+v", e)
+				}
+			})
 		}
 	}
 }
--- a/internal/dataplane/endpoints/wake_detector.go
+++ b/internal/dataplane/endpoints/wake_detector.go
@@ -3,26 +3,27 @@
 import "time"
 
 const (
-	// sleepThreshold is how long a control thread that ticks every Pulse may be still
-	// before it counts as having slept.
+	// WakeCheckInterval is how often WakeDetector.Check is to be called.
+	WakeCheckInterval = 100 * time.Millisecond // (ours)
+	// sleepThreshold is the time between two checks from which on the process counts as
+	// having been frozen in between.
 	sleepThreshold = 400 * time.Millisecond // (ours)
-	// catchUpPeriod is how long after that what arrives may have piled up meanwhile.
+	// catchUpPeriod is how long after it what arrives may have been sent before.
 	catchUpPeriod = 500 * time.Millisecond // (ours)
 )
 
-// WakeCheckInterval is the rhythm in which a control thread proves that it is awake.
-const WakeCheckInterval = 100 * time.Millisecond // (ours)
-
-// WakeDetector notices that the process was frozen. (DESIGN 9.5)
+// WakeDetector notices that the process was frozen and runs again: what arrives then may
+// have waited for long. It is not safe for concurrent use. (DESIGN 9.5)
 type WakeDetector struct{ lastCheck, wokeAt time.Time }
 
-// Check takes that the thread runs; it comes before anything else is done.
-func (s *WakeDetector) Check(now time.Time) {
-	if !s.lastCheck.IsZero() && now.Sub(s.lastCheck) > sleepThreshold {
-		s.wokeAt = now
+// Check notes that the process is running. It must be called before anything is processed
+// that may have waited.
+func (d *WakeDetector) Check(now time.Time) {
+	if !d.lastCheck.IsZero() && now.Sub(d.lastCheck) > sleepThreshold {
+		d.wokeAt = now
 	}
-	s.lastCheck = now
+	d.lastCheck = now
 }
 
-// CatchingUp tells whether what arrives now may be old.
-func (s *WakeDetector) CatchingUp(now time.Time) bool { return now.Sub(s.wokeAt) < catchUpPeriod }
+// CatchingUp reports whether what arrives now may have waited while the process was frozen.
+func (d *WakeDetector) CatchingUp(now time.Time) bool { return now.Sub(d.wokeAt) < catchUpPeriod }
--- a/tests/simulation/slowstart_test.go
+++ b/tests/simulation/slowstart_test.go
@@ -65,14 +65,14 @@
 					}
 				})
 			}
-			v, id, _, s := line.Enqueue(endpoints.QueueRequest{Priority: 1 + rng.IntN(3), Route: "w", Remaining: 4 * time.Second}, limit(), q.now)
-			switch v {
+			enqueued := line.Enqueue(endpoints.QueueRequest{Priority: 1 + rng.IntN(3), Route: "w", Remaining: 4 * time.Second}, limit(), q.now)
+			switch enqueued.Decision {
 			case endpoints.Start:
 				run()
 			case endpoints.Wait:
-				waiting[id] = run
+				waiting[enqueued.ID] = run
 			}
-			shift(s)
+			shift(enqueued.Transition)
 		}
 		var burst, kill func()
 		burst = func() {
