--- a/internal/dataplane/proxy/admit.go
+++ b/internal/dataplane/proxy/admit.go
@@ -10,97 +10,123 @@
 	"curlewwalk/internal/trace"
 )
 
-// admit brings an attempt through the line and the gate to its backend.
-func (f *Inbound) admit(ctx context.Context, attempt Attempt, span trace.Span) AttemptResponse {
-	if f.Draining() {
-		return f.refuse(ctx, &attempt, endpoints.NodeDraining, 0)
+// refusal is why an attempt is not run; its zero value admits it.
+type refusal struct {
+	rejection endpoints.Rejection
+	// retryAfter is the least time after which the request should be sent again; zero if that
+	// is not known.
+	retryAfter time.Duration
+	// inFlight is how many requests the backend runs or has in its queue; zero if the attempt
+	// did not come so far.
+	inFlight int64
+}
+
+// admit takes an attempt through admission and its backend's queue to the backend.
+func (in *Inbound) admit(ctx context.Context, attempt *Attempt, span trace.Span) AttemptResponse {
+	if in.Draining() {
+		return in.refuse(ctx, attempt, refusal{rejection: endpoints.NodeDraining})
 	}
 	size := int64(len(attempt.Body))
-	if !f.Bodies.Reserve(size) {
-		response := f.refuse(ctx, &attempt, endpoints.BackendFull, 0)
-		response.RetryAfter = time.Second
-		return response
+	if !in.Bodies.Reserve(size) {
+		return in.refuse(ctx, attempt, refusal{rejection: endpoints.BackendFull, retryAfter: briefly})
 	}
-	defer f.Bodies.Release(size)
-	e, why := f.checkAdmission(ctx, &attempt)
-	if why != endpoints.Admitted {
-		return f.refuse(ctx, &attempt, why, 0)
+	defer in.Bodies.Release(size)
+	endpoint, rejection := in.checkAdmission(ctx, attempt)
+	if rejection != endpoints.Admitted {
+		return in.refuse(ctx, attempt, refusal{rejection: rejection})
 	}
-	done, back := e.Admission.Acquire(ctx, attempt.admissionBid(), f.currentLimit(ctx, &attempt, e))
+	done, retryAfter := endpoint.Admission.Acquire(ctx, attempt.queueRequest(), in.currentLimit(ctx, attempt, endpoint))
 	if done == nil {
-		response := f.refuse(ctx, &attempt, queueRefusal(ctx), e.Admission.Outstanding())
-		response.RetryAfter = back
-		return response
+		return in.refuse(ctx, attempt, refusal{queueRejection(ctx), retryAfter, endpoint.Admission.Outstanding()})
 	}
-	defer func() { done(refusalFor(ctx) == endpoints.Canceled) }()
-	if !f.attemptLog.query(ctx, f.attemptLog.begins, attempt.ID) {
-		if ctx.Err() != nil {
-			return f.refuse(ctx, &attempt, refusalFor(ctx), 0)
-		}
-		return AttemptResponse{ID: attempt.ID, Outcome: routing.Unknown, Reason: "this leg came before"}
+	defer func() { done(rejectionFor(ctx) == endpoints.Canceled) }()
+	if !in.attemptLog.begin(ctx, attempt.ID) {
+		return in.notBegun(ctx, attempt)
+	}
+	in.Causality.Begin(ctx, causality.OpenRequest{Span: span, Service: attempt.Service, Route: attempt.Route, Priority: attempt.Priority, StartedAt: time.Now(), Deadline: deadline(ctx)})
+	defer in.Causality.End(span.ID)
+	return in.forward(ctx, endpoint, attempt, span)
+}
+
+// checkAdmission tells whether an attempt may be sent to its backend now. It is asked at first,
+// and again immediately before the write.
+func (in *Inbound) checkAdmission(ctx context.Context, attempt *Attempt) (endpoints.Endpoint, endpoints.Rejection) {
+	switch {
+	case attempt.Incarnation != in.Incarnation:
+		return endpoints.Endpoint{}, endpoints.WrongIncarnation
+	case ctx.Err() != nil:
+		return endpoints.Endpoint{}, rejectionFor(ctx)
+	case !in.LeaseHeld():
+		return endpoints.Endpoint{}, endpoints.LeaseExpired
 	}
-	f.Causality.Begin(ctx, causality.OpenRequest{Span: span, Service: attempt.Service, Route: attempt.Route, Priority: attempt.Priority, StartedAt: time.Now(), Deadline: deadline(ctx)})
-	defer f.Causality.End(span.ID)
-	return f.forward(ctx, e, &attempt, span)
+	return in.Endpoints().Admit(endpoints.AdmissionRequest{Service: attempt.Service, Instance: attempt.Instance}, in.Table().ZoneDrained, time.Now())
 }
 
-// refuse answers an attempt that is not to run. It is proven not to run unless it came
-// before, and was begun.
-func (f *Inbound) refuse(ctx context.Context, attempt *Attempt, why endpoints.Rejection, open int64) AttemptResponse {
-	response := AttemptResponse{ID: attempt.ID, Outcome: routing.NotRun, Reason: string(why), InFlight: int(open)}
-	if !f.attemptLog.query(context.WithoutCancel(ctx), f.attemptLog.refusals, attempt.ID) {
+// refuse replies to an attempt that is not to run. That proves it not to run, unless the attempt
+// came before and was begun.
+func (in *Inbound) refuse(ctx context.Context, attempt *Attempt, r refusal) AttemptResponse {
+	response := AttemptResponse{ID: attempt.ID, Outcome: routing.NotRun, Reason: string(r.rejection), InFlight: int(r.inFlight), RetryAfter: r.retryAfter}
+	if !in.attemptLog.refuse(context.WithoutCancel(ctx), attempt.ID) {
 		response.Outcome = routing.Unknown // it came before, and was begun
 	}
 	return response
 }
 
-// queueRefusal tells why an attempt has left a line without its turn.
-func queueRefusal(ctx context.Context) endpoints.Rejection {
-	if ended := refusalFor(ctx); ended != endpoints.DeadlineExpired {
-		return ended
+// notBegun replies to an attempt that the attempt log has not let begin: its time is over, or
+// it came before.
+func (in *Inbound) notBegun(ctx context.Context, attempt *Attempt) AttemptResponse {
+	if ctx.Err() != nil {
+		return in.refuse(ctx, attempt, refusal{rejection: rejectionFor(ctx)})
 	}
-	return endpoints.BackendFull
+	return AttemptResponse{ID: attempt.ID, Outcome: routing.Unknown, Reason: "this leg came before"}
 }
 
-// admissionBid is what an attempt asks of a line.
-func (a *Attempt) admissionBid() endpoints.QueueRequest {
-	return endpoints.QueueRequest{Priority: a.Priority, Route: a.Route, Remaining: min(a.Timeout, a.TimeToTarget), LateRemaining: a.queueAllowance()}
+// queueRejection tells why an attempt has left the queue without being admitted.
+func queueRejection(ctx context.Context) endpoints.Rejection {
+	if rejection := rejectionFor(ctx); rejection != endpoints.DeadlineExpired {
+		return rejection
+	}
+	return endpoints.BackendFull
 }
 
-// currentLimit tells, whenever it is asked, how many requests an attempt's backend may run: the
-// newest beat tells what it can bear.
-func (f *Inbound) currentLimit(ctx context.Context, attempt *Attempt, e endpoints.Endpoint) func() int64 {
+// currentLimit tells, whenever it is asked, how many requests an attempt's backend may run: its
+// newest heartbeat tells its capacity.
+func (in *Inbound) currentLimit(ctx context.Context, attempt *Attempt, admitted endpoints.Endpoint) func() int64 {
 	return func() int64 {
-		now, why := f.checkAdmission(ctx, attempt)
-		if why != endpoints.Admitted {
-			now = e
+		current, rejection := in.checkAdmission(ctx, attempt)
+		if rejection != endpoints.Admitted {
+			current = admitted
 		}
-		return f.ConcurrencyLimit(now, time.Now())
+		return in.ConcurrencyLimit(current, time.Now())
 	}
 }
 
-// forward puts a begun attempt to its backend, if the gate lets the first byte through.
-func (f *Inbound) forward(ctx context.Context, e endpoints.Endpoint, attempt *Attempt, span trace.Span) AttemptResponse {
-	var free time.Duration // when a cold backend may bear the next
-	g := &writeGuard{check: func() endpoints.Rejection {
-		now, why := f.checkAdmission(ctx, attempt)
-		if why == endpoints.Admitted && now.Address != e.Address {
-			why = endpoints.UnknownBackend
-		}
-		if rate, cold := f.warmupRate(now, time.Now()); cold && why == endpoints.Admitted {
-			if ok, back := e.Admission.AllowWarmup(rate, time.Since(f.started)); !ok {
-				free, why = back, endpoints.BackendFull
-			}
-		}
-		return why
-	}}
-	response := f.exchange(ctx, e, attempt, span, g)
-	if response.Outcome == routing.Unknown && g.close() {
+// forward puts an attempt that has begun to its backend, if it is still admitted when its first
+// byte is to be written. If no byte was written, it is proven not to have run.
+func (in *Inbound) forward(ctx context.Context, endpoint endpoints.Endpoint, attempt *Attempt, span trace.Span) AttemptResponse {
+	guard := &writeGuard{check: func() refusal { return in.checkBeforeWrite(ctx, endpoint, attempt) }}
+	response := in.exchange(ctx, endpoint, attempt, span, guard)
+	if response.Outcome == routing.Unknown && guard.close() {
 		response.Outcome = routing.NotRun
-		if why := g.refusal.Load(); why != nil {
-			response.Reason, response.RetryAfter = string(*why), free
+		if refusal := guard.refusal.Load(); refusal != nil {
+			response.Reason, response.RetryAfter = string(refusal.rejection), refusal.retryAfter
 		}
 	}
-	response.ID, response.InFlight, response.ReachedBackend = attempt.ID, int(e.Admission.Outstanding()), g.state.Load() == guardWritten
+	response.ID, response.InFlight, response.ReachedBackend = attempt.ID, int(endpoint.Admission.Outstanding()), guard.written()
 	return response
 }
+
+// checkBeforeWrite tells whether an attempt may still be written to the backend that it was
+// admitted to. A backend that is warming up also takes no more than its rate of requests.
+func (in *Inbound) checkBeforeWrite(ctx context.Context, admitted endpoints.Endpoint, attempt *Attempt) refusal {
+	current, rejection := in.checkAdmission(ctx, attempt)
+	if rejection == endpoints.Admitted && current.Address != admitted.Address {
+		rejection = endpoints.UnknownBackend
+	}
+	if rate, warmingUp := in.warmupRate(current, time.Now()); warmingUp && rejection == endpoints.Admitted {
+		if ok, retryAfter := admitted.Admission.AllowWarmup(rate, time.Since(in.started)); !ok {
+			return refusal{rejection: endpoints.BackendFull, retryAfter: retryAfter}
+		}
+	}
+	return refusal{rejection: rejection}
+}
--- a/internal/dataplane/proxy/answers_test.go
+++ b/internal/dataplane/proxy/answers_test.go
@@ -157,7 +157,7 @@
 	p := newProxyPair(t, respondOK)
 	r := httptest.NewRequest("POST", "/once/x", timedOutBody{})
 	r.ContentLength = 10
-	if response := p.outbound.serve("", r); response.Status != http.StatusRequestTimeout || response.Fate != routing.NotRun {
+	if response := p.outbound.serve("", r); response.Status != http.StatusRequestTimeout || response.Outcome != routing.NotRun {
 		t.Errorf("%+v", response)
 	}
 }
--- a/internal/dataplane/proxy/attempt.go
+++ b/internal/dataplane/proxy/attempt.go
@@ -1,5 +1,3 @@
-// Package proxy carries requests: the near side asks the decision object and
-// obeys, the far side passes attempts through the gate to the backend. (DESIGN 4, 10)
 package proxy
 
 import (
@@ -8,52 +6,62 @@
 	"strings"
 	"time"
 
+	"curlewwalk/internal/dataplane/endpoints"
 	"curlewwalk/internal/dataplane/routing"
 )
 
-// KindAttempt and KindCancel are kinds on the wire.
+// The kinds of messages from an outbound to an inbound side.
 const (
+	// KindAttempt carries an Attempt; the reply is an AttemptResponse.
 	KindAttempt = "leg"
-	KindCancel  = "recall"
+	// KindCancel carries a CancelRequest; the reply is an AttemptResponse.
+	KindCancel = "recall"
 )
 
-// Attempt is one attempt of a request, as the near sidecar sends it.
+// Attempt is one attempt of a request, as the outbound side sends it.
 type Attempt struct {
-	// ID is unique to the attempt; the far sidecar never runs one twice.
-	ID          string        `msgpack:"id"`
-	Number      int           `msgpack:"n"`
-	Service     string        `msgpack:"s"`
-	Instance    string        `msgpack:"i"`
-	Incarnation uint64        `msgpack:"bt"`
-	Route       string        `msgpack:"w"`
-	Priority    int           `msgpack:"rk"`
-	Timeout     time.Duration `msgpack:"l"`
-	// TimeToTarget is the time left until the request is late; it waits no longer.
+	// ID is unique to the attempt; the inbound side never runs one twice.
+	ID string `msgpack:"id"`
+	// Number counts the attempts of a request from 1.
+	Number   int    `msgpack:"n"`
+	Service  string `msgpack:"s"`
+	Instance string `msgpack:"i"`
+	// Incarnation is that of the inbound side's process for which the attempt is meant.
+	Incarnation uint64 `msgpack:"bt"`
+	Route       string `msgpack:"w"`
+	// Priority is the request's: an attempt of a higher one is admitted before.
+	Priority int `msgpack:"rk"`
+	// Timeout is the time left until the request's deadline.
+	Timeout time.Duration `msgpack:"l"`
+	// TimeToTarget is the time left in which the request is in time; it is queued no longer.
 	TimeToTarget time.Duration `msgpack:"am"`
-	// QueuePastTarget says that it rather waits to be late than be refused.
+	// QueuePastTarget says that it may be queued longer than that, rather than be rejected.
 	QueuePastTarget bool `msgpack:"pt,omitempty"`
 	// Idempotent says that running it twice does no harm.
-	Idempotent bool        `msgpack:"rp,omitempty"`
-	Caller     string      `msgpack:"c,omitempty"`
-	Method     string      `msgpack:"m"`
-	URI        string      `msgpack:"u"`
-	Host       string      `msgpack:"h"`
-	Header     http.Header `msgpack:"hd"`
-	// Trailer is what the client sent behind its body.
+	Idempotent bool `msgpack:"rp,omitempty"`
+	// Caller is the service that sent the request; empty for a client.
+	Caller string `msgpack:"c,omitempty"`
+	Method string `msgpack:"m"`
+	// URI is the request target as the caller sent it.
+	URI    string      `msgpack:"u"`
+	Host   string      `msgpack:"h"`
+	Header http.Header `msgpack:"hd"`
+	// Trailer is what the caller sent behind the body.
 	Trailer http.Header `msgpack:"tr,omitempty"`
 	Body    []byte      `msgpack:"b"`
 }
 
-// queueAllowance is the time left in which a late answer is still worth something.
-func (a *Attempt) queueAllowance() time.Duration {
-	if !a.QueuePastTarget {
-		return 0
+// queueRequest is what the attempt asks of its backend's admission queue.
+func (a *Attempt) queueRequest() endpoints.QueueRequest {
+	request := endpoints.QueueRequest{Priority: a.Priority, Route: a.Route, Remaining: min(a.Timeout, a.TimeToTarget)}
+	if a.QueuePastTarget {
+		request.LateRemaining = a.Timeout
 	}
-	return a.Timeout
+	return request
 }
 
-// valid tells whether a request can be made of the attempt that is that one request to every
-// reader of it.
+// valid tells whether the attempt makes one HTTP request, and the same one to every reader of
+// it.
 func (a *Attempt) valid() bool {
 	for name := range a.Trailer {
 		if isHopByHop(name) {
@@ -63,7 +71,7 @@
 	return isToken(a.Method) && hasNoBlanks(a.URI) && hasNoBlanks(a.Host) && a.URI != "" && requestTargetURL("", a.URI).RequestURI() == a.URI
 }
 
-// isToken tells whether s is a token as RFC 9110 (5.6.2) has it.
+// isToken tells whether s is a token as RFC 9110 (5.6.2) defines it.
 func isToken(s string) bool {
 	return s != "" && !strings.ContainsFunc(s, func(r rune) bool {
 		return r <= ' ' || r >= 0x7f || strings.ContainsRune(`"(),/:;<=>?@[\]{}`, r)
@@ -75,25 +83,28 @@
 	return !slices.ContainsFunc([]byte(s), func(b byte) bool { return b <= ' ' || b == 0x7f })
 }
 
-// AttemptResponse is what the far sidecar tells of an attempt.
+// AttemptResponse is the inbound side's reply: what became of an attempt.
 type AttemptResponse struct {
+	// ID is the attempt's.
 	ID      string          `msgpack:"id"`
 	Outcome routing.Outcome `msgpack:"f"`
-	Reason  string          `msgpack:"r,omitempty"`
-	Status  int             `msgpack:"s"`
-	Header  http.Header     `msgpack:"h"`
-	// Trailer is what the backend sent behind its body.
+	// Reason tells why there is no response of the backend.
+	Reason string `msgpack:"r,omitempty"`
+	// Status, Header, Trailer and Body are the backend's response.
+	Status  int         `msgpack:"s"`
+	Header  http.Header `msgpack:"h"`
 	Trailer http.Header `msgpack:"tr,omitempty"`
 	Body    []byte      `msgpack:"b"`
-	// ReachedBackend says that the attempt came to a backend, though it may not have run.
+	// ReachedBackend says that the attempt was written to the backend, even if the backend has
+	// not run it.
 	ReachedBackend bool `msgpack:"rd,omitempty"`
-	// InFlight is how many requests the backend has open.
+	// InFlight is how many requests the backend runs or has in its queue.
 	InFlight int `msgpack:"o"`
-	// RetryAfter is when a refused request should come again.
+	// RetryAfter is the least time after which a rejected request should be sent again.
 	RetryAfter time.Duration `msgpack:"bk,omitempty"`
 }
 
-// answers tells whether the response is understood, and is that of an attempt.
+// answers tells whether the reply is understood, and is that to the given attempt.
 func (r *AttemptResponse) answers(attempt *Attempt) bool {
 	switch r.Outcome {
 	case routing.Answered:
@@ -104,8 +115,8 @@
 	return false
 }
 
-// CancelRequest asks a far sidecar, in one incarnation of it, to let an attempt never run, or to
-// stop it if that may be.
+// CancelRequest asks an inbound side, in one incarnation of its process, that an attempt never
+// runs, or is stopped if it is idempotent. The reply tells whether it has run.
 type CancelRequest struct {
 	ID          string `msgpack:"id"`
 	Incarnation uint64 `msgpack:"bt"`
--- a/internal/dataplane/proxy/attemptlog_test.go
+++ b/internal/dataplane/proxy/attemptlog_test.go
@@ -13,22 +13,22 @@
 	defer cancel()
 	l := newAttemptLogActor()
 	go l.run(ctx)
-	if !l.query(ctx, l.begins, "a") || l.query(ctx, l.begins, "a") {
+	if !l.begin(ctx, "a") || l.begin(ctx, "a") {
 		t.Error("a leg must begin once")
 	}
-	if l.query(ctx, l.refusals, "a") {
+	if l.refuse(ctx, "a") {
 		t.Error("a leg that has begun was refused")
 	}
 	for range 2 {
-		if !l.query(ctx, l.refusals, "b") {
+		if !l.refuse(ctx, "b") {
 			t.Error("a leg that was never seen could not be refused")
 		}
 	}
-	if l.query(ctx, l.begins, "b") {
+	if l.begin(ctx, "b") {
 		t.Error("a refused leg began")
 	}
 	cancel()
-	if l.query(ctx, l.begins, "c") {
+	if l.begin(ctx, "c") {
 		t.Error("a leg began without a ledger")
 	}
 }
--- a/internal/dataplane/proxy/backendconn.go
+++ b/internal/dataplane/proxy/backendconn.go
@@ -10,60 +10,60 @@
 	"github.com/rotisserie/eris"
 )
 
-// maxHeadSize bounds what is read of an answer before its body.
-const maxHeadSize = 1 << 20 // (ours)
-
+// errHeadTooLarge is the error of a read beyond the read limit.
 var errHeadTooLarge = eris.New("the answer's head is too large")
 
-// backendConn is a connection of our own to a backend. It carries one attempt at a time, and
-// nothing is ever tried again on it by itself. (DESIGN 10.6)
+// backendConn is a connection to a backend. It carries one attempt at a time, and unlike those
+// of net/http's Transport it never sends a request again by itself. (DESIGN 10.6)
 type backendConn struct {
 	net.Conn
 	address backendAddress
 	raw     syscall.RawConn
 	reader  *bufio.Reader
-	// readLimit is how much more may be read until it is raised again.
+	// readLimit is how many bytes may still be read until it is raised again.
 	readLimit int64
 	// usedBefore tells that it has carried an attempt before.
 	usedBefore bool
-	// carriedHead tells that it has carried a HEAD, whose answer has a length and no body.
+	// carriedHead tells that it has carried a HEAD request, whose response has a length and no
+	// body.
 	carriedHead bool
-	// idleSince is when it was last of use, and keep how long it may then be idle.
+	// idleSince is when it was used last, and idleTimeout for how long it may then be idle; zero
+	// if it must be closed.
 	idleSince   time.Time
 	idleTimeout time.Duration
 }
 
-func newBackendConn(c *net.TCPConn, at backendAddress) (*backendConn, error) {
-	raw, err := c.SyscallConn()
+func newBackendConn(tcp *net.TCPConn, address backendAddress) (*backendConn, error) {
+	raw, err := tcp.SyscallConn()
 	if err != nil {
 		return nil, err
 	}
-	conn := &backendConn{Conn: c, address: at, raw: raw, idleSince: time.Now(), idleTimeout: maxIdleTime}
-	conn.reader = bufio.NewReader(conn)
-	return conn, nil
+	c := &backendConn{Conn: tcp, address: address, raw: raw, idleSince: time.Now(), idleTimeout: maxIdleTime}
+	c.reader = bufio.NewReader(c)
+	return c, nil
 }
 
-// Read implements io.Reader within what may still be read.
-func (conn *backendConn) Read(b []byte) (int, error) {
-	if conn.readLimit <= 0 {
+// Read implements io.Reader within the read limit.
+func (c *backendConn) Read(b []byte) (int, error) {
+	if c.readLimit <= 0 {
 		return 0, errHeadTooLarge
 	}
-	if int64(len(b)) > conn.readLimit {
-		b = b[:conn.readLimit]
+	if int64(len(b)) > c.readLimit {
+		b = b[:c.readLimit]
 	}
-	n, err := conn.Conn.Read(b)
-	conn.readLimit -= int64(n)
+	n, err := c.Conn.Read(b)
+	c.readLimit -= int64(n)
 	return n, err
 }
 
-// isQuiet tells that the backend has neither closed the link nor sent anything that
-// nobody has asked for.
-func (conn *backendConn) isQuiet() bool {
-	if conn.reader.Buffered() > 0 {
+// isQuiet tells that the backend has neither closed the connection nor sent anything that was
+// not read.
+func (c *backendConn) isQuiet() bool {
+	if c.reader.Buffered() > 0 {
 		return false
 	}
 	var got error
-	err := conn.raw.Control(func(fd uintptr) {
+	err := c.raw.Control(func(fd uintptr) {
 		var b [1]byte
 		_, _, got = syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	})
--- a/internal/dataplane/proxy/bodylimiter.go
+++ b/internal/dataplane/proxy/bodylimiter.go
@@ -2,17 +2,18 @@
 
 import "sync/atomic"
 
-// BodyLimiter bounds the bodies that a sidecar holds: each, and all of requests
-// together. (DESIGN 10.5)
+// BodyLimiter bounds the memory for bodies on one side of the proxy. It is safe for concurrent
+// use. (DESIGN 10.5)
 type BodyLimiter struct {
-	// MaxBody bounds each body, of requests and answers.
+	// MaxBody is the greatest size of a body, of a request or a response, in bytes.
 	MaxBody int64
-	// MaxTotal bounds those of the requests that are held at a time.
+	// MaxTotal bounds the bodies of all requests that are open, in bytes.
 	MaxTotal int64
+
 	reserved atomic.Int64
 }
 
-// Reserve makes room for a body, if there is room.
+// Reserve reserves n bytes, which must be released; false if there is no room for them.
 func (b *BodyLimiter) Reserve(n int64) bool {
 	if b.reserved.Add(n) <= b.MaxTotal {
 		return true
@@ -21,8 +22,8 @@
 	return false
 }
 
-// Release gives the room back.
+// Release gives reserved bytes back.
 func (b *BodyLimiter) Release(n int64) { b.reserved.Add(-n) }
 
-// Reserved is how much is held now.
+// Reserved is how many bytes are reserved now.
 func (b *BodyLimiter) Reserved() int64 { return b.reserved.Load() }
--- a/internal/dataplane/proxy/clientwatch.go
+++ b/internal/dataplane/proxy/clientwatch.go
@@ -6,70 +6,73 @@
 	"time"
 )
 
-// clientWatch notes when the client of a request leaves: when it closes its connection, or
-// that is lost. net/http tells of it through the request's context. What is under way for
-// the client is recalled then, once. (DESIGN 10.7)
+// clientWatch tells when the client of a request leaves: when it closes its connection, or the
+// connection is lost. net/http tells that through the request's context. The attempt that is
+// under way for the client is cancelled then, once. (DESIGN 10.7)
 type clientWatch struct {
-	mu         sync.Mutex
-	leftAt     time.Time // zero while the client is there
+	// unregister ends the watch of the client's context.
 	unregister func() bool
-	// cancelAttempt recalls the attempt that is under way, if there is one.
+
+	mu sync.Mutex
+	// leftAt is when the client has left; zero while it is there.
+	leftAt time.Time
+	// cancelAttempt cancels the attempt that is under way; nil if there is none.
 	cancelAttempt func()
 }
 
-// watchConnection watches the client behind a request's context until end is called.
+// watchConnection watches the client behind a request's context until finish is called.
 func watchConnection(client context.Context) *clientWatch {
-	d := &clientWatch{}
-	d.unregister = context.AfterFunc(client, d.clientLeft)
-	return d
+	w := &clientWatch{}
+	w.unregister = context.AfterFunc(client, w.clientLeft)
+	return w
 }
 
-// ignoreClient is of a request that is gone on with, whether its client stays or not.
+// ignoreClient is the watch of a request that goes on whether its client stays or not.
 func ignoreClient() *clientWatch {
 	return &clientWatch{unregister: func() bool { return true }}
 }
 
-// clientLeft takes that the client has left.
-func (d *clientWatch) clientLeft() {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.leftAt = time.Now()
-	if d.cancelAttempt != nil {
-		d.cancelAttempt()
+// clientLeft is called when the client has left.
+func (w *clientWatch) clientLeft() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.leftAt = time.Now()
+	if w.cancelAttempt != nil {
+		w.cancelAttempt()
 	}
 }
 
 // hasLeft tells whether the client has left.
-func (d *clientWatch) hasLeft() bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return !d.leftAt.IsZero()
+func (w *clientWatch) hasLeft() bool {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return !w.leftAt.IsZero()
 }
 
-// cancelIfLeft has recall called if the client leaves before over is called, or has left already.
-// recall must not wait.
-func (d *clientWatch) cancelIfLeft(recall func()) (over func()) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.cancelAttempt = recall
-	if !d.leftAt.IsZero() {
-		recall()
+// cancelIfLeft calls cancel if the client leaves before stop is called, or has left already.
+// cancel must not block.
+func (w *clientWatch) cancelIfLeft(cancel func()) (stop func()) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.cancelAttempt = cancel
+	if !w.leftAt.IsZero() {
+		cancel()
 	}
 	return func() {
-		d.mu.Lock()
-		defer d.mu.Unlock()
-		d.cancelAttempt = nil
+		w.mu.Lock()
+		defer w.mu.Unlock()
+		w.cancelAttempt = nil
 	}
 }
 
-// finish ends the watch. It tells whether the client has left, and for how long the request
-// went on after that.
-func (d *clientWatch) finish() (left bool, after time.Duration) {
-	d.unregister()
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.leftAt.IsZero() {
+// finish ends the watch. It tells whether the client has left, and for how long the request went
+// on after that.
+func (w *clientWatch) finish() (left bool, after time.Duration) {
+	w.unregister()
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.leftAt.IsZero() {
 		return false, 0
 	}
-	return true, time.Since(d.leftAt)
+	return true, time.Since(w.leftAt)
 }
--- a/internal/dataplane/proxy/connpool.go
+++ b/internal/dataplane/proxy/connpool.go
@@ -12,15 +12,16 @@
 	"curlewwalk/internal/dataplane/endpoints"
 )
 
-// backendAddress is where a backend stands.
+// backendAddress is a backend instance at its address.
 type backendAddress struct{ instance, address string }
 
-// connPool keeps the connections to the own backends. It is a table that each attempt looks
-// at for a moment; one sweeper closes what nobody wants any more. (DESIGN 10.6)
+// connPool keeps the connections to the backends of this node. A sweeper closes those that are
+// of no use any more; it is started with the first idle one. (DESIGN 10.6)
 type connPool struct {
+	// lifetime is that of the sweeper: when it ends, all idle connections are closed.
 	lifetime context.Context
-	launcher *actor.System
-	// isCurrent tells whether a backend may still be sent something there.
+	actors   *actor.System
+	// isCurrent tells whether a backend at its address may still be sent something.
 	isCurrent func(backendAddress) bool
 
 	mu       sync.Mutex
@@ -28,94 +29,105 @@
 	sweeping bool
 	closed   bool
 
+	// opened counts the connections that were opened, reused the attempts that were given one
+	// that was open already.
 	opened, reused atomic.Int64
 }
 
-// poolEntry is what there is at one backend. The newest idle link stands last.
+// poolEntry is the connections to one backend. The idle one that was used last stands last.
 type poolEntry struct {
 	idle  []*backendConn
 	inUse int
 }
 
-func newConnPool(life context.Context, actors *actor.System, stands func(backendAddress) bool) *connPool {
-	return &connPool{lifetime: life, launcher: actors, isCurrent: stands, entries: map[backendAddress]*poolEntry{}}
+func newConnPool(lifetime context.Context, actors *actor.System, isCurrent func(backendAddress) bool) *connPool {
+	return &connPool{lifetime: lifetime, actors: actors, isCurrent: isCurrent, entries: map[backendAddress]*poolEntry{}}
 }
 
-// acquire gives a link to a backend, of which at most so many are open at a time: one
-// that was idle for less than so long, or a fresh one.
-func (p *connPool) acquire(ctx context.Context, e endpoints.Endpoint, most int, idle time.Duration) (*backendConn, error) {
-	at := backendAddress{e.Instance, e.Address}
-	old := p.reserve(at, most, idle)
-	if old != nil {
+// acquire returns a connection to a backend that was idle for less than maxIdle, or a new one.
+// Idle ones are closed so that at most maxConnections are open. It must be released.
+func (p *connPool) acquire(ctx context.Context, e endpoints.Endpoint, maxConnections int, maxIdle time.Duration) (*backendConn, error) {
+	address := backendAddress{e.Instance, e.Address}
+	if idle := p.reserve(address, maxConnections, maxIdle); idle != nil {
 		p.reused.Add(1)
-		old.SetDeadline(deadline(ctx))
-		return old, nil
+		idle.SetDeadline(deadline(ctx))
+		return idle, nil
 	}
-	conn, err := p.dial(ctx, at)
+	conn, err := p.dial(ctx, address)
 	if err != nil {
-		p.release(&backendConn{address: at}, most)
+		p.release(&backendConn{address: address}, maxConnections)
 		return nil, err
 	}
 	conn.SetDeadline(deadline(ctx))
 	return conn, nil
 }
 
-// reserve takes a place at a backend, with an idle link if there is a good one.
-func (p *connPool) reserve(at backendAddress, most int, idle time.Duration) *backendConn {
+// reserve counts a connection as in use, and returns an idle one if there is a good one.
+func (p *connPool) reserve(address backendAddress, maxConnections int, maxIdle time.Duration) *backendConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	s := p.entries[at]
-	if s == nil {
-		s = &poolEntry{}
-		p.entries[at] = s
-	}
-	s.inUse++
-	for now := time.Now(); len(s.idle) > 0; {
-		conn := s.idle[len(s.idle)-1]
-		age := now.Sub(conn.idleSince)
-		if age >= idle {
+	entry := p.entries[address]
+	if entry == nil {
+		entry = &poolEntry{}
+		p.entries[address] = entry
+	}
+	entry.inUse++
+	if conn := entry.takeIdle(maxIdle); conn != nil {
+		return conn
+	}
+	for len(entry.idle) > 0 && entry.inUse+len(entry.idle) > maxConnections {
+		entry.idle[0].Close()
+		entry.idle = entry.idle[1:]
+	}
+	return nil
+}
+
+// takeIdle takes the connection that was used last, if it was idle for less than maxIdle. Those
+// that are of no use any more are closed on the way.
+func (e *poolEntry) takeIdle(maxIdle time.Duration) *backendConn {
+	for now := time.Now(); len(e.idle) > 0; {
+		conn := e.idle[len(e.idle)-1]
+		idleTime := now.Sub(conn.idleSince)
+		if idleTime >= maxIdle {
 			break // it may do for another attempt
 		}
-		s.idle = s.idle[:len(s.idle)-1]
-		if age < conn.idleTimeout && conn.isQuiet() {
+		e.idle = e.idle[:len(e.idle)-1]
+		if idleTime < conn.idleTimeout && conn.isQuiet() {
 			return conn
 		}
 		conn.Close()
 	}
-	for len(s.idle) > 0 && s.inUse+len(s.idle) > most {
-		s.idle[0].Close()
-		s.idle = s.idle[1:]
-	}
 	return nil
 }
 
-// dial opens a connection for an attempt, within the attempt's time.
-func (p *connPool) dial(ctx context.Context, at backendAddress) (*backendConn, error) {
-	d := net.Dialer{Timeout: dialTimeout, KeepAlive: -1}
-	c, err := d.DialContext(ctx, "tcp", at.address)
+// dial opens a connection, in the time until ctx ends.
+func (p *connPool) dial(ctx context.Context, address backendAddress) (*backendConn, error) {
+	dialer := net.Dialer{Timeout: dialTimeout, KeepAlive: -1}
+	tcp, err := dialer.DialContext(ctx, "tcp", address.address)
 	if err != nil {
 		return nil, err
 	}
 	p.opened.Add(1)
-	conn, err := newBackendConn(c.(*net.TCPConn), at)
+	conn, err := newBackendConn(tcp.(*net.TCPConn), address)
 	if err != nil {
-		c.Close()
+		tcp.Close()
 	}
 	return conn, err
 }
 
-// release takes a link back: to be kept, if it may be and nothing is to be read on it.
-func (p *connPool) release(conn *backendConn, most int) {
+// release takes a connection back, and keeps it if it may be idle and nothing is to be read on
+// it. One without a net.Conn stands for one that could not be opened.
+func (p *connPool) release(conn *backendConn, maxConnections int) {
 	keep := conn.Conn != nil && conn.idleTimeout > 0 && conn.isQuiet()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	s := p.entries[conn.address]
-	s.inUse--
-	if keep && !p.closed && s.inUse+len(s.idle) < most {
-		s.idle = append(s.idle, conn)
+	entry := p.entries[conn.address]
+	entry.inUse--
+	if keep && !p.closed && entry.inUse+len(entry.idle) < maxConnections {
+		entry.idle = append(entry.idle, conn)
 		if !p.sweeping {
 			p.sweeping = true
-			p.launcher.Go(p.lifetime, "links", p.sweep)
+			p.actors.Go(p.lifetime, "connection-sweeper", p.sweep)
 		}
 		return
 	}
@@ -125,72 +137,78 @@
 	p.removeIfUnused(conn.address)
 }
 
-// closeIdle closes all idle links to a place.
-func (p *connPool) closeIdle(at backendAddress) {
+// closeIdle closes all idle connections to a backend.
+func (p *connPool) closeIdle(address backendAddress) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.removeIdle(at, func(*backendConn) bool { return true })
+	p.removeIdle(address, func(*backendConn) bool { return true })
 }
 
-// removeIdle closes the idle links of a place that are bad.
-func (p *connPool) removeIdle(at backendAddress, bad func(*backendConn) bool) {
-	if s := p.entries[at]; s != nil {
-		s.idle = slices.DeleteFunc(s.idle, func(conn *backendConn) bool {
-			if !bad(conn) {
+// removeIdle closes the idle connections to a backend that are of no use; p.mu must be held.
+func (p *connPool) removeIdle(address backendAddress, useless func(*backendConn) bool) {
+	if entry := p.entries[address]; entry != nil {
+		entry.idle = slices.DeleteFunc(entry.idle, func(conn *backendConn) bool {
+			if !useless(conn) {
 				return false
 			}
 			conn.Close()
 			return true
 		})
-		p.removeIfUnused(at)
+		p.removeIfUnused(address)
 	}
 }
 
-func (p *connPool) removeIfUnused(at backendAddress) {
-	if s := p.entries[at]; s != nil && s.inUse == 0 && len(s.idle) == 0 {
-		delete(p.entries, at)
+// removeIfUnused forgets a backend without connections; p.mu must be held.
+func (p *connPool) removeIfUnused(address backendAddress) {
+	if entry := p.entries[address]; entry != nil && entry.inUse == 0 && len(entry.idle) == 0 {
+		delete(p.entries, address)
 	}
 }
 
-// sweep closes what is idle too long, what the backend has closed or written to, and
-// what leads to a backend that takes nothing more, until life ends.
+// sweep closes idle connections that are of no use any more, until ctx ends; then all of them.
 func (p *connPool) sweep(ctx context.Context) {
-	tick := time.NewTicker(sweepInterval)
-	defer tick.Stop()
+	ticker := time.NewTicker(sweepInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			p.mu.Lock()
-			defer p.mu.Unlock()
-			p.closed = true
-			for at := range p.entries {
-				p.removeIdle(at, func(*backendConn) bool { return true })
-			}
+			p.close()
 			return
-		case now := <-tick.C:
+		case now := <-ticker.C:
 			p.sweepOnce(now)
 		}
 	}
 }
 
-// sweepOnce looks at all idle links once.
+// sweepOnce closes the connections that are idle for too long, that the backend has closed or
+// written to, or whose backend takes nothing more.
 func (p *connPool) sweepOnce(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for at := range p.entries {
-		gone := !p.isCurrent(at)
-		p.removeIdle(at, func(conn *backendConn) bool {
-			return gone || now.Sub(conn.idleSince) >= conn.idleTimeout || !conn.isQuiet()
+	for address := range p.entries {
+		current := p.isCurrent(address)
+		p.removeIdle(address, func(conn *backendConn) bool {
+			return !current || now.Sub(conn.idleSince) >= conn.idleTimeout || !conn.isQuiet()
 		})
 	}
 }
 
-// idleCount counts the links that nobody uses.
+// close closes all idle connections; from now on none is kept.
+func (p *connPool) close() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.closed = true
+	for address := range p.entries {
+		p.removeIdle(address, func(*backendConn) bool { return true })
+	}
+}
+
+// idleCount counts the idle connections.
 func (p *connPool) idleCount() (n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, s := range p.entries {
-		n += len(s.idle)
+	for _, entry := range p.entries {
+		n += len(entry.idle)
 	}
 	return n
 }
--- a/internal/dataplane/proxy/counters.go
+++ b/internal/dataplane/proxy/counters.go
@@ -7,29 +7,38 @@
 	"curlewwalk/internal/dataplane/routing"
 )
 
-// Counters are a side's running totals, for /v1/stats.
+// Counters count the requests of an outbound side, or the attempts of an inbound side, from the
+// start of the process on.
 type Counters struct {
-	// InFlight is how many are under way now.
-	InFlight                                                   atomic.Int64
-	Requests, Answered, NotRun, Unknown, ExtraAttempts, Joined atomic.Int64
+	// InFlight is how many are open now.
+	InFlight atomic.Int64
+	// Requests counts those that have come, and the next three those that have ended, by
+	// outcome.
+	Requests                  atomic.Int64
+	Answered, NotRun, Unknown atomic.Int64
+	// ExtraAttempts counts the retries.
+	ExtraAttempts atomic.Int64
+	// Joined counts the requests that got the response of an earlier one of their idempotency
+	// key.
+	Joined atomic.Int64
 	// ClientDisconnects counts the requests whose clients left before they were answered, and
-	// AfterDisconnect sums up, in nanoseconds, for how long these went on all the same.
+	// AfterDisconnect sums up, in nanoseconds, for how long these went on after that.
 	ClientDisconnects, AfterDisconnect atomic.Int64
-	// CancelledBeforeStart counts the attempts that a peer recalled before they were begun, Stopped the
-	// runs that a recall stopped, and LeftRunning the recalled attempts that must not be
-	// stopped, or are not known.
+	// CancelledBeforeStart counts the attempts that were cancelled before they were begun,
+	// CancelledRunning those that were stopped, and LeftRunning those that must not be stopped,
+	// or are not known.
 	CancelledBeforeStart, CancelledRunning, LeftRunning atomic.Int64
 }
 
-// clientDisconnected takes that a request's client left, and for how long the request went on.
+// clientDisconnected counts a request whose client left, and which went on for some time after.
 func (c *Counters) clientDisconnected(after time.Duration) {
 	c.ClientDisconnects.Add(1)
 	c.AfterDisconnect.Add(int64(after))
 }
 
-// completed takes how one ended.
-func (c *Counters) completed(f routing.Outcome) {
-	switch f {
+// completed counts one that has ended.
+func (c *Counters) completed(outcome routing.Outcome) {
+	switch outcome {
 	case routing.Answered:
 		c.Answered.Add(1)
 	case routing.NotRun:
@@ -39,7 +48,7 @@
 	}
 }
 
-// Totals is a reading of Counts.
+// Totals is a reading of Counters, as the API shows it.
 type Totals struct {
 	InFlight          int64 `json:"open"`
 	Requests          int64 `json:"inquiries"`
@@ -49,14 +58,14 @@
 	ExtraAttempts     int64 `json:"extra_legs"`
 	Joined            int64 `json:"joined"`
 	ClientDisconnects int64 `json:"clients_left"`
-	// AfterDisconnect is how long requests went on after their clients had left, in all.
+	// AfterDisconnect is in nanoseconds.
 	AfterDisconnect      time.Duration `json:"after_leaving_ns"`
 	CancelledBeforeStart int64         `json:"recalled"`
 	CancelledRunning     int64         `json:"stopped"`
 	LeftRunning          int64         `json:"left_running"`
 }
 
-// Snapshot takes a reading.
+// Snapshot reads the counters, one after another.
 func (c *Counters) Snapshot() Totals {
 	return Totals{
 		InFlight: c.InFlight.Load(), Requests: c.Requests.Load(), Answered: c.Answered.Load(), NotRun: c.NotRun.Load(),
--- a/internal/dataplane/proxy/fakebackend_test.go
+++ b/internal/dataplane/proxy/fakebackend_test.go
@@ -144,7 +144,7 @@
 	if check == nil {
 		check = func() endpoints.Rejection { return endpoints.Admitted }
 	}
-	g := &writeGuard{check: check}
+	g := &writeGuard{check: func() refusal { return refusal{rejection: check()} }}
 	response := b.inbound.exchange(ctx, b.entry, &attempt, trace.Root(), g)
 	if response.Outcome == routing.Unknown && g.close() {
 		response.Outcome = routing.NotRun
--- a/internal/dataplane/proxy/golden_test.go
+++ b/internal/dataplane/proxy/golden_test.go
@@ -14,7 +14,7 @@
 // What clients are told of a request that was not answered is what it has always been.
 func TestGoldenRefusal(t *testing.T) {
 	golden.Value(t, golden.JSON, "refusal.json", &localReplyBody{})
-	r := newLocalReply(503, routing.NotRun, "a reason", "0123456789abcdef", time.Second)
+	r := newLocalReply(LocalReply{Status: 503, Outcome: routing.NotRun, Reason: "a reason", TraceID: "0123456789abcdef", RetryAfter: time.Second})
 	golden.Check(t, "own-response.body", r.Body)
 }
 
@@ -23,19 +23,19 @@
 	var r Response
 	golden.Fill(&r, golden.Msgpack.Tag)
 	r.Status = 201
-	golden.Check(t, "kept-response.msgpack", r.pack(true))
+	golden.Check(t, "kept-response.msgpack", r.marshal())
 	stored, err := os.ReadFile(golden.Path("kept-response.msgpack"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	read, ok := unmarshalResponse(stored)
-	if !ok || !bytes.Equal(read.pack(true), stored) {
+	if !ok || !bytes.Equal(read.marshal(), stored) {
 		t.Errorf("%+v", read)
 	}
 
 	var entry keyreplication.Record
 	golden.Fill(&entry, golden.Msgpack.Tag)
-	entry.Response = r.pack(true)
+	entry.Response = r.marshal()
 	encoded, err := golden.Msgpack.Marshal(&entry)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/dataplane/proxy/header.go
+++ b/internal/dataplane/proxy/header.go
@@ -6,19 +6,23 @@
 	"strings"
 )
 
-// Headers of our own. (DESIGN 10.1)
+// The headers that the proxy reads or sets. (DESIGN 10.1)
 const (
-	HeaderCaller  = "Curlewwalk-Caller"
+	// HeaderCaller tells a backend which service has sent the request.
+	HeaderCaller = "Curlewwalk-Caller"
+	// HeaderOutcome tells a client of a local reply whether the request has run.
 	HeaderOutcome = "Curlewwalk-Outcome"
-	HeaderKey     = "Idempotency-Key"
+	// HeaderKey is the key under which a request runs only once.
+	HeaderKey = "Idempotency-Key"
 )
 
+// hopByHop are the header fields that concern one connection only.
 var hopByHop = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect",
 }
 
-// endToEnd copies a header without what concerns one hop only.
+// endToEnd copies a header without the fields that concern one connection only.
 func endToEnd(h http.Header) http.Header {
 	out := h.Clone()
 	for _, line := range h["Connection"] {
@@ -32,7 +36,7 @@
 	return out
 }
 
-// isHopByHop tells whether a field concerns one hop only.
+// isHopByHop tells whether a header field concerns one connection only.
 func isHopByHop(name string) bool {
 	return slices.Contains(hopByHop, http.CanonicalHeaderKey(name))
 }
--- a/internal/dataplane/proxy/idempotency.go
+++ b/internal/dataplane/proxy/idempotency.go
@@ -102,9 +102,12 @@
 		return keyedOutcome{response: o.failRequest(req, rejectKeyNotReplicated)}
 	}
 	response := o.runAttempts(ctx, req)
-	keep := response.Fate != routing.NotRun
-	o.KeyReplication.Complete(ctx, reservation, response.pack(keep))
-	return keyedOutcome{response, keep}
+	if response.Outcome == routing.NotRun {
+		o.KeyReplication.Complete(ctx, reservation, nil)
+		return keyedOutcome{response: response}
+	}
+	o.KeyReplication.Complete(ctx, reservation, response.marshal())
+	return keyedOutcome{response: response, keep: true}
 }
 
 // RestoreKey takes over the record of a key that an earlier incarnation of this node reserved.
--- a/internal/dataplane/proxy/outbound.go
+++ b/internal/dataplane/proxy/outbound.go
@@ -112,7 +112,7 @@
 	o.Counters.InFlight.Add(1)
 	defer o.Counters.InFlight.Add(-1)
 	response := o.handle(caller, r)
-	o.Counters.completed(response.Fate)
+	o.Counters.completed(response.Outcome)
 	return response
 }
 
@@ -154,7 +154,7 @@
 		response.Header = response.Header.Clone()
 		trace.WriteB3(response.Header, req.span)
 	}
-	o.RouteCounters.Inc(req.route.Name, string(response.Fate))
+	o.RouteCounters.Inc(req.route.Name, string(response.Outcome))
 	return response
 }
 
--- a/internal/dataplane/proxy/response.go
+++ b/internal/dataplane/proxy/response.go
@@ -12,78 +12,77 @@
 	"curlewwalk/internal/transport"
 )
 
-// Response is the answer to a request as its client gets it.
+// Response is the response to a request as its client gets it. It is also stored with the record
+// of an idempotency key.
 type Response struct {
 	Status int         `msgpack:"Status"`
 	Header http.Header `msgpack:"Header"`
 	// Trailer follows the body.
 	Trailer http.Header     `msgpack:"Trailer"`
 	Body    []byte          `msgpack:"Body"`
-	Fate    routing.Outcome `msgpack:"Fate"`
+	Outcome routing.Outcome `msgpack:"Fate"`
 }
 
-// ShutdownResponse is what a stopping sidecar answers on an idle connection, in a dialect.
+// ShutdownResponse is what a sidecar that is being stopped sends on an idle connection of a
+// client, in a dialect.
 // (DESIGN 11.3)
 func ShutdownResponse(d Dialect) Response {
-	return d.BuildReply(LocalReply{Status: http.StatusRequestTimeout, Outcome: routing.NotRun, Reason: stoppingReason, RetryAfter: time.Second})
+	return d.BuildReply(LocalReply{Status: http.StatusRequestTimeout, Outcome: routing.NotRun, Reason: stoppingReason, RetryAfter: briefly})
 }
 
-// pack writes a response for those who hold its claim; nothing if it need not be
-// kept.
-func (r Response) pack(keep bool) []byte {
-	if !keep {
-		return nil
-	}
+// marshal encodes the response for the record of its idempotency key.
+func (r Response) marshal() []byte {
 	b, err := msgpack.Marshal(&r)
 	if err != nil {
-		panic(err) // plain bytes and text can be written
+		panic(err) // bytes and strings can always be encoded
 	}
 	return b
 }
 
-// unmarshalResponse reads such a response.
+// unmarshalResponse decodes a response from the record of an idempotency key; false if there is
+// none in it.
 func unmarshalResponse(b []byte) (r Response, ok bool) {
 	ok = transport.Unmarshal(b, &r) == nil && r.Status >= 200 && r.Status <= 999
 	return r, ok
 }
 
-// localReplyBody is the body of an answer that is our own.
+// localReplyBody is the body of a local reply.
 type localReplyBody struct {
 	Outcome routing.Outcome `json:"outcome"`
 	Reason  string          `json:"reason"`
 	Trace   string          `json:"trace,omitempty"`
 }
 
-// newLocalReply builds an answer of our own: at once, with what is known and when
-// to come back. (DESIGN 10.2)
-func newLocalReply(status int, f routing.Outcome, reason, trace string, retry time.Duration) Response {
-	body, _ := json.Marshal(localReplyBody{Outcome: f, Reason: reason, Trace: trace})
-	h := http.Header{"Content-Type": {"application/json"}, HeaderOutcome: {string(f)}}
-	if retry > 0 {
-		h.Set("Retry-After", strconv.Itoa(int((retry+time.Second-1)/time.Second)))
+// newLocalReply makes the response of a local reply. Retry-After is in whole seconds, rounded up.
+// (DESIGN 10.2)
+func newLocalReply(reply LocalReply) Response {
+	body, _ := json.Marshal(localReplyBody{Outcome: reply.Outcome, Reason: reply.Reason, Trace: reply.TraceID})
+	header := http.Header{"Content-Type": {"application/json"}, HeaderOutcome: {string(reply.Outcome)}}
+	if reply.RetryAfter > 0 {
+		header.Set("Retry-After", strconv.Itoa(int((reply.RetryAfter+time.Second-1)/time.Second)))
 	}
-	return Response{Status: status, Header: h, Body: body, Fate: f}
+	return Response{Status: reply.Status, Header: header, Body: body, Outcome: reply.Outcome}
 }
 
-// write hands the response to the client, adding nothing.
-func (r Response) write(w http.ResponseWriter, q *http.Request) {
+// write writes the response to a request's client, and adds nothing to it.
+func (r Response) write(w http.ResponseWriter, request *http.Request) {
 	h := w.Header()
 	for k, v := range r.Header {
 		h[k] = v
 	}
 	for _, k := range []string{"Date", "Content-Type"} {
 		if _, ok := h[k]; !ok {
-			h[k] = nil // net/http would add its own
+			h[k] = nil // else net/http adds its own
 		}
 	}
 	trailer := r.Trailer
-	if !q.ProtoAtLeast(1, 1) {
-		trailer = nil // it knows no chunks, and would not know where the answer ends
+	if !request.ProtoAtLeast(1, 1) {
+		trailer = nil // it knows no chunks, and would not know where the response ends
 	}
 	for k := range trailer {
 		h.Add("Trailer", k)
 	}
-	if len(trailer) == 0 && q.Method != http.MethodHead && r.Status != http.StatusNoContent && r.Status != http.StatusNotModified {
+	if len(trailer) == 0 && request.Method != http.MethodHead && r.Status != http.StatusNoContent && r.Status != http.StatusNotModified {
 		h.Set("Content-Length", strconv.Itoa(len(r.Body)))
 	}
 	w.WriteHeader(r.Status)
--- a/internal/dataplane/proxy/retry.go
+++ b/internal/dataplane/proxy/retry.go
@@ -62,9 +62,9 @@
 // conclude counts a request's response against its contract, and ends its span.
 func (o *Outbound) conclude(req *request, response Response, failure routing.Failure, attempts int) Response {
 	contract := req.contract
-	o.Budgets.Observe(contract.Name, time.Since(req.startedAt), contract.LatencyTarget.Duration, contract.Deadline.Duration, response.Fate == routing.Answered)
+	o.Budgets.Observe(contract.Name, time.Since(req.startedAt), contract.LatencyTarget.Duration, contract.Deadline.Duration, response.Outcome == routing.Answered)
 	event := req.traceEvent()
-	event.Status, event.Outcome, event.Reason, event.Attempt = response.Status, string(response.Fate), failure.Reason, attempts
+	event.Status, event.Outcome, event.Reason, event.Attempt = response.Status, string(response.Outcome), failure.Reason, attempts
 	o.Spans.Put(req.span, trace.ClientReceive, event)
 	return response
 }
--- a/internal/dataplane/proxy/sendattempt.go
+++ b/internal/dataplane/proxy/sendattempt.go
@@ -120,7 +120,7 @@
 
 // forClient is the response that is passed on to the client.
 func (r *AttemptResponse) forClient() Response {
-	return Response{Status: r.Status, Header: r.Header, Trailer: r.Trailer, Body: r.Body, Fate: routing.Answered}
+	return Response{Status: r.Status, Header: r.Header, Trailer: r.Trailer, Body: r.Body, Outcome: routing.Answered}
 }
 
 // observeLatency learns how long an attempt took, if it was answered or ran into the deadline.
--- a/internal/dataplane/proxy/target.go
+++ b/internal/dataplane/proxy/target.go
@@ -5,17 +5,17 @@
 	"strings"
 )
 
-// requestTargetURL is the URL that net/http writes as the very request target that the
-// client sent.
+// requestTargetURL is the URL that net/http writes as the request target uri, byte for byte, in
+// a request to addr.
 func requestTargetURL(addr, uri string) *url.URL {
 	u := &url.URL{Scheme: "http", Host: addr}
 	if !strings.HasPrefix(uri, "//") {
 		u.Opaque = uri
 		return u
 	}
-	// As an opaque part it would be written in the form meant for proxies.
-	path, query, asked := strings.Cut(uri, "?")
+	// As an opaque part, net/http would write it in the absolute form, which is for proxies.
+	path, query, hasQuery := strings.Cut(uri, "?")
 	u.Path, _ = url.PathUnescape(path)
-	u.RawPath, u.RawQuery, u.ForceQuery = path, query, asked
+	u.RawPath, u.RawQuery, u.ForceQuery = path, query, hasQuery
 	return u
 }
--- a/internal/dataplane/proxy/warmup_test.go
+++ b/internal/dataplane/proxy/warmup_test.go
@@ -23,7 +23,7 @@
 	f.Causality = causality.NewTracker()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	f.pool.launcher.Go(ctx, "lineage", f.Causality.Run)
+	f.Actors.Go(ctx, "lineage", f.Causality.Run)
 	table, ok := routing.NewTable(config.ControlState{Revision: 1, ConfigurationRevision: 1, Configuration: []byte(`{"ways": [{"name": "w", "prefix": "/", "service": "desk", "contract": "c"}],
 		"contracts": [{"name": "c", "rank": 1, "aim": "1s", "expiry": "2s"}],
 		"services": [{"name": "desk", "connections": 6, "cold": {"for": "5s", "rate": 4}}]}`)})
@@ -43,7 +43,7 @@
 		n++
 		ctx, cancel := context.WithTimeout(ctx, time.Second)
 		defer cancel()
-		return f.admit(ctx, Attempt{ID: fmt.Sprint(n), Service: "desk", Instance: "a", Route: "w", Method: "GET", URI: "/", Host: "x", Timeout: time.Second, TimeToTarget: time.Second}, trace.Root())
+		return f.admit(ctx, &Attempt{ID: fmt.Sprint(n), Service: "desk", Instance: "a", Route: "w", Method: "GET", URI: "/", Host: "x", Timeout: time.Second, TimeToTarget: time.Second}, trace.Root())
 	}
 	answered := func() (count int) {
 		for range 20 {
--- a/internal/dataplane/proxy/writeguard.go
+++ b/internal/dataplane/proxy/writeguard.go
@@ -9,59 +9,64 @@
 	"curlewwalk/internal/dataplane/endpoints"
 )
 
+// errGuardClosed is the error of a write that the guard has not allowed.
 var errGuardClosed = eris.New("the gate was shut before the write")
 
-// The states of a guard: it goes once from idle to one of the others, and back from
-// written only where not a byte was taken.
+// The states of a writeGuard. It goes once from open to one of the others, and back from written
+// to open only if no byte was taken.
 const (
 	guardOpen int32 = iota
 	guardWritten
 	guardClosed
 )
 
-// writeGuard is asked immediately before the first byte goes to a backend.
+// writeGuard decides once for an attempt whether its first byte is written to a backend or never
+// will be, whichever of allowWrite and close comes first.
 type writeGuard struct {
-	check   func() endpoints.Rejection
-	state   atomic.Int32
-	refusal atomic.Pointer[endpoints.Rejection]
-	// bytesWritten tells the writer that a byte was taken.
+	// check is asked before the first byte whether the attempt is still admitted.
+	check func() refusal
+	state atomic.Int32
+	// refusal is the last one of check, if there was one.
+	refusal atomic.Pointer[refusal]
+	// bytesWritten tells that a byte was taken. It is the writer's own.
 	bytesWritten bool
 }
 
-// allowWrite lets the first write through, unless the gate or the attempt is shut.
+// allowWrite tells whether a byte may be written. The first one may if the attempt is still
+// admitted and the guard is not closed; all that follow may.
 func (g *writeGuard) allowWrite() bool {
 	if g.state.Load() == guardWritten {
 		return true
 	}
-	if why := g.check(); why != endpoints.Admitted {
-		g.refusal.Store(&why)
+	if refusal := g.check(); refusal.rejection != endpoints.Admitted {
+		g.refusal.Store(&refusal)
 		return false
 	}
 	return g.state.CompareAndSwap(guardOpen, guardWritten)
 }
 
-// close ends the attempt. True if nothing was written: then nothing ever will be.
+// close closes the guard, and tells whether that proves that no byte was or will be written.
 func (g *writeGuard) close() bool { return g.state.CompareAndSwap(guardOpen, guardClosed) }
 
-// written tells that a byte may have gone.
+// written tells that a byte may have been written.
 func (g *writeGuard) written() bool { return g.state.Load() == guardWritten }
 
-// guardedWriter is what an attempt writes to a backend's connection through. (DESIGN 9.2)
+// guardedWriter writes an attempt to a backend's connection, as its guard allows. (DESIGN 9.2)
 type guardedWriter struct {
 	conn  net.Conn
 	guard *writeGuard
 }
 
-// Write implements io.Writer. If not a byte of the first write was taken, as on a
-// connection that was reset before, nothing has gone, and the gate is asked anew.
-func (c guardedWriter) Write(b []byte) (int, error) {
-	if !c.guard.allowWrite() {
+// Write implements io.Writer. If no byte of the first write was taken, as on a connection that
+// the backend has reset before, nothing has been sent, and the guard opens again.
+func (w guardedWriter) Write(b []byte) (int, error) {
+	if !w.guard.allowWrite() {
 		return 0, errGuardClosed
 	}
-	n, err := c.conn.Write(b)
-	if err != nil && n == 0 && !c.guard.bytesWritten {
-		c.guard.state.CompareAndSwap(guardWritten, guardOpen)
+	n, err := w.conn.Write(b)
+	if err != nil && n == 0 && !w.guard.bytesWritten {
+		w.guard.state.CompareAndSwap(guardWritten, guardOpen)
 	}
-	c.guard.bytesWritten = c.guard.bytesWritten || n > 0
+	w.guard.bytesWritten = w.guard.bytesWritten || n > 0
 	return n, err
 }
--- a/internal/dataplane/proxy/writeguard_test.go
+++ b/internal/dataplane/proxy/writeguard_test.go
@@ -7,43 +7,43 @@
 	"curlewwalk/internal/dataplane/endpoints"
 )
 
-// Either the write goes first or the attempt is shut first, never both, however the
-// two meet; and an attempt that is shut while the gate is still being asked is not
-// written, whatever the gate says.
+// Either the write goes first or the guard is closed first, never both, however the two meet; and
+// an attempt whose guard is closed while its admission is still being checked is not written,
+// whatever the check says.
 func TestGuard(t *testing.T) {
-	open := func() endpoints.Rejection { return endpoints.Admitted }
-	wrote, shut := 0, 0
+	admitted := func() refusal { return refusal{} }
+	written, closed := 0, 0
 	for range 20000 {
-		g := &writeGuard{check: open}
-		var w, s bool
+		g := &writeGuard{check: admitted}
+		var wrote, shut bool
 		var both sync.WaitGroup
-		both.Go(func() { w = g.allowWrite() })
-		both.Go(func() { s = g.close() })
+		both.Go(func() { wrote = g.allowWrite() })
+		both.Go(func() { shut = g.close() })
 		both.Wait()
-		if w == s {
-			t.Fatalf("written %v, shut %v", w, s)
+		if wrote == shut {
+			t.Fatalf("written %v, closed %v", wrote, shut)
 		}
-		if w {
-			wrote++
+		if wrote {
+			written++
 		} else {
-			shut++
+			closed++
 		}
 	}
-	t.Logf("written first %d times, shut first %d", wrote, shut)
+	t.Logf("written first %d times, closed first %d", written, closed)
 
 	g := &writeGuard{}
-	g.check = func() endpoints.Rejection {
+	g.check = func() refusal {
 		if !g.close() {
-			t.Error("it could not be shut before the write")
+			t.Error("it could not be closed before the write")
 		}
-		return endpoints.Admitted
+		return refusal{}
 	}
 	if g.allowWrite() {
-		t.Error("it was written after it was shut")
+		t.Error("it was written after it was closed")
 	}
 
-	g = &writeGuard{check: func() endpoints.Rejection { return endpoints.BackendDraining }}
-	if g.allowWrite() || *g.refusal.Load() != endpoints.BackendDraining || !g.close() || g.allowWrite() {
-		t.Error("a shut gate let a write through")
+	g = &writeGuard{check: func() refusal { return refusal{rejection: endpoints.BackendDraining} }}
+	if g.allowWrite() || g.refusal.Load().rejection != endpoints.BackendDraining || !g.close() || g.allowWrite() {
+		t.Error("an attempt that is not admitted was written")
 	}
 }
--- a/tests/messages/messages_test.go
+++ b/tests/messages/messages_test.go
@@ -81,7 +81,7 @@
 	newKind(proxy.KindAttempt, proxy.Attempt{ID: "x", Service: "s", Instance: "i", Incarnation: 7, Method: "GET", URI: "/", Timeout: time.Second}, func(proxy.Attempt) {}),
 	newKind("leg receipt", proxy.AttemptResponse{ID: "x", Outcome: routing.Answered, Status: 200, Body: []byte("ok")}, func(proxy.AttemptResponse) {}),
 	newKind(proxy.KindCancel, proxy.CancelRequest{ID: "x", Incarnation: 7}, func(proxy.CancelRequest) {}),
-	newKind("receipt", proxy.Response{Status: 200, Body: []byte("ok"), Fate: routing.Answered}, func(proxy.Response) {}),
+	newKind("receipt", proxy.Response{Status: 200, Body: []byte("ok"), Outcome: routing.Answered}, func(proxy.Response) {}),
 }
 
 func buildView(nodes ...membership.Node) {
