--- /dev/null
+++ b/internal/dataplane/routing/decision_test.go
@@ -0,0 +1,90 @@
+package routing
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"net/http"
+	"testing"
+	"time"
+
+	"curlewwalk/internal/config"
+	"curlewwalk/internal/membership"
+)
+
+// A request has as many attempts as its route allows, three if it sets no bound.
+func TestAttempts(t *testing.T) {
+	nodes := map[string]membership.Node{}
+	for _, name := range []string{"a", "b", "c", "d", "e", "f"} {
+		nodes[name] = membership.Node{Addr: name, Backends: []membership.Backend{{Instance: name, Service: "s", Capacity: 1, CapacityShare: 1}}}
+	}
+	view := membership.NewView(nodes, nil)
+	table, _ := NewTable(config.ControlState{})
+	for maxAttempts, want := range map[int]int{0: 3, 1: 1, 2: 2, 5: 5, 10: 6} {
+		t.Run(fmt.Sprintf("max attempts %d", maxAttempts), func(t *testing.T) {
+			now := time.Now()
+			d := Decision{
+				Route: config.Route{Name: "w", Service: "s", MaxAttempts: maxAttempts}, Deadline: now.Add(time.Second), Rand: rand.New(rand.NewPCG(1, 1)),
+				Conditions: Conditions{Latency: func(membership.Target) LatencyHistogram { return LatencyHistogram{} }, SpendRetry: func() bool { return true }},
+			}
+			action := d.Next(table, view, now)
+			for ; action.Kind == Send; action = d.Next(table, view, now) {
+				d.Record(AttemptResult{Target: action.Target, Outcome: NotRun, ReachedBackend: true})
+			}
+			if action.Failure.Status != http.StatusServiceUnavailable {
+				t.Errorf("ended with %+v", action.Failure)
+			}
+			if got := len(d.Attempts()); got != want {
+				t.Errorf("%d were sent, want %d", got, want)
+			}
+		})
+	}
+}
+
+// Where no sidecar's configuration is confirmed, a request is rejected at once, after two have
+// said so, and told when to retry; where the own one is confirmed, or not all others are
+// unconfirmed, it goes on to those that may admit it.
+func TestRefusedAtOnceWhileUnsure(t *testing.T) {
+	backends := backendSpecs{}
+	for _, name := range []string{"a", "b", "c", "d", "e", "f", "g", "h", "i", "j"} {
+		backends[name] = backendSpec{"north", 10 * time.Millisecond}
+	}
+	table, _ := NewTable(config.ControlState{})
+	for name, c := range map[string]struct {
+		unconfirmed bool
+		// admitting is the attempt that is admitted, counted from 1; 0 for none.
+		admitting int
+		attempts  int
+	}{
+		"no configuration is confirmed":      {true, 0, maxExpiredLeases},
+		"the own configuration is confirmed": {false, 0, maxAttemptsAtAll},
+		"the second attempt is admitted":     {true, 2, 2},
+		"the own one, and the sixth attempt": {false, 6, 6},
+	} {
+		t.Run(name, func(t *testing.T) {
+			s, now := newSite(backends), time.Now()
+			d := Decision{
+				Route: config.Route{Name: "w", Service: "s"}, Deadline: now.Add(time.Minute), Zone: "north", Rand: rand.New(rand.NewPCG(1, 1)),
+				Conditions: Conditions{
+					TargetTime: now.Add(time.Second), MaxLateness: time.Minute, LatenessBudget: time.Minute, AcceptLate: true, WaitUntil: now.Add(time.Minute),
+					Latency:                  func(target membership.Target) LatencyHistogram { return s.latencies.Estimate("w", target) },
+					ConfigurationUnconfirmed: func() bool { return c.unconfirmed }, SpendRetry: func() bool { return true },
+				},
+			}
+			action := d.Next(table, s.view, now)
+			for action.Kind == Send && len(d.Attempts()) < 20 {
+				result := AttemptResult{Target: action.Target, Outcome: NotRun, LeaseExpired: true}
+				if len(d.Attempts())+1 == c.admitting {
+					result = AttemptResult{Target: action.Target, Outcome: Answered, ReachedBackend: true}
+				}
+				d.Record(result)
+				action = d.Next(table, s.view, now)
+			}
+			if len(d.Attempts()) != c.attempts || action.Kind == Wait {
+				t.Errorf("%d attempts, want %d, then waits %v", len(d.Attempts()), c.attempts, action.Wait)
+			}
+			if c.admitting == 0 && (action.Failure.Status != http.StatusServiceUnavailable || action.Failure.Outcome != NotRun || action.Failure.RetryAfter <= 0) {
+				t.Errorf("%+v", action.Failure)
+			}
+		})
+	}
+}
--- a/internal/dataplane/routing/index_test.go
+++ b/internal/dataplane/routing/index_test.go
@@ -15,78 +15,97 @@
 	"curlewwalk/internal/config"
 )
 
-// matchLinearly looks through all ways, in the order in which they win.
+// matchLinearly looks through all routes, in order of precedence.
 func matchLinearly(t *Table, host, path, method string) (config.Route, bool) {
 	if h, _, err := net.SplitHostPort(host); err == nil {
 		host = h
 	}
-	for _, w := range t.routes {
-		if (w.Host == "" || strings.EqualFold(w.Host, host)) && strings.HasPrefix(path, w.Prefix) &&
-			(len(w.Methods) == 0 || slices.Contains(w.Methods, method)) {
-			return w, true
+	for _, route := range t.routes {
+		if (route.Host == "" || strings.EqualFold(route.Host, host)) && strings.HasPrefix(path, route.Prefix) &&
+			(len(route.Methods) == 0 || slices.Contains(route.Methods, method)) {
+			return route, true
 		}
 	}
 	return config.Route{}, false
 }
 
-// newTable builds a table of ways under one contract.
-func newTable(t testing.TB, routes []config.Route) *Table {
+// newRoutesTable builds a table of routes under one contract.
+func newRoutesTable(t testing.TB, routes []config.Route) *Table {
+	t.Helper()
+	return mustTable(t, newRoutesConfiguration(t, routes))
+}
+
+// newRoutesConfiguration encodes a configuration of routes under one contract.
+func newRoutesConfiguration(t testing.TB, routes []config.Route) []byte {
+	t.Helper()
 	configuration := config.Configuration{Routes: routes}
 	if err := json.Unmarshal([]byte(`{"contracts":[{"name":"c","aim":"1s","expiry":"2s","rank":1}]}`), &configuration); err != nil {
 		t.Fatal(err)
 	}
-	table, ok := NewTable(config.ControlState{Revision: 1, ConfigurationRevision: 1, Configuration: configuration.Bytes()})
-	if !ok {
-		t.Fatalf("no table of %s", configuration.Bytes())
+	return configuration.Bytes()
+}
+
+// What random routes and requests are made of.
+var (
+	indexHosts   = []string{"", "", "a.example", "A.example", "b.example", "kelvin", "\u212aelvin", "straße", "STRAßE", "\u017fss", "SSS"}
+	indexParts   = []string{"", "/", "a", "b", "/a", "/a/", "/b/c", "ä"}
+	indexMethods = []string{"GET", "POST", "PUT"}
+)
+
+// pickString picks one of several strings.
+func pickString(rng *rand.Rand, from []string) string { return from[rng.IntN(len(from))] }
+
+// randomRoutes makes up to 40 routes of which no two have a host, prefix and method in common.
+func randomRoutes(rng *rand.Rand) (routes []config.Route) {
+	type key struct{ host, prefix, method string }
+	taken := map[key]bool{}
+	for i := range 1 + rng.IntN(40) {
+		route := config.Route{Name: fmt.Sprint("w", i), Host: pickString(rng, indexHosts), Prefix: "/" + pickString(rng, indexParts) + pickString(rng, indexParts), Service: "s", Contract: "c"}
+		for _, method := range indexMethods {
+			if rng.IntN(4) == 0 {
+				route.Methods = append(route.Methods, method)
+			}
+		}
+		keys := []key{}
+		for _, method := range route.Methods {
+			keys = append(keys, key{route.Host, route.Prefix, method})
+		}
+		if len(keys) == 0 {
+			keys = []key{{route.Host, route.Prefix, "*"}}
+		}
+		if slices.ContainsFunc(keys, func(k key) bool { return taken[k] }) {
+			continue
+		}
+		for _, k := range keys {
+			taken[k] = true
+		}
+		routes = append(routes, route)
+	}
+	return routes
+}
+
+// randomRequest makes a request that may match random routes.
+func randomRequest(rng *rand.Rand) (host, path, method string) {
+	host, path, method = pickString(rng, indexHosts), "/"+pickString(rng, indexParts)+pickString(rng, indexParts)+pickString(rng, indexParts), pickString(rng, indexMethods)
+	switch rng.IntN(4) {
+	case 0:
+		host = strings.ToUpper(host)
+	case 1:
+		host += ":80"
+	case 2:
+		path = pickString(rng, []string{"", "*", path})
 	}
-	return table
+	return host, path, method
 }
 
-// The index finds what looking through all ways finds, whatever the ways.
+// The index finds what looking through all routes finds, whatever the routes.
 func TestIndex(t *testing.T) {
-	hosts := []string{"", "", "a.example", "A.example", "b.example", "kelvin", "\u212aelvin", "straße", "STRAßE", "\u017fss", "SSS"}
-	parts := []string{"", "/", "a", "b", "/a", "/a/", "/b/c", "ä"}
-	methods := []string{"GET", "POST", "PUT"}
-	one := func(rng *rand.Rand, from []string) string { return from[rng.IntN(len(from))] }
 	found, missed := 0, 0
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 3))
-		type key struct{ host, prefix, method string }
-		var routes []config.Route
-		taken := map[key]bool{}
-		for i := range 1 + rng.IntN(40) {
-			w := config.Route{Name: fmt.Sprint("w", i), Host: one(rng, hosts), Prefix: "/" + one(rng, parts) + one(rng, parts), Service: "s", Contract: "c"}
-			for _, m := range methods {
-				if rng.IntN(4) == 0 {
-					w.Methods = append(w.Methods, m)
-				}
-			}
-			keys := []key{}
-			for _, m := range append([]string{}, w.Methods...) {
-				keys = append(keys, key{w.Host, w.Prefix, m})
-			}
-			if len(keys) == 0 {
-				keys = []key{{w.Host, w.Prefix, "*"}}
-			}
-			if slices.ContainsFunc(keys, func(k key) bool { return taken[k] }) {
-				continue
-			}
-			for _, k := range keys {
-				taken[k] = true
-			}
-			routes = append(routes, w)
-		}
-		table := newTable(t, routes)
+		table := newRoutesTable(t, randomRoutes(rng))
 		for range 200 {
-			host, path, method := one(rng, hosts), "/"+one(rng, parts)+one(rng, parts)+one(rng, parts), one(rng, methods)
-			switch rng.IntN(4) {
-			case 0:
-				host = strings.ToUpper(host)
-			case 1:
-				host += ":80"
-			case 2:
-				path = one(rng, []string{"", "*", path})
-			}
+			host, path, method := randomRequest(rng)
 			want, wantOK := matchLinearly(table, host, path, method)
 			got, _, ok := table.Match(host, path, method)
 			if d := cmp.Diff(want, got, cmpopts.IgnoreUnexported(config.UnknownFields{})); ok != wantOK || d != "" {
@@ -99,12 +118,13 @@
 			}
 		}
 	}
+	t.Logf("%d found, %d not", found, missed)
 	if found < 1000 || missed < 1000 {
-		t.Errorf("%d found, %d not", found, missed)
+		t.Error("too few requests matched, or too few did not")
 	}
 }
 
-// Folded texts are equal just where strings.EqualFold says so.
+// Folded strings are equal if and only if strings.EqualFold says so.
 func TestFold(t *testing.T) {
 	texts := []string{"", "a", "A", "k", "K", "\u212a", "s", "S", "\u017f", "ß", "ẞ", "ss", "σ", "ς", "Σ", "\xff", "\xfe", "\ufffd", "é", "É", "e\u0301", "ǅ", "ǆ", "Ǆ"}
 	for _, a := range texts {
@@ -116,19 +136,24 @@
 	}
 }
 
-// BenchmarkMatch finds ways among many.
+// benchmarkRoutes makes n routes, spread over hosts.
+func benchmarkRoutes(n, hosts int) (routes []config.Route) {
+	for i := range n {
+		routes = append(routes, config.Route{Name: fmt.Sprint("w", i), Host: fmt.Sprintf("host-%d.example", i%hosts), Prefix: fmt.Sprintf("/part-%d/of/it", i), Service: "s", Contract: "c"})
+	}
+	return routes
+}
+
+// BenchmarkMatch matches requests with one of many routes.
 func BenchmarkMatch(b *testing.B) {
 	for _, n := range []int{30, 310, 3000} {
 		for _, hosts := range []int{1, 50} {
-			var routes []config.Route
-			for i := range n {
-				routes = append(routes, config.Route{Name: fmt.Sprint("w", i), Host: fmt.Sprintf("host-%d.example", i%hosts), Prefix: fmt.Sprintf("/part-%d/of/it", i), Service: "s", Contract: "c"})
-			}
-			table := newTable(b, routes)
-			b.Run(fmt.Sprintf("%d ways of %d hosts", n, hosts), func(b *testing.B) {
+			routes := benchmarkRoutes(n, hosts)
+			table := newRoutesTable(b, routes)
+			b.Run(fmt.Sprintf("%d routes of %d hosts", n, hosts), func(b *testing.B) {
 				for i := range b.N {
-					w := &routes[i%n]
-					if got, _, ok := table.Match(w.Host, w.Prefix+"/and/more", "GET"); !ok || got.Name != w.Name {
+					want := &routes[i%n]
+					if got, _, ok := table.Match(want.Host, want.Prefix+"/and/more", "GET"); !ok || got.Name != want.Name {
 						b.Fatal(got.Name)
 					}
 				}
@@ -137,18 +162,13 @@
 	}
 }
 
-// BenchmarkNewTable makes the table of a word, reading included.
+// BenchmarkNewTable builds the table of a control state, including the parsing of its
+// configuration.
 func BenchmarkNewTable(b *testing.B) {
 	for _, n := range []int{310, 3000} {
-		configuration := config.Configuration{}
-		if err := json.Unmarshal([]byte(`{"contracts":[{"name":"c","aim":"1s","expiry":"2s","rank":1}]}`), &configuration); err != nil {
-			b.Fatal(err)
-		}
-		for i := range n {
-			configuration.Routes = append(configuration.Routes, config.Route{Name: fmt.Sprint("w", i), Host: fmt.Sprintf("host-%d.example", i%50), Prefix: fmt.Sprintf("/part-%d/of/it", i), Service: "s", Contract: "c"})
-		}
-		state := config.ControlState{Revision: 1, ConfigurationRevision: 1, Configuration: configuration.Bytes()}
-		b.Run(fmt.Sprintf("%d ways", n), func(b *testing.B) {
+		configuration := newRoutesConfiguration(b, benchmarkRoutes(n, 50))
+		state := config.ControlState{Revision: 1, ConfigurationRevision: 1, Configuration: configuration}
+		b.Run(fmt.Sprintf("%d routes", n), func(b *testing.B) {
 			for range b.N {
 				if _, ok := NewTable(state); !ok {
 					b.Fatal("no table")
--- a/internal/dataplane/routing/table_test.go
+++ b/internal/dataplane/routing/table_test.go
@@ -7,59 +7,95 @@
 	"curlewwalk/internal/config"
 )
 
-// A zone that is taken back is given its backends' places little by little,
-// whatever words come meanwhile; emptied again, it begins anew.
+// mustTable builds the table of a configuration.
+func mustTable(t testing.TB, configuration []byte) *Table {
+	t.Helper()
+	table, ok := NewTable(config.ControlState{Revision: 1, ConfigurationRevision: 1, Configuration: configuration})
+	if !ok {
+		t.Fatalf("no table of %s", configuration)
+	}
+	return table
+}
+
+// A zone whose evacuation has ended gets its capacity back little by little, whatever states
+// come meanwhile; evacuated again, it begins anew.
 func TestRamp(t *testing.T) {
-	base := time.Now()
-	at := func(s float64) time.Time { return base.Add(time.Duration(s * float64(time.Second))) }
+	start := time.Now()
+	at := func(seconds float64) time.Time {
+		return start.Add(time.Duration(seconds * float64(time.Second)))
+	}
 	table, _ := NewTable(config.ControlState{})
-	put := func(stamp uint64, s float64, emptied ...string) {
-		next, ok := NewTable(config.ControlState{Revision: stamp, EvacuatedByOperator: emptied})
+	apply := func(revision uint64, seconds float64, evacuated ...string) {
+		t.Helper()
+		next, ok := NewTable(config.ControlState{Revision: revision, EvacuatedByOperator: evacuated})
 		if !ok {
 			t.Fatal("no table")
 		}
-		next.ContinueSlowStart(table, at(s))
+		next.ContinueSlowStart(table, at(seconds))
 		table = next
 	}
-	expect := func(s, want float64) {
+	expect := func(seconds, want float64) {
 		t.Helper()
-		if got := table.ZoneShare("west", at(s)); got < want-0.001 || got > want+0.001 {
-			t.Errorf("after %v s: %v, want %v", s, got, want)
+		if got := table.ZoneShare("west", at(seconds)); got < want-0.001 || got > want+0.001 {
+			t.Errorf("after %v s: %v, want %v", seconds, got, want)
 		}
 	}
 	expect(0, 1)
-	put(1, 0, "west")
-	put(2, 1)
+	apply(1, 0, "west")
+	apply(2, 1)
 	expect(1, 0.2)
 	expect(6, 0.6)
-	put(3, 6, "east")
+	apply(3, 6, "east")
 	expect(6, 0.6)
 	expect(11, 1)
-	put(4, 20, "west")
-	put(5, 21)
+	apply(4, 20, "west")
+	apply(5, 21)
 	expect(21, 0.2)
-	put(6, 40)
+	apply(6, 40)
 	expect(40, 1)
 	if table.ZoneShare("east", at(40)) != 1 {
-		t.Error("east still ramps")
+		t.Error("the slow start of east has not ended")
 	}
 }
 
-// The closest match wins: host, then longer prefix, then named methods.
+// The closest match wins: host, then longer prefix, then methods.
 func TestMatch(t *testing.T) {
-	table, ok := NewTable(config.ControlState{Revision: 1, ConfigurationRevision: 1, Configuration: []byte(`{"contracts": [{"name":"c","aim":"1s","expiry":"2s","rank":1}], "ways": [
+	table := mustTable(t, []byte(`{"contracts": [{"name":"c","aim":"1s","expiry":"2s","rank":1}], "ways": [
 		{"name":"all","prefix":"/","service":"s","contract":"c"},
 		{"name":"deep","prefix":"/a/b","service":"s","contract":"c"},
 		{"name":"post","prefix":"/a/b","methods":["POST"],"service":"s","contract":"c"},
-		{"name":"host","host":"one.example","prefix":"/","service":"s","contract":"c"}]}`)})
-	if !ok {
-		t.Fatal("no table")
-	}
-	for _, c := range [][4]string{
-		{"x", "/", "GET", "all"}, {"x", "/a/b/c", "GET", "deep"}, {"x", "/a/b", "POST", "post"}, {"one.example:80", "/a/b", "POST", "host"}, {"ONE.example", "/", "GET", "host"},
+		{"name":"host","host":"one.example","prefix":"/","service":"s","contract":"c"}]}`))
+	for name, c := range map[string]struct{ host, path, method, want string }{
+		"any host, short prefix": {"x", "/", "GET", "all"},
+		"longer prefix":          {"x", "/a/b/c", "GET", "deep"},
+		"with the method":        {"x", "/a/b", "POST", "post"},
+		"host with a port":       {"one.example:80", "/a/b", "POST", "host"},
+		"host in capitals":       {"ONE.example", "/", "GET", "host"},
 	} {
-		if w, _, ok := table.Match(c[0], c[1], c[2]); !ok || w.Name != c[3] {
-			t.Errorf("%v went to %q", c, w.Name)
-		}
+		t.Run(name, func(t *testing.T) {
+			if route, _, ok := table.Match(c.host, c.path, c.method); !ok || route.Name != c.want {
+				t.Errorf("%s %s%s matched %q, want %q", c.method, c.host, c.path, route.Name, c.want)
+			}
+		})
+	}
+}
+
+// A table has the services and limits of its configuration; an empty one has none.
+func TestSaid(t *testing.T) {
+	table := mustTable(t, []byte(`{"contracts": [{"name":"c","aim":"1s","expiry":"2s","rank":1}],
+		"services": [{"name":"b","connections":7},{"name":"a"},{"name":"z"}], "limits": {"body_bytes": 9},
+		"ways": [{"name":"w","prefix":"/","split":[{"service":"b","weight":1},{"service":"a","weight":1}],"contract":"c"}]}`))
+	if service, ok := table.Service("b"); !ok || service.MaxConnections != 7 {
+		t.Errorf("b: %+v", service)
+	}
+	if got := table.Services(); len(got) != 3 || table.Limits().MaxBodyBytes != 9 {
+		t.Errorf("%v, %+v", got, table.Limits())
+	}
+	empty, _ := NewTable(config.ControlState{})
+	if _, ok := empty.Service("b"); ok || empty.Limits().IsDefined() || len(empty.Services()) != 0 {
+		t.Error("an empty table has a service or a limit")
+	}
+	if _, _, ok := empty.Match("x", "/", "GET"); ok {
+		t.Error("an empty table matches")
 	}
 }
