--- a/internal/transport/connection.go
+++ b/internal/transport/connection.go
@@ -4,7 +4,6 @@
 	"bufio"
 	"context"
 	"net"
-	"sync/atomic"
 	"time"
 
 	"github.com/rotisserie/eris"
@@ -15,157 +14,153 @@
 )
 
 const (
-	pingInterval = 500 * time.Millisecond // (ours)
-	idleTimeout  = 2 * time.Second        // (ours)
-	// writeTimeout is how long a chunk of a frame may wait to be taken.
-	writeTimeout = 5 * time.Second // (ours)
+	// dialTimeout is how long opening a TCP connection may take.
+	dialTimeout = time.Second // (ours)
+	// inboundBacklog is how many messages are read ahead of their handling.
+	inboundBacklog = 16 // (ours)
 )
 
-// Connection is the calling side of one TCP connection: many calls at a time,
-// each matched to its response by number. (DESIGN 3.2)
+// Connection is the calling side of one TCP connection: many calls at a time, each matched
+// to its response by its number. (DESIGN 3.2)
+//
+// One goroutine reads frames, another owns the pending calls and writes. Both end with the
+// connection, which ends when the peer closes it or times out, when something comes that
+// can't be trusted, or by Close.
 type Connection struct {
 	conn     *countingConn
 	peer     Hello
 	counters *Counters
 	calls    chan *pendingCall
-	inbound  chan inboundMessage
+	inbound  chan inboundEnvelope
 	done     chan struct{}
-	// spawn starts what writes a long frame.
+	// spawn starts a goroutine that writes a long frame.
 	spawn func(name string, run func())
 }
 
-type pendingCall struct {
-	id       uint64
-	span     trace.Span
-	kind     string
-	body     msgpack.RawMessage
-	response chan Response
-	// failFast says that its caller would rather turn elsewhere than wait for a peer
-	// that is suspected.
+// outboundCall is a call as its caller makes it.
+type outboundCall struct {
+	kind string
+	body any
+	// failFast says that the caller would rather turn to another node than wait for a peer
+	// that is suspected to be gone.
 	failFast bool
-	// abandoned is set once its caller no longer waits.
-	abandoned atomic.Bool
 }
 
-type inboundMessage struct {
-	span    trace.Span
-	traced  bool
-	message message
-	bytes   int
-	err     error
+// inboundEnvelope is what was read from the peer, or why nothing more can be.
+type inboundEnvelope struct {
+	envelope
+	err error
 }
 
-// Dial opens a connection and exchanges greetings.
+// Dial opens a connection and exchanges Hellos. localIP is the address that it comes from,
+// nil for any.
 func Dial(ctx context.Context, actors *actor.System, localIP net.IP, addr string, hello Hello) (*Connection, error) {
 	return dial(ctx, actors, localIP, addr, hello, &Counters{})
 }
 
+// dial is Dial with the caller's counters.
 func dial(ctx context.Context, actors *actor.System, localIP net.IP, addr string, hello Hello, counters *Counters) (*Connection, error) {
-	dialer := net.Dialer{Timeout: time.Second}
+	dialer := net.Dialer{Timeout: dialTimeout}
 	if localIP != nil {
 		dialer.LocalAddr = &net.TCPAddr{IP: localIP}
 	}
-	raw, err := dialer.DialContext(ctx, "tcp", addr)
+	tcp, err := dialer.DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return nil, eris.Wrap(err, "dial")
 	}
-	conn := &countingConn{Conn: raw}
-	connection := &Connection{conn: conn, counters: counters, calls: make(chan *pendingCall), inbound: make(chan inboundMessage, 16), done: make(chan struct{})}
-	r := bufio.NewReader(conn)
-	if connection.peer, err = handshake(conn, r, hello, counters.addCall, counters.addResponse); err != nil {
+	conn := &countingConn{Conn: tcp}
+	reader := bufio.NewReader(conn)
+	peer, err := handshake(conn, reader, hello, counters.addCall, counters.addResponse)
+	if err != nil {
 		conn.Close()
 		return nil, err
 	}
+	// The connection outlives the call that it was opened for.
 	life := context.WithoutCancel(ctx)
-	connection.spawn = func(name string, run func()) { actors.Go(life, name, func(context.Context) { run() }) }
-	actors.Go(life, "circuit-read", func(context.Context) { connection.read(r) })
-	actors.Go(life, "circuit", func(context.Context) { connection.run() })
-	return connection, nil
-}
-
-// handshake sends the own greeting and reads the other's; sent and came count them.
-func handshake(conn net.Conn, r *bufio.Reader, hello Hello, countSent, countReceived func(kind string, bytes int)) (Hello, error) {
-	var peer Hello
-	conn.SetDeadline(time.Now().Add(time.Second))
-	defer conn.SetDeadline(time.Time{})
-	raw, err := msgpack.Marshal(&hello)
-	if err != nil {
-		return peer, err
-	}
-	if _, err := conn.Write(sealFrame(append(make([]byte, headerLen), raw...))); err != nil {
-		return peer, eris.Wrap(err, "greet")
-	}
-	countSent(kindHello, headerLen+len(raw))
-	payload, err := readFrame(r, maxHelloSize)
-	if err != nil {
-		return peer, eris.Wrap(err, "read greeting")
+	connection := &Connection{
+		conn:     conn,
+		peer:     peer,
+		counters: counters,
+		calls:    make(chan *pendingCall),
+		inbound:  make(chan inboundEnvelope, inboundBacklog),
+		done:     make(chan struct{}),
+		spawn: func(name string, run func()) {
+			actors.Go(life, name, func(context.Context) { run() })
+		},
 	}
-	countReceived(kindHello, headerLen+len(payload))
-	return peer, eris.Wrap(Unmarshal(payload, &peer), "greeting")
+	connection.spawn("transport-read", func() { connection.read(reader) })
+	connection.spawn("transport-connection", connection.run)
+	return connection, nil
 }
 
-// Peer is whom the connection reached.
+// Peer is the Hello of the process that the connection reached.
 func (c *Connection) Peer() Hello { return c.peer }
 
 // Done is closed when the connection has ended.
 func (c *Connection) Done() <-chan struct{} { return c.done }
 
-// Close ends the connection; calls still open are lost.
+// Close ends the connection. It is not known whether calls still pending were delivered.
 func (c *Connection) Close() { c.conn.Close() }
 
-// Call sends body and waits for the response or for ctx. The span in ctx's slot
-// goes at the start of the message.
+// Call sends a call and waits for the response or for ctx. The span of ctx, if it has one,
+// is sent with it.
 func (c *Connection) Call(ctx context.Context, kind string, body any) Response {
-	return c.call(ctx, ctx, kind, body, false)
+	return c.call(ctx, ctx, outboundCall{kind: kind, body: body})
 }
 
-// call is Call, with a bound of its own on how long the connection may take to begin with
-// it: until then it is surely unsent.
-func (c *Connection) call(ctx, beginCtx context.Context, kind string, body any, failFast bool) Response {
-	encoded, err := msgpack.Marshal(body)
+// call is Call; until beginCtx ends the connection may take to begin with the call, which
+// is certainly not delivered before.
+func (c *Connection) call(ctx, beginCtx context.Context, out outboundCall) Response {
+	body, err := msgpack.Marshal(out.body)
 	if err != nil {
-		return Response{Delivery: NotDelivered, Fault: err.Error()}
+		return notDelivered(err.Error())
 	}
 	span, _ := trace.SpanFromContext(ctx)
-	call := &pendingCall{span: span, kind: kind, body: encoded, failFast: failFast, response: make(chan Response, 1)}
+	call := &pendingCall{span: span, kind: out.kind, body: body, failFast: out.failFast, response: make(chan Response, 1)}
 	select {
 	case c.calls <- call:
 	case <-c.done:
-		return Response{Delivery: NotDelivered}
+		return notDelivered("")
 	case <-beginCtx.Done():
-		return Response{Delivery: NotDelivered}
+		return notDelivered("")
 	}
 	select {
-	case r := <-call.response:
-		return r
+	case response := <-call.response:
+		return response
 	case <-ctx.Done():
-		// The connection is not waited for: it may be held up by its peer.
+		// The connection is not waited for: its peer may hold it up.
 		call.abandoned.Store(true)
 		return Response{Delivery: DeliveryUnknown}
 	}
 }
 
-func (c *Connection) read(r *bufio.Reader) {
+// read reads messages until the connection ends.
+func (c *Connection) read(reader *bufio.Reader) {
 	for {
-		var received inboundMessage
-		payload, err := readFrame(r, MaxFrameSize)
-		if err == nil {
-			received.span, received.traced, received.message, err = decode(payload)
-			received.bytes = headerLen + len(payload)
-		}
-		received.err = err
+		received := readEnvelope(reader)
 		select {
 		case c.inbound <- received:
 		case <-c.done:
 			return
 		}
-		if err != nil {
+		if received.err != nil {
 			return
 		}
 	}
 }
 
-// run owns the open calls. Nothing is written but on its word, one frame at a time.
+// readEnvelope reads one frame.
+func readEnvelope(reader *bufio.Reader) inboundEnvelope {
+	b, err := readFrame(reader, MaxFrameSize)
+	if err != nil {
+		return inboundEnvelope{err: err}
+	}
+	e, err := decode(b)
+	return inboundEnvelope{envelope: e, err: err}
+}
+
+// run handles the pending calls until the connection ends. It alone lets frames be written,
+// one at a time.
 func (c *Connection) run() {
 	calls := newPendingCalls(c)
 	defer calls.close()
--- a/internal/transport/counters.go
+++ b/internal/transport/counters.go
@@ -5,9 +5,9 @@
 	"sync/atomic"
 )
 
-// CallCounts is what one side of connections carried of one kind: a calling side (Net) sent the
-// calls and got the responses, an answering side (Host) got the calls and sent the
-// responses. Bytes are whole frames.
+// CallCounts is what one side of connections carried of one kind: a Client sent the calls
+// and received the responses, a Server received the calls and sent the responses. Bytes are
+// whole frames.
 type CallCounts struct {
 	Calls         uint64 `json:"calls"`
 	CallBytes     uint64 `json:"call_bytes"`
@@ -15,26 +15,31 @@
 	ResponseBytes uint64 `json:"receipt_bytes"`
 }
 
-// These are counted beside the kinds of calls. What another process names is not kept
-// as a kind unless somebody here answers it; a dropped response came after its caller
-// had given up.
+// These are counted beside the kinds of calls.
 const (
-	KindPing      = "ping"
-	kindHello     = "greeting"
-	kindUnknown   = "unknown"
+	// KindPing is a ping, and its answer.
+	KindPing = "ping"
+	// kindHello is a Hello.
+	kindHello = "greeting"
+	// kindUnknown is a call of a kind that has no handler: the names that other processes
+	// send are not kept.
+	kindUnknown = "unknown"
+	// kindAbandoned is a response that came after its caller had given up.
 	kindAbandoned = "dropped"
 )
 
-// Counters counts frames by kind. All connections of one side share it.
-type Counters struct{ byKind sync.Map }
+// Counters counts frames by kind. All connections of one side share it. Its zero value is
+// ready for use, from any goroutine.
+type Counters struct{ byKind sync.Map } // of *kindCounter, by string
 
 type kindCounter struct{ calls, callBytes, responses, responseBytes atomic.Uint64 }
 
+// counter returns the counter of a kind, which it makes if need be.
 func (c *Counters) counter(kind string) *kindCounter {
-	if existing, ok := c.byKind.Load(kind); ok {
-		return existing.(*kindCounter)
+	existing, ok := c.byKind.Load(kind)
+	if !ok {
+		existing, _ = c.byKind.LoadOrStore(kind, &kindCounter{})
 	}
-	existing, _ := c.byKind.LoadOrStore(kind, &kindCounter{})
 	return existing.(*kindCounter)
 }
 
@@ -52,11 +57,16 @@
 
 // Snapshot is what was counted so far, by kind.
 func (c *Counters) Snapshot() map[string]CallCounts {
-	out := map[string]CallCounts{}
-	c.byKind.Range(func(kind, v any) bool {
-		counter := v.(*kindCounter)
-		out[kind.(string)] = CallCounts{counter.calls.Load(), counter.callBytes.Load(), counter.responses.Load(), counter.responseBytes.Load()}
+	snapshot := map[string]CallCounts{}
+	c.byKind.Range(func(kind, value any) bool {
+		counter := value.(*kindCounter)
+		snapshot[kind.(string)] = CallCounts{
+			Calls:         counter.calls.Load(),
+			CallBytes:     counter.callBytes.Load(),
+			Responses:     counter.responses.Load(),
+			ResponseBytes: counter.responseBytes.Load(),
+		}
 		return true
 	})
-	return out
+	return snapshot
 }
--- a/internal/transport/delivery.go
+++ b/internal/transport/delivery.go
@@ -1,12 +1,13 @@
 package transport
 
-// Delivery is what is known of a call.
+// Delivery is what is known about a call's way to the peer.
 type Delivery int
 
-// A call was answered; or surely never reached the far node whole; or nobody
-// knows.
 const (
+	// DeliveryUnknown says that the peer may have got the call, or not.
 	DeliveryUnknown Delivery = iota
+	// NotDelivered says that the call certainly never reached the peer as a whole.
 	NotDelivered
+	// Answered says that the peer answered.
 	Answered
 )
--- a/internal/transport/frame.go
+++ b/internal/transport/frame.go
@@ -1,5 +1,3 @@
-// Package transport carries messages between the system's own processes: msgpack
-// in checked frames over TCP connections. (DESIGN 3)
 package transport
 
 import (
@@ -14,14 +12,16 @@
 )
 
 const (
-	// MaxFrameSize bounds a frame; a longer one breaks the connection.
+	// MaxFrameSize bounds a payload, in bytes; a longer one breaks the connection.
 	MaxFrameSize = 68 << 20 // (ours)
-	// maxHelloSize bounds the first frame, which anybody who connects may send.
-	maxHelloSize = 4 << 10 // (ours)
+	// headerLen is the length of a frame's header: length and checksum.
+	headerLen = 8
 	// chunkSize is how much of a frame is read or written at a time: no memory is taken for
-	// what a frame claims but has not brought, and a writer that makes progress is not
-	// cut off because its frame is long.
+	// what a header claims but has not come, and a writer that makes progress is not cut off
+	// because its frame is long.
 	chunkSize = 64 << 10 // (ours)
+	// writeTimeout is how long the peer may take to accept a chunk of a frame.
+	writeTimeout = 5 * time.Second // (ours)
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -31,18 +31,15 @@
 	errChecksum     = eris.New("frame does not match its checksum")
 )
 
-// sealFrame puts length and checksum before a payload that was built with
-// headLen free bytes at its start.
+// sealFrame writes the header of a frame whose payload was built behind headerLen free
+// bytes.
 func sealFrame(frame []byte) []byte {
 	binary.BigEndian.PutUint32(frame, uint32(len(frame)-headerLen))
 	binary.BigEndian.PutUint32(frame[4:], crc32.Checksum(frame[headerLen:], castagnoli))
 	return frame
 }
 
-const headerLen = 8
-
-// readFrame reads one whole frame of most bytes or fails; a part of a frame is never
-// seen.
+// readFrame reads a frame and returns its payload, whole, of at most maxLen bytes.
 func readFrame(r io.Reader, maxLen uint32) ([]byte, error) {
 	var header [headerLen]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
@@ -76,8 +73,8 @@
 	return b, nil
 }
 
-// writeFrame writes a frame; how much of it was taken is told. It fails if a chunk of it
-// is not taken within writeLimit.
+// writeFrame writes a frame and returns how much of it was accepted. It fails if a chunk is
+// not accepted within writeTimeout.
 func writeFrame(conn net.Conn, frame []byte) (written int, err error) {
 	for written < len(frame) && err == nil {
 		var n int
--- a/internal/transport/fuzz_test.go
+++ b/internal/transport/fuzz_test.go
@@ -29,23 +29,23 @@
 		f.Add(b[headerLen:])
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
-		_, _, m, err := decode(b)
+		got, err := decode(b)
 		if err != nil {
 			return
 		}
-		out, err := encode(trace.Span{}, m)
+		frame, err := encode(trace.Span{}, got.message)
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, _, again, err := decode(out[headerLen:])
-		if err != nil || !reflect.DeepEqual(m, again) {
-			t.Errorf("%+v was read back as %+v, %v", m, again, err)
+		again, err := decode(frame[headerLen:])
+		if err != nil || !reflect.DeepEqual(got.message, again.message) {
+			t.Errorf("%+v was decoded again as %+v, %v", got.message, again.message, err)
 		}
 	})
 }
 
 // FuzzFrames: whatever bytes come on a connection, whole frames are read or an error is;
-// nothing is taken of a frame that is not whole.
+// nothing is returned of a frame that is not whole.
 func FuzzFrames(f *testing.F) {
 	one := sealFrame(append(make([]byte, headerLen), "payload"...))
 	f.Add(one)
@@ -56,31 +56,31 @@
 		r := bytes.NewReader(b)
 		for {
 			at := len(b) - r.Len()
-			p, err := readFrame(r, 1<<16)
+			payload, err := readFrame(r, 1<<16)
 			if err != nil {
 				return
 			}
-			if whole := sealFrame(append(make([]byte, headerLen), p...)); !bytes.Equal(whole, b[at:at+len(whole)]) {
-				t.Errorf("%q was taken for %q", b[at:], p)
+			if whole := sealFrame(append(make([]byte, headerLen), payload...)); !bytes.Equal(whole, b[at:at+len(whole)]) {
+				t.Errorf("%q was read as %q", b[at:], payload)
 			}
 		}
 	})
 }
 
-// FuzzHello: whatever comes first, the connection begins or is refused.
+// FuzzHello: whatever comes first, it is a Hello, which encodes to the same, or an error.
 func FuzzHello(f *testing.F) {
 	b, _ := msgpack.Marshal(Hello{Version: 1, Node: "n", Incarnation: 7})
 	f.Add(b)
 	f.Add([]byte{0xc1})
 	f.Fuzz(func(t *testing.T, b []byte) {
-		var g Hello
-		if Unmarshal(b, &g) != nil {
+		var hello Hello
+		if Unmarshal(b, &hello) != nil {
 			return
 		}
 		var again Hello
-		out, err := msgpack.Marshal(g)
-		if err != nil || Unmarshal(out, &again) != nil || again != g {
-			t.Errorf("%+v was read back as %+v, %v", g, again, err)
+		out, err := msgpack.Marshal(hello)
+		if err != nil || Unmarshal(out, &again) != nil || again != hello {
+			t.Errorf("%+v was decoded again as %+v, %v", hello, again, err)
 		}
 	})
 }
--- a/internal/transport/golden_test.go
+++ b/internal/transport/golden_test.go
@@ -33,9 +33,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		got, traced, read, err := decode(payload)
-		if err != nil || traced == s.IsZero() || got.Trace != s.Trace || !reflect.DeepEqual(read, m) {
-			t.Errorf("%s: %+v %v %+v %v", name, got, traced, read, err)
+		got, err := decode(payload)
+		if err != nil || got.traced == s.IsZero() || got.span.Trace != s.Trace || !reflect.DeepEqual(got.message, m) {
+			t.Errorf("%s: %+v %v", name, got, err)
 		}
 	}
 }
--- a/internal/transport/idle_detector.go
+++ b/internal/transport/idle_detector.go
@@ -6,21 +6,28 @@
 	"time"
 )
 
-// idleDetector decides whether a peer has been silent for too long. Only looks that come in
-// time count: while this process was held up itself, it could not have heard.
-// (DESIGN 3.4)
+const (
+	// pingInterval is how often a peer is pinged while calls are pending.
+	pingInterval = 500 * time.Millisecond // (ours)
+	// idleTimeout is how long a pinged peer may send nothing.
+	idleTimeout = 2 * time.Second // (ours)
+)
+
+// idleDetector decides whether a peer has sent nothing for too long. Of the time between two
+// checks no more counts than one that comes in time would take: while this process was held
+// up itself, it could not have received anything. (DESIGN 3.4)
 type idleDetector struct {
 	idle      time.Duration
 	lastCheck time.Time
 	bytesRead uint64
 }
 
-// reset starts anew.
+// reset starts anew, with the bytes read from the peer so far.
 func (d *idleDetector) reset(now time.Time, bytesRead uint64) {
 	*d = idleDetector{lastCheck: now, bytesRead: bytesRead}
 }
 
-// check takes how much was heard so far, and tells whether the peer counts as gone.
+// check takes the bytes read so far, and tells whether the peer has timed out.
 func (d *idleDetector) check(now time.Time, bytesRead uint64) (timedOut bool) {
 	elapsed := now.Sub(d.lastCheck)
 	d.lastCheck = now
@@ -32,10 +39,10 @@
 	return d.idle >= idleTimeout
 }
 
-// suspected tells that the peer has left a ping unanswered until the next was due.
+// suspected tells whether the peer left a ping unanswered until the next was due.
 func (d *idleDetector) suspected() bool { return d.idle >= 2*pingInterval }
 
-// countingConn counts what is read from a connection, whole frames or not.
+// countingConn counts the bytes read from a connection, whole frames or not.
 type countingConn struct {
 	net.Conn
 	bytesRead atomic.Uint64
--- a/internal/transport/malformed_test.go
+++ b/internal/transport/malformed_test.go
@@ -1,6 +1,7 @@
 package transport
 
 import (
+	"bufio"
 	"bytes"
 	"context"
 	"encoding/binary"
@@ -18,72 +19,62 @@
 	"curlewwalk/internal/trace"
 )
 
-// listMessage is a message body with a list, whose length the sender tells.
+// listMessage is a message body with a list, whose length the sender claims.
 type listMessage struct {
 	Entries []struct{ A, B, C, D uint64 } `msgpack:"e"`
 }
 
-// payload is a message as a caller writes it, with a body of raw bytes.
-func payload(body string) []byte {
+// payloadWith is the payload of a call, with a body of raw bytes.
+func payloadWith(body string) []byte {
 	return []byte("\x83\xa1i\x01\xa1k\xa4list\xa1b" + body)
 }
 
 // malformedPayloads are payloads that are no message, though each begins as one.
 var malformedPayloads = map[string][]byte{
 	"nothing":                         {},
-	"a byte never written":            payload("\xc1"),
-	"a list without its entries":      payload("\x81\xa1e\xdd\xff\xff\xff\xff"),
-	"a map without its entries":       payload("\xdf\xff\xff\xff\xff"),
-	"a text without its bytes":        payload("\xdb\xff\xff\xff\xff"),
-	"bytes without their bytes":       payload("\xc6\xff\xff\xff\xffabc"),
-	"an extension without its bytes":  payload("\xc9\xff\xff\xff\xff\x01"),
-	"a number cut short":              payload("\xcf\x01"),
-	"lists without end in each other": payload(strings.Repeat("\x91", 5<<20)),
-	"a list nested too deep":          payload(strings.Repeat("\x91", maxDepth-1) + "\xc0"),
-	"more behind the message":         append(payload("\xc0"), 0xc0),
-	"two messages":                    append(payload("\xc0"), payload("\xc0")...),
+	"a byte never written":            payloadWith("\xc1"),
+	"a list without its entries":      payloadWith("\x81\xa1e\xdd\xff\xff\xff\xff"),
+	"a map without its entries":       payloadWith("\xdf\xff\xff\xff\xff"),
+	"a text without its bytes":        payloadWith("\xdb\xff\xff\xff\xff"),
+	"bytes without their bytes":       payloadWith("\xc6\xff\xff\xff\xffabc"),
+	"an extension without its bytes":  payloadWith("\xc9\xff\xff\xff\xff\x01"),
+	"a number cut short":              payloadWith("\xcf\x01"),
+	"lists without end in each other": payloadWith(strings.Repeat("\x91", 5<<20)),
+	"a list nested too deep":          payloadWith(strings.Repeat("\x91", maxDepth-1) + "\xc0"),
+	"more behind the message":         append(payloadWith("\xc0"), 0xc0),
+	"two messages":                    append(payloadWith("\xc0"), payloadWith("\xc0")...),
 }
 
-// A payload that is not one whole message is not taken, whatever lengths it claims.
+// A payload that is not exactly one message is an error, whatever lengths it claims.
 func TestMalformedPayload(t *testing.T) {
 	for name, b := range malformedPayloads {
 		for _, prefix := range [][]byte{nil, trace.AppendPrefix(nil, trace.Root())} {
-			if _, _, m, err := decode(append(prefix, b...)); err == nil {
-				t.Errorf("%s was taken as %+v", name, m)
+			if got, err := decode(append(prefix, b...)); err == nil {
+				t.Errorf("%s was decoded as %+v", name, got.message)
 			}
 		}
 	}
-	if _, _, m, err := decode(payload(strings.Repeat("\x91", maxDepth-2) + "\xc0")); err != nil || m.Kind != "list" {
+	if got, err := decode(payloadWith(strings.Repeat("\x91", maxDepth-2) + "\xc0")); err != nil || got.message.Kind != "list" {
 		t.Errorf("nested as deep as allowed: %v", err)
 	}
 }
 
-// The host lives on when such frames come, and so does its process; other connections are
-// served as before.
+// The server survives such frames, and so does its process; other connections are served as
+// before.
 func TestServerOutlivesMalformedFrames(t *testing.T) {
 	ctx, actors := setup(t)
-	server := &Server{Actors: actors, Handlers: map[string]Handler{"list": func(_ context.Context, request Request) (any, string) {
-		var list listMessage
-		if !request.Decode(&list) {
-			return nil, "not a list"
-		}
-		return len(list.Entries), ""
-	}}}
-	server.Listener = listen(t)
-	actors.Go(ctx, "host", server.Run)
-	c, err := Dial(ctx, actors, nil, server.Addr().String(), Hello{Version: ProtocolVersion})
-	if err != nil {
-		t.Fatal(err)
-	}
+	server := startServerWith(t, ctx, actors, listen(t), map[string]Handler{
+		"list": func(_ context.Context, request Request) (any, string) {
+			var list listMessage
+			if !request.Decode(&list) {
+				return nil, "not a list"
+			}
+			return len(list.Entries), ""
+		},
+	})
+	connection := dialPeer(t, ctx, actors, server.Addr().String())
 	for name, b := range malformedPayloads {
-		conn, err := net.Dial("tcp", server.Addr().String())
-		if err != nil {
-			t.Fatal(err)
-		}
-		r := bufReader(conn)
-		if _, err := handshake(conn, r, Hello{}, discardCount, discardCount); err != nil {
-			t.Fatal(err)
-		}
+		conn, r := dialRaw(t, server)
 		conn.Write(sealFrame(append(make([]byte, headerLen), b...)))
 		if _, err := readFrame(r, MaxFrameSize); err == nil {
 			t.Errorf("%s was answered", name)
@@ -91,24 +82,24 @@
 		conn.Close()
 	}
 	var n int
-	if r := c.Call(ctx, "list", listMessage{Entries: make([]struct{ A, B, C, D uint64 }, 3)}); !r.Decode(&n) || n != 3 {
+	if r := connection.Call(ctx, "list", listMessage{Entries: make([]struct{ A, B, C, D uint64 }, 3)}); !r.Decode(&n) || n != 3 {
 		t.Errorf("another connection got %+v", r)
 	}
 }
 
-// Of a frame no more is kept than has come, and a greeting is short: whoever connects
+// Memory is taken only for what has come of a frame, and a Hello is short: whoever connects
 // and claims a long frame takes no memory by that.
 func TestClaimedLengthTakesNoMemory(t *testing.T) {
 	var before, after runtime.MemStats
-	var head [headerLen]byte
-	binary.BigEndian.PutUint32(head[:], MaxFrameSize)
+	var header [headerLen]byte
+	binary.BigEndian.PutUint32(header[:], MaxFrameSize)
 	runtime.ReadMemStats(&before)
-	if _, err := readFrame(bytes.NewReader(append(head[:], "abc"...)), MaxFrameSize); err == nil {
+	if _, err := readFrame(bytes.NewReader(append(header[:], "abc"...)), MaxFrameSize); err == nil {
 		t.Error("a cut frame was read")
 	}
 	runtime.ReadMemStats(&after)
 	if got := after.TotalAlloc - before.TotalAlloc; got > 1<<20 {
-		t.Errorf("a claim of %d bytes took %d", MaxFrameSize, got)
+		t.Errorf("a claim of %d bytes took %d of memory", MaxFrameSize, got)
 	}
 
 	ctx, actors := setup(t)
@@ -123,13 +114,13 @@
 		t.Fatal(err)
 	}
 	conn.Write(sealFrame(append(make([]byte, headerLen), long...)))
-	r := bufReader(conn)
+	r := bufio.NewReader(conn)
 	if _, err := readFrame(r, MaxFrameSize); err != nil {
-		t.Fatal(err) // its own greeting
+		t.Fatal(err) // the server's own
 	}
 	conn.SetReadDeadline(time.Now().Add(3 * time.Second))
 	if _, err := readFrame(r, MaxFrameSize); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("after a long greeting the circuit did not end: %v", err)
+		t.Errorf("after a long Hello the connection did not end: %v", err)
 	}
 }
 
@@ -140,7 +131,7 @@
 	for _, size := range []int{1 << 20, 70_001} {
 		got, err := readFrame(&chunkReader{whole, size}, MaxFrameSize)
 		if err != nil || !bytes.Equal(got, b) {
-			t.Errorf("in pieces of %d: %v, %d bytes", size, err, len(got))
+			t.Errorf("in chunks of %d: %v, %d bytes", size, err, len(got))
 		}
 	}
 }
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -4,111 +4,51 @@
 	"bufio"
 	"bytes"
 	"context"
-	"log/slog"
 	"net"
 	"testing"
-	"time"
 
 	"github.com/google/go-cmp/cmp"
 	"github.com/vmihailenco/msgpack/v5"
 
-	"curlewwalk/internal/actor"
 	"curlewwalk/internal/trace"
 )
 
-func setup(t *testing.T) (context.Context, *actor.System) {
-	return setupWithin(t, 10*time.Second)
-}
-
-// setupWithin is begin for a test that may take a time of its own.
-func setupWithin(t *testing.T, limit time.Duration) (context.Context, *actor.System) {
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
-	t.Cleanup(cancel)
-	return ctx, actor.New(slog.New(slog.DiscardHandler), func(name string, cause any, stack []byte) { t.Errorf("%s: %v\n%s", name, cause, stack) })
-}
-
-func discardCount(string, int) {}
-
-func bufReader(conn net.Conn) *bufio.Reader { return bufio.NewReader(conn) }
-
-type echoMessage struct {
-	Text  string `msgpack:"t"`
-	Trace string `msgpack:"tr"`
-}
-
-func startServer(t *testing.T, ctx context.Context, actors *actor.System) *Server {
-	server := &Server{Actors: actors, Hello: Hello{Version: ProtocolVersion, Node: "host"}, Handlers: map[string]Handler{
-		"echo": func(ctx context.Context, request Request) (any, string) {
-			var e echoMessage
-			if !request.Decode(&e) {
-				return nil, "not an echo"
-			}
-			if s, ok := trace.SpanFromContext(ctx); ok {
-				e.Trace = s.Trace.String()
-			}
-			return e, ""
-		},
-	}}
-	server.Listener = listen(t)
-	actors.Go(ctx, "host", server.Run)
-	return server
-}
-
-// The four mixes of traced and plain peers are served, each in its own form.
+// A server answers traced calls with the span, and others without one.
 func TestTracedAndUntracedPeers(t *testing.T) {
 	ctx, actors := setup(t)
 	server := startServer(t, ctx, actors)
-	c, err := Dial(ctx, actors, nil, server.Addr().String(), Hello{Version: ProtocolVersion, Node: "caller"})
-	if err != nil {
-		t.Fatal(err)
-	}
-	s := trace.Root()
+	connection := dialPeer(t, ctx, actors, server.Addr().String())
+	span := trace.Root()
 	for _, traced := range []bool{true, false, true} {
 		call, want := ctx, ""
 		if traced {
-			call, want = trace.ContextWithSpan(ctx, s), s.Trace.String()
+			call, want = trace.ContextWithSpan(ctx, span), span.Trace.String()
 		}
-		var e echoMessage
-		r := c.Call(call, "echo", echoMessage{Text: "x"})
-		if !r.Decode(&e) || r.Traced != traced || e.Trace != want || e.Text != "x" {
-			t.Errorf("traced %v: receipt traced %v, %+v", traced, r.Traced, e)
+		var echo echoMessage
+		response := connection.Call(call, "echo", echoMessage{Text: "x"})
+		if !response.Decode(&echo) || response.Traced != traced || echo.Trace != want || echo.Text != "x" {
+			t.Errorf("traced %v: response traced %v, %+v", traced, response.Traced, echo)
 		}
 	}
 
-	// A peer that knows no tracing answers plain, and is understood.
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer ln.Close()
-	actors.Go(ctx, "plain-peer", func(context.Context) {
-		conn, err := ln.Accept()
-		if err != nil {
-			return
-		}
-		r := bufio.NewReader(conn)
-		handshake(conn, r, Hello{Version: 1}, discardCount, discardCount)
+	// A peer that knows no tracing answers without a span, and is understood.
+	addr := startPeer(t, func(conn net.Conn, r *bufio.Reader) {
 		for {
-			b, err := readFrame(r, MaxFrameSize)
-			if err != nil {
+			m, ok := readMessage(r)
+			if !ok {
 				return
 			}
-			_, _, m, _ := decode(b)
-			out, _ := encode(trace.Span{}, m)
-			conn.Write(out)
+			conn.Write(frameOf(t, m))
 		}
 	})
-	p, err := Dial(ctx, actors, nil, ln.Addr().String(), Hello{Version: ProtocolVersion})
-	if err != nil {
-		t.Fatal(err)
-	}
-	var e echoMessage
-	if r := p.Call(trace.ContextWithSpan(ctx, s), "echo", echoMessage{Text: "y"}); !r.Decode(&e) || r.Traced || e.Text != "y" {
-		t.Errorf("plain peer: %+v %+v", r, e)
+	untraced := dialPeer(t, ctx, actors, addr)
+	var echo echoMessage
+	if response := untraced.Call(trace.ContextWithSpan(ctx, span), "echo", echoMessage{Text: "y"}); !response.Decode(&echo) || response.Traced || echo.Text != "y" {
+		t.Errorf("untraced peer: %+v %+v", response, echo)
 	}
 }
 
-// Old and new messages mix: unknown fields and versions are passed over.
+// Old and new messages mix: unknown fields and versions are ignored.
 func TestMixedVersions(t *testing.T) {
 	ctx, actors := setup(t)
 	server := startServer(t, ctx, actors)
@@ -130,86 +70,68 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, traced, m, err := decode(b)
-	var e echoMessage
-	if err != nil || traced || msgpack.Unmarshal(m.Body, &e) != nil || e.Text != "z" {
-		t.Errorf("answer traced %v, %+v, %v", traced, m, err)
+	response, err := decode(b)
+	var echo echoMessage
+	if err != nil || response.traced || msgpack.Unmarshal(response.message.Body, &echo) != nil || echo.Text != "z" {
+		t.Errorf("answered %+v, %v", response, err)
 	}
 }
 
-// A frame that was altered, doubled or answered with another number breaks the
-// connection; the call is lost, never answered wrongly.
+// A response that was altered, cut or has another call's number breaks the connection; the
+// call is never answered wrongly.
 func TestBadFramesBreakTheConnection(t *testing.T) {
-	answers := map[string]func(m message) []byte{
-		"altered": func(m message) []byte {
-			out, _ := encode(trace.Span{}, m)
-			out[bytes.LastIndexByte(out, 'x')] = 'y' // it still reads as an answer
-			return out
+	responses := map[string]func(call message) []byte{
+		"altered": func(call message) []byte {
+			frame := frameOf(t, call)
+			frame[bytes.LastIndexByte(frame, 'x')] = 'y' // it still decodes
+			return frame
 		},
-		"another's number": func(m message) []byte {
-			m.ID += 5
-			out, _ := encode(trace.Span{}, m)
-			return out
+		"another's number": func(call message) []byte {
+			call.ID += 5
+			return frameOf(t, call)
 		},
-		"another's kind": func(m message) []byte {
-			m.Kind = "other"
-			out, _ := encode(trace.Span{}, m)
-			return out
+		"another's kind": func(call message) []byte {
+			call.Kind = "other"
+			return frameOf(t, call)
 		},
-		"cut short": func(m message) []byte {
-			out, _ := encode(trace.Span{}, m)
-			return out[:len(out)-3]
+		"cut short": func(call message) []byte {
+			frame := frameOf(t, call)
+			return frame[:len(frame)-3]
 		},
 		"too long": func(message) []byte { return []byte{0xff, 0xff, 0xff, 0xff, 0, 0, 0, 0} },
 	}
-	for name, answer := range answers {
+	for name, response := range responses {
 		t.Run(name, func(t *testing.T) {
 			ctx, actors := setup(t)
-			ln, err := net.Listen("tcp", "127.0.0.1:0")
-			if err != nil {
-				t.Fatal(err)
-			}
-			defer ln.Close()
-			actors.Go(ctx, "peer", func(context.Context) {
-				conn, err := ln.Accept()
-				if err != nil {
-					return
-				}
-				defer conn.Close()
-				r := bufio.NewReader(conn)
-				handshake(conn, r, Hello{}, discardCount, discardCount)
-				b, err := readFrame(r, MaxFrameSize)
-				if err != nil {
+			addr := startPeer(t, func(conn net.Conn, r *bufio.Reader) {
+				call, ok := readMessage(r)
+				if !ok {
 					return
 				}
-				_, _, m, _ := decode(b)
-				conn.Write(answer(m))
+				conn.Write(response(call))
 			})
-			c, err := Dial(ctx, actors, nil, ln.Addr().String(), Hello{})
-			if err != nil {
-				t.Fatal(err)
-			}
-			if r := c.Call(ctx, "echo", echoMessage{Text: "x"}); r.Delivery != DeliveryUnknown {
-				t.Errorf("fate %v", r.Delivery)
+			connection := dialPeer(t, ctx, actors, addr)
+			if r := connection.Call(ctx, "echo", echoMessage{Text: "x"}); r.Delivery != DeliveryUnknown {
+				t.Errorf("delivery %v", r.Delivery)
 			}
-			<-c.Done()
-			if r := c.Call(ctx, "echo", echoMessage{Text: "x"}); r.Delivery != NotDelivered {
-				t.Errorf("on a broken circuit: fate %v", r.Delivery)
+			<-connection.Done()
+			if r := connection.Call(ctx, "echo", echoMessage{Text: "x"}); r.Delivery != NotDelivered {
+				t.Errorf("on a broken connection: delivery %v", r.Delivery)
 			}
 		})
 	}
 }
 
-// The host runs no call twice: a doubled frame ends the connection.
+// The server handles no call twice: a duplicate frame ends the connection.
 func TestDuplicateCall(t *testing.T) {
 	ctx, actors := setup(t)
 	runs := make(chan int, 9)
-	server := &Server{Actors: actors, Handlers: map[string]Handler{"run": func(context.Context, Request) (any, string) { runs <- 1; return 1, "" }}}
-	server.Listener = listen(t)
-	actors.Go(ctx, "host", server.Run)
+	server := startServerWith(t, ctx, actors, listen(t), map[string]Handler{
+		"run": func(context.Context, Request) (any, string) { runs <- 1; return 1, "" },
+	})
 	conn, r := dialRaw(t, server)
-	out, _ := encode(trace.Span{}, message{ID: 1, Kind: "run"})
-	conn.Write(append(append([]byte{}, out...), out...))
+	frame := frameOf(t, message{ID: 1, Kind: "run"})
+	conn.Write(bytes.Repeat(frame, 2))
 	for {
 		if _, err := readFrame(r, MaxFrameSize); err != nil {
 			break
@@ -220,38 +142,30 @@
 	}
 }
 
-// A host that is ended while it writes loses none of the responses that are ready.
+// A server that is stopped while it writes loses none of the responses that are ready.
 func TestStoppedServerWritesItsResponses(t *testing.T) {
 	ctx, actors := setup(t)
-	life, end := context.WithCancel(ctx)
+	life, stop := context.WithCancel(ctx)
+	defer stop()
 	const calls = 8
 	ran := make(chan bool, calls)
-	server := &Server{Actors: actors, Handlers: map[string]Handler{
+	server := startServerWith(t, life, actors, listen(t), map[string]Handler{
 		"long": func(context.Context, Request) (any, string) { return make([]byte, 8<<20), "" },
 		"run":  func(context.Context, Request) (any, string) { ran <- true; return 1, "" },
-	}}
-	server.Listener = listen(t)
-	actors.Go(life, "host", server.Run)
+	})
 	conn, r := dialRaw(t, server)
-	send := func(id uint64, kind string) {
-		frame, err := encode(trace.Span{}, message{ID: id, Kind: kind})
-		if err != nil {
-			t.Fatal(err)
-		}
-		conn.Write(frame)
-	}
-	send(1, "long")
-	// Its first bytes have come, and the rest fills what the connection holds.
+	conn.Write(frameOf(t, message{ID: 1, Kind: "long"}))
+	// Its first bytes have come, and the rest fills what the connection buffers.
 	if _, err := r.Peek(1); err != nil {
 		t.Fatal(err)
 	}
 	for id := range uint64(calls) {
-		send(2+id, "run")
+		conn.Write(frameOf(t, message{ID: 2 + id, Kind: "run"}))
 	}
 	for range calls {
 		<-ran
 	}
-	end()
+	stop()
 	got := 0
 	for {
 		if _, err := readFrame(r, MaxFrameSize); err != nil {
@@ -264,35 +178,13 @@
 	}
 }
 
-// dialRaw is a raw connection to a host, after the greetings.
-func dialRaw(t *testing.T, server *Server) (net.Conn, *bufio.Reader) {
-	t.Helper()
-	conn, err := net.Dial("tcp", server.Addr().String())
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { conn.Close() })
-	r := bufio.NewReader(conn)
-	handshake(conn, r, Hello{}, discardCount, discardCount)
-	return conn, r
-}
-
-func listen(t *testing.T) net.Listener {
-	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	return ln
-}
-
-// Both sides count the same frames, each kind by itself; a kind that nobody answers is
-// not kept by its name.
+// Both sides count the same frames, each kind by itself; a kind that has no handler is not
+// kept by its name.
 func TestCounters(t *testing.T) {
 	ctx, actors := setup(t)
 	server := startServer(t, ctx, actors)
 	client := NewClient(actors, Hello{Version: ProtocolVersion, Node: "caller"}, nil)
-	actors.Go(ctx, "net", client.Run)
+	actors.Go(ctx, "client", client.Run)
 	for _, kind := range []string{"echo", "echo", "nobody"} {
 		client.Call(ctx, server.Addr().String(), ControlTraffic, kind, echoMessage{Text: kind})
 	}
--- a/internal/transport/well_formed.go
+++ b/internal/transport/well_formed.go
@@ -6,8 +6,9 @@
 	"github.com/rotisserie/eris"
 )
 
-// maxDepth bounds how deep the values of a message may be nested: the library reads
-// nested values by recursion, and Go ends a process whose stack grows too large. (ours)
+// maxDepth bounds how deep the values of a message may be nested: the msgpack library
+// decodes nested values by recursion, and Go ends a process whose stack grows too large.
+// (ours)
 const maxDepth = 64
 
 var (
@@ -16,19 +17,19 @@
 )
 
 // checkWellFormed checks that b is exactly one msgpack value, with all the elements and bytes
-// that it claims. The library takes memory by claimed lengths before it looks, so that a
-// short frame could otherwise end the process.
+// that it claims. The library allocates memory by claimed lengths before it reads, so that
+// otherwise a short frame could end the process.
 func checkWellFormed(b []byte) error {
-	var open [maxDepth]uint64 // values still to come, by depth
-	open[0] = 1
+	var missing [maxDepth]uint64 // values still to come, by depth
+	missing[0] = 1
 	for depth := 0; ; {
-		for open[depth] == 0 {
+		for missing[depth] == 0 {
 			if depth == 0 {
 				return checkEnd(b)
 			}
 			depth--
 		}
-		open[depth]--
+		missing[depth]--
 		values, rest, err := cutValue(b)
 		if err != nil {
 			return err
@@ -42,10 +43,11 @@
 		if depth++; depth == maxDepth {
 			return errNestedTooDeep
 		}
-		open[depth] = values
+		missing[depth] = values
 	}
 }
 
+// checkEnd checks that nothing follows the value.
 func checkEnd(b []byte) error {
 	if len(b) > 0 {
 		return errMalformed
@@ -53,21 +55,27 @@
 	return nil
 }
 
-// The first bytes of msgpack values that are not told by ranges.
+// The first bytes of msgpack values that begin a group of codes, by the msgpack
+// specification.
 const (
-	codeNever   = 0xc1
-	codeBin8    = 0xc4
-	codeExt8    = 0xc7
-	codeFloat32 = 0xca
-	codeUint8   = 0xcc
-	codeInt8    = 0xd0
-	codeFixExt1 = 0xd4
-	codeStr8    = 0xd9
-	codeArray16 = 0xdc
-	codeMap16   = 0xde
+	codeFixMap         = 0x80 // with its length, up to codeFixArray
+	codeFixArray       = 0x90 // with its length, up to codeFixStr
+	codeFixStr         = 0xa0 // with its length, up to codeNil
+	codeNil            = 0xc0
+	codeNeverUsed      = 0xc1
+	codeBin8           = 0xc4
+	codeExt8           = 0xc7
+	codeFloat32        = 0xca
+	codeUint8          = 0xcc
+	codeInt8           = 0xd0
+	codeFixExt1        = 0xd4
+	codeStr8           = 0xd9
+	codeArray16        = 0xdc
+	codeMap16          = 0xde
+	codeNegativeFixInt = 0xe0
 )
 
-// cutValue cuts a value off b, but for the values in it, of which it tells the number.
+// cutValue cuts a value off b, without the values nested in it, and returns their number.
 func cutValue(b []byte) (values uint64, rest []byte, err error) {
 	if len(b) == 0 {
 		return 0, nil, errMalformed
@@ -75,15 +83,15 @@
 	c := b[0]
 	b = b[1:]
 	switch {
-	case c < 0x80 || c >= 0xe0: // a small number
+	case c < codeFixMap || c >= codeNegativeFixInt: // a small number
 		return 0, b, nil
-	case c < 0x90:
-		return 2 * uint64(c&0x0f), b, nil
-	case c < 0xa0:
-		return uint64(c & 0x0f), b, nil
-	case c < 0xc0:
-		return skip(b, uint64(c&0x1f))
-	case c == codeNever:
+	case c < codeFixArray:
+		return 2 * uint64(c-codeFixMap), b, nil
+	case c < codeFixStr:
+		return uint64(c - codeFixArray), b, nil
+	case c < codeNil:
+		return skip(b, uint64(c-codeFixStr))
+	case c == codeNeverUsed:
 		return 0, nil, errMalformed
 	case c < codeBin8: // nil, false, true
 		return 0, b, nil
@@ -116,7 +124,8 @@
 	return 0, b[n:], nil
 }
 
-// skipSized cuts off bytes whose number stands before them, and more of a type.
+// skipSized cuts off bytes whose number stands before them, in 1 << size bytes, and extra
+// bytes of a type between.
 func skipSized(b []byte, size byte, extra uint64) (values uint64, rest []byte, err error) {
 	n, b, err := readLength(b, size)
 	if err != nil {
@@ -125,7 +134,7 @@
 	return skip(b, n+extra)
 }
 
-// readLength reads a length of one, two or four bytes, by size 0 to 2.
+// readLength reads a length of 1 << size bytes; size is 0, 1 or 2.
 func readLength(b []byte, size byte) (n uint64, rest []byte, err error) {
 	width := 1 << size
 	if len(b) < width {
