--- a/internal/actor/citations_test.go
+++ b/internal/actor/citations_test.go
@@ -11,52 +11,55 @@
 )
 
 var (
-	// heading is a chapter's, or a section's first words.
+	// heading matches the number of a chapter or a section.
 	heading = regexp.MustCompile(`(?m)^(?:## ([0-9]+) |([0-9]+\.[0-9]+) )`)
-	// cited is a list of numbers behind the page's name, also over the end of a line.
-	cited = regexp.MustCompile(`DESIGN(?:\s|//)+([0-9]+(?:\.[0-9]+)?(?:(?:,| and)(?:\s|//)+[0-9]+(?:\.[0-9]+)?)*)`)
-	// within is a list of sections between brackets, as the pages cite their own.
-	within = regexp.MustCompile(`\(([0-9]+\.[0-9]+(?:, [0-9]+\.[0-9]+)*)\)`)
+	// citation matches a list of numbers behind the page's name, also over the end of a line.
+	citation = regexp.MustCompile(`DESIGN(?:\s|//)+([0-9]+(?:\.[0-9]+)?(?:(?:,| and)(?:\s|//)+[0-9]+(?:\.[0-9]+)?)*)`)
+	// ownCitation matches a list of sections between brackets, as the page cites its own.
+	ownCitation = regexp.MustCompile(`\(([0-9]+\.[0-9]+(?:, [0-9]+\.[0-9]+)*)\)`)
+	// number matches a chapter or a section in a list.
 	number = regexp.MustCompile(`[0-9]+(?:\.[0-9]+)?`)
 )
 
-// sections are the numbers that the design page has.
-func sections(page string) (out []string) {
-	for _, m := range heading.FindAllStringSubmatch(page, -1) {
-		out = append(out, m[1]+m[2])
+// sections lists the chapters and sections of the design page.
+func sections(page string) (numbers []string) {
+	for _, match := range heading.FindAllStringSubmatch(page, -1) {
+		numbers = append(numbers, match[1]+match[2])
 	}
-	return out
+	return numbers
 }
 
-// unknownCitations are the numbers that a text cites and the page does not have.
-func unknownCitations(text string, own bool, has []string) (out []string, n int) {
-	lists := cited.FindAllStringSubmatch(text, -1)
-	if own {
-		lists = append(lists, within.FindAllStringSubmatch(text, -1)...)
+// unknownCitations lists the sections that a text cites and that are not among the known
+// ones; cited is how many it cites. designPage is set for the design page itself.
+func unknownCitations(text string, designPage bool, known []string) (unknown []string, cited int) {
+	lists := citation.FindAllStringSubmatch(text, -1)
+	if designPage {
+		lists = append(lists, ownCitation.FindAllStringSubmatch(text, -1)...)
 	}
-	for _, m := range lists {
-		for _, c := range number.FindAllString(m[1], -1) {
-			if n++; !slices.Contains(has, c) {
-				out = append(out, c)
+	for _, list := range lists {
+		for _, section := range number.FindAllString(list[1], -1) {
+			if cited++; !slices.Contains(known, section) {
+				unknown = append(unknown, section)
 			}
 		}
 	}
-	return out, n
+	return unknown, cited
 }
 
-// What sources and pages cite of the design page is there, and no number twice.
+// The sections of the design page that sources and pages cite exist, and no number stands
+// twice.
 func TestCitations(t *testing.T) {
 	page, err := os.ReadFile("../../docs/DESIGN.md")
 	if err != nil {
 		t.Fatal(err)
 	}
-	has := sections(string(page))
-	for i, s := range has {
-		if slices.Contains(has[:i], s) {
-			t.Errorf("section %s stands twice", s)
+	known := sections(string(page))
+	for i, section := range known {
+		if slices.Contains(known[:i], section) {
+			t.Errorf("section %s stands twice", section)
 		}
 	}
-	files, seen := 0, 0
+	files, citations := 0, 0
 	err = filepath.WalkDir("../..", func(path string, d fs.DirEntry, err error) error {
 		if err != nil {
 			return err
@@ -76,21 +79,21 @@
 		if err != nil {
 			return err
 		}
-		bad, n := unknownCitations(string(text), rel == "docs/DESIGN.md", has)
-		for _, s := range bad {
-			t.Errorf("%s cites section %s, which the design page does not have", rel, s)
+		unknown, cited := unknownCitations(string(text), rel == "docs/DESIGN.md", known)
+		for _, section := range unknown {
+			t.Errorf("%s cites section %s, which the design page does not have", rel, section)
 		}
-		files, seen = files+1, seen+n
+		files, citations = files+1, citations+cited
 		return nil
 	})
-	if err != nil || files < 100 || seen < 100 || len(has) < 60 {
-		t.Errorf("%d files, %d citations, %d sections: %v", files, seen, len(has), err)
+	if err != nil || files < 100 || citations < 100 || len(known) < 60 {
+		t.Errorf("%d files, %d citations, %d sections: %v", files, citations, len(known), err)
 	}
 }
 
-// The check can fail, in each form of a citation.
+// The check fails on each form of a citation.
 func TestCitationsCanFail(t *testing.T) {
-	has := sections("## 1 One\n\n1.1 First.\n1.2 Second.\n")
+	known := sections("## 1 One\n\n1.1 First.\n1.2 Second.\n")
 	for text, want := range map[string][]string{
 		"// (DESIGN 1, 1.2)":          nil,
 		"// (DESIGN 1.3)":             {"1.3"},
@@ -99,7 +102,7 @@
 		"// as DESIGN 2 says":         {"2"},
 		"as told (1.1, 1.9), 1.5 s":   {"1.9"},
 	} {
-		if got, _ := unknownCitations(text, true, has); !slices.Equal(got, want) {
+		if got, _ := unknownCitations(text, true, known); !slices.Equal(got, want) {
 			t.Errorf("%q: %v, not %v", text, got, want)
 		}
 	}
--- a/internal/actor/dispatcher.go
+++ b/internal/actor/dispatcher.go
@@ -6,8 +6,10 @@
 	"github.com/asynkron/protoactor-go/actor"
 )
 
-// dispatcher runs actor mailboxes through the launcher, so that actors' work
-// too starts in the one place.
+// actorThroughput is how many messages an actor handles in a row before it yields. (ours)
+const actorThroughput = 300
+
+// dispatcher starts the actors' goroutines through the System, like all others.
 type dispatcher struct {
 	system *System
 	name   string
@@ -21,4 +23,4 @@
 }
 
 // Throughput implements actor.Dispatcher.
-func (dispatcher) Throughput() int { return 300 }
+func (dispatcher) Throughput() int { return actorThroughput }
--- a/internal/actor/mailbox.go
+++ b/internal/actor/mailbox.go
@@ -8,7 +8,7 @@
 	"curlewwalk/internal/trace"
 )
 
-// Mailbox is the address of a part that runs as an actor.
+// Mailbox is how messages reach an actor.
 type Mailbox struct {
 	system *System
 	pid    *actor.PID
@@ -20,12 +20,13 @@
 	message any
 }
 
-// Spawn starts a part as an actor: on is called with one message at a time.
-func (s *System) Spawn(name string, handle func(ctx context.Context, msg any)) *Mailbox {
+// Spawn starts an actor: handle is called with one message at a time, in the order in which
+// each sender sent them. name identifies the actor in the report of a panic.
+func (s *System) Spawn(name string, handle func(ctx context.Context, message any)) *Mailbox {
 	receive := func(actorCtx actor.Context) {
 		received, ok := actorCtx.Message().(envelope)
 		if !ok {
-			return
+			return // a message of the library's own
 		}
 		defer s.recoverPanic(name)
 		handle(received.ctx, received.message)
@@ -34,20 +35,21 @@
 	return &Mailbox{system: s, pid: s.engine.Root.Spawn(props)}
 }
 
-// Send hands a message over with a copy of the sender's span; it never waits.
+// Send hands a message over, with a copy of the span in ctx. It never blocks, and the end of
+// ctx does not end the handling.
 func (m *Mailbox) Send(ctx context.Context, message any) {
 	m.system.engine.Root.Send(m.pid, envelope{ctx: trace.CopySpan(context.WithoutCancel(ctx)), message: message})
 }
 
-// Ask sends what build makes of a response channel and waits for the response.
-func Ask[T any](ctx context.Context, mailbox *Mailbox, build func(response chan<- T) any) (T, bool) {
+// Ask sends the message that build makes of a channel for the response, and waits for the
+// response. ok is false if ctx ended first; the message is handled all the same.
+func Ask[T any](ctx context.Context, mailbox *Mailbox, build func(response chan<- T) any) (response T, ok bool) {
 	responses := make(chan T, 1)
 	mailbox.Send(ctx, build(responses))
 	select {
-	case v := <-responses:
-		return v, true
+	case response = <-responses:
+		return response, true
 	case <-ctx.Done():
-		var zero T
-		return zero, false
+		return response, false
 	}
 }
--- a/internal/actor/rules_test.go
+++ b/internal/actor/rules_test.go
@@ -2,29 +2,38 @@
 
 import (
 	"go/ast"
+	"slices"
 	"strings"
 	"testing"
 
 	"golang.org/x/tools/go/packages"
 )
 
-// Goroutines start here only, and no process starts another, shares memory with
-// one or goes round the runtime.
+// forbiddenImports start processes, or go round the language's rules.
+var forbiddenImports = []string{"os/exec", "plugin", "unsafe", "C"}
+
+// forbiddenSystemCall tells whether a function of package syscall starts a process, shares
+// memory with one, or goes round the runtime.
+func forbiddenSystemCall(name string) bool {
+	return name == "Exec" || name == "Mmap" || strings.HasPrefix(name, "Fork") ||
+		strings.HasPrefix(name, "Syscall") || strings.HasPrefix(name, "RawSyscall")
+}
+
+// Only this package starts goroutines, and no process starts another, shares memory with one
+// or goes round the runtime.
 func TestRules(t *testing.T) {
-	got, err := packages.Load(&packages.Config{Mode: packages.NeedName | packages.NeedFiles | packages.NeedSyntax | packages.NeedTypes | packages.NeedImports, Dir: "../.."}, "curlewwalk/...")
+	loaded, err := packages.Load(&packages.Config{Mode: packages.NeedName | packages.NeedFiles | packages.NeedSyntax | packages.NeedTypes | packages.NeedImports, Dir: "../.."}, "curlewwalk/...")
 	if err != nil {
 		t.Fatal(err)
 	}
 	seen, starts := 0, 0
-	for _, p := range got {
+	for _, p := range loaded {
 		if strings.HasPrefix(p.PkgPath, "curlewwalk/tests") {
 			continue
 		}
 		seen++
 		for path := range p.Imports {
-			switch path {
-			case "os/exec", "plugin", "unsafe", "C":
-				// easyjson's generated code is of one package and uses none of them.
+			if slices.Contains(forbiddenImports, path) {
 				t.Errorf("%s imports %s", p.PkgPath, path)
 			}
 		}
@@ -36,7 +45,7 @@
 						t.Errorf("%s starts a goroutine", p.Fset.Position(n.Pos()))
 					}
 				case *ast.SelectorExpr:
-					if x, ok := n.X.(*ast.Ident); ok && x.Name == "syscall" && (strings.HasPrefix(n.Sel.Name, "Fork") || n.Sel.Name == "Exec" || n.Sel.Name == "Mmap" || strings.HasPrefix(n.Sel.Name, "Syscall") || strings.HasPrefix(n.Sel.Name, "RawSyscall")) {
+					if x, ok := n.X.(*ast.Ident); ok && x.Name == "syscall" && forbiddenSystemCall(n.Sel.Name) {
 						t.Errorf("%s calls syscall.%s", p.Fset.Position(n.Pos()), n.Sel.Name)
 					}
 				}
--- a/internal/actor/system.go
+++ b/internal/actor/system.go
@@ -1,6 +1,3 @@
-// Package actor is the one place where goroutines start. It is the thread
-// factory of the tracing design: whatever it starts gets its own copy of the
-// span that its parent held. (DESIGN 2.3)
 package actor
 
 import (
@@ -14,48 +11,51 @@
 	"curlewwalk/internal/trace"
 )
 
+// PanicHandler is told of a panic: a broken invariant of the part with that name. It should
+// end the process.
+type PanicHandler func(name string, cause any, stack []byte)
+
 // System starts every goroutine and every actor of a process.
 type System struct {
-	engine *actor.ActorSystem
-	log    *slog.Logger
-	// onPanic is told of a panic: a broken invariant, which stops the process.
-	onPanic func(name string, cause any, stack []byte)
-	wg      sync.WaitGroup
+	engine  *actor.ActorSystem
+	onPanic PanicHandler
+	running sync.WaitGroup
 }
 
-// New makes a launcher; broken hears of broken invariants.
-func New(log *slog.Logger, onPanic func(name string, cause any, stack []byte)) *System {
-	system := &System{log: log, onPanic: onPanic}
-	system.engine = actor.NewActorSystem(actor.WithLoggerFactory(func(*actor.ActorSystem) *slog.Logger { return log }))
-	return system
+// New makes a system; the actor library logs to log.
+func New(log *slog.Logger, onPanic PanicHandler) *System {
+	logger := func(*actor.ActorSystem) *slog.Logger { return log }
+	return &System{engine: actor.NewActorSystem(actor.WithLoggerFactory(logger)), onPanic: onPanic}
 }
 
-// Go starts fn on its own goroutine with a copy of the caller's span.
+// Go runs fn on a goroutine of its own, with a copy of the span in ctx. name identifies it
+// in the report of a panic.
 func (s *System) Go(ctx context.Context, name string, fn func(ctx context.Context)) {
 	child := trace.CopySpan(ctx)
-	s.wg.Add(1)
+	s.running.Add(1)
 	go func() {
-		defer s.wg.Done()
+		defer s.running.Done()
 		defer s.recoverPanic(name)
 		fn(child)
 	}()
 }
 
-// Done is closed when all that was started has ended.
+// Done returns a channel that is closed when all that was started has ended.
 func (s *System) Done() <-chan struct{} {
-	ch := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
-		s.wg.Wait()
-		close(ch)
+		s.running.Wait()
+		close(done)
 	}()
-	return ch
+	return done
 }
 
-// Stop ends the actor system.
+// Stop ends the actors. Goroutines end by their contexts.
 func (s *System) Stop() { s.engine.Shutdown() }
 
+// recoverPanic reports a panic. It must be deferred itself.
 func (s *System) recoverPanic(name string) {
-	if r := recover(); r != nil {
-		s.onPanic(name, r, debug.Stack())
+	if cause := recover(); cause != nil {
+		s.onPanic(name, cause, debug.Stack())
 	}
 }
--- a/internal/actor/system_test.go
+++ b/internal/actor/system_test.go
@@ -9,27 +9,26 @@
 	"curlewwalk/internal/trace"
 )
 
-// What a worker starts, goroutines and actors' work alike, has the worker's
-// span in a slot of its own.
+// What is started, goroutines and actors' work alike, has a copy of the starter's span.
 func TestSpanPropagates(t *testing.T) {
 	system := New(slog.New(slog.DiscardHandler), func(name string, cause any, _ []byte) { t.Errorf("%s: %v", name, cause) })
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	s := trace.Root()
-	ctx = trace.ContextWithSpan(ctx, s)
-	got := make(chan trace.Span, 2)
-	note := func(ctx context.Context) {
-		c, _ := trace.SpanFromContext(ctx)
-		got <- c
+	parent := trace.Root()
+	ctx = trace.ContextWithSpan(ctx, parent)
+	spans := make(chan trace.Span, 2)
+	report := func(ctx context.Context) {
+		span, _ := trace.SpanFromContext(ctx)
+		spans <- span
 	}
-	system.Go(ctx, "child", note)
-	box := system.Spawn("actor", func(ctx context.Context, _ any) { note(ctx) })
-	box.Send(ctx, "work")
+	system.Go(ctx, "child", report)
+	mailbox := system.Spawn("actor", func(ctx context.Context, _ any) { report(ctx) })
+	mailbox.Send(ctx, "work")
 	for range 2 {
 		select {
-		case c := <-got:
-			if c.ID != s.ID || c.Trace != s.Trace {
-				t.Errorf("got %+v, want %+v", c, s)
+		case span := <-spans:
+			if span.ID != parent.ID || span.Trace != parent.Trace {
+				t.Errorf("got %+v, want %+v", span, parent)
 			}
 		case <-ctx.Done():
 			t.Fatal("the work was not done")
@@ -37,14 +36,14 @@
 	}
 }
 
-// A broken invariant in any part is told, whoever started it.
+// A panic in any part is reported with the part's name.
 func TestPanicIsReported(t *testing.T) {
-	told := make(chan string, 2)
-	system := New(slog.New(slog.DiscardHandler), func(name string, _ any, _ []byte) { told <- name })
+	reported := make(chan string, 2)
+	system := New(slog.New(slog.DiscardHandler), func(name string, _ any, _ []byte) { reported <- name })
 	system.Go(context.Background(), "goroutine", func(context.Context) { panic("x") })
 	system.Spawn("actor", func(context.Context, any) { panic("x") }).Send(context.Background(), 1)
-	names := map[string]bool{<-told: true, <-told: true}
+	names := map[string]bool{<-reported: true, <-reported: true}
 	if !names["goroutine"] || !names["actor"] {
-		t.Errorf("told of %v", names)
+		t.Errorf("reported %v", names)
 	}
 }
