--- a/cmd/sidecar/main.go
+++ b/cmd/sidecar/main.go
@@ -11,7 +11,10 @@
 )
 
 func main() {
-	set, exit := settings.ReadSidecar(os.Args[1:])
+	set, exit := readSettings()
 	process.Exit(exit)
-	dataplane.New(set, nil).Run(func() (settings.Sidecar, settings.Exit) { return settings.ReadSidecar(os.Args[1:]) })
+	dataplane.New(set, nil).Run(readSettings)
 }
+
+// readSettings reads the settings of the command line, and of the file that it names.
+func readSettings() (settings.Sidecar, settings.Exit) { return settings.ReadSidecar(os.Args[1:]) }
--- a/internal/dataplane/metrics.go
+++ b/internal/dataplane/metrics.go
@@ -39,18 +39,10 @@
 		metrics.Gauge("requests_in_flight", "Requests of callers, and attempts for own backends, that are open.", side, s.bySide(func(total proxy.Totals, emit metrics.EmitFunc, side string) {
 			emit(float64(total.InFlight), side)
 		})),
-		metrics.Counter("retries_total", "Attempts beyond a request's first.", nil, metrics.Scalar(func() float64 {
-			return float64(s.outbound.Counters.Snapshot().ExtraAttempts)
-		})),
-		metrics.Counter("joined_requests_total", "Repeats of an Idempotency-Key that got the answer of its first request.", nil, metrics.Scalar(func() float64 {
-			return float64(s.outbound.Counters.Snapshot().Joined)
-		})),
-		metrics.Counter("clients_left_total", "Requests whose clients left before they were answered.", nil, metrics.Scalar(func() float64 {
-			return float64(s.outbound.Counters.Snapshot().ClientDisconnects)
-		})),
-		metrics.Counter("after_clients_left_seconds_total", "Time for which requests went on after their clients had left.", nil, metrics.Scalar(func() float64 {
-			return s.outbound.Counters.Snapshot().AfterDisconnect.Seconds()
-		})),
+		metrics.Counter("retries_total", "Attempts beyond a request's first.", nil, s.outboundTotal(func(total proxy.Totals) float64 { return float64(total.ExtraAttempts) })),
+		metrics.Counter("joined_requests_total", "Repeats of an Idempotency-Key that got the answer of its first request.", nil, s.outboundTotal(func(total proxy.Totals) float64 { return float64(total.Joined) })),
+		metrics.Counter("clients_left_total", "Requests whose clients left before they were answered.", nil, s.outboundTotal(func(total proxy.Totals) float64 { return float64(total.ClientDisconnects) })),
+		metrics.Counter("after_clients_left_seconds_total", "Time for which requests went on after their clients had left.", nil, s.outboundTotal(func(total proxy.Totals) float64 { return total.AfterDisconnect.Seconds() })),
 		metrics.Counter("recalled_attempts_total", "Attempts for own backends that were recalled, by what was done.", []string{"outcome"}, func(emit metrics.EmitFunc) {
 			total := s.inbound.Counters.Snapshot()
 			emit(float64(total.CancelledBeforeStart), "not-run")
@@ -69,6 +61,11 @@
 	}
 }
 
+// outboundTotal reads one figure of the client side.
+func (s *Sidecar) outboundTotal(read func(total proxy.Totals) float64) metrics.ReadFunc {
+	return metrics.Scalar(func() float64 { return read(s.outbound.Counters.Snapshot()) })
+}
+
 // bySide reads the totals of both sides of the proxy.
 func (s *Sidecar) bySide(read func(total proxy.Totals, emit metrics.EmitFunc, side string)) metrics.ReadFunc {
 	return func(emit metrics.EmitFunc) {
--- a/internal/dataplane/stats.go
+++ b/internal/dataplane/stats.go
@@ -58,11 +58,11 @@
 	// Closed tells that requests of clients are refused.
 	Closed bool `json:"closed"`
 	// KeysHeld counts the reservations of keys that this node stores for others,
-	// KeysCompleted those of them with a response. KeysHandedOver tells whether it has got
+	// KeysCompleted those of them with a response. KeysRecovered tells whether it has got
 	// back its own of earlier incarnations.
-	KeysHeld       int64 `json:"claims_held"`
-	KeysCompleted  int64 `json:"claims_settled"`
-	KeysHandedOver bool  `json:"claims_handed_over"`
+	KeysHeld      int64 `json:"claims_held"`
+	KeysCompleted int64 `json:"claims_settled"`
+	KeysRecovered bool  `json:"claims_handed_over"`
 	// BodyBytes are the bytes of requests' bodies held now, outbound and inbound.
 	BodyBytes [2]int64 `json:"bodies_held"`
 	// ExtraAttempts is how many extra attempts to each service this node may make now.
@@ -74,24 +74,24 @@
 	watched := *s.agent.watchStatus.Load()
 	held, completed := s.replicaServer.Count()
 	return sidecarStats{
-		Node:           s.settings.Advertise,
-		Incarnation:    s.process.Incarnation,
-		Zone:           s.settings.Zone,
-		Revision:       s.routingTable().Revision,
-		Watch:          watched,
-		UpdateAge:      time.Since(watched.LastUpdate).String(),
-		LeaseAge:       s.agent.lease.Age(time.Now()).String(),
-		LeaseValid:     s.leaseValid(),
-		Replicas:       s.discovery.Replicas().Observed(),
-		Outbound:       s.outbound.Counters.Snapshot(),
-		Inbound:        s.inbound.Counters.Snapshot(),
-		Trace:          s.traceQueue.Stats(),
-		Draining:       s.draining.Load(),
-		Closed:         s.closed.Load(),
-		KeysHeld:       held,
-		KeysCompleted:  completed,
-		KeysHandedOver: s.outbound.KeyReplication.Recovered(),
-		BodyBytes:      [2]int64{s.outbound.Bodies.Reserved(), s.inbound.Bodies.Reserved()},
-		ExtraAttempts:  s.retryBudgets.Balances(),
+		Node:          s.settings.Advertise,
+		Incarnation:   s.process.Incarnation,
+		Zone:          s.settings.Zone,
+		Revision:      s.routingTable().Revision,
+		Watch:         watched,
+		UpdateAge:     time.Since(watched.LastUpdate).String(),
+		LeaseAge:      s.agent.lease.Age(time.Now()).String(),
+		LeaseValid:    s.leaseValid(),
+		Replicas:      s.discovery.Replicas().Observed(),
+		Outbound:      s.outbound.Counters.Snapshot(),
+		Inbound:       s.inbound.Counters.Snapshot(),
+		Trace:         s.traceQueue.Stats(),
+		Draining:      s.draining.Load(),
+		Closed:        s.closed.Load(),
+		KeysHeld:      held,
+		KeysCompleted: completed,
+		KeysRecovered: s.outbound.KeyReplication.Recovered(),
+		BodyBytes:     [2]int64{s.outbound.Bodies.Reserved(), s.inbound.Bodies.Reserved()},
+		ExtraAttempts: s.retryBudgets.Balances(),
 	}
 }
--- a/internal/metrics/counter_vec.go
+++ b/internal/metrics/counter_vec.go
@@ -11,19 +11,19 @@
 
 // CounterVec is a counter for each combination of one or more label values. The
 // zero value is ready for use, from any goroutine.
-type CounterVec struct{ counters sync.Map }
+type CounterVec struct{ counters sync.Map } // of *atomic.Uint64, by the joined labels
 
-// Inc counts one under the label values.
+// Inc counts one under the label values, which must always be as many.
 func (v *CounterVec) Inc(labels ...string) {
-	joined := strings.Join(labels, separator)
-	counter, ok := v.counters.Load(joined)
+	key := strings.Join(labels, separator)
+	counter, ok := v.counters.Load(key)
 	if !ok {
-		counter, _ = v.counters.LoadOrStore(joined, &atomic.Uint64{})
+		counter, _ = v.counters.LoadOrStore(key, &atomic.Uint64{})
 	}
 	counter.(*atomic.Uint64).Add(1)
 }
 
-// Collect reports all counters.
+// Collect is a ReadFunc of all counters.
 func (v *CounterVec) Collect(emit EmitFunc) {
 	v.counters.Range(func(key, counter any) bool {
 		emit(float64(counter.(*atomic.Uint64).Load()), strings.Split(key.(string), separator)...)
