--- a/tests/simulation/history.go
+++ b/tests/simulation/history.go
@@ -7,15 +7,15 @@
 	"curlewwalk/internal/controlplane/consensus"
 )
 
-// Call is an operator's call with what it was answered.
+// Call is an operator's call with its answer.
 type Call struct {
-	// Write puts Text under Generation (zero: without a number); else Text and Generation are
-	// what was read.
+	// Write is set if the call puts Text under Generation (zero: without one); otherwise
+	// both are what was read.
 	Write      bool
 	Generation uint64
 	Text       string
-	// From and To are when it was sent and answered. An open one was never answered, or
-	// without telling what became of it: it may be carried out at any time after From.
+	// From and To are when the call was sent and answered. An open call has no answer, or
+	// none that says what became of it: it may take effect at any time after From.
 	From, To time.Duration
 	Open     bool
 }
@@ -23,7 +23,7 @@
 // History records operators' calls.
 type History struct{ calls []*Call }
 
-// Calls lists what operators were told, and what is open.
+// Calls lists the calls that were answered and those that are open.
 func (h *History) Calls() (out []Call) {
 	for _, c := range h.calls {
 		out = append(out, *c)
@@ -38,8 +38,8 @@
 	return c
 }
 
-// answered records what became of a put. One that was not taken never will be: it is
-// struck from the history, so that a read which shows it has nothing to come from.
+// answered records the outcome of a put. One that was rejected never takes effect: it is taken
+// out, so that a read which shows it has no write to come from.
 func (h *History) answered(c *Call, outcome consensus.Outcome, now time.Duration) {
 	switch outcome {
 	case consensus.OutcomeCommitted:
@@ -54,12 +54,12 @@
 	}
 }
 
-// read records what a read that began at a moment shows.
+// read records what a read that began at a moment returned.
 func (h *History) read(from time.Duration, state config.ControlState, now time.Duration) {
 	h.calls = append(h.calls, &Call{Generation: state.Generation, Text: string(state.Configuration), From: from, To: now})
 }
 
-// recordHistory is back, with what a configuration is answered kept in the history.
+// recordHistory wraps done so that the outcome of a put is recorded.
 func (sim *Consensus) recordHistory(command consensus.Command, done func(consensus.CommandResult)) func(consensus.CommandResult) {
 	if command.Kind != consensus.CommandPutConfiguration {
 		return done
--- a/tests/simulation/history_test.go
+++ b/tests/simulation/history_test.go
@@ -11,16 +11,16 @@
 	"curlewwalk/internal/controlplane/consensus"
 )
 
-// configuration is the state of the model that histories are held against: one value,
-// whose number never falls, and what was put under that number.
+// configuration is the state of the sequential model: one text, a generation that never
+// falls, and the text that was put under that generation.
 type configuration struct {
 	generation     uint64
 	text, numbered string
 }
 
-// sequential is what the register is like if calls come one after the other. A number
-// that is lower than the one held is acknowledged and changes nothing, as is a repeat of
-// that one with the same text.
+// sequential is the behaviour of the control plane if calls come one after the other. A
+// lower generation than the current one is acknowledged and changes nothing, and so does a
+// repeat of the current one with the same text.
 var sequential = porcupine.Model{
 	Init: func() any { return configuration{} },
 	Step: func(state, input, _ any) (bool, any) {
@@ -42,10 +42,10 @@
 // judgeTimeout bounds the search for an order of one history's calls.
 const judgeTimeout = 2 * time.Second
 
-// linearizable tells whether calls can be put in one order in which each takes effect
-// between its sending and its answer; Unknown: not found out in time. Open calls of which
-// no read shows anything are left out first, as if they had never been carried out: if an
-// order is found without them, there is one. Only if there is none are they put back.
+// linearizable tells whether calls have an order in which each takes effect between its
+// sending and its answer; Unknown if that was not found out in time. Open calls that no read
+// shows are left out first, as if they had never taken effect: if there is an order without
+// them, there is one. Only if there is none are they put back.
 func linearizable(calls []Call) porcupine.CheckResult {
 	calls = withoutDuplicates(withoutSuperseded(calls))
 	result := checkLinearizable(withoutUnseen(calls))
@@ -55,9 +55,8 @@
 	return result
 }
 
-// withoutSuperseded leaves out writes that wherever they stand may be and change nothing:
-// before they were sent a higher number was known to be taken, or they repeat what was
-// acknowledged already.
+// withoutSuperseded leaves out writes that change nothing in any order: before they were
+// sent a higher generation was acknowledged, or they repeat what was acknowledged already.
 func withoutSuperseded(calls []Call) []Call {
 	superseded := func(c Call) bool {
 		return slices.ContainsFunc(calls, func(before Call) bool {
@@ -70,15 +69,15 @@
 	})
 }
 
-// withoutDuplicates leaves out open writes of a number and text that an earlier call has as
-// well: whenever such a copy takes effect, the earlier one may have done so.
+// withoutDuplicates leaves out open writes of a generation and text that an earlier call has
+// too: whenever such a copy takes effect, the earlier one may have done so.
 func withoutDuplicates(calls []Call) (kept []Call) {
 	type numbered struct {
 		generation uint64
 		text       string
 	}
 	earlier := map[numbered]bool{}
-	for _, c := range calls { // as they were sent
+	for _, c := range calls { // in the order of sending
 		key := numbered{c.Generation, c.Text}
 		if c.Write && c.Open && c.Generation != 0 && earlier[key] {
 			continue
@@ -89,7 +88,7 @@
 	return kept
 }
 
-// withoutUnseen leaves out open writes whose text, and whose number, no read shows.
+// withoutUnseen leaves out open writes whose text and generation no read shows.
 func withoutUnseen(calls []Call) []Call {
 	texts, generations := map[string]bool{}, map[uint64]bool{}
 	for _, c := range calls {
@@ -103,7 +102,7 @@
 	})
 }
 
-// checkLinearizable looks for an order of calls.
+// checkLinearizable searches for an order of calls.
 func checkLinearizable(calls []Call) porcupine.CheckResult {
 	var operations []porcupine.Operation
 	for i, c := range calls {
@@ -116,8 +115,8 @@
 	return porcupine.CheckOperationsTimeout(sequential, operations, judgeTimeout)
 }
 
-// latestEffect is when an open write has taken effect at the latest: before the end of the
-// first read that shows it, if nothing else was put with its text.
+// latestEffect is the latest moment at which an open write took effect: the end of the first
+// read that shows it, if no other write has its text.
 func latestEffect(calls []Call, write Call) int64 {
 	latest, writers := int64(math.MaxInt64), 0
 	for _, c := range calls {
@@ -135,7 +134,7 @@
 	return latest
 }
 
-// The check finds what must not be, and lets through what may be.
+// The check of a history accepts what may happen and finds what must not.
 func TestLinearizable(t *testing.T) {
 	put := func(generation uint64, text string, from, to time.Duration) Call {
 		return Call{Write: true, Generation: generation, Text: text, From: from, To: to}
@@ -145,7 +144,7 @@
 	}
 	open := put(0, "open", 4, 0)
 	open.Open = true
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name  string
 		calls []Call
 		want  porcupine.CheckResult
@@ -155,25 +154,31 @@
 		{"a read that goes back", []Call{put(0, "a", 1, 2), put(0, "b", 3, 9), read(0, "b", 4, 5), read(0, "a", 6, 7)}, porcupine.Illegal},
 		{"an open write that shows late", []Call{put(0, "a", 1, 2), open, read(0, "a", 5, 6), read(0, "open", 8, 9)}, porcupine.Ok},
 		{"an open write that shows and is gone", []Call{put(0, "a", 1, 2), open, read(0, "open", 5, 6), read(0, "a", 8, 9)}, porcupine.Illegal},
-		{"what nobody put", []Call{read(0, "a", 5, 6)}, porcupine.Illegal},
-		{"an overtaken number", []Call{put(2, "b", 1, 2), put(1, "a", 3, 4), read(2, "b", 5, 6)}, porcupine.Ok},
+		{"a read of what was never written", []Call{read(0, "a", 5, 6)}, porcupine.Illegal},
+		{"a superseded generation", []Call{put(2, "b", 1, 2), put(1, "a", 3, 4), read(2, "b", 5, 6)}, porcupine.Ok},
 		{"a repeat", []Call{put(2, "b", 1, 2), put(0, "c", 3, 4), put(2, "b", 5, 6), read(2, "c", 7, 8)}, porcupine.Ok},
-		{"another text under the same number", []Call{put(2, "b", 1, 2), put(2, "c", 3, 4)}, porcupine.Illegal},
-		{"an overtaken number in force", []Call{put(2, "b", 1, 2), put(1, "a", 3, 4), read(1, "a", 5, 6)}, porcupine.Illegal},
+		{"another text under the same generation", []Call{put(2, "b", 1, 2), put(2, "c", 3, 4)}, porcupine.Illegal},
+		{"a superseded generation in force", []Call{put(2, "b", 1, 2), put(1, "a", 3, 4), read(1, "a", 5, 6)}, porcupine.Illegal},
 	} {
-		if got := linearizable(c.calls); got != c.want {
-			t.Errorf("%s: %s", c.name, got)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			if got := linearizable(test.calls); got != test.want {
+				t.Errorf("%s, want %s", got, test.want)
+			}
+		})
 	}
+}
+
+// A write that was rejected is taken out of the history.
+func TestHistoryOfRejectedWrite(t *testing.T) {
 	h := &History{}
 	refused := h.put(consensus.Command{Payload: []byte("a")}, 1)
 	h.answered(refused, consensus.OutcomeRejected, 2)
 	if calls := h.Calls(); slices.ContainsFunc(calls, func(c Call) bool { return c.Write }) {
-		t.Errorf("what was not taken stays: %+v", calls)
+		t.Errorf("a rejected write is still there: %+v", calls)
 	}
 }
 
-// historyCounts counts the histories that were checked, and those too hard to check in time.
+// historyCounts counts the histories that were checked, and those that took too long to check.
 type historyCounts struct{ linearizable, unknown, calls int }
 
 // check holds a run's history against the sequential model.
@@ -187,12 +192,12 @@
 	case porcupine.Unknown:
 		h.unknown++
 	default:
-		t.Errorf("seed %d with %d slots: what operators were told fits no order of their calls", seed, sim.members)
+		t.Errorf("seed %d with %d members: the answers to operators fit no order of their calls", seed, sim.members)
 	}
 }
 
-// checkJudged tells how many were checked; too hard must stay the exception: at most one in so
-// many of those that were judged.
+// checkJudged fails the test unless the histories were checked: for each oneIn of them one may
+// have taken too long.
 func (h *historyCounts) checkJudged(t *testing.T, oneIn int) {
 	t.Helper()
 	t.Logf("%d histories of %d calls are linearizable, %d were not judged in time", h.linearizable, h.calls, h.unknown)
--- a/tests/simulation/leases.go
+++ b/tests/simulation/leases.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"math/rand/v2"
 	"time"
 
 	"curlewwalk/internal/config"
@@ -12,78 +11,87 @@
 	"curlewwalk/internal/watch"
 )
 
-// ServingLeases is a run of the claims: cores that look at one another and pass words
-// on, and sidecars that follow and admit, through delays, losses, cuts and
-// freezes. Feeds and claims are the production's.
+// ServingLeases is a run of the leases that allow sidecars to admit requests: replicas do
+// quorum reads and pass on committed revisions, and sidecars watch, renew their leases and
+// admit, under delays, losses, partitions and freezes. The event logs, leases and peer
+// status tables are the production's.
 type ServingLeases struct {
-	clock
-	rng      *rand.Rand
-	base     time.Time
+	randomClock
+	base     time.Time // wall time at the beginning
 	replicas []*leaseReplica
 	sidecars []*leaseSidecar
-	ackedAt  []time.Duration // when each stamp was acknowledged; index is stamp-1
-	// committedAt is when a majority of cores had accepted each stamp.
+	// ackedAt is when each revision was acknowledged, and committedAt when a majority of
+	// replicas had accepted it; the index is the revision less one.
+	ackedAt     []time.Duration
 	committedAt []time.Duration
-	// unacknowledged marks stamps that were acknowledged, after the longest wait, though
-	// most sidecars had not taken them.
-	unacknowledged map[uint64]bool
-	// outageAt is when all cores lose power for good; zero if they don't.
+	// unconfirmed are the revisions that were acknowledged, after the longest wait, though
+	// most sidecars had not applied them.
+	unconfirmed map[uint64]bool
+	// outageAt is when all replicas lose power for good; zero if they don't.
 	outageAt time.Duration
-	// Violations lists what must never happen and did; the others count. Agreed are
-	// admissions by roll call.
-	Violations                                        []string
-	Admitted, AdmittedByPeers, Lapsed, Unacknowledged int
+	// Violations lists what must never happen and did.
+	Violations []string
+	// Admitted counts admissions under a lease from a replica, AdmittedByPeers those under
+	// one that other sidecars confirmed, Lapsed the moments without any, and
+	// Unconfirmed admissions at a revision older than one of unconfirmed.
+	Admitted, AdmittedByPeers, Lapsed, Unconfirmed int
 }
 
+// leaseReplica is a control plane replica.
 type leaseReplica struct {
 	frozenUntil  time.Duration
 	partition    int
-	accepted     uint64
+	accepted     uint64 // the newest revision
 	watch        *watch.EventLog
-	confirmedAt  time.Duration // as of when; negative if never
-	reading      bool          // a look waits for its stamp to be settled
+	confirmedAt  time.Duration // as of when the log is known to be current; negative if never
+	reading      bool          // a quorum read waits until its revision is committed here
 	readBegan    time.Duration
 	readRevision uint64
 }
 
+// leaseSidecar is a sidecar that watches one replica.
 type leaseSidecar struct {
 	addr        string
 	frozenUntil time.Duration
 	partition   int
-	replica     int
+	replica     int // index of the replica that it watches
 	offset      watch.Request
-	revision    uint64
+	revision    uint64 // that it has applied
 	lease       endpoints.Lease
-	updatedAt   time.Duration // news from a core
+	updatedAt   time.Duration // when a replica last answered
 	peerLease   endpoints.Lease
-	statements  membership.PeerStatusTable // what it heard of itself and others
+	peers       membership.PeerStatusTable
 }
 
-// NewServingLeases lays a run out.
-func NewServingLeases(seed uint64, cores, sides int) *ServingLeases {
-	sim := &ServingLeases{rng: rand.New(rand.NewPCG(seed, 13)), base: time.Now(), unacknowledged: map[uint64]bool{}}
+// Bounds of acknowledgements and of queries between sidecars.
+const (
+	// ackTimeout is how long an acknowledgement waits for all sidecars; ackMajorityTimeout
+	// how much longer for at least most of them.
+	ackTimeout         = time.Second
+	ackMajorityTimeout = 2 * time.Second
+	// queryAfter is after how long without a replica a sidecar queries other sidecars.
+	queryAfter = time.Second
+	// queryTimeout is how long it waits for an answer.
+	queryTimeout = 400 * time.Millisecond
+)
+
+// NewServingLeases prepares a run of so many replicas and sidecars. With an even seed all
+// replicas lose power at some moment.
+func NewServingLeases(seed uint64, replicas, sidecars int) *ServingLeases {
+	sim := &ServingLeases{randomClock: newRandomClock(seed, 13), base: time.Now(), unconfirmed: map[uint64]bool{}}
 	if seed%2 == 0 {
 		sim.outageAt = 10*time.Second + sim.randomDuration(40*time.Second)
 	}
-	for i := range cores {
+	for i := range replicas {
 		sim.replicas = append(sim.replicas, &leaseReplica{watch: watch.NewEventLog(uint64(i)*1000+1, 0), confirmedAt: -1})
 	}
-	for i := range sides {
-		sim.sidecars = append(sim.sidecars, &leaseSidecar{addr: fmt.Sprint(i), replica: i % cores})
+	for i := range sidecars {
+		sim.sidecars = append(sim.sidecars, &leaseSidecar{addr: fmt.Sprint(i), replica: i % replicas})
 	}
 	return sim
 }
 
-func (sim *ServingLeases) randomDuration(d time.Duration) time.Duration {
-	return time.Duration(sim.rng.Int64N(int64(d) + 1))
-}
-
-// every does something again and again, at about an interval.
-func (sim *ServingLeases) every(interval time.Duration, action func()) {
-	sim.after(sim.randomDuration(2*interval), func() { action(); sim.every(interval, action) })
-}
-
-// send carries a message, late or lost; a frozen receiver gets it on waking.
+// send delivers a message, which may be lost or late; a frozen receiver gets it on waking.
 func (sim *ServingLeases) send(fromPartition, toPartition *int, toFrozenUntil *time.Duration, deliver func()) {
 	if sim.rng.IntN(10) == 0 {
 		return
@@ -100,46 +108,47 @@
 	})
 }
 
-// Run runs it for a while of simulated time.
+// Run runs for d of simulated time.
 func (sim *ServingLeases) Run(d time.Duration) {
-	sim.every(700*time.Millisecond, sim.write)
-	sim.every(3*time.Second, sim.injectFaults)
+	sim.repeat(700*time.Millisecond, forever, sim.write)
+	sim.repeat(3*time.Second, forever, sim.injectFaults)
 	if sim.outageAt > 0 {
 		sim.after(sim.outageAt, func() {
 			for _, replica := range sim.replicas {
-				replica.frozenUntil = 2 * d // what was on its way is lost
+				replica.frozenUntil = 2 * d // messages in flight are lost
 			}
 		})
 	}
 	for _, replica := range sim.replicas {
-		sim.every(300*time.Millisecond, func() { sim.ifAwake(replica.frozenUntil, func() { sim.quorumRead(replica) }) })
-		sim.every(100*time.Millisecond, func() {
+		sim.repeat(300*time.Millisecond, forever, func() { sim.ifAwake(replica.frozenUntil, func() { sim.quorumRead(replica) }) })
+		sim.repeat(100*time.Millisecond, forever, func() {
 			sim.ifAwake(replica.frozenUntil, func() { replica.watch.DetectPause(sim.now); replica.watch.Tick(sim.now) })
 		})
 	}
 	for _, sidecar := range sim.sidecars {
-		sim.every(300*time.Millisecond, func() { sim.ifAwake(sidecar.frozenUntil, func() { sim.watchReplica(sidecar) }) })
-		sim.every(50*time.Millisecond, func() { sim.ifAwake(sidecar.frozenUntil, func() { sim.checkAdmission(sidecar) }) })
-		sim.every(500*time.Millisecond, func() { sim.ifAwake(sidecar.frozenUntil, func() { sim.queryPeers(sidecar) }) })
+		sim.repeat(300*time.Millisecond, forever, func() { sim.ifAwake(sidecar.frozenUntil, func() { sim.watchReplica(sidecar) }) })
+		sim.repeat(50*time.Millisecond, forever, func() { sim.ifAwake(sidecar.frozenUntil, func() { sim.checkAdmission(sidecar) }) })
+		sim.repeat(500*time.Millisecond, forever, func() { sim.ifAwake(sidecar.frozenUntil, func() { sim.queryPeers(sidecar) }) })
 	}
 	sim.run(d)
 }
 
+// ifAwake runs an action unless its process is frozen.
 func (sim *ServingLeases) ifAwake(frozenUntil time.Duration, action func()) {
 	if frozenUntil <= sim.now {
 		action()
 	}
 }
 
-// write puts a word: each core accepts it when it comes, it is acknowledged
-// when a majority has, and then it is told.
+// write commits the next revision: each replica accepts it when the message comes, and it is
+// acknowledged once a majority has accepted it and the sidecars had time to apply it.
 func (sim *ServingLeases) write() {
 	if sim.controlPlaneDown() {
 		return
 	}
 	revision := uint64(len(sim.ackedAt) + 1)
 	if revision > 1 && sim.ackedAt[revision-2] == 0 {
-		return // the one before is still on its way
+		return // the one before is still in flight
 	}
 	sim.ackedAt = append(sim.ackedAt, 0)
 	from := sim.replicas[sim.rng.IntN(len(sim.replicas))]
@@ -155,7 +164,7 @@
 				sim.send(&replica.partition, &from.partition, &from.frozenUntil, func() {
 					if accepted[replica] = true; len(accepted) >= consensus.Majority(len(sim.replicas)) && len(sim.committedAt) < int(revision) {
 						sim.committedAt = append(sim.committedAt, sim.now)
-						sim.acknowledge(revision, sim.now+time.Second)
+						sim.acknowledge(revision, sim.now+ackTimeout)
 					}
 				})
 			})
@@ -165,8 +174,8 @@
 	propose()
 }
 
-// acknowledge waits until all sidecars have a stamp, for a second at most, or at
-// least most of them, for three.
+// acknowledge acknowledges a revision once all sidecars have applied it; after until, once most
+// of them have; and ackMajorityTimeout later in any case.
 func (sim *ServingLeases) acknowledge(revision uint64, until time.Duration) {
 	applied := 0
 	for _, sidecar := range sim.sidecars {
@@ -174,7 +183,7 @@
 			applied++
 		}
 	}
-	timedOut := sim.now >= until && (applied > len(sim.sidecars)/2 || sim.now >= until+2*time.Second)
+	timedOut := sim.now >= until && (applied > len(sim.sidecars)/2 || sim.now >= until+ackMajorityTimeout)
 	if sim.ackedAt[revision-1] != 0 || applied < len(sim.sidecars) && !timedOut {
 		sim.after(20*time.Millisecond, func() {
 			if sim.ackedAt[revision-1] == 0 && !sim.controlPlaneDown() {
@@ -185,15 +194,15 @@
 	}
 	sim.ackedAt[revision-1] = sim.now
 	if applied <= len(sim.sidecars)/2 {
-		sim.unacknowledged[revision] = true
+		sim.unconfirmed[revision] = true
 	}
 }
 
-// controlPlaneDown tells whether all cores are dead by now.
+// controlPlaneDown tells whether all replicas have lost power.
 func (sim *ServingLeases) controlPlaneDown() bool { return sim.outageAt > 0 && sim.now >= sim.outageAt }
 
-// isolated tells whether a sidecar finds that no majority of cores lives: their
-// machines refuse it.
+// isolated tells whether a sidecar can tell that no majority of the replicas is alive: their
+// machines refuse its connections.
 func (sim *ServingLeases) isolated(sidecar *leaseSidecar) bool {
 	refused := 0
 	for _, replica := range sim.replicas {
@@ -204,10 +213,11 @@
 	return refused >= consensus.Majority(len(sim.replicas))
 }
 
-// queryPeers asks a few of the other sidecars while no core tells, and counts what they
-// heard of all others too.
+// queryPeers asks some other sidecars for their status, and for what they know of others, while
+// no replica answers. Enough of them that have lost the control plane too, and have applied no
+// newer revision, confirm the sidecar's own.
 func (sim *ServingLeases) queryPeers(sidecar *leaseSidecar) {
-	if sim.now-sidecar.updatedAt < time.Second {
+	if sim.now-sidecar.updatedAt < queryAfter {
 		return
 	}
 	begin, known := sim.now, []string{}
@@ -220,16 +230,16 @@
 			continue
 		}
 		sim.send(&sidecar.partition, &peer.partition, &peer.frozenUntil, func() {
-			statements, revision := peer.statements.Report(sim.peer(peer), membership.NewView(nil, nil), sim.base.Add(sim.now)), peer.revision
+			reports, revision := peer.peers.Report(sim.peer(peer), membership.NewView(nil, nil), sim.base.Add(sim.now)), peer.revision
 			sim.send(&peer.partition, &sidecar.partition, &sidecar.frozenUntil, func() {
 				if revision > sidecar.revision {
 					sim.fetch(sidecar, peer)
 				}
-				if sim.now-begin > 400*time.Millisecond {
-					return // nobody waits for it any more
+				if sim.now-begin > queryTimeout {
+					return // timed out
 				}
-				sidecar.statements = sidecar.statements.Observe(sidecar.addr, statements, sim.base.Add(begin), sim.base.Add(sim.now))
-				if asOf, ok := sidecar.statements.ConfirmedAsOf(sidecar.addr, sidecar.revision, known, sim.base.Add(sim.now)); ok {
+				sidecar.peers = sidecar.peers.Observe(sidecar.addr, reports, sim.base.Add(begin), sim.base.Add(sim.now))
+				if asOf, ok := sidecar.peers.ConfirmedAsOf(sidecar.addr, sidecar.revision, known, sim.base.Add(sim.now)); ok {
 					sidecar.peerLease.Renew(asOf)
 				}
 			})
@@ -237,12 +247,12 @@
 	}
 }
 
-// peer is what a sidecar tells of itself.
+// peer is the status that a sidecar reports of itself.
 func (sim *ServingLeases) peer(sidecar *leaseSidecar) membership.Peer {
 	return membership.Peer{Addr: sidecar.addr, Incarnation: 1, Status: &membership.PeerStatus{AppliedRevision: sidecar.revision, QuorumLost: sim.isolated(sidecar)}}
 }
 
-// fetch asks one sidecar for its word.
+// fetch gets the revision of another sidecar.
 func (sim *ServingLeases) fetch(sidecar, peer *leaseSidecar) {
 	sim.send(&sidecar.partition, &peer.partition, &peer.frozenUntil, func() {
 		revision := peer.revision
@@ -250,7 +260,8 @@
 	})
 }
 
-// quorumRead asks a majority, and learns of settled words as cores do: late.
+// quorumRead reads from a majority. As in production, a replica learns only later that what it
+// read is committed.
 func (sim *ServingLeases) quorumRead(replica *leaseReplica) {
 	begin := sim.now
 	replies := map[*leaseReplica]uint64{}
@@ -263,13 +274,13 @@
 					return
 				}
 				var newest uint64
-				for _, v := range replies {
-					newest = max(newest, v)
+				for _, revision := range replies {
+					newest = max(newest, revision)
 				}
 				if !replica.reading || begin > replica.readBegan && newest <= replica.readRevision {
 					replica.reading, replica.readBegan, replica.readRevision = true, begin, newest
 				}
-				// The settled word of that stamp comes some time.
+				// That revision is committed here some time later.
 				if newest > 0 && len(sim.committedAt) >= int(newest) {
 					replica.watch.ObserveCommitted(config.ControlState{Revision: newest})
 				}
@@ -279,7 +290,8 @@
 	}
 }
 
-func (sim *ServingLeases) confirmRead(replica *leaseReplica) {
+// confirmRead ends a quorum read once its revision is committed here.
+func (*ServingLeases) confirmRead(replica *leaseReplica) {
 	var committed uint64
 	if state := replica.watch.State(); state != nil {
 		committed = state.Revision
@@ -289,7 +301,8 @@
 	}
 }
 
-// watchReplica asks the core; what it is sure of counts from when it was asked.
+// watchReplica asks the watched replica for updates. The lease counts from when the replica was
+// last confirmed, as of the moment it was asked.
 func (sim *ServingLeases) watchReplica(sidecar *leaseSidecar) {
 	sentAt, replicaIndex := sim.now, sidecar.replica
 	replica := sim.replicas[replicaIndex]
@@ -323,7 +336,8 @@
 	})
 }
 
-// checkAdmission checks the gate's promise at a moment at which it would admit.
+// checkAdmission checks what a lease promises, at a moment at which the sidecar would admit a
+// request: no revision that it lacks was committed more than LeaseDuration ago.
 func (sim *ServingLeases) checkAdmission(sidecar *leaseSidecar) {
 	now := sim.base.Add(sim.now)
 	switch {
@@ -337,16 +351,16 @@
 	}
 	for i := sidecar.revision; i < uint64(len(sim.ackedAt)); i++ {
 		if committedAt := sim.committedAt; sim.ackedAt[i] != 0 && sim.now-committedAt[i] > endpoints.LeaseDuration {
-			if sim.controlPlaneDown() && sim.unacknowledged[i+1] {
-				sim.Unacknowledged++
+			if sim.controlPlaneDown() && sim.unconfirmed[i+1] {
+				sim.Unconfirmed++
 				continue
 			}
-			sim.Violations = append(sim.Violations, fmt.Sprintf("%v: admitted at stamp %d, %v after a majority had taken %d", sim.now, sidecar.revision, sim.now-committedAt[i], i+1))
+			sim.Violations = append(sim.Violations, fmt.Sprintf("%v: admitted at revision %d, %v after a majority had accepted %d", sim.now, sidecar.revision, sim.now-committedAt[i], i+1))
 		}
 	}
 }
 
-// injectFaults cuts, mends and freezes.
+// injectFaults partitions, heals and freezes.
 func (sim *ServingLeases) injectFaults() {
 	for _, replica := range sim.replicas {
 		replica.partition = sim.rng.IntN(4) / 3
--- a/tests/simulation/losses.go
+++ b/tests/simulation/losses.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	// recoveryTime is how long cores that are back, or new, have until others may be lost.
+	// recoveryTime is how long replicas that are back, or new, have before others are lost.
 	recoveryTime = 4 * time.Second
-	// serviceBound bounds how long a loss that the set bears may hold up orders and reads.
+	// serviceBound is how long a tolerated loss may hold up writes and reads.
 	serviceBound = 8 * time.Second
-	// maxOutage is for how long a core that will be back may be away.
+	// maxOutage is how long a replica is away that comes back.
 	maxOutage = 6 * time.Second
-	// leaveInterval and leaveFor are those of a core that is stopped (core.leave).
+	// leaveInterval and leaveTimeout are those of a replica that is being stopped.
 	leaveInterval = 100 * time.Millisecond
 	leaveTimeout  = 2 * time.Second
 )
@@ -22,25 +22,25 @@
 // NoFaults has no failures but those that a run brings about itself.
 var NoFaults = Faults{Delay: 40 * time.Millisecond}
 
-// Losses is a run in which as many cores as the set bears are lost at once; they come
-// back, or empty ones in their place; and settleFor later others are lost. Between two
-// losses a core may be replaced as planned: the new one first, then the old one stopped,
-// which leaves no time before the next loss.
+// Losses is a run in which as many replicas as the member set tolerates are lost at once,
+// come back or are replaced, and recoveryTime later others are lost. Between two losses a
+// replica may be replaced as planned: the new one joins, then the old one is stopped, which
+// leaves no time before the next loss.
 type Losses struct {
 	*Consensus
 	replicaCount int
-	// Slowest is the longest that a loss held up orders and reads; Planned counts
-	// planned replacements, Lost the cores lost.
-	Slowest                           time.Duration
+	// Slowest is the longest that a loss held up writes and reads.
+	Slowest time.Duration
+	// PlannedReplacements counts planned replacements, LostReplicas the replicas lost.
 	PlannedReplacements, LostReplicas int
 }
 
-// NewLosses lays out a run of so many cores, up to three of which found the system.
+// NewLosses prepares a run of so many replicas, up to three of which found the cluster.
 func NewLosses(seed uint64, size int) *Losses {
 	return &Losses{Consensus: NewDynamicMembership(seed, min(size, 3), NoFaults), replicaCount: size}
 }
 
-// Run runs so many rounds.
+// Run runs so many rounds of losses.
 func (sim *Losses) Run(rounds int) {
 	for len(sim.replicas) < sim.replicaCount {
 		sim.join()
@@ -62,19 +62,10 @@
 	}
 }
 
-// tolerated is how many cores may be lost at once.
+// tolerated is how many replicas may be lost at once.
 func (sim *Losses) tolerated() int { return (sim.replicaCount - 1) / 2 }
 
-func (sim *Losses) present() (out []*replica) {
-	for _, r := range sim.replicas {
-		if !r.removed {
-			out = append(out, r)
-		}
-	}
-	return out
-}
-
-// loseTolerated has as many cores as may be lost go at once, and tells when all are back.
+// loseTolerated loses as many replicas as are tolerated, and returns when all are back.
 func (sim *Losses) loseTolerated() (back time.Duration) {
 	present := sim.present()
 	for _, i := range sim.rng.Perm(len(present))[:sim.tolerated()] {
@@ -82,7 +73,7 @@
 		sim.LostReplicas++
 		switch sim.rng.IntN(5) {
 		case 0:
-			sim.trace(r, "is lost with its disk and comes back")
+			sim.trace(r, "is lost with its disk and restarts")
 			sim.powerOff(r)
 			r.disk = consensus.Bootstrap{InitialMembers: sim.founders, AdvertiseAddr: r.addr}.InitialState(sim.rng.Uint64() | 1)
 			sim.after(outage, func() { sim.start(r) })
@@ -94,10 +85,10 @@
 			sim.powerOff(r)
 			sim.after(outage, func() { sim.start(r) })
 		case 3:
-			sim.trace(r, "freezes")
+			sim.trace(r, "is frozen")
 			r.frozenUntil = sim.now + outage
 		default:
-			sim.trace(r, "is cut off")
+			sim.trace(r, "is partitioned")
 			r.partition = 1 + i
 			sim.after(outage, func() { r.partition = 0 })
 		}
@@ -106,12 +97,13 @@
 	return back
 }
 
+// powerOff ends a replica; its disk stays.
 func (*Losses) powerOff(r *replica) {
 	r.up = false
 	r.incarnation++
 }
 
-// replacePlanned replaces a core as planned: it is stopped once a new one is a member.
+// replacePlanned replaces a replica as planned: it is stopped once a new one is a member.
 func (sim *Losses) replacePlanned() {
 	present := sim.present()
 	old := present[sim.rng.IntN(len(present))]
@@ -133,12 +125,12 @@
 	sim.PlannedReplacements++
 }
 
-// awaitService waits until an order is acknowledged and a read answered.
+// awaitService waits until a write is acknowledged and a read answered.
 func (sim *Losses) awaitService() {
 	began, acked, reads := sim.now, sim.Acked, sim.Reads
 	for sim.Acked == acked || sim.Reads == reads {
 		if sim.now-began > serviceBound {
-			sim.violation("no order or no read in %v after a loss that the set bears: %s", serviceBound, sim.describe())
+			sim.violation("no write or no read within %v after a tolerated loss: %s", serviceBound, sim.describe())
 			return
 		}
 		sim.write()
@@ -148,13 +140,14 @@
 	sim.Slowest = max(sim.Slowest, sim.now-began)
 }
 
-// checkRepaired checks that all cores are members again, and that the set bears the next loss.
+// checkRepaired checks that all replicas are members again, and that the member set tolerates
+// the next loss.
 func (sim *Losses) checkRepaired() {
 	members := map[int]bool{}
 	present := sim.present()
 	for _, r := range present {
 		if !r.acceptor.IsMember() || len(r.acceptor.MemberSets().Previous) > 0 {
-			sim.violation("%s is no full member %v after all were back: %s", r.addr, recoveryTime, sim.describe())
+			sim.violation("%s is not a full member %v after all were back: %s", r.addr, recoveryTime, sim.describe())
 			return
 		}
 		members[r.acceptor.Self.MemberID] = true
@@ -163,7 +156,7 @@
 		set := consensus.MemberIDs(r.acceptor.MemberSets().Current)
 		live := len(set) - len(slices.DeleteFunc(slices.Clone(set), func(s int) bool { return members[s] }))
 		if live-sim.tolerated() < consensus.Majority(len(set)) {
-			sim.violation("%d of %v live, which does not bear %d losses: %s", live, set, sim.tolerated(), sim.describe())
+			sim.violation("%d of %v are live, which does not tolerate %d losses: %s", live, set, sim.tolerated(), sim.describe())
 			return
 		}
 	}
--- a/tests/simulation/membership.go
+++ b/tests/simulation/membership.go
@@ -1,115 +1,114 @@
 package simulation
 
 import (
-	"bytes"
 	"fmt"
 	"maps"
-	"math/rand/v2"
 	"slices"
-	"strings"
 	"time"
 
-	"curlewwalk/internal/config"
 	"curlewwalk/internal/membership"
-	"curlewwalk/internal/rendezvous"
 	"curlewwalk/internal/watch"
 )
 
-// Membership is a run of membership, feed and following: sidecars that heartbeat, probe,
-// accuse, refute and follow, and cores that sum up, through losses, delays, cuts,
-// freezes and kills. Feeds, copies, watches and seats are the production's.
+// Membership is a run of membership and watch: sidecars send heartbeats, probe, suspect,
+// refute and watch, and replicas merge what they observe, under losses, delays, partitions,
+// freezes and kills. The event logs, mirrors, failure detectors and replica tables are the
+// production's.
 type Membership struct {
-	clock
-	rng      *rand.Rand
-	base     time.Time
+	randomClock
+	base     time.Time // wall time at the beginning
 	replicas []*gossipReplica
 	sidecars []*gossipSidecar
 	until    time.Duration // the faults stop here
-	// Violations lists what must never happen and did; the others count.
-	Violations                                         []string
+	// Violations lists what must never happen and did.
+	Violations []string
+	// Revisions and the others count what happened: suspicions sent and refuted, nodes
+	// missing from a view in the end, and changes of the watched replica.
 	Revisions, Suspected, Refuted, Missing, Redirected int
-	// DeltaHeartbeats counts heartbeats that told a difference, Whole those that were asked for whole.
+	// DeltaHeartbeats counts heartbeats that sent a difference, FullHeartbeats those that
+	// were requested in full.
 	DeltaHeartbeats, FullHeartbeats int
-	// Patched counts words that were told by a difference, Unread those that could not be
-	// made whole.
+	// Patched counts states that were sent as a patch, Unreadable the patches that could
+	// not be applied.
 	Patched, Unreadable int
 }
 
+// gossipHost is a process with its place in the network.
 type gossipHost struct {
 	addr        string
-	incarnation int
+	incarnation int // counts its starts
 	up          bool
 	frozenUntil time.Duration
-	partition   int
+	partition   int // messages only pass between processes of one partition
 }
 
+// gossipReplica is a control plane replica.
 type gossipReplica struct {
 	gossipHost
 	memberID int
-	startID  uint64
+	startID  uint64 // its incarnation as the production compares it
 	watch    *watch.EventLog
-	revision uint64 // settled here
+	revision uint64 // the newest that is committed here
 }
 
+// gossipSidecar is a sidecar.
 type gossipSidecar struct {
 	gossipHost
 	node           membership.Node
 	monitor        *membership.FailureDetector
 	replicas       membership.ReplicaTable
-	heartbeats     map[string]membership.HeartbeatEncoder
+	heartbeats     map[string]membership.HeartbeatEncoder // by replica address
 	sequence       uint
 	mirror         *watch.Mirror
 	revision       uint64
-	replica        *gossipReplica
-	replicaStartID uint64 // of the core that is followed
+	replica        *gossipReplica // that it watches
+	replicaStartID uint64
 	offset         watch.Request
-	patchBase      watch.StateDecoder
-	failedAt       map[string]time.Duration
+	decoder        watch.StateDecoder
+	failedAt       map[string]time.Duration // by replica address
 }
 
-// NewMembership lays a run out.
-func NewMembership(seed uint64, cores, sides int) *Membership {
-	sim := &Membership{rng: rand.New(rand.NewPCG(seed, 23)), base: time.Now(), until: 40 * time.Second}
-	for i := range cores {
-		replica := &gossipReplica{gossipHost: gossipHost{addr: fmt.Sprintf("core-%d", i+1)}, memberID: i + 1}
+// NewMembership prepares a run of so many replicas and sidecars.
+func NewMembership(seed uint64, replicas, sidecars int) *Membership {
+	sim := &Membership{randomClock: newRandomClock(seed, 23), base: time.Now(), until: 40 * time.Second}
+	for i := range replicas {
+		replica := &gossipReplica{gossipHost: gossipHost{addr: fmt.Sprintf("replica-%d", i+1)}, memberID: i + 1}
 		sim.replicas = append(sim.replicas, replica)
 		sim.startReplica(replica)
 	}
-	for i := range sides {
-		sidecar := &gossipSidecar{gossipHost: gossipHost{addr: fmt.Sprintf("side-%d", i)}}
+	for i := range sidecars {
+		sidecar := &gossipSidecar{gossipHost: gossipHost{addr: fmt.Sprintf("sidecar-%d", i)}}
 		sim.sidecars = append(sim.sidecars, sidecar)
 		sim.startSidecar(sidecar)
 	}
 	return sim
 }
 
-func (sim *Membership) randomDuration(d time.Duration) time.Duration {
-	return time.Duration(sim.rng.Int64N(int64(d) + 1))
-}
-
+// startReplica starts a replica; the newest committed revision is on its disk.
 func (sim *Membership) startReplica(replica *gossipReplica) {
 	replica.up, replica.startID = true, sim.rng.Uint64()
 	replica.watch = watch.NewEventLog(replica.startID, sim.now)
-	if replica.revision > 0 { // it was on its disk
+	if replica.revision > 0 {
 		replica.watch.ObserveCommitted(stateOf(replica.revision))
 	}
 	sim.every(&replica.gossipHost, 100*time.Millisecond, func() { replica.watch.DetectPause(sim.now); replica.watch.Tick(sim.now) })
 	sim.every(&replica.gossipHost, 300*time.Millisecond, func() { sim.catchUp(replica) })
 }
 
+// startSidecar starts a sidecar with empty memory.
 func (sim *Membership) startSidecar(sidecar *gossipSidecar) {
 	sidecar.up, sidecar.revision, sidecar.replica = true, 0, nil
 	sidecar.node = membership.Node{Addr: sidecar.addr, Incarnation: sim.rng.Uint64()}
 	sim.changeBackends(sidecar)
 	sidecar.monitor, sidecar.replicas, sidecar.mirror, sidecar.failedAt = membership.NewFailureDetector(sidecar.addr), membership.ReplicaTable{}, watch.NewMirror(), map[string]time.Duration{}
-	sidecar.patchBase = watch.StateDecoder{}
+	sidecar.decoder = watch.StateDecoder{}
 	sidecar.heartbeats, sidecar.sequence = map[string]membership.HeartbeatEncoder{}, 0
 	sim.every(&sidecar.gossipHost, membership.HeartbeatInterval, func() { sim.heartbeat(sidecar) })
 	sim.every(&sidecar.gossipHost, membership.HeartbeatInterval, func() { sim.probe(sidecar) })
 	sim.every(&sidecar.gossipHost, 200*time.Millisecond, func() { sim.watchReplica(sidecar) })
 }
 
-// every does something in rhythm while a host lives; nothing while it is frozen.
+// every runs an action at an interval as long as a process lives, but not while it is frozen.
 func (sim *Membership) every(h *gossipHost, interval time.Duration, action func()) {
 	incarnation := h.incarnation
 	var next func()
@@ -125,7 +124,8 @@
 	sim.after(sim.randomDuration(interval), next)
 }
 
-// call carries a call and its answer; back gets nothing when it is lost or late.
+// call carries a call and its answer; done gets nil when it is lost or late. refused tells that
+// the target is down.
 func (sim *Membership) call(from, to *gossipHost, timeout time.Duration, handle func() any, done func(answer any, refused bool)) {
 	incarnation, finished := from.incarnation, false
 	finish := func(answer any, refused bool) {
@@ -164,7 +164,7 @@
 	})
 }
 
-// heartbeat tells the cores of this node and learns of their seats and of accusers.
+// heartbeat sends a heartbeat to all replicas.
 func (sim *Membership) heartbeat(sidecar *gossipSidecar) {
 	sidecar.node.AppliedRevision = sidecar.revision
 	sidecar.node.Suspects = sidecar.monitor.Suspects(sidecar.mirror.Nodes)
@@ -175,7 +175,8 @@
 	}
 }
 
-// sendHeartbeat heartbeats one core with what it lacks.
+// sendHeartbeat sends what a replica lacks, and takes in its reply: its status, suspicions of
+// this node, or a request for a full heartbeat.
 func (sim *Membership) sendHeartbeat(sidecar *gossipSidecar, replica *gossipReplica) {
 	full := sidecar.node
 	full.Sequence = sidecar.sequence
@@ -200,7 +201,7 @@
 			reply.Suspected = &refutation
 		}
 		return reply
-	}, func(answer any, refused bool) {
+	}, func(answer any, _ bool) {
 		reply, ok := answer.(membership.Heartbeat)
 		if !ok {
 			return
@@ -219,22 +220,23 @@
 	})
 }
 
-// backends are those of a node in its boot and revision, and of no other.
+// backends are the backends of a node, different in each incarnation and version.
 func backends(n membership.Node) []membership.Backend {
 	return []membership.Backend{{Instance: fmt.Sprint(n.Addr, " ", n.Incarnation, " ", n.Version)}}
 }
 
-// changeBackends has a sidecar's backends change.
-func (sim *Membership) changeBackends(sidecar *gossipSidecar) {
+// changeBackends gives a sidecar the backends of its next version.
+func (*Membership) changeBackends(sidecar *gossipSidecar) {
 	sidecar.node.Version++
 	sidecar.node.Backends = backends(sidecar.node)
 }
 
+// sidecarAt is the sidecar at an address.
 func (sim *Membership) sidecarAt(addr string) *gossipSidecar {
 	return sim.sidecars[slices.IndexFunc(sim.sidecars, func(sidecar *gossipSidecar) bool { return sidecar.addr == addr })]
 }
 
-// probe asks those that this node watches.
+// probe probes the nodes that a sidecar monitors.
 func (sim *Membership) probe(sidecar *gossipSidecar) {
 	for _, addr := range sidecar.monitor.Monitored(slices.Sorted(maps.Keys(sidecar.mirror.Nodes))) {
 		target := sim.sidecarAt(addr)
@@ -252,95 +254,11 @@
 	}
 }
 
-// watchReplica asks the core that ranks first among the live ones; one that failed comes
-// last.
-func (sim *Membership) watchReplica(sidecar *gossipSidecar) {
-	live := rendezvous.Rank(sidecar.addr, sidecar.replicas.Live(sim.base.Add(sim.now)), func(c membership.Replica) string { return c.Addr })
-	if len(live) == 0 {
-		return
-	}
-	slices.SortStableFunc(live, func(a, b membership.Replica) int {
-		return int(sidecar.failedAt[a.Addr]/1e6) - int(sidecar.failedAt[b.Addr]/1e6)
-	})
-	replica := sim.replicas[live[0].MemberID-1]
-	if sidecar.replica != replica || sidecar.replicaStartID != live[0].Incarnation {
-		sidecar.replica, sidecar.replicaStartID, sidecar.offset = replica, live[0].Incarnation, watch.Request{}
-		sim.Redirected++
-	}
-	offset, request := sidecar.offset, sidecar.patchBase.Prepare(sidecar.offset)
-	sim.call(&sidecar.gossipHost, &replica.gossipHost, 900*time.Millisecond, func() any {
-		replica.watch.DetectPause(sim.now)
-		if !replica.watch.Ready(sim.now) {
-			return false
-		}
-		updates, _ := replica.watch.Since(request)
-		return updates
-	}, func(answer any, _ bool) {
-		updates, ok := answer.(watch.Updates)
-		if !ok {
-			sidecar.failedAt[replica.addr] = sim.now
-			return
-		}
-		if sidecar.replica != replica || sidecar.offset.LogID != offset.LogID || sidecar.offset.Offset != offset.Offset {
-			return // a later call has been answered
-		}
-		for _, event := range updates.Events {
-			if event.StatePatch != nil {
-				sim.Patched++
-			}
-		}
-		updates.Events = slices.Clone(updates.Events) // the core's own
-		if !sidecar.patchBase.Decode(&updates) {
-			sim.Unreadable++
-			return // it asks for the whole next
-		}
-		sidecar.offset = watch.Request{LogID: updates.LogID, Offset: updates.Offset}
-		if state, _ := sidecar.mirror.Apply(updates); state != nil {
-			if state.Revision < sidecar.revision {
-				sim.violation("%s went from stamp %d back to %d", sidecar.addr, sidecar.revision, state.Revision)
-			}
-			sidecar.revision = state.Revision
-			if !bytes.Equal(state.Configuration, stateOf(state.Revision).Configuration) {
-				sim.violation("%s put something else in force as stamp %d", sidecar.addr, state.Revision)
-			}
-		}
-	})
-}
-
-// catchUp copies what another core has settled, as heartbeats between cores bring about.
-func (sim *Membership) catchUp(replica *gossipReplica) {
-	for _, peer := range sim.replicas {
-		sim.call(&replica.gossipHost, &peer.gossipHost, time.Second, func() any { return peer.revision }, func(answer any, _ bool) {
-			if revision, ok := answer.(uint64); ok && revision > replica.revision {
-				replica.revision = revision
-				replica.watch.ObserveCommitted(stateOf(revision))
-			}
-		})
-	}
-}
-
-// stateOf is the word of a stamp; words differ in a small part.
-func stateOf(revision uint64) config.ControlState {
-	text := strings.Repeat("a route that stays as it is; ", 10)
-	return config.ControlState{Revision: revision, Configuration: fmt.Appendf([]byte(text), "a route as of stamp %d; %s", revision, text)}
-}
-
-// write settles a new word on one core that lives.
-func (sim *Membership) write() {
-	replica := sim.replicas[sim.rng.IntN(len(sim.replicas))]
-	if !replica.up || replica.frozenUntil > sim.now {
-		return
-	}
-	sim.Revisions++
-	replica.revision = uint64(sim.Revisions)
-	replica.watch.ObserveCommitted(stateOf(replica.revision))
-}
-
-// Run brings faults about for a while, then none, and looks whether all agree.
+// Run brings faults about for a while, then none, and checks that all agree.
 func (sim *Membership) Run() {
-	sim.repeat(800*time.Millisecond, sim.write)
-	sim.repeat(time.Second, sim.injectFault)
-	sim.repeat(300*time.Millisecond, func() {
+	sim.repeat(800*time.Millisecond, sim.until, sim.write)
+	sim.repeat(time.Second, sim.until, sim.injectFault)
+	sim.repeat(300*time.Millisecond, sim.until, func() {
 		if sidecar := sim.sidecars[sim.rng.IntN(len(sim.sidecars))]; sidecar.up && sidecar.frozenUntil <= sim.now {
 			sim.changeBackends(sidecar)
 		}
@@ -352,41 +270,32 @@
 			sim.restart(h)
 		}
 	}
-	// A core that has just started listens for 1.2 s first; then 2 s.
+	// A replica that has just started only listens for StartupDelay; then 2 s.
 	sim.run(sim.until + watch.StartupDelay + 2*time.Second)
-	sim.checkAgreement("2 s after all was whole", false)
+	sim.checkAgreement("2 s after recovery", false)
 	sim.run(sim.until + 8*time.Second)
-	sim.checkAgreement("8 s after all was whole", true)
-}
-
-func (sim *Membership) repeat(interval time.Duration, action func()) {
-	sim.after(sim.randomDuration(2*interval), func() {
-		if sim.now < sim.until {
-			action()
-			sim.repeat(interval, action)
-		}
-	})
+	sim.checkAgreement("8 s after recovery", true)
 }
 
-// checkAgreement checks that all have the newest word, and, if nodes is set, that all know
-// just the nodes that live.
+// checkAgreement checks that all sidecars have applied the newest revision and, if nodes is set,
+// that all know exactly the nodes that are up.
 func (sim *Membership) checkAgreement(when string, nodes bool) {
 	var newest uint64
 	for _, replica := range sim.replicas {
 		newest = max(newest, replica.revision)
 	}
-	type now struct{ boot, rev uint64 }
-	want := map[string]now{}
+	type version struct{ incarnation, version uint64 }
+	want := map[string]version{}
 	for _, sidecar := range sim.sidecars {
-		want[sidecar.addr] = now{sidecar.node.Incarnation, sidecar.node.Version}
+		want[sidecar.addr] = version{sidecar.node.Incarnation, sidecar.node.Version}
 	}
 	for _, sidecar := range sim.sidecars {
 		if sidecar.revision < newest {
-			sim.violation("%s: %s is at stamp %d, the newest is %d", when, sidecar.addr, sidecar.revision, newest)
+			sim.violation("%s: %s is at revision %d, the newest is %d", when, sidecar.addr, sidecar.revision, newest)
 		}
-		got := map[string]now{}
+		got := map[string]version{}
 		for _, n := range sidecar.mirror.Nodes {
-			got[n.Addr] = now{n.Incarnation, n.Version}
+			got[n.Addr] = version{n.Incarnation, n.Version}
 		}
 		if nodes && !maps.Equal(got, want) {
 			sim.violation("%s: %s knows %v, there are %v", when, sidecar.addr, got, want)
@@ -395,6 +304,7 @@
 	}
 }
 
+// hosts lists all processes.
 func (sim *Membership) hosts() (out []*gossipHost) {
 	for _, replica := range sim.replicas {
 		out = append(out, &replica.gossipHost)
@@ -405,6 +315,7 @@
 	return out
 }
 
+// restart starts a process that was killed.
 func (sim *Membership) restart(h *gossipHost) {
 	for _, replica := range sim.replicas {
 		if h == &replica.gossipHost {
@@ -418,7 +329,7 @@
 	}
 }
 
-// injectFault kills, freezes, cuts and mends.
+// injectFault kills, freezes, partitions or heals.
 func (sim *Membership) injectFault() {
 	all := sim.hosts()
 	h := all[sim.rng.IntN(len(all))]
--- a/tests/simulation/operators.go
+++ b/tests/simulation/operators.go
@@ -11,50 +11,55 @@
 )
 
 const (
-	operators       = 2
-	callInterval    = 500 * time.Millisecond  // about how often each operator orders something
-	responseTimeout = 2500 * time.Millisecond // after which an operator calls elsewhere
-	maxCalls        = 5                       // of one order
-	answerLossRate  = 0.3
-	// maxForwardDelay is how long an order may be on its way to the core on duty at worst.
+	operators = 2
+	// callInterval is about how often each operator submits something.
+	callInterval = 500 * time.Millisecond
+	// responseTimeout is after how long an operator tries another replica.
+	responseTimeout = 2500 * time.Millisecond
+	// maxCalls bounds how often one command is submitted.
+	maxCalls = 5
+	// answerLossRate is the share of answers that operators do not get.
+	answerLossRate = 0.3
+	// maxForwardDelay is the longest that a command is on its way to the coordinator.
 	maxForwardDelay = 8 * time.Second
 )
 
-// zones are the zones that are emptied and taken back, each in turn.
+// zones are evacuated and restored, each by turns.
 var zones = []string{"east", "north", "south", "west"}
 
-// Operators are two that number their configurations from one sequence, at times alike,
-// lose answers and repeat their orders at other cores, while zones are emptied and
-// taken back in turn. (DESIGN 6.3)
+// Operators are two operators that take the generations of their configurations from one
+// sequence, sometimes the same one, lose answers and repeat commands at other replicas, while
+// zones are evacuated and restored. (DESIGN 6.3)
 type Operators struct {
-	simulation *Consensus
-	numbers    []uint64 // that were used
-	// sent are the configurations that were sent under a number; acked and refused those
-	// that any core acknowledged or refused, heard by the operator or not; taken the digest
-	// that a settled word has on record.
+	simulation  *Consensus
+	generations []uint64 // that were used, in order
+	// sent are the configurations that were sent under a generation; acked and refused
+	// those that any replica acknowledged or refused, whether the operator got the answer
+	// or not; committed is the digest that the committed state has on record.
 	sent           map[uint64][][]byte
 	acked, refused map[uint64][][]byte
 	committed      map[uint64][]byte
-	evacuatedAt    map[uint64][]string   // by settled stamp
-	evacuations    map[string]evacuation // the newest order on each zone
-	// Repeats, Conflicts, Evacuations and Overtaken count what went on.
+	evacuatedAt    map[uint64][]string   // the evacuated zones, by committed revision
+	evacuations    map[string]evacuation // the newest command on each zone
+	// Acked and the others count what happened.
 	Acked, Repeats, Conflicts, Evacuations, Superseded int
 }
 
-// evacuation is an order on a zone.
+// evacuation is a command on a zone.
 type evacuation struct {
 	zone     string
-	number   int
-	empty    bool
+	number   int  // counts the commands on the zone
+	evacuate bool // else it restores the zone
 	acked    bool
 	revision uint64 // of its acknowledgement
 }
 
+// newOperators makes the operators of a run.
 func newOperators(sim *Consensus) *Operators {
 	return &Operators{simulation: sim, sent: map[uint64][][]byte{}, acked: map[uint64][][]byte{}, refused: map[uint64][][]byte{}, committed: map[uint64][]byte{}, evacuatedAt: map[uint64][]string{}, evacuations: map[string]evacuation{}}
 }
 
-// run has the operators work until the faults stop.
+// run has the operators work until a moment.
 func (o *Operators) run(until time.Duration) {
 	for n := range operators {
 		o.simulation.repeat(callInterval, until, func() { o.configure(n) })
@@ -64,7 +69,7 @@
 	}
 }
 
-// randomReplica is one that an operator might reach.
+// randomReplica draws a replica that an operator can reach, or returns nil.
 func (o *Operators) randomReplica() *replica {
 	r := o.simulation.randomReplica()
 	if !r.up || r.frozenUntil > o.simulation.now || r.acceptor.Phase != consensus.PhaseEstablished {
@@ -73,36 +78,36 @@
 	return r
 }
 
-// configure sends a configuration under a new number, one used of late by anybody, or
-// the same as once before.
+// configure sends a configuration under a new generation, under one that was used lately, or
+// repeats an earlier one.
 func (o *Operators) configure(operator int) {
 	rng := o.simulation.rng
-	if len(o.numbers) > 0 && rng.IntN(4) == 0 {
-		number := o.numbers[len(o.numbers)-1-rng.IntN(min(len(o.numbers), 20))]
+	if len(o.generations) > 0 && rng.IntN(4) == 0 {
+		number := o.generations[len(o.generations)-1-rng.IntN(min(len(o.generations), 20))]
 		o.Repeats++
 		o.submit(number, o.sent[number][rng.IntN(len(o.sent[number]))], maxCalls)
 		return
 	}
 	number := o.simulation.highestGeneration + 1 + rng.Uint64N(3)
-	if len(o.numbers) > 0 && rng.IntN(2) == 0 {
-		number = o.numbers[len(o.numbers)-1]
+	if len(o.generations) > 0 && rng.IntN(2) == 0 {
+		number = o.generations[len(o.generations)-1]
 	}
 	o.simulation.highestGeneration = max(o.simulation.highestGeneration, number)
 	text := fmt.Appendf(nil, "operator %d at %v under %d", operator, o.simulation.now, number)
-	o.numbers = append(o.numbers, number)
+	o.generations = append(o.generations, number)
 	o.sent[number] = append(o.sent[number], text)
 	o.submit(number, text, maxCalls)
 }
 
-// submit sends a configuration to a core, and again elsewhere until the answer is clear.
+// submit sends a configuration to a replica, and to others until the answer is final.
 func (o *Operators) submit(number uint64, text []byte, calls int) {
 	if calls == 0 {
 		return
 	}
-	settled := false
+	final := false
 	again := func() {
-		if !settled {
-			settled = true
+		if !final {
+			final = true
 			o.submit(number, text, calls-1)
 		}
 	}
@@ -118,14 +123,14 @@
 		switch {
 		case o.simulation.rng.Float64() < answerLossRate:
 		case result.Outcome == consensus.OutcomeCommitted || result.Outcome == consensus.OutcomeConflict:
-			settled = true
+			final = true
 		default:
 			o.simulation.after(o.simulation.randomDuration(100*time.Millisecond), again)
 		}
 	})
 }
 
-// receiveResult checks an answer to a configuration.
+// receiveResult checks the result of a configuration.
 func (o *Operators) receiveResult(number uint64, text []byte, result consensus.CommandResult) {
 	switch result.Outcome {
 	case consensus.OutcomeCommitted:
@@ -135,7 +140,7 @@
 		o.simulation.ackedRevision = max(o.simulation.ackedRevision, result.State.Revision)
 		o.simulation.ackedGeneration = max(o.simulation.ackedGeneration, number)
 		if result.State.Generation < number {
-			o.simulation.violation("number %d was acknowledged while %d was held", number, result.State.Generation)
+			o.simulation.violation("generation %d was acknowledged while %d was in force", number, result.State.Generation)
 		}
 	case consensus.OutcomeConflict:
 		o.Conflicts++
@@ -148,22 +153,23 @@
 	if contains(o.acked[number], text) && contains(o.refused[number], text) {
 		o.simulation.violation("%q was acknowledged and refused", text)
 	}
-	o.checkNumber(number)
+	o.checkGeneration(number)
 }
 
+// contains tells whether a text is among texts.
 func contains(texts [][]byte, text []byte) bool {
 	return slices.ContainsFunc(texts, func(t []byte) bool { return bytes.Equal(t, text) })
 }
 
-// recordCommitted takes note of a settled word.
+// recordCommitted checks and records a committed state.
 func (o *Operators) recordCommitted(state config.ControlState) {
 	for _, accepted := range state.AcceptedGenerations {
 		if old, ok := o.committed[accepted.Generation]; ok && !bytes.Equal(old, accepted.Digest) {
-			o.simulation.violation("two configurations were taken under %d", accepted.Generation)
+			o.simulation.violation("two configurations were committed under %d", accepted.Generation)
 		}
 		if _, ok := o.committed[accepted.Generation]; !ok {
 			o.committed[accepted.Generation] = accepted.Digest
-			o.checkNumber(accepted.Generation)
+			o.checkGeneration(accepted.Generation)
 		}
 	}
 	if state.Submitted != nil {
@@ -174,30 +180,30 @@
 	o.evacuatedAt[state.Revision] = state.EvacuatedByOperator
 }
 
-// checkNumber checks a number that was taken: nothing but that configuration is acknowledged
-// under it, and that one is never refused.
-func (o *Operators) checkNumber(number uint64) {
+// checkGeneration checks a generation that was committed: no other configuration is acknowledged
+// under it, and its own is never refused.
+func (o *Operators) checkGeneration(number uint64) {
 	digest, ok := o.committed[number]
 	if !ok {
 		return
 	}
 	for _, text := range o.acked[number] {
 		if !bytes.Equal(digest, config.SubmissionDigest(text, nil)) {
-			o.simulation.violation("%q was acknowledged, and another was taken under %d", text, number)
+			o.simulation.violation("%q was acknowledged, and another was committed under %d", text, number)
 		}
 	}
 	for _, text := range o.refused[number] {
 		if bytes.Equal(digest, config.SubmissionDigest(text, nil)) {
-			o.simulation.violation("%q was refused, and it was taken", text)
+			o.simulation.violation("%q was refused, and it was committed", text)
 		}
 	}
 }
 
-// checkFinal checks what can only be told once all is known.
+// checkFinal checks what can only be judged at the end.
 func (o *Operators) checkFinal() {
 	for number, texts := range o.refused {
 		if _, ok := o.committed[number]; !ok {
-			o.simulation.violation("%q was refused, and nothing was taken under %d", texts[0], number)
+			o.simulation.violation("%q was refused, and nothing was committed under %d", texts[0], number)
 		}
 	}
 	for _, zone := range zones {
@@ -205,23 +211,23 @@
 	}
 }
 
-// evacuate orders the opposite of what was ordered on a zone last, once that was acknowledged, or
-// given up after a while; and goes on.
+// evacuate evacuates a zone, or restores it if it was evacuated last, once the last command
+// was acknowledged or given up; and goes on.
 func (o *Operators) evacuate(zone string, until time.Duration) {
 	o.checkEvacuation(zone)
 	if o.simulation.now >= until {
 		return
 	}
 	last := o.evacuations[zone]
-	e := evacuation{zone: zone, number: last.number + 1, empty: !last.empty}
+	e := evacuation{zone: zone, number: last.number + 1, evacuate: !last.evacuate}
 	o.evacuations[zone] = e
 	o.submitEvacuation(e, maxCalls, func() {
 		o.simulation.after(o.simulation.randomDuration(time.Second), func() { o.evacuate(zone, until) })
 	})
 }
 
-// submitEvacuation sends the order to a core, and again elsewhere until it is acknowledged.
-// The core asks a majority for the newest stamp and passes the order on to some other.
+// submitEvacuation sends the command to a replica, and to others until it is acknowledged. The
+// replica does a read index and forwards the command to another replica.
 func (o *Operators) submitEvacuation(e evacuation, calls int, done func()) {
 	if calls == 0 {
 		done()
@@ -241,12 +247,12 @@
 		return
 	}
 	command := consensus.Command{Kind: consensus.CommandEvacuate, Zone: e.zone}
-	if !e.empty {
+	if !e.evacuate {
 		command.Kind = consensus.CommandRevokeEvacuation
 	}
-	o.simulation.readIndex(r, func(revision uint64) {
+	o.simulation.quorumRead(r, consensus.MsgReadIndex, func(revision uint64, _ config.ControlState) {
 		if finished {
-			return // the core sees that its caller has gone
+			return // the replica sees that its caller has gone
 		}
 		command.SinceRevision = &revision
 		forward := o.simulation.randomDuration(50 * time.Millisecond)
@@ -272,7 +278,7 @@
 	})
 }
 
-// receiveEvacuationResult checks an answer to an order on a zone.
+// receiveEvacuationResult checks the result of a command on a zone.
 func (o *Operators) receiveEvacuationResult(order evacuation, result consensus.CommandResult, byOperator bool) {
 	switch result.Outcome {
 	case consensus.OutcomeCommitted:
@@ -281,7 +287,7 @@
 		o.Superseded++
 	case consensus.OutcomeRejected, consensus.OutcomeUnknown:
 	default:
-		o.simulation.violation("an order on a locality got %q", result.Outcome)
+		o.simulation.violation("a command on a zone got %q", result.Outcome)
 	}
 	if byOperator && result.Outcome == consensus.OutcomeCommitted && order.number == o.evacuations[order.zone].number {
 		o.Evacuations++
@@ -290,56 +296,33 @@
 	}
 }
 
-// checkEvacuation checks, before the operator orders anything else on a zone, that what was
-// acknowledged last stands.
+// checkEvacuation checks, before the operator submits another command on a zone, that the last
+// one that was acknowledged is still in force.
 func (o *Operators) checkEvacuation(zone string) {
 	e := o.evacuations[zone]
 	if !e.acked {
 		return
 	}
 	for revision, evacuated := range o.evacuatedAt {
-		if revision >= e.revision && slices.Contains(evacuated, zone) != e.empty {
-			o.simulation.violation("%v are emptied under stamp %d, and for %s %v was acknowledged with %d", evacuated, revision, zone, e.empty, e.revision)
+		if revision >= e.revision && slices.Contains(evacuated, zone) != e.evacuate {
+			o.simulation.violation("%v are evacuated at revision %d, and for %s %v was acknowledged at %d", evacuated, revision, zone, e.evacuate, e.revision)
 		}
 	}
 }
 
-// readIndex asks a majority for the newest settled stamp, as a core does for an order that
-// comes to it.
-func (sim *Consensus) readIndex(r *replica, receive func(stamp uint64)) {
-	replies, done := map[int]consensus.Reply{}, false
-	own := r.acceptor.MemberSets()
-	sim.broadcast(r, consensus.Message{Sender: r.acceptor.Self, Type: consensus.MsgReadIndex}, false, replies, func(consensus.Reply) {
-		counted := consensus.CurrentReplies(replies)
-		if done || !consensus.HasReadQuorum(counted, own) {
-			return
-		}
-		done = true
-		if newest, committed := consensus.NewestState(counted, own); committed {
-			receive(newest.Position.Revision)
-		} else if r.acceptor.Phase == consensus.PhaseEstablished {
-			sim.submit(r, consensus.Command{Kind: consensus.CommandRefresh}, func(result consensus.CommandResult) {
-				if result.Outcome == consensus.OutcomeCommitted {
-					receive(result.State.Revision)
-				}
-			})
-		}
-	})
-}
-
-// add sums up what went on.
+// add adds the counts of another run.
 func (o *Operators) add(other *Operators) {
 	o.Acked, o.Repeats, o.Conflicts = o.Acked+other.Acked, o.Repeats+other.Repeats, o.Conflicts+other.Conflicts
 	o.Evacuations, o.Superseded = o.Evacuations+other.Evacuations, o.Superseded+other.Superseded
 }
 
-// incomplete tells whether any of what is to be tried did not come about.
+// incomplete tells whether a run lacked one of the things that it is to try.
 func (o Operators) incomplete() bool {
 	return o.Acked == 0 || o.Repeats == 0 || o.Conflicts == 0 || o.Evacuations == 0 || o.Superseded == 0
 }
 
-// String implements fmt.Stringer.
+// String prints the counts.
 func (o Operators) String() string {
-	return fmt.Sprintf("%d configurations acknowledged, %d refused, %d repeated long after, %d orders on a locality acknowledged, %d copies overtaken",
+	return fmt.Sprintf("%d configurations acknowledged, %d refused, %d repeated long after, %d commands on a zone acknowledged, %d copies superseded",
 		o.Acked, o.Conflicts, o.Repeats, o.Evacuations, o.Superseded)
 }
--- a/tests/simulation/reconfiguration.go
+++ b/tests/simulation/reconfiguration.go
@@ -2,28 +2,25 @@
 
 import (
 	"fmt"
-	"maps"
 	"slices"
 	"time"
 
-	"curlewwalk/internal/config"
 	"curlewwalk/internal/controlplane/consensus"
 	"curlewwalk/internal/membership"
 )
 
-// wallClockBase is when simulated runs begin, for what counts in wall time.
+// wallClockBase is the wall time at the beginning of a run.
 var wallClockBase = time.Unix(1_700_000_000, 0)
 
-// maxReplicas bounds how many cores are to be up at a time.
+// maxReplicas bounds how many replicas are present at a time.
 const maxReplicas = 9
 
-// NewDynamicMembership lays out a run whose cores have no static seats: so many founders, and
-// others that come, go, are swapped and wiped.
-func NewDynamicMembership(seed uint64, founders int, f Faults) *Consensus {
-	sim := NewConsensus(seed, 0, f)
+// NewDynamicMembership prepares a run whose replicas join and leave, founded by so many.
+func NewDynamicMembership(seed uint64, founders int, faults Faults) *Consensus {
+	sim := NewConsensus(seed, 0, faults)
 	sim.dynamicMembership, sim.members = true, founders
 	for i := range founders {
-		sim.founders = append(sim.founders, fmt.Sprintf("core %d", i))
+		sim.founders = append(sim.founders, fmt.Sprintf("replica %d", i))
 	}
 	for i := range founders {
 		r := &replica{addr: sim.founders[i], disk: consensus.Bootstrap{NewCluster: true, InitialMembers: sim.founders, AdvertiseAddr: sim.founders[i]}.InitialState(sim.rng.Uint64() | 1)}
@@ -33,6 +30,7 @@
 	return sim
 }
 
+// replicaAt is the replica at an address, or nil.
 func (sim *Consensus) replicaAt(addr string) *replica {
 	i := slices.IndexFunc(sim.replicas, func(r *replica) bool { return r.addr == addr })
 	if i < 0 {
@@ -41,9 +39,10 @@
 	return sim.replicas[i]
 }
 
+// wallTime is the wall time now.
 func (sim *Consensus) wallTime() time.Time { return wallClockBase.Add(sim.now) }
 
-// startHeartbeats has a core heartbeat all others in rhythm.
+// startHeartbeats has a replica send heartbeats as long as it lives.
 func (sim *Consensus) startHeartbeats(r *replica, incarnation int) {
 	var heartbeat func()
 	heartbeat = func() {
@@ -56,7 +55,7 @@
 	heartbeat()
 }
 
-// status is what a core tells of its seat.
+// status is what a replica says of itself in heartbeats.
 func (r *replica) status() membership.Replica {
 	acceptor := r.acceptor
 	status := membership.Replica{
@@ -69,8 +68,8 @@
 	return status
 }
 
-// heartbeat tells a core's seat to the others, which tell theirs; then it looks how its
-// seat and the others' stand.
+// heartbeat exchanges status with all other replicas, and has the coordinator remove members
+// that are gone.
 func (sim *Consensus) heartbeat(r *replica) {
 	known := r.members.Observed()
 	replica := r.status()
@@ -100,12 +99,11 @@
 	}
 }
 
-// receiveStatus takes what a core told of itself.
+// receiveStatus takes in the status of another replica, and fetches its state if that is newer.
 func (sim *Consensus) receiveStatus(r *replica, status membership.Replica) {
 	r.members = r.members.Observe(status, sim.wallTime())
 	acceptor := r.acceptor
-	switch {
-	case status.CommittedRevision > acceptor.Committed:
+	if status.CommittedRevision > acceptor.Committed {
 		from := sim.replicaAt(status.Addr)
 		sim.send(r, from, func() {
 			_, reply := from.acceptor.Step(consensus.Message{Sender: acceptor.Self, Type: consensus.MsgRead})
@@ -121,6 +119,7 @@
 	}
 }
 
+// knownMembers is the status of each member that a replica knows of, by member ID.
 func (r *replica) knownMembers(now time.Time) map[int]consensus.MemberStatus {
 	out := map[int]consensus.MemberStatus{}
 	live := r.members.Live(now)
@@ -133,25 +132,26 @@
 	return out
 }
 
-// coordinatorOf is the core that one takes for the one on duty.
+// coordinatorOf is the replica that another one takes for the coordinator: the live member
+// with the lowest ID.
 func (sim *Consensus) coordinatorOf(r *replica) *replica {
 	set := consensus.MemberIDs(r.acceptor.MemberSets().Current)
 	if members, _, revision := r.members.Members(); len(members) > 0 && (revision > r.acceptor.Position.Revision || len(set) == 0) {
 		set = members
 	}
 	member := r.acceptor.Phase == consensus.PhaseEstablished && slices.Contains(set, r.acceptor.Self.MemberID)
-	for _, members := range r.members.Live(sim.wallTime()) {
-		if members.MemberID != r.acceptor.Self.MemberID && slices.Contains(set, members.MemberID) && (members.MemberID < r.acceptor.Self.MemberID || !member) {
-			return sim.replicaAt(members.Addr)
+	for _, status := range r.members.Live(sim.wallTime()) {
+		if status.MemberID != r.acceptor.Self.MemberID && slices.Contains(set, status.MemberID) && (status.MemberID < r.acceptor.Self.MemberID || !member) {
+			return sim.replicaAt(status.Addr)
 		}
 	}
 	return r
 }
 
-// requestMembership is what a core does for its seat; it tells whether that is all for now.
+// requestMembership lets a replica that is no member ask to join; true if it is not one yet.
 func (sim *Consensus) requestMembership(r *replica) bool {
 	if r.acceptor.Removed() {
-		sim.trace(r, "is struck")
+		sim.trace(r, "is no member any more")
 		sim.Removed++
 		sim.save(r, r.acceptor.Rejoining(sim.rng.Uint64()|1))
 	}
@@ -166,6 +166,7 @@
 	return true
 }
 
+// askToJoin asks the coordinator to add a replica to the member set.
 func (sim *Consensus) askToJoin(r, coordinator *replica) {
 	request := consensus.JoinRequest{DiskID: r.acceptor.Self.DiskID, Addr: r.addr}
 	sim.send(r, coordinator, func() {
@@ -178,13 +179,13 @@
 	})
 }
 
-// reconfigure has the set changed, one change at a time.
+// reconfigure submits a change of the member set, one at a time.
 func (sim *Consensus) reconfigure(r *replica, command consensus.Command) {
 	if r.reconfiguring {
 		return
 	}
 	r.reconfiguring = true
-	sim.trace(r, "orders %s into %d, %d out", command.Joining.Addr, command.Joining.MemberID, command.Leaving)
+	sim.trace(r, "adds %s as %d, removes %d", command.Joining.Addr, command.Joining.MemberID, command.Leaving)
 	incarnation := r.incarnation
 	sim.submit(r, command, func(consensus.CommandResult) {
 		if r.incarnation == incarnation {
@@ -192,159 +193,3 @@
 		}
 	})
 }
-
-// countChange counts changes of the set.
-func (sim *Consensus) countChange(state config.ControlState) {
-	switch {
-	case len(state.PreviousMembers) == 0:
-	case len(state.Members) > len(state.PreviousMembers):
-		sim.Grown++
-	case len(state.Members) < len(state.PreviousMembers):
-		sim.Shrunk++
-	default:
-		sim.Replaced++
-	}
-}
-
-// toleratesLoss tells whether the cores' disks would still be enough with some of them lost:
-// a majority of each set that may decide.
-func (sim *Consensus) toleratesLoss(lost ...*replica) bool {
-	sets := []consensus.MemberSets{{Current: sim.newestState.Members, Previous: sim.newestState.PreviousMembers}}
-	for _, r := range sim.replicas {
-		if member := r.disk.Position; len(sim.newestState.Members) == 0 || member.Revision > sim.newestState.Revision {
-			sets = append(sets, r.disk.MemberSets())
-		}
-	}
-	for revision, proposed := range sim.proposedSets {
-		if revision > sim.newestState.Revision {
-			sets = append(sets, proposed...)
-		}
-	}
-	for _, s := range sets {
-		for _, set := range [][]config.Member{s.Current, s.Previous} {
-			remaining := 0
-			for _, member := range set {
-				if slices.ContainsFunc(sim.replicas, func(r *replica) bool {
-					return !r.removed && r.disk.Self.DiskID == member.DiskID && !slices.Contains(lost, r)
-				}) {
-					remaining++
-				}
-			}
-			if len(set) > 0 && remaining < consensus.Majority(len(set)) {
-				return false
-			}
-		}
-	}
-	return true
-}
-
-// changeMembers has a core come, go for good, be swapped or wiped, or a minority of the
-// disks be lost at once, at times with the power of all others.
-func (sim *Consensus) changeMembers() {
-	var present []*replica
-	for _, r := range sim.replicas {
-		if !r.removed {
-			present = append(present, r)
-		}
-	}
-	pick := func() *replica { return present[sim.rng.IntN(len(present))] }
-	switch sim.rng.IntN(6) {
-	case 0:
-		if len(present) < maxReplicas {
-			sim.join()
-		}
-	case 1:
-		if r := pick(); len(present) > 3 && sim.toleratesLoss(r) {
-			sim.removeForGood(r)
-		}
-	case 2:
-		if r := pick(); sim.toleratesLoss(r) {
-			sim.removeForGood(r)
-			sim.join()
-		}
-	case 3:
-		if r := pick(); sim.toleratesLoss(r) {
-			sim.wipe(r)
-		}
-	default:
-		lost := []*replica{}
-		for _, i := range sim.rng.Perm(len(present)) {
-			if sim.toleratesLoss(append(slices.Clone(lost), present[i])...) {
-				lost = append(lost, present[i])
-			}
-		}
-		if len(lost) == 0 {
-			return
-		}
-		sim.Blackouts++
-		all := sim.rng.IntN(2) == 0
-		for _, r := range present {
-			switch {
-			case slices.Contains(lost, r) && sim.rng.IntN(2) == 0:
-				sim.removeForGood(r)
-				sim.join()
-			case slices.Contains(lost, r):
-				sim.wipe(r)
-			case all && r.up:
-				sim.crash(r)
-			}
-		}
-	}
-}
-
-func (sim *Consensus) join() {
-	sim.Joins++
-	r := &replica{addr: fmt.Sprintf("core %d", len(sim.replicas)), disk: consensus.Bootstrap{}.InitialState(sim.rng.Uint64() | 1)}
-	sim.replicas = append(sim.replicas, r)
-	sim.start(r)
-}
-
-func (sim *Consensus) removeForGood(r *replica) {
-	sim.trace(r, "goes for good")
-	sim.DiskLosses++
-	r.removed, r.up = true, false
-	r.incarnation++
-	r.disk = consensus.Acceptor{}
-}
-
-// wipe starts a core again at its address, with an empty disk.
-func (sim *Consensus) wipe(r *replica) {
-	sim.trace(r, "is wiped")
-	sim.DiskLosses++
-	if r.up {
-		sim.crash(r)
-	}
-	r.disk = consensus.Bootstrap{InitialMembers: sim.founders, AdvertiseAddr: r.addr}.InitialState(sim.rng.Uint64() | 1)
-}
-
-// disagreement tells what is still amiss with the set, after the faults: all cores that are
-// up are to be members, and no more may be missing than an odd set may lack.
-func (sim *Consensus) disagreement() string {
-	var live, set []int
-	sets := map[string]bool{}
-	for _, r := range sim.replicas {
-		if r.removed {
-			continue
-		}
-		if !r.acceptor.IsMember() {
-			return r.addr + " is no member"
-		}
-		live = append(live, r.acceptor.Self.MemberID)
-		set = consensus.MemberIDs(r.acceptor.MemberSets().Current)
-		sets[fmt.Sprint(set)] = true
-	}
-	missing := 0
-	for _, s := range set {
-		if !slices.Contains(live, s) {
-			missing++
-		}
-	}
-	tolerated := len(set) % 2
-	if len(set) <= max(3, sim.members) {
-		tolerated = len(set) - consensus.Majority(len(set))
-	}
-	if len(sets) != 1 || missing > tolerated || len(live)+missing != len(set) {
-		return fmt.Sprintf("%d are missing in %v", missing, slices.Sorted(maps.Keys(sets)))
-	}
-	return ""
-}
--- /dev/null
+++ b/tests/simulation/requests_sidecar.go
@@ -0,0 +1,148 @@
+package simulation
+
+import (
+	"fmt"
+	"time"
+
+	"curlewwalk/internal/config"
+	"curlewwalk/internal/dataplane/idempotency"
+	"curlewwalk/internal/dataplane/proxy"
+	"curlewwalk/internal/dataplane/routing"
+	"curlewwalk/internal/membership"
+)
+
+// refusalTimeout bounds the call that asks an inbound sidecar whether an attempt never ran.
+const refusalTimeout = 300 * time.Millisecond
+
+// serveOutbound serves a client's request as proxy.Outbound does. name tells the client's
+// sends of one request apart.
+func (sim *Requests) serveOutbound(n *requestNode, id, name string, keyed bool, done func(clientAnswer)) {
+	run := func(done func(clientAnswer)) { sim.runAttempts(n, id, name, done) }
+	if !keyed {
+		run(done)
+		return
+	}
+	if !n.ready {
+		done(clientAnswer{Outcome: routing.Unknown})
+		return
+	}
+	key := idempotency.Key{Text: id}
+	var reserve func()
+	reserve = func() {
+		n.reservations.Reserve(key, idempotency.Fingerprint{}, sim.now, func(result idempotency.Result[clientAnswer]) {
+			switch {
+			case result.Retry:
+				sim.whenAwake(n, reserve)
+			case result.Decision == idempotency.Replay:
+				done(result.Response)
+			case result.Decision == idempotency.Proceed:
+				sim.replicateKey(n, key, run, func(answer clientAnswer, keep bool) {
+					n.reservations.Complete(key, answer, keep, sim.now)
+					done(answer)
+				})
+			default:
+				panic("the table is neither full nor the request another one")
+			}
+		})
+	}
+	reserve()
+}
+
+// runAttempts makes the attempts that the routing decision asks for, as proxy.Outbound does.
+func (sim *Requests) runAttempts(n *requestNode, id, name string, done func(clientAnswer)) {
+	deadline := sim.now + requestDeadline
+	decision := &routing.Decision{
+		Route: config.Route{Name: "w", Service: "s"}, Deadline: sim.base.Add(deadline), Zone: n.Zone, Rand: sim.rng,
+		Conditions: routing.Conditions{Latency: func(membership.Target) routing.LatencyHistogram { return routing.LatencyHistogram{} }, SpendRetry: func() bool { return true }},
+	}
+	lastBody := ""
+	var next func()
+	next = func() {
+		order := decision.Next(sim.table, sim.view, sim.base.Add(sim.now))
+		switch order.Kind {
+		case routing.Respond:
+			done(clientAnswer{Outcome: routing.Answered, Text: lastBody})
+			return
+		case routing.Fail:
+			done(clientAnswer{Outcome: order.Failure.Outcome})
+			return
+		}
+		n.attempts++
+		attempt := proxy.Attempt{ID: fmt.Sprintf("%s/%d/%s", n.Addr, n.attempts, name), Incarnation: order.Target.Incarnation, Timeout: deadline - sim.now}
+		sim.attempt(n, attempt, order.Target, id, name, func(response proxy.AttemptResponse) {
+			lastBody = string(response.Body)
+			decision.Record(routing.AttemptResult{Target: order.Target, Outcome: response.Outcome, Reason: "simulated"})
+			next()
+		})
+	}
+	next()
+}
+
+// attempt sends an attempt to the sidecar beside its target and reports what became of it.
+// Without a response, only that sidecar's word that the attempt never ran proves it.
+func (sim *Requests) attempt(n *requestNode, attempt proxy.Attempt, target membership.Target, id, name string, report func(proxy.AttemptResponse)) {
+	inbound := sim.node(target.Node)
+	outcome := func(outcome routing.Outcome) {
+		report(proxy.AttemptResponse{ID: attempt.ID, Outcome: outcome})
+	}
+	sim.call(n, inbound, attempt.Timeout, func(reply func(any)) {
+		sim.serveInbound(inbound, attempt, id, name, reply)
+	}, func(answer any, unsent bool) {
+		response, ok := answer.(proxy.AttemptResponse)
+		switch {
+		case unsent:
+			outcome(routing.NotRun)
+		case ok:
+			report(response)
+		default:
+			sim.call(n, inbound, refusalTimeout, func(reply func(any)) {
+				reply(inbound.attemptLog.Refuse(attempt.ID, sim.now) && attempt.Incarnation == inbound.Incarnation)
+			}, func(answer any, _ bool) {
+				if proven, ok := answer.(bool); ok && proven {
+					outcome(routing.NotRun)
+				} else {
+					outcome(routing.Unknown)
+				}
+			})
+		}
+	})
+}
+
+// serveInbound serves an attempt as proxy.Inbound does. Once the backend was written to, it
+// goes on whatever happens to its sidecar.
+func (sim *Requests) serveInbound(n *requestNode, attempt proxy.Attempt, id, name string, reply func(any)) {
+	respond := func(outcome routing.Outcome, body []byte) {
+		reply(proxy.AttemptResponse{ID: attempt.ID, Outcome: outcome, Body: body})
+	}
+	if attempt.Incarnation != n.Incarnation || sim.rng.IntN(12) == 0 { // another incarnation, or at capacity
+		if n.attemptLog.Refuse(attempt.ID, sim.now) {
+			respond(routing.NotRun, nil)
+		} else {
+			respond(routing.Unknown, nil)
+		}
+		return
+	}
+	if !n.attemptLog.Begin(attempt.ID, sim.now) {
+		respond(routing.Unknown, nil)
+		return
+	}
+	began := sim.now
+	sim.after(sim.randomDuration(20*time.Millisecond), func() { // the backend is dialled
+		sim.whenAwake(n, func() {
+			if sim.now-began > attempt.Timeout || sim.rng.IntN(20) == 0 {
+				respond(routing.NotRun, nil) // closed before the write
+				return
+			}
+			sim.recordRun(id, name)
+			sim.after(sim.randomDuration(60*time.Millisecond), func() {
+				sim.whenAwake(n, func() {
+					if sim.rng.IntN(20) == 0 {
+						respond(routing.Unknown, nil) // the backend's answer is lost
+						return
+					}
+					respond(routing.Answered, []byte(id))
+				})
+			})
+		})
+	})
+}
