--- a/internal/watch/departures_test.go
+++ b/internal/watch/departures_test.go
@@ -10,18 +10,18 @@
 	"curlewwalk/internal/membership"
 )
 
-// What a sidecar told of departures is told to the next process at its address, by a core
-// that has taken the sidecar out meanwhile, or was frozen itself; followers are not told.
+// The departures that a sidecar reported are sent to the next process at its address, by a replica
+// that has removed the sidecar meanwhile or was frozen itself; watchers do not get them.
 func TestDeparturesOutliveTheProcess(t *testing.T) {
 	log, now := NewEventLog(1, 0), time.Duration(0)
 	first := membership.Node{Addr: "10.0.0.1:7020", Incarnation: 1, Version: 4, Departed: []string{"a", "b"}}
 	if got := log.ObserveDepartures(first, now); len(got) != 0 {
-		t.Errorf("the first is told %v", got)
+		t.Errorf("the first process gets %v", got)
 	}
 	log.ObserveNode(first, now)
 	for _, event := range func() []Event { updates, _ := log.Since(Request{}); return updates.Events }() {
 		if event.Node != nil && len(event.Node.Departed) > 0 {
-			t.Errorf("followers are told %v", event.Node.Departed)
+			t.Errorf("watchers get %v", event.Node.Departed)
 		}
 	}
 	for now < 5*time.Second {
@@ -29,24 +29,24 @@
 		log.Tick(now)
 	}
 	if len(log.Nodes()) != 0 {
-		t.Fatal("the first is still there")
+		t.Fatal("the first process is still there")
 	}
 	now += nodeTimeout
-	log.DetectPause(now) // a gap: it was frozen
+	log.DetectPause(now) // the replica was frozen
 	next := membership.Node{Addr: first.Addr, Incarnation: 2, Version: 1}
 	if d := cmp.Diff([]string{"a", "b"}, log.ObserveDepartures(next, now)); d != "" {
-		t.Errorf("the next one is told: %s", d)
+		t.Errorf("the next process gets: %s", d)
 	}
 	next.Departed = []string{"b", "c", "a"}
 	if got := log.ObserveDepartures(next, now); len(got) != 0 {
-		t.Errorf("told what it knows: %v", got)
+		t.Errorf("gets what it has: %v", got)
 	}
 	if got := log.ObserveDepartures(membership.Node{Addr: "10.0.0.2:7020", Incarnation: 1}, now); len(got) != 0 {
-		t.Errorf("another address is told %v", got)
+		t.Errorf("another address gets %v", got)
 	}
 }
 
-// A core's memory of departures is bounded, for each sidecar and in all.
+// The number of remembered departures is bounded, for each sidecar and in all.
 func TestDeparturesAreBounded(t *testing.T) {
 	var d departureLog
 	for i := range maxDepartures/membership.MaxReportedDepartures + 10 {
--- a/internal/watch/heartbeat_test.go
+++ b/internal/watch/heartbeat_test.go
@@ -15,21 +15,22 @@
 	"curlewwalk/internal/retrybudget"
 )
 
-// testSidecar is a sidecar that heartbeats one core.
+// testSidecar is a sidecar that sends heartbeats to one replica.
 type testSidecar struct {
 	node    membership.Node
 	encoder membership.HeartbeatEncoder
 }
 
-// message is a heartbeat or its response, under way.
+// message is a heartbeat in flight, or its response once that is set.
 type message struct {
-	from     *testSidecar
-	boot     uint64
-	sent     membership.Heartbeat
-	response *membership.Heartbeat
+	from        *testSidecar
+	incarnation uint64
+	sent        membership.Heartbeat
+	response    *membership.Heartbeat
 }
 
-// heartbeatModel is a core, whose version may be an old one, and the sidecars that heartbeat it.
+// heartbeatModel is a replica, whose version may be an older one, and the sidecars that send it
+// heartbeats.
 type heartbeatModel struct {
 	t            *testing.T
 	rng          *rand.Rand
@@ -46,104 +47,104 @@
 	return []membership.Backend{{Instance: fmt.Sprint(n.Incarnation, " ", n.Version)}}
 }
 
-func (model *heartbeatModel) restart(s *testSidecar) {
-	*s = testSidecar{node: membership.Node{Addr: s.node.Addr, Incarnation: model.rng.Uint64()}}
-	model.change(s)
+func (m *heartbeatModel) restart(s *testSidecar) {
+	*s = testSidecar{node: membership.Node{Addr: s.node.Addr, Incarnation: m.rng.Uint64()}}
+	m.change(s)
 }
 
-func (model *heartbeatModel) change(s *testSidecar) {
+func (m *heartbeatModel) change(s *testSidecar) {
 	s.node.Version++
-	s.node.Backends = model.backends(s.node)
+	s.node.Backends = m.backends(s.node)
 }
 
-// send sends a heartbeat off.
-func (model *heartbeatModel) send(s *testSidecar, includeBudgets bool) message {
+// send puts a heartbeat in flight.
+func (m *heartbeatModel) send(s *testSidecar, includeBudgets bool) message {
 	s.node.Sequence++
 	n := s.node
-	told := s.encoder.Encode(membership.Heartbeat{Node: &n, TableDigest: 7}, includeBudgets)
-	if told.NodeStatus != nil {
-		model.partial++
+	sent := s.encoder.Encode(membership.Heartbeat{Node: &n, TableDigest: 7}, includeBudgets)
+	if sent.NodeStatus != nil {
+		m.partial++
 	} else {
-		model.full++
+		m.full++
 	}
-	return message{from: s, boot: n.Incarnation, sent: told}
+	return message{from: s, incarnation: n.Incarnation, sent: sent}
 }
 
-// deliver has a heartbeat reach the core, as far as its version understands it.
-func (model *heartbeatModel) deliver(msg message) message {
-	r := membership.Heartbeat{TableDigest: 7}
+// deliver has the replica handle a heartbeat, as far as its version understands it.
+func (m *heartbeatModel) deliver(msg message) message {
+	response := membership.Heartbeat{TableDigest: 7}
 	switch {
 	case msg.sent.Node != nil:
-		model.log.ObserveNode(*msg.sent.Node, model.now)
-	case !model.olderVersion:
-		r.RequestFull = !model.log.ObserveStatus(*msg.sent.NodeStatus, model.now)
+		m.log.ObserveNode(*msg.sent.Node, m.now)
+	case !m.olderVersion:
+		response.RequestFull = !m.log.ObserveStatus(*msg.sent.NodeStatus, m.now)
 	}
-	if model.olderVersion {
-		r.TableDigest = 0
+	if m.olderVersion {
+		response.TableDigest = 0
 	}
-	for _, n := range model.log.Nodes() {
-		if d := cmp.Diff(n.Backends, model.backends(n)); d != "" {
-			model.t.Fatalf("a node with other backends: %s", d)
+	for _, n := range m.log.Nodes() {
+		if d := cmp.Diff(n.Backends, m.backends(n)); d != "" {
+			m.t.Fatalf("a node with other backends: %s", d)
 		}
 	}
-	msg.response = &r
+	msg.response = &response
 	return msg
 }
 
-// deliverResponse has a response come back; more is a heartbeat that goes off at once.
-func (model *heartbeatModel) deliverResponse(msg message) (more message, resend bool) {
+// deliverResponse has the sidecar handle a response; more is a heartbeat that is sent at once.
+func (m *heartbeatModel) deliverResponse(msg message) (more message, resend bool) {
 	s := msg.from
-	if msg.boot != s.node.Incarnation {
-		return message{}, false // who had called is gone
+	if msg.incarnation != s.node.Incarnation {
+		return message{}, false // the process that sent the heartbeat is gone
 	}
 	s.encoder, resend = s.encoder.Acknowledge(msg.sent, *msg.response)
 	if !resend {
 		return message{}, false
 	}
-	model.resent++
-	return model.send(s, false), true
+	m.resent++
+	return m.send(s, false), true
 }
 
-// step brings one thing about.
-func (model *heartbeatModel) step() {
-	model.now += 5 * time.Millisecond
-	model.log.DetectPause(model.now)
-	model.log.Tick(model.now)
-	s := model.sidecars[model.rng.IntN(len(model.sidecars))]
-	switch model.rng.IntN(200) {
+// step makes one random change or delivers or loses one message.
+func (m *heartbeatModel) step() {
+	m.now += 5 * time.Millisecond
+	m.log.DetectPause(m.now)
+	m.log.Tick(m.now)
+	s := m.sidecars[m.rng.IntN(len(m.sidecars))]
+	switch m.rng.IntN(200) {
 	case 0:
-		model.log = NewEventLog(model.rng.Uint64(), model.now) // the core starts anew, maybe in another version
-		model.olderVersion = model.rng.IntN(4) == 0
+		m.log = NewEventLog(m.rng.Uint64(), m.now) // the replica restarts, maybe in another version
+		m.olderVersion = m.rng.IntN(4) == 0
 	case 1:
-		model.restart(s)
+		m.restart(s)
 	case 2, 3:
-		model.change(s)
+		m.change(s)
 	case 4, 5, 6:
 		s.node.Refutation++
 	case 7, 8, 9:
 		s.node.AppliedRevision++
-		s.node.OpenRequests = map[string]int64{"west": model.rng.Int64N(3)}
-		s.node.Suspects = []membership.Suspicion{{Addr: "x", Refutation: s.node.AppliedRevision}}[:model.rng.IntN(2)]
+		s.node.OpenRequests = map[string]int64{"west": m.rng.Int64N(3)}
+		s.node.Suspects = []membership.Suspicion{{Addr: "x", Refutation: s.node.AppliedRevision}}[:m.rng.IntN(2)]
 		s.node.Budgets = map[string]retrybudget.Counts{"c": {Requests: int64(s.node.AppliedRevision)}}
 	default:
-		if len(model.messages) < 20 && model.rng.IntN(2) == 0 {
-			model.messages = append(model.messages, model.send(s, model.rng.IntN(4) == 0))
+		if len(m.messages) < 20 && m.rng.IntN(2) == 0 {
+			m.messages = append(m.messages, m.send(s, m.rng.IntN(4) == 0))
 			return
 		}
-		if len(model.messages) == 0 {
+		if len(m.messages) == 0 {
 			return
 		}
-		// Any letter under way arrives next, however old, or is lost.
-		i := model.rng.IntN(len(model.messages))
-		msg := model.messages[i]
-		model.messages = append(model.messages[:i:i], model.messages[i+1:]...)
+		// Any message in flight arrives next, however old, or is lost.
+		i := m.rng.IntN(len(m.messages))
+		msg := m.messages[i]
+		m.messages = append(m.messages[:i:i], m.messages[i+1:]...)
 		switch {
-		case model.rng.IntN(5) == 0:
+		case m.rng.IntN(5) == 0:
 		case msg.response == nil:
-			model.messages = append(model.messages, model.deliver(msg))
+			m.messages = append(m.messages, m.deliver(msg))
 		default:
-			if more, resend := model.deliverResponse(msg); resend {
-				model.messages = append(model.messages, more)
+			if more, resend := m.deliverResponse(msg); resend {
+				m.messages = append(m.messages, more)
 			}
 		}
 	}
@@ -155,52 +156,52 @@
 	return open
 }
 
-// Through lost, late and overtaken heartbeats and responses, starts anew of the core and of
-// sidecars, and a core that is of an older version for a while, a core never has a
-// node with other backends than it told, and has what is newest of it after two heartbeats
-// that are answered, whatever it told before arrives later.
+// Through lost, late and overtaken heartbeats and responses, restarts of the replica and of
+// sidecars, and while the replica runs an older version, it never has a node with other backends
+// than that announced, and has the newest state of a node after two heartbeats with responses,
+// whatever older heartbeats arrive later.
 func TestHeartbeatsConverge(t *testing.T) {
-	short, whole, asked := 0, 0, 0
+	partial, full, resent := 0, 0, 0
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 5))
-		model := &heartbeatModel{t: t, rng: rng, log: NewEventLog(1, 0)}
+		m := &heartbeatModel{t: t, rng: rng, log: NewEventLog(1, 0)}
 		for i := range 3 {
 			s := &testSidecar{node: membership.Node{Addr: fmt.Sprint("node-", i)}}
-			model.restart(s)
-			model.sidecars = append(model.sidecars, s)
+			m.restart(s)
+			m.sidecars = append(m.sidecars, s)
 		}
 		for range 2000 {
-			model.step()
+			m.step()
 			if rng.IntN(20) > 0 {
 				continue
 			}
-			// Two heartbeats of one are answered, at once after one another.
-			s := model.sidecars[rng.IntN(len(model.sidecars))]
-			msg, resend := model.deliverResponse(model.deliver(model.send(s, true)))
+			// Two heartbeats of one sidecar get responses, one right after the other.
+			s := m.sidecars[rng.IntN(len(m.sidecars))]
+			msg, resend := m.deliverResponse(m.deliver(m.send(s, true)))
 			if !resend {
-				msg = model.send(s, true)
+				msg = m.send(s, true)
 			}
-			if _, resend = model.deliverResponse(model.deliver(msg)); resend {
-				t.Fatalf("seed %d: a third heartbeat is asked for", seed)
+			if _, resend = m.deliverResponse(m.deliver(msg)); resend {
+				t.Fatalf("seed %d: a third heartbeat is requested", seed)
 			}
-			// What it told before and what comes only now changes nothing any more.
-			model.messages = slices.DeleteFunc(model.messages, func(msg message) bool {
-				late := msg.from == s && msg.boot == s.node.Incarnation && msg.response == nil
+			// Heartbeats that it sent before and that arrive only now change nothing any more.
+			m.messages = slices.DeleteFunc(m.messages, func(msg message) bool {
+				late := msg.from == s && msg.incarnation == s.node.Incarnation && msg.response == nil
 				if late {
-					model.deliver(msg)
+					m.deliver(msg)
 				}
 				return late
 			})
-			got, want := model.log.nodes[s.node.Addr], s.node
+			got, want := m.log.nodes[s.node.Addr], s.node
 			want.OpenRequests, got.OpenRequests = nonZero(want.OpenRequests), nonZero(got.OpenRequests)
 			if d := cmp.Diff(want, got, cmpopts.EquateEmpty()); d != "" {
-				t.Fatalf("seed %d, at %v: %s", seed, model.now, d)
+				t.Fatalf("seed %d, at %v: %s", seed, m.now, d)
 			}
 		}
-		short, whole, asked = short+model.partial, whole+model.full, asked+model.resent
+		partial, full, resent = partial+m.partial, full+m.full, resent+m.resent
 	}
-	t.Logf("%d short heartbeats, %d whole ones, %d of them asked for", short, whole, asked)
-	if asked == 0 || short == 0 {
-		t.Errorf("%d short heartbeats, %d whole ones, %d of them asked for", short, whole, asked)
+	t.Logf("%d partial heartbeats, %d full ones, %d of them on request", partial, full, resent)
+	if resent == 0 || partial == 0 {
+		t.Errorf("%d partial heartbeats, %d full ones, %d of them on request", partial, full, resent)
 	}
 }
--- a/internal/watch/state_decoder_test.go
+++ b/internal/watch/state_decoder_test.go
@@ -13,7 +13,7 @@
 	"curlewwalk/internal/membership"
 )
 
-// sampleState is a word with 60 routes, of which one depends on its stamp.
+// sampleState is a control state with 60 routes, of which one depends on its revision.
 func sampleState(revision uint64) config.ControlState {
 	var b strings.Builder
 	for i := range uint64(60) {
@@ -26,18 +26,19 @@
 	return config.ControlState{Revision: revision, ConfigurationRevision: revision, Configuration: []byte(b.String()), Submitted: []byte("what the operator sent")}
 }
 
-// watchOverWire is news as it comes over the wire, and its bytes.
+// watchOverWire returns updates as they arrive over the wire, and how many bytes they have.
 func watchOverWire(t *testing.T, log *EventLog, req Request) (updates Updates, size int) {
 	t.Helper()
 	sent, _ := log.Since(req)
 	b, err := msgpack.Marshal(sent)
 	if err != nil || msgpack.Unmarshal(b, &updates) != nil {
-		t.Fatal("news do not pass the wire")
+		t.Fatal("updates do not survive the wire")
 	}
 	return updates, len(b)
 }
 
-// testWatcher is a follower's share: what it holds, where it is, and what it put in force.
+// testWatcher is a watcher's state: its decoder, its next request, its mirror and the control state
+// that it has in force.
 type testWatcher struct {
 	StateDecoder
 	req    Request
@@ -45,122 +46,123 @@
 	state  config.ControlState
 }
 
-func (r *testWatcher) watch(t *testing.T, log *EventLog) (size int, read bool) {
+func (w *testWatcher) watch(t *testing.T, log *EventLog) (size int, decoded bool) {
 	t.Helper()
-	updates, size := watchOverWire(t, log, r.Prepare(r.req))
-	if !r.Decode(&updates) {
+	updates, size := watchOverWire(t, log, w.Prepare(w.req))
+	if !w.Decode(&updates) {
 		return size, false
 	}
-	r.req = Request{LogID: updates.LogID, Offset: updates.Offset}
-	if w, _ := r.mirror.Apply(updates); w != nil {
-		r.state = *w
+	w.req = Request{LogID: updates.LogID, Offset: updates.Offset}
+	if state, _ := w.mirror.Apply(updates); state != nil {
+		w.state = *state
 	}
 	return size, true
 }
 
-// A change of one route costs a follower a small part of its configuration, also where it
-// comes to another core; the same configuration again costs nothing of it.
+// A change of one route costs a watcher a small part of the configuration's bytes, also if it
+// changes to another replica; the same configuration again costs none of them.
 func TestBytesOfAConfigurationChange(t *testing.T) {
-	cores, r := []*EventLog{NewEventLog(1, 0), NewEventLog(100, 0)}, testWatcher{mirror: NewMirror()}
-	whole := len(sampleState(1).Configuration)
+	logs, w := []*EventLog{NewEventLog(1, 0), NewEventLog(100, 0)}, testWatcher{mirror: NewMirror()}
+	full := len(sampleState(1).Configuration)
 	for s := uint64(1); s <= 200; s++ {
-		for _, log := range cores {
+		for _, log := range logs {
 			log.ObserveCommitted(sampleState(s))
 		}
-		at := cores[s/50%2]
+		at := logs[s/50%2]
 		moved := s%50 == 0
 		if moved {
-			r.req = Request{}
+			w.req = Request{}
 		}
-		size, read := r.watch(t, at)
-		if !read || !bytes.Equal(r.state.Configuration, sampleState(s).Configuration) || r.state.Revision != s {
-			t.Fatalf("stamp %d: read %v, holds stamp %d", s, read, r.state.Revision)
+		size, decoded := w.watch(t, at)
+		if !decoded || !bytes.Equal(w.state.Configuration, sampleState(s).Configuration) || w.state.Revision != s {
+			t.Fatalf("revision %d: decoded %v, has revision %d", s, decoded, w.state.Revision)
 		}
-		if s > 1 && size > whole/10 {
-			t.Fatalf("stamp %d: %d bytes of a configuration of %d", s, size, whole)
+		if s > 1 && size > full/10 {
+			t.Fatalf("revision %d: %d bytes of a configuration of %d", s, size, full)
 		}
 	}
-	for _, log := range cores {
-		r.req = Request{}
-		if size, _ := r.watch(t, log); size > 100 {
+	for _, log := range logs {
+		w.req = Request{}
+		if size, _ := w.watch(t, log); size > 100 {
 			t.Errorf("%d bytes where nothing is new", size)
 		}
 	}
 }
 
-// Whatever a follower holds, older, newer, of another core or altered, it ends up with
-// what its core has, after one more question at the most, and never holds anything else
-// than a core told. One of an older version is told configurations whole.
+// Whatever a watcher has, older, newer, of another replica or altered, it ends up with what its
+// replica has, after one more request at most, and never has anything else than a replica sent.
+// One of an older version gets control states in full.
 func TestStateDecoder(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 7))
 	patched, refused := 0, 0
 	for range 300 {
-		cores := []*EventLog{NewEventLog(rng.Uint64(), 0), NewEventLog(rng.Uint64(), 0)}
-		r := testWatcher{mirror: NewMirror()}
+		logs := []*EventLog{NewEventLog(rng.Uint64(), 0), NewEventLog(rng.Uint64(), 0)}
+		w := testWatcher{mirror: NewMirror()}
 		for s := uint64(1); s < 40; s++ {
-			log := cores[rng.IntN(2)]
+			log := logs[rng.IntN(2)]
 			log.ObserveCommitted(sampleState(s))
 			if rng.IntN(4) == 0 {
 				log.ObserveNode(membership.Node{Addr: "node", Version: s}, 0)
 			}
 			if rng.IntN(3) == 0 {
-				log = cores[rng.IntN(2)]
-				r.req = Request{}
+				log = logs[rng.IntN(2)]
+				w.req = Request{}
 			}
 			if log.State() == nil {
 				continue
 			}
-			req := r.Prepare(r.req)
+			req := w.Prepare(w.req)
 			updates, _ := watchOverWire(t, log, req)
 			for i := range updates.Events {
 				if p := updates.Events[i].StatePatch; p != nil {
 					patched++
 					if rng.IntN(3) == 0 && len(p.Delta) > 0 {
 						p.Delta[rng.IntN(len(p.Delta))]++
-						if altered := r.StateDecoder; altered.Decode(&updates) {
-							t.Fatal("a difference that was altered was read")
+						if altered := w.StateDecoder; altered.Decode(&updates) {
+							t.Fatal("an altered patch was decoded")
 						}
 						refused++
 					}
 				}
 			}
-			if _, read := r.watch(t, log); !read {
-				t.Fatal("news were not read")
+			if _, decoded := w.watch(t, log); !decoded {
+				t.Fatal("updates were not decoded")
 			}
-			if w := log.State(); r.state.Revision < w.Revision {
-				t.Fatalf("core at stamp %d, follower at %d", w.Revision, r.state.Revision)
+			if state := log.State(); w.state.Revision < state.Revision {
+				t.Fatalf("the replica is at revision %d, the watcher at %d", state.Revision, w.state.Revision)
 			}
-			if !bytes.Equal(r.state.Configuration, sampleState(r.state.Revision).Configuration) {
-				t.Fatalf("something else is in force as stamp %d", r.state.Revision)
+			if !bytes.Equal(w.state.Configuration, sampleState(w.state.Revision).Configuration) {
+				t.Fatalf("something else is in force as revision %d", w.state.Revision)
 			}
 		}
-		old, _ := watchOverWire(t, cores[0], Request{})
+		old, _ := watchOverWire(t, logs[0], Request{})
 		for _, event := range old.Events {
 			if event.StatePatch != nil {
-				t.Fatal("a follower of an older version was told a difference")
+				t.Fatal("a watcher of an older version got a patch")
 			}
 		}
 	}
 	if patched == 0 || refused == 0 {
-		t.Errorf("%d differences, %d of them altered", patched, refused)
+		t.Errorf("%d patches, %d of them altered", patched, refused)
 	}
 }
 
-// A difference that a follower can't use takes nothing in force, and the next is whole.
+// A patch that a watcher can't apply puts nothing in force, and the next control state is sent in
+// full.
 func TestUndecodablePatch(t *testing.T) {
-	log, r := NewEventLog(1, 0), testWatcher{mirror: NewMirror()}
+	log, w := NewEventLog(1, 0), testWatcher{mirror: NewMirror()}
 	log.ObserveCommitted(sampleState(1))
-	r.watch(t, log)
+	w.watch(t, log)
 	log.ObserveCommitted(sampleState(2))
-	updates, _ := watchOverWire(t, log, r.Prepare(r.req))
+	updates, _ := watchOverWire(t, log, w.Prepare(w.req))
 	updates.Events[0].StatePatch.Delta[0]++
-	if r.Decode(&updates) {
-		t.Fatal("it was read")
+	if w.Decode(&updates) {
+		t.Fatal("it was decoded")
 	}
-	if req := r.Prepare(r.req); req.StateFingerprint != nil {
-		t.Error("it is told a difference again")
+	if req := w.Prepare(w.req); req.StateFingerprint != nil {
+		t.Error("it asks for a patch again")
 	}
-	if _, read := r.watch(t, log); !read || r.state.Revision != 2 {
-		t.Errorf("then read %v, stamp %d", read, r.state.Revision)
+	if _, decoded := w.watch(t, log); !decoded || w.state.Revision != 2 {
+		t.Errorf("then decoded %v, revision %d", decoded, w.state.Revision)
 	}
 }
