--- a/tests/cmd/modelcheck/main.go
+++ b/tests/cmd/modelcheck/main.go
@@ -1,4 +1,4 @@
-// Command modelcheck explores the long runs of tests/modelcheck and prints what each came to. It
+// Command modelcheck explores the long runs of tests/modelcheck and prints the result of each. It
 // ends with 1 if an invariant is broken.
 package main
 
@@ -14,7 +14,7 @@
 
 func main() {
 	var opt struct {
-		States int    `long:"states" default:"1000000" description:"end each run after so many states; what was not followed further is told"`
+		States int    `long:"states" default:"1000000" description:"end each run after so many states; states that were not expanded are counted"`
 		Only   string `long:"only" description:"only the runs of this scenario"`
 	}
 	if _, err := flags.Parse(&opt); err != nil {
--- a/tests/e2e/failure_detection_test.go
+++ b/tests/e2e/failure_detection_test.go
@@ -8,7 +8,7 @@
 	"curlewwalk/tests/fleet"
 )
 
-// knowsNode tells whether a sidecar has a node in its view.
+// knowsNode reports whether a sidecar has a node in its view.
 func knowsNode(ctx context.Context, p *fleet.Program, addr string) (known, ok bool) {
 	var nodes []struct {
 		Address string `json:"address"`
--- a/tests/fakes/backend.go
+++ b/tests/fakes/backend.go
@@ -29,7 +29,7 @@
 	SlowFactor float64
 	// TemporarySlowFactor is as Slow, of a while; zero if it is none.
 	TemporarySlowFactor atomic.Int64
-	// CountsAnnouncements tells whether its announcements are counted.
+	// CountsAnnouncements reports whether its announcements are counted.
 	CountsAnnouncements bool
 	Control             string // the sidecar's control address
 	RequestPlans        []RequestPlan
--- a/tests/fakes/httpclient.go
+++ b/tests/fakes/httpclient.go
@@ -11,7 +11,7 @@
 
 // NewHTTPClient makes a client for stand-ins. Its connections count what is written
 // to them: net/http by itself sends some requests again on another connection,
-// and only the count tells whether anything of the first try went out.
+// and only the count reports whether anything of the first try went out.
 func NewHTTPClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{DialContext: dial, MaxIdleConnsPerHost: 64}, Timeout: 30 * time.Second}
 }
--- a/tests/faultproxy/proxy.go
+++ b/tests/faultproxy/proxy.go
@@ -51,7 +51,7 @@
 	return func() { n.update(func() { delete(n.partitions, &blocks) }) }
 }
 
-// blocks tells whether any cut stands between two machines.
+// blocks reports whether any cut stands between two machines.
 func (n *Network) blocks(from, to string) bool {
 	if n.blocked(from, to) {
 		return true
--- a/tests/fleet/program.go
+++ b/tests/fleet/program.go
@@ -118,7 +118,7 @@
 	return p.cmd.ProcessState.ExitCode()
 }
 
-// Running tells whether the process has not ended.
+// Running reports whether the process has not ended.
 func (p *Program) Running() bool {
 	select {
 	case <-p.exited:
--- a/tests/golden/tags_test.go
+++ b/tests/golden/tags_test.go
@@ -173,7 +173,7 @@
 	}
 }
 
-// handles tells whether a function answers messages: what it returns is sent.
+// handles reports whether a function answers messages: what it returns is sent.
 func handles(f *types.Signature) bool {
 	return f.Results().Len() == 2 && types.IsInterface(f.Results().At(0).Type()) && f.Results().At(1).Type() == types.Typ[types.String]
 }
@@ -285,7 +285,7 @@
 	return false, false
 }
 
-// custom tells whether a type encodes itself by code that is written by hand, and does not
+// custom reports whether a type encodes itself by code that is written by hand, and does not
 // go by its fields' names.
 func custom(p *packages.Package, t *types.Named, tag string) bool {
 	methods := map[string][]string{
--- a/tests/modelcheck/check.go
+++ b/tests/modelcheck/check.go
@@ -9,7 +9,7 @@
 	"curlewwalk/internal/controlplane/consensus"
 )
 
-// acceptorDigest identifies what check looks at.
+// acceptorDigest identifies the part of a state that checkReads depends on.
 func (s *state) acceptorDigest() digest {
 	b := make([]byte, 0, 128)
 	for _, n := range s.nodes {
@@ -21,9 +21,9 @@
 	return digestOf(b)
 }
 
-// checkReads looks at a state as a reader does that asks any of the nodes: whatever votes are
-// complete show all that was acknowledged, and only disks with the members' own
-// identities count for them.
+// checkReads checks what a reader at any node may read at this moment: each quorum of replies
+// returns all that was acknowledged, and only disks with the identity of their member count.
+// It returns the violation, or "".
 func (s *state) checkReads() string {
 	var revision uint64
 	for _, a := range s.acknowledged {
@@ -46,15 +46,15 @@
 				return fmt.Sprintf("node %d counts %v as majorities of %v and %v", reader+1, senders(counted), sets.Current, sets.Previous)
 			}
 			if newest.Position.Revision < revision {
-				return fmt.Sprintf("node %d reads stamp %d from %v after %d was acknowledged", reader+1, newest.Position.Revision, senders(counted), revision)
+				return fmt.Sprintf("node %d reads revision %d from %v after %d was acknowledged", reader+1, newest.Position.Revision, senders(counted), revision)
 			}
 		}
 	}
 	return ""
 }
 
-// repliesOf are those of the nodes asked, each as the member that its address belongs to,
-// also where its disk is another by now.
+// repliesOf are the replies of some of the nodes, each as the reply of the member whose address
+// the node has, also if its disk is another one by now. asked has a bit for each node.
 func (s *state) repliesOf(all []consensus.Reply, asked int, own consensus.MemberSets) map[int]consensus.Reply {
 	out := map[int]consensus.Reply{}
 	known := own.Union()
@@ -80,7 +80,7 @@
 	return out
 }
 
-// isQuorum counts anew: members whose own disk has voted.
+// isQuorum counts once more, by itself: members whose own disk has replied.
 func isQuorum(sets consensus.MemberSets, replies map[int]consensus.Reply) bool {
 	for _, set := range [][]config.Member{sets.Current, sets.Previous} {
 		n := 0
@@ -96,6 +96,7 @@
 	return true
 }
 
+// senders are the senders of replies, by member ID.
 func senders(replies map[int]consensus.Reply) (out []consensus.Sender) {
 	for _, reply := range replies {
 		out = append(out, reply.Sender)
--- a/tests/modelcheck/explore.go
+++ b/tests/modelcheck/explore.go
@@ -1,39 +1,36 @@
-// Package modelcheck explores every interleaving of a bounded system of cores: deliveries in
-// any order, losses, doubled messages, crashes with each outcome of an unsynced write,
-// lost disks, timeouts. The decisions are the production's (consensus.Acceptor,
-// consensus.Proposer, the sets of slots); only messages, disks and time are the model's.
-// States that behave alike from there on are merged. (DESIGN 14.9)
 package modelcheck
 
 import "fmt"
 
-// Bounds limit an exploration: how often each failure may come about, and how many
-// events follow each other at most.
+// Bounds limit an exploration: how often each failure may happen, and how many events may
+// follow each other.
 type Bounds struct {
+	// Crashes, Timeouts, Duplicated and DisksLost are how often that may happen.
 	Crashes, Timeouts, Duplicated, DisksLost int
-	// QuorumReads are quorum reads whose answers come at different moments.
+	// QuorumReads are reads whose replies are given at different moments.
 	QuorumReads int
-	Depth       int
-	// States ends the exploration early; zero: never.
+	// Depth is the longest sequence of events; zero: any.
+	Depth int
+	// States ends the exploration after so many states; zero: never.
 	States int
 }
 
-// String names the bounds.
+// String prints the bounds.
 func (b Bounds) String() string {
-	return fmt.Sprintf("(crashes %d, timeouts %d, doubled %d, disks lost %d, looks %d, depth %d)", b.Crashes, b.Timeouts, b.Duplicated, b.DisksLost, b.QuorumReads, b.Depth)
+	return fmt.Sprintf("(crashes %d, timeouts %d, duplicated %d, disks lost %d, quorum reads %d, depth %d)", b.Crashes, b.Timeouts, b.Duplicated, b.DisksLost, b.QuorumReads, b.Depth)
 }
 
-// Result is what an exploration came to.
+// Result is the result of an exploration.
 type Result struct {
-	// States counts the different ones, Steps the events tried, Merged the events that
-	// led to a state known before, Deepest the longest run of events.
+	// States counts the different states, Steps the events tried, Merged the events that led
+	// to a known state, Deepest is the longest sequence of events.
 	States, Steps, Merged, Deepest int
-	// Cut counts states whose events were not tried, since the depth or the number of
-	// states was reached. None: the exploration is exhaustive under its bounds.
+	// Cut counts the states whose events were not tried since a bound was reached. Zero: the
+	// exploration is exhaustive under its bounds.
 	Cut int
-	// Answers counts the operators' answers by result.
+	// Answers counts the results of commands, by command and outcome.
 	Answers map[string]int
-	// Violation is the first invariant found broken, and Trace the events that led there.
+	// Violation is the first broken invariant, Trace the events that led there.
 	Violation string
 	Trace     []string
 }
@@ -44,7 +41,7 @@
 		r.States, r.Steps, r.Merged, r.Deepest, r.Cut, r.Answers)
 }
 
-// branch is a state with the way to it.
+// branch is a state with the events that led to it.
 type branch struct {
 	state  *state
 	parent *branch
@@ -52,6 +49,7 @@
 	depth  int
 }
 
+// trace lists the events that led to a branch.
 func (b *branch) trace() (out []string) {
 	for ; b.parent != nil; b = b.parent {
 		out = append([]string{b.event.String()}, out...)
@@ -59,17 +57,17 @@
 	return out
 }
 
-// exploration is an exploration under way.
+// exploration is an exploration in progress.
 type exploration struct {
 	bounds  Bounds
-	seen    map[digest]struct{}
-	checked map[digest]struct{}
+	seen    map[digest]struct{} // states
+	checked map[digest]struct{} // acceptor digests whose reads were checked
 	queue   []*branch
 	result  Result
 }
 
-// Explore tries all events in all states that a scenario comes to under bounds, in the
-// order of their depth, so that what it finds broken it finds by a shortest run.
+// Explore tries all events in all states that a scenario reaches under bounds. It does so in
+// the order of depth, so that a violation is found by a shortest sequence of events.
 func Explore(scenario Scenario, bounds Bounds) Result {
 	initial := newState(scenario, bounds)
 	e := &exploration{
@@ -94,7 +92,7 @@
 		return
 	}
 	now := current.state
-	current.state = nil // only the way to it is needed any more
+	current.state = nil // from now on only the way to it is needed
 	for _, next := range now.events() {
 		e.result.Steps++
 		e.visit(&branch{state: now.step(next), parent: current, event: next, depth: current.depth + 1})
@@ -104,7 +102,7 @@
 	}
 }
 
-// visit takes a state that an event led to.
+// visit takes in a state that an event led to.
 func (e *exploration) visit(to *branch) {
 	if key := to.state.digest(); to.state.violation == "" {
 		if contains(e.seen, key) {
@@ -129,4 +127,5 @@
 	e.queue = append(e.queue, to)
 }
 
+// contains reports whether a digest is in a set.
 func contains(set map[digest]struct{}, d digest) bool { _, ok := set[d]; return ok }
--- a/tests/modelcheck/model_test.go
+++ b/tests/modelcheck/model_test.go
@@ -6,6 +6,7 @@
 	"testing"
 )
 
+// states limits each run.
 var states = flag.Int("states", 0, "end each run after so many states; zero: never")
 
 // Every interleaving of each scenario under its bounds keeps the invariants.
@@ -22,7 +23,7 @@
 				t.Errorf("%s after\n%s", result.Violation, strings.Join(result.Trace, "\n"))
 			}
 			if len(result.Answers) == 0 {
-				t.Error("no order was answered")
+				t.Error("no command was answered")
 			}
 		})
 	}
--- a/tests/modelcheck/quorumread.go
+++ b/tests/modelcheck/quorumread.go
@@ -6,21 +6,21 @@
 	"curlewwalk/internal/controlplane/consensus"
 )
 
-// quorumRead is a quorum read under way: a node asks all others, each answers at a moment of its
-// own, and things go on between the answers. (DESIGN 6.4, 7.2)
+// quorumRead is a quorum read in progress: a node asks all nodes, and each replies at a moment
+// of its own, with other events between the replies. (DESIGN 6.4, 7.2)
 type quorumRead struct {
 	active bool
 	reader int
-	// leastRevision is the highest stamp that was acknowledged before it began.
+	// leastRevision is the highest that was acknowledged before the read began.
 	leastRevision uint64
-	// sets are the sets that the asker knew of then.
+	// sets are the member sets that the reader knew then.
 	sets consensus.MemberSets
-	// answered tells by bit which nodes have answered, votes what.
+	// answered has a bit for each node that has replied, replies what they replied.
 	answered uint
 	replies  []consensus.Reply
 }
 
-// beginRead has a node ask for the newest word.
+// beginRead has a node begin a quorum read.
 func (s *state) beginRead(at int) {
 	s.remaining.QuorumReads--
 	s.read = quorumRead{active: true, reader: at, sets: s.nodes[at].memory.MemberSets(), replies: make([]consensus.Reply, len(s.nodes))}
@@ -29,8 +29,8 @@
 	}
 }
 
-// answerRead has a node answer. Answers come in any order and may be lost, so whatever the
-// asker may make of any of those that were given must hold.
+// answerRead has a node reply. Replies arrive in any order and may be lost, so whatever the
+// reader may conclude from any subset of those given must hold.
 func (s *state) answerRead(at int) {
 	read := s.read
 	read.replies = slices.Clone(read.replies)
@@ -42,13 +42,13 @@
 		}
 	}
 	if read.answered == 1<<len(s.nodes)-1 {
-		read = quorumRead{} // no answer is to come any more
+		read = quorumRead{} // all have replied
 	}
 	s.read = read
 }
 
-// checkRead checks what the answers that came show: nothing older than what had been
-// acknowledged before, and for settled only what is.
+// checkRead checks what the received replies return: nothing older than was acknowledged before,
+// and as committed only what is. received has a bit for each node.
 func (s *state) checkRead(read quorumRead, received uint) {
 	counted := consensus.CurrentReplies(s.repliesOf(read.replies, int(received), read.sets))
 	if !consensus.HasReadQuorum(counted, read.sets) {
@@ -56,14 +56,14 @@
 	}
 	newest, committed := consensus.NewestState(counted, read.sets)
 	if newest.Position.Revision < read.leastRevision {
-		s.violate("a look of node %d shows stamp %d after %d was acknowledged", read.reader+1, newest.Position.Revision, read.leastRevision)
+		s.violate("a quorum read of node %d returns revision %d after %d was acknowledged", read.reader+1, newest.Position.Revision, read.leastRevision)
 	}
 	if committed && newest.Position != (consensus.Position{}) {
 		s.recordCommit(newest.Position.Revision, newest.State)
 	}
 }
 
-// appendState appends an encoding of the look.
+// appendState appends an encoding of the read.
 func (read quorumRead) appendState(b []byte) []byte {
 	if !read.active {
 		return append(b, 0)
--- a/tests/modelcheck/scenario.go
+++ b/tests/modelcheck/scenario.go
@@ -5,30 +5,31 @@
 	"curlewwalk/internal/controlplane/consensus"
 )
 
-// Scenario is what is explored: who founds the system, who may come, whose disk may be
-// lost, and the orders that operators give, each once, at any moment.
+// Scenario is what is explored: who founds the cluster, who may join, whose disk may be lost,
+// and the commands, each of which is submitted once, at any moment.
 type Scenario struct {
 	Name                           string
 	Founders, Newcomers, DisksLost []string
 	Commands                       []Command
 }
 
-// Command is an order that an operator, or the core on duty, gives at a node.
+// Command is a command that an operator, or the coordinator, submits at a node.
 type Command struct {
 	Name string
 	Node int
-	// Generation and Text are a configuration's number and bytes.
+	// Generation and Text are the generation and content of a configuration.
 	Generation uint64
 	Text       string
-	// Joins is the address of whoever is to have a seat, Goes the slot that is to go.
+	// Joins is the address of the node that is to be added, Leaves the ID of the member that
+	// is to be removed. Without either the command puts a configuration.
 	Joins  string
 	Leaves int
-	// AfterDiskLoss has it wait until a disk was lost.
+	// AfterDiskLoss has the command wait until a disk was lost.
 	AfterDiskLoss bool
 }
 
-// command is what the proposer is given: a change of the set is decided on the set that the
-// node knows of.
+// command is what the proposer is given. A change of members is based on the member set that
+// the node knows of.
 func (c Command) command(s *state) consensus.Command {
 	if c.Joins == "" && c.Leaves == 0 {
 		return consensus.Command{Kind: consensus.CommandPutConfiguration, Generation: c.Generation, Payload: []byte(c.Text)}
@@ -44,8 +45,9 @@
 
 var founders = []string{"a", "b", "c"}
 
-// The scenarios: two operators with one number, a change to a fourth beside an order, a
-// member swapped for a newcomer though it lives, and one whose disk is lost.
+// The scenarios: two operators race with one generation, a configuration is repeated, a fourth
+// member is added beside a configuration, a live member is replaced, and one whose disk was
+// lost is replaced.
 var (
 	RaceScenario = Scenario{Name: "race", Founders: founders, Commands: []Command{
 		{Name: "one", Node: 0, Generation: 1, Text: "x"},
@@ -65,17 +67,17 @@
 	}}
 	DiskLossScenario = Scenario{Name: "wiped", Founders: founders, DisksLost: []string{"c"}, Commands: []Command{
 		{Name: "order", Node: 0, Generation: 1, Text: "x"},
-		{Name: "reseat", Node: 1, Joins: "c", Leaves: 3, AfterDiskLoss: true},
+		{Name: "replace", Node: 1, Joins: "c", Leaves: 3, AfterDiskLoss: true},
 	}}
 )
 
-// Run is a scenario with its bounds.
+// Run is a scenario with the bounds of its exploration.
 type Run struct {
 	Scenario
 	Bounds
 }
 
-// ShortRuns are the runs of CI, Long those of tests/cmd/modelcheck. A run without a depth is
+// ShortRuns are run by the tests, LongRuns by tests/cmd/modelcheck. A run without a depth is
 // exhaustive.
 var (
 	ShortRuns = []Run{
--- a/tests/modelcheck/state.go
+++ b/tests/modelcheck/state.go
@@ -13,14 +13,15 @@
 // digest identifies a state, or a part of one.
 type digest [16]byte
 
+// digestOf is the digest of an encoding.
 func digestOf(b []byte) (d digest) {
 	sum := sha256.Sum256(b)
 	copy(d[:], sum[:])
 	return d
 }
 
-// node is a core: its disk, its memory, and its proposer. It never changes; a step makes
-// another.
+// node is a replica: its disk, its memory and its proposer. It is immutable; a step makes
+// another one.
 type node struct {
 	addr     string
 	disk     consensus.Acceptor
@@ -28,9 +29,10 @@
 	proposer *consensus.Proposer
 	now      time.Duration
 	key      digest
-	acceptor digest // of the memory alone
+	acceptor digest // of memory alone
 }
 
+// sealed sets the digests of a new node.
 func (n *node) sealed() *node {
 	b := n.memory.AppendState(make([]byte, 0, 512))
 	n.acceptor = digestOf(b)
@@ -40,16 +42,17 @@
 	return n
 }
 
-// message is a ballot on its way, or the vote that answers it.
+// message is a request in flight, or the reply to one.
 type message struct {
 	from, to int
 	request  *consensus.Message
 	reply    *consensus.Reply
-	memberID int // the member's that a ballot is meant for
+	memberID int // with diskID: the member that a request is meant for
 	diskID   uint64
 	key      digest
 }
 
+// sealed sets the digest of a new message.
 func (m message) sealed() message {
 	b := []byte{byte(m.from), byte(m.to), byte(m.memberID)}
 	b = binary.BigEndian.AppendUint64(b, m.diskID)
@@ -62,37 +65,39 @@
 	return m
 }
 
-// proposal is what an epoch's proposals under one stamp were, and by whom.
+// proposal is the state that a node proposed at a position.
 type proposal struct {
 	position consensus.Position
 	node     int
-	word     digest
+	state    digest
 }
 
-// acknowledgement is what an operator was told.
+// acknowledgement is what an operator was answered.
 type acknowledgement struct {
 	generation, revision uint64
 	digest               string
 }
 
-// state is one moment of a run, with the history that the invariants need.
+// state is one moment of a run, with the history that the invariants need. It is immutable,
+// as are its parts; a step makes another one.
 type state struct {
 	scenario     *Scenario
 	nodes        []*node
 	inFlight     []message  // sorted, each once
-	remaining    Bounds     // of failures, still to come
-	openCommands uint       // orders that were not given yet, by bit
-	drawnIDs     uint64     // identities drawn after losses
-	read         quorumRead // that is under way
+	remaining    Bounds     // the failures that may still happen
+	openCommands uint       // a bit for each command that was not submitted yet
+	drawnIDs     uint64     // how many disk identities were drawn
+	read         quorumRead // in progress
 
-	proposals    []proposal        // sorted by mark
-	committed    map[uint64]digest // the word under each settled stamp
+	proposals    []proposal        // sorted by position
+	committed    map[uint64]digest // the state of each committed revision
 	acknowledged []acknowledgement
 
-	results   []string // by the last step
-	violation string
+	results   []string // of commands, by the last step
+	violation string   // the first one
 }
 
+// newState is the initial state of a scenario.
 func newState(scenario Scenario, bounds Bounds) *state {
 	s := &state{scenario: &scenario, remaining: bounds, openCommands: 1<<len(scenario.Commands) - 1, committed: map[uint64]digest{}}
 	s.remaining.Depth, s.remaining.States = 0, 0
@@ -106,18 +111,19 @@
 	return s
 }
 
-// newcomerID is the identity of the nth newcomer; drawnID of the nth drawn after a loss.
+// newcomerID is the disk identity of the nth node that may join, drawnID the nth one drawn after
+// a disk was lost.
 func newcomerID(n int) uint64 { return uint64(1001 + 2*n) }
 func drawnID(n uint64) uint64 { return 2001 + 2*n }
 
-// clone is a state to make the next one of.
+// clone is a copy to make the next state of.
 func (s *state) clone() *state {
 	c := *s
 	c.nodes, c.results = slices.Clone(s.nodes), nil
 	return &c
 }
 
-// startNode starts a core from its disk.
+// startNode starts a replica from its disk.
 func startNode(addr string, disk consensus.Acceptor, now time.Duration) *node {
 	disk.PromiseDirty, disk.StateDirty = false, false
 	n := &node{addr: addr, disk: disk, memory: disk, proposer: &consensus.Proposer{}, now: now}
@@ -127,6 +133,7 @@
 	return n.sealed()
 }
 
+// digest identifies the state: equal ones behave alike from there on.
 func (s *state) digest() digest {
 	b := make([]byte, 0, 1024)
 	for _, n := range s.nodes {
@@ -140,7 +147,7 @@
 	for _, p := range s.proposals {
 		b = binary.AppendUvarint(b, p.position.Term)
 		b = binary.AppendUvarint(b, p.position.Revision)
-		b = append(append(b, byte(p.node)), p.word[:]...)
+		b = append(append(b, byte(p.node)), p.state[:]...)
 	}
 	b = append(b, 0xff)
 	for revision := uint64(1); int(revision) <= len(s.committed)+8; revision++ {
@@ -156,7 +163,7 @@
 	return digestOf(b)
 }
 
-// post puts messages on their way.
+// post adds messages to those in flight; one that is there already is not added.
 func (s *state) post(ms ...message) {
 	s.inFlight = slices.Clone(s.inFlight)
 	for _, m := range ms {
@@ -168,7 +175,7 @@
 	}
 }
 
-// nodeAt is the node at an address.
+// nodeAt is the index of the node at an address.
 func (s *state) nodeAt(addr string) int {
 	return slices.IndexFunc(s.nodes, func(n *node) bool { return n.addr == addr })
 }
--- a/tests/modelcheck/step.go
+++ b/tests/modelcheck/step.go
@@ -11,30 +11,33 @@
 	"curlewwalk/internal/controlplane/consensus"
 )
 
-// timeoutStep is beyond every limit of the proposer's.
+// timeoutStep is longer than each time-out of the proposer.
 const timeoutStep = time.Minute
 
-// noDeadline is when orders end.
+// noDeadline is a deadline that is never reached.
 const noDeadline = 1 << 62
 
+// eventKind is what happens in an event.
+type eventKind string
+
 // The kinds of event.
 const (
-	deliver            = "deliver"
-	deliverTwice       = "deliver and keep"
-	crashBetweenWrites = "deliver, and power is lost between word and oath"
-	crash              = "crash"
-	loseDisk           = "lose the disk"
-	timeout            = "time out"
-	submit             = "order"
-	beginQuorumRead    = "look"
-	answerQuorumRead   = "answer the look"
+	deliver            eventKind = "deliver"
+	deliverTwice       eventKind = "deliver and keep"
+	crashBetweenWrites eventKind = "deliver, and crash between the two writes to disk"
+	crash              eventKind = "crash"
+	loseDisk           eventKind = "lose the disk"
+	timeout            eventKind = "time out"
+	submit             eventKind = "submit a command"
+	beginQuorumRead    eventKind = "begin a quorum read"
+	answerQuorumRead   eventKind = "reply to the quorum read"
 )
 
 // event is one thing that may happen next.
 type event struct {
-	kind    string
+	kind    eventKind
 	node    int
-	index   int      // which message or order
+	index   int      // of the message or the command
 	message *message // that is delivered
 }
 
@@ -50,13 +53,13 @@
 // String describes the message.
 func (m message) String() string {
 	if m.request != nil {
-		return fmt.Sprintf("from %d %s epoch %d mark %v slots %v", m.from+1, m.request.Type, m.request.Term, m.request.Position, consensus.MemberIDs(m.request.State.Members))
+		return fmt.Sprintf("from %d %s term %d position %v members %v", m.from+1, m.request.Type, m.request.Term, m.request.Position, consensus.MemberIDs(m.request.State.Members))
 	}
-	return fmt.Sprintf("from %d vote %s epoch %d ok %v promised %d holds %v", m.from+1, m.reply.Type, m.reply.Term, m.reply.Granted, m.reply.Promised, m.reply.Position)
+	return fmt.Sprintf("from %d reply to %s term %d ok %v promised %d accepted %v", m.from+1, m.reply.Type, m.reply.Term, m.reply.Granted, m.reply.Promised, m.reply.Position)
 }
 
-// events lists all that may happen next. A loss is a message that is never delivered, a
-// cut one that is delivered late: both are among the runs without any event of theirs.
+// events lists all that may happen next. A lost message is one that is never delivered, and one
+// held up by a partition is one that is delivered late, so neither is an event of its own.
 func (s *state) events() (out []event) {
 	for i, m := range s.inFlight {
 		out = append(out, event{kind: deliver, node: m.to, index: i, message: &s.inFlight[i]})
@@ -90,7 +93,7 @@
 	return out
 }
 
-// readEvents lists what a look that is under way, or may begin, has happen next.
+// readEvents lists what may happen next of a quorum read.
 func (s *state) readEvents() (out []event) {
 	for i, n := range s.nodes {
 		if !s.read.active && s.remaining.QuorumReads > 0 && n.memory.Phase == consensus.PhaseEstablished {
@@ -143,7 +146,8 @@
 	return next
 }
 
-// deliver has a node take a message.
+// deliver has a node handle a message. torn has it crash between its two writes to disk, that
+// of the accepted state and that of the promise.
 func (s *state) deliver(m message, torn bool) {
 	if m.reply != nil {
 		s.runProposer(m.to, func(n *node) []consensus.Ready {
@@ -170,7 +174,7 @@
 	}
 }
 
-// save puts on disk what an acceptor says must be there, and goes on with it.
+// save writes to disk what an acceptor says must be there, and goes on with it.
 func (s *state) save(at int, acceptor consensus.Acceptor) {
 	old := s.nodes[at]
 	n := &node{addr: old.addr, disk: old.disk, memory: acceptor, proposer: old.proposer.Clone(), now: old.now}
@@ -189,7 +193,7 @@
 	}
 }
 
-// runProposer lets a node's proposer do something, and carries out what it wants.
+// runProposer lets the proposer of a node do something, and carries out what it wants.
 func (s *state) runProposer(at int, action func(*node) []consensus.Ready) {
 	n := *s.nodes[at]
 	n.proposer = n.proposer.Clone()
@@ -218,8 +222,8 @@
 	}
 }
 
-// deliverToSelf has a node's own acceptor take its proposer's ballot, and the proposer the vote, at once:
-// both are one core's, and no other message need come between.
+// deliverToSelf has a node's own acceptor handle a message of its proposer, and the proposer the
+// reply, at once: both are in one process, and no other message needs to come between.
 func (s *state) deliverToSelf(at int, message consensus.Message, member config.Member) {
 	acceptor, reply := s.nodes[at].memory.Step(message)
 	s.save(at, acceptor)
@@ -229,8 +233,8 @@
 	}
 }
 
-// nodeOf is the node that is asked for a member: the own one, or whoever is at the
-// member's address now.
+// nodeOf is the index of the node that a member's messages reach: the sender itself, or whoever
+// is at the member's address now.
 func (s *state) nodeOf(at int, member config.Member) int {
 	if self := s.nodes[at].memory.Self; self.MemberID == member.MemberID && self.DiskID == member.DiskID {
 		return at
@@ -238,8 +242,8 @@
 	return s.nodeAt(member.Addr)
 }
 
-// dropIgnored drops messages that nobody heeds any more, so that states merge: what is refused
-// and whose refusal nobody waits for, and votes for an epoch that is over.
+// dropIgnored drops messages that change nothing any more, so that states merge: requests that
+// would be refused when nobody waits for the refusal, and replies for a term that is over.
 func (s *state) dropIgnored() {
 	matters := func(m message) bool {
 		if m.reply != nil {
@@ -260,7 +264,7 @@
 	}
 }
 
-// recordProposal notes a proposal: an epoch is one node's, and a mark one word's.
+// recordProposal checks a proposal: a term has one proposer, and a position one state.
 func (s *state) recordProposal(at int, message consensus.Message) {
 	if message.Type == consensus.MsgCommit {
 		s.recordCommit(message.Position.Revision, message.State)
@@ -268,13 +272,13 @@
 	if message.Type != consensus.MsgAccept {
 		return
 	}
-	new := proposal{position: message.Position, node: at, word: stateDigest(message.State)}
+	new := proposal{position: message.Position, node: at, state: stateDigest(message.State)}
 	for _, other := range s.proposals {
 		if other.position.Term == new.position.Term && other.node != new.node {
-			s.violate("two proposers propose in epoch %d", new.position.Term)
+			s.violate("two proposers propose in term %d", new.position.Term)
 		}
-		if other.position == new.position && other.word != new.word {
-			s.violate("two words under mark %v", new.position)
+		if other.position == new.position && other.state != new.state {
+			s.violate("two states at position %v", new.position)
 		}
 	}
 	if !slices.Contains(s.proposals, new) {
@@ -283,28 +287,31 @@
 	}
 }
 
+// stateDigest is the digest of a control state.
 func stateDigest(w config.ControlState) digest { return digestOf(consensus.AppendControlState(nil, w)) }
 
+// recordIfCommitted records the state of an acceptor if that takes it for committed.
 func (s *state) recordIfCommitted(acceptor consensus.Acceptor) {
 	if acceptor.Committed != 0 && acceptor.Committed == acceptor.Position.Revision {
 		s.recordCommit(acceptor.Committed, acceptor.State)
 	}
 }
 
-// recordCommit notes a word that somebody takes for settled: one under each stamp.
+// recordCommit checks and records a state that a node takes for committed: there is one for each
+// revision.
 func (s *state) recordCommit(revision uint64, controlState config.ControlState) {
 	digest := stateDigest(controlState)
 	old, ok := s.committed[revision]
 	switch {
 	case ok && old != digest:
-		s.violate("two words are settled under stamp %d", revision)
+		s.violate("two states are committed as revision %d", revision)
 	case !ok:
 		s.committed = maps.Clone(s.committed)
 		s.committed[revision] = digest
 	}
 }
 
-// recordResult notes what an operator is told.
+// recordResult checks and records the result of a command.
 func (s *state) recordResult(result consensus.CommandResult) {
 	command := s.scenario.Commands[result.ID-1]
 	s.results = append(s.results, command.Name+" "+string(result.Outcome))
@@ -314,7 +321,7 @@
 		}
 		for _, other := range s.acknowledged {
 			if command.Generation != 0 && other.generation == command.Generation && other.digest == command.Text {
-				s.violate("number %d with %q was acknowledged, and its repeat is answered %s", other.generation, other.digest, result.Outcome)
+				s.violate("generation %d with %q was acknowledged, and its repeat is answered %s", other.generation, other.digest, result.Outcome)
 			}
 		}
 		return
@@ -323,11 +330,11 @@
 	ack := acknowledgement{generation: command.Generation, revision: result.State.Revision, digest: command.Text}
 	for _, other := range s.acknowledged {
 		if ack.generation != 0 && other.generation == ack.generation && other.digest != ack.digest {
-			s.violate("number %d is acknowledged with %q and with %q", ack.generation, other.digest, ack.digest)
+			s.violate("generation %d is acknowledged with %q and with %q", ack.generation, other.digest, ack.digest)
 		}
 	}
 	if command.Generation != 0 && result.State.Generation == command.Generation && !bytes.Equal(result.State.Configuration, []byte(command.Text)) {
-		s.violate("number %d with %q is acknowledged, and %q is held", command.Generation, command.Text, result.State.Configuration)
+		s.violate("generation %d with %q is acknowledged, and %q is in force", command.Generation, command.Text, result.State.Configuration)
 	}
 	s.acknowledged = append(slices.Clone(s.acknowledged), ack)
 	slices.SortFunc(s.acknowledged, func(result, b acknowledgement) int {
@@ -335,6 +342,7 @@
 	})
 }
 
+// violate records the first violation.
 func (s *state) violate(format string, args ...any) {
 	if s.violation == "" {
 		s.violation = fmt.Sprintf(format, args...)
--- a/tests/mutation/mutation.go
+++ b/tests/mutation/mutation.go
@@ -22,7 +22,7 @@
 	Args          []string
 }
 
-// Check tells whether the defect can still be put into a tree.
+// Check reports whether the defect can still be put into a tree.
 func (m Mutation) Check(root string) error {
 	b, err := os.ReadFile(filepath.Join(root, m.File))
 	if err != nil {
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// Builds tells whether the package that the defect is in builds with it; the tree stays as
+// Builds reports whether the package that the defect is in builds with it; the tree stays as
 // it is, and dir takes what is written for it.
 func (m Mutation) Builds(root, dir string) (output string, err error) {
 	path, err := filepath.Abs(filepath.Join(root, m.File))
--- a/tests/simulation/consensus.go
+++ b/tests/simulation/consensus.go
@@ -173,7 +173,7 @@
 	}
 }
 
-// shouldRun tells whether a replica is to be up: it is, unless it was removed or replaced.
+// shouldRun reports whether a replica is to be up: it is, unless it was removed or replaced.
 func (sim *Consensus) shouldRun(r *replica) bool {
 	if sim.dynamicMembership {
 		return !r.removed
--- a/tests/simulation/consensus_faults.go
+++ b/tests/simulation/consensus_faults.go
@@ -79,7 +79,7 @@
 	})
 }
 
-// toleratesLoss tells whether a majority of each member set that may still decide would have
+// toleratesLoss reports whether a majority of each member set that may still decide would have
 // its disks without those of the replicas given.
 func (sim *Consensus) toleratesLoss(lost ...*replica) bool {
 	sets := []consensus.MemberSets{{Current: sim.newestState.Members, Previous: sim.newestState.PreviousMembers}}
@@ -101,7 +101,7 @@
 	return true
 }
 
-// hasMajorityWithout tells whether a majority of a member set has its disks without those of
+// hasMajorityWithout reports whether a majority of a member set has its disks without those of
 // the lost replicas. An empty set needs none.
 func (sim *Consensus) hasMajorityWithout(lost []*replica, set []config.Member) bool {
 	remaining := 0
--- a/tests/simulation/history_test.go
+++ b/tests/simulation/history_test.go
@@ -42,7 +42,7 @@
 // judgeTimeout bounds the search for an order of one history's calls.
 const judgeTimeout = 2 * time.Second
 
-// linearizable tells whether calls have an order in which each takes effect between its
+// linearizable reports whether calls have an order in which each takes effect between its
 // sending and its answer; Unknown if that was not found out in time. Open calls that no read
 // shows are left out first, as if they had never taken effect: if there is an order without
 // them, there is one. Only if there is none are they put back.
--- a/tests/simulation/leases.go
+++ b/tests/simulation/leases.go
@@ -198,10 +198,10 @@
 	}
 }
 
-// controlPlaneDown tells whether all replicas have lost power.
+// controlPlaneDown reports whether all replicas have lost power.
 func (sim *ServingLeases) controlPlaneDown() bool { return sim.outageAt > 0 && sim.now >= sim.outageAt }
 
-// isolated tells whether a sidecar can tell that no majority of the replicas is alive: their
+// isolated reports whether a sidecar can tell that no majority of the replicas is alive: their
 // machines refuse its connections.
 func (sim *ServingLeases) isolated(sidecar *leaseSidecar) bool {
 	refused := 0
--- a/tests/simulation/operators.go
+++ b/tests/simulation/operators.go
@@ -156,7 +156,7 @@
 	o.checkGeneration(number)
 }
 
-// contains tells whether a text is among texts.
+// contains reports whether a text is among texts.
 func contains(texts [][]byte, text []byte) bool {
 	return slices.ContainsFunc(texts, func(t []byte) bool { return bytes.Equal(t, text) })
 }
@@ -316,7 +316,7 @@
 	o.Evacuations, o.Superseded = o.Evacuations+other.Evacuations, o.Superseded+other.Superseded
 }
 
-// incomplete tells whether a run lacked one of the things that it is to try.
+// incomplete reports whether a run lacked one of the things that it is to try.
 func (o Operators) incomplete() bool {
 	return o.Acked == 0 || o.Repeats == 0 || o.Conflicts == 0 || o.Evacuations == 0 || o.Superseded == 0
 }
--- a/tests/simulation/requests_keys.go
+++ b/tests/simulation/requests_keys.go
@@ -169,7 +169,7 @@
 	}
 }
 
-// fullyReplicated tells whether each key has as many replicas as it should.
+// fullyReplicated reports whether each key has as many replicas as it should.
 func (sim *Requests) fullyReplicated() bool {
 	for _, n := range sim.nodes {
 		if len(n.replication.MissingReplicas(keyreplication.Peers(sim.view, n.Addr), 1, sim.now)) > 0 {
--- a/tests/soak/capacity.go
+++ b/tests/soak/capacity.go
@@ -13,7 +13,7 @@
 	processMB = 40
 )
 
-// CheckCapacity tells whether this machine bears a plan: the processes' memory must be under half of
+// CheckCapacity reports whether this machine bears a plan: the processes' memory must be under half of
 // the machine's.
 func CheckCapacity(p Plan) error {
 	size := p.size()
--- a/tests/soak/faults.go
+++ b/tests/soak/faults.go
@@ -34,7 +34,7 @@
 	To time.Time `json:"to"`
 }
 
-// during tells whether the trouble lasted at some moment of a span.
+// during reports whether the trouble lasted at some moment of a span.
 func (t *Fault) during(from, to time.Time) bool {
 	return t.From.Before(to) && (t.To.IsZero() || t.To.After(from))
 }
@@ -70,19 +70,19 @@
 	return out
 }
 
-// controlPlaneStable tells whether the core was settled all through a span.
+// controlPlaneStable reports whether the core was settled all through a span.
 func (f *faultLog) controlPlaneStable(from, to time.Time) bool {
 	return !slices.ContainsFunc(f.in(from.Add(-contactTime), to), func(t Fault) bool { return t.Core })
 }
 
-// inTouch tells whether a machine was in touch all through a span.
+// inTouch reports whether a machine was in touch all through a span.
 func (f *faultLog) inTouch(machine string, from, to time.Time) bool {
 	return !slices.ContainsFunc(f.in(from.Add(-contactTime), to), func(t Fault) bool {
 		return t.Core || slices.Contains(t.Machines, machine)
 	})
 }
 
-// unplanned tells whether anything unplanned happened from contact before a span to its end.
+// unplanned reports whether anything unplanned happened from contact before a span to its end.
 func (f *faultLog) unplanned(from, to time.Time) bool {
 	return slices.ContainsFunc(f.in(from.Add(-contactTime), to), func(t Fault) bool { return !t.Planned })
 }
@@ -95,7 +95,7 @@
 	})
 }
 
-// stopping tells whether a machine's process had been told to stop, and the time that this
+// stopping reports whether a machine's process had been told to stop, and the time that this
 // may take was not over, at some moment of a span.
 func (f *faultLog) stopping(machine string, from, to time.Time) bool {
 	return slices.ContainsFunc(f.in(from.Add(-stopGrace-time.Second), to), func(t Fault) bool {
--- a/tests/soak/judge.go
+++ b/tests/soak/judge.go
@@ -67,7 +67,7 @@
 	return res
 }
 
-// excused tells whether a rule that binds only machines in touch was broken by one that was
+// excused reports whether a rule that binds only machines in touch was broken by one that was
 // not: the one that took the request, or the one beside the backend that ran it.
 func (r *Run) excused(b ledger.Breach) bool {
 	if b.Rule != ledger.RuleDrain {
--- a/tests/soak/shorten.go
+++ b/tests/soak/shorten.go
@@ -32,7 +32,7 @@
 	return p
 }
 
-// breaks plays a plan and tells whether it breaks one of some rules.
+// breaks plays a plan and reports whether it breaks one of some rules.
 func breaks(ctx context.Context, p Plan, rules []ledger.Rule, bin fleet.Binaries) bool {
 	r, err := New(p, bin, nil)
 	if err != nil {
--- a/tests/style/names.go
+++ b/tests/style/names.go
@@ -65,7 +65,7 @@
 	return findings, err
 }
 
-// skipDirectory tells whether a directory holds no source of the project.
+// skipDirectory reports whether a directory holds no source of the project.
 func skipDirectory(name string) bool {
 	return name == "testdata" || len(name) > 1 && name[0] == '.'
 }
@@ -177,7 +177,7 @@
 // loggers are the names that the project gives to loggers, in lower case.
 var loggers = []string{"log", "logger", "notices", "slog"}
 
-// isLogCall tells whether a call writes a log line: a method of logMethods on something
+// isLogCall reports whether a call writes a log line: a method of logMethods on something
 // that is named as a logger.
 func isLogCall(call *ast.CallExpr) bool {
 	method, ok := call.Fun.(*ast.SelectorExpr)
