--- a/tests/e2e/members_test.go
+++ b/tests/e2e/members_test.go
@@ -23,6 +23,13 @@
 
 // newDynamicFleet lays out so many founders and starts them.
 func newDynamicFleet(t *testing.T, founders int) *dynamicFleet {
+	t.Helper()
+	return newDynamicFleetOf(t, founders, binaries)
+}
+
+// newDynamicFleetOf is newDynamicFleet with the programs of some version.
+func newDynamicFleetOf(t *testing.T, founders int, version fleet.Binaries) *dynamicFleet {
+	t.Helper()
 	size := controlPlaneOnly(0)
 	size.Machines = 0
 	f, ctx := newFleet(t, size)
@@ -35,6 +42,7 @@
 		f.NewJoiner(i+1, d.dataDirectory(i+1), addrs...)
 	}
 	for _, p := range f.Replicas {
+		p.UseBinaries(version)
 		must(t, p.Start())
 	}
 	return d
--- a/tests/e2e/mixed_test.go
+++ b/tests/e2e/mixed_test.go
@@ -5,6 +5,7 @@
 	"context"
 	"os"
 	"path/filepath"
+	"slices"
 	"sync"
 	"testing"
 	"time"
@@ -153,3 +154,53 @@
 	must(t, err)
 	must(t, f.AwaitServing(ctx, restored.Revision, len(f.Size.Backends)))
 }
+
+// Replicas of an earlier version and of this one change the members together: each founder, which
+// is of the one version, is lost, and a newcomer of the other takes its place, until no founder
+// is left. What was taken stays, and each time a new configuration is taken.
+func TestMixedMembership(t *testing.T) {
+	folder := os.Getenv(earlierFolder)
+	if folder == "" {
+		t.Skip("set " + earlierFolder + " to a folder with an earlier version's programs")
+	}
+	old := earlierBinaries(t, folder)
+	for _, c := range []struct {
+		name               string
+		founders, newcomer fleet.Binaries
+	}{
+		{"old founders, new newcomers", old, binaries},
+		{"new founders, old newcomers", binaries, old},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			d := newDynamicFleetOf(t, 3, c.founders)
+			d.putAndVerify(d.Replicas[1])
+			d.awaitMembers(3)
+			for n := range 3 {
+				d.Kill(d.Replicas[n])
+				p := d.joinOf(4+n, c.newcomer)
+				if set := d.awaitMembers(3); slices.Contains(set, n+1) {
+					t.Errorf("the lost member %d is still in %v", n+1, set)
+				}
+				d.putAndVerify(p)
+			}
+		})
+	}
+}
+
+// joinOf is join with the programs of some version, and with the replicas that run as seeds: the
+// founders, which all others have, are lost one after another.
+func (d *dynamicFleet) joinOf(n int, version fleet.Binaries) *fleet.Program {
+	d.t.Helper()
+	var seeds []string
+	for i, running := range d.Replicas {
+		if running.Running() {
+			seeds = append(seeds, "--seed="+d.ReplicaAddress(i+1))
+		}
+	}
+	p := d.NewJoiner(n, d.dataDirectory(n))
+	p.RemoveArgs("--seed")
+	p.AddArgs(seeds...)
+	p.UseBinaries(version)
+	must(d.t, p.Start())
+	return p
+}
