--- a/internal/controlplane/consensus/delta_messages_test.go
+++ b/internal/controlplane/consensus/delta_messages_test.go
@@ -3,56 +3,57 @@
 import (
 	"context"
 	"fmt"
-	"log/slog"
 	"net"
 	"strings"
 	"testing"
 	"time"
 
 	"curlewwalk/internal/actor"
-	"curlewwalk/internal/config"
 	"curlewwalk/internal/storage"
 	"curlewwalk/internal/transport"
 )
 
-// testMember is one keeper on the wire, whose version may be an older one.
+// testMember is one replica on the wire, whose version may be an earlier one.
 type testMember struct {
 	*Replica
-	host *transport.Server
-	end  context.CancelFunc
+	client *transport.Client
+	server *transport.Server
+	stop   context.CancelFunc
 }
 
-// testCluster is three keepers with disks of their own; the first is on duty.
+// testCluster is three replicas with disks of their own; the first is the coordinator.
 type testCluster struct {
 	t       *testing.T
 	ctx     context.Context
-	l       *actor.System
+	actors  *actor.System
 	peers   addresses
 	members map[int]*testMember
-	dirs    [4]string // by slot
+	dirs    [4]string // by member ID
 }
 
-// testPeers is peers as one member sees them.
+// testPeers are the peers as one member sees them.
 type testPeers struct {
 	addresses
 	coordinator bool
 }
 
-func (o testPeers) IsCoordinator() bool { return o.coordinator }
+// IsCoordinator implements Peers.
+func (p testPeers) IsCoordinator() bool { return p.coordinator }
 
 func newTestCluster(t *testing.T) *testCluster {
+	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 60*time.Second)
 	c := &testCluster{
 		t: t, ctx: ctx, peers: addresses{}, members: map[int]*testMember{},
-		l: actor.New(slog.New(slog.DiscardHandler), func(name string, cause any, stack []byte) { t.Errorf("%s: %v\n%s", name, cause, stack) }),
+		actors: newTestActors(t),
 	}
 	for memberID := 1; memberID <= 3; memberID++ {
 		c.dirs[memberID] = t.TempDir()
 	}
-	t.Cleanup(func() { // before the folders go
+	t.Cleanup(func() { // before the directories go
 		cancel()
-		<-c.l.Done()
-		c.l.Stop()
+		<-c.actors.Done()
+		c.actors.Stop()
 	})
 	for memberID := 1; memberID <= 3; memberID++ {
 		c.peers[memberID] = c.listen("127.0.0.1:0").Addr().String()
@@ -62,6 +63,7 @@
 
 // listen takes an address and leaves it free again.
 func (c *testCluster) listen(addr string) net.Listener {
+	c.t.Helper()
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		c.t.Fatal(err)
@@ -70,46 +72,45 @@
 	return ln
 }
 
-// start starts a member on its disk; old is one that knows no differences.
+// start starts a member on its disk; old is one of an earlier version, which knows no deltas.
 func (c *testCluster) start(memberID int, old bool) {
 	c.t.Helper()
-	v, err := storage.Open(c.dirs[memberID])
+	store, err := storage.Open(c.dirs[memberID])
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	var founders []string
-	for s := 1; s <= 3; s++ {
-		founders = append(founders, c.peers[s])
+	var initialMembers []string
+	for id := 1; id <= 3; id++ {
+		initialMembers = append(initialMembers, c.peers[id])
 	}
-	r, err := NewReplica(c.l, &StateStore{Store: v}, Bootstrap{NewCluster: true, InitialMembers: founders, AdvertiseAddr: c.peers[memberID]})
+	own := transport.Hello{Version: transport.ProtocolVersion, Node: c.peers[memberID]}
+	client := transport.NewClient(c.actors, own, nil)
+	bootstrap := Bootstrap{NewCluster: true, InitialMembers: initialMembers, AdvertiseAddr: c.peers[memberID]}
+	r, err := New(Config{Store: store, Bootstrap: bootstrap}, testDeps(c.actors, client, testPeers{c.peers, memberID == 1}))
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	ctx, end := context.WithCancel(c.ctx)
-	own := transport.Hello{Version: transport.ProtocolVersion, Node: c.peers[memberID]}
-	r.Client, r.Log, r.Peers = transport.NewClient(c.l, own, nil), slog.New(slog.DiscardHandler), testPeers{c.peers, memberID == 1}
-	r.OnCommit, r.OnReadConfirmed = func(context.Context, config.ControlState) {}, func(context.Context, time.Time) {}
-	h := &transport.Server{Actors: c.l, Hello: own, Handlers: r.Handlers()}
+	ctx, stop := context.WithCancel(c.ctx)
+	server := &transport.Server{Actors: c.actors, Hello: own, Handlers: r.Handlers()}
 	if old {
-		delete(h.Handlers, KindDeltaMessage)
-		delete(h.Handlers, KindDeltaCommand)
+		delete(server.Handlers, KindDeltaMessage)
+		delete(server.Handlers, KindDeltaCommand)
 	}
-	if h.Listener, err = net.Listen("tcp", c.peers[memberID]); err != nil {
+	if server.Listener, err = net.Listen("tcp", c.peers[memberID]); err != nil {
 		c.t.Fatal(err)
 	}
-	parts := map[string]func(context.Context){"host": h.Run, "net": r.Client.Run, "keeper": r.Run}
-	for name, run := range parts {
-		c.l.Go(ctx, name, run)
+	for name, run := range map[string]func(context.Context){"server": server.Run, "client": client.Run, "replica": r.Run} {
+		c.actors.Go(ctx, name, run)
 	}
-	c.members[memberID] = &testMember{Replica: r, host: h, end: end}
+	c.members[memberID] = &testMember{Replica: r, client: client, server: server, stop: stop}
 }
 
-// restart ends a member and starts it on the same disk.
+// restart stops a member and starts it on the same disk.
 func (c *testCluster) restart(memberID int, old bool) {
 	c.t.Helper()
 	m := c.members[memberID]
-	m.end()
-	m.host.Listener.Close()
+	m.stop()
+	m.server.Listener.Close()
 	c.start(memberID, old)
 }
 
@@ -126,7 +127,7 @@
 	return []byte(b.String())
 }
 
-// submit has a member bring an order to the one on duty.
+// submit has a member bring a command to the coordinator.
 func (c *testCluster) submit(from int, command Command) (result CommandResult) {
 	if from == 1 {
 		return c.members[1].Submit(c.ctx, command)
@@ -140,43 +141,43 @@
 	return result
 }
 
-// put has a member bring an order to the one on duty, and all hold what came of it.
+// put has a member bring a configuration to the coordinator, and checks that all hold it.
 func (c *testCluster) put(from, number int) {
 	c.t.Helper()
 	command := Command{Kind: CommandPutConfiguration, Generation: uint64(number), Payload: configuration(number, 60), Submitted: configuration(number, 30)}
 	result := c.submit(from, command)
-	// As an operator does, it is sent again under its number while no clear answer came:
+	// As an operator does, it is submitted again under its generation while no clear answer came:
 	// a connection to a member that was just restarted may have been broken.
 	for ; result.Outcome != OutcomeCommitted; result = c.submit(from, command) {
 		if c.ctx.Err() != nil {
-			c.t.Fatalf("order %d was never taken: %v", number, result.Outcome)
+			c.t.Fatalf("command %d was never committed: %v", number, result.Outcome)
 		}
 	}
 	if result.State.Revision == 0 || result.State.Generation != uint64(number) {
-		c.t.Fatalf("order %d: %+v", number, result.State)
+		c.t.Fatalf("command %d: %+v", number, result.State)
 	}
 	for memberID, m := range c.members {
 		for m.Acceptor().Committed < result.State.Revision {
 			select {
 			case <-c.ctx.Done():
-				c.t.Fatalf("slot %d has not stamp %d", memberID, result.State.Revision)
+				c.t.Fatalf("member %d has not revision %d", memberID, result.State.Revision)
 			case <-time.After(time.Millisecond):
 			}
 		}
 		if state := m.Acceptor().State; string(state.Configuration) != string(command.Payload) || string(state.Submitted) != string(command.Submitted) || state.Revision != result.State.Revision {
-			c.t.Fatalf("slot %d holds something else at stamp %d", memberID, state.Revision)
+			c.t.Fatalf("member %d holds something else at revision %d", memberID, state.Revision)
 		}
 	}
 }
 
-// readIndexSize is what a look has at most, which comes by time and not by change.
+// readIndexSize is how many bytes a MsgReadIndex has at most. They come by time and not by change.
 const readIndexSize = 150
 
-// bytesSent is how many bytes of ballots and orders the keepers have sent, and been sent back
-// where these were differences. Looks are left out.
+// bytesSent is how many bytes of messages and commands the replicas have sent, and been
+// answered where these were deltas. Each MsgReadIndex is left out.
 func (c *testCluster) bytesSent() (total uint64) {
 	for _, m := range c.members {
-		counts := m.Client.Counters.Snapshot()
+		counts := m.client.Counters.Snapshot()
 		for _, kind := range []string{KindDeltaMessage, KindDeltaCommand, KindCommand} {
 			total += counts[kind].CallBytes + counts[kind].ResponseBytes
 		}
@@ -186,8 +187,8 @@
 	return total
 }
 
-// A change of one route costs the cores a small part of its configuration, whoever it is
-// brought to; the first after a restart costs it once.
+// A change of one route costs the replicas a small part of its configuration, whichever it is
+// submitted to; the first after a restart costs all of it once.
 func TestConfigurationChangeIsSentAsDelta(t *testing.T) {
 	c := newTestCluster(t)
 	for memberID := 1; memberID <= 3; memberID++ {
@@ -208,8 +209,8 @@
 	}
 }
 
-// Members of an older version, which know no differences, are told the whole, also while
-// versions mix and change from one restart to the next; nobody ever holds anything else
+// Members of an earlier version, which know no deltas, are sent whole states, also while
+// versions mix and change from one restart to the next; no member ever holds anything else
 // than was put.
 func TestMixedReplicaVersions(t *testing.T) {
 	c := newTestCluster(t)
@@ -217,17 +218,17 @@
 	c.start(2, true)
 	c.start(3, false)
 	n := 0
-	some := func() {
+	putSome := func() {
 		for range 6 {
 			n++
 			c.put(1+n%3, n)
 		}
 	}
-	some()
+	putSome()
 	for _, memberID := range []int{2, 3, 1, 2} {
 		for _, old := range []bool{true, false} {
 			c.restart(memberID, old)
-			some()
+			putSome()
 		}
 	}
 }
--- /dev/null
+++ b/internal/controlplane/consensus/handlers.go
@@ -0,0 +1,131 @@
+package consensus
+
+import (
+	"context"
+
+	"curlewwalk/internal/actor"
+	"curlewwalk/internal/config"
+	"curlewwalk/internal/transport"
+)
+
+// The kinds of request on the wire. Those with a delta hold the control state, or the command,
+// as a difference from one that the other replica has. A replica of an earlier version answers
+// that it does not know the kind, one that lacks the base answers faultBase; either is sent the
+// whole at once. (DESIGN 8.3)
+const (
+	KindMessage      = "ballot"
+	KindCommand      = "order"
+	KindJoin         = "seat"
+	KindDeltaMessage = "patched-ballot"
+	KindDeltaCommand = "patched-order"
+)
+
+// The faults that a request may be answered with.
+const (
+	faultBase    = "the base of the difference is not here"
+	faultCommand = "not an order"
+	faultDisk    = "the disk does not take it"
+	faultMessage = "not a ballot"
+)
+
+// Handlers are the requests that a replica answers, by kind.
+func (r *Replica) Handlers() map[string]transport.Handler {
+	return map[string]transport.Handler{
+		KindMessage: r.handleMessage, KindCommand: r.handleCommand,
+		KindDeltaMessage: r.handleDeltaMessage, KindDeltaCommand: r.handleDeltaCommand,
+	}
+}
+
+// handleMessage takes a message to the local acceptor.
+func (r *Replica) handleMessage(ctx context.Context, request transport.Request) (any, string) {
+	var message Message
+	if !request.Decode(&message) {
+		return nil, faultMessage
+	}
+	if reply := r.stepAcceptor(ctx, message); reply != nil {
+		return reply, ""
+	}
+	return nil, faultDisk
+}
+
+// handleDeltaMessage takes a message whose control state is a delta.
+func (r *Replica) handleDeltaMessage(ctx context.Context, request transport.Request) (any, string) {
+	var delta deltaMessage
+	if !request.Decode(&delta) {
+		return nil, faultMessage
+	}
+	version, ok := r.members.deltas.apply(delta.Patch, r.Acceptor())
+	if !ok || version.Decode(&delta.Message.State) != nil {
+		return nil, faultBase
+	}
+	if _, ok := r.members.deltas.add(delta.Message.Position, delta.Message.State); !ok {
+		return nil, faultBase
+	}
+	if reply := r.stepAcceptor(ctx, delta.Message); reply != nil {
+		reply.MemberSets = MemberSets{} // whoever proposes or commits knows them
+		return reply, ""
+	}
+	return nil, faultDisk
+}
+
+// handleCommand carries out a command that another replica has forwarded.
+func (r *Replica) handleCommand(ctx context.Context, request transport.Request) (any, string) {
+	var command Command
+	if !request.Decode(&command) {
+		return nil, faultCommand
+	}
+	return r.Submit(ctx, command).forSender(command), ""
+}
+
+// handleDeltaCommand carries out a forwarded command that is a delta.
+func (r *Replica) handleDeltaCommand(ctx context.Context, request transport.Request) (any, string) {
+	var patch config.Patch
+	if !request.Decode(&patch) {
+		return nil, faultCommand
+	}
+	version, ok := r.members.deltas.apply(patch, r.Acceptor())
+	if !ok {
+		return nil, faultBase
+	}
+	var command Command
+	if version.Decode(&command) != nil {
+		return nil, faultCommand
+	}
+	return r.Submit(ctx, command).forSender(command), ""
+}
+
+// stepAcceptor has the local acceptor take a message; nil if it did not in time, or if the
+// disk did not take what follows from it.
+func (r *Replica) stepAcceptor(ctx context.Context, message Message) *Reply {
+	ctx, cancel := context.WithTimeout(ctx, messageTimeout)
+	defer cancel()
+	reply, _ := actor.Ask(ctx, r.mailbox, func(reply chan<- *Reply) any { return messageEvent{message, reply} })
+	return reply
+}
+
+// handleMessageEvent has the local acceptor take a message. A read shows what is on disk, and is
+// answered at once. Any other reply is sent when what it stands for is on disk.
+func (r *Replica) handleMessageEvent(ctx context.Context, e messageEvent) {
+	if e.message.Type == MsgReadIndex || e.message.Type == MsgRead {
+		_, reply := r.acceptor.Step(e.message)
+		e.reply <- &reply
+		return
+	}
+	if e.message.Type == MsgCommit && r.acceptor.admits(e.message) {
+		// Majorities hold it: whether the local disk takes it too changes nothing about that.
+		r.deliver(ctx, e.message.State)
+	}
+	var reply Reply
+	decide := func(acceptor Acceptor) (next Acceptor, ok bool) {
+		next, reply = acceptor.Step(e.message)
+		return next, true
+	}
+	done := func(_ context.Context, ok bool) {
+		if ok {
+			e.reply <- &reply
+			return
+		}
+		e.reply <- nil
+	}
+	r.enqueueTransition(ctx, transition{decide: decide, done: done, deadline: r.now() + messageTimeout})
+}
--- /dev/null
+++ b/internal/controlplane/consensus/replica_health.go
@@ -0,0 +1,37 @@
+package consensus
+
+import (
+	"context"
+	"time"
+)
+
+// Health is what the replica can do.
+func (r *Replica) Health() Health { return *r.health.Load() }
+
+// Healthy tells whether the replica can do what a coordinator has to. (DESIGN 6.3)
+func (r *Replica) Healthy() bool { return r.Health().Healthy(r.now()) }
+
+// Connected tells whether a majority has answered this replica lately.
+func (r *Replica) Connected() bool { return r.Health().Connected(r.now()) }
+
+// RecentlyResumed tells whether the process was suspended just now.
+func (r *Replica) RecentlyResumed() bool { return r.Health().RecentlyResumed(r.now()) }
+
+func (r *Replica) setHealth(h Health) { r.health.Store(&h) }
+
+// reportHealth reports when the replica has become healthy or unhealthy. One that is not gives
+// back the commands that were not proposed yet: the coordinator of now can take them.
+func (r *Replica) reportHealth(ctx context.Context, now time.Duration) {
+	healthy, connected := r.Health().Healthy(now), r.Health().Connected(now)
+	if !connected || !healthy && !r.deps.Peers.IsCoordinator() {
+		r.handleReady(ctx, r.proposer.RejectUnproposed())
+	}
+	if healthy == r.reportedHealthy {
+		return
+	}
+	r.reportedHealthy = healthy
+	r.deps.Log.Info("health changed", "healthy", healthy, "disk_healthy", r.Health().DiskHealthy(now), "connected", connected)
+	if r.deps.OnHealthChange != nil {
+		r.deps.OnHealthChange()
+	}
+}
--- a/internal/controlplane/consensus/replica_test.go
+++ b/internal/controlplane/consensus/replica_test.go
@@ -14,7 +14,7 @@
 	"curlewwalk/internal/transport"
 )
 
-// slowPeer is an acceptor on the wire that grants a seat at once and is late to say so.
+// slowPeer is an acceptor on the wire that grants a MsgJoin at once and is late to say so.
 type slowPeer struct {
 	mu       sync.Mutex
 	acceptor Acceptor
@@ -24,7 +24,7 @@
 func (p *slowPeer) handleMessage(ctx context.Context, request transport.Request) (any, string) {
 	var message Message
 	if !request.Decode(&message) {
-		return nil, "not a ballot"
+		return nil, faultMessage
 	}
 	p.mu.Lock()
 	next, reply := p.acceptor.Step(message)
@@ -39,7 +39,7 @@
 	return reply, ""
 }
 
-// memberRecord is the seat that it knows of a slot.
+// memberRecord is what it knows of a member ID.
 func (p *slowPeer) memberRecord(memberID int) MemberRecord {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -49,15 +49,45 @@
 // addresses are peers that stay where they are.
 type addresses map[int]string
 
+// Addr implements Peers.
 func (a addresses) Addr(memberID int) (string, bool) { s, ok := a[memberID]; return s, ok }
-func (addresses) IsCoordinator() bool                { return false }
 
-// An empty core whose seat is granted more slowly than it tries for it sits, in the
-// end, under the incarnation that the others know: else its votes would not count.
+// IsCoordinator implements Peers.
+func (addresses) IsCoordinator() bool { return false }
+
+// newTestActors makes an actor system in which a panic fails the test.
+func newTestActors(t *testing.T) *actor.System {
+	t.Helper()
+	return actor.New(slog.New(slog.DiscardHandler), func(name string, cause any, stack []byte) { t.Errorf("%s: %v\n%s", name, cause, stack) })
+}
+
+// testDeps are what a replica needs, without a log or anybody to call back.
+func testDeps(actors *actor.System, client *transport.Client, peers Peers) Deps {
+	return Deps{
+		Actors: actors, Client: client, Log: slog.New(slog.DiscardHandler), Peers: peers,
+		OnCommit: func(context.Context, config.ControlState) {}, OnReadConfirmed: func(context.Context, time.Time) {},
+	}
+}
+
+// serve puts an acceptor on the wire, and returns its address.
+func (p *slowPeer) serve(ctx context.Context, t *testing.T, actors *actor.System) string {
+	t.Helper()
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	hello := transport.Hello{Version: transport.ProtocolVersion, Node: ln.Addr().String()}
+	server := &transport.Server{Actors: actors, Listener: ln, Hello: hello, Handlers: map[string]transport.Handler{KindMessage: p.handleMessage}}
+	actors.Go(ctx, "server", server.Run)
+	return ln.Addr().String()
+}
+
+// An empty disk whose membership is granted more slowly than it asks for it joins, in the
+// end, under the incarnation that the others know: else its replies would not count.
 func TestJoinGrantedSlowly(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
-	actors := actor.New(slog.New(slog.DiscardHandler), func(name string, cause any, stack []byte) { t.Errorf("%s: %v\n%s", name, cause, stack) })
+	actors := newTestActors(t)
 	peers, others := addresses{}, []*slowPeer{}
 	for memberID := 1; memberID <= 2; memberID++ {
 		acceptor := establishedAcceptor(memberID, Position{4, 2}, config.ControlState{Revision: 2, ConfigurationRevision: 2})
@@ -66,30 +96,23 @@
 		acceptor.Self = Sender{MemberID: memberID, Incarnation: 1, DiskID: uint64(memberID)}
 		p := &slowPeer{acceptor: acceptor, late: 700 * time.Millisecond}
 		others = append(others, p)
-		ln, err := net.Listen("tcp", "127.0.0.1:0")
-		if err != nil {
-			t.Fatal(err)
-		}
-		h := &transport.Server{Actors: actors, Listener: ln, Hello: transport.Hello{Version: transport.ProtocolVersion, Node: ln.Addr().String()}, Handlers: map[string]transport.Handler{KindMessage: p.handleMessage}}
-		actors.Go(ctx, "host", h.Run)
-		peers[memberID] = ln.Addr().String()
+		peers[memberID] = p.serve(ctx, t, actors)
 	}
-	disk, err := storage.Open(t.TempDir())
+	store, err := storage.Open(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := NewReplica(actors, &StateStore{Store: disk}, Bootstrap{MemberID: 3, StaticSize: 3})
+	client := transport.NewClient(actors, transport.Hello{Version: transport.ProtocolVersion, Node: "new"}, nil)
+	r, err := New(Config{Store: store, Bootstrap: Bootstrap{MemberID: 3, StaticSize: 3}}, testDeps(actors, client, peers))
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Client, r.Log, r.Peers = transport.NewClient(actors, transport.Hello{Version: transport.ProtocolVersion, Node: "new"}, nil), slog.New(slog.DiscardHandler), peers
-	r.OnCommit, r.OnReadConfirmed = func(context.Context, config.ControlState) {}, func(context.Context, time.Time) {}
-	actors.Go(ctx, "net", r.Client.Run)
-	actors.Go(ctx, "keeper", r.Run)
+	actors.Go(ctx, "client", client.Run)
+	actors.Go(ctx, "replica", r.Run)
 	for r.Acceptor().Phase != PhaseEstablished {
 		select {
 		case <-ctx.Done():
-			t.Fatal("it never got its seat")
+			t.Fatal("it never joined")
 		case <-time.After(5 * time.Millisecond):
 		}
 	}
@@ -97,10 +120,10 @@
 	self := r.Acceptor().Self
 	for i, p := range others {
 		if record := p.memberRecord(3); !self.isCurrent(record) || record.DiskID != self.DiskID {
-			t.Errorf("slot %d knows %+v in slot 3, which sits there as %+v", i+1, record, self)
+			t.Errorf("member %d knows %+v as member 3, which joined as %+v", i+1, record, self)
 		}
 	}
-	if replies := CurrentReplies(r.collectReplies(ctx, Message{Sender: self, Type: MsgRead}, nil)); len(replies) != 3 {
-		t.Errorf("%d votes count", len(replies))
+	if replies := CurrentReplies(r.members.collectReplies(ctx, Message{Sender: self, Type: MsgRead}, nil)); len(replies) != 3 {
+		t.Errorf("%d replies count", len(replies))
 	}
 }
--- a/internal/controlplane/consensus/transition_test.go
+++ b/internal/controlplane/consensus/transition_test.go
@@ -2,20 +2,17 @@
 
 import (
 	"context"
-	"log/slog"
-	"net"
 	"sync/atomic"
 	"syscall"
 	"testing"
 	"time"
 
-	"curlewwalk/internal/actor"
 	"curlewwalk/internal/config"
 	"curlewwalk/internal/storage"
 	"curlewwalk/internal/transport"
 )
 
-// diskGate holds up or fails what is written while it is shut.
+// diskGate holds up or fails what is written while it is closed.
 type diskGate struct {
 	open    chan struct{}
 	failing atomic.Bool
@@ -29,47 +26,42 @@
 	return nil
 }
 
-// replicaHarness is a keeper with a disk that can be held up, and acceptors on the wire.
+// replicaHarness is a replica with a disk that can be held up, and acceptors on the wire.
 type replicaHarness struct {
 	*Replica
-	ctx       context.Context
-	vault     *storage.Store
-	told      chan uint64    // stamps of settled words
-	sure      chan time.Time // as of when the keeper was sure
-	acceptors map[int]*slowPeer
-	onDuty    atomic.Bool
+	ctx         context.Context
+	store       *storage.Store
+	committed   chan uint64    // the revisions passed to OnCommit
+	confirmed   chan time.Time // the moments passed to OnReadConfirmed
+	changed     chan bool      // Healthy, whenever OnHealthChange was called
+	acceptors   map[int]*slowPeer
+	coordinator atomic.Bool
 }
 
 // Addr implements Peers.
 func (*replicaHarness) Addr(int) (string, bool) { return "", false }
 
 // IsCoordinator implements Peers.
-func (h *replicaHarness) IsCoordinator() bool { return h.onDuty.Load() }
+func (h *replicaHarness) IsCoordinator() bool { return h.coordinator.Load() }
 
-// newReplicaHarness starts the keeper of slot 1 of 3, which holds the word of a mark; others are
-// acceptors on the wire that hold theirs.
+// newReplicaHarness starts the replica of member 1 of 3, which holds the state of a position;
+// others are acceptors on the wire that hold theirs.
 func newReplicaHarness(t *testing.T, own Position, others map[int]Position) *replicaHarness {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	t.Cleanup(cancel)
-	actors := actor.New(slog.New(slog.DiscardHandler), func(name string, cause any, stack []byte) { t.Errorf("%s: %v\n%s", name, cause, stack) })
-	h := &replicaHarness{ctx: ctx, told: make(chan uint64, 64), sure: make(chan time.Time, 1024), acceptors: map[int]*slowPeer{}}
+	actors := newTestActors(t)
+	h := &replicaHarness{
+		ctx: ctx, acceptors: map[int]*slowPeer{},
+		committed: make(chan uint64, 64), confirmed: make(chan time.Time, 1024), changed: make(chan bool, 64),
+	}
 	members := []config.Member{{MemberID: 1, DiskID: 1}}
-	peers := addresses{}
 	for memberID := 2; memberID <= 3; memberID++ {
 		m := config.Member{MemberID: memberID, DiskID: uint64(memberID), Addr: "127.0.0.1:1"} // nobody listens
 		if _, ok := others[memberID]; ok {
-			ln, err := net.Listen("tcp", "127.0.0.1:0")
-			if err != nil {
-				t.Fatal(err)
-			}
-			p := &slowPeer{}
-			h.acceptors[memberID] = p
-			h := &transport.Server{Actors: actors, Listener: ln, Hello: transport.Hello{Version: transport.ProtocolVersion, Node: ln.Addr().String()}, Handlers: map[string]transport.Handler{KindMessage: p.handleMessage}}
-			actors.Go(ctx, "host", h.Run)
-			m.Addr = ln.Addr().String()
+			h.acceptors[memberID] = &slowPeer{}
+			m.Addr = h.acceptors[memberID].serve(ctx, t, actors)
 		}
-		peers[memberID] = m.Addr
 		members = append(members, m)
 	}
 	holds := func(memberID int, position Position) Acceptor {
@@ -79,33 +71,35 @@
 	for memberID, position := range others {
 		h.acceptors[memberID].acceptor = holds(memberID, position)
 	}
-	v, err := storage.Open(t.TempDir())
+	store, err := storage.Open(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
-	h.vault = v
-	if err := (&StateStore{Store: v}).Save(holds(1, own)); err != nil {
+	h.store = store
+	if err := (&StateStore{Store: store}).Save(holds(1, own)); err != nil {
 		t.Fatal(err)
 	}
-	if h.Replica, err = NewReplica(actors, &StateStore{Store: v}, Bootstrap{}); err != nil {
+	client := transport.NewClient(actors, transport.Hello{Version: transport.ProtocolVersion, Node: "own"}, nil)
+	deps := testDeps(actors, client, h)
+	deps.OnCommit = func(_ context.Context, state config.ControlState) { h.committed <- state.Revision }
+	deps.OnReadConfirmed = func(_ context.Context, at time.Time) { h.confirmed <- at }
+	deps.OnHealthChange = func() { h.changed <- h.Healthy() }
+	if h.Replica, err = New(Config{Store: store}, deps); err != nil {
 		t.Fatal(err)
 	}
-	h.Client, h.Log, h.Peers = transport.NewClient(actors, transport.Hello{Version: transport.ProtocolVersion, Node: "own"}, nil), slog.New(slog.DiscardHandler), h
-	h.OnCommit = func(_ context.Context, state config.ControlState) { h.told <- state.Revision }
-	h.OnReadConfirmed = func(_ context.Context, at time.Time) { h.sure <- at }
-	actors.Go(ctx, "net", h.Client.Run)
+	actors.Go(ctx, "client", client.Run)
 	return h
 }
 
 // blockDisk holds up what is written from now on.
 func (h *replicaHarness) blockDisk() *diskGate {
 	g := &diskGate{open: make(chan struct{})}
-	h.vault.BeforeWrite = g.before
+	h.store.BeforeWrite = g.before
 	return g
 }
 
-// run starts the keeper's clock.
-func (h *replicaHarness) run() { h.Actors.Go(h.ctx, "keeper", h.Run) }
+// run starts the replica's timers.
+func (h *replicaHarness) run() { h.deps.Actors.Go(h.ctx, "replica", h.Run) }
 
 // eventually waits until something holds.
 func (h *replicaHarness) eventually(t *testing.T, what string, ok func() bool) {
@@ -136,33 +130,32 @@
 // loadFromDisk is what a restart would find.
 func (h *replicaHarness) loadFromDisk(t *testing.T) Acceptor {
 	t.Helper()
-	acceptor, err := (&StateStore{Store: h.vault}).Load(Bootstrap{})
+	acceptor, err := (&StateStore{Store: h.store}).Load(Bootstrap{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	return acceptor
 }
 
-// While the disk stalls no vote is given for what is not on it, and what only shows the
-// acceptor is answered at once, from what is. Once the disk goes on, the votes come in the
-// order of the ballots.
+// While the disk stalls no reply is sent for what is not on it, and a read is answered at
+// once, from what is. Once the disk goes on, the replies come in the order of the messages.
 func TestRepliesWaitForTheDisk(t *testing.T) {
 	h := newReplicaHarness(t, Position{1 << 17, 5}, nil)
 	self := h.Acceptor().Self
 	g := h.blockDisk()
 	term := uint64(2<<17 + 1)
-	votes := make(chan *Reply, 3)
-	word := func(revision uint64) config.ControlState {
+	replies := make(chan *Reply, 3)
+	stateAt := func(revision uint64) config.ControlState {
 		state := h.Acceptor().State
 		state.Revision = revision
 		return state
 	}
 	for _, message := range []Message{
 		{Sender: self, Type: MsgPrepare, Term: term},
-		{Sender: self, Type: MsgAccept, Term: term, Position: Position{term, 5}, State: word(5)},
-		{Sender: self, Type: MsgAccept, Term: term, Position: Position{term, 6}, State: word(6)},
+		{Sender: self, Type: MsgAccept, Term: term, Position: Position{term, 5}, State: stateAt(5)},
+		{Sender: self, Type: MsgAccept, Term: term, Position: Position{term, 6}, State: stateAt(6)},
 	} {
-		h.mailbox.Send(h.ctx, messageEvent{message, votes})
+		h.mailbox.Send(h.ctx, messageEvent{message, replies})
 	}
 	for range 20 {
 		reply := h.stepAcceptor(h.ctx, Message{Sender: self, Type: MsgReadIndex})
@@ -170,96 +163,95 @@
 			t.Fatalf("shown while the disk stalls: %+v", reply)
 		}
 	}
-	if len(votes) > 0 {
-		t.Fatalf("voted before it was on disk: %+v", <-votes)
+	if len(replies) > 0 {
+		t.Fatalf("replied before it was on disk: %+v", <-replies)
 	}
 	close(g.open)
 	for _, want := range []Position{{1 << 17, 5}, {term, 5}, {term, 6}} {
-		reply := receive(t, h, votes)
+		reply := receive(t, h, replies)
 		if reply == nil || !reply.Granted || reply.Position != want {
-			t.Errorf("vote %+v, not for %+v", reply, want)
+			t.Errorf("reply %+v, not for %+v", reply, want)
 		}
 		if d := h.loadFromDisk(t); d.Promised != term || d.Position.Compare(want) < 0 {
-			t.Errorf("voted for %+v with promise %d and %+v on disk", want, d.Promised, d.Position)
+			t.Errorf("replied for %+v with promise %d and %+v on disk", want, d.Promised, d.Position)
 		}
 	}
 }
 
-// A disk that takes no writes gives no votes, the core tells that it is unable, and
-// that it is able again once the disk is well, though nobody asks it for a vote.
+// With a disk that takes no writes the acceptor gives no replies, and the replica is
+// unhealthy; it is healthy again once the disk is, though no message comes.
 func TestFullDiskIsUnhealthy(t *testing.T) {
 	h := newReplicaHarness(t, Position{1 << 17, 5}, map[int]Position{2: {1 << 17, 5}})
-	turned := make(chan bool, 16)
-	h.OnHealthChange = func() { turned <- h.Healthy() }
 	g := h.blockDisk()
 	g.failing.Store(true)
 	close(g.open)
 	self := h.Acceptor().Self
 	if reply := h.stepAcceptor(h.ctx, Message{Sender: self, Type: MsgPrepare, Term: 2<<17 + 1}); reply != nil {
-		t.Errorf("voted: %+v", reply)
+		t.Errorf("replied: %+v", reply)
 	}
 	h.run()
-	if receive(t, h, turned) {
-		t.Error("able with a full disk")
+	if receive(t, h, h.changed) {
+		t.Error("healthy with a full disk")
 	}
 	g.failing.Store(false)
-	if !receive(t, h, turned) {
-		t.Error("unable with a disk that is well")
+	if !receive(t, h, h.changed) {
+		t.Error("unhealthy with a healthy disk")
 	}
 }
 
-// A settled word is passed on though the own disk does not take it.
+// A committed state is delivered though the local disk does not take it.
 func TestCommitDeliveredDespiteStalledDisk(t *testing.T) {
 	h := newReplicaHarness(t, Position{1 << 17, 5}, nil)
 	h.blockDisk()
 	state := h.Acceptor().State
 	state.Revision = 6
 	h.mailbox.Send(h.ctx, messageEvent{Message{Sender: Sender{MemberID: 2, Incarnation: 1, DiskID: 2}, Type: MsgCommit, Term: 1 << 17, Position: Position{1 << 17, 6}, State: state}, make(chan *Reply, 1)})
-	if got := receive(t, h, h.told); got != 6 {
-		t.Errorf("told of %d", got)
+	if got := receive(t, h, h.committed); got != 6 {
+		t.Errorf("delivered %d", got)
 	}
 	if got := h.Acceptor().Position.Revision; got != 5 {
 		t.Errorf("the acceptor shows %d, which is not on disk", got)
 	}
 }
 
-// A word that a proposer left with one other core only, as a look shows, is finished by the
-// core on duty, which has it not: else no core would ever be sure again.
+// A state that a proposer left with one other replica only, as a quorum read shows, is
+// committed by the coordinator, which does not hold it: else no read would be confirmed again.
 func TestUncommittedStateElsewhereIsRefreshed(t *testing.T) {
 	h := newReplicaHarness(t, Position{1 << 17, 5}, map[int]Position{3: {1 << 17, 6}})
 	self := h.Acceptor()
 	if reply := h.stepAcceptor(h.ctx, Message{Sender: self.Self, Type: MsgCommit, Term: self.Position.Term, Position: self.Position, State: self.State}); reply == nil || reply.Committed != 5 {
-		t.Fatalf("its own word is not settled: %+v", reply)
+		t.Fatalf("its own state is not committed: %+v", reply)
 	}
-	h.onDuty.Store(true)
+	h.coordinator.Store(true)
 	h.run()
-	h.eventually(t, "stamp 6 to be settled", func() bool {
+	h.eventually(t, "revision 6 to be committed", func() bool {
 		acceptor := h.Acceptor()
 		return acceptor.Position.Revision == 6 && acceptor.Committed == 6
 	})
-	for len(h.sure) > 0 {
-		<-h.sure
+	for len(h.confirmed) > 0 {
+		<-h.confirmed
 	}
-	receive(t, h, h.sure)
+	receive(t, h, h.confirmed)
 }
 
-// A word that majorities hold and nobody says is settled, since its proposer stopped, is
-// settled by a look, without the core on duty, and though the own disk stalls.
+// A state that majorities hold and no replica knows to be committed, since its proposer
+// stopped, is committed by a quorum read, without the coordinator, and though the local disk
+// stalls.
 func TestCommitLearnedByReadIndex(t *testing.T) {
 	h := newReplicaHarness(t, Position{1 << 17, 5}, map[int]Position{2: {1 << 17, 6}, 3: {1 << 17, 6}})
 	h.blockDisk()
 	h.run()
-	if got := receive(t, h, h.told); got != 6 {
-		t.Errorf("told of %d", got)
+	if got := receive(t, h, h.committed); got != 6 {
+		t.Errorf("delivered %d", got)
 	}
-	receive(t, h, h.sure)
+	receive(t, h, h.confirmed)
 }
 
-// A core without contact to a majority takes no order, and says at once that it will
-// not be; it raises no epoch meanwhile.
+// A replica without contact to a majority rejects commands at once; it raises no term
+// meanwhile.
 func TestNoCommandWithoutMajority(t *testing.T) {
 	h := newReplicaHarness(t, Position{1 << 17, 5}, nil)
-	h.onDuty.Store(true)
+	h.coordinator.Store(true)
 	h.run()
 	h.eventually(t, "the contact to be missed", func() bool { return !h.Connected() })
 	promised := h.Acceptor().Promised
@@ -273,12 +265,12 @@
 	}
 }
 
-// A core whose contact is old, as one that was frozen or late, asks for it before it
-// takes an order, and takes it then.
+// A replica whose contact is old, as one that was suspended or late, asks a majority before it
+// takes a command, and takes it then.
 func TestCommandRegainsContact(t *testing.T) {
 	h := newReplicaHarness(t, Position{1 << 17, 5}, map[int]Position{2: {1 << 17, 5}})
-	h.onDuty.Store(true)
-	h.eventually(t, "the contact to be old", func() bool { return !h.Connected() }) // it looks at nobody yet
+	h.coordinator.Store(true)
+	h.eventually(t, "the contact to be old", func() bool { return !h.Connected() }) // it asks nobody yet
 	h.run()
 	if result := h.Submit(h.ctx, Command{Kind: CommandEvacuate, Zone: "north"}); result.Outcome != OutcomeCommitted {
 		t.Errorf("%+v", result)
--- a/internal/controlplane/node.go
+++ b/internal/controlplane/node.go
@@ -53,17 +53,17 @@
 	n := &Node{
 		process:     p,
 		cfg:         cfg,
-		replica:     openReplica(p, cfg),
 		discovery:   membership.NewDiscovery(),
 		watchServer: watch.NewServer(p.Actors, p.Incarnation),
 		traces:      tracestore.NewStore(),
 	}
-	n.cluster = &cluster{cfg: cfg, incarnation: p.Incarnation, replica: n.replica, discovery: n.discovery}
+	n.cluster = &cluster{cfg: cfg, incarnation: p.Incarnation, discovery: n.discovery}
+	n.replica = n.openReplica()
+	n.cluster.replica = n.replica
 	n.commands = &commandRouter{cluster: n.cluster, replica: n.replica, actors: p.Actors, executed: &n.counters.commands}
 	n.reconfigurer = newReconfigurer(cfg, n.cluster, n.commands, p)
 	n.joinRequester = &joinRequester{cluster: n.cluster, client: p.TransportClient, stopping: &n.stopping}
 	n.maintenance = &maintenanceScheduler{cluster: n.cluster, commands: n.commands, watchServer: n.watchServer, log: p.Log}
-	n.connectReplica()
 	n.connectDiscovery()
 	n.reloader = &process.Reloader{Discovery: n.discovery}
 	n.reloader.Apply(cfg.Common)
@@ -78,15 +78,27 @@
 	return n
 }
 
-// openReplica loads the replica's state from the data directory, or ends the process.
-func openReplica(p *process.Process, cfg settings.ControlPlane) *consensus.Replica {
-	directory, err := storage.Open(cfg.Data)
+// openReplica loads the replica's state from the data directory, or ends the process. The replica
+// passes on what it commits and confirms.
+func (n *Node) openReplica() *consensus.Replica {
+	directory, err := storage.Open(n.cfg.Data)
 	if err != nil {
-		p.Fatal("data", err)
+		n.process.Fatal("data", err)
 	}
-	replica, err := consensus.NewReplica(p.Actors, &consensus.StateStore{Store: directory}, bootstrapOptions(cfg))
+	replica, err := consensus.New(consensus.Config{
+		Store:     directory,
+		Bootstrap: bootstrapOptions(n.cfg),
+	}, consensus.Deps{
+		Actors:          n.process.Actors,
+		Client:          n.process.TransportClient,
+		Log:             n.process.Log,
+		Peers:           n.cluster,
+		OnCommit:        func(ctx context.Context, state config.ControlState) { n.watchServer.ObserveCommitted(ctx, state) },
+		OnReadConfirmed: n.renewLeases,
+		OnHealthChange:  n.discovery.HeartbeatNow,
+	})
 	if err != nil {
-		p.Fatal("data", err)
+		n.process.Fatal("data", err)
 	}
 	return replica
 }
@@ -101,16 +113,6 @@
 	return options
 }
 
-// connectReplica gives the replica its peers, and passes on what it commits and confirms.
-func (n *Node) connectReplica() {
-	n.replica.Client = n.process.TransportClient
-	n.replica.Log = n.process.Log
-	n.replica.Peers = n.cluster
-	n.replica.OnCommit = func(ctx context.Context, state config.ControlState) { n.watchServer.ObserveCommitted(ctx, state) }
-	n.replica.OnReadConfirmed = n.renewLeases
-	n.replica.OnHealthChange = n.discovery.HeartbeatNow
-}
-
 // connectDiscovery has this replica announced to the other processes. The members that are stored
 // on disk get the first heartbeats, whatever the seeds are now.
 func (n *Node) connectDiscovery() {
