--- a/cmd/planner/snapshot.go
+++ b/cmd/planner/snapshot.go
@@ -36,7 +36,8 @@
 	if err != nil {
 		return snapshot, err
 	}
-	return snapshot, json.Unmarshal(b, &snapshot)
+	err = json.Unmarshal(b, &snapshot)
+	return snapshot, err
 }
 
 func saveSnapshot(file string, snapshot plan.Snapshot) error {
