--- a/internal/config/closure.go
+++ b/internal/config/closure.go
@@ -1,9 +1,10 @@
 package config
 
-// ZoneClosure notes that a maintenance window, while it goes on, has a zone
-// emptied; or, waived, that an operator took it back meanwhile.
+// ZoneClosure says that an ongoing maintenance window evacuates a zone.
 type ZoneClosure struct {
-	Zone   string `msgpack:"l" json:"locality"`
+	Zone string `msgpack:"l" json:"locality"`
+	// Window is the name of the maintenance window.
 	Window string `msgpack:"w" json:"window"`
-	Waived bool   `msgpack:"x,omitempty" json:"waived,omitempty"`
+	// Waived is set if the operator revoked the evacuation during the window.
+	Waived bool `msgpack:"x,omitempty" json:"waived,omitempty"`
 }
--- a/internal/config/configuration.go
+++ b/internal/config/configuration.go
@@ -1,10 +1,7 @@
-// Package config holds the operator's desired state and its checks.
-// (DESIGN 5)
 package config
 
-import "github.com/mailru/easyjson/jwriter"
-
-// Configuration is one whole configuration.
+// Configuration is what the operator submits. Routes may lead to any service unless Services lists
+// some; then they may lead to these only.
 //
 //easyjson:json
 type Configuration struct {
@@ -14,11 +11,3 @@
 	Services  []Service  `json:"services,omitempty"`
 	Limits    Limits     `json:"limits,omitempty"`
 }
-
-// Bytes writes a configuration as Parse reads it.
-func (configuration Configuration) Bytes() []byte {
-	out := jwriter.Writer{Flags: jwriter.NilSliceAsEmpty}
-	configuration.MarshalEasyJSON(&out)
-	b, _ := out.BuildBytes() // our writers never fail
-	return b
-}
--- a/internal/config/control_state.go
+++ b/internal/config/control_state.go
@@ -2,48 +2,56 @@
 
 import "slices"
 
-// ControlState is the operator's word as the cores keep it: the bytes as they were
-// sent, the zones asked to be emptied, and the calendar of maintenance
-// windows with those that go on.
+// ControlState is the replicated state of the control plane at one revision. Each change makes a
+// complete new one. Some fields are kept by the replicas only: sidecars get the rest (see
+// ForSidecars).
 type ControlState struct {
+	// Revision numbers the control states; it rises with each change.
 	Revision uint64 `msgpack:"s"`
-	// ConfigurationRevision is the stamp under which Desired was put.
-	ConfigurationRevision uint64   `msgpack:"ds"`
-	Configuration         []byte   `msgpack:"d"`
-	EvacuatedByOperator   []string `msgpack:"e"`
-	// Generation is the highest of the operator's own numbers; zero: none was given.
+	// Configuration is the JSON of the operator's Configuration, ConfigurationRevision the
+	// revision that brought it.
+	ConfigurationRevision uint64 `msgpack:"ds"`
+	Configuration         []byte `msgpack:"d"`
+	// EvacuatedByOperator are the zones that the operator has ordered to be evacuated.
+	EvacuatedByOperator []string `msgpack:"e"`
+	// Generation is the highest generation that the operator has numbered a configuration with;
+	// zero if none was numbered.
 	Generation uint64 `msgpack:"n,omitempty"`
-	// Submitted is what the operator sent, byte for byte, if Desired is another form of
-	// it. Only cores keep it.
+	// Submitted is what the operator submitted, byte for byte, if Configuration is another form
+	// of it. Replicas only.
 	Submitted []byte `msgpack:"st,omitempty"`
-	// AcceptedGenerations is the record of the newest taken numbers, sorted. Only cores keep it.
+	// AcceptedGenerations are the newest generations that were accepted, in ascending order.
+	// Replicas only.
 	AcceptedGenerations []AcceptedGeneration `msgpack:"tk,omitempty"`
-	// Evacuations are the newest orders on zones, the newest last; Forgotten is the
-	// highest stamp of those that are not on record any more. Only cores keep them.
+	// Evacuations are the newest orders on zones, the newest last; CompactedRevision is the
+	// highest revision of those that were dropped from the list. Replicas only.
 	Evacuations       []Evacuation `msgpack:"ev,omitempty"`
 	CompactedRevision uint64       `msgpack:"ef,omitempty"`
-	// CalendarRevision is the stamp under which Calendar was put.
+	// Calendar is the calendar of maintenance windows as the operator submitted it,
+	// CalendarRevision the revision that brought it, and Closures are of the windows that are
+	// open.
 	CalendarRevision uint64        `msgpack:"cs,omitempty"`
 	Calendar         []byte        `msgpack:"c,omitempty"`
 	Closures         []ZoneClosure `msgpack:"cl,omitempty"`
-	// Members is the set of slots in force, sorted; empty is the founding set.
-	// Formerly is the set before, while a change of the set is the newest change.
-	// Top is the highest slot that any set ever had. (DESIGN 6.5)
+	// Members are the members in force, by ID; empty stands for those that the control plane was
+	// founded with. PreviousMembers are those before, as long as the change of members is the
+	// newest change. HighestMemberID is the highest ID that was ever used. (DESIGN 6.5)
 	Members         []Member `msgpack:"sl,omitempty"`
 	PreviousMembers []Member `msgpack:"fo,omitempty"`
 	HighestMemberID int      `msgpack:"to,omitempty"`
 }
 
-// ForSidecars is the word as sidecars get it.
-func (state ControlState) ForSidecars() ControlState {
-	state.Submitted, state.AcceptedGenerations, state.Evacuations, state.CompactedRevision = nil, nil, nil, 0
-	return state
+// ForSidecars returns the state without what only the replicas keep.
+func (s ControlState) ForSidecars() ControlState {
+	s.Submitted, s.AcceptedGenerations, s.Evacuations, s.CompactedRevision = nil, nil, nil, 0
+	return s
 }
 
-// EvacuatedZones lists the zones that are to be empty now, whoever asked for it.
-func (state ControlState) EvacuatedZones() []string {
-	out := slices.Clone(state.EvacuatedByOperator)
-	for _, c := range state.Closures {
+// EvacuatedZones lists the zones that are to be evacuated now, by the operator's order or for a
+// maintenance window, in ascending order.
+func (s ControlState) EvacuatedZones() []string {
+	out := slices.Clone(s.EvacuatedByOperator)
+	for _, c := range s.Closures {
 		if !c.Waived {
 			out = append(out, c.Zone)
 		}
@@ -52,7 +60,7 @@
 	return slices.Compact(out)
 }
 
-// HasClosure tells whether a window is noted.
-func (state ControlState) HasClosure(window string) bool {
-	return slices.ContainsFunc(state.Closures, func(c ZoneClosure) bool { return c.Window == window })
+// HasClosure reports whether there is a closure, waived or not, of a maintenance window.
+func (s ControlState) HasClosure(window string) bool {
+	return slices.ContainsFunc(s.Closures, func(c ZoneClosure) bool { return c.Window == window })
 }
--- a/internal/config/duration.go
+++ b/internal/config/duration.go
@@ -7,10 +7,12 @@
 	"github.com/mailru/easyjson/jwriter"
 )
 
-// Duration is a time.Duration written as in "250ms".
+// Duration is a time.Duration that is written in JSON as time.ParseDuration reads it, as in
+// "250ms".
 type Duration struct {
 	time.Duration
-	Invalid string // what was written, when it is no duration
+	// Invalid is the text that was read if it is no duration; validation reports it.
+	Invalid string
 }
 
 // UnmarshalEasyJSON implements easyjson.Unmarshaler.
@@ -27,6 +29,5 @@
 // MarshalEasyJSON implements easyjson.Marshaler.
 func (d Duration) MarshalEasyJSON(out *jwriter.Writer) { out.String(d.String()) }
 
-// IsDefined implements easyjson.Optional: where a duration may be left out, none
-// is written as none.
+// IsDefined implements easyjson.Optional: a zero duration is left out where that is allowed.
 func (d Duration) IsDefined() bool { return d.Duration != 0 || d.Invalid != "" }
--- a/internal/config/field_path.go
+++ b/internal/config/field_path.go
@@ -2,14 +2,15 @@
 
 import "strconv"
 
-// fieldPath is a place in a configuration: a name, or else an index, within another.
-// It is put into words only where something is wrong.
+// fieldPath is the path of a field in a configuration, as a list from the field upwards: each
+// element is a name, or else an index, within its parent. Its text is made only for a violation.
 type fieldPath struct {
 	parent *fieldPath
 	name   string
 	index  int
 }
 
+// String returns the path as FieldViolation.Path has it.
 func (p *fieldPath) String() string {
 	switch {
 	case p.parent == nil:
--- a/internal/config/generations.go
+++ b/internal/config/generations.go
@@ -6,21 +6,22 @@
 	"slices"
 )
 
-// MaxAcceptedGenerations is how many of the newest taken numbers a word remembers.
+// MaxAcceptedGenerations is how many accepted generations a control state remembers.
 const MaxAcceptedGenerations = 64 // (ours)
 
-// digestBytes is how much of a SHA-256 is kept of a configuration.
+// digestBytes is how many bytes of a SHA-256 digest are kept.
 const digestBytes = 16
 
-// AcceptedGeneration is the record of a configuration that was taken under the operator's own
-// number. (DESIGN 6.3)
+// AcceptedGeneration records that a configuration was accepted under a generation, the operator's
+// own number for it. (DESIGN 6.3)
 type AcceptedGeneration struct {
 	Generation uint64 `msgpack:"g" json:"generation"`
-	Digest     []byte `msgpack:"d" json:"digest"`
+	// Digest is the SubmissionDigest of the configuration.
+	Digest []byte `msgpack:"d" json:"digest"`
 }
 
-// SubmissionDigest tells a configuration from others: it is of what the operator sent, or, where
-// no adapter made another form of that, of the configuration itself.
+// SubmissionDigest returns the digest that identifies a configuration: that of what the operator
+// submitted or, if submitted is nil because no adapter translated it, of the configuration itself.
 func SubmissionDigest(submitted, configuration []byte) []byte {
 	if submitted == nil {
 		submitted = configuration
@@ -29,23 +30,25 @@
 	return sum[:digestBytes]
 }
 
-// LookupGeneration tells whether this word or one before it took a configuration under a number,
-// and whether it had that digest. known is false if none was, or one too long ago.
-func (state ControlState) LookupGeneration(generation uint64, digest []byte) (matches, known bool) {
-	for _, t := range state.AcceptedGenerations {
+// LookupGeneration reports whether a configuration was accepted under a generation, in this control
+// state or one before it, and whether that had the digest. known is false if none was, or too many
+// have been accepted since.
+func (s ControlState) LookupGeneration(generation uint64, digest []byte) (matches, known bool) {
+	for _, t := range s.AcceptedGenerations {
 		if t.Generation == generation {
 			return bytes.Equal(t.Digest, digest), true
 		}
 	}
-	// A word of an older version has no record, but what was sent last.
-	if generation == state.Generation && state.Submitted != nil {
-		return bytes.Equal(SubmissionDigest(state.Submitted, nil), digest), true
+	// The control state of an older version has no records, but what was submitted last.
+	if generation == s.Generation && s.Submitted != nil {
+		return bytes.Equal(SubmissionDigest(s.Submitted, nil), digest), true
 	}
 	return false, false
 }
 
-// AppendGeneration is the record with one more configuration; the oldest go.
-func (state ControlState) AppendGeneration(generation uint64, digest []byte) []AcceptedGeneration {
-	out := append(slices.Clone(state.AcceptedGenerations), AcceptedGeneration{Generation: generation, Digest: digest})
+// AppendGeneration returns AcceptedGenerations with one more; the oldest is dropped if there are too
+// many.
+func (s ControlState) AppendGeneration(generation uint64, digest []byte) []AcceptedGeneration {
+	out := append(slices.Clone(s.AcceptedGenerations), AcceptedGeneration{Generation: generation, Digest: digest})
 	return out[max(0, len(out)-MaxAcceptedGenerations):]
 }
--- a/internal/config/member.go
+++ b/internal/config/member.go
@@ -1,11 +1,11 @@
 package config
 
-// Member is a slot with the disk that has it: each disk gets a slot of its own, and
-// no slot is used twice. (DESIGN 6.5)
+// Member is a member of the control plane: an ID that belongs to one disk. Each disk gets its own,
+// and no ID is used twice. (DESIGN 6.5)
 type Member struct {
 	MemberID int `msgpack:"s" json:"slot"`
-	// DiskID is the identity of the disk; zero for whichever sits in a static slot.
+	// DiskID identifies the disk; zero for a founding member, whose place any disk may take.
 	DiskID uint64 `msgpack:"d,omitempty" json:"id,omitempty"`
-	// Addr is where it stood when it was taken in.
+	// Addr is the address that the replica had when it was added.
 	Addr string `msgpack:"a,omitempty" json:"address,omitempty"`
 }
--- a/internal/config/scanner.go
+++ b/internal/config/scanner.go
@@ -8,10 +8,21 @@
 	"strings"
 )
 
-// valuePosition is where in the bytes a value ends, and its path.
-type valuePosition struct {
-	end  int
-	path string
+// scanner walks the values of a configuration that is known to be valid JSON. A first pass finds
+// names that occur twice in one object; a second one, made only for an error of the decoder,
+// indexes where each value ends, so that an offset can be turned into a path.
+type scanner struct {
+	data   []byte
+	offset int
+	// steps lead to the value at offset.
+	steps []pathStep
+	// openNames are the names of the objects that are open, of the outermost one first.
+	openNames  [][]byte
+	duplicates []FieldViolation
+
+	// indexing is set in the second pass, which fills positions.
+	indexing  bool
+	positions []valuePosition
 }
 
 // pathStep leads from a value to one within it: by name, or else by index.
@@ -20,29 +31,31 @@
 	index int
 }
 
-// scanner walks the values of a configuration that is known to be JSON: it finds
-// names that stand twice in one object, and, once told to note, where each
-// value lies.
-type scanner struct {
-	data       []byte
-	offset     int
-	steps      []pathStep // to the value that is walked
-	openNames  [][]byte   // that stand in the objects that are open
-	indexing   bool
-	positions  []valuePosition
-	duplicates []FieldViolation
+// valuePosition is where a value ends, and its path. An object or an array counts as ended after
+// its opening bracket.
+type valuePosition struct {
+	end  int
+	path string
 }
 
-// linearSearchLimit is how many names are looked through one by one.
+// linearSearchLimit is up to how many names of an object are compared one by one.
 const linearSearchLimit = 16
 
+// nameSet are the names of an open object: those of openNames from first on or, if there are many,
+// those of index.
+type nameSet struct {
+	first int
+	index map[string]bool
+}
+
+// newScanner makes a scanner and makes the first pass.
 func newScanner(b []byte) *scanner {
 	sc := &scanner{data: b}
 	sc.scanValue()
 	return sc
 }
 
-// skipToToken skips to what is neither blank nor between values, and tells it.
+// skipToToken moves to the next byte that is neither white space nor a separator, and returns it.
 func (sc *scanner) skipToToken() byte {
 	for {
 		switch c := sc.data[sc.offset]; c {
@@ -63,97 +76,107 @@
 	case '[':
 		sc.offset++
 		sc.recordPosition()
-		sc.steps = append(sc.steps, pathStep{})
-		last := len(sc.steps) - 1
-		for i := 0; sc.skipToToken() != ']'; i++ {
-			sc.steps[last].index = i
-			sc.scanValue()
-		}
-		sc.steps = sc.steps[:last]
-		sc.offset++
+		sc.scanArray()
 	case '"':
 		sc.skipString()
 		sc.recordPosition()
 	default:
-		for sc.offset < len(sc.data) && !strings.ContainsRune(" \t\r\n,]}", rune(sc.data[sc.offset])) {
-			sc.offset++
-		}
+		sc.skipLiteral()
 		sc.recordPosition()
 	}
 }
 
+// scanObject scans an object after its opening bracket.
 func (sc *scanner) scanObject() {
-	first, index := len(sc.openNames), map[string]bool(nil)
+	names := nameSet{first: len(sc.openNames)}
 	sc.steps = append(sc.steps, pathStep{})
 	last := len(sc.steps) - 1
 	for sc.skipToToken() != '}' {
 		name := sc.readString()
 		sc.steps[last].name = name
-		if sc.seenBefore(name, first, &index) && !sc.indexing {
+		if sc.addName(&names, name) && !sc.indexing {
 			sc.duplicates = append(sc.duplicates, FieldViolation{Path: sc.currentPath(), Message: "stands twice"})
 		}
 		sc.scanValue()
 	}
-	sc.steps, sc.openNames = sc.steps[:last], sc.openNames[:first]
+	sc.steps, sc.openNames = sc.steps[:last], sc.openNames[:names.first]
+	sc.offset++
+}
+
+// scanArray scans an array after its opening bracket.
+func (sc *scanner) scanArray() {
+	sc.steps = append(sc.steps, pathStep{})
+	last := len(sc.steps) - 1
+	for i := 0; sc.skipToToken() != ']'; i++ {
+		sc.steps[last].index = i
+		sc.scanValue()
+	}
+	sc.steps = sc.steps[:last]
 	sc.offset++
 }
 
-// seenBefore notes a name of the open object whose names begin at first, and tells
-// whether it stood there before.
-func (sc *scanner) seenBefore(name []byte, first int, many *map[string]bool) bool {
-	if *many != nil {
-		twice := (*many)[string(name)]
-		(*many)[string(name)] = true
-		return twice
+// addName adds a name to those of the innermost open object; it reports whether the object had it
+// before.
+func (sc *scanner) addName(names *nameSet, name []byte) (duplicate bool) {
+	if names.index != nil {
+		duplicate = names.index[string(name)]
+		names.index[string(name)] = true
+		return duplicate
 	}
-	for _, n := range sc.openNames[first:] {
-		if bytes.Equal(n, name) {
+	for _, other := range sc.openNames[names.first:] {
+		if bytes.Equal(other, name) {
 			return true
 		}
 	}
 	sc.openNames = append(sc.openNames, name)
-	if len(sc.openNames)-first > linearSearchLimit {
-		*many = map[string]bool{}
-		for _, n := range sc.openNames[first:] {
-			(*many)[string(n)] = true
+	if len(sc.openNames)-names.first > linearSearchLimit {
+		names.index = map[string]bool{}
+		for _, n := range sc.openNames[names.first:] {
+			names.index[string(n)] = true
 		}
 	}
 	return false
 }
 
-// skipString passes a string that begins here; plain tells that nothing in it is
-// escaped.
-func (sc *scanner) skipString() (plain bool) {
-	plain = true
+// skipString skips a string; unescaped reports whether it has no escape sequence.
+func (sc *scanner) skipString() (unescaped bool) {
+	unescaped = true
 	for sc.offset++; sc.data[sc.offset] != '"'; sc.offset++ {
 		if sc.data[sc.offset] == '\\' {
 			sc.offset++
-			plain = false
+			unescaped = false
 		}
 	}
 	sc.offset++
-	return plain
+	return unescaped
+}
+
+// skipLiteral skips a number, true, false or null.
+func (sc *scanner) skipLiteral() {
+	for sc.offset < len(sc.data) && !strings.ContainsRune(" \t\r\n,]}", rune(sc.data[sc.offset])) {
+		sc.offset++
+	}
 }
 
-// readString reads a string that begins here.
+// readString returns a string's text and skips it.
 func (sc *scanner) readString() []byte {
 	begin := sc.offset
 	if sc.skipString() {
 		return sc.data[begin+1 : sc.offset-1]
 	}
-	var out string
-	json.Unmarshal(sc.data[begin:sc.offset], &out)
-	return []byte(out)
+	var text string
+	json.Unmarshal(sc.data[begin:sc.offset], &text) // the whole document is valid
+	return []byte(text)
 }
 
-// currentPath is the path of the value that is walked.
+// currentPath returns the path of the value at offset.
 func (sc *scanner) currentPath() string {
 	out := []byte("$")
-	for _, t := range sc.steps {
-		if t.name != nil {
-			out = append(append(out, '.'), t.name...)
+	for _, step := range sc.steps {
+		if step.name != nil {
+			out = append(append(out, '.'), step.name...)
 		} else {
-			out = append(strconv.AppendInt(append(out, '['), int64(t.index), 10), ']')
+			out = append(strconv.AppendInt(append(out, '['), int64(step.index), 10), ']')
 		}
 	}
 	return string(out)
@@ -165,13 +188,13 @@
 	}
 }
 
-// pathAt finds the value that a lexer's offset points into.
+// pathAt returns the path of the value that an offset of the decoder points into.
 func (sc *scanner) pathAt(offset int) string {
 	if !sc.indexing {
 		sc.offset, sc.indexing = 0, true
 		sc.scanValue()
 	}
-	i, _ := slices.BinarySearchFunc(sc.positions, offset+1, func(p valuePosition, o int) int { return p.end - o })
+	i, _ := slices.BinarySearchFunc(sc.positions, offset+1, func(p valuePosition, end int) int { return p.end - end })
 	if i == len(sc.positions) {
 		return "$"
 	}
--- a/internal/config/service.go
+++ b/internal/config/service.go
@@ -1,13 +1,13 @@
 package config
 
-// Service says what holds for a service, whichever way leads to it.
+// Service says what holds for a service, whichever route leads to it.
 //
 //easyjson:json
 type Service struct {
 	UnknownFields
 	Name string `json:"name"`
-	// MaxConnections bounds those open to one backend; 0 is no bound.
+	// MaxConnections bounds the connections to one backend; 0 is no bound.
 	MaxConnections int `json:"connections,omitempty"`
-	// SlowStart says what its backends bear at their start, if that is less.
+	// SlowStart limits backends that have just started; nil does not.
 	SlowStart *SlowStart `json:"cold,omitempty"`
 }
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -1,254 +1,250 @@
 package config
 
 import (
-	"bytes"
-	"encoding/json"
 	"fmt"
 	"strings"
 	"time"
-
-	"github.com/mailru/easyjson/jlexer"
 )
 
-// MaxBytes bounds a configuration.
-const MaxBytes = 4 << 20
-
-// LowestPriority is the lowest rank.
+// LowestPriority is the lowest priority of a contract; 1 is the highest.
 const LowestPriority = 9
 
-// MaxAttempts is how many attempts a way may ask for.
+// MaxAttempts is how many attempts a route may allow for a request.
 const MaxAttempts = 10
 
 const (
 	maxDuration    = 10 * time.Minute
-	maxWeight      = 1_000_000 // of a split's weights
-	maxConnections = 1_000_000 // connections to a backend
-	maxRequestRate = 1e6
+	maxWeight      = 1_000_000 // of one service in a split
+	maxConnections = 1_000_000 // to one backend
+	maxRequestRate = 1e6       // requests per second
 	maxHeaderBytes = 16 << 20
 	maxBodyBytes   = 1 << 40
 )
 
-// NameRules tells what a name, of a zone too, may be.
-const NameRules = "a name of lower-case letters, digits, '.', '_', '-', at most 63"
+// validator collects the violations of a configuration. Its methods check one kind of field each
+// and report at a path.
+type validator struct{ violations []FieldViolation }
 
-// IsValidName tells whether a text may be a name.
-func IsValidName(s string) bool {
-	for i := range len(s) {
-		c := s[i]
-		letter := 'a' <= c && c <= 'z' || '0' <= c && c <= '9'
-		if !letter && (i == 0 || c != '.' && c != '_' && c != '-') {
-			return false
-		}
-	}
-	return len(s) >= 1 && len(s) <= 63
+// add adds a violation at a path's text.
+func (v *validator) add(path, message string) {
+	v.violations = append(v.violations, FieldViolation{Path: path, Message: message})
 }
 
-func isValidMethod(s string) bool {
-	for i := range len(s) {
-		if s[i] < 'A' || s[i] > 'Z' {
-			return false
-		}
-	}
-	return len(s) >= 1 && len(s) <= 20
-}
-
-// Parse reads and checks a configuration. ok is false if the bytes are no
-// JSON; otherwise all faults are listed in one go. (DESIGN 5.2)
-func Parse(b []byte) (configuration Configuration, faults []FieldViolation, ok bool) {
-	if !json.Valid(b) {
-		return configuration, nil, false
-	}
-	sc := newScanner(b)
-	faults = sc.duplicates
-	if first := bytes.TrimLeft(b, " \t\r\n")[0]; first != '{' {
-		return configuration, []FieldViolation{{Path: "$", Message: "must be an object"}}, true
-	}
-	in := jlexer.Lexer{Data: b, UseMultipleErrors: true}
-	configuration.UnmarshalEasyJSON(&in)
-	for _, e := range in.GetNonFatalErrors() {
-		faults = append(faults, FieldViolation{Path: sc.pathAt(e.Offset), Message: e.Reason})
-	}
-	if err := in.Error(); err != nil {
-		faults = append(faults, FieldViolation{Path: "$", Message: err.Error()})
-	}
-	c := validator{violations: faults}
-	c.configuration(&configuration)
-	return configuration, c.violations, true
-}
-
-// validator collects what is wrong.
-type validator struct{ violations []FieldViolation }
-
-func (c *validator) report(p *fieldPath, field, format string, args ...any) {
+// report adds a violation of a field of the object at p, or of p itself if field is empty.
+func (v *validator) report(p *fieldPath, field, format string, args ...any) {
 	path := p.String()
 	if field != "" {
 		path += "." + field
 	}
-	c.violations = append(c.violations, FieldViolation{Path: path, Message: fmt.Sprintf(format, args...)})
+	v.add(path, fmt.Sprintf(format, args...))
 }
 
-func (c *validator) unknownFields(p *fieldPath, u *UnknownFields) {
-	for _, n := range u.sortedNames() {
-		c.report(p, n, "unknown field")
+func (v *validator) unknownFields(p *fieldPath, u *UnknownFields) {
+	for _, name := range u.sortedNames() {
+		v.report(p, name, "unknown field")
 	}
 }
 
-func (c *validator) name(p *fieldPath, field, v string) {
-	if !IsValidName(v) {
-		c.report(p, field, "%q: must be %s", v, NameRules)
+func (v *validator) name(p *fieldPath, field, value string) {
+	if !IsValidName(value) {
+		v.report(p, field, "%q: must be %s", value, NameRules)
 	}
 }
 
-func (c *validator) duration(p *fieldPath, field string, d Duration) {
+func (v *validator) duration(p *fieldPath, field string, d Duration) {
 	switch {
 	case d.Invalid != "":
-		c.report(p, field, "%q is no duration such as \"250ms\"", d.Invalid)
+		v.report(p, field, "%q is no duration such as \"250ms\"", d.Invalid)
 	case d.Duration <= 0 || d.Duration > maxDuration:
-		c.report(p, field, "%v is out of range: more than 0s, at most %v", d.Duration, maxDuration)
+		v.report(p, field, "%v is out of range: more than 0s, at most %v", d.Duration, maxDuration)
+	}
+}
+
+// optionalDuration is duration for a field that may be left out.
+func (v *validator) optionalDuration(p *fieldPath, field string, d Duration) {
+	if d.IsDefined() {
+		v.duration(p, field, d)
 	}
 }
 
-// inRange checks a whole number that may be left out.
-func (c *validator) inRange(p *fieldPath, field string, v, minimum, maximum int64) {
-	if v < minimum || v > maximum {
-		c.report(p, field, "%d is out of range: %d to %d", v, minimum, maximum)
+func (v *validator) inRange(p *fieldPath, field string, value, minimum, maximum int64) {
+	if value < minimum || value > maximum {
+		v.report(p, field, "%d is out of range: %d to %d", value, minimum, maximum)
 	}
 }
 
-// uniqueName checks that a name is the first of its kind in a list.
-func (c *validator) uniqueName(p *fieldPath, name string, index int, seen map[string]int) {
-	if first, dup := seen[name]; dup {
+// uniqueName checks that no earlier element of a list has the name; seen has the indexes of the
+// earlier ones by name.
+func (v *validator) uniqueName(p *fieldPath, name string, index int, seen map[string]int) {
+	if first, duplicate := seen[name]; duplicate {
 		other := fieldPath{parent: p.parent, index: first}
-		c.report(p, "name", "%q is the name of %s too", name, other.String())
+		v.report(p, "name", "%q is the name of %s too", name, other.String())
 		return
 	}
 	seen[name] = index
 }
 
-func (c *validator) configuration(st *Configuration) {
+func (v *validator) configuration(c *Configuration) {
 	top := fieldPath{name: "$"}
-	c.unknownFields(&top, &st.UnknownFields)
-	contracts, services := c.contracts(&top, st.Contracts), c.services(&top, st.Services)
-	c.routes(&top, st.Routes, contracts, services)
-	p, l := fieldPath{parent: &top, name: "limits"}, &st.Limits
-	c.unknownFields(&p, &l.UnknownFields)
-	c.inRange(&p, "header_bytes", int64(l.MaxHeaderBytes), 0, maxHeaderBytes)
-	c.inRange(&p, "body_bytes", l.MaxBodyBytes, 0, maxBodyBytes)
-	if l.ReadHeaderTimeout.IsDefined() {
-		c.duration(&p, "header_wait", l.ReadHeaderTimeout)
-	}
-	if l.IdleTimeout.IsDefined() {
-		c.duration(&p, "idle", l.IdleTimeout)
-	}
-}
-
-func (c *validator) contracts(top *fieldPath, list []Contract) map[string]int {
-	in, seen := fieldPath{parent: top, name: "contracts"}, make(map[string]int, len(list))
-	for i := range list {
-		k, p := &list[i], fieldPath{parent: &in, index: i}
-		c.unknownFields(&p, &k.UnknownFields)
-		c.name(&p, "name", k.Name)
-		c.uniqueName(&p, k.Name, i, seen)
-		c.duration(&p, "aim", k.LatencyTarget)
-		c.duration(&p, "expiry", k.Deadline)
-		if k.LatencyTarget.Invalid == "" && k.Deadline.Invalid == "" && k.LatencyTarget.Duration > k.Deadline.Duration {
-			c.report(&p, "aim", "%v is later than the expiry %v", k.LatencyTarget.Duration, k.Deadline.Duration)
-		}
-		if k.Priority < 1 || k.Priority > LowestPriority {
-			c.report(&p, "rank", "%d is no rank: 1 (first) to %d", k.Priority, LowestPriority)
+	v.unknownFields(&top, &c.UnknownFields)
+	contracts := v.contracts(&top, c.Contracts)
+	services := v.services(&top, c.Services)
+	v.routes(&top, c.Routes, contracts, services)
+	v.limits(&top, &c.Limits)
+}
+
+func (v *validator) limits(top *fieldPath, l *Limits) {
+	p := fieldPath{parent: top, name: "limits"}
+	v.unknownFields(&p, &l.UnknownFields)
+	v.inRange(&p, "header_bytes", int64(l.MaxHeaderBytes), 0, maxHeaderBytes)
+	v.inRange(&p, "body_bytes", l.MaxBodyBytes, 0, maxBodyBytes)
+	v.optionalDuration(&p, "header_wait", l.ReadHeaderTimeout)
+	v.optionalDuration(&p, "idle", l.IdleTimeout)
+}
+
+// contracts checks all contracts and returns their indexes by name.
+func (v *validator) contracts(top *fieldPath, contracts []Contract) map[string]int {
+	list, seen := fieldPath{parent: top, name: "contracts"}, make(map[string]int, len(contracts))
+	for i := range contracts {
+		c, p := &contracts[i], fieldPath{parent: &list, index: i}
+		v.unknownFields(&p, &c.UnknownFields)
+		v.name(&p, "name", c.Name)
+		v.uniqueName(&p, c.Name, i, seen)
+		v.latencies(&p, c)
+		if c.Priority < 1 || c.Priority > LowestPriority {
+			v.report(&p, "rank", "%d is no rank: 1 (first) to %d", c.Priority, LowestPriority)
 		}
 	}
 	return seen
 }
 
-func (c *validator) services(top *fieldPath, list []Service) map[string]int {
-	in, seen := fieldPath{parent: top, name: "services"}, make(map[string]int, len(list))
-	for i := range list {
-		s, p := &list[i], fieldPath{parent: &in, index: i}
-		c.unknownFields(&p, &s.UnknownFields)
-		c.name(&p, "name", s.Name)
-		c.uniqueName(&p, s.Name, i, seen)
-		c.inRange(&p, "connections", int64(s.MaxConnections), 0, maxConnections)
-		if s.SlowStart == nil {
-			continue
-		}
-		cold := fieldPath{parent: &p, name: "cold"}
-		c.unknownFields(&cold, &s.SlowStart.UnknownFields)
-		c.duration(&cold, "for", s.SlowStart.Period)
-		if s.SlowStart.RequestsPerSecond <= 0 || s.SlowStart.RequestsPerSecond > maxRequestRate {
-			c.report(&cold, "rate", "%v is out of range: more than 0, at most %v", s.SlowStart.RequestsPerSecond, maxRequestRate)
+// latencies checks a contract's latency target and deadline.
+func (v *validator) latencies(p *fieldPath, c *Contract) {
+	v.duration(p, "aim", c.LatencyTarget)
+	v.duration(p, "expiry", c.Deadline)
+	if c.LatencyTarget.Invalid == "" && c.Deadline.Invalid == "" && c.LatencyTarget.Duration > c.Deadline.Duration {
+		v.report(p, "aim", "%v is later than the expiry %v", c.LatencyTarget.Duration, c.Deadline.Duration)
+	}
+}
+
+// services checks all services and returns their indexes by name.
+func (v *validator) services(top *fieldPath, services []Service) map[string]int {
+	list, seen := fieldPath{parent: top, name: "services"}, make(map[string]int, len(services))
+	for i := range services {
+		s, p := &services[i], fieldPath{parent: &list, index: i}
+		v.unknownFields(&p, &s.UnknownFields)
+		v.name(&p, "name", s.Name)
+		v.uniqueName(&p, s.Name, i, seen)
+		v.inRange(&p, "connections", int64(s.MaxConnections), 0, maxConnections)
+		if s.SlowStart != nil {
+			v.slowStart(&p, s.SlowStart)
 		}
 	}
 	return seen
 }
 
-// routeMatch is what a way takes: no two may take the same.
+func (v *validator) slowStart(service *fieldPath, s *SlowStart) {
+	p := fieldPath{parent: service, name: "cold"}
+	v.unknownFields(&p, &s.UnknownFields)
+	v.duration(&p, "for", s.Period)
+	if s.RequestsPerSecond <= 0 || s.RequestsPerSecond > maxRequestRate {
+		v.report(&p, "rate", "%v is out of range: more than 0, at most %v", s.RequestsPerSecond, maxRequestRate)
+	}
+}
+
+// routeMatch is what requests a route takes with one of its methods; no two routes may have the
+// same. The method is anyMethod for a route that takes all.
 type routeMatch struct{ host, method, prefix string }
 
-func (c *validator) routes(top *fieldPath, list []Route, contracts, services map[string]int) {
-	in, names, matches := fieldPath{parent: top, name: "ways"}, make(map[string]int, len(list)), make(map[routeMatch]int, len(list))
-	for i := range list {
-		route, p := &list[i], fieldPath{parent: &in, index: i}
-		c.unknownFields(&p, &route.UnknownFields)
-		c.name(&p, "name", route.Name)
-		c.destination(&p, route, services)
-		c.uniqueName(&p, route.Name, i, names)
-		c.inRange(&p, "legs", int64(route.MaxAttempts), 0, MaxAttempts)
+// anyMethod stands for all methods.
+const anyMethod = "*"
+
+// matches lists what the route takes.
+func (r *Route) matches() (out []routeMatch) {
+	if len(r.Methods) == 0 {
+		return []routeMatch{{r.Host, anyMethod, r.Prefix}}
+	}
+	for _, method := range r.Methods {
+		out = append(out, routeMatch{r.Host, method, r.Prefix})
+	}
+	return out
+}
+
+func (v *validator) routes(top *fieldPath, routes []Route, contracts, services map[string]int) {
+	list := fieldPath{parent: top, name: "ways"}
+	names, matches := make(map[string]int, len(routes)), make(map[routeMatch]int, len(routes))
+	for i := range routes {
+		route, p := &routes[i], fieldPath{parent: &list, index: i}
+		v.unknownFields(&p, &route.UnknownFields)
+		v.name(&p, "name", route.Name)
+		v.destination(&p, route, services)
+		v.uniqueName(&p, route.Name, i, names)
+		v.inRange(&p, "legs", int64(route.MaxAttempts), 0, MaxAttempts)
 		if !strings.HasPrefix(route.Prefix, "/") {
-			c.report(&p, "prefix", "%q does not start with '/'", route.Prefix)
+			v.report(&p, "prefix", "%q does not start with '/'", route.Prefix)
 		}
 		if _, known := contracts[route.Contract]; !known {
-			c.report(&p, "contract", "no contract is named %q", route.Contract)
+			v.report(&p, "contract", "no contract is named %q", route.Contract)
 		}
-		for j, m := range route.Methods {
-			if !isValidMethod(m) {
-				c.report(&p, fmt.Sprintf("methods[%d]", j), "%q is no method", m)
-			}
-		}
-		methods := route.Methods
-		if len(methods) == 0 {
-			methods = []string{"*"}
-		}
-		for _, m := range methods {
-			key := routeMatch{route.Host, m, route.Prefix}
-			if first, dup := matches[key]; dup {
-				c.report(&p, "", "takes the same inquiries as $.ways[%d]", first)
-				break
-			}
-			matches[key] = i
+		v.methods(&p, route.Methods)
+		v.uniqueMatches(&p, route, i, matches)
+	}
+}
+
+func (v *validator) methods(p *fieldPath, methods []string) {
+	for i, method := range methods {
+		if !isValidMethod(method) {
+			v.report(p, fmt.Sprintf("methods[%d]", i), "%q is no method", method)
 		}
 	}
 }
 
-// destination checks where a way leads: to one service, or to several by weight.
-func (c *validator) destination(p *fieldPath, route *Route, services map[string]int) {
-	known := func(p *fieldPath, name string) {
-		if _, ok := services[name]; !ok && len(services) > 0 && IsValidName(name) {
-			c.report(p, "service", "no service is named %q", name)
+// uniqueMatches checks that no earlier route takes the same requests; seen has the indexes of the
+// earlier ones.
+func (v *validator) uniqueMatches(p *fieldPath, route *Route, index int, seen map[routeMatch]int) {
+	for _, match := range route.matches() {
+		if first, duplicate := seen[match]; duplicate {
+			v.report(p, "", "takes the same inquiries as $.ways[%d]", first)
+			return
 		}
+		seen[match] = index
 	}
+}
+
+// destination checks where a route leads: to one service, or to several by weight.
+func (v *validator) destination(p *fieldPath, route *Route, services map[string]int) {
 	if len(route.Split) == 0 {
-		c.name(p, "service", route.Service)
-		known(p, route.Service)
+		v.serviceName(p, route.Service, services)
 		return
 	}
 	if route.Service != "" {
-		c.report(p, "service", "stands beside split: a way has one of the two")
+		v.report(p, "service", "stands beside split: a way has one of the two")
 	}
-	in, seen, sum := fieldPath{parent: p, name: "split"}, map[string]bool{}, 0
+	list, seen, sum := fieldPath{parent: p, name: "split"}, map[string]bool{}, 0
 	for i := range route.Split {
-		s, q := &route.Split[i], fieldPath{parent: &in, index: i}
-		c.unknownFields(&q, &s.UnknownFields)
-		c.name(&q, "service", s.Service)
-		known(&q, s.Service)
+		s, element := &route.Split[i], fieldPath{parent: &list, index: i}
+		v.unknownFields(&element, &s.UnknownFields)
+		v.serviceName(&element, s.Service, services)
 		if seen[s.Service] {
-			c.report(&q, "service", "%q stands in this split twice", s.Service)
+			v.report(&element, "service", "%q stands in this split twice", s.Service)
 		}
 		seen[s.Service] = true
-		c.inRange(&q, "weight", int64(s.Weight), 0, maxWeight)
+		v.inRange(&element, "weight", int64(s.Weight), 0, maxWeight)
 		sum += max(0, min(maxWeight, s.Weight))
 	}
 	if sum == 0 {
-		c.report(&in, "", "all weights are 0")
+		v.report(&list, "", "all weights are 0")
+	}
+}
+
+// serviceName checks the name of a service that a route leads to. If the configuration lists
+// services, it must be one of them.
+func (v *validator) serviceName(p *fieldPath, name string, services map[string]int) {
+	if !IsValidName(name) {
+		v.name(p, "service", name)
+		return
+	}
+	if _, known := services[name]; !known && len(services) > 0 {
+		v.report(p, "service", "no service is named %q", name)
 	}
 }
--- a/internal/config/version.go
+++ b/internal/config/version.go
@@ -8,56 +8,60 @@
 	"curlewwalk/internal/delta"
 )
 
-// Fingerprint tells versions of a document apart: it is a cryptographic digest.
-type Fingerprint [16]byte
+// fingerprintBytes is how many bytes of a SHA-256 digest a Fingerprint has.
+const fingerprintBytes = 16
+
+// Fingerprint is the digest that identifies a version of a document.
+type Fingerprint [fingerprintBytes]byte
 
 func newFingerprint(b []byte) Fingerprint {
 	sum := sha256.Sum256(b)
-	return Fingerprint(sum[:16])
+	return Fingerprint(sum[:fingerprintBytes])
 }
 
-// Version is a document in the form in which versions are compared: its encoded bytes and
-// their fingerprint. Differences are told and applied between two of these only. (DESIGN 8.3)
+// Version is one version of a document: its encoding and the fingerprint of that. Patches are made
+// and applied between two versions. The zero value is no version. (DESIGN 8.3)
 type Version struct {
 	encoded     []byte
 	Fingerprint Fingerprint
 }
 
-// NewVersion encodes a document, mostly a Word.
+// NewVersion encodes a document, as a ControlState.
 func NewVersion(document any) (Version, error) {
 	b, err := msgpack.Marshal(document)
 	return Version{encoded: b, Fingerprint: newFingerprint(b)}, err
 }
 
-// Decode decodes the document.
+// Decode decodes the document into the value that the pointer document points to.
 func (v Version) Decode(document any) error { return msgpack.Unmarshal(v.encoded, document) }
 
-// Size is the number of encoded bytes.
+// Size returns the number of bytes of the encoding.
 func (v Version) Size() int { return len(v.encoded) }
 
-// Patch is a version, told as its difference from another one.
+// Patch is a version as its difference from another one.
 type Patch struct {
-	// Base and Result are the fingerprints of the version that the difference was made from,
-	// and of the one that it makes.
+	// Base and Result are the fingerprints of the version that the patch applies to and of the
+	// one that it makes.
 	Base   Fingerprint `msgpack:"b"`
 	Result Fingerprint `msgpack:"r"`
-	// Delta is empty if the two are the same version.
+	// Delta is the difference between the encodings, see package delta; empty if the two are
+	// the same version.
 	Delta []byte `msgpack:"d,omitempty"`
 }
 
-// DiffFrom tells v as its difference from base. False if that is no shorter than a
-// half of v.
-func (v Version) DiffFrom(base Version) (Patch, bool) {
-	p := Patch{Base: base.Fingerprint, Result: v.Fingerprint}
+// DiffFrom returns the patch that makes v from base. worthwhile reports whether it is no longer
+// than half of v.
+func (v Version) DiffFrom(base Version) (patch Patch, worthwhile bool) {
+	patch = Patch{Base: base.Fingerprint, Result: v.Fingerprint}
 	if base.Fingerprint != v.Fingerprint {
-		p.Delta = delta.Diff(base.encoded, v.encoded)
+		patch.Delta = delta.Diff(base.encoded, v.encoded)
 	}
-	return p, len(p.Delta) <= len(v.encoded)/2
+	return patch, len(patch.Delta) <= len(v.encoded)/2
 }
 
-// Apply makes the version that a patch tells. False if the patch was made from another
-// version, or makes anything else than it says: then nothing of it may be used.
-func (v Version) Apply(p Patch) (Version, bool) {
+// Apply returns the version that a patch makes from v. ok is false if the patch is from another
+// version, or makes anything else than it says; nothing of it may be used then.
+func (v Version) Apply(p Patch) (result Version, ok bool) {
 	if v.encoded == nil || v.Fingerprint != p.Base {
 		return Version{}, false
 	}
--- a/internal/config/weighted_service.go
+++ b/internal/config/weighted_service.go
@@ -1,11 +1,11 @@
 package config
 
-// WeightedService is a service's part of a way's requests.
+// WeightedService is a service that gets a part of a route's requests.
 //
 //easyjson:json
 type WeightedService struct {
 	UnknownFields
 	Service string `json:"service"`
-	// Weight counts against the sum of the way's weights.
+	// Weight divided by the sum of the route's weights is its part.
 	Weight int `json:"weight"`
 }
