--- a/internal/config/bench_test.go
+++ b/internal/config/bench_test.go
@@ -2,15 +2,15 @@
 
 import "testing"
 
-// BenchmarkParse reads configurations as big as ours come.
+// BenchmarkParse parses configurations of the sizes that occur: a small site's and a large one's.
 func BenchmarkParse(b *testing.B) {
 	for name, n := range map[string]int{"310": 310, "3000": 3000} {
 		text := sampleConfiguration(n).Bytes()
 		b.Run(name, func(b *testing.B) {
 			b.SetBytes(int64(len(text)))
 			for range b.N {
-				if _, faults, ok := Parse(text); !ok || len(faults) > 0 {
-					b.Fatal(ok, faults)
+				if _, violations, ok := Parse(text); !ok || len(violations) > 0 {
+					b.Fatal(ok, violations)
 				}
 			}
 		})
--- a/internal/config/encoding_test.go
+++ b/internal/config/encoding_test.go
@@ -9,7 +9,7 @@
 	"github.com/google/go-cmp/cmp/cmpopts"
 )
 
-// sampleConfiguration is a configuration of n ways.
+// sampleConfiguration returns a configuration of n routes and services.
 func sampleConfiguration(n int) Configuration {
 	configuration := Configuration{
 		Contracts: []Contract{
@@ -24,30 +24,36 @@
 			s.SlowStart = &SlowStart{Period: Duration{Duration: 3 * time.Second}, RequestsPerSecond: 9.3}
 		}
 		configuration.Services = append(configuration.Services, s)
-		w := Route{Name: fmt.Sprintf("way-%d", i), Host: fmt.Sprintf("host-%d.example", i%40), Prefix: fmt.Sprintf("/some/where/%d/<&>", i), Contract: "quick"}
+		route := Route{Name: fmt.Sprintf("way-%d", i), Host: fmt.Sprintf("host-%d.example", i%40), Prefix: fmt.Sprintf("/some/where/%d/<&>", i), Contract: "quick"}
 		switch i % 3 {
 		case 0:
-			w.Service = s.Name
+			route.Service = s.Name
 		case 1:
-			w.Split, w.MaxAttempts = []WeightedService{{Service: s.Name, Weight: 95}, {Service: "service-0", Weight: 5}}, 1
+			route.Split, route.MaxAttempts = []WeightedService{{Service: s.Name, Weight: 95}, {Service: "service-0", Weight: 5}}, 1
 		default:
-			w.Service, w.Methods, w.Contract, w.Idempotent = s.Name, []string{"GET", "HEAD"}, "slow", true
+			route.Service, route.Methods, route.Contract, route.Idempotent = s.Name, []string{"GET", "HEAD"}, "slow", true
 		}
-		configuration.Routes = append(configuration.Routes, w)
+		configuration.Routes = append(configuration.Routes, route)
 	}
 	return configuration
 }
 
-// What a State is written as reads back as the same one.
+// What a configuration is written as parses as the same one.
 func TestConfigurationRoundTrip(t *testing.T) {
-	for name, configuration := range map[string]Configuration{"empty": {}, "one way, nothing else": {Contracts: sampleConfiguration(1).Contracts, Routes: sampleConfiguration(1).Routes}, "all": sampleConfiguration(40)} {
-		text := configuration.Bytes()
-		got, faults, ok := Parse(text)
-		if !ok || len(faults) > 0 {
-			t.Errorf("%s: %v in %s", name, faults, text)
-		}
-		if d := cmp.Diff(configuration, got, cmpopts.IgnoreUnexported(UnknownFields{}), cmpopts.EquateEmpty()); d != "" {
-			t.Errorf("%s: %s", name, d)
-		}
+	for name, configuration := range map[string]Configuration{
+		"empty":     {},
+		"one route": {Contracts: sampleConfiguration(1).Contracts, Routes: sampleConfiguration(1).Routes},
+		"all":       sampleConfiguration(40),
+	} {
+		t.Run(name, func(t *testing.T) {
+			text := configuration.Bytes()
+			got, violations, ok := Parse(text)
+			if !ok || len(violations) > 0 {
+				t.Errorf("%v in %s", violations, text)
+			}
+			if d := cmp.Diff(configuration, got, cmpopts.IgnoreUnexported(UnknownFields{}), cmpopts.EquateEmpty()); d != "" {
+				t.Error(d)
+			}
+		})
 	}
 }
--- a/internal/config/fuzz_test.go
+++ b/internal/config/fuzz_test.go
@@ -9,8 +9,8 @@
 	"curlewwalk/internal/dataplane/routing"
 )
 
-// FuzzParse: whatever is sent as a configuration, it is taken whole or its faults are
-// told; what is taken can be put in force, and is written back as it is read.
+// FuzzParse: whatever is submitted as a configuration, it is either valid or its violations are
+// listed; a valid one can be put in force, and parses to the same after it is written.
 func FuzzParse(f *testing.F) {
 	for _, s := range []string{
 		`{}`, `[]`, `null`, `{"ways": null}`, `{"ways": [{}], "ways": []}`, "{\"ways\": [{\"name\": \"\\ud800\"}]}",
@@ -24,22 +24,22 @@
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
-		configuration, faults, ok := config.Parse(b)
+		configuration, violations, ok := config.Parse(b)
 		if ok != json.Valid(b) {
 			t.Errorf("JSON: %v", ok)
 		}
-		if !ok || len(faults) > 0 {
+		if !ok || len(violations) > 0 {
 			return
 		}
 		table, ok := routing.NewTable(config.ControlState{Revision: 1, ConfigurationRevision: 1, Configuration: b})
 		if !ok {
-			t.Fatal("what was found good can't be put in force")
+			t.Fatal("a valid configuration can't be put in force")
 		}
 		table.Match("x", "/a/b", "GET")
 		out := configuration.Bytes()
-		again, faults, ok := config.Parse(out)
-		if !ok || len(faults) > 0 || !bytes.Equal(again.Bytes(), out) {
-			t.Errorf("%s is written back as %s: %v", b, out, faults)
+		again, violations, ok := config.Parse(out)
+		if !ok || len(violations) > 0 || !bytes.Equal(again.Bytes(), out) {
+			t.Errorf("%s is written back as %s: %v", b, out, violations)
 		}
 	})
 }
--- a/internal/config/version_test.go
+++ b/internal/config/version_test.go
@@ -10,7 +10,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// sampleState is a word of a stamp with so many routes, of which one depends on the stamp.
+// sampleState returns a control state with a number of routes, of which one depends on its revision.
 func sampleState(revision uint64, routes int) ControlState {
 	var b strings.Builder
 	for i := range routes {
@@ -32,25 +32,25 @@
 	return v
 }
 
-// A patch makes its result of its base only: of any other version, altered or cut, it
-// makes nothing, and never a part.
+// A patch makes its result from its base only: from any other version, or if it is altered or cut,
+// it makes nothing at all.
 func TestPatch(t *testing.T) {
 	one, two, three := mustVersion(t, sampleState(1, 40)), mustVersion(t, sampleState(2, 40)), mustVersion(t, sampleState(3, 40))
 	p, worthwhile := two.DiffFrom(one)
 	if !worthwhile || len(p.Delta) > two.Size()/20 {
-		t.Fatalf("%d bytes tell one change of %d", len(p.Delta), two.Size())
+		t.Fatalf("a patch of %d bytes for one change in %d", len(p.Delta), two.Size())
 	}
 	got, ok := one.Apply(p)
 	var state ControlState
 	if !ok || got.Decode(&state) != nil {
-		t.Fatal("the base does not take the patch")
+		t.Fatal("the patch does not apply to its base")
 	}
 	if d := cmp.Diff(sampleState(2, 40), state); d != "" {
 		t.Error(d)
 	}
 	for name, base := range map[string]Version{"an older": {}, "the result": two, "a later": three} {
 		if _, ok := base.Apply(p); ok {
-			t.Errorf("%s version takes the patch", name)
+			t.Errorf("the patch applies to %s version", name)
 		}
 	}
 	for i := range p.Delta {
@@ -59,22 +59,22 @@
 		altered.Delta = bytes.Clone(p.Delta)
 		altered.Delta[i]++
 		if _, ok := one.Apply(cut); ok {
-			t.Errorf("cut to %d bytes, it was taken", i)
+			t.Errorf("it applies though it was cut to %d bytes", i)
 		}
 		if _, ok := one.Apply(altered); ok {
-			t.Errorf("altered at byte %d, it was taken", i)
+			t.Errorf("it applies though byte %d was altered", i)
 		}
 	}
 	if p, worthwhile := two.DiffFrom(two); !worthwhile || p.Delta != nil {
-		t.Errorf("%d bytes tell nothing", len(p.Delta))
+		t.Errorf("a patch of %d bytes for no change", len(p.Delta))
 	}
 	other := mustVersion(t, ControlState{Revision: 9, Configuration: []byte("something else")})
 	if _, worthwhile := other.DiffFrom(one); worthwhile {
-		t.Error("a difference as long as the whole was told")
+		t.Error("a patch as long as the document is worthwhile")
 	}
 }
 
-// The newest versions are kept, and no more than their bound.
+// The newest versions are kept, within their bounds in number and bytes.
 func TestVersionHistory(t *testing.T) {
 	for _, routes := range []int{1, 2000, 9000} {
 		var kept VersionHistory
@@ -88,24 +88,24 @@
 		for _, v := range kept.versions {
 			size += v.Size()
 		}
-		if n < 2 || n > maxVersions || n > 2 && size > maxHistoryBytes {
+		if n < minVersions || n > maxVersions || n > minVersions && size > maxHistoryBytes {
 			t.Errorf("%d routes: %d versions of %d bytes are kept", routes, n, size)
 		}
 		newest, before, oldest := all[19], all[18], all[0]
-		for range 2 { // the second time it is remembered
+		for range 2 { // the second one is remembered
 			p, worthwhile := kept.PatchFrom(newest, before.Fingerprint)
 			if want, _ := newest.DiffFrom(before); worthwhile != (len(p.Delta) <= newest.Size()/2) || cmp.Diff(want, p) != "" {
-				t.Errorf("%d routes: told %d bytes, short %v", routes, len(p.Delta), worthwhile)
+				t.Errorf("%d routes: a patch of %d bytes, worthwhile %v", routes, len(p.Delta), worthwhile)
 			}
 			if got, ok := kept.Apply(p); !ok || got.Fingerprint != newest.Fingerprint {
-				t.Errorf("%d routes: what was told is not taken", routes)
+				t.Errorf("%d routes: the patch does not apply", routes)
 			}
 		}
 		if _, ok := kept.PatchFrom(newest, oldest.Fingerprint); ok {
-			t.Errorf("%d routes: told by one that is not kept", routes)
+			t.Errorf("%d routes: a patch from a version that is not kept", routes)
 		}
 		if !slices.EqualFunc(kept.versions, all[20-n:], func(a, b Version) bool { return a.Fingerprint == b.Fingerprint }) {
-			t.Errorf("%d routes: not the newest are kept", routes)
+			t.Errorf("%d routes: others than the newest are kept", routes)
 		}
 	}
 }
