--- a/internal/membership/discovery.go
+++ b/internal/membership/discovery.go
@@ -36,8 +36,7 @@
 	Addr   string
 	Client *transport.Client
 	Actors *actor.System
-	// OnReplica is called with the status of each replica that was heard of directly. It must
-	// not block.
+	// OnReplica is called with each status that came from the replica itself. It must not block.
 	OnReplica func(ctx context.Context, replica Replica)
 	// OnResponse, if set, is called with each heartbeat that was responded to, before the
 	// responder counts as live. It must not block.
--- a/internal/membership/replica_queries.go
+++ b/internal/membership/replica_queries.go
@@ -18,7 +18,7 @@
 	return members, nil, 0
 }
 
-// Observed lists the replicas that were heard of directly, live or not, by member ID.
+// Observed lists the replicas that sent a status themselves, live or not, by member ID.
 func (t ReplicaTable) Observed() []Replica {
 	var out []Replica
 	for _, o := range t.byMember {
@@ -41,7 +41,7 @@
 	return out
 }
 
-// Live lists the replicas that were heard of within ReplicaTimeout, by member ID.
+// Live lists the replicas that sent their status within ReplicaTimeout, by member ID.
 func (t ReplicaTable) Live(now time.Time) []Replica {
 	return slices.DeleteFunc(t.Observed(), func(replica Replica) bool {
 		return now.Sub(t.byMember[replica.MemberID].at) >= ReplicaTimeout
@@ -54,9 +54,9 @@
 	return o.replica, ok
 }
 
-// QuorumLost reports whether so many members are known to be dead that the others, heard of or
-// not, can't be a majority. A member counts as dead for ReplicaTimeout after its address
-// refused a connection, unless it was heard of since. (DESIGN 7.2)
+// QuorumLost reports whether so many members are known to be dead that the others, live or silent,
+// can't be a majority. A member counts as dead for ReplicaTimeout after its address refused a
+// connection, unless it has sent its status since. (DESIGN 7.2)
 func (t ReplicaTable) QuorumLost(now time.Time) bool {
 	dead := t.deadMembers(now)
 	lost := func(members []int) bool {
--- a/internal/membership/replica_table.go
+++ b/internal/membership/replica_table.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// ReplicaTimeout is how long nothing may be heard of a replica before it counts as not live.
+// ReplicaTimeout is how long after its last status a replica counts as live.
 const ReplicaTimeout = 1500 * time.Millisecond // (ours)
 
 // candidateTTL is how long heartbeats are sent to an address that was only reported by others
@@ -15,13 +15,13 @@
 const candidateTTL = 30 * time.Second // (ours)
 
 // ReplicaTable is what one process knows of the control plane replicas: which one takes the
-// place of which member, and when it was heard of last. Only a replica's own message puts it
+// place of which member, and when it last sent its status. Only a replica's own message puts it
 // into a member's place; what others report makes its address a candidate for heartbeats.
 //
 // The table is an immutable value: methods that change it return the next one. The zero value
 // knows nothing.
 type ReplicaTable struct {
-	// byMember are the replicas that were heard of directly, by member ID.
+	// byMember are the replicas that sent a status themselves, by member ID.
 	byMember map[int]observation
 	// refused tells when a connection to an address was last refused: no process listens.
 	refused map[string]time.Time
--- a/internal/membership/replica_table_test.go
+++ b/internal/membership/replica_table_test.go
@@ -73,7 +73,7 @@
 }
 
 // A revision counts as committed past as long as a replica that sent so is live: nothing follows
-// from one that can't be heard.
+// from one that is silent.
 func TestCommittedPast(t *testing.T) {
 	now := time.Now()
 	table := ReplicaTable{}.Observe(Replica{MemberID: 1, Addr: "a", MemberIncarnation: 1, CommittedRevision: 7}, now).Observe(Replica{MemberID: 2, Addr: "b", MemberIncarnation: 1, CommittedRevision: 9}, now.Add(-time.Second))
