--- a/internal/retrybudget/budget.go
+++ b/internal/retrybudget/budget.go
@@ -1,21 +1,21 @@
-// Package retrybudget keeps the contracts: what may be spent on extra attempts.
-// (DESIGN 15)
 package retrybudget
 
 import "sync/atomic"
 
-// The price of an extra attempt, and what each first attempt earns, in thousandths.
+// Balances are in thousandths of an attempt.
 const (
-	attemptCost      = 1000
-	earnedPerAttempt = 200 // a fifth
+	attemptCost = 1000
+	// earnedPerAttempt is what each first attempt earns: a fifth of a retry.
+	earnedPerAttempt = 200
 )
 
-// Budget is one sidecar's means for extra attempts to one service. It holds no more
-// than its cap and starts empty, so over any stretch of time the extra attempts are
-// at most a fifth of the first ones plus the cap. (DESIGN 15.1)
+// Budget bounds one sidecar's retries to one service. Each first attempt deposits a fifth
+// of a retry, up to the limit, and the balance is zero at the start: so the retries in any
+// time are at most a fifth of the first attempts plus the limit. It is safe for concurrent
+// use. (DESIGN 15.1)
 type Budget struct{ balance, limit atomic.Int64 }
 
-// Deposit takes a first attempt.
+// Deposit adds what a first attempt earns.
 func (b *Budget) Deposit() {
 	for {
 		old := b.balance.Load()
@@ -26,8 +26,8 @@
 	}
 }
 
-// TryWithdraw pays for an extra attempt, if there is enough. What is above the cap, since
-// it has shrunk, is lost.
+// TryWithdraw pays for a retry, and reports whether the balance was enough. What is above
+// the limit, because that has fallen, is lost.
 func (b *Budget) TryWithdraw() bool {
 	for {
 		old := b.balance.Load()
--- a/internal/retrybudget/counts.go
+++ b/internal/retrybudget/counts.go
@@ -2,23 +2,37 @@
 
 import "time"
 
-// Counts counts a contract's requests over the window, and their lateness.
+// LatenessObjective bounds the average lateness of a contract's requests, as a fraction of
+// the maximum: the deadline less the latency target.
+const LatenessObjective = 0.05 // (ours)
+
+// Counts are those of a contract's requests over the rolling window.
 type Counts struct {
-	Requests int64         `msgpack:"n" json:"inquiries"`
+	// Requests is the number of requests that ended.
+	Requests int64 `msgpack:"n" json:"inquiries"`
+	// Lateness is by how much they ended past their latency target, in total.
 	Lateness time.Duration `msgpack:"l" json:"lateness"`
 }
 
-// Add adds two tallies.
-func (t Counts) Add(o Counts) Counts {
-	return Counts{Requests: t.Requests + o.Requests, Lateness: t.Lateness + o.Lateness}
+// Add returns the sum of two counts.
+func (c Counts) Add(other Counts) Counts {
+	return Counts{Requests: c.Requests + other.Requests, Lateness: c.Lateness + other.Lateness}
 }
 
-// LatenessObjective is the share of its room, deadline less aim, by which a request may
-// be late on average. (ours)
-const LatenessObjective = 0.05
+// Remaining returns the lateness that is left until the objective is missed; below zero it
+// is missed already. maxLateness is the contract's deadline less its latency target.
+// (DESIGN 15.3)
+func (c Counts) Remaining(maxLateness time.Duration) time.Duration {
+	return time.Duration(LatenessObjective*float64(c.Requests)*float64(maxLateness)) - c.Lateness
+}
 
-// Remaining is the lateness still allowed before the promise breaks; below zero it
-// is broken. room is deadline less aim. (DESIGN 15.3)
-func (t Counts) Remaining(room time.Duration) time.Duration {
-	return time.Duration(LatenessObjective*float64(t.Requests)*float64(room)) - t.Lateness
+// Merge adds up the counts of several nodes, by contract.
+func Merge(nodes []map[string]Counts) map[string]Counts {
+	totals := map[string]Counts{}
+	for _, node := range nodes {
+		for contract, counts := range node {
+			totals[contract] = totals[contract].Add(counts)
+		}
+	}
+	return totals
 }
--- a/internal/retrybudget/latency_budgets.go
+++ b/internal/retrybudget/latency_budgets.go
@@ -6,33 +6,43 @@
 	"time"
 )
 
-// globalTTL is how long sums that a core told are worth something: they are asked for
-// every 2 s, and two askings in a row may be lost.
-const globalTTL = 6 * time.Second // (ours)
+const (
+	// globalTTL is how long the counts over all nodes are used: they are asked for every
+	// 2 s, and two requests in a row may be lost.
+	globalTTL = 6 * time.Second // (ours)
+	// spentPerRequest is the inverse of the fraction of the remaining budget that one
+	// request may be planned to spend, so that the last of it is spent slowly.
+	spentPerRequest = 100 // (ours)
+)
 
-// LatencyBudgets are a node's running budgets by contract: its own window, and the
-// sums over all nodes as a core last told them. (DESIGN 15.3)
+// LatencyBudgets are the latency budgets of a node by contract: from the counts of its own
+// requests, and from those over all nodes as the control plane last sent them. They are
+// safe for concurrent use. (DESIGN 15.3)
 type LatencyBudgets struct {
-	mu     sync.Mutex
-	local  map[string]*rollingWindow
 	start  time.Time
 	global atomic.Pointer[globalCounts]
+
+	// mu guards local.
+	mu    sync.Mutex
+	local map[string]*rollingWindow
 }
 
+// globalCounts are the counts over all nodes, by contract.
 type globalCounts struct {
 	counts     map[string]Counts
 	receivedAt time.Time
 }
 
-// NewLatencyBudgets makes empty budgets.
+// NewLatencyBudgets returns budgets without requests.
 func NewLatencyBudgets() *LatencyBudgets {
 	b := &LatencyBudgets{local: map[string]*rollingWindow{}, start: time.Now()}
 	b.global.Store(&globalCounts{})
 	return b
 }
 
-// Observe takes a request that has ended. One that was not answered is as late
-// as can be.
+// Observe counts a request of a contract that has ended, by its duration and the contract's
+// latency target and deadline, all since the request's arrival. One that was not answered
+// counts as late as can be.
 func (b *LatencyBudgets) Observe(contract string, duration, target, deadline time.Duration, answered bool) {
 	lateness := min(max(0, duration-target), deadline-target)
 	if !answered {
@@ -40,56 +50,45 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	w := b.local[contract]
-	if w == nil {
-		w = &rollingWindow{}
-		b.local[contract] = w
+	window := b.local[contract]
+	if window == nil {
+		window = &rollingWindow{}
+		b.local[contract] = window
 	}
-	t := w.advance(time.Since(b.start))
-	t.Requests, t.Lateness = t.Requests+1, t.Lateness+lateness
+	bucket := window.advance(time.Since(b.start))
+	*bucket = bucket.Add(Counts{Requests: 1, Lateness: lateness})
 }
 
-// Local is this node's own tally by contract, to be told to the cores.
+// Local returns this node's own counts by contract, for the control plane.
 func (b *LatencyBudgets) Local() map[string]Counts {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	out := map[string]Counts{}
-	for name, w := range b.local {
-		if t := w.total(time.Since(b.start)); t.Requests > 0 {
-			out[name] = t
+	local := map[string]Counts{}
+	for contract, window := range b.local {
+		if counts := window.total(time.Since(b.start)); counts.Requests > 0 {
+			local[contract] = counts
 		}
 	}
-	return out
+	return local
 }
 
-// SetGlobal takes the sums over all nodes.
-func (b *LatencyBudgets) SetGlobal(sums map[string]Counts) {
-	b.global.Store(&globalCounts{counts: sums, receivedAt: time.Now()})
+// SetGlobal sets the counts over all nodes, as the control plane sent them.
+func (b *LatencyBudgets) SetGlobal(counts map[string]Counts) {
+	b.global.Store(&globalCounts{counts: counts, receivedAt: time.Now()})
 }
 
-// Totals are the sums over all nodes, or, without news of them, the own share;
-// whole tells which.
+// Totals returns the counts over all nodes by contract, or, if they are not known or too
+// old, the own ones; complete tells which.
 func (b *LatencyBudgets) Totals() (totals map[string]Counts, complete bool) {
-	if t := b.global.Load(); time.Since(t.receivedAt) < globalTTL {
-		return t.counts, true
+	if global := b.global.Load(); time.Since(global.receivedAt) < globalTTL {
+		return global.counts, true
 	}
 	return b.Local(), false
 }
 
-// AllowedLateness is how much later than its aim a request may be planned to end: a
-// hundredth of what is left, so that the last of it is spent slowly.
-func (b *LatencyBudgets) AllowedLateness(contract string, room time.Duration) time.Duration {
-	sums, _ := b.Totals()
-	return min(room, max(0, sums[contract].Remaining(room)/100))
-}
-
-// Merge sums the nodes' newest tallies.
-func Merge(nodes []map[string]Counts) map[string]Counts {
-	out := map[string]Counts{}
-	for _, n := range nodes {
-		for name, t := range n {
-			out[name] = out[name].Add(t)
-		}
-	}
-	return out
+// AllowedLateness returns by how much a request may be planned to end past its latency
+// target. maxLateness is the contract's deadline less the target.
+func (b *LatencyBudgets) AllowedLateness(contract string, maxLateness time.Duration) time.Duration {
+	totals, _ := b.Totals()
+	return min(maxLateness, max(0, totals[contract].Remaining(maxLateness)/spentPerRequest))
 }
--- a/internal/retrybudget/status.go
+++ b/internal/retrybudget/status.go
@@ -2,29 +2,35 @@
 
 import "time"
 
-// BudgetStatus is a contract's budget as an operator reads it.
+// BudgetStatus is the latency budget of a contract, as operators read it. Durations are in
+// Go's notation.
 type BudgetStatus struct {
-	Contract  string `json:"contract"`
-	Priority  int    `json:"rank"`
-	Target    string `json:"aim"`
-	Deadline  string `json:"expiry"`
+	Contract string `json:"contract"`
+	Priority int    `json:"rank"`
+	// Target and Deadline are the contract's.
+	Target   string `json:"aim"`
+	Deadline string `json:"expiry"`
+	// Requests and Lateness are the counts over the rolling window, Remaining what is left
+	// of the budget, and Met says that the objective is met.
 	Requests  int64  `json:"inquiries"`
 	Lateness  string `json:"lateness"`
 	Remaining string `json:"left"`
 	Met       bool   `json:"kept"`
 }
 
-// BudgetList is what GET /v1/budgets shows; whole tells whether all nodes are in it.
+// BudgetList is the response to GET /v1/budgets.
 type BudgetList struct {
+	// Complete says that the counts are those of all nodes.
 	Complete bool           `json:"whole"`
 	Budgets  []BudgetStatus `json:"budgets"`
 }
 
-// NewBudgetStatus writes a contract's page.
-func NewBudgetStatus(name string, priority int, target, deadline time.Duration, t Counts) BudgetStatus {
-	remaining := t.Remaining(deadline - target)
+// NewBudgetStatus returns the status of a contract's budget.
+func NewBudgetStatus(contract string, priority int, target, deadline time.Duration, counts Counts) BudgetStatus {
+	remaining := counts.Remaining(deadline - target)
 	return BudgetStatus{
-		Contract: name, Priority: priority, Target: target.String(), Deadline: deadline.String(), Requests: t.Requests, Lateness: t.Lateness.String(),
+		Contract: contract, Priority: priority, Target: target.String(), Deadline: deadline.String(),
+		Requests: counts.Requests, Lateness: counts.Lateness.String(),
 		Remaining: remaining.String(), Met: remaining >= 0,
 	}
 }
