--- a/internal/dataplane/causality/correlator_test.go
+++ b/internal/dataplane/causality/correlator_test.go
@@ -3,6 +3,7 @@
 import (
 	"container/heap"
 	"flag"
+	"fmt"
 	"math/rand/v2"
 	"testing"
 	"time"
@@ -10,59 +11,63 @@
 	"curlewwalk/internal/trace"
 )
 
-var requestsPerRun = flag.Int("runs", 3000, "inquiries in a run of TestShareRight")
+var requestsPerRun = flag.Int("runs", 3000, "requests in a run of TestInferenceAccuracy")
 
-type step struct {
+// event is what a simulated backend does at a time.
+type event struct {
 	at time.Duration
 	do func()
 }
 
-type steps []step
+// eventQueue is a heap of events, the earliest first.
+type eventQueue []event
 
-func (s steps) Len() int           { return len(s) }
-func (s steps) Less(i, j int) bool { return s[i].at < s[j].at }
-func (s steps) Swap(i, j int)      { s[i], s[j] = s[j], s[i] }
-func (s *steps) Push(x any)        { *s = append(*s, x.(step)) }
-func (s *steps) Pop() any {
-	x := (*s)[len(*s)-1]
-	*s = (*s)[:len(*s)-1]
-	return x
+func (q eventQueue) Len() int           { return len(q) }
+func (q eventQueue) Less(i, j int) bool { return q[i].at < q[j].at }
+func (q eventQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)        { *q = append(*q, x.(event)) }
+func (q *eventQueue) Pop() any {
+	last := (*q)[len(*q)-1]
+	*q = (*q)[:len(*q)-1]
+	return last
 }
 
-// inferenceAccuracy runs a backend with a number of slots always busy: two ways with a
-// call each, of another way, at a time that varies threefold. It gives the
-// share of calls that were tied to their true cause.
-func inferenceAccuracy(seed uint64, slots int) (right float64, provenWrong int) {
+// accuracy counts the calls of a run of a simulated backend.
+type accuracy struct{ calls, right, wrongProven int }
+
+// inferenceAccuracy runs a backend whose slots are always busy with requests of two routes,
+// each of which makes a call by another route, at a time that varies threefold.
+func inferenceAccuracy(seed uint64, slots int) (counts accuracy) {
 	rng := rand.New(rand.NewPCG(seed, 3))
-	var queue steps
-	b := NewCorrelator()
+	var queue eventQueue
+	correlator := NewCorrelator()
 	base := time.Now()
 	var now time.Duration
-	after := func(d time.Duration, do func()) { heap.Push(&queue, step{now + d, do}) }
-	made, good, left := 0, 0, *requestsPerRun
+	after := func(d time.Duration, do func()) { heap.Push(&queue, event{now + d, do}) }
+	vary := func(d time.Duration) time.Duration { return d/2 + time.Duration(rng.Int64N(int64(d))) }
+	left := *requestsPerRun
 	var begin func()
 	begin = func() {
 		if left--; left < 0 {
 			return
 		}
-		route, call, work, inner := "place", "take", 30*time.Millisecond, 15*time.Millisecond
+		route, call, duration, callDuration := "place", "take", 30*time.Millisecond, 15*time.Millisecond
 		if rng.IntN(7) < 3 {
-			route, call, work, inner = "read", "look", 10*time.Millisecond, 5*time.Millisecond
+			route, call, duration, callDuration = "read", "look", 10*time.Millisecond, 5*time.Millisecond
 		}
-		vary := func(d time.Duration) time.Duration { return d/2 + time.Duration(rng.Int64N(int64(d))) }
-		total := vary(work)
-		s := trace.Root()
-		b.Begin(OpenRequest{Span: s, Service: "orders", Route: route, StartedAt: base.Add(now), Deadline: base.Add(now + time.Minute)})
-		after(total/2, func() {
-			c := b.Link("orders", call, trace.Span{}, base.Add(now))
-			made++
-			if c.Parent.ID == s.ID {
-				good++
-			} else if c.Link == trace.LinkProven {
-				provenWrong++
+		work := vary(duration)
+		span := trace.Root()
+		correlator.Begin(OpenRequest{Span: span, Service: "orders", Route: route, StartedAt: base.Add(now), Deadline: base.Add(now + time.Minute)})
+		after(work/2, func() {
+			cause := correlator.Link("orders", call, trace.Span{}, base.Add(now))
+			counts.calls++
+			if cause.Parent.ID == span.ID {
+				counts.right++
+			} else if cause.Link == trace.LinkProven {
+				counts.wrongProven++
 			}
-			after(vary(inner)+total/2, func() {
-				b.End(s.ID)
+			after(vary(callDuration)+work/2, func() {
+				correlator.End(span.ID)
 				begin()
 			})
 		})
@@ -71,47 +76,51 @@
 		after(time.Duration(rng.Int64N(int64(40*time.Millisecond))), begin)
 	}
 	for len(queue) > 0 {
-		st := heap.Pop(&queue).(step)
-		now = st.at
-		st.do()
+		next := heap.Pop(&queue).(event)
+		now = next.at
+		next.do()
 	}
-	return float64(good) / float64(made), provenWrong
+	return counts
 }
 
-// How many calls are tied to their true cause when nothing is passed along, by
-// how many requests the backend works on at a time.
+// TestInferenceAccuracy checks how many calls are linked to their true cause, by how many
+// requests the backend processes at a time, and that no wrong link is called proven.
 func TestInferenceAccuracy(t *testing.T) {
 	for _, c := range []struct {
 		slots int
 		least float64
 	}{{1, 1}, {2, 0.88}, {4, 0.7}, {9, 0.33}} {
-		sum := 0.0
-		for seed := range uint64(5) {
-			right, provenWrong := inferenceAccuracy(seed, c.slots)
-			sum += right / 5
-			if provenWrong > 0 {
-				t.Errorf("%d slots: %d wrong links were called proven", c.slots, provenWrong)
+		t.Run(fmt.Sprint(c.slots, " slots"), func(t *testing.T) {
+			right := 0.0
+			for seed := range uint64(5) {
+				counts := inferenceAccuracy(seed, c.slots)
+				right += float64(counts.right) / float64(counts.calls) / 5
+				if counts.wrongProven > 0 {
+					t.Errorf("%d wrong links were called proven", counts.wrongProven)
+				}
 			}
-		}
-		t.Logf("%d slots busy: %.1f%% right", c.slots, 100*sum)
-		if sum < c.least {
-			t.Errorf("%d slots busy: %.3f right, below %.3f", c.slots, sum, c.least)
-		}
+			t.Logf("%.1f%% right", 100*right)
+			if right < c.least {
+				t.Errorf("%.3f right, below %.3f", right, c.least)
+			}
+		})
 	}
 }
 
-// A call with several likely causes gets the latest of their deadlines, so that a
-// wrong link fails no call that has time left, and the highest of their ranks.
+// TestLatestDeadline checks that a call with several likely causes gets the latest of their
+// deadlines and the highest of their priorities, and a call with a proven cause those of
+// the cause.
 func TestLatestDeadline(t *testing.T) {
-	b, now := NewCorrelator(), time.Now()
-	soon, late := trace.Root(), trace.Root()
-	b.Begin(OpenRequest{Span: soon, Service: "s", Route: "w", Priority: 3, StartedAt: now, Deadline: now.Add(10 * time.Millisecond)})
-	b.Begin(OpenRequest{Span: late, Service: "s", Route: "w", Priority: 1, StartedAt: now, Deadline: now.Add(time.Second)})
-	c := b.Link("s", "call", trace.Span{}, now.Add(time.Millisecond))
-	if !c.Deadline.Equal(now.Add(time.Second)) || c.Priority != 1 || len(c.Candidates) != 2 {
-		t.Errorf("%+v", c)
+	correlator, now := NewCorrelator(), time.Now()
+	early, late := trace.Root(), trace.Root()
+	correlator.Begin(OpenRequest{Span: early, Service: "s", Route: "w", Priority: 3, StartedAt: now, Deadline: now.Add(10 * time.Millisecond)})
+	correlator.Begin(OpenRequest{Span: late, Service: "s", Route: "w", Priority: 1, StartedAt: now, Deadline: now.Add(time.Second)})
+	cause := correlator.Link("s", "call", trace.Span{}, now.Add(time.Millisecond))
+	if !cause.Deadline.Equal(now.Add(time.Second)) || cause.Priority != 1 || len(cause.Candidates) != 2 {
+		t.Errorf("inferred: %+v", cause)
 	}
-	if c := b.Link("s", "call", soon, now); !c.Deadline.Equal(now.Add(10*time.Millisecond)) || c.Priority != 3 || c.Link != trace.LinkProven {
-		t.Errorf("proven: %+v", c)
+	cause = correlator.Link("s", "call", early, now)
+	if !cause.Deadline.Equal(now.Add(10*time.Millisecond)) || cause.Priority != 3 || cause.Link != trace.LinkProven {
+		t.Errorf("proven: %+v", cause)
 	}
 }
--- a/internal/dataplane/causality/mixed_traffic_test.go
+++ b/internal/dataplane/causality/mixed_traffic_test.go
@@ -1,6 +1,7 @@
 package causality
 
 import (
+	"fmt"
 	"math/rand/v2"
 	"testing"
 	"time"
@@ -8,62 +9,77 @@
 	"curlewwalk/internal/trace"
 )
 
-// A backend of nine slots gets clients' requests of its own kind, and at the same address
-// come its own calls and clients' requests of three kinds, one of which has less time
-// left than what is open. After a while clients' requests are tied to nothing, and most
-// calls to their true cause.
+// mixedCounts counts the links of a run of mixedBackend.
+type mixedCounts struct{ clients, linkedClients, calls, rightCalls int }
+
+// TestMixedTraffic checks a backend of nine slots whose calls arrive at the same address as
+// clients' requests: after a while, few clients' requests are linked, and enough calls to
+// their true cause.
 func TestMixedTraffic(t *testing.T) {
-	clients, wrong, calls, right := 0, 0, 0, 0
+	var total mixedCounts
 	for seed := range uint64(8) {
-		rng := rand.New(rand.NewPCG(seed, 9))
-		b, base := NewCorrelator(), time.Now()
-		type run struct {
-			span     trace.Span
-			call, to time.Duration
+		t.Run(fmt.Sprint("seed ", seed), func(*testing.T) {
+			counts := mixedBackend(rand.New(rand.NewPCG(seed, 9)))
+			total.clients += counts.clients
+			total.linkedClients += counts.linkedClients
+			total.calls += counts.calls
+			total.rightCalls += counts.rightCalls
+		})
+	}
+	t.Logf("%+v", total)
+	if total.linkedClients*100 > total.clients || total.rightCalls*10 < total.calls*3 || total.calls == 0 {
+		t.Errorf("%d of %d clients' requests linked, %d of %d calls linked rightly", total.linkedClients, total.clients, total.rightCalls, total.calls)
+	}
+}
+
+// mixedBackend runs a backend for a minute, and counts from 20 s on. Clients send requests of
+// three routes, one of which has less time left than the open requests.
+func mixedBackend(rng *rand.Rand) (counts mixedCounts) {
+	const slots, learningTime = 9, 20 * time.Second
+	correlator, base := NewCorrelator(), time.Now()
+	type running struct {
+		span         trace.Span
+		callAt, ends time.Duration
+	}
+	var open []running
+	for now := time.Duration(0); now < 60*time.Second; now += time.Millisecond {
+		at := base.Add(now)
+		if len(open) < slots && rng.IntN(50) == 0 {
+			span, work := trace.Root(), 80*time.Millisecond+time.Duration(rng.Int64N(int64(160*time.Millisecond)))
+			correlator.Begin(OpenRequest{Span: span, Service: "home", Route: "browse", StartedAt: at, Deadline: at.Add(1800 * time.Millisecond)})
+			open = append(open, running{span: span, callAt: now + (work / 2).Truncate(time.Millisecond), ends: now + work})
 		}
-		var open []run
-		for now := time.Duration(0); now < 60*time.Second; now += time.Millisecond {
-			at := base.Add(now)
-			if len(open) < 9 && rng.IntN(50) == 0 {
-				s, work := trace.Root(), 80*time.Millisecond+time.Duration(rng.Int64N(int64(160*time.Millisecond)))
-				b.Begin(OpenRequest{Span: s, Service: "home", Route: "browse", StartedAt: at, Deadline: at.Add(1800 * time.Millisecond)})
-				open = append(open, run{span: s, call: now + (work / 2).Truncate(time.Millisecond), to: now + work})
-			}
-			kept := open[:0]
-			for _, r := range open {
-				if r.call == now {
-					if c := b.LinkMixed("home", "check", trace.Span{}, 500*time.Millisecond, at); now > 20*time.Second {
-						calls++
-						if c.Parent.ID == r.span.ID {
-							right++
-						}
+		kept := open[:0]
+		for _, request := range open {
+			if request.callAt == now {
+				if cause := correlator.LinkMixed("home", "check", trace.Span{}, 500*time.Millisecond, at); now > learningTime {
+					counts.calls++
+					if cause.Parent.ID == request.span.ID {
+						counts.rightCalls++
 					}
 				}
-				if r.to <= now {
-					b.End(r.span.ID)
-					continue
-				}
-				kept = append(kept, r)
 			}
-			open = kept
-			for _, c := range []struct {
-				route string
-				left  time.Duration
-			}{{"browse", 2 * time.Second}, {"lodge", 2500 * time.Millisecond}, {"quick", time.Second}} {
-				if rng.IntN(60) > 0 {
-					continue
-				}
-				if c := b.LinkMixed("home", c.route, trace.Span{}, c.left, at); now > 20*time.Second {
-					clients++
-					if !c.Parent.IsZero() {
-						wrong++
-					}
+			if request.ends <= now {
+				correlator.End(request.span.ID)
+				continue
+			}
+			kept = append(kept, request)
+		}
+		open = kept
+		for _, client := range []struct {
+			route     string
+			remaining time.Duration
+		}{{"browse", 2 * time.Second}, {"lodge", 2500 * time.Millisecond}, {"quick", time.Second}} {
+			if rng.IntN(60) > 0 {
+				continue
+			}
+			if cause := correlator.LinkMixed("home", client.route, trace.Span{}, client.remaining, at); now > learningTime {
+				counts.clients++
+				if !cause.Parent.IsZero() {
+					counts.linkedClients++
 				}
 			}
 		}
 	}
-	t.Logf("%d of %d clients' inquiries tied, %d of %d calls tied rightly", wrong, clients, right, calls)
-	if wrong*100 > clients || right*10 < calls*3 || calls == 0 {
-		t.Errorf("%d of %d clients' inquiries tied, %d of %d calls tied rightly", wrong, clients, right, calls)
-	}
+	return counts
 }
--- a/internal/dataplane/causality/tracker.go
+++ b/internal/dataplane/causality/tracker.go
@@ -7,30 +7,33 @@
 	"curlewwalk/internal/trace"
 )
 
-// Tracker runs a Book. Its loop is the only one to touch it.
+// Tracker makes a Correlator available to concurrent requests: the goroutine of Run owns the
+// correlator. Once Run has ended, nothing is tracked, and no call is linked.
 type Tracker struct {
 	begins chan OpenRequest
 	ends   chan trace.ID
-	links  chan query
-	// done is closed when Run has ended: from then on nothing is noted or known.
+	links  chan linkQuery
+	// done is closed when Run has ended.
 	done chan struct{}
 }
 
-type query struct {
+// linkQuery asks for the cause of a call.
+type linkQuery struct {
 	service, route string
 	carried        trace.Span
-	// remaining is the time left that it tells; set if it may be a client's.
+	// remaining is the time that the call says it has left, if it may be a client's
+	// request; else nil.
 	remaining *time.Duration
 	at        time.Time
 	reply     chan Cause
 }
 
-// NewTracker makes a keeper.
+// NewTracker returns a tracker. Its methods block until Run is called.
 func NewTracker() *Tracker {
-	return &Tracker{begins: make(chan OpenRequest), ends: make(chan trace.ID), links: make(chan query), done: make(chan struct{})}
+	return &Tracker{begins: make(chan OpenRequest), ends: make(chan trace.ID), links: make(chan linkQuery), done: make(chan struct{})}
 }
 
-// Run owns the book until ctx ends.
+// Run owns the correlator until ctx ends.
 func (t *Tracker) Run(ctx context.Context) {
 	defer close(t.done)
 	correlator := NewCorrelator()
@@ -40,19 +43,16 @@
 			correlator.Begin(request)
 		case id := <-t.ends:
 			correlator.End(id)
-		case q := <-t.links:
-			if q.remaining != nil {
-				q.reply <- correlator.LinkMixed(q.service, q.route, q.carried, *q.remaining, q.at)
-			} else {
-				q.reply <- correlator.Link(q.service, q.route, q.carried, q.at)
-			}
+		case query := <-t.links:
+			query.reply <- query.answer(correlator)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// Begin opens a request before its first byte goes to the backend.
+// Begin adds an open request. It is to be called before the first byte of the request goes
+// to the backend.
 func (t *Tracker) Begin(ctx context.Context, request OpenRequest) {
 	select {
 	case t.begins <- request:
@@ -61,8 +61,8 @@
 	}
 }
 
-// End closes it once the backend has answered. It is not bound by the request's own
-// context, since a request that was given up on has to be closed as well.
+// End removes an open request once the backend has answered. It takes no context, since a
+// request whose context has ended must be removed as well.
 func (t *Tracker) End(id trace.ID) {
 	select {
 	case t.ends <- id:
@@ -70,24 +70,34 @@
 	}
 }
 
-// Link ties an outgoing call.
+// Link returns the cause of a call; see Correlator.Link. If ctx ends first, nothing is
+// linked.
 func (t *Tracker) Link(ctx context.Context, service, route string, carried trace.Span) Cause {
-	return t.send(ctx, query{service: service, route: route, carried: carried})
+	return t.ask(ctx, linkQuery{service: service, route: route, carried: carried})
 }
 
-// LinkMixed ties what may be a client's request as well as an outgoing call.
+// LinkMixed returns the cause of what may be a client's request as well as a call; see
+// Correlator.LinkMixed. If ctx ends first, nothing is linked.
 func (t *Tracker) LinkMixed(ctx context.Context, service, route string, carried trace.Span, remaining time.Duration) Cause {
-	return t.send(ctx, query{service: service, route: route, carried: carried, remaining: &remaining})
+	return t.ask(ctx, linkQuery{service: service, route: route, carried: carried, remaining: &remaining})
 }
 
-func (t *Tracker) send(ctx context.Context, q query) Cause {
-	q.at, q.reply = time.Now(), make(chan Cause, 1)
+func (t *Tracker) ask(ctx context.Context, query linkQuery) Cause {
+	query.at, query.reply = time.Now(), make(chan Cause, 1)
 	select {
-	case t.links <- q:
-		return <-q.reply
+	case t.links <- query:
+		return <-query.reply
 	case <-t.done:
 		return Cause{}
 	case <-ctx.Done():
 		return Cause{}
 	}
 }
+
+// answer is called by the goroutine that owns the correlator.
+func (q linkQuery) answer(correlator *Correlator) Cause {
+	if q.remaining != nil {
+		return correlator.LinkMixed(q.service, q.route, q.carried, *q.remaining, q.at)
+	}
+	return correlator.Link(q.service, q.route, q.carried, q.at)
+}
--- a/internal/dataplane/causality/tracker_test.go
+++ b/internal/dataplane/causality/tracker_test.go
@@ -8,24 +8,25 @@
 	"curlewwalk/internal/trace"
 )
 
-// What is still running when the process's parts have ended can end as well.
+// TestTrackerHasEnded checks that the methods return after the end of Run, so that requests
+// which are still running then can end as well.
 func TestTrackerHasEnded(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	tracker := NewTracker()
 	tracker.Run(ctx)
-	done := make(chan Cause)
+	causes := make(chan Cause)
 	go func() {
 		tracker.Begin(context.Background(), OpenRequest{})
 		tracker.End(trace.NewID())
-		done <- tracker.Link(context.Background(), "desk", "once", trace.Span{})
+		causes <- tracker.Link(context.Background(), "desk", "once", trace.Span{})
 	}()
 	select {
-	case c := <-done:
-		if !c.Parent.IsZero() {
-			t.Errorf("%+v", c)
+	case cause := <-causes:
+		if !cause.Parent.IsZero() {
+			t.Errorf("linked to %+v", cause)
 		}
 	case <-time.After(5 * time.Second):
-		t.Error("it waits for a keeper that has ended")
+		t.Error("it waits for a tracker that has ended")
 	}
 }
