--- a/internal/trace/b3.go
+++ b/internal/trace/b3.go
@@ -2,15 +2,16 @@
 
 import "net/http"
 
-// The headers of B3. (DESIGN 2.2)
+// The B3 headers, in canonical form. (DESIGN 2.2)
 const (
 	HeaderTrace  = "X-B3-Traceid"
 	HeaderSpan   = "X-B3-Spanid"
 	HeaderParent = "X-B3-Parentspanid"
 )
 
-// ReadB3 takes a span from headers. Anything malformed counts as none.
-func ReadB3(h http.Header) (Span, bool) {
+// ReadB3 returns the span that the headers name; ok is false if there is none, or if any of
+// its identifiers is malformed.
+func ReadB3(h http.Header) (s Span, ok bool) {
 	t, ok := ParseTraceID(h.Get(HeaderTrace))
 	if !ok {
 		return Span{}, false
@@ -28,7 +29,7 @@
 	return Join(t, id, parent, 0), true
 }
 
-// WriteB3 replaces whatever B3 headers stand in h by those of s.
+// WriteB3 sets the B3 headers to those of s, in place of others.
 func WriteB3(h http.Header, s Span) {
 	h.Set(HeaderTrace, s.Trace.String())
 	h.Set(HeaderSpan, s.ID.String())
--- a/internal/trace/context.go
+++ b/internal/trace/context.go
@@ -2,21 +2,22 @@
 
 import "context"
 
+// spanKey is the key of the current span in a context.
 type spanKey struct{}
 
-// ContextWithSpan puts s into the slot that follows the worker. context.Context is Go's
-// thread-local: it goes wherever the work goes. (DESIGN 2.3)
+// ContextWithSpan returns a context whose current span is s. (DESIGN 2.3)
 func ContextWithSpan(ctx context.Context, s Span) context.Context {
 	return context.WithValue(ctx, spanKey{}, s)
 }
 
-// SpanFromContext reads the worker's current span.
-func SpanFromContext(ctx context.Context) (Span, bool) {
-	s, ok := ctx.Value(spanKey{}).(Span)
+// SpanFromContext returns the current span of a context; ok is false if it has none.
+func SpanFromContext(ctx context.Context) (s Span, ok bool) {
+	s, ok = ctx.Value(spanKey{}).(Span)
 	return s, ok
 }
 
-// CopySpan gives a child worker its own slot with the parent's span in it.
+// CopySpan returns a context for work that is started by that of ctx, with a current span of
+// its own: the same one, if any.
 func CopySpan(ctx context.Context) context.Context {
 	if s, ok := SpanFromContext(ctx); ok {
 		return ContextWithSpan(ctx, s)
--- a/internal/trace/id.go
+++ b/internal/trace/id.go
@@ -1,5 +1,3 @@
-// Package trace holds the given tracing design: spans, their identifiers, the
-// slot that follows a worker, and the queue that feeds the collectors.
 package trace
 
 import (
@@ -8,10 +6,10 @@
 	"strconv"
 )
 
-// ID names a span; zero is none. (DESIGN 2.1)
+// ID identifies a span; zero is none. (DESIGN 2.1)
 type ID uint64
 
-// NewID draws an id that is not zero.
+// NewID returns a random ID that is not zero.
 func NewID() ID {
 	for {
 		if n := rand.Uint64(); n != 0 {
@@ -20,11 +18,11 @@
 	}
 }
 
-// String gives the 16 hex digits of B3.
+// String returns the 16 hex digits of B3.
 func (id ID) String() string { return fmt.Sprintf("%016x", uint64(id)) }
 
-// ParseID reads 16 hex digits; anything else is no id.
-func ParseID(s string) (ID, bool) {
+// ParseID parses 16 hex digits; anything else, and zero, is no ID.
+func ParseID(s string) (id ID, ok bool) {
 	if len(s) != 16 {
 		return 0, false
 	}
--- a/internal/trace/link.go
+++ b/internal/trace/link.go
@@ -1,9 +1,10 @@
 package trace
 
-// Link is how sure a parent is.
+// Link says how certain the parent of a span is.
 type Link string
 
-// A link is proven, or inferred among several candidates.
+// The links: the span has no parent, its parent is proven, or its parent is the likeliest of
+// several candidates.
 const (
 	LinkNone     Link = ""
 	LinkProven   Link = "proven"
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -7,59 +7,65 @@
 	"time"
 )
 
-// Malformed identifiers are none; whole ones come back as they were written.
+// TestB3 checks that malformed identifiers are none, and that others are read as they were
+// written.
 func TestB3(t *testing.T) {
-	for _, bad := range [][3]string{
-		{"", "", ""},
-		{"0123456789abcdef", "", ""},
-		{"", "0123456789abcdef", ""},
-		{"0123456789abcdeg", "0123456789abcdef", ""},
-		{"0123456789abcdef", "123", ""},
-		{"0000000000000000", "0123456789abcdef", ""},
-		{"0123456789abcdef", "0000000000000000", ""},
-		{"0123456789abcdef0", "0123456789abcdef", ""},
-		{"0123456789abcdef", "0123456789abcdef", "x"},
-		{"+123456789abcdef", "0123456789abcdef", ""},
+	for name, headers := range map[string][3]string{
+		"no headers":            {"", "", ""},
+		"no span":               {"0123456789abcdef", "", ""},
+		"no trace":              {"", "0123456789abcdef", ""},
+		"trace not hexadecimal": {"0123456789abcdeg", "0123456789abcdef", ""},
+		"span too short":        {"0123456789abcdef", "123", ""},
+		"trace zero":            {"0000000000000000", "0123456789abcdef", ""},
+		"span zero":             {"0123456789abcdef", "0000000000000000", ""},
+		"trace too long":        {"0123456789abcdef0", "0123456789abcdef", ""},
+		"parent malformed":      {"0123456789abcdef", "0123456789abcdef", "x"},
+		"trace with a sign":     {"+123456789abcdef", "0123456789abcdef", ""},
 	} {
-		h := http.Header{}
-		h.Set("X-B3-TraceId", bad[0])
-		h.Set("X-B3-SpanId", bad[1])
-		h.Set("X-B3-ParentSpanId", bad[2])
-		if s, ok := ReadB3(h); ok {
-			t.Errorf("%v was read as %+v", bad, s)
-		}
+		t.Run(name, func(t *testing.T) {
+			h := http.Header{}
+			h.Set("X-B3-TraceId", headers[0])
+			h.Set("X-B3-SpanId", headers[1])
+			h.Set("X-B3-ParentSpanId", headers[2])
+			if s, ok := ReadB3(h); ok {
+				t.Errorf("read as %+v", s)
+			}
+		})
 	}
-	for _, id := range []string{"0123456789abcdef", "0123456789abcdef0123456789abcdef"} {
-		h := http.Header{"X-B3-Traceid": {id}, "X-B3-Spanid": {"00000000000000aa"}, "X-B3-Parentspanid": {"00000000000000bb"}}
-		s, ok := ReadB3(h)
-		if !ok || s.Trace.String() != id || s.ID != 0xaa || s.Parent != 0xbb {
-			t.Errorf("%s: %v %+v", id, ok, s)
-		}
-		WriteB3(h, Root())
-		if h.Get("X-B3-ParentSpanId") != "" {
-			t.Error("a root has a parent")
-		}
+	for name, id := range map[string]string{"64 bits": "0123456789abcdef", "128 bits": "0123456789abcdef0123456789abcdef"} {
+		t.Run(name, func(t *testing.T) {
+			h := http.Header{"X-B3-Traceid": {id}, "X-B3-Spanid": {"00000000000000aa"}, "X-B3-Parentspanid": {"00000000000000bb"}}
+			s, ok := ReadB3(h)
+			if !ok || s.Trace.String() != id || s.ID != 0xaa || s.Parent != 0xbb {
+				t.Errorf("read: %v, %+v", ok, s)
+			}
+			WriteB3(h, Root())
+			if h.Get("X-B3-ParentSpanId") != "" {
+				t.Error("a root has a parent")
+			}
+		})
 	}
 }
 
-// A message with a prefix gives its span back; every shorter or other message
-// comes back byte for byte.
+// TestPrefix checks that a message's span is read as it was written, and that a message
+// without a complete prefix is returned byte for byte.
 func TestPrefix(t *testing.T) {
 	s := Join(TraceID{Hi: 1, Lo: 2}, 3, 4, 5)
-	msg := AppendPrefix(nil, s)
-	msg = append(msg, "plain"...)
-	got, plain, ok := CutPrefix(msg)
+	message := AppendPrefix(nil, s)
+	message = append(message, "plain"...)
+	got, plain, ok := CutPrefix(message)
 	if !ok || string(plain) != "plain" || got.Trace != s.Trace || got.ID != 3 || got.Parent != 4 || got.Counter() != 5 {
 		t.Errorf("%v %q %+v", ok, plain, got)
 	}
 	for n := range prefixLen {
-		if _, plain, ok := CutPrefix(msg[:n]); ok || string(plain) != string(msg[:n]) {
+		if _, plain, ok := CutPrefix(message[:n]); ok || string(plain) != string(message[:n]) {
 			t.Errorf("%d bytes of a prefix were taken for one", n)
 		}
 	}
 }
 
-// A full queue drops and counts; putting does not wait for anybody.
+// TestFullQueue checks that a full queue drops and counts events without blocking, and that
+// events without a collector count as failed.
 func TestFullQueue(t *testing.T) {
 	q := NewQueue("n", 1, 3)
 	for range 10 {
--- a/internal/trace/traceid.go
+++ b/internal/trace/traceid.go
@@ -1,16 +1,16 @@
 package trace
 
-// TraceID is shared by a whole tree: 64 bits when we draw it, 128 when a
-// client brings it so.
+// TraceID identifies a trace, the tree of spans that a request causes. It has 64 bits where a
+// trace begins here, and may have 128 where a client sends it.
 type TraceID struct {
 	Hi uint64 `msgpack:"h,omitempty"`
 	Lo ID     `msgpack:"l"`
 }
 
-// IsZero tells whether there is no trace.
+// IsZero reports whether there is no trace.
 func (t TraceID) IsZero() bool { return t.Hi == 0 && t.Lo == 0 }
 
-// String gives the hex form of B3: 16 digits, or 32 if the high half is set.
+// String returns the hex form of B3: 16 digits, or 32 if the high half is set.
 func (t TraceID) String() string {
 	if t.Hi == 0 {
 		return t.Lo.String()
@@ -18,8 +18,9 @@
 	return ID(t.Hi).String() + t.Lo.String()
 }
 
-// ParseTraceID reads 16 or 32 hex digits.
-func ParseTraceID(s string) (TraceID, bool) {
+// ParseTraceID parses 16 or 32 hex digits; anything else, and a zero in the low half, is no
+// TraceID.
+func ParseTraceID(s string) (id TraceID, ok bool) {
 	if len(s) != 32 {
 		lo, ok := ParseID(s)
 		return TraceID{Lo: lo}, ok
