--- a/internal/dataplane/proxy/answers_test.go
+++ b/internal/dataplane/proxy/answers_test.go
@@ -16,41 +16,41 @@
 	"curlewwalk/internal/transport"
 )
 
-// A backend that resets the connection at any point of an exchange leaves unknown what
-// it did with the request; it is sent once, and the next attempt has a connection of its own.
+// A backend that resets the connection at any point of an exchange leaves unknown whether the
+// request has run; it is sent once, and the next attempt has a new connection.
 func TestBackendResets(t *testing.T) {
 	reset := func(c net.Conn) { c.(*net.TCPConn).SetLinger(0) }
-	for name, speak := range map[string]func(v receivedRequest) bool{
-		"unread": func(v receivedRequest) bool { reset(v.w); return false },
-		"read": func(v receivedRequest) bool {
-			io.Copy(io.Discard, v.Body)
-			reset(v.w)
+	for name, speak := range map[string]func(r receivedRequest) bool{
+		"unread": func(r receivedRequest) bool { reset(r.conn); return false },
+		"read": func(r receivedRequest) bool {
+			io.Copy(io.Discard, r.Body)
+			reset(r.conn)
 			return false
 		},
-		"in its head": func(v receivedRequest) bool {
-			io.WriteString(v.w, "HTTP/1.1 200 OK\r\nFor: "+v.id+"\r\nConte")
-			reset(v.w)
+		"in its head": func(r receivedRequest) bool {
+			io.WriteString(r.conn, "HTTP/1.1 200 OK\r\nFor: "+r.id+"\r\nConte")
+			reset(r.conn)
 			return false
 		},
-		"in its body": func(v receivedRequest) bool {
-			io.WriteString(v.w, "HTTP/1.1 200 OK\r\nFor: "+v.id+"\r\nContent-Length: 100\r\n\r\nhalf")
-			reset(v.w)
+		"in its body": func(r receivedRequest) bool {
+			io.WriteString(r.conn, "HTTP/1.1 200 OK\r\nFor: "+r.id+"\r\nContent-Length: 100\r\n\r\nhalf")
+			reset(r.conn)
 			return false
 		},
-		"in a chunk": func(v receivedRequest) bool {
-			io.WriteString(v.w, "HTTP/1.1 200 OK\r\nFor: "+v.id+"\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nhalf")
-			reset(v.w)
+		"in a chunk": func(r receivedRequest) bool {
+			io.WriteString(r.conn, "HTTP/1.1 200 OK\r\nFor: "+r.id+"\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nhalf")
+			reset(r.conn)
 			return false
 		},
 	} {
 		for _, reused := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, reused %v", name, reused), func(t *testing.T) {
 				for _, size := range []int{1, 300 << 10} {
-					b := newFakeBackend(t, func(v receivedRequest) bool {
-						if strings.HasPrefix(v.id, "broken") {
-							return speak(v)
+					b := newFakeBackend(t, func(r receivedRequest) bool {
+						if strings.HasPrefix(r.id, "broken") {
+							return speak(r)
 						}
-						return respondOK(v)
+						return respondOK(r)
 					})
 					if reused {
 						b.mustAnswer(t, Attempt{})
@@ -65,8 +65,8 @@
 						t.Errorf("it was sent %d times", b.runs["broken"])
 					}
 					b.mu.Unlock()
-					if b.opens.Load() != 2 {
-						t.Errorf("%d connections", b.opens.Load())
+					if b.connections.Load() != 2 {
+						t.Errorf("%d connections", b.connections.Load())
 					}
 				}
 			})
@@ -74,17 +74,17 @@
 	}
 }
 
-// A far side that tells what this version does not understand has told nothing: whether
-// the attempt ran is unknown, and an order is neither promised not to have run nor sent again.
+// A reply of the inbound side that this version does not understand tells nothing: the outcome is
+// unknown, and a request that is not idempotent is neither said not to have run nor sent again.
 func TestResponseNotUnderstood(t *testing.T) {
 	for name, response := range map[string]AttemptResponse{
-		"no fate":          {Reason: "x"},
-		"another fate":     {Outcome: "half-run", Status: 200},
-		"no status":        {Outcome: routing.Answered},
-		"an odd status":    {Outcome: routing.Answered, Status: 1000},
-		"a passing status": {Outcome: routing.Answered, Status: 100},
-		"another's":        {ID: "another's", Outcome: routing.Answered, Status: 200, Body: []byte("another's")},
-		"another's word":   {ID: "another's", Outcome: routing.NotRun},
+		"no outcome":              {Reason: "x"},
+		"an unknown outcome":      {Outcome: "half-run", Status: 200},
+		"no status":               {Outcome: routing.Answered},
+		"a status too high":       {Outcome: routing.Answered, Status: 1000},
+		"an informational status": {Outcome: routing.Answered, Status: 100},
+		"another attempt's":       {ID: "another's", Outcome: routing.Answered, Status: 200, Body: []byte("another's")},
+		"another's refusal":       {ID: "another's", Outcome: routing.NotRun},
 	} {
 		t.Run(name, func(t *testing.T) {
 			attempts := 0
@@ -105,13 +105,13 @@
 			c.send("POST /once/x HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\n\r\nx")
 			resp, body := c.receive()
 			if resp == nil || resp.StatusCode != 502 || resp.Header.Get(HeaderOutcome) != string(routing.Unknown) || attempts != 1 {
-				t.Errorf("%+v %s after %d legs", resp, body, attempts)
+				t.Errorf("%+v %s after %d attempts", resp, body, attempts)
 			}
 		})
 	}
 }
 
-// An attempt that no request can be made of is not taken, so that it surely does not run.
+// An attempt that no HTTP request can be made of is not begun, and so is known not to have run.
 func TestAttemptNotUnderstood(t *testing.T) {
 	for name, attempt := range map[string]Attempt{
 		"two lines in its method": {Method: "GET / HTTP/1.1\r\nX: y\r\n\r\nGET", URI: "/look/"},
@@ -134,10 +134,10 @@
 			}
 			var response AttemptResponse
 			if r := p.outbound.Transport.Call(ctx, node, transport.ControlTraffic, KindCancel, CancelRequest{ID: "odd", Incarnation: 7}); !r.Decode(&response) || response.Outcome != routing.NotRun {
-				t.Errorf("recalled: %+v", response)
+				t.Errorf("cancelled: %+v", response)
 			}
-			if len(p.uris()) > 0 {
-				t.Errorf("it came to the backend: %v", p.uris())
+			if len(p.receivedURIs()) > 0 {
+				t.Errorf("it came to the backend: %v", p.receivedURIs())
 			}
 		})
 	}
@@ -151,8 +151,8 @@
 }
 func (timedOutBody) Close() error { return nil }
 
-// A client that does not come to the end of its body is told that it took too long, and
-// that nothing has run.
+// A client that does not send its whole body is told that it took too long, and that nothing has
+// run.
 func TestBodyTakesTooLong(t *testing.T) {
 	p := newProxyPair(t, respondOK)
 	r := httptest.NewRequest("POST", "/once/x", timedOutBody{})
@@ -162,27 +162,27 @@
 	}
 }
 
-// An attempt lies unread at a far side whose connection has broken. Recalled before it is read,
-// it is told not to run, and never runs; if the recall can't be heard either, nothing is
-// promised, and it runs once at most.
+// An attempt lies unread at an inbound side whose connection has broken. If it is cancelled before
+// it is read, it is said not to have run, and never runs; if the cancellation does not arrive
+// either, its outcome is unknown, and it runs once at most.
 func TestAttemptReadAfterItsRecall(t *testing.T) {
-	for _, heard := range []bool{true, false} {
-		t.Run(fmt.Sprintf("recall heard %v", heard), func(t *testing.T) {
+	for _, arrives := range []bool{true, false} {
+		t.Run(fmt.Sprintf("cancellation arrives %v", arrives), func(t *testing.T) {
 			came, woken, ended := make(chan struct{}, 9), make(chan struct{}), make(chan AttemptResponse, 9)
 			p := newProxyPairWith(t, respondOK, func(h map[string]transport.Handler) {
-				attempt, recall := h[KindAttempt], h[KindCancel]
+				handleAttempt, handleCancel := h[KindAttempt], h[KindCancel]
 				h[KindAttempt] = func(ctx context.Context, request transport.Request) (any, string) {
 					came <- struct{}{}
 					<-woken
-					rc, fault := attempt(ctx, request)
-					ended <- rc.(AttemptResponse)
-					return rc, fault
+					reply, fault := handleAttempt(ctx, request)
+					ended <- reply.(AttemptResponse)
+					return reply, fault
 				}
 				h[KindCancel] = func(ctx context.Context, request transport.Request) (any, string) {
-					if !heard {
+					if !arrives {
 						<-woken
 					}
-					return recall(ctx, request)
+					return handleCancel(ctx, request)
 				}
 			})
 			c := p.client(t)
@@ -191,7 +191,7 @@
 			p.closeConnections()
 			resp, body := c.receive()
 			status, outcome := 503, routing.NotRun
-			if !heard {
+			if !arrives {
 				status, outcome = 502, routing.Unknown
 			}
 			if resp == nil || resp.StatusCode != status || resp.Header.Get(HeaderOutcome) != string(outcome) {
@@ -199,11 +199,11 @@
 			}
 			close(woken)
 			response := <-ended
-			if heard && (response.Outcome == routing.Answered || len(p.uris()) > 0) {
-				t.Errorf("it was promised not to run, and came to %+v", response)
+			if arrives && (response.Outcome == routing.Answered || len(p.receivedURIs()) > 0) {
+				t.Errorf("it was said not to have run, and came to %+v", response)
 			}
-			if p.uris()["/once/x"] > 1 || len(came) > 0 {
-				t.Errorf("it was sent again: %v, %d more legs", p.uris(), len(came))
+			if p.receivedURIs()["/once/x"] > 1 || len(came) > 0 {
+				t.Errorf("it was sent again: %v, %d more attempts", p.receivedURIs(), len(came))
 			}
 		})
 	}
--- a/internal/dataplane/proxy/attemptlog_test.go
+++ b/internal/dataplane/proxy/attemptlog_test.go
@@ -6,30 +6,30 @@
 	"time"
 )
 
-// An attempt begins once; one that was refused or recalled before never begins; one
-// that has begun can't be refused any more.
+// An attempt begins once; one that was refused or cancelled before never begins; one that has
+// begun can't be refused any more.
 func TestLedger(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	l := newAttemptLogActor()
 	go l.run(ctx)
 	if !l.begin(ctx, "a") || l.begin(ctx, "a") {
-		t.Error("a leg must begin once")
+		t.Error("an attempt must begin once")
 	}
 	if l.refuse(ctx, "a") {
-		t.Error("a leg that has begun was refused")
+		t.Error("an attempt that has begun was refused")
 	}
 	for range 2 {
 		if !l.refuse(ctx, "b") {
-			t.Error("a leg that was never seen could not be refused")
+			t.Error("an attempt that was never seen could not be refused")
 		}
 	}
 	if l.begin(ctx, "b") {
-		t.Error("a refused leg began")
+		t.Error("a refused attempt began")
 	}
 	cancel()
 	if l.begin(ctx, "c") {
-		t.Error("a leg began without a ledger")
+		t.Error("an attempt began without a log")
 	}
 }
 
--- a/internal/dataplane/proxy/bench_test.go
+++ b/internal/dataplane/proxy/bench_test.go
@@ -17,28 +17,28 @@
 	"curlewwalk/internal/dataplane/routing"
 )
 
-// fakeBackendVariable tells the test binary to be a backend in a process of its own, so that
-// the CPU that is counted is that of the far side alone.
+// fakeBackendVariable is the environment variable that makes the test binary a backend in a
+// process of its own, so that the CPU time that is measured is that of the inbound side alone.
 const fakeBackendVariable = "CURLEWWALK_STAND_IN"
 
 func TestMain(m *testing.M) {
 	if os.Getenv(fakeBackendVariable) == "" {
 		os.Exit(m.Run())
 	}
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		panic(err)
 	}
-	fmt.Println(ln.Addr())
-	http.Serve(ln, http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		io.Copy(io.Discard, q.Body)
-		w.Header().Set("For", q.Header.Get("Ask"))
-		io.WriteString(w, "the answer, of a few bytes")
+	fmt.Println(listener.Addr())
+	http.Serve(listener, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		io.Copy(io.Discard, r.Body)
+		w.Header().Set("For", r.Header.Get("Ask"))
+		io.WriteString(w, "a response of a few bytes")
 	}))
 }
 
-// BenchmarkExchange tells the CPU that an attempt costs here, and the connections that 100
-// attempts open.
+// BenchmarkExchange measures the CPU time of an attempt at the inbound side, and the connections
+// that 100 attempts open.
 func BenchmarkExchange(b *testing.B) {
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(os.Environ(), fakeBackendVariable+"=1")
@@ -54,22 +54,23 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	w := newFakeBackend(b, respondOK)
-	w.entry.Address = strings.TrimSpace(addr)
+	backend := newFakeBackend(b, respondOK)
+	backend.endpoint.Address = strings.TrimSpace(addr)
 	attempt := Attempt{ID: "x", Body: []byte(strings.Repeat("x", 200)), Header: http.Header{"Content-Type": {"text/plain"}, "Accept": {"*/*"}}, Timeout: time.Minute}
-	open := func() endpoints.Rejection { return endpoints.Admitted }
+	admit := func() endpoints.Rejection { return endpoints.Admitted }
 	before := cpu()
 	b.ResetTimer()
 	for range b.N {
-		if response := w.send(attempt, open); response.Outcome != routing.Answered {
+		if response := backend.send(attempt, admit); response.Outcome != routing.Answered {
 			b.Fatalf("%+v", response)
 		}
 	}
 	b.StopTimer()
-	b.ReportMetric(float64(cpu()-before)/float64(b.N), "cpu-ns/leg")
-	b.ReportMetric(100*float64(w.inbound.ConnectionsOpened())/float64(b.N), "conns/100legs")
+	b.ReportMetric(float64(cpu()-before)/float64(b.N), "cpu-ns/attempt")
+	b.ReportMetric(100*float64(backend.inbound.ConnectionsOpened())/float64(b.N), "conns/100attempts")
 }
 
+// cpu is the CPU time of this process so far.
 func cpu() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
--- a/internal/dataplane/proxy/client_test.go
+++ b/internal/dataplane/proxy/client_test.go
@@ -11,11 +11,11 @@
 	"testing"
 )
 
-// repeatingClients are what net/http sends requests by: it repeats some by itself.
+// repeatingClients are what of net/http sends requests: it repeats some of them by itself.
 var repeatingClients = []string{"Client", "Transport", "DefaultClient", "DefaultTransport", "Get", "Head", "Post", "PostForm"}
 
-// The product sends by net/http's client nowhere but in the planner, which only reads:
-// what may not be repeated would be, out of sight.
+// The product uses net/http's client only in the planner, which only reads: elsewhere, requests
+// that must not be repeated would be, unnoticed.
 func TestNoHiddenRepeats(t *testing.T) {
 	found := 0
 	err := filepath.WalkDir("../../..", func(path string, d fs.DirEntry, err error) error {
--- a/internal/dataplane/proxy/clientwatch_test.go
+++ b/internal/dataplane/proxy/clientwatch_test.go
@@ -18,39 +18,39 @@
 // request of these tests may take.
 const promptTimeout = time.Second
 
-// waitFor waits until ok, and fails the test if that takes too long.
+// waitFor waits until ok is true, and fails the test if that takes too long.
 func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	tick := time.NewTicker(time.Millisecond)
 	defer tick.Stop()
-	late := time.After(promptTimeout)
+	timeout := time.After(promptTimeout)
 	for !ok() {
 		select {
 		case <-tick.C:
-		case <-late:
-			t.Fatalf("waited in vain: %s", what)
+		case <-timeout:
+			t.Fatalf("timed out waiting for %s", what)
 		}
 	}
 }
 
 // waitForClose reads from a backend's connection until the sidecar closes it.
-func waitForClose(v receivedRequest) {
+func waitForClose(r receivedRequest) {
 	var b [1]byte
 	for {
-		if _, err := v.w.Read(b[:]); err != nil {
+		if _, err := r.conn.Read(b[:]); err != nil {
 			return
 		}
 	}
 }
 
-// A client that leaves stops what may be stopped: a repeatable run at its backend, and
-// whatever has not reached one yet. What must run once and was begun goes on.
+// A client that leaves cancels what may be cancelled: an idempotent run at its backend, and
+// whatever has not reached one yet. What is not idempotent and was begun goes on.
 func TestClientLeaves(t *testing.T) {
-	t.Run("a repeatable run is stopped", func(t *testing.T) {
+	t.Run("an idempotent run is stopped", func(t *testing.T) {
 		came, stopped := make(chan bool, 9), make(chan bool, 9)
-		p := newProxyPair(t, func(v receivedRequest) bool {
+		p := newProxyPair(t, func(r receivedRequest) bool {
 			came <- true
-			waitForClose(v)
+			waitForClose(r)
 			stopped <- true
 			return false
 		})
@@ -61,19 +61,19 @@
 		c.Close()
 		waitFor(t, "the backend's connection to be closed", func() bool { return len(stopped) > 0 })
 		waitFor(t, "the request to end", func() bool { return p.outbound.Counters.InFlight.Load() == 0 })
-		if n := p.uris()["/look/x"]; n != 1 {
+		if n := p.receivedURIs()["/look/x"]; n != 1 {
 			t.Errorf("it was sent %d times", n)
 		}
 		if p.outbound.View().Service("desk")[0].Load.Ejected() {
-			t.Error("its backend is shunned for what its client did")
+			t.Error("its backend is ejected for what its client did")
 		}
 	})
-	t.Run("a repeatable run with a body is stopped", func(t *testing.T) {
+	t.Run("an idempotent run with a body is stopped", func(t *testing.T) {
 		came, stopped := make(chan bool, 9), make(chan bool, 9)
-		p := newProxyPair(t, func(v receivedRequest) bool {
-			io.Copy(io.Discard, v.Body)
+		p := newProxyPair(t, func(r receivedRequest) bool {
+			io.Copy(io.Discard, r.Body)
 			came <- true
-			waitForClose(v)
+			waitForClose(r)
 			stopped <- true
 			return false
 		})
@@ -83,48 +83,48 @@
 		c.Close()
 		waitFor(t, "the backend's connection to be closed", func() bool { return len(stopped) > 0 })
 	})
-	t.Run("a run that must not be repeated goes on", func(t *testing.T) {
-		came, release, whole := make(chan bool, 9), make(chan bool), make(chan error, 9)
-		p := newProxyPair(t, func(v receivedRequest) bool {
-			io.Copy(io.Discard, v.Body)
+	t.Run("a run that is not idempotent goes on", func(t *testing.T) {
+		came, release, readErr := make(chan bool, 9), make(chan bool), make(chan error, 9)
+		p := newProxyPair(t, func(r receivedRequest) bool {
+			io.Copy(io.Discard, r.Body)
 			came <- true
 			<-release
-			v.w.SetReadDeadline(time.Now().Add(time.Millisecond))
-			_, err := v.w.Read(make([]byte, 1))
-			whole <- err
-			v.respond(v.id, "ok")
+			r.conn.SetReadDeadline(time.Now().Add(time.Millisecond))
+			_, err := r.conn.Read(make([]byte, 1))
+			readErr <- err
+			r.respond(r.id, "ok")
 			return true
 		})
 		c := p.client(t)
 		c.send("POST /once/x HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\n\r\nx")
 		<-came
 		c.Close()
-		waitFor(t, "the far side to be told", func() bool { return p.inbound.Counters.LeftRunning.Load() == 1 })
+		waitFor(t, "the inbound side to be notified", func() bool { return p.inbound.Counters.LeftRunning.Load() == 1 })
 		close(release)
-		if err := <-whole; err == io.EOF {
+		if err := <-readErr; err == io.EOF {
 			t.Error("the connection to the backend was closed")
 		}
 		waitFor(t, "the run to end", func() bool { return p.inbound.Counters.Answered.Load() == 1 })
 	})
 	for _, uri := range []string{"/look/waits", "/once/waits"} {
-		t.Run("what waits in line does not run: "+uri, func(t *testing.T) {
+		t.Run("what waits in the queue does not run: "+uri, func(t *testing.T) {
 			came, release := make(chan bool, 9), make(chan bool)
-			p := newProxyPair(t, func(v receivedRequest) bool {
-				io.Copy(io.Discard, v.Body)
+			p := newProxyPair(t, func(r receivedRequest) bool {
+				io.Copy(io.Discard, r.Body)
 				came <- true
 				<-release
-				v.respond(v.id, "ok")
+				r.respond(r.id, "ok")
 				return true
 			})
-			table, _ := endpoints.Registry{}.Announce(endpoints.Announcement{Instance: "a", Service: "desk", Address: p.entry.Address, Capacity: 1}, "north", time.Now())
+			table, _ := endpoints.Registry{}.Announce(endpoints.Announcement{Instance: "a", Service: "desk", Address: p.endpoint.Address, Capacity: 1}, "north", time.Now())
 			p.inbound.Endpoints = func() endpoints.Registry { return table }
 			first, second := p.client(t), p.client(t)
 			first.send("POST /once/first HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n")
 			<-came
 			second.send("POST %s HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n", uri)
-			waitFor(t, "the second to wait in line", func() bool { return table.Endpoints()[0].Admission.Outstanding() == 2 })
+			waitFor(t, "the second to be queued", func() bool { return table.Endpoints()[0].Admission.Outstanding() == 2 })
 			second.Close()
-			waitFor(t, "the second to leave the line", func() bool { return table.Endpoints()[0].Admission.Outstanding() == 1 })
+			waitFor(t, "the second to leave the queue", func() bool { return table.Endpoints()[0].Admission.Outstanding() == 1 })
 			close(release)
 			if resp, _ := first.receive(); resp == nil || resp.StatusCode != http.StatusOK {
 				t.Errorf("the first: %+v", resp)
@@ -133,46 +133,46 @@
 			if resp, _ := first.receive(); resp == nil || resp.StatusCode != http.StatusOK {
 				t.Errorf("the third: %+v", resp)
 			}
-			if n := p.uris()[uri]; n != 0 {
+			if n := p.receivedURIs()[uri]; n != 0 {
 				t.Errorf("it came to the backend %d times", n)
 			}
 		})
 	}
-	t.Run("what is held for a place is not sent", func(t *testing.T) {
+	t.Run("what waits for a backend is not sent", func(t *testing.T) {
 		p := newProxyPair(t, respondOK)
-		with, without := p.outbound.View(), membership.NewView(nil, nil)
+		full, empty := p.outbound.View(), membership.NewView(nil, nil)
 		var view atomic.Pointer[membership.View]
-		view.Store(without)
+		view.Store(empty)
 		p.outbound.View, p.outbound.WaitShare = view.Load, 10
 		c := p.client(t)
-		c.send("GET /look/held HTTP/1.1\r\nHost: x\r\n\r\n")
-		waitFor(t, "the request to be held", func() bool { return p.outbound.Counters.InFlight.Load() == 1 })
+		c.send("GET /look/waiting HTTP/1.1\r\nHost: x\r\n\r\n")
+		waitFor(t, "the request to wait", func() bool { return p.outbound.Counters.InFlight.Load() == 1 })
 		c.Close()
 		waitFor(t, "the request to end", func() bool { return p.outbound.Counters.InFlight.Load() == 0 })
-		view.Store(with)
+		view.Store(full)
 		if resp, _ := p.get(t, "/look/other"); resp == nil || resp.StatusCode != http.StatusOK {
 			t.Errorf("another: %+v", resp)
 		}
-		if n := p.uris()["/look/held"]; n != 0 {
+		if n := p.receivedURIs()["/look/waiting"]; n != 0 {
 			t.Errorf("it came to the backend %d times", n)
 		}
 	})
-	// Nothing that it runs can be answered any more. It recalls what it still can, and what
-	// it can't ends all the same.
-	for _, recalls := range []bool{true, false} {
-		t.Run(fmt.Sprintf("a peer whose connection has broken, recalls %v", recalls), func(t *testing.T) {
+	// No attempt of such a peer can be answered any more. It cancels those that it still can, and
+	// the others end all the same.
+	for _, cancels := range []bool{true, false} {
+		t.Run(fmt.Sprintf("a peer whose connection has broken, cancels %v", cancels), func(t *testing.T) {
 			came, stopped := make(chan bool, 9), make(chan bool, 9)
-			p := newProxyPair(t, func(v receivedRequest) bool {
+			p := newProxyPair(t, func(r receivedRequest) bool {
 				came <- true
-				waitForClose(v)
+				waitForClose(r)
 				stopped <- true
 				return false
 			})
-			if recalls {
+			if cancels {
 				c := p.client(t)
 				c.send("GET /look/x HTTP/1.1\r\nHost: x\r\n\r\n")
 			} else {
-				p.attempt(Attempt{ID: "lonely", Idempotent: true, Method: "GET", URI: "/look/x"})
+				p.attempt(Attempt{ID: "abandoned", Idempotent: true, Method: "GET", URI: "/look/x"})
 			}
 			<-came
 			p.closeConnections()
@@ -181,7 +181,7 @@
 	}
 }
 
-// attempt sends an attempt as a peer does that does nothing more for it.
+// attempt sends an attempt, as a peer would that then neither waits nor cancels it.
 func (p *proxyPair) attempt(attempt Attempt) {
 	attempt.Service, attempt.Instance, attempt.Incarnation = "desk", "a", 7
 	attempt.Timeout, attempt.TimeToTarget = 3*time.Second, 3*time.Second
@@ -189,7 +189,7 @@
 	go p.outbound.Transport.Call(context.Background(), node, transport.RequestTraffic, KindAttempt, attempt)
 }
 
-// get asks for a path on a connection of its own.
+// get requests a URI on a new connection.
 func (p *proxyPair) get(t *testing.T, uri string) (*http.Response, string) {
 	t.Helper()
 	c := p.client(t)
--- a/internal/dataplane/proxy/configuration_test.go
+++ b/internal/dataplane/proxy/configuration_test.go
@@ -1,6 +1,7 @@
 package proxy
 
 import (
+	"fmt"
 	"net/http"
 	"net/http/httptest"
 	"testing"
@@ -10,47 +11,58 @@
 	"curlewwalk/internal/dataplane/routing"
 )
 
-// That there is no way for a request is said only by who is sure of the newest
-// configuration; else it is refused as not run, with when to come back.
-func TestNoRouteWhileUnsure(t *testing.T) {
-	table, ok := routing.NewTable(config.ControlState{Revision: 3, ConfigurationRevision: 3, Configuration: []byte(`{"ways":[],"contracts":[]}`)})
+// newRoutesOutbound is an outbound side that rejects requests by its configuration.
+func newRoutesOutbound(t *testing.T, configuration string, unconfirmed, outdated func() bool) *Outbound {
+	t.Helper()
+	table, ok := routing.NewTable(config.ControlState{Revision: 3, ConfigurationRevision: 3, Configuration: []byte(configuration)})
 	if !ok {
-		t.Fatal("no table")
+		t.Fatal("the configuration is not valid")
 	}
-	unsure := false
-	n := NewOutbound(OutboundConfig{}, OutboundDeps{
+	return NewOutbound(OutboundConfig{MinRetryAfter: 100 * time.Millisecond}, OutboundDeps{
 		Table: func() *routing.Table { return table }, Dialect: DefaultDialect{}, Draining: func() bool { return false }, Bodies: &BodyLimiter{MaxBody: 1 << 20, MaxTotal: 1 << 20},
-		ConfigurationUnconfirmed: func() bool { return unsure },
+		ConfigurationUnconfirmed: unconfirmed, ConfigurationOutdated: outdated,
 	})
-	for _, c := range []struct {
-		unsure bool
-		status int
-	}{{false, http.StatusNotFound}, {true, http.StatusServiceUnavailable}, {false, http.StatusNotFound}} {
-		unsure = c.unsure
-		w := httptest.NewRecorder()
-		n.Handler("").ServeHTTP(w, httptest.NewRequest(http.MethodGet, "http://orders.example/new", nil))
-		if w.Code != c.status || (w.Header().Get("Retry-After") != "") != c.unsure {
-			t.Errorf("unsure %v: %d, come back in %q", c.unsure, w.Code, w.Header().Get("Retry-After"))
-		}
+}
+
+// serve is a sidecar's response to a client's request.
+func serve(o *Outbound, method, url string) *httptest.ResponseRecorder {
+	response := httptest.NewRecorder()
+	o.Handler("").ServeHTTP(response, httptest.NewRequest(method, url, nil))
+	return response
+}
+
+// That there is no route for a request is said only if the configuration is confirmed as the
+// newest; else the request is rejected as not run, with when to retry.
+func TestNoRouteWhileUnsure(t *testing.T) {
+	var unconfirmed bool
+	o := newRoutesOutbound(t, `{"ways":[],"contracts":[]}`, func() bool { return unconfirmed }, nil)
+	for i, c := range []struct {
+		unconfirmed bool
+		status      int
+	}{
+		{false, http.StatusNotFound},
+		{true, http.StatusServiceUnavailable},
+		{false, http.StatusNotFound},
+	} {
+		t.Run(fmt.Sprintf("%d, unconfirmed %v", i, c.unconfirmed), func(t *testing.T) {
+			unconfirmed = c.unconfirmed
+			response := serve(o, http.MethodGet, "http://orders.example/new")
+			if retryAfter := response.Header().Get("Retry-After"); response.Code != c.status || (retryAfter != "") != c.unconfirmed {
+				t.Errorf("%d, retry after %q", response.Code, retryAfter)
+			}
+		})
 	}
 }
 
-// A sidecar that is known to be behind chooses no route by its old configuration, be it one
-// that it has: the request is refused at once as not run, with when to come back.
+// A sidecar whose configuration is known to be outdated uses no route of it, be it one that it
+// has: the request is rejected at once as not run, with when to retry.
 func TestNoRouteWhileBehind(t *testing.T) {
-	table, ok := routing.NewTable(config.ControlState{Revision: 3, ConfigurationRevision: 3, Configuration: []byte(
+	o := newRoutesOutbound(t,
 		`{"ways":[{"name":"old","prefix":"/old/","service":"orders","contract":"c"}],"contracts":[{"name":"c","aim":"1s","expiry":"2s","rank":1}]}`,
-	)})
-	if !ok {
-		t.Fatal("no table")
-	}
-	n := NewOutbound(OutboundConfig{MinRetryAfter: 100 * time.Millisecond}, OutboundDeps{
-		Table: func() *routing.Table { return table }, Dialect: DefaultDialect{}, Draining: func() bool { return false }, Bodies: &BodyLimiter{MaxBody: 1 << 20, MaxTotal: 1 << 20},
-		ConfigurationOutdated: func() bool { return true },
-	})
-	w := httptest.NewRecorder()
-	n.Handler("").ServeHTTP(w, httptest.NewRequest(http.MethodPost, "http://orders.example/old/1", nil))
-	if w.Code != http.StatusServiceUnavailable || w.Header().Get("Curlewwalk-Outcome") != string(routing.NotRun) || w.Header().Get("Retry-After") == "" {
-		t.Errorf("behind: %d, %q, come back in %q", w.Code, w.Header().Get("Curlewwalk-Outcome"), w.Header().Get("Retry-After"))
+		nil, func() bool { return true })
+	response := serve(o, http.MethodPost, "http://orders.example/old/1")
+	header := response.Header()
+	if response.Code != http.StatusServiceUnavailable || header.Get(HeaderOutcome) != string(routing.NotRun) || header.Get("Retry-After") == "" {
+		t.Errorf("%d, %q, retry after %q", response.Code, header.Get(HeaderOutcome), header.Get("Retry-After"))
 	}
 }
--- a/internal/dataplane/proxy/connpool_test.go
+++ b/internal/dataplane/proxy/connpool_test.go
@@ -9,61 +9,61 @@
 	"curlewwalk/internal/dataplane/routing"
 )
 
-// Nobody there: not run, and no place is lost by it.
+// Where nobody listens, an attempt has not run, and leaves nothing in the pool.
 func TestNobodyThere(t *testing.T) {
 	b := newFakeBackend(t, respondOK)
-	there := b.entry.Address
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	address := b.endpoint.Address
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.entry.Address = ln.Addr().String()
-	ln.Close()
+	b.endpoint.Address = listener.Addr().String()
+	listener.Close()
 	if response := b.send(Attempt{}, nil); response.Outcome != routing.NotRun || response.ReachedBackend {
 		t.Errorf("%+v", response)
 	}
 	if len(b.inbound.pool.entries) != 0 {
-		t.Error("a place is kept for nobody")
+		t.Error("an entry is left in the pool")
 	}
-	b.entry.Address = there
+	b.endpoint.Address = address
 	b.mustAnswer(t, Attempt{})
 }
 
-// The sweep closes what is idle too long, what leads to a backend that takes nothing
-// more, and what an instance elsewhere answered.
+// The sweep closes connections that are idle for too long or whose backend takes nothing more; a
+// misrouted response closes the idle ones at its address.
 func TestSweep(t *testing.T) {
-	other := false
-	b := newFakeBackend(t, func(v receivedRequest) bool {
-		if other {
-			v.respond(v.id, "ok", "Elsewhere: 1")
+	misrouted := false
+	b := newFakeBackend(t, func(r receivedRequest) bool {
+		if misrouted {
+			r.respond(r.id, "ok", "Elsewhere: 1")
 		} else {
-			v.respond(v.id, "ok")
+			r.respond(r.id, "ok")
 		}
 		return true
 	})
-	var stands atomic.Bool
-	stands.Store(true)
-	b.inbound.pool.isCurrent = func(backendAddress) bool { return stands.Load() }
-	idle := func(want int, why string) {
+	var current atomic.Bool
+	current.Store(true)
+	b.inbound.pool.isCurrent = func(backendAddress) bool { return current.Load() }
+	expectIdle := func(want int, why string) {
 		t.Helper()
 		if n := b.inbound.pool.idleCount(); n != want {
-			t.Errorf("%s: %d are idle", why, n)
+			t.Errorf("%s: %d are idle, want %d", why, n, want)
 		}
 	}
 	b.mustAnswer(t, Attempt{})
 	b.inbound.pool.sweepOnce(time.Now())
-	idle(1, "young")
+	expectIdle(1, "idle for a short time")
 	b.inbound.pool.sweepOnce(time.Now().Add(maxIdleTime))
-	idle(0, "too long")
+	expectIdle(0, "idle for too long")
 	b.mustAnswer(t, Attempt{})
-	stands.Store(false)
+	current.Store(false)
 	b.inbound.pool.sweepOnce(time.Now())
-	idle(0, "leaving")
-	stands.Store(true)
+	expectIdle(0, "backend draining")
+	current.Store(true)
 	b.mustAnswer(t, Attempt{})
-	other = true
+	misrouted = true
 	if response := b.send(Attempt{}, nil); response.Outcome != routing.NotRun || !response.ReachedBackend {
 		t.Errorf("%+v", response)
 	}
-	idle(0, "elsewhere")
+	expectIdle(0, "misrouted")
 }
--- a/internal/dataplane/proxy/fakebackend_test.go
+++ b/internal/dataplane/proxy/fakebackend_test.go
@@ -22,7 +22,7 @@
 	"curlewwalk/internal/trace"
 )
 
-// echoDialect is a dialect of backends that name the request they answer.
+// echoDialect is a dialect of backends whose responses name the attempt that they answer.
 type echoDialect struct{ DefaultDialect }
 
 func (echoDialect) SetBackendHeaders(h http.Header, attempt *Attempt, _ time.Duration) {
@@ -41,96 +41,121 @@
 	return ResponseValid
 }
 
-// receivedRequest is one request at a stand-in backend.
+// receivedRequest is one request at a fake backend.
 type receivedRequest struct {
 	*http.Request
+	// id is the attempt's.
 	id string
-	// conn and n count connections at the backend, and requests on this one.
-	conn, n int64
-	w       net.Conn
+	// connNumber counts the connections at the backend, and requestNumber the requests on this
+	// one, both from 1.
+	connNumber, requestNumber int64
+	conn                      net.Conn
 }
 
-// respond answers a visit, in the name of a request.
-func (v receivedRequest) respond(id, body string, header ...string) {
-	io.WriteString(v.w, responseText(id, body, header...))
+// respond answers the request, in the name of an attempt.
+func (r receivedRequest) respond(id, body string, header ...string) {
+	io.WriteString(r.conn, responseText(id, body, header...))
 }
 
+// responseText is a response in the name of an attempt, as it is on the wire.
 func responseText(id, body string, header ...string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nFor: %s\r\n%sContent-Length: %d\r\n\r\n%s", id, strings.Join(append(header, ""), "\r\n"), len(body), body)
 }
 
-// fakeBackend is a far side with one stand-in backend, which answers by speak until that
-// is false; then it closes.
+// respondOK reads the request and answers it with "ok".
+func respondOK(r receivedRequest) bool {
+	io.Copy(io.Discard, r.Body)
+	r.respond(r.id, "ok")
+	return true
+}
+
+// fakeBackend is an inbound side with one backend.
 type fakeBackend struct {
-	inbound *Inbound
-	entry   endpoints.Endpoint
-	opens   atomic.Int64
-	mu      sync.Mutex
+	inbound  *Inbound
+	endpoint endpoints.Endpoint
+	// connections counts those that were accepted.
+	connections atomic.Int64
+	// closed gets a value for each connection that has ended.
+	closed chan bool
+
+	mu sync.Mutex
+	// runs counts the requests by attempt, and targets by request target.
 	runs    map[string]int
-	// targets counts the request targets that came.
 	targets map[string]int
-	// closed tells of each of its connections that it is over.
-	closed chan bool
 }
 
-func newFakeBackend(t testing.TB, speak func(v receivedRequest) bool) *fakeBackend {
+// newFakeBackend starts a backend that answers each request by handle; if that returns false,
+// it closes the connection.
+func newFakeBackend(t testing.TB, handle func(r receivedRequest) bool) *fakeBackend {
 	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &fakeBackend{runs: map[string]int{}, targets: map[string]int{}, closed: make(chan bool, 1<<16)}
-	go func() {
-		for {
-			c, err := ln.Accept()
-			if err != nil {
-				return
-			}
-			n := b.opens.Add(1)
-			go func() {
-				defer func() { c.Close(); b.closed <- true }()
-				in := bufio.NewReader(c)
-				for k := int64(1); ; k++ {
-					req, err := http.ReadRequest(in)
-					if err != nil {
-						return
-					}
-					id := req.Header.Get("Ask")
-					b.mu.Lock()
-					b.runs[id]++
-					b.targets[req.RequestURI]++
-					b.mu.Unlock()
-					if !speak(receivedRequest{req, id, n, k, c}) {
-						return
-					}
-					io.Copy(io.Discard, req.Body)
-				}
-			}()
-		}
-	}()
 	ctx, cancel := context.WithCancel(context.Background())
 	actors := actor.New(slog.New(slog.DiscardHandler), func(name string, cause any, _ []byte) { t.Errorf("%s: %v", name, cause) })
-	f := NewInbound(ctx, InboundConfig{}, InboundDeps{Actors: actors, Bodies: &BodyLimiter{MaxBody: 1 << 20, MaxTotal: 1 << 30}, Dialect: echoDialect{}})
-	f.pool.isCurrent = func(backendAddress) bool { return true }
 	table, _ := routing.NewTable(config.ControlState{})
-	f.Table = func() *routing.Table { return table }
-	b.inbound = f
-	b.entry = endpoints.Endpoint{Backend: membership.Backend{Instance: "a", Address: ln.Addr().String(), Capacity: 8}}
+	b := &fakeBackend{
+		inbound: NewInbound(ctx, InboundConfig{}, InboundDeps{
+			Actors: actors, Bodies: &BodyLimiter{MaxBody: 1 << 20, MaxTotal: 1 << 30}, Dialect: echoDialect{}, Table: func() *routing.Table { return table },
+		}),
+		endpoint: endpoints.Endpoint{Backend: membership.Backend{Instance: "a", Address: listener.Addr().String(), Capacity: 8}},
+		closed:   make(chan bool, 1<<16), runs: map[string]int{}, targets: map[string]int{},
+	}
+	b.inbound.pool.isCurrent = func(backendAddress) bool { return true }
+	go b.accept(listener, handle)
 	t.Cleanup(func() {
 		cancel()
-		ln.Close()
+		listener.Close()
 		<-actors.Done()
 		actors.Stop()
 	})
 	return b
 }
 
-var attempts atomic.Int64
+// accept serves connections until the listener is closed.
+func (b *fakeBackend) accept(listener net.Listener, handle func(r receivedRequest) bool) {
+	for {
+		conn, err := listener.Accept()
+		if err != nil {
+			return
+		}
+		number := b.connections.Add(1)
+		go func() {
+			defer func() { conn.Close(); b.closed <- true }()
+			b.serve(conn, number, handle)
+		}()
+	}
+}
+
+// serve answers the requests on one connection.
+func (b *fakeBackend) serve(conn net.Conn, number int64, handle func(r receivedRequest) bool) {
+	reader := bufio.NewReader(conn)
+	for n := int64(1); ; n++ {
+		req, err := http.ReadRequest(reader)
+		if err != nil {
+			return
+		}
+		id := req.Header.Get("Ask")
+		b.mu.Lock()
+		b.runs[id]++
+		b.targets[req.RequestURI]++
+		b.mu.Unlock()
+		if !handle(receivedRequest{req, id, number, n, conn}) {
+			return
+		}
+		io.Copy(io.Discard, req.Body)
+	}
+}
+
+// attemptCount makes the attempts' IDs unique.
+var attemptCount atomic.Int64
 
-// send puts an attempt to the backend, as carry does.
+// send puts an attempt to the backend, as Inbound.forward does. check is asked before the write;
+// nil admits it.
 func (b *fakeBackend) send(attempt Attempt, check func() endpoints.Rejection) AttemptResponse {
 	if attempt.ID == "" {
-		attempt.ID = fmt.Sprint("leg-", attempts.Add(1))
+		attempt.ID = fmt.Sprint("attempt-", attemptCount.Add(1))
 	}
 	if attempt.Method == "" {
 		attempt.Method = "POST"
@@ -144,40 +169,42 @@
 	if check == nil {
 		check = func() endpoints.Rejection { return endpoints.Admitted }
 	}
-	g := &writeGuard{check: func() refusal { return refusal{rejection: check()} }}
-	response := b.inbound.exchange(ctx, b.entry, &attempt, trace.Root(), g)
-	if response.Outcome == routing.Unknown && g.close() {
+	guard := &writeGuard{check: func() refusal { return refusal{rejection: check()} }}
+	response := b.inbound.exchange(ctx, b.endpoint, &attempt, trace.Root(), guard)
+	if response.Outcome == routing.Unknown && guard.close() {
 		response.Outcome = routing.NotRun
 	}
 	return response
 }
 
-// mustAnswer puts an attempt that must be answered by its own answer.
+// mustAnswer puts an attempt to the backend that must get its own response.
 func (b *fakeBackend) mustAnswer(t *testing.T, attempt Attempt) {
 	t.Helper()
-	attempt.ID = fmt.Sprint("leg-", attempts.Add(1))
+	attempt.ID = fmt.Sprint("attempt-", attemptCount.Add(1))
 	response := b.send(attempt, nil)
 	if response.Outcome != routing.Answered || response.Header.Get("For") != attempt.ID {
-		t.Fatalf("%s got %v %q, answer to %q", attempt.ID, response.Outcome, response.Reason, response.Header.Get("For"))
+		t.Fatalf("%s got %v %q, response to %q", attempt.ID, response.Outcome, response.Reason, response.Header.Get("For"))
+	}
+}
+
+// expectConnections fails the test if the backend has accepted another number of connections.
+func (b *fakeBackend) expectConnections(t *testing.T, want int64, why string) {
+	t.Helper()
+	if got := b.connections.Load(); got != want {
+		t.Errorf("%s: %d connections, want %d", why, got, want)
 	}
 }
 
-// idleConn is the one idle link.
+// idleConn is the one idle connection.
 func (b *fakeBackend) idleConn(t *testing.T) *backendConn {
 	t.Helper()
 	b.inbound.pool.mu.Lock()
 	defer b.inbound.pool.mu.Unlock()
-	for _, s := range b.inbound.pool.entries {
-		if len(s.idle) == 1 && s.inUse == 0 {
-			return s.idle[0]
+	for _, entry := range b.inbound.pool.entries {
+		if len(entry.idle) == 1 && entry.inUse == 0 {
+			return entry.idle[0]
 		}
 	}
-	t.Fatal("there is not one idle link")
+	t.Fatal("there is not one idle connection")
 	return nil
 }
-
-func respondOK(v receivedRequest) bool {
-	io.Copy(io.Discard, v.Body)
-	v.respond(v.id, "ok")
-	return true
-}
--- a/internal/dataplane/proxy/fuzz_test.go
+++ b/internal/dataplane/proxy/fuzz_test.go
@@ -12,17 +12,17 @@
 	"curlewwalk/internal/dataplane/routing"
 )
 
-// FuzzBackendAnswer: whatever a backend writes behind a request, and then closes, the
-// answer that is passed on says that it is the request's own, nothing is promised that
-// the backend did not promise, and the next request has its own answer.
+// FuzzBackendAnswer checks that, whatever a backend writes as a response before it closes the
+// connection, only a response that names the attempt is passed on, an attempt is said not to have
+// run only if the backend says so, and the next attempt gets its own response.
 func FuzzBackendAnswer(f *testing.F) {
-	said := make(chan []byte, 1)
-	b := newFakeBackend(f, func(v receivedRequest) bool {
-		if v.id != "own" {
-			return respondOK(v)
+	responses := make(chan []byte, 1)
+	b := newFakeBackend(f, func(r receivedRequest) bool {
+		if r.id != "own" {
+			return respondOK(r)
 		}
-		io.Copy(io.Discard, v.Body)
-		v.w.Write(<-said)
+		io.Copy(io.Discard, r.Body)
+		r.conn.Write(<-responses)
 		return false
 	})
 	for _, s := range []string{
@@ -35,13 +35,13 @@
 	} {
 		f.Add([]byte(s))
 	}
-	f.Fuzz(func(t *testing.T, answer []byte) {
-		said <- answer
+	f.Fuzz(func(t *testing.T, text []byte) {
+		responses <- text
 		response := b.send(Attempt{ID: "own", Timeout: time.Second, Body: []byte("x")}, nil)
 		switch response.Outcome {
 		case routing.Answered:
 			if response.Header.Get("For") != "own" || response.Status < 200 || response.Status > 999 {
-				t.Errorf("%d, answer to %q", response.Status, response.Header.Get("For"))
+				t.Errorf("%d, response to %q", response.Status, response.Header.Get("For"))
 			}
 			for name := range response.Header {
 				if isHopByHop(name) && name != "Content-Length" {
@@ -49,14 +49,14 @@
 				}
 			}
 		case routing.NotRun:
-			if !bytes.Contains(bytes.ToLower(answer), []byte("declined")) && !bytes.Contains(bytes.ToLower(answer), []byte("elsewhere")) {
-				t.Errorf("promised: %+v", response)
+			if !bytes.Contains(bytes.ToLower(text), []byte("declined")) && !bytes.Contains(bytes.ToLower(text), []byte("elsewhere")) {
+				t.Errorf("said not to have run: %+v", response)
 			}
 		case routing.Unknown:
 		default:
 			t.Errorf("%+v", response)
 		}
-		// The backend may close a link that looked good just then.
+		// The backend may close just then a connection that looked good.
 		response = b.send(Attempt{ID: "next"}, nil)
 		for tries := 0; response.Outcome == routing.Unknown && tries < 3; tries++ {
 			response = b.send(Attempt{ID: "next"}, nil)
@@ -67,16 +67,16 @@
 	})
 }
 
-// FuzzClientRequest: whatever a client writes, the backend gets no more than the requests
-// that are in it, each as it was sent, and the client whole answers, no more than one for
-// each request and one for what is none.
+// FuzzClientRequest checks that, whatever a client writes, the backend gets only the requests that
+// are in it, each as it was sent, and the client gets complete responses, at most one for each
+// request and one for what is none.
 func FuzzClientRequest(f *testing.F) {
 	got := make(chan plainRequest, 1<<10)
-	p := newProxyPair(f, func(v receivedRequest) bool {
-		body, err := io.ReadAll(v.Body)
+	p := newProxyPair(f, func(r receivedRequest) bool {
+		body, err := io.ReadAll(r.Body)
 		if err == nil {
-			got <- plainRequest{v.Method, v.RequestURI, string(body)}
-			v.respond(v.id, string(body))
+			got <- plainRequest{r.Method, r.RequestURI, string(body)}
+			r.respond(r.id, string(body))
 		}
 		return err == nil
 	})
@@ -102,31 +102,31 @@
 			c.(*net.TCPConn).CloseWrite()
 		}()
 		sent := requests(text)
-		answers, in := 0, bufio.NewReader(c)
+		responses, reader := 0, bufio.NewReader(c)
 		for {
 			method := http.MethodGet
-			if answers < len(sent) {
-				method = sent[answers].method
+			if responses < len(sent) {
+				method = sent[responses].method
 			}
-			resp, err := http.ReadResponse(in, &http.Request{Method: method})
+			resp, err := http.ReadResponse(reader, &http.Request{Method: method})
 			if err != nil {
 				break
 			}
 			if resp.StatusCode == http.StatusContinue {
 				continue
 			}
-			answers++
+			responses++
 			if _, err := io.Copy(io.Discard, resp.Body); err != nil {
-				t.Errorf("answer %d was cut short: %v", answers, err)
+				t.Errorf("response %d was cut short: %v", responses, err)
 			}
 		}
-		if answers > len(sent)+1 {
-			t.Errorf("%d answers to %d requests", answers, len(sent))
+		if responses > len(sent)+1 {
+			t.Errorf("%d responses to %d requests", responses, len(sent))
 		}
 		for len(got) > 0 {
 			r := <-got
 			for len(sent) > 0 && sent[0] != r {
-				sent = sent[1:] // it was refused
+				sent = sent[1:] // it was rejected
 			}
 			if len(sent) == 0 {
 				t.Fatalf("the backend got %q, which nobody sent", r)
@@ -136,10 +136,10 @@
 	})
 }
 
-// plainRequest is what must not be changed on the way.
+// plainRequest is what of a request must not be changed on the way.
 type plainRequest struct{ method, uri, body string }
 
-// requests are those in a client's text, up to the first that is none.
+// requests parses the requests in a client's text, up to the first that is not valid.
 func requests(text []byte) (out []plainRequest) {
 	in := bufio.NewReader(bytes.NewReader(text))
 	for {
@@ -158,7 +158,7 @@
 	}
 }
 
-// skipLineEnds leaves out what some clients send behind a POST's body, as net/http's
+// skipLineEnds skips the line ends that some clients send after a POST's body, as net/http's
 // server does.
 func skipLineEnds(in *bufio.Reader) {
 	next, _ := in.Peek(4)
--- a/internal/dataplane/proxy/warmup_test.go
+++ b/internal/dataplane/proxy/warmup_test.go
@@ -13,41 +13,42 @@
 	"curlewwalk/internal/trace"
 )
 
-// A cold backend is let have its service's rate over any second, from the sidecar's
-// start on; what is refused was not run, and is told when to come again. So many run at
-// a time, too.
+// A backend that is warming up gets its service's rate of requests over any second, from the
+// sidecar's start on, and no more than that at a time; what is rejected has not run, and is told
+// when to retry.
 func TestColdRate(t *testing.T) {
 	b := newFakeBackend(t, respondOK)
-	f := b.inbound
-	f.Draining, f.LeaseHeld = func() bool { return false }, func() bool { return true }
-	f.Causality = causality.NewTracker()
+	in := b.inbound
+	in.Draining, in.LeaseHeld = func() bool { return false }, func() bool { return true }
+	in.Causality = causality.NewTracker()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	f.Actors.Go(ctx, "lineage", f.Causality.Run)
+	in.Actors.Go(ctx, "causality", in.Causality.Run)
 	table, ok := routing.NewTable(config.ControlState{Revision: 1, ConfigurationRevision: 1, Configuration: []byte(`{"ways": [{"name": "w", "prefix": "/", "service": "desk", "contract": "c"}],
 		"contracts": [{"name": "c", "rank": 1, "aim": "1s", "expiry": "2s"}],
 		"services": [{"name": "desk", "connections": 6, "cold": {"for": "5s", "rate": 4}}]}`)})
 	if !ok {
-		t.Fatal("the configuration is not taken")
+		t.Fatal("the configuration is not valid")
 	}
-	f.Table = func() *routing.Table { return table }
-	announce := func(left string) {
-		r, faults := endpoints.Registry{}.Announce(endpoints.Announcement{Instance: "a", Service: "desk", Address: b.entry.Address, Capacity: 20, Warmup: &endpoints.Warmup{Remaining: left}}, "north", time.Now())
+	in.Table = func() *routing.Table { return table }
+	announce := func(remaining string) {
+		t.Helper()
+		registry, faults := endpoints.Registry{}.Announce(endpoints.Announcement{Instance: "a", Service: "desk", Address: b.endpoint.Address, Capacity: 20, Warmup: &endpoints.Warmup{Remaining: remaining}}, "north", time.Now())
 		if len(faults) > 0 {
 			t.Fatal(faults)
 		}
-		f.Endpoints = func() endpoints.Registry { return r }
+		in.Endpoints = func() endpoints.Registry { return registry }
 	}
 	n := 0
-	put := func() AttemptResponse {
+	send := func() AttemptResponse {
 		n++
 		ctx, cancel := context.WithTimeout(ctx, time.Second)
 		defer cancel()
-		return f.admit(ctx, &Attempt{ID: fmt.Sprint(n), Service: "desk", Instance: "a", Route: "w", Method: "GET", URI: "/", Host: "x", Timeout: time.Second, TimeToTarget: time.Second}, trace.Root())
+		return in.admit(ctx, &Attempt{ID: fmt.Sprint(n), Service: "desk", Instance: "a", Route: "w", Method: "GET", URI: "/", Host: "x", Timeout: time.Second, TimeToTarget: time.Second}, trace.Root())
 	}
 	answered := func() (count int) {
 		for range 20 {
-			response := put()
+			response := send()
 			switch {
 			case response.Outcome == routing.Answered:
 				count++
@@ -59,27 +60,27 @@
 	}
 	announce("5s")
 	if got := answered(); got != 0 {
-		t.Errorf("%d just after the sidecar's start", got)
+		t.Errorf("%d were answered just after the start", got)
 	}
-	f.started = time.Now().Add(-time.Minute)
+	in.started = time.Now().Add(-time.Minute)
 	if got := answered(); got != 4 {
-		t.Errorf("%d within a second", got)
+		t.Errorf("%d were answered within a second", got)
 	}
 	if got := len(b.runs); got != 4 {
-		t.Errorf("the backend saw %d", got)
+		t.Errorf("the backend received %d", got)
 	}
-	limit := f.ConcurrencyLimit(f.Endpoints().Endpoints()[0], time.Now())
+	limit := in.ConcurrencyLimit(in.Endpoints().Endpoints()[0], time.Now())
 	announce("0s")
-	if warm := f.ConcurrencyLimit(f.Endpoints().Endpoints()[0], time.Now()); limit != 4 || warm != 6 {
-		t.Errorf("cold it runs %d at a time, warm %d", limit, warm)
+	if warm := in.ConcurrencyLimit(in.Endpoints().Endpoints()[0], time.Now()); limit != 4 || warm != 6 {
+		t.Errorf("warming up it runs %d at a time, warm %d", limit, warm)
 	}
-	for halving, want := range map[time.Duration]int64{0: 6, 10 * time.Second: 5} {
+	for halfCapacityTime, want := range map[time.Duration]int64{0: 6, 10 * time.Second: 5} {
 		// Half of ten, or no more than the connections that it takes.
-		f.HalfCapacityTime, f.started = halving, time.Now()
-		e := f.Endpoints().Endpoints()[0]
+		in.HalfCapacityTime, in.started = halfCapacityTime, time.Now()
+		e := in.Endpoints().Endpoints()[0]
 		e.Capacity = 10
-		if got := f.ConcurrencyLimit(e, time.Now()); got != want {
-			t.Errorf("at the start, halving for %v: %d", halving, got)
+		if got := in.ConcurrencyLimit(e, time.Now()); got != want {
+			t.Errorf("at the start, half capacity for %v: %d, want %d", halfCapacityTime, got, want)
 		}
 	}
 	if got := answered(); got != 20 {
