--- a/tests/day/events.go
+++ b/tests/day/events.go
@@ -154,7 +154,7 @@
 	d.serial++
 	old := d.Fleet.Replicas[i]
 	d.Fleet.Kill(old)
-	p := d.Fleet.NewReplica(i+1, d.Fleet.Site.IP(400+d.serial), filepath.Join(d.Fleet.Dir, fmt.Sprintf("core-%d-%d", i+1, d.serial)))
+	p := d.Fleet.NewReplica(i+1, d.Fleet.Site.IP(400+d.serial), filepath.Join(d.Fleet.Dir, fmt.Sprintf("replica-%d-%d", i+1, d.serial)))
 	if err := d.Fleet.InterposeProxy(p); err != nil {
 		return err
 	}
--- a/tests/e2e/configuration_test.go
+++ b/tests/e2e/configuration_test.go
@@ -56,7 +56,7 @@
 			}
 			r, err := f.Operate(ctx, last, "PUT", "/v1/desired", configuration(3))
 			must(t, err)
-			if r.Status != 503 || r.Revoked != "not-taken" && r.Revoked != "unknown" {
+			if r.Status != 503 || r.Outcome != "not-taken" && r.Outcome != "unknown" {
 				t.Errorf("a write without a majority: %d %s", r.Status, r.Body)
 			}
 			if r, err = f.Operate(ctx, last, "GET", "/v1/desired", nil); err != nil || r.Status != 503 {
@@ -96,7 +96,7 @@
 	must(t, err)
 	f.Replicas[2].Kill()
 	old := f.Replicas[2]
-	f.Replicas[2] = f.NewReplica(3, f.Site.IP(300), filepath.Join(f.Dir, "core-3-new"))
+	f.Replicas[2] = f.NewReplica(3, f.Site.IP(300), filepath.Join(f.Dir, "replica-3-new"))
 	must(t, f.Replicas[2].Start())
 	must(t, f.Replicas[2].AwaitReady(ctx))
 	f.Replicas[0].Kill()
@@ -142,7 +142,7 @@
 		}))
 		incarnation := st.Self.Incarnation
 		f.Replicas[1].Kill()
-		dir := filepath.Join(f.Dir, "core-2")
+		dir := filepath.Join(f.Dir, "replica-2")
 		names, err := filepath.Glob(filepath.Join(dir, kind+"*"))
 		must(t, err)
 		// A file that was being written aside is nothing, and tearing it no harm.
--- a/tests/e2e/generation_test.go
+++ b/tests/e2e/generation_test.go
@@ -38,7 +38,7 @@
 	putNumbered := func(replica int, n uint64, body []byte) fleet.Reply {
 		t.Helper()
 		r := put(replica, body, "Curlewwalk-Edition", fmt.Sprint(n))
-		if r.Status != 200 || r.Revoked != "taken" {
+		if r.Status != 200 || r.Outcome != "taken" {
 			t.Errorf("edition %d: %d %s", n, r.Status, r.Body)
 		}
 		return r
@@ -55,7 +55,7 @@
 	revisionOfSeven := putNumbered(2, 7, configuration(7)).Revision
 	expectRefused := func(replica int, n uint64, body []byte) {
 		t.Helper()
-		if r := put(replica, body, "Curlewwalk-Edition", fmt.Sprint(n)); r.Status != 409 || r.Revoked != "conflict" {
+		if r := put(replica, body, "Curlewwalk-Edition", fmt.Sprint(n)); r.Status != 409 || r.Outcome != "conflict" {
 			t.Errorf("another configuration under %d: %d %s", n, r.Status, r.Body)
 		}
 	}
--- a/tests/e2e/loss_test.go
+++ b/tests/e2e/loss_test.go
@@ -42,7 +42,7 @@
 			return err == nil && r.Status == 200
 		}))
 		f.Kill(lost, other)
-		must(t, os.RemoveAll(filepath.Join(f.Dir, fmt.Sprintf("core-%d", i+1))))
+		must(t, os.RemoveAll(filepath.Join(f.Dir, fmt.Sprintf("replica-%d", i+1))))
 		must(t, f.Restart(other, lost))
 		for _, p := range f.Replicas {
 			must(t, p.AwaitReady(ctx))
--- a/tests/e2e/members_test.go
+++ b/tests/e2e/members_test.go
@@ -49,7 +49,7 @@
 }
 
 func (d *dynamicFleet) dataDirectory(n int) string {
-	return filepath.Join(d.Dir, fmt.Sprintf("core-%d", n))
+	return filepath.Join(d.Dir, fmt.Sprintf("replica-%d", n))
 }
 
 // join starts a core more, on the nth machine, without any founders.
--- a/tests/fleet/binaries.go
+++ b/tests/fleet/binaries.go
@@ -9,19 +9,19 @@
 	"strings"
 )
 
-// Binaries is a folder with the programs built.
+// Binaries is a directory with the built programs.
 type Binaries string
 
-// Build builds the programs into a folder of its own, with wall clocks that can
-// be made to jump. (DESIGN 17.2)
+// Build builds the programs into a new directory, with wall clocks that can be made to jump and
+// disks that can be made to fail. (DESIGN 17.2)
 func Build() (Binaries, error) { return BuildWith("", nil) }
 
-// SourceChange is a text of a source file, by its path in the tree, and what stands there
-// instead.
+// SourceChange replaces Old, which must occur once in a file, by New. File is relative to the
+// root of the tree.
 type SourceChange struct{ File, Old, New string }
 
-// BuildWith builds them from a tree with some texts changed, as another version of
-// the programs; the tree itself stays.
+// BuildWith builds the programs from the tree at root with some source changes, as another
+// version of them. The tree itself is not touched.
 func BuildWith(root string, changes []SourceChange) (Binaries, error) {
 	dir, err := os.MkdirTemp("", "curlewwalk-bin-")
 	if err != nil {
@@ -45,7 +45,8 @@
 	return Binaries(dir), nil
 }
 
-// overlay writes the changed files and the list of them for the go command.
+// overlay writes the changed files and the overlay file for the go command, whose path it
+// returns.
 func overlay(root, dir string, changes []SourceChange) (string, error) {
 	texts, replace := map[string]string{}, map[string]string{}
 	for i, c := range changes {
@@ -61,7 +62,7 @@
 			texts[path], replace[path] = string(b), filepath.Join(dir, fmt.Sprintf("changed-%d.go", i))
 		}
 		if strings.Count(texts[path], c.Old) != 1 {
-			return "", fmt.Errorf("%s: %q does not stand there once", c.File, c.Old)
+			return "", fmt.Errorf("%s: %q does not occur exactly once", c.File, c.Old)
 		}
 		texts[path] = strings.Replace(texts[path], c.Old, c.New, 1)
 	}
@@ -78,8 +79,8 @@
 	return list, os.WriteFile(list, b, 0o640)
 }
 
-// Path is where a program lies.
+// Path is the path of a program.
 func (b Binaries) Path(program string) string { return filepath.Join(string(b), program) }
 
-// Remove deletes the folder.
+// Remove deletes the directory.
 func (b Binaries) Remove() { os.RemoveAll(string(b)) }
--- a/tests/fleet/fleet.go
+++ b/tests/fleet/fleet.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"encoding/json"
 	"fmt"
 	"net"
 	"net/http"
@@ -10,41 +9,44 @@
 	"path/filepath"
 	"strconv"
 	"sync"
-	"time"
 
 	"curlewwalk/tests/fakes"
 	"curlewwalk/tests/faultproxy"
 	"curlewwalk/tests/ledger"
 )
 
-// Fleet is a running fleet.
+// Fleet is a fleet of one size. Its exported fields may be changed before Start.
 type Fleet struct {
-	Size          Size
-	Site          *Site
-	Binaries      Binaries
-	Dir           string
-	Replicas      []*Program
-	Sidecars      []*Program
-	Backends      []*fakes.Backend
-	Ledger        *ledger.Ledger
-	HTTP          *http.Client
-	FirstRevision uint64                       // stamp of the configuration that Start put
-	Network       *faultproxy.Network          // set if relays stand between the machines
-	proxies       map[string]*faultproxy.Proxy // by machine
-}
-
-// ports on every machine
+	Size     Size
+	Site     *Site
+	Binaries Binaries
+	// Dir holds the data directories and the files that inject faults.
+	Dir      string
+	Replicas []*Program
+	Sidecars []*Program
+	Backends []*fakes.Backend
+	Ledger   *ledger.Ledger
+	HTTP     *http.Client
+	// FirstRevision is that of the configuration that Start puts.
+	FirstRevision uint64
+	// Network is set if proxies stand between the machines.
+	Network *faultproxy.Network
+	proxies map[string]*faultproxy.Proxy // by machine
+}
+
+// Ports on every machine.
 const (
 	portTransport   = 7400
-	portBehindProxy = 7399 // where wire binds when a relay stands on portWire
+	portBehindProxy = 7399 // of the transport, when a proxy stands on portTransport
 	portControl     = 7401
 	portRequests    = 7402
 	portBackend     = 8000
 )
 
+// hostPort joins an address and a port.
 func hostPort(ip string, port int) string { return net.JoinHostPort(ip, strconv.Itoa(port)) }
 
-// New lays a fleet out without starting anything.
+// New prepares a fleet without starting anything.
 func New(size Size, bin Binaries) (*Fleet, error) {
 	site, err := NewSite()
 	if err != nil {
@@ -59,7 +61,7 @@
 		HTTP: fakes.NewHTTPClient(),
 	}
 	for i := range size.Replicas {
-		f.Replicas = append(f.Replicas, f.NewReplica(i+1, f.ReplicaIP(i+1), filepath.Join(dir, fmt.Sprintf("core-%d", i+1))))
+		f.Replicas = append(f.Replicas, f.NewReplica(i+1, f.ReplicaIP(i+1), filepath.Join(dir, fmt.Sprintf("replica-%d", i+1))))
 	}
 	for i := range size.Machines {
 		f.Sidecars = append(f.Sidecars, f.newSidecar(i))
@@ -67,10 +69,11 @@
 	return f, nil
 }
 
-// ReplicaIP is where the core of a slot stands first.
+// ReplicaIP is the machine on which a member first runs.
 func (f *Fleet) ReplicaIP(member int) string { return f.Site.IP(200 + member) }
 
-// Seeds are the seeds of every process: two cores and a sidecar.
+// Seeds are the addresses that every process is given to find the others: two replicas and a
+// sidecar.
 func (f *Fleet) Seeds() []string {
 	out := []string{hostPort(f.ReplicaIP(1), portTransport), hostPort(f.Site.IP(0), portTransport)}
 	if f.Size.Replicas != 1 {
@@ -79,6 +82,7 @@
 	return out
 }
 
+// program prepares a process with the settings that all have.
 func (f *Fleet) program(name, program, ip, zone string, more ...string) *Program {
 	args := []string{"--wire=" + hostPort(ip, portTransport), "--control=" + hostPort(ip, portControl), "--locality=" + zone}
 	for _, s := range f.Seeds() {
@@ -87,15 +91,15 @@
 	return &Program{Name: name, IP: ip, Control: hostPort(ip, portControl), path: f.Binaries.Path(program), args: append(args, more...), clockFile: filepath.Join(f.Dir, "clock-"+ip), diskFile: filepath.Join(f.Dir, "disk-"+ip)}
 }
 
-// NewReplica lays a core out for a slot, at any address and data folder.
+// NewReplica prepares a replica with static membership, at any address and data directory.
 func (f *Fleet) NewReplica(member int, ip, data string) *Program {
-	return f.program(fmt.Sprintf("core-%d", member), "controlplane", ip, f.Zone(member-1), fmt.Sprintf("--slot=%d", member), fmt.Sprintf("--slots=%d", f.Size.Replicas), "--data="+data)
+	return f.program(fmt.Sprintf("replica-%d", member), "controlplane", ip, f.Zone(member-1), fmt.Sprintf("--slot=%d", member), fmt.Sprintf("--slots=%d", f.Size.Replicas), "--data="+data)
 }
 
-// NewJoiner lays a core out that has no static seat: the nth machine of cores, which
-// asks the others for one. With founders it is of a system's first start.
+// NewJoiner prepares a replica with dynamic membership on the nth machine for replicas, which
+// asks the others to join. With founders it takes part in the first start of a cluster.
 func (f *Fleet) NewJoiner(n int, data string, founders ...string) *Program {
-	p := f.program(fmt.Sprintf("core-%d", n), "controlplane", f.ReplicaIP(n), f.Zone(n-1), "--data="+data)
+	p := f.program(fmt.Sprintf("replica-%d", n), "controlplane", f.ReplicaIP(n), f.Zone(n-1), "--data="+data)
 	f.Replicas = append(f.Replicas, p)
 	if len(founders) > 0 {
 		p.AddArgs("--first")
@@ -106,22 +110,23 @@
 	return p
 }
 
-// ReplicaAddress is the address of the nth machine of cores for the system's own processes.
+// ReplicaAddress is the transport address of the nth machine for replicas.
 func (f *Fleet) ReplicaAddress(n int) string { return hostPort(f.ReplicaIP(n), portTransport) }
 
-// Zone is where the nth machine stands.
+// Zone is the zone of the nth machine.
 func (f *Fleet) Zone(n int) string { return f.Size.Zones[n%len(f.Size.Zones)] }
 
+// newSidecar prepares the sidecar of the nth machine.
 func (f *Fleet) newSidecar(i int) *Program {
 	ip := f.Site.IP(i)
 	return f.program(fmt.Sprintf("sidecar-%d", i), "sidecar", ip, f.Zone(i), "--inquiries="+hostPort(ip, portRequests))
 }
 
-// RequestAddress is where clients of the nth machine send.
+// RequestAddress is where clients of the nth machine send requests.
 func (f *Fleet) RequestAddress(n int) string { return hostPort(f.Site.IP(n), portRequests) }
 
-// Start starts everything, puts the configuration and waits until it is in
-// force and the backends are known everywhere.
+// Start starts everything, puts the configuration, and waits until it is in force and all
+// sidecars know the backends.
 func (f *Fleet) Start(ctx context.Context) error {
 	var wg sync.WaitGroup
 	errs := make(chan error, len(f.Replicas)+len(f.Sidecars))
@@ -158,202 +163,12 @@
 	return f.AwaitServing(ctx, revision, len(f.Size.Backends))
 }
 
-// Programs are all processes of the system.
+// Programs are all processes of the system: the replicas, then the sidecars.
 func (f *Fleet) Programs() []*Program {
 	return append(append([]*Program{}, f.Replicas...), f.Sidecars...)
 }
 
-// InterposeProxies puts a relay before every process, so that machines can be cut off.
-// It comes before Start.
-func (f *Fleet) InterposeProxies() error {
-	f.Network, f.proxies = faultproxy.NewNetwork(), map[string]*faultproxy.Proxy{}
-	for _, p := range f.Programs() {
-		if err := f.InterposeProxy(p); err != nil {
-			return err
-		}
-	}
-	return nil
-}
-
-// InterposeProxy puts a relay before one process.
-func (f *Fleet) InterposeProxy(p *Program) error {
-	r, err := f.Network.Listen(hostPort(p.IP, portTransport), hostPort(p.IP, portBehindProxy))
-	if err != nil {
-		return err
-	}
-	f.proxies[p.IP] = r
-	p.AddArgs("--wire="+hostPort(p.IP, portBehindProxy), "--advertise="+hostPort(p.IP, portTransport))
-	return nil
-}
-
-// Kill ends processes at once; their addresses refuse connections then.
-func (f *Fleet) Kill(ps ...*Program) {
-	for _, p := range ps {
-		p.Kill()
-		if r := f.proxies[p.IP]; r != nil {
-			r.Refuse()
-		}
-	}
-}
-
-// JumpClock puts a program's wall clock off by so much from now on, also when it is
-// started again.
-func (f *Fleet) JumpClock(p *Program, by time.Duration) error {
-	return os.WriteFile(p.clockFile, []byte(by.String()), 0o640)
-}
-
-// The troubles that a disk may have.
-const (
-	DiskHealthy = "well"
-	DiskStall   = "stall" // no write comes to an end
-	DiskFull    = "full"  // each write fails
-	DiskSlow    = "slow"  // each write takes 0.3 s longer
-)
-
-// SetDiskFault gives a core's disk a trouble from now on.
-func (f *Fleet) SetDiskFault(p *Program, fault string) error {
-	return os.WriteFile(p.diskFile, []byte(fault), 0o640)
-}
-
-// PowerOff kills processes together with all that was still on its way from or
-// to them.
-func (f *Fleet) PowerOff(ps ...*Program) {
-	for _, p := range ps {
-		f.proxies[p.IP].Drop()
-	}
-	f.Kill(ps...)
-}
-
-// ResetConnections ends all connections that others have to a process.
-func (f *Fleet) ResetConnections(p *Program) {
-	if proxy := f.proxies[p.IP]; proxy != nil {
-		proxy.Drop()
-	}
-}
-
-// PowerOffZone kills all that stands in one zone, backends included.
-func (f *Fleet) PowerOffZone(zone string) (programs []*Program, backends []*fakes.Backend) {
-	for i, p := range f.Sidecars {
-		if f.Zone(i) == zone {
-			programs = append(programs, p)
-		}
-	}
-	for i, p := range f.Replicas {
-		if f.Zone(i) == zone {
-			programs = append(programs, p)
-		}
-	}
-	for _, b := range f.Backends {
-		if b.Zone == zone {
-			b.Kill()
-			backends = append(backends, b)
-		}
-	}
-	f.Kill(programs...)
-	return programs, backends
-}
-
-// Restart starts processes again that were ended.
-func (f *Fleet) Restart(ps ...*Program) error {
-	for _, p := range ps {
-		if r := f.proxies[p.IP]; r != nil {
-			r.Refuse() // one that stopped by itself still accepts
-			if err := r.Accept(); err != nil {
-				return err
-			}
-		}
-		if err := p.Start(); err != nil {
-			return err
-		}
-	}
-	return nil
-}
-
-// StartBackend starts a backend on the nth machine.
-func (f *Fleet) StartBackend(n int, service, instance string, port int) (*fakes.Backend, error) {
-	return f.StartBackendOn(hostPort(f.Site.IP(n), port), n, service, instance, 0)
-}
-
-// StartBackendOn starts a backend at an address of the nth machine; share is
-// how warm it says that it is, zero for warm.
-func (f *Fleet) StartBackendOn(addr string, n int, service, instance string, share float64) (*fakes.Backend, error) {
-	b := &fakes.Backend{
-		Instance: instance, Service: service, Zone: f.Zone(n), Capacity: f.Size.Capacity, Warmth: share, SlowFactor: f.Size.SlowFactor[f.Zone(n)],
-		Control: f.Sidecars[n].Control, RequestPlans: f.Size.Plans, Ledger: f.Ledger, HTTP: f.HTTP,
-	}
-	f.Backends = append(f.Backends, b)
-	return b, b.Start(addr)
-}
-
-// sidecarNode is what is read of GET /v1/nodes.
-type sidecarNode struct {
-	Address  string `json:"address"`
-	Backends []struct {
-		Instance string `json:"instance"`
-		Leaving  bool   `json:"leaving"`
-	} `json:"backends"`
-}
-
-// AwaitServing waits until every sidecar has a stamp in force and knows of a
-// number of backends that are not leaving.
-func (f *Fleet) AwaitServing(ctx context.Context, revision uint64, backends int) error {
-	for _, p := range f.Sidecars {
-		if !p.Running() {
-			continue
-		}
-		err := Await(ctx, fmt.Sprintf("%s at stamp %d with %d backends", p.Name, revision, backends), func(ctx context.Context) bool {
-			known, ok := servingBackends(ctx, p)
-			if !ok || known != backends {
-				return false
-			}
-			current, err := f.Revision(ctx, p)
-			return err == nil && current >= revision
-		})
-		if err != nil {
-			return err
-		}
-	}
-	return nil
-}
-
-// servingBackends counts the backends that a sidecar knows of and that are not leaving; ok
-// is false if it does not answer.
-func servingBackends(ctx context.Context, p *Program) (count int, ok bool) {
-	var nodes []sidecarNode
-	if _, err := p.Get(ctx, "/v1/nodes", &nodes); err != nil {
-		return 0, false
-	}
-	for _, node := range nodes {
-		for _, backend := range node.Backends {
-			if !backend.Leaving {
-				count++
-			}
-		}
-	}
-	return count, true
-}
-
-// Revision reads the stamp that a sidecar has in force.
-func (f *Fleet) Revision(ctx context.Context, p *Program) (uint64, error) {
-	var st struct {
-		Stamp uint64 `json:"stamp"`
-	}
-	_, err := p.Get(ctx, "/v1/stats", &st)
-	return st.Stamp, err
-}
-
-// Configuration is the fleet's plans as an operator would put them.
-func (f *Fleet) Configuration() []byte {
-	var routes, contracts []map[string]any
-	for _, p := range f.Size.Plans {
-		routes = append(routes, map[string]any{"name": p.Name, "prefix": p.Prefix, "methods": []string{p.Method}, "service": p.Service, "contract": p.Name, "repeatable": p.Idempotent})
-		contracts = append(contracts, map[string]any{"name": p.Name, "aim": p.LatencyTarget.String(), "expiry": p.Deadline.String(), "rank": p.Priority})
-	}
-	b, _ := json.MarshalIndent(map[string]any{"ways": routes, "contracts": contracts}, "", "  ")
-	return b
-}
-
-// ReplicaIPs are the machines of the cores.
+// ReplicaIPs are the machines of the replicas.
 func (f *Fleet) ReplicaIPs() (out []string) {
 	for _, p := range f.Replicas {
 		out = append(out, p.IP)
@@ -361,29 +176,6 @@
 	return out
 }
 
-// NewClient makes a client on the nth machine.
-func (f *Fleet) NewClient(n int, rate float64) *fakes.Client {
-	return &fakes.Client{Name: fmt.Sprintf("caller-%d", n), Address: f.RequestAddress(n), Zone: f.Zone(n), Rate: rate, Plans: f.Size.Plans, Ledger: f.Ledger, HTTP: f.HTTP, Seed: uint64(n)}
-}
-
-// RunClients has clients on all machines send at the fleet's rate until ctx ends.
-func (f *Fleet) RunClients(ctx context.Context, clients ...*fakes.Client) {
-	var wg sync.WaitGroup
-	for _, c := range clients {
-		wg.Go(func() { c.Run(ctx) })
-	}
-	wg.Wait()
-}
-
-// Clients makes a client for every machine, sharing the fleet's rate.
-func (f *Fleet) Clients() []*fakes.Client {
-	var out []*fakes.Client
-	for i := range f.Sidecars {
-		out = append(out, f.NewClient(i, f.Size.Rate/float64(len(f.Sidecars))))
-	}
-	return out
-}
-
 // Close ends everything that is still running.
 func (f *Fleet) Close() {
 	for _, b := range f.Backends {
--- a/tests/fleet/links.go
+++ b/tests/fleet/links.go
@@ -5,17 +5,24 @@
 	"fmt"
 )
 
-// LinkCounts counts how backends' outgoing calls were tied to their causes, against
-// what the stand-ins know.
-type LinkCounts struct{ Calls, Correct, Unlinked, Proven, ProvenWrong int }
+// LinkCounts counts how backends' outgoing calls were linked to the requests that caused them,
+// compared with what the fakes recorded.
+type LinkCounts struct {
+	// Calls counts the calls, Correct those linked to their cause, Unlinked those linked to
+	// none.
+	Calls, Correct, Unlinked int
+	// Proven counts the links that are marked as proven, ProvenWrong those of them that are
+	// wrong.
+	Proven, ProvenWrong int
+}
 
-// String is the count as text.
+// String prints the counts.
 func (n LinkCounts) String() string {
-	return fmt.Sprintf("%d calls, right %.1f%%, untied %d, proven %.1f%%, proven and wrong %d",
+	return fmt.Sprintf("%d calls, correct %.1f%%, unlinked %d, proven %.1f%%, proven and wrong %d",
 		n.Calls, 100*float64(n.Correct)/float64(max(1, n.Calls)), n.Unlinked, 100*float64(n.Proven)/float64(max(1, n.Calls)), n.ProvenWrong)
 }
 
-// CountLinks reads the trees of up to most inner calls.
+// CountLinks reads the traces of up to limit inner calls.
 func (f *Fleet) CountLinks(ctx context.Context, limit int) (counts LinkCounts, err error) {
 	for _, inner := range f.Ledger.InnerCalls() {
 		if counts.Calls++; counts.Calls > limit {
--- a/tests/fleet/operate.go
+++ b/tests/fleet/operate.go
@@ -15,13 +15,14 @@
 type Reply struct {
 	Status   int
 	Revision uint64
-	// Generation is the operator's own number of what was read.
+	// Generation is the operator's own number of the configuration that was read.
 	Generation uint64
-	Revoked    string
-	Body       []byte
+	// Outcome is what became of a command; empty for a read.
+	Outcome string
+	Body    []byte
 }
 
-// Operate sends an operator's request to a core.
+// Operate sends an operator's request to a replica. header holds names and values in turn.
 func (f *Fleet) Operate(ctx context.Context, replica *Program, method, path string, body []byte, header ...string) (Reply, error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+replica.Control+path, bytes.NewReader(body))
 	if err != nil {
@@ -42,27 +43,26 @@
 	r.Revision, _ = strconv.ParseUint(resp.Header.Get("Curlewwalk-Stamp"), 10, 64)
 	r.Generation, _ = strconv.ParseUint(resp.Header.Get("Curlewwalk-Edition"), 10, 64)
 	var out struct {
-		Taken string `json:"taken"`
+		Outcome string `json:"taken"`
 	}
 	json.Unmarshal(r.Body, &out)
-	r.Revoked = out.Taken
+	r.Outcome = out.Outcome
 	return r, nil
 }
 
-// EvacuateZone asks a core to empty a zone, and TakeBack to take it back; the ledger
-// goes by when they were asked.
+// EvacuateZone asks a replica to evacuate a zone; the ledger goes by when it was asked.
 func (f *Fleet) EvacuateZone(ctx context.Context, replica *Program, zone string) (Reply, error) {
 	f.Ledger.RecordEvacuation(zone, time.Now())
 	return f.operateOK(ctx, replica, http.MethodPut, "/v1/localities/"+zone+"/emptied", nil)
 }
 
-// RestoreZone asks a core to take a zone back.
+// RestoreZone asks a replica to restore an evacuated zone.
 func (f *Fleet) RestoreZone(ctx context.Context, replica *Program, zone string) (Reply, error) {
 	f.Ledger.RecordRestored(zone, time.Now())
 	return f.operateOK(ctx, replica, http.MethodDelete, "/v1/localities/"+zone+"/emptied", nil)
 }
 
-// operateOK is Operate for what must be taken.
+// operateOK is Operate for a request that must succeed.
 func (f *Fleet) operateOK(ctx context.Context, replica *Program, method, path string, body []byte) (Reply, error) {
 	r, err := f.Operate(ctx, replica, method, path, body)
 	if err == nil && r.Status != http.StatusOK {
@@ -71,7 +71,7 @@
 	return r, err
 }
 
-// PutConfiguration puts a configuration to the nth core and returns its stamp.
+// PutConfiguration puts a configuration at the nth replica and returns its revision.
 func (f *Fleet) PutConfiguration(ctx context.Context, replica int, body []byte) (uint64, error) {
 	r, err := f.operateOK(ctx, f.Replicas[replica], http.MethodPut, "/v1/desired", body)
 	return r.Revision, err
--- a/tests/fleet/program.go
+++ b/tests/fleet/program.go
@@ -18,15 +18,15 @@
 	"time"
 )
 
-// Program is one process of the system.
+// Program is one process of the system. It can be started, ended and started again.
 type Program struct {
 	Name      string
 	IP        string
 	Control   string
 	path      string
 	args      []string
-	clockFile string // the file that says by how much the wall clock has jumped
-	diskFile  string // the file that says what trouble the disk has
+	clockFile string // holds by how much the wall clock has jumped
+	diskFile  string // holds the fault of the disk
 
 	cmd    *exec.Cmd
 	stdout *output
@@ -34,7 +34,10 @@
 	exited chan struct{}
 }
 
-// output keeps the end of what a process said.
+// maxOutput is how many bytes of a process's output are kept, about.
+const maxOutput = 1 << 20
+
+// output keeps what a process writes, up to a limit.
 type output struct {
 	mu     sync.Mutex
 	buffer bytes.Buffer
@@ -44,13 +47,13 @@
 func (o *output) Write(p []byte) (int, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.buffer.Len() < 1<<20 {
+	if o.buffer.Len() < maxOutput {
 		o.buffer.Write(p)
 	}
 	return len(p), nil
 }
 
-// String is what was said.
+// String is what was written.
 func (o *output) String() string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -63,7 +66,7 @@
 // AddArgs adds flags for the next start.
 func (p *Program) AddArgs(more ...string) { p.args = append(p.args, more...) }
 
-// RemoveArgs takes flags away for the next start.
+// RemoveArgs removes flags, by their names, for the next start.
 func (p *Program) RemoveArgs(names ...string) {
 	p.args = slices.DeleteFunc(p.args, func(a string) bool {
 		name, _, _ := strings.Cut(a, "=")
@@ -71,7 +74,7 @@
 	})
 }
 
-// Start starts the process and returns once its addresses stand.
+// Start starts the process and returns once it listens on its addresses.
 func (p *Program) Start() error {
 	p.cmd = exec.Command(p.path, p.args...)
 	p.cmd.Env = append(os.Environ(), "CURLEWWALK_PROOF_CLOCK="+p.clockFile, "CURLEWWALK_PROOF_DISK="+p.diskFile)
@@ -91,7 +94,7 @@
 	p.exited = exited
 	cmd, stdout := p.cmd, p.stdout
 	go func() {
-		io.Copy(stdout, reader) // a full pipe would hold the process up
+		io.Copy(stdout, reader) // a full pipe would block the process
 		cmd.Wait()
 		close(exited)
 	}()
@@ -111,7 +114,7 @@
 	<-p.exited
 }
 
-// Stop warns the process and returns its exit code once it has ended.
+// Stop sends SIGTERM and returns the exit code once the process has ended.
 func (p *Program) Stop() int {
 	p.Signal(syscall.SIGTERM)
 	<-p.exited
@@ -144,7 +147,8 @@
 	return p.stderr.String()
 }
 
-// Get reads a JSON page of the process's control address.
+// Get reads a JSON document from the process's control address and returns the status. With
+// a nil into only the status is read.
 func (p *Program) Get(ctx context.Context, path string, into any) (int, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.Control+path, nil)
 	if err != nil {
@@ -161,21 +165,22 @@
 	return resp.StatusCode, json.NewDecoder(resp.Body).Decode(into)
 }
 
-// Await asks again and again until ok, or fails when ctx ends.
+// Await calls ok again and again until it returns true, or fails when ctx ends. what says in the
+// error what was waited for.
 func Await(ctx context.Context, what string, ok func(ctx context.Context) bool) error {
 	tick := time.NewTicker(20 * time.Millisecond)
 	defer tick.Stop()
 	for !ok(ctx) {
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("waited in vain for: %s", what)
+			return fmt.Errorf("timed out waiting for %s", what)
 		case <-tick.C:
 		}
 	}
 	return nil
 }
 
-// AwaitReady waits until the process says that it is ready.
+// AwaitReady waits until the process reports that it is ready.
 func (p *Program) AwaitReady(ctx context.Context) error {
 	return Await(ctx, p.Name+" ready", func(ctx context.Context) bool {
 		status, err := p.Get(ctx, "/ready", nil)
--- a/tests/fleet/report.go
+++ b/tests/fleet/report.go
@@ -12,20 +12,21 @@
 	"curlewwalk/tests/ledger"
 )
 
-// Report sums up what callers saw.
+// Report sums up what clients got, by request plan.
 type Report struct {
 	mu    sync.Mutex
 	plans map[string]*planStats
 }
 
+// planStats are the answers to the requests of one plan.
 type planStats struct {
 	latencies     []time.Duration
 	good          int
-	withinTarget  int // good and within the aim
+	withinTarget  int // good, and within the latency target
 	latencyTarget time.Duration
 }
 
-// Record takes one answer.
+// Record takes in one answer.
 func (r *Report) Record(p fakes.RequestPlan, a ledger.Answered, took time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -46,7 +47,7 @@
 	}
 }
 
-// String is the report as text.
+// String prints a line for each plan.
 func (r *Report) String() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -57,7 +58,7 @@
 		q := func(x float64) time.Duration {
 			return l.latencies[int(x*float64(len(l.latencies)-1))].Round(100 * time.Microsecond)
 		}
-		fmt.Fprintf(&b, "%-18s %6d sent %6d good  half %8v  95%% %8v  99%% %8v  good within aim %5.1f%%\n",
+		fmt.Fprintf(&b, "%-18s %6d sent %6d good  half %8v  95%% %8v  99%% %8v  good within target %5.1f%%\n",
 			name, len(l.latencies), l.good, q(0.5), q(0.95), q(0.99), 100*float64(l.withinTarget)/float64(len(l.latencies)))
 	}
 	return b.String()
--- a/tests/fleet/site.go
+++ b/tests/fleet/site.go
@@ -1,5 +1,3 @@
-// Package fleet runs a whole fleet on one machine: each "machine" is its own
-// 127.x.y.z address with its own processes. (DESIGN 14.1)
 package fleet
 
 import (
@@ -9,7 +7,7 @@
 	"sync/atomic"
 )
 
-// Site is a range of loopback addresses that this run has to itself.
+// Site is a range of loopback addresses that one fleet has to itself.
 type Site struct {
 	octet int
 	lock  net.Listener
@@ -17,11 +15,11 @@
 
 const firstOctet, octets = 10, 240
 
-// nextSite lets each run take the range after the one before it: what a run that has
-// just ended had open may linger for a moment.
+// nextSite lets each fleet of this process use the range after the one before it: sockets of a
+// fleet that has just ended may linger for a moment.
 var nextSite atomic.Int64
 
-// NewSite finds a range that no other run holds.
+// NewSite reserves a range that no other fleet uses.
 func NewSite() (*Site, error) {
 	for range octets {
 		octet := firstOctet + int(nextSite.Add(1)-1+int64(os.Getpid()))%octets
@@ -36,5 +34,5 @@
 // IP is the address of the nth machine.
 func (s *Site) IP(n int) string { return fmt.Sprintf("127.%d.%d.%d", s.octet, n/200, n%200+1) }
 
-// Close gives the range back.
+// Close releases the range.
 func (s *Site) Close() { s.lock.Close() }
--- a/tests/fleet/size.go
+++ b/tests/fleet/size.go
@@ -11,17 +11,17 @@
 	Name     string
 	Replicas int
 	Machines int
-	Zones    []string
-	// Backends lists services; backend i stands on machine i and is of service
-	// Backends[i].
+	Zones    []string // machine i is in zone i modulo their number
+	// Backends lists services; backend i runs on machine i and serves Backends[i].
 	Backends []string
-	Capacity int
-	Rate     float64
+	Capacity int     // of each backend, in requests at a time
+	Rate     float64 // of all clients together, in requests a second
 	Plans    []fakes.RequestPlan
-	// SlowFactor is by how much the backends of a zone are slower than planned.
+	// SlowFactor is by how many times the backends of a zone are slower than planned.
 	SlowFactor map[string]float64
 }
 
+// fourZones are the zones of both deployments.
 var fourZones = []string{"north", "east", "south", "west"}
 
 // RepeatServices lists services in turn until there are n.
@@ -33,7 +33,7 @@
 	return out
 }
 
-// Deployment is the size of a deployment by its name.
+// Deployment is the size of a deployment by its name: heating, or association for any other.
 func Deployment(name string) Size {
 	if name == "heating" {
 		return Heating()
@@ -41,7 +41,7 @@
 	return Association()
 }
 
-// Association is the window and door association.
+// Association is the size of the window and door association.
 func Association() Size {
 	return Size{
 		Name: "association", Replicas: 3, Machines: 13, Zones: fourZones, Backends: RepeatServices(13, "orders", "stock", "surveys"), Capacity: 9, Rate: 210,
@@ -55,7 +55,7 @@
 	}
 }
 
-// Heating is the heating firm.
+// Heating is the size of the heating firm.
 func Heating() Size {
 	return Size{
 		Name: "heating", Replicas: 5, Machines: 12, Zones: fourZones, Backends: RepeatServices(12, "setpoints", "meters", "firmware"), Capacity: 9, Rate: 140,
--- a/tests/fleet/trace.go
+++ b/tests/fleet/trace.go
@@ -1,6 +1,6 @@
 package fleet
 
-// TraceTree is what is read of GET /v1/traces.
+// TraceTree is the part of GET /v1/traces/ID that is read.
 type TraceTree struct {
 	Spans   int        `json:"spans"`
 	Whole   bool       `json:"whole"`
@@ -8,7 +8,7 @@
 	Unasked []int      `json:"unasked"`
 }
 
-// SpanNode is one span of a tree.
+// SpanNode is one span of a trace, with the spans that it caused.
 type SpanNode struct {
 	Span       string   `json:"span"`
 	Parent     string   `json:"parent"`
@@ -29,7 +29,7 @@
 	Children []SpanNode `json:"children"`
 }
 
-// findSpan looks for a span.
+// findSpan searches a tree for a span.
 func findSpan(in []SpanNode, span string) (SpanNode, bool) {
 	for _, b := range in {
 		if b.Span == span {
