--- a/tests/ledger/ledger_test.go
+++ b/tests/ledger/ledger_test.go
@@ -6,23 +6,22 @@
 	"time"
 )
 
-// Each check of the ledger can fail: a good record passes, and each defect in
-// it is told.
+// Each rule of the ledger can fail: good records pass, and each defect in them is reported.
 func TestEachRuleCanFail(t *testing.T) {
 	base := time.Now()
 	at := func(s float64) time.Time { return base.Add(time.Duration(s * float64(time.Second))) }
 	sent := Sent{ID: "a", Service: "orders", Digest: "d", Caller: "stock", At: at(0)}
 	ran := Ran{ID: "a", Service: "orders", Instance: "o-1", Zone: "west", Digest: "d", Caller: "stock", At: at(0.1)}
 	answered := Answered{ID: "a", Status: 200}
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		defect func(l *Ledger)
-		told   string
+		want   string // part of the breach; "" for none
 	}{
 		"nothing":       {func(*Ledger) {}, ""},
 		"run twice":     {func(l *Ledger) { l.RecordRun(ran) }, "must run once and ran 2"},
 		"never sent":    {func(l *Ledger) { r := ran; r.ID = "b"; l.RecordRun(r) }, "nobody sent it"},
 		"altered":       {func(l *Ledger) { r := ran; r.Digest = "x"; l.ran["a"] = []Ran{r} }, "altered"},
-		"wrong caller":  {func(l *Ledger) { r := ran; r.Caller = "forged"; l.ran["a"] = []Ran{r} }, "told to be by"},
+		"wrong caller":  {func(l *Ledger) { r := ran; r.Caller = "forged"; l.ran["a"] = []Ran{r} }, "reported to be from"},
 		"wrong service": {func(l *Ledger) { r := ran; r.Service = "stock"; l.ran["a"] = []Ran{r} }, "ran at o-1 of stock"},
 		"false promise": {func(l *Ledger) { l.RecordAnswer(Answered{ID: "a", Status: 503, Outcome: "not-run"}) }, "promised not to have run"},
 		"refused again": {func(l *Ledger) {
@@ -51,34 +50,36 @@
 			l.RecordRun(ran)
 			l.RecordAnswer(Answered{ID: "a", Status: 200, UnansweredSends: 1})
 		}, "must run once and ran 2"},
-		"wrong answer":  {func(l *Ledger) { l.RecordAnswer(Answered{ID: "a", Status: 200, Mismatch: "cut short"}) }, "wrong answer: cut short"},
-		"from nowhere":  {func(l *Ledger) { l.RecordAnswer(Answered{ID: "c", Status: 200}) }, "never ran"},
-		"after leaving": {func(l *Ledger) { l.RecordLeaving(Leaving{Instance: "o-1", At: at(-2)}) }, "after it had left"},
-		"left just now": {func(l *Ledger) { l.RecordLeaving(Leaving{Instance: "o-1", At: at(-1)}) }, ""},
-		"emptied":       {func(l *Ledger) { l.RecordEvacuation("west", at(-5)) }, "after it was to be emptied"},
-		"taken back":    {func(l *Ledger) { l.RecordEvacuation("west", at(-9)); l.RecordRestored("west", at(0)) }, ""},
-		"extra tries": {func(l *Ledger) {
+		"wrong answer":         {func(l *Ledger) { l.RecordAnswer(Answered{ID: "a", Status: 200, Mismatch: "truncated"}) }, "wrong answer: truncated"},
+		"answer without a run": {func(l *Ledger) { l.RecordAnswer(Answered{ID: "c", Status: 200}) }, "never ran"},
+		"after leaving":        {func(l *Ledger) { l.RecordLeaving(Leaving{Instance: "o-1", At: at(-2)}) }, "after it had left"},
+		"still draining":       {func(l *Ledger) { l.RecordLeaving(Leaving{Instance: "o-1", At: at(-1)}) }, ""},
+		"evacuated":            {func(l *Ledger) { l.RecordEvacuation("west", at(-5)) }, "after its evacuation"},
+		"restored":             {func(l *Ledger) { l.RecordEvacuation("west", at(-9)); l.RecordRestored("west", at(0)) }, ""},
+		"too many retries": {func(l *Ledger) {
 			s, r := sent, ran
 			s.ID, r.ID, s.Idempotent = "e", "e", true
 			l.RecordSent(s)
 			for range 22 {
 				l.RecordRun(r)
 			}
-		}, "extra tries to orders"},
+		}, "retries to orders"},
 	} {
-		l := New()
-		l.RecordSent(sent)
-		l.RecordRun(ran)
-		l.RecordAnswer(answered)
-		c.defect(l)
-		v := l.Judge()
-		if got := breachText(v.Breaches); (c.told == "") != (got == "") || !strings.Contains(got, c.told) {
-			t.Errorf("%s: told %q, want %q", name, got, c.told)
-		}
+		t.Run(name, func(t *testing.T) {
+			l := New()
+			l.RecordSent(sent)
+			l.RecordRun(ran)
+			l.RecordAnswer(answered)
+			test.defect(l)
+			got := breachText(l.Judge().Breaches)
+			if (test.want == "") != (got == "") || !strings.Contains(got, test.want) {
+				t.Errorf("breaches %q, want %q", got, test.want)
+			}
+		})
 	}
 }
 
-// breachText is what the breaches tell.
+// breachText joins the descriptions of breaches.
 func breachText(all []Breach) string {
 	var out []string
 	for _, b := range all {
--- a/tests/ledger/retries.go
+++ b/tests/ledger/retries.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
+// The users' bound on retries: in any window of ten seconds a fifth of a service's first
+// attempts, and a small allowance.
 const (
-	retryWindow = 10 * time.Second
-	retryShare  = 0.2
-	// retryAllowance is what the brief's small allowance is taken for.
+	retryWindow    = 10 * time.Second
+	retryShare     = 0.2
 	retryAllowance = 20
 )
 
-// judgeRetries slides a window over the runs of each service: those beyond the
-// first of each request are extra tries.
+// judgeRetries judges the retries to each service: the runs of a request beyond its first.
 func (l *Ledger) judgeRetries(v *Verdict) {
 	for service, runs := range l.runsByService() {
 		slices.SortFunc(runs, func(a, b run) int { return a.at.Compare(b.at) })
@@ -21,12 +21,13 @@
 	}
 }
 
-// run is a run as the window counts it: one beyond a request's first is extra.
+// run is a run as the windows count it.
 type run struct {
 	at    time.Time
 	retry bool
 }
 
+// runsByService lists all runs by service, those of one request in the order of recording.
 func (l *Ledger) runsByService() map[string][]run {
 	byService := map[string][]run{}
 	for _, runs := range l.ran {
@@ -37,8 +38,8 @@
 	return byService
 }
 
-// judgeRetryWindows checks each window that ends with a run; the runs are in order of
-// time. The first window that has too many extra runs is told.
+// judgeRetryWindows slides a window over the runs of a service, which are in the order of time.
+// Only the first window with too many retries is reported.
 func judgeRetryWindows(v *Verdict, service string, runs []run) {
 	first, retries, from := 0, 0, 0
 	count := func(r run, n int) {
@@ -55,7 +56,7 @@
 			from++
 		}
 		if float64(retries) > retryShare*float64(first)+retryAllowance {
-			v.breach(RuleRetryBudget, "", "%d extra tries to %s beside %d in 10 s", retries, service, first)
+			v.breach(RuleRetryBudget, "", "%d retries to %s beside %d first attempts in 10 s", retries, service, first)
 			return
 		}
 	}
--- a/tests/ledger/spread.go
+++ b/tests/ledger/spread.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// spread tells, for each service, how unevenly its backends were used.
+// spread describes, for each service, how evenly its backends were used.
 func (l *Ledger) spread() map[string]string {
 	runs := map[string]map[string]int{}
 	for _, list := range l.ran {
