--- a/tests/fakes/backend.go
+++ b/tests/fakes/backend.go
@@ -17,35 +17,37 @@
 	"curlewwalk/tests/ledger"
 )
 
-// Backend is one backend instance on a machine.
+// Backend is one backend instance on a machine. It announces itself to the sidecar of that
+// machine, and runs requests by the plans. The exported fields are set before Start.
 type Backend struct {
 	Instance string
 	Service  string
 	Zone     string
 	Capacity int
-	// Warmth is what it says of its warm-up; zero means warm.
+	// Warmth is the share of its capacity that it announces; zero for all of it.
 	Warmth float64
-	// SlowFactor is how many times longer than planned it works; zero means as planned.
+	// SlowFactor is how many times longer than planned it works; zero for as planned.
 	SlowFactor float64
-	// TemporarySlowFactor is as Slow, of a while; zero if it is none.
-	TemporarySlowFactor atomic.Int64
-	// CountsAnnouncements reports whether its announcements are counted.
+	// CountsAnnouncements is set if its announcements are numbered.
 	CountsAnnouncements bool
 	Control             string // the sidecar's control address
 	RequestPlans        []RequestPlan
 	Ledger              *ledger.Ledger
 	HTTP                *http.Client
-	// Handle, if set, takes the place of the ordinary behaviour.
+	// Handle, if set, replaces the ordinary behaviour.
 	Handle http.Handler
 
-	listener net.Listener
-	server   *http.Server
-	// GarblePercent is how many in a hundred answers are lost or wrong.
+	// TemporarySlowFactor is a further SlowFactor that may change at any time; zero for none.
+	TemporarySlowFactor atomic.Int64
+	// GarblePercent is how many of a hundred answers are lost or malformed.
 	GarblePercent atomic.Int64
-	outgoing      atomic.Value
+	// Peak is the most requests that it ran at a time, Runs counts all.
+	Peak, Runs atomic.Int64
+
+	listener      net.Listener
+	server        *http.Server
+	outgoing      atomic.Value // string: where its own calls are sent
 	open          atomic.Int64
-	Peak          atomic.Int64
-	Runs          atomic.Int64
 	stop          context.CancelFunc
 	done          chan struct{}
 	leaving       atomic.Bool
@@ -53,7 +55,13 @@
 	announcements atomic.Int64
 }
 
-// Start listens on addr and announces itself until stopped.
+// Timing of announcements.
+const (
+	announceInterval = 500 * time.Millisecond
+	announceTimeout  = 400 * time.Millisecond
+)
+
+// Start listens on addr, and announces the backend until it is killed or stopped.
 func (b *Backend) Start(addr string) error {
 	ln, err := faultproxy.Bind(addr)
 	if err != nil {
@@ -75,17 +83,17 @@
 // Addr is where the backend listens.
 func (b *Backend) Addr() string { return b.listener.Addr().String() }
 
-// Open is how many requests it is working on.
+// Open is how many requests it is running.
 func (b *Backend) Open() int64 { return b.open.Load() }
 
-// Kill ends the backend at once, cutting what is open.
+// Kill ends the backend at once; what it runs is interrupted.
 func (b *Backend) Kill() {
 	b.stop()
 	b.server.Close()
 	<-b.done
 }
 
-// Leave says that the backend is leaving. It serves on.
+// Leave announces that the backend is leaving. It goes on serving.
 func (b *Backend) Leave(ctx context.Context) error {
 	b.leaving.Store(true)
 	if err := b.announce(ctx, true); err != nil {
@@ -95,8 +103,8 @@
 	return nil
 }
 
-// Deregister says that the backend has gone, without having said that it is leaving, and
-// announces it no more. It serves on.
+// Deregister takes the backend out without announcing before that it is leaving, and ends its
+// announcements. It goes on serving.
 func (b *Backend) Deregister(ctx context.Context) error {
 	b.StopAnnouncing()
 	if err := b.deregister(ctx); err != nil {
@@ -106,7 +114,8 @@
 	return nil
 }
 
-// deregister is a word of leaving. One of a backend that is not known is taken as well.
+// deregister asks the sidecar to take the backend out. It is no error if the sidecar does not
+// know it.
 func (b *Backend) deregister(ctx context.Context) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodDelete, "http://"+b.Control+"/v1/backends/"+b.Instance, nil)
 	if err != nil {
@@ -118,28 +127,30 @@
 	}
 	resp.Body.Close()
 	if resp.StatusCode/100 != 2 && resp.StatusCode != http.StatusNotFound {
-		return fmt.Errorf("word of leaving: status %d", resp.StatusCode)
+		return fmt.Errorf("deregister: status %d", resp.StatusCode)
 	}
 	return nil
 }
 
-// SendLateAnnouncement sends an announcement from before the backend said that it is leaving.
+// SendLateAnnouncement sends an announcement from before the backend announced that it is
+// leaving.
 func (b *Backend) SendLateAnnouncement(ctx context.Context) error { return b.announce(ctx, false) }
 
-// CaptureAnnouncement is an announcement as it stands now, to be sent at any time, and again.
+// CaptureAnnouncement makes an announcement as of now, which send sends at any later time, and
+// more than once.
 func (b *Backend) CaptureAnnouncement() (send func(ctx context.Context) error) {
 	body := b.announcement(b.leaving.Load())
 	return func(ctx context.Context) error { return b.sendAnnouncement(ctx, body) }
 }
 
-// StopAnnouncing ends the announcements. It serves on.
+// StopAnnouncing ends the announcements. The backend goes on serving.
 func (b *Backend) StopAnnouncing() {
 	b.stop()
 	<-b.done
 }
 
-// AnnounceLeaving says once that the backend is leaving, by its announcement or by a word of leaving;
-// the caller tells the ledger.
+// AnnounceLeaving says once that the backend is leaving: by an announcement, or by deregistering
+// it. The caller records that.
 func (b *Backend) AnnounceLeaving(ctx context.Context, deregister bool) error {
 	if !deregister {
 		b.leaving.Store(true)
@@ -148,12 +159,13 @@
 	return b.deregister(ctx)
 }
 
+// announceLoop announces the backend until ctx ends.
 func (b *Backend) announceLoop(ctx context.Context) {
 	defer close(b.done)
-	tick := time.NewTicker(500 * time.Millisecond)
+	tick := time.NewTicker(announceInterval)
 	defer tick.Stop()
 	for {
-		call, cancel := context.WithTimeout(ctx, 400*time.Millisecond)
+		call, cancel := context.WithTimeout(ctx, announceTimeout)
 		b.announce(call, b.leaving.Load())
 		cancel()
 		select {
@@ -164,7 +176,7 @@
 	}
 }
 
-// announcement is what the backend says of itself now.
+// announcement is the body of an announcement as of now.
 func (b *Backend) announcement(leaving bool) []byte {
 	a := map[string]any{
 		"instance": b.Instance, "service": b.Service, "address": b.Addr(), "locality": b.Zone,
@@ -180,12 +192,13 @@
 	return body
 }
 
-// announce tells the sidecar once.
+// announce sends one announcement.
 func (b *Backend) announce(ctx context.Context, leaving bool) error {
 	return b.sendAnnouncement(ctx, b.announcement(leaving))
 }
 
-// sendAnnouncement sends an announcement.
+// sendAnnouncement sends an announcement, and keeps the address for outgoing calls that the
+// sidecar replies with.
 func (b *Backend) sendAnnouncement(ctx context.Context, body []byte) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+b.Control+"/v1/backends", bytes.NewReader(body))
 	if err != nil {
@@ -209,7 +222,7 @@
 	return nil
 }
 
-// serve runs a request: records it, works, makes its inner calls, answers.
+// serve runs a request: it records the run, works, makes the inner calls, and answers.
 func (b *Backend) serve(w http.ResponseWriter, r *http.Request) {
 	begun := time.Now()
 	n := b.open.Add(1)
@@ -223,7 +236,7 @@
 	}
 	id := r.Header.Get(headerID)
 	b.Ledger.RecordRun(ledger.Ran{
-		ID: id, Service: b.Service, Instance: b.Instance, Zone: b.Zone, Caller: r.Header.Get("Curlewwalk-Caller"),
+		ID: id, Service: b.Service, Instance: b.Instance, Zone: b.Zone, Caller: r.Header.Get(headerCaller),
 		Digest: digest(r.Method, r.RequestURI, r.Header, body), Trace: r.Header.Get("X-B3-TraceId"), Span: r.Header.Get("X-B3-SpanId"), At: time.Now(),
 	})
 	plan, ok := matchPlan(b.RequestPlans, r.Method, r.URL.Path)
@@ -247,7 +260,7 @@
 		return
 	}
 	answer := deterministicBody(id+b.Instance, 200+int(n)*10)
-	w.Header().Set("X-Proof-Instance", b.Instance)
+	w.Header().Set(headerInstance, b.Instance)
 	w.Header().Set(headerID, id)
 	w.Header().Set(headerDigest, digest("", "", w.Header(), answer))
 	w.Header().Set("Content-Length", strconv.Itoa(len(answer)))
@@ -255,7 +268,7 @@
 	w.Write(answer)
 }
 
-// writeGarbled loses an answer, or sends one that is no whole one.
+// writeGarbled loses the answer, or writes a malformed one.
 func writeGarbled(w http.ResponseWriter) {
 	c, _, err := w.(http.Hijacker).Hijack()
 	if err != nil {
@@ -268,19 +281,21 @@
 	}[rand.IntN(5)])
 }
 
-// innerCall makes one inner call through the address that the sidecar gave.
-func (b *Backend) innerCall(ctx context.Context, cause, name string) {
+// innerCall makes one inner call, through the address that the sidecar gave.
+func (b *Backend) innerCall(ctx context.Context, parent, name string) {
 	addr, _ := b.outgoing.Load().(string)
 	if addr == "" {
 		return
 	}
 	for _, plan := range b.RequestPlans {
 		if plan.Name == name {
-			sendRequest(ctx, b.HTTP, b.Ledger, addr, plan, b.Service, b.Zone, cause, fmt.Sprintf("%s/%s-%d", cause, b.Instance, b.innerCalls.Add(1)), "")
+			id := fmt.Sprintf("%s/%s-%d", parent, b.Instance, b.innerCalls.Add(1))
+			sendRequest(ctx, b.HTTP, b.Ledger, request{address: addr, plan: plan, caller: b.Service, zone: b.Zone, parent: parent, id: id})
 		}
 	}
 }
 
+// sleep waits for d, or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -290,6 +305,7 @@
 	}
 }
 
+// matchPlan is the plan of a request, by method and path.
 func matchPlan(plans []RequestPlan, method, path string) (RequestPlan, bool) {
 	for _, p := range plans {
 		if p.Method == method && len(path) >= len(p.Prefix) && path[:len(p.Prefix)] == p.Prefix {
--- a/tests/fakes/client.go
+++ b/tests/fakes/client.go
@@ -12,32 +12,34 @@
 	"curlewwalk/tests/ledger"
 )
 
-// Client is a client on one machine. It sends at a rate, whatever comes back.
+// Client is a client on one machine that sends requests at a rate, whatever the answers are.
 type Client struct {
-	Name string
-	// Zone is where its machine stands.
-	Zone    string
-	Address string // the sidecar's requests address
-	Rate    float64
+	Name    string
+	Zone    string  // of its machine
+	Address string  // where its sidecar takes requests
+	Rate    float64 // in requests a second
 	Plans   []RequestPlan
 	Ledger  *ledger.Ledger
 	HTTP    *http.Client
 	Seed    uint64
-	// Retries is how often it asks again at once after a refusal.
+	// Retries is how often it sends again at once after a refusal.
 	Retries int
-
-	// Keyed gives each request an Idempotency-Key and repeats it, under the same
-	// key, until something is known of it.
+	// Keyed gives each request an idempotency key, and has it sent again under that key until
+	// its outcome is known.
 	Keyed bool
-	// Repeats counts those.
+	// Repeats counts the requests sent again under their key.
 	Repeats atomic.Int64
-	// OnAnswer, if set, hears of each answer and how long it took.
+	// OnAnswer, if set, gets each answer and how long it took.
 	OnAnswer func(p RequestPlan, a ledger.Answered, took time.Duration)
+
 	sequence atomic.Int64
 	rng      *rand.Rand
 }
 
-// SendOne sends one request of a plan.
+// maxKeyedSends bounds how often one request is sent under its key.
+const maxKeyedSends = 200
+
+// SendOne sends one request of a plan, with the retries that the client makes.
 func (c *Client) SendOne(ctx context.Context, p RequestPlan) ledger.Answered {
 	start := time.Now()
 	var answer ledger.Answered
@@ -46,7 +48,7 @@
 		answer = c.sendKeyed(ctx, p, id())
 	}
 	for i := 0; i <= c.Retries && !c.Keyed; i++ {
-		if answer = sendRequest(ctx, c.HTTP, c.Ledger, c.Address, p, "", c.Zone, "", id(), ""); answer.Outcome != "not-run" {
+		if answer = c.send(ctx, p, id(), ""); answer.Outcome != ledger.OutcomeNotRun {
 			break
 		}
 	}
@@ -56,11 +58,11 @@
 	return answer
 }
 
-// sendKeyed sends one request under a key until something is known of it.
+// sendKeyed sends one request under a key until its outcome is known.
 func (c *Client) sendKeyed(ctx context.Context, p RequestPlan, id string) (a ledger.Answered) {
-	for i := range 200 {
-		a = sendRequest(ctx, c.HTTP, c.Ledger, c.Address, p, "", c.Zone, "", id, "key of "+id)
-		if a.Outcome == "" || a.Outcome == "unknown" && a.Status != http.StatusServiceUnavailable {
+	for i := range maxKeyedSends {
+		a = c.send(ctx, p, id, "key of "+id)
+		if a.Outcome == "" || a.Outcome == ledger.OutcomeUnknown && a.Status != http.StatusServiceUnavailable {
 			break
 		}
 		if i > 0 {
@@ -71,6 +73,11 @@
 	return a
 }
 
+// send sends one request.
+func (c *Client) send(ctx context.Context, p RequestPlan, id, key string) ledger.Answered {
+	return sendRequest(ctx, c.HTTP, c.Ledger, request{address: c.Address, plan: p, zone: c.Zone, id: id, key: key})
+}
+
 // Run sends until ctx ends and returns when all answers are in.
 func (c *Client) Run(ctx context.Context) {
 	var open sync.WaitGroup
@@ -89,12 +96,13 @@
 	}
 }
 
-// nextInterval draws the time to the next request: clients do not keep step with each other.
+// nextInterval draws the time to the next request: requests come at random, as from many
+// independent clients.
 func (c *Client) nextInterval() time.Duration {
 	return time.Duration(c.random().ExpFloat64() * float64(time.Second) / c.Rate)
 }
 
-// random is the caller's own source of chance.
+// random is the client's own random source.
 func (c *Client) random() *rand.Rand {
 	if c.rng == nil {
 		c.rng = rand.New(rand.NewPCG(c.Seed, 1))
@@ -102,5 +110,5 @@
 	return c.rng
 }
 
-// PickPlan draws a plan by its share. One goroutine at a time may call it.
+// PickPlan draws a plan by its share. It must not be called concurrently.
 func (c *Client) PickPlan() RequestPlan { return pickPlan(c.Plans, c.random().Float64()) }
--- a/tests/fakes/connectionclient.go
+++ b/tests/fakes/connectionclient.go
@@ -10,27 +10,26 @@
 	"math/rand/v2"
 	"net"
 	"net/http"
-	"net/url"
 	"os"
 	"time"
 
 	"curlewwalk/tests/ledger"
 )
 
-// ConnectionClient is a client that keeps its connection and uses it until that ends: it sends the
-// next request the moment the last has its answer, also while the process at the other side
-// is stopping. Some of its requests it leaves before they are answered.
+// ConnectionClient is a client that keeps its connection and uses it until it ends: it sends
+// the next request as soon as the last one is answered, also while the process at the other
+// end is stopping. It abandons some of its requests before they are answered.
 type ConnectionClient struct {
-	Name  string
-	Zone  string
-	Addr  string // the sidecar's requests address
-	Plans []RequestPlan
-	// AbandonRate is the share of requests that it leaves.
+	Name    string
+	Zone    string
+	Address string // where its sidecar takes requests
+	Plans   []RequestPlan
+	// AbandonRate is the share of requests that it abandons.
 	AbandonRate float64
 	// MaxPause is the longest time between an answer and the next request.
 	MaxPause time.Duration
 	Ledger   *ledger.Ledger
-	// OnExchange hears of each request once it has ended.
+	// OnExchange, if set, gets each request once it has ended.
 	OnExchange func(x Exchange)
 	Rand       *rand.Rand
 
@@ -43,40 +42,44 @@
 // Ending is how a request ended for its client.
 type Ending string
 
-// The ends.
+// The endings.
 const (
 	Answered    Ending = "answered" // by a backend
-	Refused     Ending = "refused"  // by a sidecar, in its own words
-	Interrupted Ending = "cut"      // the connection ended without a whole answer
-	Abandoned   Ending = "left"     // the client left
-	Unsent      Ending = "unsent"   // nobody listened, or nothing of it was taken
+	Refused     Ending = "refused"  // by a sidecar
+	Interrupted Ending = "cut"      // the connection ended without a complete answer
+	Abandoned   Ending = "left"     // the client abandoned it
+	Unsent      Ending = "unsent"   // nobody listened, or nothing of it was written
 )
 
 // Exchange is a request as its client saw it.
 type Exchange struct {
-	ID       string        `json:"request"`
-	Plan     string        `json:"kind"`
-	Addr     string        `json:"at"`
-	Deadline time.Duration `json:"-"`
-	// Idempotent tells that it may run more than once.
-	Idempotent bool `json:"repeatable"`
-	// Reused tells that its connection had carried another request before.
+	ID         string        `json:"request"`
+	Plan       string        `json:"kind"`
+	Addr       string        `json:"at"`
+	Deadline   time.Duration `json:"-"`
+	Idempotent bool          `json:"repeatable"`
+	// Reused is set if the connection had carried another request before.
 	Reused bool `json:"reused"`
-	// SentAt is when it was begun to be sent, Whole when its last byte had gone; zero if
-	// it has not.
+	// SentAt is when sending began, FullySent when the last byte was written; zero if it
+	// was not.
 	SentAt    time.Time `json:"sent"`
 	FullySent time.Time `json:"whole"`
-	// EndedAt is when its answer was whole, its connection ended, or its client left.
+	// EndedAt is when the answer was complete, the connection ended, or the client abandoned
+	// the request.
 	EndedAt time.Time `json:"ended"`
 	Ending  Ending    `json:"end"`
 	Status  int       `json:"status,omitempty"`
-	// Outcome is the sidecar's word in an answer of its own.
+	// Outcome is that of an answer of the sidecar's own.
 	Outcome         string `json:"outcome,omitempty"`
 	ConnectionError string `json:"cut,omitempty"`
 }
 
-// reconnectDelay is how long it waits before it connects again to where nobody listens.
-const reconnectDelay = 25 * time.Millisecond
+const (
+	// reconnectDelay is how long the client waits before it connects again.
+	reconnectDelay = 25 * time.Millisecond
+	// answerGrace is how much longer than the deadline it waits for an answer.
+	answerGrace = 10 * time.Second
+)
 
 // Run sends until ctx ends; the last request is waited for.
 func (c *ConnectionClient) Run(ctx context.Context) {
@@ -93,7 +96,7 @@
 	}
 }
 
-// Send sends one request, on the connection that is open or a new one; the zero Exchange if
+// Send sends one request, on the open connection or a new one; it returns the zero Exchange if
 // nobody listens.
 func (c *ConnectionClient) Send(ctx context.Context, p RequestPlan) Exchange {
 	if c.conn == nil && !c.connect(ctx) {
@@ -102,8 +105,9 @@
 	return c.SendOnConnection(ctx, p)
 }
 
+// connect opens a connection; false if nobody listens.
 func (c *ConnectionClient) connect(ctx context.Context) bool {
-	conn, err := (&net.Dialer{Timeout: time.Second}).DialContext(ctx, "tcp", c.Addr)
+	conn, err := (&net.Dialer{Timeout: time.Second}).DialContext(ctx, "tcp", c.Address)
 	if err != nil {
 		return false
 	}
@@ -119,21 +123,14 @@
 	}
 }
 
-// SendOnConnection sends one request on the connection and waits for its answer, unless it is left.
+// SendOnConnection sends one request on the open connection, and waits for the answer unless it
+// abandons it.
 func (c *ConnectionClient) SendOnConnection(ctx context.Context, p RequestPlan) Exchange {
 	c.sequence++
 	id := fmt.Sprintf("%s-%d", c.Name, c.sequence)
-	body := deterministicBody("inquiry "+id, p.BodySize)
-	uri := p.Prefix + "item/a%2Fb?id=" + url.QueryEscape(id)
-	req, err := http.NewRequestWithContext(ctx, p.Method, "http://"+c.Addr+uri, bytes.NewReader(body))
-	if err != nil {
-		panic(err)
-	}
-	req.Header.Set(headerID, id)
-	req.Header.Set("X-Proof-Extra", "kept as it is")
-	req.Header.Set("Curlewwalk-Caller", "a forged name")
-	x := Exchange{ID: id, Plan: p.Name, Addr: c.Addr, Deadline: p.Deadline, Idempotent: p.Idempotent, Reused: c.used > 0, SentAt: time.Now()}
-	c.Ledger.RecordSent(ledger.Sent{ID: id, Service: p.Service, Zone: c.Zone, Digest: digest(p.Method, uri, req.Header, body), Idempotent: p.Idempotent, At: x.SentAt})
+	req, sent := request{address: c.Address, plan: p, zone: c.Zone, id: id}.build(ctx)
+	x := Exchange{ID: id, Plan: p.Name, Addr: c.Address, Deadline: p.Deadline, Idempotent: p.Idempotent, Reused: c.used > 0, SentAt: sent.At}
+	c.Ledger.RecordSent(sent)
 	var out bytes.Buffer
 	req.Write(&out)
 	c.exchange(&x, req, out.Bytes(), c.abandonAfter(p))
@@ -145,7 +142,7 @@
 	return x
 }
 
-// abandonAfter is when the client leaves, if it does before its time is over; zero if not.
+// abandonAfter draws after how long the client abandons a request; zero if it does not.
 func (c *ConnectionClient) abandonAfter(p RequestPlan) time.Duration {
 	if c.Rand.Float64() >= c.AbandonRate {
 		return 0
@@ -153,11 +150,8 @@
 	return time.Millisecond + time.Duration(c.Rand.Int64N(int64(p.LatencyTarget)))
 }
 
-// answerGrace is how much longer than a request's deadline a client waits for its answer.
-const answerGrace = 10 * time.Second
-
-// exchange writes a request, reads its answer, and tells how it ended. With patience the
-// client leaves then, if it has no answer yet.
+// exchange writes a request, reads its answer, and records how it ended. With a positive
+// abandonAfter the client abandons it then, if there is no answer yet.
 func (c *ConnectionClient) exchange(x *Exchange, req *http.Request, out []byte, abandonAfter time.Duration) {
 	until := x.SentAt.Add(x.Deadline + answerGrace)
 	if abandonAfter > 0 {
@@ -184,7 +178,7 @@
 		return
 	}
 	c.used++
-	x.Status, x.Outcome = resp.StatusCode, resp.Header.Get("Curlewwalk-Outcome")
+	x.Status, x.Outcome = resp.StatusCode, resp.Header.Get(headerOutcome)
 	x.Ending = Answered
 	if x.Outcome != "" {
 		x.Ending = Refused
@@ -199,7 +193,8 @@
 	}
 }
 
-// recordInterrupted tells of a connection that ended, or was left, before there was a whole answer.
+// recordInterrupted records that a connection ended, or was abandoned, before the answer was
+// complete.
 func (c *ConnectionClient) recordInterrupted(x *Exchange, err error, mayAbandon bool) {
 	if mayAbandon && errors.Is(err, os.ErrDeadlineExceeded) {
 		x.Ending = Abandoned
@@ -207,7 +202,7 @@
 		return
 	}
 	x.Ending, x.ConnectionError = Interrupted, err.Error()
-	c.Ledger.RecordAnswer(ledger.Answered{ID: x.ID, Outcome: "cut", ConnectionError: x.Plan + " " + x.ConnectionError, At: time.Now()})
+	c.Ledger.RecordAnswer(ledger.Answered{ID: x.ID, Outcome: ledger.OutcomeInterrupted, ConnectionError: x.Plan + " " + x.ConnectionError, At: time.Now()})
 }
 
 // abandon closes the connection in one of the ways in which clients do.
@@ -218,6 +213,7 @@
 	c.CloseConnection()
 }
 
+// report passes an exchange on.
 func (c *ConnectionClient) report(x Exchange) {
 	if c.OnExchange != nil {
 		c.OnExchange(x)
--- a/tests/fakes/httpclient.go
+++ b/tests/fakes/httpclient.go
@@ -9,13 +9,14 @@
 	"time"
 )
 
-// NewHTTPClient makes a client for stand-ins. Its connections count what is written
-// to them: net/http by itself sends some requests again on another connection,
-// and only the count reports whether anything of the first try went out.
+// NewHTTPClient makes the HTTP client of the fakes. Its connections count what is written to
+// them: net/http sends some requests again on another connection by itself, and only the count
+// shows whether anything of the first attempt was sent.
 func NewHTTPClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{DialContext: dial, MaxIdleConnsPerHost: 64}, Timeout: 30 * time.Second}
 }
 
+// dial opens a connection that counts.
 func dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	c, err := new(net.Dialer).DialContext(ctx, network, addr)
 	if err != nil {
@@ -24,7 +25,7 @@
 	return &countingConn{Conn: c}, nil
 }
 
-// countingConn is a connection that counts what is written to it.
+// countingConn is a connection that counts the bytes written to it.
 type countingConn struct {
 	net.Conn
 	written atomic.Int64
@@ -36,21 +37,21 @@
 	return n, err
 }
 
-// connectionCounter counts on how many connections a request went out, wholly or in part.
+// connectionCounter counts on how many connections a request was sent, in full or in part.
 type connectionCounter struct {
 	used          int
-	current       *countingConn // the newest, until it is counted
-	writtenBefore int64         // what had been written to it before
+	current       *countingConn // not counted yet
+	writtenBefore int64         // to current, before this request
 }
 
-// gotConn is told of each connection that net/http takes for the request.
+// gotConn is called with each connection that net/http uses for the request.
 func (c *connectionCounter) gotConn(i httptrace.GotConnInfo) {
 	c.count()
 	c.current = i.Conn.(*countingConn)
 	c.writtenBefore = c.current.written.Load()
 }
 
-// count tells the number so far, once the newest try is over.
+// count returns the number so far; the newest attempt must be over.
 func (c *connectionCounter) count() int {
 	if c.current != nil && c.current.written.Load() > c.writtenBefore {
 		c.used++
--- a/tests/fakes/message.go
+++ b/tests/fakes/message.go
@@ -1,5 +1,3 @@
-// Package fakes has the callers and backends of test fleets. They keep their
-// own records and pass no tracing along.
 package fakes
 
 import (
@@ -9,23 +7,33 @@
 	"strconv"
 )
 
-// Headers that carry what the stand-ins check.
+// Headers by which the fakes check what arrives.
 const (
-	headerID     = "X-Proof-Id"
-	headerDigest = "X-Proof-Digest"
+	headerID       = "X-Proof-Id"
+	headerDigest   = "X-Proof-Digest"
+	headerExtra    = "X-Proof-Extra"
+	headerInstance = "X-Proof-Instance"
 )
 
-// digest fingerprints a request as its sender made it, or as it arrived.
+// Headers of the system.
+const (
+	headerOutcome        = "Curlewwalk-Outcome"
+	headerCaller         = "Curlewwalk-Caller"
+	headerIdempotencyKey = "Idempotency-Key"
+	headerRetryAfter     = "Retry-After"
+)
+
+// digest is the fingerprint of a request, as its sender made it or as it arrived.
 func digest(method, uri string, h http.Header, body []byte) string {
 	d := sha256.New()
-	for _, s := range []string{method, uri, h.Get(headerID), h.Get("X-Proof-Extra"), strconv.Itoa(len(body))} {
+	for _, s := range []string{method, uri, h.Get(headerID), h.Get(headerExtra), strconv.Itoa(len(body))} {
 		d.Write([]byte(s + "\n"))
 	}
 	d.Write(body)
 	return hex.EncodeToString(d.Sum(nil)[:12])
 }
 
-// deterministicBody makes n bytes that only belong to one text.
+// deterministicBody makes n bytes that follow from a seed and from no other one.
 func deterministicBody(seed string, n int) []byte {
 	out := make([]byte, 0, n+32)
 	for i := 0; len(out) < n; i++ {
--- a/tests/fakes/plan.go
+++ b/tests/fakes/plan.go
@@ -6,19 +6,19 @@
 type RequestPlan struct {
 	Name          string
 	Method        string
-	Prefix        string
+	Prefix        string // of the path, by which it is routed
 	Service       string
 	Idempotent    bool
 	LatencyTarget time.Duration
 	Deadline      time.Duration
-	Priority      int
-	// Share is its part of what clients send; zero is for inner calls only.
+	Priority      int // 1 is the highest
+	// Share is its part of what clients send; zero for inner calls only.
 	Share float64
-	// Work is how long a backend works on it, about.
+	// Work is about how long a backend works on it.
 	Work time.Duration
-	// Calls names the plans of the inner calls that a run makes.
+	// Calls names the plans of the inner calls that each run makes.
 	Calls []string
-	// BodySize is how large the request's body is, about.
+	// BodySize is about how many bytes the request's body has.
 	BodySize int
 }
 
--- a/tests/fakes/resend_test.go
+++ b/tests/fakes/resend_test.go
@@ -21,10 +21,9 @@
 	writePlan = RequestPlan{Name: "order", Method: "POST", Prefix: "/order/", Service: "desk", BodySize: 50}
 )
 
-// fakeSidecar answers whatever comes by what the request's name says. "mute" is
-// taken and the connection closed without an answer, once it has run; what is
-// sent of it again is refused as not run, and so is "refused" at once. "lie" is
-// refused though it ran.
+// fakeSidecar answers a request by its ID. "mute" is run, and its connection closed without an
+// answer; when it is sent again it is refused as not run, as "refused" is at once. "lie" is run
+// and refused as not run.
 func fakeSidecar(t *testing.T, l *ledger.Ledger) (addr string, requestsMuted func() int64) {
 	var muted atomic.Int64
 	run := func(r *http.Request) {
@@ -32,8 +31,8 @@
 		l.RecordRun(ledger.Ran{ID: r.Header.Get(headerID), Service: "desk", Instance: "desk-0", Zone: "north", Digest: digest(r.Method, r.RequestURI, r.Header, body)})
 	}
 	refuse := func(w http.ResponseWriter) {
-		w.Header().Set("Retry-After", "1")
-		w.Header().Set("Curlewwalk-Outcome", "not-run")
+		w.Header().Set(headerRetryAfter, "1")
+		w.Header().Set(headerOutcome, ledger.OutcomeNotRun)
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -67,27 +66,28 @@
 	return srv.Listener.Addr().String(), muted.Load
 }
 
-func checkVerdict(t *testing.T, l *ledger.Ledger, cut, notRun int, broken string) {
+// checkVerdict checks the counts of a verdict and, if breach is set, that it has such a breach.
+func checkVerdict(t *testing.T, l *ledger.Ledger, interrupted, notRun int, breach string) {
 	t.Helper()
 	v := l.Judge()
-	if got := fmt.Sprint(v.Breaches); v.Interrupted != cut || v.NotRun != notRun || (broken == "") != (len(v.Breaches) == 0) || !strings.Contains(got, broken) {
-		t.Errorf("cut %d %v, not run %d, broken %q; want %d, %d, %q", v.Interrupted, v.Interruptions, v.NotRun, got, cut, notRun, broken)
+	if got := fmt.Sprint(v.Breaches); v.Interrupted != interrupted || v.NotRun != notRun || (breach == "") != (len(v.Breaches) == 0) || !strings.Contains(got, breach) {
+		t.Errorf("interrupted %d %v, not run %d, breaches %q; want %d, %d, %q", v.Interrupted, v.Interruptions, v.NotRun, got, interrupted, notRun, breach)
 	}
 }
 
-// A GET that net/http sends a second time by itself, after its first sending ran
-// and was cut, is not judged by the second one's refusal.
+// A GET that net/http sends a second time by itself, after the first one ran and was
+// interrupted, is not judged by the refusal of the second.
 func TestResendByHTTPClient(t *testing.T) {
 	l, c := ledger.New(), NewHTTPClient()
 	defer c.CloseIdleConnections()
 	addr, mute := fakeSidecar(t, l)
 	ask := func(p RequestPlan, id string) ledger.Answered {
-		return sendRequest(context.Background(), c, l, addr, p, "", "north", "", id, "")
+		return sendRequest(context.Background(), c, l, request{address: addr, plan: p, zone: "north", id: id})
 	}
 	if a := ask(readPlan, "first"); a.Outcome != "" || a.Mismatch != "" {
 		t.Fatalf("%+v", a)
 	}
-	if a := ask(readPlan, "mute"); a.Outcome != "not-run" || a.UnansweredSends != 1 {
+	if a := ask(readPlan, "mute"); a.Outcome != ledger.OutcomeNotRun || a.UnansweredSends != 1 {
 		t.Errorf("%+v", a)
 	}
 	if n := mute(); n != 2 {
@@ -96,14 +96,14 @@
 	checkVerdict(t, l, 1, 0, "")
 }
 
-// A promise for the only sending counts, on a new connection and on a used one.
+// A refusal of the only send counts, on a new connection and on a used one.
 func TestRefusalOfOnlySend(t *testing.T) {
 	for _, p := range []RequestPlan{readPlan, writePlan} {
 		l, c := ledger.New(), NewHTTPClient()
 		defer c.CloseIdleConnections()
 		addr, _ := fakeSidecar(t, l)
 		for _, id := range []string{"refused", "first", "lie"} {
-			if a := sendRequest(context.Background(), c, l, addr, p, "", "north", "", id, ""); a.UnansweredSends != 0 || a.Mismatch != "" {
+			if a := sendRequest(context.Background(), c, l, request{address: addr, plan: p, zone: "north", id: id}); a.UnansweredSends != 0 || a.Mismatch != "" {
 				t.Errorf("%+v", a)
 			}
 		}
@@ -111,7 +111,7 @@
 	}
 }
 
-// failingConn takes nothing once it has been used.
+// failingConn fails all writes after the first.
 type failingConn struct {
 	net.Conn
 	used atomic.Int64
@@ -124,7 +124,7 @@
 	return d.Conn.Write(b)
 }
 
-// A promise also counts for the second try if nothing of the first went out.
+// A refusal of the second send also counts if nothing of the first was written.
 func TestRefusalAfterUnwrittenSend(t *testing.T) {
 	for _, p := range []RequestPlan{readPlan, writePlan} {
 		l, c := ledger.New(), NewHTTPClient()
@@ -137,7 +137,7 @@
 			return &countingConn{Conn: &failingConn{Conn: raw}}, err
 		}
 		for _, id := range []string{"first", "lie"} {
-			if a := sendRequest(context.Background(), c, l, addr, p, "", "north", "", id, ""); a.UnansweredSends != 0 || a.Outcome == "cut" {
+			if a := sendRequest(context.Background(), c, l, request{address: addr, plan: p, zone: "north", id: id}); a.UnansweredSends != 0 || a.Outcome == ledger.OutcomeInterrupted {
 				t.Errorf("%+v", a)
 			}
 		}
@@ -148,8 +148,8 @@
 	}
 }
 
-// Nothing was handed over where nobody listens; a request that was cut and then
-// met nobody is cut.
+// Nothing was sent where nobody listens; a request that was interrupted and then met nobody is
+// interrupted.
 func TestNobodyListens(t *testing.T) {
 	l, c := ledger.New(), NewHTTPClient()
 	defer c.CloseIdleConnections()
@@ -172,8 +172,8 @@
 		http.ReadRequest(in)
 		ln.Close()
 	}()
-	for _, want := range []string{"", "cut", "not-run"} {
-		if a := sendRequest(context.Background(), c, l, ln.Addr().String(), readPlan, "", "north", "", "to-"+want, ""); a.Outcome != want || a.Mismatch != "" {
+	for _, want := range []string{"", ledger.OutcomeInterrupted, ledger.OutcomeNotRun} {
+		if a := sendRequest(context.Background(), c, l, request{address: ln.Addr().String(), plan: readPlan, zone: "north", id: "to-" + want}); a.Outcome != want || a.Mismatch != "" {
 			t.Errorf("%+v, want outcome %q", a, want)
 		}
 	}
--- a/tests/fakes/send.go
+++ b/tests/fakes/send.go
@@ -14,52 +14,81 @@
 	"curlewwalk/tests/ledger"
 )
 
-// sendRequest puts one request to a sidecar, checks the answer and records both.
-func sendRequest(ctx context.Context, client *http.Client, records *ledger.Ledger, addr string, plan RequestPlan, caller, zone, cause, id, key string) ledger.Answered {
-	body := deterministicBody("inquiry "+id, plan.BodySize)
-	uri := plan.Prefix + "item/a%2Fb?id=" + url.QueryEscape(id)
-	// net/http sends some requests again by itself: a refusal then says nothing of
-	// the earlier sendings.
-	var connections connectionCounter
-	req, err := http.NewRequestWithContext(httptrace.WithClientTrace(context.WithoutCancel(ctx), &httptrace.ClientTrace{GotConn: connections.gotConn}), plan.Method, "http://"+addr+uri, bytes.NewReader(body))
+// request is a request that a client or a backend sends to a sidecar.
+type request struct {
+	address string // of the sidecar
+	plan    RequestPlan
+	caller  string // the sending service, or "" for a client
+	zone    string // of the sender
+	parent  string // the request that the sending backend works on, or ""
+	id      string
+	key     string // idempotency key, or ""
+}
+
+// build makes the HTTP request, and the record of sending it now.
+func (r request) build(ctx context.Context) (*http.Request, ledger.Sent) {
+	p := r.plan
+	body := deterministicBody("request "+r.id, p.BodySize)
+	uri := p.Prefix + "item/a%2Fb?id=" + url.QueryEscape(r.id)
+	req, err := http.NewRequestWithContext(ctx, p.Method, "http://"+r.address+uri, bytes.NewReader(body))
 	if err != nil {
 		panic(err)
 	}
-	req.Header.Set(headerID, id)
-	req.Header.Set("X-Proof-Extra", "kept as it is")
-	req.Header.Set("Curlewwalk-Caller", "a forged name")
-	if key != "" {
-		req.Header.Set("Idempotency-Key", key)
+	req.Header.Set(headerID, r.id)
+	req.Header.Set(headerExtra, "kept as it is")
+	req.Header.Set(headerCaller, "a forged name")
+	if r.key != "" {
+		req.Header.Set(headerIdempotencyKey, r.key)
 	}
-	records.RecordSent(ledger.Sent{ID: id, Parent: cause, Caller: caller, Service: plan.Service, Zone: zone, Digest: digest(plan.Method, uri, req.Header, body), Idempotent: plan.Idempotent, Keyed: key != "", At: time.Now()})
-	answer := ledger.Answered{ID: id}
+	return req, ledger.Sent{
+		ID: r.id, Parent: r.parent, Caller: r.caller, Service: p.Service, Zone: r.zone, Digest: digest(p.Method, uri, req.Header, body),
+		Idempotent: p.Idempotent, Keyed: r.key != "", At: time.Now(),
+	}
+}
+
+// sendRequest sends one request, checks the answer, and records both.
+func sendRequest(ctx context.Context, client *http.Client, records *ledger.Ledger, r request) ledger.Answered {
+	// net/http sends some requests again by itself: a refusal then says nothing of the
+	// earlier ones.
+	var connections connectionCounter
+	trace := &httptrace.ClientTrace{GotConn: connections.gotConn}
+	req, sent := r.build(httptrace.WithClientTrace(context.WithoutCancel(ctx), trace))
+	records.RecordSent(sent)
+	answer := ledger.Answered{ID: r.id}
 	resp, err := client.Do(req)
 	if err == nil {
-		answer.Status, answer.Outcome = resp.StatusCode, resp.Header.Get("Curlewwalk-Outcome")
-		var answerBody []byte
-		answerBody, err = io.ReadAll(resp.Body)
-		resp.Body.Close()
-		if err == nil && answer.Outcome == "" {
-			answer.Mismatch = checkAnswer(id, resp, answerBody)
-		}
-		if err == nil && answer.Outcome != "" && answer.Status >= 500 && resp.Header.Get("Retry-After") == "" {
-			answer.Mismatch = "a refusal without Retry-After"
-		}
+		err = readAnswer(resp, &answer)
 	}
-	n := connections.count()
-	answer.UnansweredSends = max(n-1, 0)
+	used := connections.count()
+	answer.UnansweredSends = max(used-1, 0)
 	switch {
-	case errors.Is(err, syscall.ECONNREFUSED) && n == 0:
-		answer.Outcome = "not-run" // no sidecar is there: nothing was handed over
+	case errors.Is(err, syscall.ECONNREFUSED) && used == 0:
+		answer.Outcome = ledger.OutcomeNotRun // no sidecar is there, so nothing was sent
 	case err != nil:
-		answer.Outcome, answer.ConnectionError = "cut", plan.Method+" "+err.Error()
+		answer.Outcome, answer.ConnectionError = ledger.OutcomeInterrupted, r.plan.Method+" "+err.Error()
 	}
 	answer.At = time.Now()
 	records.RecordAnswer(answer)
 	return answer
 }
 
-// checkAnswer says what is wrong with a backend's answer, if anything.
+// readAnswer reads a response into an answer, and checks it.
+func readAnswer(resp *http.Response, answer *ledger.Answered) error {
+	answer.Status, answer.Outcome = resp.StatusCode, resp.Header.Get(headerOutcome)
+	body, err := io.ReadAll(resp.Body)
+	resp.Body.Close()
+	switch {
+	case err != nil:
+		return err
+	case answer.Outcome == "":
+		answer.Mismatch = checkAnswer(answer.ID, resp, body)
+	case answer.Status >= 500 && resp.Header.Get(headerRetryAfter) == "":
+		answer.Mismatch = "a refusal without Retry-After"
+	}
+	return nil
+}
+
+// checkAnswer returns what is wrong with the answer of a backend, or "".
 func checkAnswer(id string, resp *http.Response, body []byte) string {
 	switch {
 	case resp.StatusCode != http.StatusOK:
--- a/tests/soak/clients.go
+++ b/tests/soak/clients.go
@@ -47,7 +47,7 @@
 func (r *Run) newClient(machine int, name string) *fakes.ConnectionClient {
 	f := r.Fleet
 	return &fakes.ConnectionClient{
-		Name: name, Zone: f.Zone(machine), Addr: f.RequestAddress(machine), Plans: f.Size.Plans, AbandonRate: r.Plan.AbandonRate, MaxPause: maxClientPause,
+		Name: name, Zone: f.Zone(machine), Address: f.RequestAddress(machine), Plans: f.Size.Plans, AbandonRate: r.Plan.AbandonRate, MaxPause: maxClientPause,
 		Ledger: f.Ledger, OnExchange: r.exchanges.record, Rand: rand.New(rand.NewPCG(r.Plan.Seed, uint64(len(name))<<32+uint64(machine)<<8+uint64(name[len(name)-1]))),
 	}
 }
