--- a/tests/faultproxy/listen.go
+++ b/tests/faultproxy/listen.go
@@ -7,15 +7,23 @@
 	"time"
 )
 
-// Bind listens on an address that may have been given up just now: a program that
-// this process is starting holds copies of all sockets for a moment.
+const (
+	// bindRetryInterval is how often Bind tries again.
+	bindRetryInterval = 10 * time.Millisecond
+	// bindTimeout is for how long Bind tries.
+	bindTimeout = 5 * time.Second
+)
+
+// Bind listens on an address that may have been released just now. A process that is being
+// started by this one holds copies of all its sockets for a moment, so Bind retries while the
+// address is in use.
 func Bind(addr string) (net.Listener, error) {
-	tick := time.NewTicker(10 * time.Millisecond)
+	tick := time.NewTicker(bindRetryInterval)
 	defer tick.Stop()
 	for begin := time.Now(); ; <-tick.C {
-		ln, err := net.Listen("tcp", addr)
-		if !errors.Is(err, syscall.EADDRINUSE) || time.Since(begin) > 5*time.Second {
-			return ln, err
+		listener, err := net.Listen("tcp", addr)
+		if !errors.Is(err, syscall.EADDRINUSE) || time.Since(begin) > bindTimeout {
+			return listener, err
 		}
 	}
 }
