--- a/tests/cmd/day/main.go
+++ b/tests/cmd/day/main.go
@@ -1,5 +1,5 @@
-// Command day runs a day of either deployment, at its size and rate, with the
-// brief's failures in seeded order and one last fault, and prints a verdict.
+// Command day runs a day of either deployment at its size and rate, with failures in seeded
+// order and one last fault, and judges it. It ends with 1 if a rule was broken.
 package main
 
 import (
@@ -30,7 +30,7 @@
 		fmt.Fprintln(os.Stderr, err)
 	}
 	if err != nil || !ok {
-		fmt.Printf("replay: go run ./tests/cmd/day --deployment %s --seed %d --events %d --only %q\n", opt.Deployment, opt.Seed, opt.Events, opt.Only)
+		fmt.Printf("repeat: go run ./tests/cmd/day --deployment %s --seed %d --events %d --only %q\n", opt.Deployment, opt.Seed, opt.Events, opt.Only)
 		os.Exit(1)
 	}
 }
@@ -55,8 +55,8 @@
 		return false, err
 	}
 	service, spread := d.Slowest()
-	fmt.Printf("day of %s, seed %d: sent %d, ran %d, good %d, not-run %d, unknown %d, cut %d\n", size.Name, seed, v.Sent, v.Ran, v.Good, v.NotRun, v.Unknown, v.Interrupted)
-	fmt.Printf("slowest return of service %v, slowest configuration in force %v\n", service.Round(time.Millisecond), spread.Round(time.Millisecond))
+	fmt.Printf("day of %s, seed %d: sent %d, ran %d, good %d, not-run %d, unknown %d, interrupted %d\n", size.Name, seed, v.Sent, v.Ran, v.Good, v.NotRun, v.Unknown, v.Interrupted)
+	fmt.Printf("slowest recovery %v, slowest rollout of a configuration %v\n", service.Round(time.Millisecond), spread.Round(time.Millisecond))
 	for _, line := range d.Recoveries() {
 		fmt.Println(line)
 	}
@@ -65,6 +65,6 @@
 			fmt.Println("BROKEN:", b)
 		}
 	}
-	fmt.Printf("%d things happened that must never\n", len(v.Breaches))
+	fmt.Printf("%d rules were broken\n", len(v.Breaches))
 	return len(v.Breaches) == 0, nil
 }
--- a/tests/cmd/fleet/main.go
+++ b/tests/cmd/fleet/main.go
@@ -1,5 +1,5 @@
-// Command fleet runs a whole fleet of either deployment's size under its load
-// and prints a verdict.
+// Command fleet runs a fleet of the size of either deployment under load, prints what clients
+// got, and judges the run. It ends with 1 if a rule was broken.
 package main
 
 import (
@@ -14,18 +14,19 @@
 	"curlewwalk/tests/ledger"
 )
 
+// options are the command line.
 type options struct {
 	Deployment string             `long:"deployment" choice:"association" choice:"heating" default:"association" description:"whose size to run"`
 	For        time.Duration      `long:"for" default:"10s" description:"how long clients send"`
-	Rate       float64            `long:"rate" description:"inquiries a second instead of the deployment's own"`
+	Rate       float64            `long:"rate" description:"requests a second instead of the deployment's own"`
 	Machines   int                `long:"machines" description:"how many machines instead of the deployment's own, with a backend each"`
-	Capacity   int                `long:"capacity" description:"slots of each backend instead of the deployment's own"`
-	Retry      int                `long:"retry" description:"how often clients ask again at once after a refusal"`
-	Keyed      bool               `long:"keyed" description:"clients send each inquiry under an Idempotency-Key"`
-	Slow       map[string]float64 `long:"slow" description:"a locality whose backends are so many times slower (west:5)"`
-	Lose       string             `long:"lose" description:"a locality that loses power after half of the time"`
-	Bin        string             `long:"bin" description:"a folder with programs built from another version, to be measured in pairs"`
-	Links      int                `long:"links" default:"500" description:"how many inner calls' links to count"`
+	Capacity   int                `long:"capacity" description:"capacity of each backend instead of the deployment's own"`
+	Retry      int                `long:"retry" description:"how often clients retry at once after a refusal"`
+	Keyed      bool               `long:"keyed" description:"clients send each request with an Idempotency-Key"`
+	Slow       map[string]float64 `long:"slow" description:"a zone whose backends are so many times slower (west:5)"`
+	Lose       string             `long:"lose" description:"a zone that loses power after half of the time"`
+	Bin        string             `long:"bin" description:"a directory with programs built from another version, for measurements in pairs"`
+	Links      int                `long:"links" default:"500" description:"how many inner calls to count the links of"`
 }
 
 func main() {
@@ -70,7 +71,7 @@
 	if err := f.Start(ctx); err != nil {
 		return err
 	}
-	fmt.Printf("fleet %s: %d machines, %d cores; serving after %v\n", size.Name, size.Machines, size.Replicas, time.Since(start).Round(time.Millisecond))
+	fmt.Printf("fleet %s: %d machines, %d replicas; serving after %v\n", size.Name, size.Machines, size.Replicas, time.Since(start).Round(time.Millisecond))
 	load, stop := context.WithTimeout(context.Background(), opt.For)
 	defer stop()
 	r := &fleet.Report{}
@@ -86,7 +87,7 @@
 	v := f.Ledger.Judge()
 	fmt.Print(r)
 	fmt.Printf("sent %d (inner calls included), ran %d, good %d, not-run %d, unknown %d\n", v.Sent, v.Ran, v.Good, v.NotRun, v.Unknown)
-	fmt.Printf("in another locality than the sender's: %.1f%%; runs by backend: %v\n", 100*float64(v.CrossZone)/float64(v.Ran), v.Spread)
+	fmt.Printf("in another zone than the sender's: %.1f%%; runs by backend: %v\n", 100*float64(v.CrossZone)/float64(v.Ran), v.Spread)
 	read, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
 	links, err := f.CountLinks(read, opt.Links)
@@ -99,13 +100,13 @@
 	return checkVerdict(v)
 }
 
-// checkVerdict prints what must never happen and did; it is an error if anything is.
+// checkVerdict prints the broken rules; it is an error if there are any.
 func checkVerdict(v ledger.Verdict) error {
 	for _, b := range v.Breaches {
 		fmt.Println("BROKEN:", b)
 	}
 	if len(v.Breaches) > 0 {
-		return fmt.Errorf("%d things happened that must never", len(v.Breaches))
+		return fmt.Errorf("%d rules were broken", len(v.Breaches))
 	}
 	return nil
 }
--- a/tests/cmd/mutation/main.go
+++ b/tests/cmd/mutation/main.go
@@ -1,5 +1,6 @@
-// Command mutation puts each deliberate defect into scratch copies of the tree, runs
-// the proof that must catch it there, and tells which are caught.
+// Command mutation applies each mutation of the catalogue to scratch copies of the tree, runs
+// the test that must fail there, and reports which mutations are killed. It ends with 1 if
+// one survives.
 package main
 
 import (
@@ -16,8 +17,8 @@
 
 func main() {
 	var opt struct {
-		Only  string `long:"only" description:"only defects whose file, test or line has this in it"`
-		Count int    `long:"copies" default:"3" description:"how many copies work side by side"`
+		Only  string `long:"only" description:"only mutations whose file, test or invariant contains this"`
+		Count int    `long:"copies" default:"3" description:"how many copies of the tree are used in parallel"`
 	}
 	if _, err := flags.Parse(&opt); err != nil {
 		os.Exit(2)
@@ -27,14 +28,14 @@
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(2)
 	}
-	fmt.Printf("%d defects, %d not caught\n", tried, survived)
+	fmt.Printf("%d mutations, %d survived\n", tried, survived)
 	if survived > 0 {
 		os.Exit(1)
 	}
 }
 
-// runMutations puts the defects that have only in them into so many copies of the tree, and
-// counts those that were tried and those that were not caught.
+// runMutations applies the mutations that contain only to so many copies of the tree, and counts
+// those that were tried and those that survived.
 func runMutations(only string, copies int) (tried, survived int, err error) {
 	work := make(chan mutation.Mutation)
 	results := make(chan bool)
@@ -70,16 +71,17 @@
 	return tried, survived, nil
 }
 
-// copyTree copies the files that git knows to a folder of its own.
+// copyTree copies the files that git tracks to a temporary directory.
 func copyTree() (root string, err error) {
-	root, err = os.MkdirTemp("", "curlewwalk-defects-")
+	root, err = os.MkdirTemp("", "curlewwalk-mutation-")
 	if err != nil {
 		return "", err
 	}
 	return root, exec.Command("sh", "-c", `git ls-files -z | xargs -0 cp --parents -t "$0"`, root).Run()
 }
 
-// runMutation tries one defect in a copy and prints what came of it.
+// runMutation tries one mutation in a copy of the tree, prints the result, and reports whether it
+// was killed.
 func runMutation(d mutation.Mutation, root string) bool {
 	ok, output, err := d.Killed(root)
 	switch {
@@ -87,9 +89,9 @@
 		fmt.Printf("ERROR  %-42s %-26s %v\n%s\n", d.Invariant, d.Test, err, output)
 		return false
 	case ok:
-		fmt.Printf("caught %-42s %-26s %s\n", d.Invariant, d.Test, d.File)
+		fmt.Printf("killed %-42s %-26s %s\n", d.Invariant, d.Test, d.File)
 	default:
-		fmt.Printf("MISSED %-42s %-26s %s: %s -> %s\n", d.Invariant, d.Test, d.File, d.Old, d.New)
+		fmt.Printf("SURVIVED %-42s %-26s %s: %s -> %s\n", d.Invariant, d.Test, d.File, d.Old, d.New)
 	}
 	return ok
 }
--- a/tests/mutation/catalogue.go
+++ b/tests/mutation/catalogue.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// The lines of the brief's "What must never happen".
+// The invariants: the lines of the users' "What must never happen".
 const (
 	duplicateRun        = "an order runs twice"
 	runAfterRefusal     = "not run, and then it runs"
@@ -22,10 +22,10 @@
 	abandonedWork       = "work goes on for a client that has left"
 )
 
-// All lists the defects.
+// All lists all mutations.
 var All = slices.Concat(testMutations, soakMutations)
 
-// testMutations are those that a test by itself must catch.
+// testMutations are killed by one test each.
 var testMutations = []Mutation{
 	{duplicateRun, "internal/dataplane/routing/decision.go", "past.outcome == Unknown && !d.Route.Idempotent", "false", "./tests/e2e", "TestRetry", nil},
 	{duplicateRun, "internal/dataplane/proxy/attemptlog.go", "return !known", "return !known || true", "./tests/simulation", "TestRequests", nil},
--- a/tests/mutation/mutation.go
+++ b/tests/mutation/mutation.go
@@ -1,8 +1,7 @@
-// Package mutation has deliberate defects, each of which a named proof must catch.
-// They are only ever applied to a scratch copy. (DESIGN 14.6)
 package mutation
 
 import (
+	"bytes"
 	"encoding/json"
 	"fmt"
 	"os"
@@ -13,40 +12,46 @@
 
 // Mutation is one change for the worse.
 type Mutation struct {
-	// Invariant is the line of the brief that it breaks.
+	// Invariant is the line of the users' "What must never happen" that the mutation breaks.
 	Invariant string
-	// File is changed: Old, which stands there once, becomes New.
+	// File is the file that is changed, relative to the root of the tree. Old, which must
+	// occur once in it, is replaced by New.
 	File, Old, New string
-	// Package and Test name the proof; Args are more flags for it.
+	// Package and Test name the test that must fail; Args are more arguments for it.
 	Package, Test string
 	Args          []string
 }
 
-// Check reports whether the defect can still be put into a tree.
+// Check reports an error unless the mutation can be applied to the tree at root.
 func (m Mutation) Check(root string) error {
 	b, err := os.ReadFile(filepath.Join(root, m.File))
 	if err != nil {
 		return err
 	}
 	if n := strings.Count(string(b), m.Old); n != 1 {
-		return fmt.Errorf("%s: %q stands there %d times", m.File, m.Old, n)
+		return fmt.Errorf("%s: %q occurs %d times, not once", m.File, m.Old, n)
 	}
 	return nil
 }
 
-// Builds reports whether the package that the defect is in builds with it; the tree stays as
-// it is, and dir takes what is written for it.
+// apply returns the mutated text of the file.
+func (m Mutation) apply(original []byte) []byte {
+	return bytes.Replace(original, []byte(m.Old), []byte(m.New), 1)
+}
+
+// Builds builds the mutated package, and returns the output of the build. The tree is not
+// touched: dir takes the mutated file.
 func (m Mutation) Builds(root, dir string) (output string, err error) {
 	path, err := filepath.Abs(filepath.Join(root, m.File))
 	if err != nil {
 		return "", err
 	}
-	whole, err := os.ReadFile(path)
+	original, err := os.ReadFile(path)
 	if err != nil {
 		return "", err
 	}
 	changed, overlay := filepath.Join(dir, "changed.go"), filepath.Join(dir, "overlay.json")
-	if err := os.WriteFile(changed, []byte(strings.Replace(string(whole), m.Old, m.New, 1)), 0o644); err != nil {
+	if err := os.WriteFile(changed, m.apply(original), 0o644); err != nil {
 		return "", err
 	}
 	replace, err := json.Marshal(map[string]map[string]string{"Replace": {path: changed}})
@@ -62,19 +67,20 @@
 	return string(out), err
 }
 
-// Killed puts the defect into a tree, runs its proof there, and takes it out
-// again. It is caught if the tree still builds and the proof fails.
+// Killed applies the mutation to a tree, runs its test there, and takes it back. The mutation is
+// killed if the tree still builds and the test fails; output is that of the test, or of the
+// build that failed.
 func (m Mutation) Killed(root string) (killed bool, output string, err error) {
 	if err := m.Check(root); err != nil {
 		return false, "", err
 	}
 	path := filepath.Join(root, m.File)
-	whole, err := os.ReadFile(path)
+	original, err := os.ReadFile(path)
 	if err != nil {
 		return false, "", err
 	}
-	defer os.WriteFile(path, whole, 0o644)
-	if err := os.WriteFile(path, []byte(strings.Replace(string(whole), m.Old, m.New, 1)), 0o644); err != nil {
+	defer os.WriteFile(path, original, 0o644)
+	if err := os.WriteFile(path, m.apply(original), 0o644); err != nil {
 		return false, "", err
 	}
 	run := func(args ...string) (string, error) {
@@ -84,7 +90,7 @@
 		return string(out), err
 	}
 	if out, err := run("build", "./..."); err != nil {
-		return false, out, fmt.Errorf("with the defect it does not build")
+		return false, out, fmt.Errorf("the mutated tree does not build")
 	}
 	output, err = run(append([]string{"test", "-count=1", m.Package, "-run", "^" + m.Test + "$"}, m.Args...)...)
 	return err != nil, output, nil
--- a/tests/mutation/mutation_test.go
+++ b/tests/mutation/mutation_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Each defect can still be put where it belongs, so that none is forgotten as the
-// code moves on. That each is caught is shown by tests/cmd/mutation.
+// Each mutation still applies, so that none is forgotten as the code changes. That each is killed
+// is shown by tests/cmd/mutation.
 func TestMutationsApply(t *testing.T) {
 	for _, m := range All {
 		if err := m.Check("../.."); err != nil {
@@ -12,7 +12,7 @@
 	}
 }
 
-// Each defect builds: one that doesn't would seem to be caught, and proves nothing.
+// Each mutation builds: one that does not would seem to be killed, and shows nothing.
 func TestMutationsBuild(t *testing.T) {
 	for _, m := range All {
 		t.Run(m.File+"/"+m.Test, func(t *testing.T) {
--- a/tests/mutation/soak_catalogue.go
+++ b/tests/mutation/soak_catalogue.go
@@ -1,6 +1,6 @@
 package mutation
 
-// soakMutations are those that the soak must find within ten seeds, one for each of its checks.
+// soakMutations must be found by the soak within ten seeds; there is one for each of its rules.
 var soakMutations = []Mutation{
 	soakMutation(sentAfterLeaving, "DRAIN", "internal/dataplane/endpoints/stale.go", "return !a.Draining", "return false"),
 	soakMutation(alteredRequest, "ROUTE", "internal/dataplane/endpoints/stale.go", "return r.displaced.Contains(a.Instance) && r.addressTaken(a, now)", "return false"),
@@ -20,10 +20,10 @@
 	soakMutation(droppedInRestart, "STOP", "internal/dataplane/shutdown.go", "\ts.process.Close()\n", "\ts.process.Close()\n\tselect {}\n"),
 }
 
-// soakMutation is a defect that breaks a rule in the soak.
+// soakMutation is a mutation that breaks a rule of the soak.
 func soakMutation(invariant, rule, file, old, changed string) Mutation {
 	return Mutation{
-		Invariant: invariant, File: file, Old: old, New: changed, Package: "./proof/soak", Test: "TestSeeds",
+		Invariant: invariant, File: file, Old: old, New: changed, Package: "./tests/soak", Test: "TestSeeds",
 		Args: []string{"-timeout=30m", "-args", "-first=1", "-seeds=10", "-length=25s", "-machines=8", "-rule=" + rule},
 	}
 }
