--- a/internal/dataplane/causality/correlator_test.go
+++ b/internal/dataplane/causality/correlator_test.go
@@ -37,7 +37,7 @@
 
 // inferenceAccuracy runs a backend whose slots are always busy with requests of two routes,
 // each of which makes a call by another route, at a time that varies threefold.
-func inferenceAccuracy(seed uint64, slots int) (counts accuracy) {
+func inferenceAccuracy(seed uint64, capacity int) (counts accuracy) {
 	rng := rand.New(rand.NewPCG(seed, 3))
 	var queue eventQueue
 	correlator := NewCorrelator()
@@ -72,7 +72,7 @@
 			})
 		})
 	}
-	for range slots {
+	for range capacity {
 		after(time.Duration(rng.Int64N(int64(40*time.Millisecond))), begin)
 	}
 	for len(queue) > 0 {
--- a/internal/dataplane/keyreplication/owner.go
+++ b/internal/dataplane/keyreplication/owner.go
@@ -83,7 +83,7 @@
 // as long as an earlier incarnation's records may be kept.
 func (o *Owner) Run(ctx context.Context) {
 	var viewReadyAt time.Time
-	recovery := recovery{owner: o, handedOver: map[string]uint64{}}
+	recovery := recovery{owner: o, incarnations: map[string]uint64{}}
 	tick := time.NewTicker(recoveryInterval)
 	defer tick.Stop()
 	for {
