--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -11,16 +11,21 @@
 	"golang.org/x/tools/go/packages"
 )
 
-// wallClockMethods are what reads or writes the wall clock's side of a time. What only
-// compares and subtracts times goes by the monotonic clock.
+// wallClockMethods are the methods of time.Time that read the wall clock's part of a time. Those
+// that only compare and subtract times use the monotonic clock.
 var wallClockMethods = []string{
 	"Unix", "UnixMilli", "UnixMicro", "UnixNano", "Format", "AppendFormat", "String", "Date", "Clock", "Year", "Month", "Day",
 	"Hour", "Minute", "Second", "Nanosecond", "Weekday", "YearDay", "ISOWeek", "Round", "Truncate", "UTC", "Local", "In", "Location", "Zone",
 	"MarshalJSON", "MarshalText", "MarshalBinary", "GobEncode", "GoString",
 }
 
-// exemptPackages are the packages that handle calendar times; passers are what hands
-// wall clocks on outside of them.
+// wallClockFunctions make a time of the wall clock.
+var wallClockFunctions = []string{
+	"time.Unix", "time.UnixMilli", "time.UnixMicro", "time.Date", "time.Parse", "time.ParseInLocation", "curlewwalk/internal/clock.Wall",
+}
+
+// exemptPackages are the packages that handle calendar times; exemptDeclarations pass wall clock
+// times on outside of them, by package.
 var (
 	exemptPackages     = []string{"curlewwalk/internal/clock", "curlewwalk/internal/maintenance"}
 	exemptDeclarations = map[string][]string{
@@ -30,21 +35,9 @@
 	}
 )
 
-// wallClockUses lists where a package reads the wall clock, tells it, or makes a time of
-// one.
+// wallClockUses lists where a package reads the wall clock, encodes a time, or makes a time of
+// the wall clock.
 func wallClockUses(p *packages.Package) (out []string) {
-	told := func(f *ast.Field) {
-		if f.Tag == nil {
-			return
-		}
-		t := p.TypesInfo.TypeOf(f.Type)
-		tag := reflect.StructTag(strings.Trim(f.Tag.Value, "`"))
-		for _, k := range []string{"json", "msgpack"} {
-			if v, ok := tag.Lookup(k); ok && v != "-" && t != nil && strings.Contains(t.String(), "time.Time") {
-				out = append(out, p.Fset.Position(f.Pos()).String()+": a time is told")
-			}
-		}
-	}
 	for _, file := range p.Syntax {
 		for _, d := range file.Decls {
 			if slices.Contains(exemptDeclarations[p.PkgPath], declaredName(d)) {
@@ -53,17 +46,12 @@
 			ast.Inspect(d, func(n ast.Node) bool {
 				switch n := n.(type) {
 				case *ast.Field:
-					told(n)
-				case *ast.Ident:
-					fn, ok := p.TypesInfo.Uses[n].(*types.Func)
-					if !ok || fn.Pkg() == nil {
-						break
+					if encodesTime(p, n) {
+						out = append(out, p.Fset.Position(n.Pos()).String()+": a time is encoded")
 					}
-					full := fn.FullName()
-					method, onTime := strings.CutPrefix(full, "(time.Time).")
-					made := slices.Contains([]string{"time.Unix", "time.UnixMilli", "time.UnixMicro", "time.Date", "time.Parse", "time.ParseInLocation", "curlewwalk/internal/clock.Wall"}, full)
-					if onTime && slices.Contains(wallClockMethods, method) || made || strings.HasSuffix(full, "FileInfo).ModTime") {
-						out = append(out, p.Fset.Position(n.Pos()).String()+": "+full)
+				case *ast.Ident:
+					if name, ok := wallClockFunction(p, n); ok {
+						out = append(out, p.Fset.Position(n.Pos()).String()+": "+name)
 					}
 				}
 				return true
@@ -73,6 +61,32 @@
 	return out
 }
 
+// encodesTime tells whether a field with a time has a key in JSON or msgpack.
+func encodesTime(p *packages.Package, f *ast.Field) bool {
+	t := p.TypesInfo.TypeOf(f.Type)
+	if f.Tag == nil || t == nil || !strings.Contains(t.String(), "time.Time") {
+		return false
+	}
+	tag := reflect.StructTag(strings.Trim(f.Tag.Value, "`"))
+	return slices.ContainsFunc([]string{"json", "msgpack"}, func(format string) bool {
+		key, ok := tag.Lookup(format)
+		return ok && key != "-"
+	})
+}
+
+// wallClockFunction is the full name of the function that an identifier stands for, if that
+// reads the wall clock or makes a time of it.
+func wallClockFunction(p *packages.Package, id *ast.Ident) (string, bool) {
+	fn, ok := p.TypesInfo.Uses[id].(*types.Func)
+	if !ok || fn.Pkg() == nil {
+		return "", false
+	}
+	name := fn.FullName()
+	method, ofTime := strings.CutPrefix(name, "(time.Time).")
+	found := ofTime && slices.Contains(wallClockMethods, method) || slices.Contains(wallClockFunctions, name) || strings.HasSuffix(name, "FileInfo).ModTime")
+	return name, found
+}
+
 // declaredName is what a declaration declares: a function, Type.Method, or one type.
 func declaredName(d ast.Decl) string {
 	switch d := d.(type) {
@@ -96,6 +110,7 @@
 	return ""
 }
 
+// loadPackages loads the packages of a pattern that are not exempt, with files added by path.
 func loadPackages(t *testing.T, pattern string, overlay map[string][]byte) (all []*packages.Package) {
 	t.Helper()
 	got, err := packages.Load(&packages.Config{
@@ -116,37 +131,43 @@
 	return all
 }
 
-// Nothing but this package, the windows and what hands clocks to them reads a
-// wall clock: so no jump of one can move any other decision. The check itself is
+// samplePackage is a package that each kind of use is added to, to see that the check finds it.
+const samplePackage = "curlewwalk/internal/dataplane/endpoints"
+
+// Nothing but this package, the maintenance windows and what passes wall clock times to them
+// reads a wall clock, so that no jump of one can change any other decision. The check itself is
 // seen to find each kind of use.
 func TestWallClockIsReadInOnePlace(t *testing.T) {
-	packs := loadPackages(t, "curlewwalk/...", nil)
-	if len(packs) < 20 {
-		t.Fatalf("only %d packages were looked at", len(packs))
+	checked := loadPackages(t, "curlewwalk/...", nil)
+	if len(checked) < 20 {
+		t.Fatalf("only %d packages were checked", len(checked))
 	}
-	for _, p := range packs {
-		for _, u := range wallClockUses(p) {
-			t.Error(u)
+	for _, p := range checked {
+		for _, use := range wallClockUses(p) {
+			t.Error(use)
 		}
 	}
-	var roster *packages.Package
-	for _, p := range packs {
-		if p.PkgPath == "curlewwalk/internal/dataplane/endpoints" {
-			roster = p
-		}
+	sample := slices.IndexFunc(checked, func(p *packages.Package) bool { return p.PkgPath == samplePackage })
+	if sample < 0 {
+		t.Fatalf("%s was not checked", samplePackage)
 	}
-	file := roster.GoFiles[0]
-	for _, bad := range []string{
-		"func _() int64 { return time.Now().Unix() }", "func _(t time.Time) string { return t.String() }",
-		"func _() time.Time { return time.Unix(1, 2) }", "func _() time.Time { return time.Now().Round(0) }", "type _ struct { T time.Time `msgpack:\"t\"` }",
+	added := strings.TrimSuffix(checked[sample].GoFiles[0], ".go") + "_added.go"
+	for _, c := range []struct{ name, code string }{
+		{"seconds", "func _() int64 { return time.Now().Unix() }"},
+		{"text", "func _(t time.Time) string { return t.String() }"},
+		{"from seconds", "func _() time.Time { return time.Unix(1, 2) }"},
+		{"without monotonic clock", "func _() time.Time { return time.Now().Round(0) }"},
+		{"encoded", "type _ struct { T time.Time `msgpack:\"t\"` }"},
 	} {
-		text := "package endpoints\nimport \"time\"\n" + bad + "\n"
-		found := 0
-		for _, p := range loadPackages(t, "curlewwalk/internal/dataplane/endpoints", map[string][]byte{strings.TrimSuffix(file, ".go") + "_added.go": []byte(text)}) {
-			found += len(wallClockUses(p))
-		}
-		if found != 1 {
-			t.Errorf("%s: found %d times", bad, found)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			text := "package endpoints\nimport \"time\"\n" + c.code + "\n"
+			found := 0
+			for _, p := range loadPackages(t, samplePackage, map[string][]byte{added: []byte(text)}) {
+				found += len(wallClockUses(p))
+			}
+			if found != 1 {
+				t.Errorf("%s: found %d times", c.code, found)
+			}
+		})
 	}
 }
--- a/internal/clock/offset_injected.go
+++ b/internal/clock/offset_injected.go
@@ -8,10 +8,13 @@
 	"time"
 )
 
-// jumped is by how much a program under proof finds its wall clock jumped: the
-// duration that stands in a file.
-func jumped() time.Duration {
-	b, err := os.ReadFile(os.Getenv("CURLEWWALK_PROOF_CLOCK"))
+// offsetVariable names the file with the offset.
+const offsetVariable = "CURLEWWALK_PROOF_CLOCK"
+
+// wallOffset is by how much a test has the wall clock jump: the duration that stands in a file,
+// zero without one.
+func wallOffset() time.Duration {
+	b, err := os.ReadFile(os.Getenv(offsetVariable))
 	if err != nil {
 		return 0
 	}
--- a/internal/clock/offset_none.go
+++ b/internal/clock/offset_none.go
@@ -4,5 +4,5 @@
 
 import "time"
 
-// jumped is by how much the wall clock is off: not known in earnest.
-func jumped() time.Duration { return 0 }
+// wallOffset is zero: only builds for tests have their wall clock jump.
+func wallOffset() time.Duration { return 0 }
--- a/internal/controlplane/consensus/command_result.go
+++ b/internal/controlplane/consensus/command_result.go
@@ -6,20 +6,20 @@
 type Outcome string
 
 const (
-	// OutcomeCommitted: a majority holds what the command asked for, or held it before
+	// OutcomeCommitted says that a majority holds what the command asked for, or held it before
 	// something newer.
 	OutcomeCommitted Outcome = "taken"
-	// OutcomeMismatch: the revision that the command was bound to was not the newest.
+	// OutcomeMismatch says that the revision that the command was bound to was not the newest.
 	OutcomeMismatch Outcome = "mismatch"
-	// OutcomeConflict: another configuration was committed under its generation, and this one
-	// never will be.
+	// OutcomeConflict says that another configuration was committed under its generation, and
+	// this one never will be.
 	OutcomeConflict Outcome = "conflict"
-	// OutcomeSuperseded: another command on its zone was committed after it came, and it has no
-	// effect of its own any more.
+	// OutcomeSuperseded says that another command on its zone was committed after it came, and
+	// that it has no effect of its own any more.
 	OutcomeSuperseded Outcome = "overtaken"
-	// OutcomeRejected: it surely never will be committed.
+	// OutcomeRejected says that it surely never will be committed.
 	OutcomeRejected Outcome = "not-taken"
-	// OutcomeUnknown: it may still be found and committed.
+	// OutcomeUnknown says that it may still be found and committed.
 	OutcomeUnknown Outcome = "unknown"
 )
 
--- a/internal/controlplane/consensus/reconfigurer.go
+++ b/internal/controlplane/consensus/reconfigurer.go
@@ -8,42 +8,44 @@
 )
 
 const (
-	// maxObservationGap is how long after its last look an usher has slept, not looked.
+	// maxObservationGap is how long after its last observation a reconfigurer counts as having
+	// been suspended.
 	maxObservationGap = 2 * time.Second // (ours)
-	// minMembers is below what no set is shrunk.
+	// minMembers is the smallest member set that a removal leaves.
 	minMembers = 3
 )
 
-// JoinRequest is a core that asks for a seat.
+// JoinRequest asks the coordinator for membership.
 type JoinRequest struct {
 	DiskID uint64 `msgpack:"d"`
 	Addr   string `msgpack:"a"`
 	Zone   string `msgpack:"l"`
-	// Forwarded is set once a core has passed it on to the one on duty.
+	// Forwarded is set once a replica has forwarded it to the coordinator.
 	Forwarded bool `msgpack:"p,omitempty"`
 }
 
-// MemberStatus is a slot as the core on duty knows it: where its core was heard last.
+// MemberStatus is what the coordinator knows of a member ID: where its replica was seen last,
+// and whether that is live.
 type MemberStatus struct {
 	Addr string
 	Live bool
 }
 
-// Reconfigurer is a decision value: how the core on duty has the set of slots changed, for
-// those who ask for a seat and those who are gone. (DESIGN 6.5)
+// Reconfigurer decides for the coordinator which members join and which are removed. It is a
+// pure value; times count from any fixed moment. (DESIGN 6.5)
 type Reconfigurer struct {
-	// RemovalDelay is how long a core may be without a sign of life before its slot goes.
+	// RemovalDelay is how long a member may be absent before it may be removed.
 	RemovalDelay time.Duration
-	absentSince  map[int]time.Duration // since when a slot of the set has no live core
+	absentSince  map[int]time.Duration // by the ID of a member whose replica is not live
 	lastObserved time.Duration
 }
 
-// Observe takes which slots of the set have live cores. One that slept knows of nobody
-// for how long it was away.
+// Observe takes which members are live. A reconfigurer that was suspended does not know of any
+// how long it was absent.
 func (r Reconfigurer) Observe(members []config.Member, statuses map[int]MemberStatus, now time.Duration) Reconfigurer {
-	old := r.absentSince
+	previous := r.absentSince
 	if r.lastObserved == 0 || now-r.lastObserved > maxObservationGap {
-		old = nil
+		previous = nil
 	}
 	r.absentSince, r.lastObserved = map[int]time.Duration{}, now
 	for _, m := range members {
@@ -51,58 +53,68 @@
 			continue
 		}
 		r.absentSince[m.MemberID] = now
-		if at, ok := old[m.MemberID]; ok {
-			r.absentSince[m.MemberID] = at
+		if since, ok := previous[m.MemberID]; ok {
+			r.absentSince[m.MemberID] = since
 		}
 	}
 	return r
 }
 
-// isGone tells whether a slot has had no live core for long.
+// isGone tells whether a member has been absent for long.
 func (r Reconfigurer) isGone(memberID int, now time.Duration) bool {
-	at, ok := r.absentSince[memberID]
-	return ok && now-r.lastObserved <= maxObservationGap && now-at >= r.RemovalDelay
+	since, ok := r.absentSince[memberID]
+	return ok && now-r.lastObserved <= maxObservationGap && now-since >= r.RemovalDelay
 }
 
-// PlanJoin finds the change of the set that gives an asker a slot. Each disk gets a slot
-// never used before: instead of the one that this address had before its disk was
-// lost; else instead of one whose core is gone; else beside all others.
+// PlanJoin finds the reconfiguration that makes a disk a member; false if there is none now.
+// Each disk gets a member ID never used before. It replaces the member that had its address
+// before its disk was lost, else one that is gone, else it joins beside all others.
 func (r Reconfigurer) PlanJoin(request JoinRequest, acceptor Acceptor, statuses map[int]MemberStatus, now time.Duration) (Command, bool) {
 	members := acceptor.MemberSets().Current
 	if acceptor.StaticSize > 0 || len(members) == 0 {
-		return Command{}, false // a system of static slots has none to give
+		return Command{}, false // static members don't come and go
 	}
-	command := Command{Kind: CommandReconfigure, ExpectedMembers: members, Joining: config.Member{MemberID: max(acceptor.State.HighestMemberID, members[len(members)-1].MemberID) + 1, DiskID: request.DiskID, Addr: request.Addr}}
-	if command.Joining.MemberID > MaxMemberID || slices.ContainsFunc(members, func(m config.Member) bool { return m.DiskID == request.DiskID }) {
+	joining := config.Member{MemberID: max(acceptor.State.HighestMemberID, members[len(members)-1].MemberID) + 1, DiskID: request.DiskID, Addr: request.Addr}
+	command := Command{Kind: CommandReconfigure, ExpectedMembers: members, Joining: joining}
+	if joining.MemberID > MaxMemberID || slices.ContainsFunc(members, func(m config.Member) bool { return m.DiskID == request.DiskID }) {
 		return command, false
 	}
-	live, gone := 0, 0
+	leaving, live := r.replacedBy(request, members, statuses, now)
+	if leaving == 0 {
+		// A member that is silent may be back, or gone, in a moment.
+		return command, live == len(members)
+	}
+	command.Leaving = leaving
+	// What can't be committed is not begun.
+	return command, live >= Majority(len(members))
+}
+
+// replacedBy is the ID of the member that a joining disk replaces, zero for none, and the
+// number of live members apart from one at the disk's own address.
+func (r Reconfigurer) replacedBy(request JoinRequest, members []config.Member, statuses map[int]MemberStatus, now time.Duration) (leaving, live int) {
+	gone := 0
 	for _, m := range members {
 		switch status := statuses[m.MemberID]; {
 		case status.Addr == request.Addr || status.Addr == "" && m.Addr == request.Addr:
-			command.Leaving = m.MemberID
+			leaving = m.MemberID
 		case status.Live:
 			live++
 		case gone == 0 && r.isGone(m.MemberID, now):
 			gone = m.MemberID
 		}
 	}
-	if command.Leaving == 0 {
-		command.Leaving = gone
-	}
-	if command.Leaving == 0 {
-		// Whoever is silent may be back, or gone, in a moment.
-		return command, live == len(members)
+	if leaving == 0 {
+		leaving = gone
 	}
-	// What can't be settled is not begun.
-	return command, live >= Majority(len(members))
+	return leaving, live
 }
 
-// PlanRemoval finds a slot to strike: one whose core is gone, when the set is of even
-// size or two are gone, the live ones being a majority of what is left.
+// PlanRemoval finds the reconfiguration that removes a member that is gone; false if there is
+// none now. The set must be of even size or two of its members gone, and the live ones a
+// majority of what is left.
 func (r Reconfigurer) PlanRemoval(acceptor Acceptor, now time.Duration) (Command, bool) {
 	members := acceptor.MemberSets().Current
-	if acceptor.StaticSize > 0 || len(members) <= max(minMembers, len(acceptor.InitialMembers)) {
+	if acceptor.StaticSize > 0 || len(members) <= smallestSize(acceptor) {
 		return Command{}, false
 	}
 	leaving, gone := 0, 0
@@ -119,15 +131,18 @@
 	return Command{Kind: CommandReconfigure, ExpectedMembers: members, Leaving: leaving}, true
 }
 
-// PlanLeave finds the change by which a member that is being stopped leaves an even set.
-// Such a set bears no more losses than the odd one without that member, and while the
-// member is away it bears one fewer. An odd set stays as it is: the member may be back
-// with its disk.
+// PlanLeave finds the reconfiguration by which a member that is being stopped leaves a set of
+// even size; false if it stays. Such a set bears no more losses than the odd one without that
+// member, and one fewer while the member is away. A set of odd size stays as it is: the member
+// may be back with its disk.
 func PlanLeave(acceptor Acceptor) (Command, bool) {
 	members := acceptor.MemberSets().Current
-	even := len(members)%2 == 0 && len(members) > max(minMembers, len(acceptor.InitialMembers))
+	even := len(members)%2 == 0 && len(members) > smallestSize(acceptor)
 	if acceptor.StaticSize > 0 || !acceptor.IsMember() || !even || len(acceptor.MemberSets().Previous) > 0 {
 		return Command{}, false
 	}
 	return Command{Kind: CommandReconfigure, ExpectedMembers: members, Leaving: acceptor.Self.MemberID}, true
 }
+
+// smallestSize is the size below which no member set is reduced.
+func smallestSize(acceptor Acceptor) int { return max(minMembers, len(acceptor.InitialMembers)) }
--- a/internal/controlplane/consensus/state_encoding.go
+++ b/internal/controlplane/consensus/state_encoding.go
@@ -9,11 +9,10 @@
 	"curlewwalk/internal/config"
 )
 
-// What follows lets an exploration of all interleavings tell states apart: copies that
-// share nothing, and canonical encodings. Two states of one encoding behave alike from
-// here on. (DESIGN 14.9)
+// What follows lets tests/modelcheck tell states apart: copies that share nothing, and canonical
+// encodings. Two states with the same encoding behave alike from there on. (DESIGN 14.9)
 
-// Clone is a copy of the proposer that shares nothing that changes.
+// Clone is a copy of the proposer; the two share nothing that changes.
 func (p *Proposer) Clone() *Proposer {
 	out := *p
 	out.commands = slices.Clone(p.commands)
@@ -21,8 +20,8 @@
 	return &out
 }
 
-// AppendState appends an encoding of the proposer. Times are told as far as they matter to
-// somebody whose next look at the clock is far later than any limit of the proposer's.
+// AppendState appends an encoding of the proposer. Times are encoded as far as they matter if
+// the next time that the proposer is given is far later than any of its limits.
 func (p *Proposer) AppendState(b []byte, now time.Duration) []byte {
 	b = appendSender(b, p.Self)
 	b = appendMembers(b, p.initialMembers)
@@ -41,7 +40,7 @@
 		b = appendFlags(b, p.termStarted < command.enqueuedAt)
 	}
 	if p.phase == proposerIdle {
-		return b // the votes of a round that is over count for nothing
+		return b // the replies of a phase that is over count for nothing
 	}
 	return appendReplies(appendReplies(b, p.exchange.grants), p.exchange.rejections)
 }
@@ -66,7 +65,7 @@
 	return appendMemberRecords(b, a.Members)
 }
 
-// AppendState appends an encoding of the vote.
+// AppendState appends an encoding of the reply.
 func (r Reply) AppendState(b []byte) []byte {
 	b = appendSender(b, r.Sender)
 	b = append(b, r.Type...)
@@ -79,7 +78,7 @@
 	return appendMemberSets(b, r.MemberSets)
 }
 
-// AppendState appends an encoding of the ballot.
+// AppendState appends an encoding of the message.
 func (m Message) AppendState(b []byte) []byte {
 	b = appendSender(b, m.Sender)
 	b = append(b, m.Type...)
@@ -88,8 +87,8 @@
 	return AppendControlState(b, m.State)
 }
 
-// AppendControlState appends an encoding of what orders about configurations and the set of
-// slots make of a word.
+// AppendControlState appends an encoding of what commands on configurations and member sets make
+// of a state.
 func AppendControlState(b []byte, state config.ControlState) []byte {
 	b = appendNumbers(b, state.Revision, state.ConfigurationRevision, state.Generation, uint64(state.HighestMemberID), uint64(len(state.Configuration)), uint64(len(state.AcceptedGenerations)))
 	b = append(b, state.Configuration...)
@@ -147,12 +146,12 @@
 	return b
 }
 
-// HoldsTerm tells whether the proposer goes on under an epoch.
+// HoldsTerm tells whether the proposer goes on under a term.
 func (p *Proposer) HoldsTerm(term uint64) bool { return p.phase != proposerIdle && p.term == term }
 
-// CanAffect tells whether a vote can still change what the proposer does: it opens a refusal, or
-// belongs to the round of votes that is open, or to one that a change of the set may open
-// again under the same epoch.
+// CanAffect tells whether a reply can still change what the proposer does: it has a higher term,
+// or belongs to the current phase, or to one that a reconfiguration may start again under the
+// same term.
 func (p *Proposer) CanAffect(reply Reply) bool {
 	if len(p.commands) == 0 && (p.phase == proposerIdle || p.proposal.forCommand) {
 		return false
@@ -163,10 +162,10 @@
 	if p.term == 0 || reply.Term != p.term {
 		return false
 	}
-	changes := slices.ContainsFunc(p.commands, func(command Command) bool { return command.Kind == CommandReconfigure })
+	reconfigures := slices.ContainsFunc(p.commands, func(command Command) bool { return command.Kind == CommandReconfigure })
 	switch reply.Type {
 	case MsgPrepare:
-		return p.phase == proposerPreparing || changes
+		return p.phase == proposerPreparing || reconfigures
 	case MsgAccept:
 		return p.phase == proposerAccepting && (!reply.Granted || reply.Position == p.proposal.position)
 	}
--- a/internal/delta/delta.go
+++ b/internal/delta/delta.go
@@ -1,6 +1,10 @@
-// Package delta tells one version of a document as its difference from another: what is
-// copied from the base, and what is new. Versions of a configuration differ in a few
-// bytes of thousands. (DESIGN 8.3)
+// Package delta encodes one version of a document as its difference from another: what is
+// copied from the base, and what is inserted. Versions of a configuration differ in a few bytes
+// of thousands.
+//
+// A difference is a sequence of operations. Each begins with a varint: its lowest bit is the
+// operation, the rest the length in bytes. A copy is followed by a varint with the offset in the
+// base, an insertion by its bytes. (DESIGN 8.3)
 package delta
 
 import (
@@ -11,51 +15,52 @@
 )
 
 const (
-	// blockSize is the length of the runs of the base that are looked for. (ours)
-	blockSize = 16
-	// maxOutput bounds the result of Apply, as a frame is bounded.
+	// blockSize is the length of the runs of the base that are looked for, in bytes.
+	blockSize = 16 // (ours)
+	// maxOutput bounds the result of Apply, as a frame of the transport is bounded, in bytes.
 	maxOutput = 64 << 20
 )
 
-var errBaseMismatch = eris.New("the difference does not fit its base")
+// ErrBaseMismatch is returned for a difference that is malformed or was made from another base.
+var ErrBaseMismatch = eris.New("the difference does not fit its base")
 
-// A difference is a sequence of operations. Each begins with a number: its lowest bit
-// says which it is, the rest how long. A copy is followed by where it begins in the base,
-// an insertion by its bytes.
+// The operations.
 const (
 	opInsert = 0
 	opCopy   = 1
 )
 
-// Diff tells target as its difference from base.
+// Diff encodes target as its difference from base. It is never an error; if the two have little
+// in common, the result may be longer than target.
 func Diff(base, target []byte) []byte {
-	var encoder encoder
+	var e encoder
 	prefix := commonPrefix(base, target)
-	encoder.copy(0, prefix)
+	e.copy(0, prefix)
 	inner, rest := base[prefix:], target[prefix:]
 	suffix := commonSuffix(inner, rest)
-	encoder.diffMiddle(inner[:len(inner)-suffix], rest[:len(rest)-suffix], prefix)
-	encoder.copy(len(base)-suffix, suffix)
-	encoder.flushInsertion()
-	return encoder.out
+	e.diffMiddle(inner[:len(inner)-suffix], rest[:len(rest)-suffix], prefix)
+	e.copy(len(base)-suffix, suffix)
+	e.flushInsertion()
+	return e.out
 }
 
-// Apply makes the target of a difference out of its base.
+// Apply makes the target of a difference from its base. A difference that was made from another
+// base may give an ErrBaseMismatch or any bytes: whoever needs to know compares a digest.
 func Apply(base, difference []byte) ([]byte, error) {
 	out := make([]byte, 0, len(base))
 	for len(difference) > 0 {
 		head, n := binary.Uvarint(difference)
 		if n <= 0 || head>>1 > maxOutput {
-			return nil, errBaseMismatch
+			return nil, ErrBaseMismatch
 		}
 		difference = difference[n:]
 		length := int(head >> 1)
 		if len(out)+length > maxOutput {
-			return nil, errBaseMismatch
+			return nil, ErrBaseMismatch
 		}
 		if head&1 == opInsert {
 			if length > len(difference) {
-				return nil, errBaseMismatch
+				return nil, ErrBaseMismatch
 			}
 			out = append(out, difference[:length]...)
 			difference = difference[length:]
@@ -63,7 +68,7 @@
 		}
 		from, n := binary.Uvarint(difference)
 		if n <= 0 || from > uint64(len(base)) || length > len(base)-int(from) {
-			return nil, errBaseMismatch
+			return nil, ErrBaseMismatch
 		}
 		difference = difference[n:]
 		out = append(out, base[from:int(from)+length]...)
@@ -73,10 +78,12 @@
 
 // encoder writes a difference. Insertions that follow one another become one.
 type encoder struct {
-	out      []byte
+	out []byte
+	// inserted are the bytes of the insertion that is not written yet.
 	inserted []byte
 }
 
+// copy writes a copy of a run of the base.
 func (e *encoder) copy(from, length int) {
 	if length == 0 {
 		return
@@ -86,6 +93,7 @@
 	e.out = binary.AppendUvarint(e.out, uint64(from))
 }
 
+// flushInsertion writes the pending insertion.
 func (e *encoder) flushInsertion() {
 	if len(e.inserted) == 0 {
 		return
@@ -95,8 +103,8 @@
 	e.inserted = e.inserted[:0]
 }
 
-// diffMiddle writes what lies between a common beginning and a common end; offset is where
-// its part of the base begins.
+// diffMiddle writes what lies between a common prefix and a common suffix; offset is where its
+// part of the base begins.
 func (e *encoder) diffMiddle(base, target []byte, offset int) {
 	blocks := indexBlocks(base, target)
 	for at := 0; at < len(target); {
@@ -106,18 +114,15 @@
 			at++
 			continue
 		}
-		// What was taken for new may belong to the run already.
-		back := 0
-		for back < len(e.inserted) && back < from && base[from-back-1] == e.inserted[len(e.inserted)-back-1] {
-			back++
-		}
+		// The last bytes that were taken for inserted may belong to the run already.
+		back := commonSuffix(base[:from], e.inserted)
 		e.inserted = e.inserted[:len(e.inserted)-back]
 		e.copy(offset+from-back, length+back)
 		at += length
 	}
 }
 
-// indexBlocks finds the blocks of the base by their bytes; none if there is nothing to find.
+// indexBlocks finds the blocks of the base by their bytes; nil if there is nothing to find.
 func indexBlocks(base, target []byte) map[[blockSize]byte]int {
 	if len(base) < blockSize || len(target) < blockSize {
 		return nil
@@ -132,7 +137,8 @@
 	return blocks
 }
 
-// findMatch finds a run of the base that begins at a place of the target.
+// findMatch finds a run of the base that equals the target from an offset on; a length of zero
+// is none.
 func findMatch(base, target []byte, at int, blocks map[[blockSize]byte]int) (from, length int) {
 	if at+blockSize > len(target) || blocks == nil {
 		return 0, 0
--- a/internal/delta/delta_test.go
+++ b/internal/delta/delta_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// testDocument is like a configuration of so many routes.
+// testDocument looks like a configuration with a number of routes.
 func testDocument(routes int) []byte {
 	var b strings.Builder
 	for i := range routes {
@@ -17,30 +17,30 @@
 	return []byte(b.String())
 }
 
-// editDocument is a document with runs taken out, put in, changed and moved.
+// editDocument is a document with runs removed, inserted, changed and copied to the end.
 func editDocument(rng *rand.Rand, doc []byte, edits int) []byte {
 	out := bytes.Clone(doc)
 	for range edits {
 		at := rng.IntN(len(out) + 1)
 		end := min(len(out), at+rng.IntN(100))
-		some := bytes.Clone(out[at:end])
+		run := bytes.Clone(out[at:end])
 		switch rng.IntN(4) {
 		case 0:
 			out = append(out[:at:at], out[end:]...)
 		case 1:
 			out = append(out[:at:at], append([]byte(fmt.Sprint("new", rng.Uint64())), out[at:]...)...)
 		case 2:
-			for i := range some {
+			for i := range run {
 				out[at+i] = byte(rng.IntN(256))
 			}
 		default:
-			out = append(out, some...)
+			out = append(out, run...)
 		}
 	}
 	return out
 }
 
-// What is made of a base and a difference is the target, whatever the two are.
+// Apply makes the target of a base and its difference, whatever the two are.
 func TestRoundTrip(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 2000 {
@@ -55,27 +55,26 @@
 		d := Diff(base, target)
 		got, err := Apply(base, d)
 		if err != nil || !bytes.Equal(got, target) {
-			t.Fatalf("%v: made %q of %q by %q, want %q", err, got, base, d, target)
+			t.Fatalf("%v: got %q from %q by %q, want %q", err, got, base, d, target)
 		}
 	}
 }
 
-// A change of some routes costs about its own bytes, wherever they stand.
+// A change of some routes takes about its own bytes, wherever they stand.
 func TestDiffIsSmall(t *testing.T) {
 	base := testDocument(60)
 	target := bytes.Replace(base, []byte("h3.example"), []byte("other.example"), 3)
 	target = append([]byte(`{"name":"added","host":"h","prefix":"/added/","service":"svc-9","legs":2},`), target...)
 	d := Diff(base, target)
 	if len(d) > 200 {
-		t.Errorf("%d bytes tell a change of %d", len(d), len(target))
+		t.Errorf("%d bytes for a change of %d", len(d), len(target))
 	}
 	if d := Diff(base, base); len(d) > 5 {
-		t.Errorf("%d bytes tell no change", len(d))
+		t.Errorf("%d bytes for no change", len(d))
 	}
 }
 
-// A difference that was cut or altered makes something else or nothing, and never fails
-// otherwise.
+// A difference that was truncated or altered gives other bytes or an error, and never panics.
 func FuzzApply(f *testing.F) {
 	base := testDocument(20)
 	d := Diff(base, editDocument(rand.New(rand.NewPCG(3, 4)), base, 4))
