--- a/internal/controlplane/consensus/conflict_test.go
+++ b/internal/controlplane/consensus/conflict_test.go
@@ -9,20 +9,21 @@
 	"curlewwalk/internal/storage"
 )
 
-// acceptWithoutCommit lets a proposer's proposal reach one acceptor only: it is left half done.
+// acceptWithoutCommit delivers a proposal to one acceptor only, and drops the other messages of
+// the proposer: the proposal is left unfinished.
 func (network *proposerNetwork) acceptWithoutCommit(memberID, acceptor int) {
 	network.t.Helper()
-	for _, ready := range network.sent[memberID] {
-		if ready.Message.Type != MsgAccept {
-			network.t.Fatalf("%s is under way", ready.Message.Type)
+	for _, item := range network.sent[memberID] {
+		if item.Message.Type != MsgAccept {
+			network.t.Fatalf("%s is under way", item.Message.Type)
 		}
-		network.acceptors[acceptor-1], _ = network.acceptors[acceptor-1].Step(*ready.Message)
+		network.acceptors[acceptor-1], _ = network.acceptors[acceptor-1].Step(*item.Message)
 	}
 	network.sent[memberID] = nil
 }
 
-// One number stands for one configuration: the same bytes are acknowledged again at any
-// core, also after later ones; other bytes are refused, whoever sends them.
+// A generation stands for one configuration: the same bytes are acknowledged again at any
+// replica, also after later generations; other bytes are refused, whoever submits them.
 func TestOneGenerationOneConfiguration(t *testing.T) {
 	network := newProposerNetwork(t, 3)
 	put := func(memberID int, command Command, want Outcome) {
@@ -52,12 +53,13 @@
 	}
 }
 
-// What the operator sent is what is compared, not the form that an adapter made of it.
+// Conflicts are found by the bytes that the operator submitted, not by the form that an adapter
+// made of them.
 func TestConflictComparesSubmittedBytes(t *testing.T) {
 	network := newProposerNetwork(t, 3)
-	put := func(desired, sent string, want Outcome) {
+	put := func(payload, submitted string, want Outcome) {
 		t.Helper()
-		id := network.submit(1, Command{Kind: CommandPutConfiguration, Generation: 3, Payload: []byte(desired), Submitted: []byte(sent)})
+		id := network.submit(1, Command{Kind: CommandPutConfiguration, Generation: 3, Payload: []byte(payload), Submitted: []byte(submitted)})
 		network.deliverAll()
 		network.expect(id, want)
 	}
@@ -67,8 +69,9 @@
 	put("a", "", OutcomeConflict)
 }
 
-// Two operators race under one number, at one core or at two, whichever way the ballots
-// fall among each other: one is taken and the other learns it, whichever core it asks.
+// Two operators race under one generation, at one replica or at two, whichever way the messages
+// interleave: one configuration is committed and the other operator learns it, whichever
+// replica it asks.
 func TestEqualGenerationsRace(t *testing.T) {
 	for steps := range 128 {
 		network := newProposerNetwork(t, 3)
@@ -98,8 +101,9 @@
 	}
 }
 
-// Among those that wait for a higher one, two have its number: the other bytes are
-// refused; those of lower numbers, which nobody ever took, are acknowledged.
+// Among the commands that wait for a higher generation, two have that generation: the one with
+// other bytes is refused; those of lower generations, which were never committed, are
+// acknowledged.
 func TestEqualGenerationsQueueUp(t *testing.T) {
 	network := newProposerNetwork(t, 3)
 	first := network.submit(1, putGeneration(1, "1"))
@@ -115,12 +119,12 @@
 	network.expect(same, OutcomeCommitted)
 	network.expect(late, OutcomeConflict)
 	if network.proposed != 2 {
-		t.Errorf("%d words were proposed", network.proposed)
+		t.Errorf("%d states were proposed", network.proposed)
 	}
 }
 
-// An order that was left half done is found and finished by a later epoch, or it is
-// not; either way its own bytes are told from another's under the same number.
+// A proposal that was left unfinished is found and finished under a later term, or it is not;
+// either way its own bytes are distinguished from others under the same generation.
 func TestUncommittedGeneration(t *testing.T) {
 	for _, found := range []bool{true, false} {
 		t.Run(fmt.Sprint(found), func(t *testing.T) {
@@ -130,42 +134,42 @@
 			network.expect(first, OutcomeCommitted)
 			one := network.submit(1, putGeneration(4, "one"))
 			network.acceptWithoutCommit(1, 1)
-			asks := 2
+			other := 2
 			if found {
-				asks = 1
+				other = 1
 			}
-			// The duty changes. The next epoch asks slot 3 and the one that has the
-			// proposal, or slot 3 and the one that has not.
+			// The coordinator changes. The next term asks member 3 and the one that has the
+			// proposal, or member 3 and the one that has not.
 			two := network.submit(3, putGeneration(4, "two"))
 			for range 8 {
 				sent := network.sent[3]
 				network.sent[3] = nil
-				for _, ready := range sent {
-					for _, s := range []int{3, asks} {
-						next, reply := network.acceptors[s-1].Step(*ready.Message)
-						network.acceptors[s-1] = next
+				for _, item := range sent {
+					for _, id := range []int{3, other} {
+						next, reply := network.acceptors[id-1].Step(*item.Message)
+						network.acceptors[id-1] = next
 						network.handleReady(3, network.proposers[3].HandleReply(reply, network.now))
 					}
 				}
 			}
-			wantOne, wantTwo, held := OutcomeConflict, OutcomeCommitted, "two"
+			wantOne, wantTwo, newest := OutcomeConflict, OutcomeCommitted, "two"
 			if found {
-				wantOne, wantTwo, held = OutcomeCommitted, OutcomeConflict, "one"
+				wantOne, wantTwo, newest = OutcomeCommitted, OutcomeConflict, "one"
 			}
 			network.expect(two, wantTwo)
 			for range 3 {
 				network.deliverAll()
 			}
 			network.expect(one, wantOne)
-			if state := network.newestState(); string(state.Configuration) != held {
+			if state := network.newestState(); string(state.Configuration) != newest {
 				t.Errorf("%+v", state)
 			}
 		})
 	}
 }
 
-// A number that was taken long ago is acknowledged whatever comes under it: no repeat of
-// a taken one is ever refused, and the record is bounded.
+// A generation that was committed long ago is acknowledged whatever comes under it: no repeat
+// of a committed one is ever refused, and the record is bounded.
 func TestAcceptedGenerationsAreBounded(t *testing.T) {
 	network := newProposerNetwork(t, 1)
 	put := func(command Command, want Outcome) {
@@ -187,7 +191,7 @@
 		if network.results[id].Outcome == OutcomeConflict {
 			known++
 		} else if known > 0 {
-			t.Fatalf("%d is not known any more, and an older one is", n)
+			t.Fatalf("%d is not known any more, and an earlier one is", n)
 		}
 	}
 	if known < 8 || known > most/2 {
@@ -195,10 +199,10 @@
 	}
 }
 
-// What was taken under which number outlives a restart; of a word from before there was
-// a record, what the operator sent tells it.
+// The record of generations survives a restart; for a state of a version that kept no record,
+// what the operator submitted takes its place.
 func TestAcceptedGenerationsOnDisk(t *testing.T) {
-	v, err := storage.Open(t.TempDir())
+	disk, err := storage.Open(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -210,9 +214,9 @@
 		}
 		network.expect(id, want)
 	}
-	again := func() {
+	restart := func() {
 		t.Helper()
-		acceptor, err := (&StateStore{Store: v}).Load(Bootstrap{MemberID: 1, StaticSize: 1})
+		acceptor, err := (&StateStore{Store: disk}).Load(Bootstrap{MemberID: 1, StaticSize: 1})
 		if err != nil || acceptor.Phase != PhaseEstablished {
 			t.Fatal(acceptor.Phase, err)
 		}
@@ -223,45 +227,45 @@
 	put(putGeneration(4, "four"), OutcomeCommitted)
 	acceptor := network.acceptors[0]
 	acceptor.PromiseDirty, acceptor.StateDirty = true, true
-	if err := (&StateStore{Store: v}).Save(acceptor); err != nil {
+	if err := (&StateStore{Store: disk}).Save(acceptor); err != nil {
 		t.Fatal(err)
 	}
-	again()
+	restart()
 	put(putGeneration(4, "four"), OutcomeCommitted)
 	put(putGeneration(4, "other"), OutcomeConflict)
 	put(putGeneration(3, "three"), OutcomeCommitted)
 	put(putGeneration(3, "other"), OutcomeConflict)
 
-	old := "{\"epoch\":4000000,\"stamp\":9,\"desired_stamp\":9,\"emptied\":null,\"edition\":7,\"sent\":\"c2VudCBzZXZlbg==\"}\nseven"
-	if err := v.Save(kindState, "00000000000004000000.00000000000000000009", []byte(old)); err != nil {
+	earlier := "{\"epoch\":4000000,\"stamp\":9,\"desired_stamp\":9,\"emptied\":null,\"edition\":7,\"sent\":\"c2VudCBzZXZlbg==\"}\nseven"
+	if err := disk.Save(kindState, "00000000000004000000.00000000000000000009", []byte(earlier)); err != nil {
 		t.Fatal(err)
 	}
 	network.now += time.Minute
-	again()
+	restart()
 	put(putGeneration(7, "seven"), OutcomeCommitted)
 	put(putGeneration(7, "other"), OutcomeConflict)
 	put(putGeneration(6, "six"), OutcomeCommitted)
-	old = "{\"epoch\":5000000,\"stamp\":10,\"desired_stamp\":10,\"emptied\":null,\"edition\":7}\nput without a number"
-	if err := v.Save(kindState, "00000000000005000000.00000000000000000010", []byte(old)); err != nil {
+	earlier = "{\"epoch\":5000000,\"stamp\":10,\"desired_stamp\":10,\"emptied\":null,\"edition\":7}\nput without a number"
+	if err := disk.Save(kindState, "00000000000005000000.00000000000000000010", []byte(earlier)); err != nil {
 		t.Fatal(err)
 	}
-	again()
-	put(putGeneration(7, "seven"), OutcomeCommitted) // it can't be told any more
+	restart()
+	put(putGeneration(7, "seven"), OutcomeCommitted) // what was committed under it is not known any more
 }
 
-// saveAndLoad is a word as it comes back from disk.
+// saveAndLoad is a state as it comes back from disk.
 func saveAndLoad(t *testing.T, state config.ControlState) config.ControlState {
 	t.Helper()
-	v, err := storage.Open(t.TempDir())
+	disk, err := storage.Open(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
 	acceptor := establishedAcceptor(1, Position{Term: 1, Revision: state.Revision}, state)
 	acceptor.PromiseDirty, acceptor.StateDirty = true, true
-	if err := (&StateStore{Store: v}).Save(acceptor); err != nil {
+	if err := (&StateStore{Store: disk}).Save(acceptor); err != nil {
 		t.Fatal(err)
 	}
-	got, err := (&StateStore{Store: v}).Load(Bootstrap{})
+	got, err := (&StateStore{Store: disk}).Load(Bootstrap{})
 	if err != nil || got.Phase != PhaseEstablished {
 		t.Fatal(got.Phase, err)
 	}
--- a/internal/controlplane/consensus/generation_test.go
+++ b/internal/controlplane/consensus/generation_test.go
@@ -11,74 +11,74 @@
 	"curlewwalk/internal/storage"
 )
 
-// proposerNetwork is proposers and acceptors without a wire.
+// proposerNetwork connects proposers and acceptors without a transport.
 type proposerNetwork struct {
 	t         *testing.T
 	now       time.Duration
 	acceptors []Acceptor
 	proposers map[int]*Proposer
 	results   map[uint64]CommandResult
-	seq       uint64
-	// sent are the ballots of each proposer that are on their way.
+	lastID    uint64
+	// sent are the messages of each proposer that are in flight.
 	sent map[int][]Ready
-	// proposed counts the words that were proposed.
+	// proposed counts the proposals.
 	proposed int
 }
 
-func newProposerNetwork(t *testing.T, slots int) *proposerNetwork {
+func newProposerNetwork(t *testing.T, size int) *proposerNetwork {
 	network := &proposerNetwork{t: t, proposers: map[int]*Proposer{}, results: map[uint64]CommandResult{}, sent: map[int][]Ready{}}
 	members := map[int]MemberRecord{}
-	for s := 1; s <= slots; s++ {
-		members[s] = MemberRecord{Incarnation: 1, DiskID: uint64(s)}
+	for id := 1; id <= size; id++ {
+		members[id] = MemberRecord{Incarnation: 1, DiskID: uint64(id)}
 	}
-	for s := 1; s <= slots; s++ {
-		self := Sender{MemberID: s, Incarnation: 1, DiskID: uint64(s)}
-		network.acceptors = append(network.acceptors, Acceptor{Self: self, StaticSize: slots, Phase: PhaseEstablished, Members: members})
-		network.proposers[s] = &Proposer{}
-		network.proposers[s].FollowAcceptor(network.acceptors[s-1], 0)
+	for id := 1; id <= size; id++ {
+		self := Sender{MemberID: id, Incarnation: 1, DiskID: uint64(id)}
+		network.acceptors = append(network.acceptors, Acceptor{Self: self, StaticSize: size, Phase: PhaseEstablished, Members: members})
+		network.proposers[id] = &Proposer{}
+		network.proposers[id].FollowAcceptor(network.acceptors[id-1], 0)
 	}
 	return network
 }
 
-// submit hands a proposer an order.
+// submit enqueues a command at a proposer, and returns its ID.
 func (network *proposerNetwork) submit(memberID int, command Command) uint64 {
-	network.seq++
-	command.ID, command.Deadline = network.seq, network.now+3*time.Second
+	network.lastID++
+	command.ID, command.Deadline = network.lastID, network.now+3*time.Second
 	network.handleReady(memberID, network.proposers[memberID].Enqueue(command, network.now))
 	return command.ID
 }
 
-func (network *proposerNetwork) handleReady(memberID int, readies []Ready) {
-	for _, ready := range readies {
-		if ready.Result != nil {
-			network.results[ready.Result.ID] = *ready.Result
+func (network *proposerNetwork) handleReady(memberID int, items []Ready) {
+	for _, item := range items {
+		if item.Result != nil {
+			network.results[item.Result.ID] = *item.Result
 		}
-		if ready.Message != nil {
-			network.sent[memberID] = append(network.sent[memberID], ready)
-			if ready.Message.Type == MsgAccept {
+		if item.Message != nil {
+			network.sent[memberID] = append(network.sent[memberID], item)
+			if item.Message.Type == MsgAccept {
 				network.proposed++
 			}
 		}
 	}
 }
 
-// step lets a proposer's ballots so far come to the acceptors, and their votes back;
-// false if there were none.
+// step delivers the messages of a proposer that are in flight, and the replies to it; false if
+// there were none.
 func (network *proposerNetwork) step(memberID int) bool {
 	sent := network.sent[memberID]
 	network.sent[memberID] = nil
-	for _, ready := range sent {
-		for _, m := range ready.To {
-			s := m.MemberID
-			next, reply := network.acceptors[s-1].Step(*ready.Message)
-			network.acceptors[s-1] = next
+	for _, item := range sent {
+		for _, m := range item.To {
+			id := m.MemberID
+			next, reply := network.acceptors[id-1].Step(*item.Message)
+			network.acceptors[id-1] = next
 			network.handleReady(memberID, network.proposers[memberID].HandleReply(reply, network.now))
 		}
 	}
 	return len(sent) > 0
 }
 
-// deliverAll lets all that is on its way come, and a second pass.
+// deliverAll delivers all that is in flight, and lets a second pass.
 func (network *proposerNetwork) deliverAll() {
 	for range 10 {
 		for memberID := range network.proposers {
@@ -93,15 +93,15 @@
 	}
 }
 
-// newestState is the word that a majority holds.
+// newestState is the state that a majority holds.
 func (network *proposerNetwork) newestState() config.ControlState {
 	replies := map[int]Reply{}
 	for i := range network.acceptors {
 		_, replies[i+1] = network.acceptors[i].Step(Message{Type: MsgRead})
 	}
-	highest, held := NewestState(replies, network.acceptors[0].MemberSets())
-	if !held {
-		network.t.Fatal("no majority holds the newest word")
+	highest, committed := NewestState(replies, network.acceptors[0].MemberSets())
+	if !committed {
+		network.t.Fatal("no majority holds the newest state")
 	}
 	return highest.State
 }
@@ -115,7 +115,7 @@
 	network.t.Helper()
 	result, ok := network.results[id]
 	if !ok || result.Outcome != want {
-		network.t.Errorf("order %d: %q, want %q", id, result.Outcome, want)
+		network.t.Errorf("command %d: %q, want %q", id, result.Outcome, want)
 	}
 	return result.State
 }
@@ -124,8 +124,8 @@
 	return Command{Kind: CommandPutConfiguration, Generation: n, Payload: []byte(text), Submitted: []byte("sent " + text)}
 }
 
-// A generation is taken once; one that is no higher changes nothing; one without a
-// number keeps the number and clears what was sent.
+// A generation is committed once; one that is no higher changes nothing; a configuration
+// without a generation keeps the generation and clears what was submitted.
 func TestGenerations(t *testing.T) {
 	network := newProposerNetwork(t, 3)
 	put := func(memberID int, command Command) config.ControlState {
@@ -140,7 +140,7 @@
 	}
 	for n, text := range map[uint64]string{5: "five", 4: "other", 1: "other"} {
 		if again := put(1, putGeneration(n, text)); again.Revision != state.Revision || string(again.Configuration) != "five" {
-			t.Errorf("edition %d after 5: %+v", n, again)
+			t.Errorf("generation %d after 5: %+v", n, again)
 		}
 	}
 	other := network.submit(1, putGeneration(5, "other"))
@@ -149,7 +149,7 @@
 	revision := state.ConfigurationRevision + 7
 	command := putGeneration(5, "five")
 	command.IfMatch = &revision
-	put(2, command) // repeated at another core, whatever it is bound to
+	put(2, command) // repeated at another replica, whatever it is bound to
 	command = putGeneration(6, "six")
 	command.IfMatch = &revision
 	id := network.submit(2, command)
@@ -157,15 +157,15 @@
 	network.expect(id, OutcomeMismatch)
 	put(2, Command{Kind: CommandEvacuate, Zone: "west"})
 	if state = network.newestState(); state.Generation != 5 || string(state.Submitted) != "sent five" {
-		t.Errorf("after another order: %+v", state)
+		t.Errorf("after another command: %+v", state)
 	}
 	put(3, Command{Kind: CommandPutConfiguration, Payload: []byte("plain"), Submitted: []byte("no")})
 	if state = network.newestState(); state.Generation != 5 || state.Submitted != nil || string(state.Configuration) != "plain" {
-		t.Errorf("after one without a number: %+v", state)
+		t.Errorf("after one without a generation: %+v", state)
 	}
 	put(1, putGeneration(5, "five"))
 	if state = network.newestState(); string(state.Configuration) != "plain" {
-		t.Errorf("an old edition came back: %+v", state)
+		t.Errorf("an old generation came back: %+v", state)
 	}
 	put(1, putGeneration(6, "six"))
 	if state = network.newestState(); state.Generation != 6 || string(state.Configuration) != "six" {
@@ -173,8 +173,8 @@
 	}
 }
 
-// Two proposers race: whichever way their ballots fall among each other, both
-// generations are acknowledged, and the higher one is held.
+// Two proposers race: whichever way their messages interleave, both generations are
+// acknowledged, and the higher one is the newest.
 func TestGenerationsRace(t *testing.T) {
 	for steps := range 64 {
 		network := newProposerNetwork(t, 3)
@@ -193,14 +193,14 @@
 	}
 }
 
-// A generation whose ballots were lost, and that another proposer's word came in the
-// way of, is proposed again and not left in doubt.
+// A generation whose messages were lost, and which another proposer's state has superseded, is
+// proposed again and not left unknown.
 func TestGenerationSupersededInFlight(t *testing.T) {
 	network := newProposerNetwork(t, 3)
 	first := network.submit(1, Command{Kind: CommandEvacuate, Zone: "west"})
 	network.deliverAll()
 	network.expect(first, OutcomeCommitted)
-	overtaken := network.submit(1, putGeneration(1, "one"))
+	superseded := network.submit(1, putGeneration(1, "one"))
 	network.sent[1] = nil
 	network.proposers[2].FollowAcceptor(network.acceptors[1], network.now)
 	other := network.submit(2, Command{Kind: CommandEvacuate, Zone: "east"})
@@ -211,14 +211,14 @@
 		t.Errorf("%+v", state)
 	}
 	network.deliverAll()
-	network.expect(overtaken, OutcomeCommitted)
+	network.expect(superseded, OutcomeCommitted)
 	if state := network.newestState(); state.Generation != 1 || len(state.EvacuatedByOperator) != 2 {
 		t.Errorf("%+v", state)
 	}
 }
 
-// Of generations that pile up while one is being written, the highest only is
-// written; all are acknowledged, the others once that is settled.
+// Of generations that queue up while one is being written, the highest only is written; all are
+// acknowledged, the others once that is committed.
 func TestGenerationsQueueUp(t *testing.T) {
 	network := newProposerNetwork(t, 3)
 	first := network.submit(1, putGeneration(1, "1"))
@@ -228,11 +228,11 @@
 	for _, n := range []uint64{3, 2, 30, 4, 29} { // while the first is proposed
 		ids = append(ids, network.submit(1, putGeneration(n, "later")))
 	}
-	empty := network.submit(1, Command{Kind: CommandEvacuate, Zone: "west"})
+	evacuate := network.submit(1, Command{Kind: CommandEvacuate, Zone: "west"})
 	revision := uint64(1)
-	bound := putGeneration(31, "bound")
-	bound.IfMatch = &revision
-	mismatch := network.submit(1, bound)
+	conditional := putGeneration(31, "bound")
+	conditional.IfMatch = &revision
+	mismatch := network.submit(1, conditional)
 	for !network.hasResult(ids[2]) && network.step(1) {
 	}
 	network.expect(first, OutcomeCommitted)
@@ -240,17 +240,17 @@
 		t.Errorf("%+v", state)
 	}
 	network.deliverAll()
-	for _, id := range append(ids, empty) {
+	for _, id := range append(ids, evacuate) {
 		network.expect(id, OutcomeCommitted)
 	}
 	network.expect(mismatch, OutcomeMismatch)
 	if state := network.newestState(); state.Generation != 30 || state.Revision != 3 || network.proposed != 3 {
-		t.Errorf("%d words were proposed, %+v", network.proposed, state)
+		t.Errorf("%d states were proposed, %+v", network.proposed, state)
 	}
 }
 
-// A generation that waits for a higher one is not acknowledged if that is not
-// settled in time: it was never proposed, so it surely was not taken.
+// A generation that waits for a higher one is not acknowledged if that is not committed in
+// time: it was never proposed, so it surely was not committed.
 func TestGenerationsUncommitted(t *testing.T) {
 	network := newProposerNetwork(t, 3)
 	first := network.submit(1, putGeneration(1, "1"))
@@ -262,7 +262,7 @@
 	for !network.hasResult(first) {
 		network.step(1)
 	}
-	network.sent[1] = nil // the ballots for 3 are lost, and all that come after
+	network.sent[1] = nil // the messages for 3 are lost, and all later ones
 	for range 40 {
 		network.now += 50 * time.Millisecond
 		network.handleReady(1, network.proposers[1].Tick(network.now))
@@ -275,18 +275,18 @@
 	network.deliverAll()
 	network.expect(low, OutcomeRejected)
 	if !network.hasResult(high) {
-		t.Error("the higher one has no answer")
+		t.Error("the higher one has no result")
 	}
 }
 
-// A word's generation, and what was sent, are read back from disk; a file from
-// before there were generations is read.
+// The generation of a state, and what was submitted, are read back from disk; a file of a
+// version without generations is read.
 func TestGenerationOnDisk(t *testing.T) {
-	v, err := storage.Open(t.TempDir())
+	disk, err := storage.Open(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
-	store := StateStore{Store: v}
+	store := StateStore{Store: disk}
 	acceptor, err := store.Load(Bootstrap{MemberID: 1, StaticSize: 1})
 	if err != nil {
 		t.Fatal(err)
@@ -298,15 +298,15 @@
 	if err := store.Save(acceptor); err != nil {
 		t.Fatal(err)
 	}
-	got, err := (&StateStore{Store: v}).Load(Bootstrap{MemberID: 1, StaticSize: 1})
+	got, err := (&StateStore{Store: disk}).Load(Bootstrap{MemberID: 1, StaticSize: 1})
 	if diff := cmp.Diff(acceptor.State, got.State, cmpopts.EquateEmpty()); diff != "" || err != nil {
 		t.Error(diff, err)
 	}
-	old := "{\"epoch\":4,\"stamp\":4,\"desired_stamp\":4,\"emptied\":[\"west\"]}\n{}"
-	if err := v.Save(kindState, "00000000000000000004.00000000000000000004", []byte(old)); err != nil {
+	earlier := "{\"epoch\":4,\"stamp\":4,\"desired_stamp\":4,\"emptied\":[\"west\"]}\n{}"
+	if err := disk.Save(kindState, "00000000000000000004.00000000000000000004", []byte(earlier)); err != nil {
 		t.Fatal(err)
 	}
-	if got, err = (&StateStore{Store: v}).Load(Bootstrap{MemberID: 1, StaticSize: 1}); err != nil || got.State.Generation != 0 || string(got.State.Configuration) != "{}" || got.State.ConfigurationRevision != 4 {
+	if got, err = (&StateStore{Store: disk}).Load(Bootstrap{MemberID: 1, StaticSize: 1}); err != nil || got.State.Generation != 0 || string(got.State.Configuration) != "{}" || got.State.ConfigurationRevision != 4 {
 		t.Errorf("%+v %v", got.State, err)
 	}
 }
--- a/internal/controlplane/consensus/golden_disk_test.go
+++ b/internal/controlplane/consensus/golden_disk_test.go
@@ -14,38 +14,38 @@
 	"curlewwalk/tests/golden"
 )
 
-// goldenData is the golden data folder of a core.
+// goldenData is the directory with the golden data of a replica.
 const goldenData = "data"
 
-// newcomer is who takes the place of the third founder.
+// newcomer is the member that replaces the third initial one.
 var newcomer = config.Member{MemberID: 4, DiskID: 44, Addr: "10.0.0.4:7000"}
 
-// history is a system of three founders, the first of which writes all orders and has a disk.
-// A fourth core comes later.
+// history is a cluster of three initial members, the first of which proposes all commands and
+// has a disk. A fourth one joins later.
 type history struct {
 	t         *testing.T
-	disk      *StateStore
+	store     *StateStore
 	now       time.Duration
-	acceptors map[uint64]Acceptor // by identity
+	acceptors map[uint64]Acceptor // by disk ID
 	proposer  Proposer
-	orders    uint64
-	known     bool
+	lastID    uint64
+	answered  bool
 }
 
 func newHistory(t *testing.T, dir string) *history {
-	v, err := storage.Open(dir)
+	disk, err := storage.Open(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &history{t: t, disk: &StateStore{Store: v}, acceptors: map[uint64]Acceptor{}}
-	founders := []string{"10.0.0.1:7000", "10.0.0.2:7000", "10.0.0.3:7000"}
-	own, err := h.disk.Load(Bootstrap{NewCluster: true, InitialMembers: founders, AdvertiseAddr: founders[0]})
+	h := &history{t: t, store: &StateStore{Store: disk}, acceptors: map[uint64]Acceptor{}}
+	initialMembers := []string{"10.0.0.1:7000", "10.0.0.2:7000", "10.0.0.3:7000"}
+	own, err := h.store.Load(Bootstrap{NewCluster: true, InitialMembers: initialMembers, AdvertiseAddr: initialMembers[0]})
 	if err != nil {
 		t.Fatal(err)
 	}
 	h.acceptors[own.Self.DiskID] = own
-	for _, addr := range founders[1:] {
-		acceptor := Bootstrap{NewCluster: true, InitialMembers: founders, AdvertiseAddr: addr}.InitialState(1)
+	for _, addr := range initialMembers[1:] {
+		acceptor := Bootstrap{NewCluster: true, InitialMembers: initialMembers, AdvertiseAddr: addr}.InitialState(1)
 		h.acceptors[acceptor.Self.DiskID] = acceptor
 	}
 	h.acceptors[newcomer.DiskID] = Bootstrap{AdvertiseAddr: newcomer.Addr}.InitialState(newcomer.DiskID)
@@ -53,51 +53,51 @@
 	return h
 }
 
-// own is the core with the disk.
+// own is the acceptor with the disk.
 func (h *history) own() Acceptor { return h.acceptors[h.proposer.Self.DiskID] }
 
-// write has an order carried out by all.
+// write has a command carried out by all members.
 func (h *history) write(command Command) {
 	h.t.Helper()
-	h.orders++
+	h.lastID++
 	h.now += time.Second
-	command.ID, command.Deadline = h.orders, h.now+time.Second
-	h.known = false
+	command.ID, command.Deadline = h.lastID, h.now+time.Second
+	h.answered = false
 	h.deliver(h.proposer.Enqueue(command, h.now))
-	if !h.known {
-		h.t.Fatalf("order %d, %s, has no answer", command.ID, command.Kind)
+	if !h.answered {
+		h.t.Fatalf("command %d, %s, has no result", command.ID, command.Kind)
 	}
 }
 
-// deliver brings ballots to whom they are for, and their votes back.
-func (h *history) deliver(outcomes []Ready) {
-	for _, ready := range outcomes {
-		if ready.Result != nil {
-			if ready.Result.Outcome != OutcomeCommitted {
-				h.t.Fatalf("order %d: %s", ready.Result.ID, ready.Result.Outcome)
+// deliver brings messages to their members, and the replies back.
+func (h *history) deliver(items []Ready) {
+	for _, item := range items {
+		if item.Result != nil {
+			if item.Result.Outcome != OutcomeCommitted {
+				h.t.Fatalf("command %d: %s", item.Result.ID, item.Result.Outcome)
 			}
-			h.known = true
+			h.answered = true
 		}
-		for _, m := range ready.To {
-			next, reply := h.acceptors[m.DiskID].Step(*ready.Message)
+		for _, m := range item.To {
+			next, reply := h.acceptors[m.DiskID].Step(*item.Message)
 			h.acceptors[m.DiskID] = next
 			if m.DiskID == h.proposer.Self.DiskID {
-				if err := h.disk.Save(next); err != nil {
+				if err := h.store.Save(next); err != nil {
 					h.t.Fatal(err)
 				}
 				h.proposer.FollowAcceptor(next, h.now)
 			}
-			if reply := reply.FromMember(m); reply != nil && ready.Message.Type != MsgCommit {
+			if reply := reply.FromMember(m); reply != nil && item.Message.Type != MsgCommit {
 				h.deliver(h.proposer.HandleReply(*reply, h.now))
 			}
 		}
 	}
 }
 
-// live plays what the golden data folder comes from: many configurations, numbered and not,
-// zones emptied and taken back, a calendar with a window that was waived, and a change
-// of the members, which is finished.
-func (h *history) live() {
+// replay carries out the commands that the golden data comes from: many configurations, with a
+// generation and without, zones evacuated and revoked, a calendar with a window that was
+// waived, and a reconfiguration, which is finalized.
+func (h *history) replay() {
 	since := func() *uint64 { settled := h.own().Committed; return &settled }
 	for n := range uint64(12) {
 		text := fmt.Sprintf(`{"ways":[],"contracts":[{"name":"c%d","aim":"1s","expiry":"2s","rank":1}]}`, n)
@@ -117,8 +117,8 @@
 	h.write(Command{Kind: CommandEvacuate, Zone: "east", SinceRevision: since()})
 }
 
-// readFolder reads all files of a folder.
-func readFolder(t *testing.T, dir string) map[string]string {
+// readDirectory reads all files of a directory, by name.
+func readDirectory(t *testing.T, dir string) map[string]string {
 	t.Helper()
 	entries, err := os.ReadDir(dir)
 	if err != nil {
@@ -135,16 +135,16 @@
 	return out
 }
 
-// The same life leaves the same files: names, heads, bodies and checksums.
+// The same commands leave the same files: names, headers, bodies and checksums.
 func TestGoldenDataIsWritten(t *testing.T) {
 	dir := t.TempDir()
 	h := newHistory(t, dir)
-	h.live()
-	written := readFolder(t, dir)
+	h.replay()
+	written := readDirectory(t, dir)
 	for name, data := range written {
 		golden.Check(t, goldenData+"/"+name, []byte(data))
 	}
-	if diff := cmp.Diff(readFolder(t, golden.Path(goldenData)), written); diff != "" {
+	if diff := cmp.Diff(readDirectory(t, golden.Path(goldenData)), written); diff != "" {
 		t.Error(diff)
 	}
 	state := h.own().State
@@ -153,51 +153,51 @@
 	}
 }
 
-// A data folder of an earlier version opens as the state that was written, and what is
+// A data directory of an earlier version is loaded as the state that was written, and what is
 // saved of that state is the same bytes.
 func TestGoldenDataIsRead(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.CopyFS(dir, os.DirFS(golden.Path(goldenData))); err != nil {
 		t.Fatal(err)
 	}
-	before := readFolder(t, dir)
-	lived := newHistory(t, t.TempDir())
-	lived.live()
+	before := readDirectory(t, dir)
+	replayed := newHistory(t, t.TempDir())
+	replayed.replay()
 
-	v, err := storage.Open(dir)
+	disk, err := storage.Open(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	disk := &StateStore{Store: v}
-	got, err := disk.Load(Bootstrap{})
+	store := &StateStore{Store: disk}
+	got, err := store.Load(Bootstrap{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := lived.own()
+	want := replayed.own()
 	want.Committed, want.PromiseDirty, want.StateDirty = 0, false, false // these are not on disk
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
-	if after := readFolder(t, dir); !cmp.Equal(before, after) {
-		t.Error("opening the folder changed it: ", cmp.Diff(before, after))
+	if after := readDirectory(t, dir); !cmp.Equal(before, after) {
+		t.Error("loading changed the directory: ", cmp.Diff(before, after))
 	}
 
-	newestWord := newest(before, kindState)
-	newestOath := newest(before, kindPromise)
+	newestState := newest(before, kindState)
+	newestPromise := newest(before, kindPromise)
 	got.PromiseDirty, got.StateDirty = true, true
-	if err := disk.Save(got); err != nil {
+	if err := store.Save(got); err != nil {
 		t.Fatal(err)
 	}
-	after := readFolder(t, dir)
-	if name := newest(after, kindState); name != newestWord || after[name] != before[name] {
-		t.Errorf("the configuration is written as %s, %q, not as %s, %q", name, after[name], newestWord, before[newestWord])
+	after := readDirectory(t, dir)
+	if name := newest(after, kindState); name != newestState || after[name] != before[name] {
+		t.Errorf("the configuration is written as %s, %q, not as %s, %q", name, after[name], newestState, before[newestState])
 	}
-	if name := newest(after, kindPromise); name <= newestOath || after[name] != before[newestOath] {
-		t.Errorf("the promise is written as %s, %q, not as after %s, %q", name, after[name], newestOath, before[newestOath])
+	if name := newest(after, kindPromise); name <= newestPromise || after[name] != before[newestPromise] {
+		t.Errorf("the promise is written as %s, %q, not as after %s, %q", name, after[name], newestPromise, before[newestPromise])
 	}
 }
 
-// newest is the name of the newest file of a kind.
+// newest is the name of the latest file of a kind.
 func newest(files map[string]string, kind string) string {
 	var names []string
 	for name := range files {
--- a/internal/controlplane/consensus/golden_test.go
+++ b/internal/controlplane/consensus/golden_test.go
@@ -6,12 +6,12 @@
 	"curlewwalk/tests/golden"
 )
 
-// A ballot that has its configuration as a difference is the bytes that it has always been.
-func TestGoldenPatchedBallot(t *testing.T) {
+// A message with its control state as a delta has the same bytes as ever.
+func TestGoldenDeltaMessage(t *testing.T) {
 	golden.Value(t, golden.Msgpack, "patched-ballot.msgpack", &deltaMessage{})
 }
 
-// The two kinds of file have the keys that they have always had.
+// The two kinds of file have the same keys as ever.
 func TestGoldenFileKeys(t *testing.T) {
 	golden.Value(t, golden.JSON, "oath.json", &promiseFile{})
 	golden.Value(t, golden.JSON, "word-head.json", &stateHeader{})
--- a/internal/controlplane/consensus/health_test.go
+++ b/internal/controlplane/consensus/health_test.go
@@ -5,57 +5,57 @@
 	"time"
 )
 
-// A core is able while its disk takes writes in time and a majority answers it; after
-// a failure or a write that took too long, only once another has ended in time.
+// A replica is healthy while its disk takes writes in time and a majority answers it; after a
+// write that failed or took too long, only once another has ended in time.
 func TestHealth(t *testing.T) {
 	const second = time.Second
 	h := Health{}.QuorumContacted(10 * second)
-	able := func(at time.Duration, want bool) {
+	expectHealthy := func(at time.Duration, want bool) {
 		t.Helper()
 		if got := h.Healthy(at); got != want {
-			t.Errorf("at %v: able %v", at, got)
+			t.Errorf("at %v: healthy %v", at, got)
 		}
 	}
-	able(10*second, true)
-	able(10*second+maxContactAge, true)
-	able(10*second+maxContactAge+1, false) // no majority
+	expectHealthy(10*second, true)
+	expectHealthy(10*second+maxContactAge, true)
+	expectHealthy(10*second+maxContactAge+1, false) // no majority
 	h = h.QuorumContacted(12 * second).QuorumContacted(11 * second)
-	able(12*second, true)
+	expectHealthy(12*second, true)
 	h = h.WriteStarted(12 * second)
-	able(12*second+maxWriteDuration, true)
-	able(12*second+maxWriteDuration+1, false) // the disk stalls
+	expectHealthy(12*second+maxWriteDuration, true)
+	expectHealthy(12*second+maxWriteDuration+1, false) // the disk stalls
 	h = h.WriteEnded(true, 13*second)
-	able(13*second, false) // it took too long
+	expectHealthy(13*second, false) // it took too long
 	h = h.WriteStarted(13*second).WriteEnded(false, 13*second)
-	able(13*second, false) // it failed
+	expectHealthy(13*second, false) // it failed
 	h = h.WriteStarted(13*second).WriteEnded(true, 13*second+maxWriteDuration)
-	able(13*second, true)
+	expectHealthy(13*second, true)
 	if !h.DiskHealthy(20*second) || h.Connected(20*second) {
-		t.Error("what lacks is told wrongly")
+		t.Error("healthy for the wrong reason")
 	}
 }
 
-// A keeper that was still for longer than a gap counts as woken, from before its thread
-// runs again until what piled up has been seen to.
+// A replica that was still for longer than a gap counts as resumed, from before it runs again
+// until what piled up is handled.
 func TestHealthAfterSuspension(t *testing.T) {
 	var h Health
 	now := time.Duration(0)
 	for range 20 {
 		now += tickInterval
 		if h = h.Ticked(now); h.RecentlyResumed(now) || h.RecentlyResumed(now+suspensionGap) {
-			t.Fatalf("woken at %v, without a gap", now)
+			t.Fatalf("resumed at %v, without a gap", now)
 		}
 	}
 	now += suspensionGap + 1
 	if !h.RecentlyResumed(now) {
-		t.Error("not woken before its thread has run")
+		t.Error("not resumed before it has run")
 	}
-	for woken := now; now < woken+resumeGracePeriod; now += tickInterval {
+	for resumed := now; now < resumed+resumeGracePeriod; now += tickInterval {
 		if h = h.Ticked(now); !h.RecentlyResumed(now) {
-			t.Errorf("not woken any more after %v", now-woken)
+			t.Errorf("not resumed any more after %v", now-resumed)
 		}
 	}
 	if h = h.Ticked(now); h.RecentlyResumed(now) {
-		t.Error("woken for ever")
+		t.Error("resumed for ever")
 	}
 }
--- a/internal/controlplane/consensus/member_id_test.go
+++ b/internal/controlplane/consensus/member_id_test.go
@@ -7,44 +7,44 @@
 	"curlewwalk/internal/storage"
 )
 
-// A newcomer lost power between the sync of the word that names it and the sync of its
-// oath. It has that seat all the same, once it hears that the word is settled.
+// A joining replica lost power between the sync of the state that names it and the sync of its
+// promise. It is a member all the same, once it learns that the state is committed.
 func TestMemberIDAdoptedAfterPowerLoss(t *testing.T) {
 	dir := t.TempDir()
 	open := func() (*StateStore, Acceptor) {
-		v, err := storage.Open(dir)
+		disk, err := storage.Open(dir)
 		if err != nil {
 			t.Fatal(err)
 		}
-		store := &StateStore{Store: v}
+		store := &StateStore{Store: disk}
 		acceptor, err := store.Load(Bootstrap{})
 		if err != nil {
 			t.Fatal(err)
 		}
 		return store, acceptor
 	}
-	disk, newcomer := open()
+	store, newcomer := open()
 	state := config.ControlState{Revision: 5, Configuration: []byte("{}"), Members: append(memberSet(1, 2), config.Member{MemberID: 4, DiskID: newcomer.Self.DiskID}), HighestMemberID: 4}
-	propose := Message{Sender: Sender{MemberID: 1, Incarnation: 1, DiskID: 101}, Type: MsgAccept, Term: 9, Position: Position{9, 5}, State: state}
-	named, reply := newcomer.Step(propose)
-	if !reply.Granted || named.Self.MemberID != 4 {
-		t.Fatalf("does not take its slot: %+v", named.Self)
+	accept := Message{Sender: Sender{MemberID: 1, Incarnation: 1, DiskID: 101}, Type: MsgAccept, Term: 9, Position: Position{9, 5}, State: state}
+	accepted, reply := newcomer.Step(accept)
+	if !reply.Granted || accepted.Self.MemberID != 4 {
+		t.Fatalf("does not adopt its member ID: %+v", accepted.Self)
 	}
-	named.PromiseDirty = false // power is lost before the oath is synced
-	if err := disk.Save(named); err != nil {
+	accepted.PromiseDirty = false // power is lost before the promise is synced
+	if err := store.Save(accepted); err != nil {
 		t.Fatal(err)
 	}
-	_, woken := open()
-	if woken.Position != propose.Position {
-		t.Fatalf("the word was not kept: %v", woken.Position)
+	_, reloaded := open()
+	if reloaded.Position != accept.Position {
+		t.Fatalf("the state was not kept: %v", reloaded.Position)
 	}
-	settle := propose
-	settle.Type = MsgCommit
-	seated, _ := woken.Step(settle)
-	if !seated.IsMember() || seated.Self.MemberID != 4 {
-		t.Errorf("it is no member after the word that names it was settled: %s %+v", seated.Phase, seated.Self)
+	commit := accept
+	commit.Type = MsgCommit
+	committed, _ := reloaded.Step(commit)
+	if !committed.IsMember() || committed.Self.MemberID != 4 {
+		t.Errorf("it is no member after the state that names it was committed: %s %+v", committed.Phase, committed.Self)
 	}
-	if !seated.PromiseDirty {
-		t.Error("its seat would not be put on disk")
+	if !committed.PromiseDirty {
+		t.Error("its membership would not be saved")
 	}
 }
--- a/internal/controlplane/consensus/quorum_test.go
+++ b/internal/controlplane/consensus/quorum_test.go
@@ -8,22 +8,23 @@
 )
 
 func memberSet(memberIDs ...int) (out []config.Member) {
-	for _, s := range memberIDs {
-		out = append(out, config.Member{MemberID: s, DiskID: uint64(100 + s)})
+	for _, id := range memberIDs {
+		out = append(out, config.Member{MemberID: id, DiskID: uint64(100 + id)})
 	}
 	return out
 }
 
-// addReplies are votes from slots that hold a word under a mark with its sets.
+// addReplies adds the replies of members that hold a state under a position, with its member
+// sets.
 func addReplies(replies map[int]Reply, position Position, sets MemberSets, memberIDs ...int) map[int]Reply {
-	for _, s := range memberIDs {
-		replies[s] = Reply{Sender: Sender{MemberID: s, Incarnation: 1, DiskID: uint64(100 + s)}, Phase: PhaseEstablished, Position: position, MemberSets: sets}
+	for _, id := range memberIDs {
+		replies[id] = Reply{Sender: Sender{MemberID: id, Incarnation: 1, DiskID: uint64(100 + id)}, Phase: PhaseEstablished, Position: position, MemberSets: sets}
 	}
 	return replies
 }
 
-// Votes are complete once they are majorities of both sets of the highest word among
-// them, whatever set was asked.
+// Replies are a read quorum once they are majorities of both member sets of the highest state
+// among them, whatever set was asked.
 func TestHasReadQuorum(t *testing.T) {
 	old, grown := MemberSets{Current: memberSet(1, 2, 3)}, MemberSets{Current: memberSet(1, 2, 3, 4), Previous: memberSet(1, 2, 3)}
 	moved := MemberSets{Current: memberSet(3, 4, 5), Previous: memberSet(3, 4, 2)}
@@ -45,32 +46,32 @@
 			t.Errorf("%s: %v", c.name, got)
 		}
 	}
-	// Another disk in a member's slot is no member.
-	v := addReplies(map[int]Reply{}, low, old, 1, 2)
-	reply := v[2]
+	// Another disk under a member's ID is no member.
+	replies := addReplies(map[int]Reply{}, low, old, 1, 2)
+	reply := replies[2]
 	reply.Sender.DiskID = 7
-	v[2] = reply
-	if HasReadQuorum(v, old) {
+	replies[2] = reply
+	if HasReadQuorum(replies, old) {
 		t.Error("a stranger was counted")
 	}
 }
 
-// Only one change stands at a time, decided on the set in force, and no slot number
-// comes again.
+// Only one reconfiguration is in force at a time, decided on the current set, and no member ID
+// is used again.
 func TestReconfigurationNeedsBothMajorities(t *testing.T) {
-	now := memberSet(1, 2, 3)
-	come := Command{Kind: CommandReconfigure, Joining: config.Member{MemberID: 4, DiskID: 104}, ExpectedMembers: now}
-	state := applyReconfiguration(config.ControlState{Revision: 1}, now, come)
+	current := memberSet(1, 2, 3)
+	join := Command{Kind: CommandReconfigure, Joining: config.Member{MemberID: 4, DiskID: 104}, ExpectedMembers: current}
+	state := applyReconfiguration(config.ControlState{Revision: 1}, current, join)
 	if len(state.Members) != 4 || len(state.PreviousMembers) != 3 || state.HighestMemberID != 4 {
 		t.Errorf("%+v", state)
 	}
 	swap := Command{Kind: CommandReconfigure, Joining: config.Member{MemberID: 5, DiskID: 105}, Leaving: 2, ExpectedMembers: state.Members}
-	x := applyReconfiguration(finalizeReconfiguration(state), state.Members, swap)
-	if s := MemberIDs(x.Members); len(s) != 4 || s[1] != 3 || s[3] != 5 || len(x.PreviousMembers) != 4 || x.HighestMemberID != 5 {
-		t.Errorf("%+v", x)
+	swapped := applyReconfiguration(finalizeReconfiguration(state), state.Members, swap)
+	if s := MemberIDs(swapped.Members); len(s) != 4 || s[1] != 3 || s[3] != 5 || len(swapped.PreviousMembers) != 4 || swapped.HighestMemberID != 5 {
+		t.Errorf("%+v", swapped)
 	}
-	if y := applyReconfiguration(x, x.Members, Command{Kind: CommandPutConfiguration}); len(y.PreviousMembers) != 0 || len(y.Members) != 4 {
-		t.Errorf("%+v", y)
+	if unchanged := applyReconfiguration(swapped, swapped.Members, Command{Kind: CommandPutConfiguration}); len(unchanged.PreviousMembers) != 0 || len(unchanged.Members) != 4 {
+		t.Errorf("%+v", unchanged)
 	}
 	for _, c := range []struct {
 		name string
@@ -79,12 +80,12 @@
 		o    Command
 		want Outcome
 	}{
-		{"to be done", config.ControlState{}, now, come, ""},
-		{"done", state, state.Members, come, OutcomeCommitted},
-		{"decided on another set", x, x.Members, replaceCommand(come, now, 6), OutcomeRejected},
-		{"a slot used before", config.ControlState{Members: now, HighestMemberID: 4}, now, come, OutcomeRejected},
+		{"to be done", config.ControlState{}, current, join, ""},
+		{"done", state, state.Members, join, OutcomeCommitted},
+		{"decided on another set", swapped, swapped.Members, replaceCommand(join, current, 6), OutcomeRejected},
+		{"a member ID used before", config.ControlState{Members: current, HighestMemberID: 4}, current, join, OutcomeRejected},
 		{"the last one", config.ControlState{}, memberSet(1), Command{Kind: CommandReconfigure, Leaving: 1, ExpectedMembers: memberSet(1)}, OutcomeRejected},
-		{"another order", config.ControlState{}, now, Command{Kind: CommandPutConfiguration}, ""},
+		{"another command", config.ControlState{}, current, Command{Kind: CommandPutConfiguration}, ""},
 	} {
 		result, done := resolveReconfiguration(c.held, c.now, c.o)
 		if done != (c.want != "") || done && result.Outcome != c.want {
@@ -98,33 +99,34 @@
 	return command
 }
 
-// No two slots ever get one epoch, whatever each has heard of.
+// No two members ever get the same term, whatever each of them knows.
 func TestTermsSurviveReconfiguration(t *testing.T) {
-	for _, founded := range []int{0, 3} {
+	for _, staticSize := range []int{0, 3} {
 		seen := map[uint64]int{}
 		for memberID := 1; memberID <= 3; memberID++ {
-			known := uint64(0)
+			term := uint64(0)
 			for range 100 {
-				known = nextTerm(known, memberID, founded)
-				if s, ok := seen[known]; ok {
-					t.Fatalf("slots %d and %d both have %d", s, memberID, known)
+				term = nextTerm(term, memberID, staticSize)
+				if id, ok := seen[term]; ok {
+					t.Fatalf("members %d and %d both have term %d", id, memberID, term)
 				}
-				seen[known] = memberID
+				seen[term] = memberID
 			}
 		}
 	}
 }
 
-// An empty disk is a founder at the first start only, and what the disk says wins over
-// later settings. Without a seat it votes, and has its seat by the word that names it.
+// An empty disk is an initial member at the first start only, and what the disk says wins over
+// later settings. A joining acceptor grants messages, and is a member by the state that names
+// it.
 func TestBootstrap(t *testing.T) {
-	founders := []string{"a", "b", "c"}
+	initialMembers := []string{"a", "b", "c"}
 	open := func() StateStore {
-		v, err := storage.Open(t.TempDir())
+		disk, err := storage.Open(t.TempDir())
 		if err != nil {
 			t.Fatal(err)
 		}
-		return StateStore{Store: v}
+		return StateStore{Store: disk}
 	}
 	load := func(store *StateStore, bootstrap Bootstrap) Acceptor {
 		acceptor, err := store.Load(bootstrap)
@@ -134,15 +136,15 @@
 		return acceptor
 	}
 	store := open()
-	b := load(&store, Bootstrap{NewCluster: true, InitialMembers: founders, AdvertiseAddr: "b"})
-	if b.Phase != PhaseEstablished || b.Self.MemberID != 2 || !b.IsMember() || len(b.MemberSets().Current) != 3 {
-		t.Errorf("the founder: %+v", b)
+	initial := load(&store, Bootstrap{NewCluster: true, InitialMembers: initialMembers, AdvertiseAddr: "b"})
+	if initial.Phase != PhaseEstablished || initial.Self.MemberID != 2 || !initial.IsMember() || len(initial.MemberSets().Current) != 3 {
+		t.Errorf("the initial member: %+v", initial)
 	}
-	again := load(&store, Bootstrap{NewCluster: true, InitialMembers: []string{"x"}, AdvertiseAddr: "x"})
-	if again.Self != b.Self || len(again.MemberSets().Current) != 3 || !again.IsMember() {
-		t.Errorf("the founder, started again: %+v", again)
+	reloaded := load(&store, Bootstrap{NewCluster: true, InitialMembers: []string{"x"}, AdvertiseAddr: "x"})
+	if reloaded.Self != initial.Self || len(reloaded.MemberSets().Current) != 3 || !reloaded.IsMember() {
+		t.Errorf("the initial member, restarted: %+v", reloaded)
 	}
-	for _, bootstrap := range []Bootstrap{{InitialMembers: founders, AdvertiseAddr: "b"}, {NewCluster: true, InitialMembers: founders, AdvertiseAddr: "z"}, {}} {
+	for _, bootstrap := range []Bootstrap{{InitialMembers: initialMembers, AdvertiseAddr: "b"}, {NewCluster: true, InitialMembers: initialMembers, AdvertiseAddr: "z"}, {}} {
 		store := open()
 		if acceptor := load(&store, bootstrap); acceptor.Phase != PhaseJoining || acceptor.Self.MemberID != 0 || acceptor.IsMember() {
 			t.Errorf("%+v: %+v", bootstrap, acceptor)
@@ -154,7 +156,7 @@
 	position := Position{Term: termStride + 1, Revision: 1}
 	acceptor, reply := acceptor.Step(Message{Type: MsgAccept, Term: position.Term, Position: position, State: state})
 	if !reply.Granted || reply.Sender.MemberID != 4 || acceptor.Phase != PhaseJoining {
-		t.Errorf("asked to be in: %+v", reply)
+		t.Errorf("named by a proposal: %+v", reply)
 	}
 	if err := store.Save(acceptor); err != nil {
 		t.Fatal(err)
@@ -162,19 +164,19 @@
 	acceptor = load(&store, Bootstrap{})
 	acceptor, _ = acceptor.Step(Message{Type: MsgCommit, Term: position.Term, Position: position, State: state})
 	if acceptor.Phase != PhaseEstablished || !acceptor.IsMember() || acceptor.Removed() {
-		t.Errorf("settled: %+v", acceptor)
+		t.Errorf("named by a committed state: %+v", acceptor)
 	}
-	x := state
-	x.Revision, x.Members, x.PreviousMembers = 2, state.Members[:1], state.Members
-	acceptor, _ = acceptor.Step(Message{Type: MsgCommit, Term: position.Term, Position: Position{position.Term, 2}, State: x})
+	removal := state
+	removal.Revision, removal.Members, removal.PreviousMembers = 2, state.Members[:1], state.Members
+	acceptor, _ = acceptor.Step(Message{Type: MsgCommit, Term: position.Term, Position: Position{position.Term, 2}, State: removal})
 	if acceptor.Removed() || acceptor.IsMember() {
-		t.Errorf("goes before the change is sealed: %+v", acceptor)
+		t.Errorf("removed before the reconfiguration is finalized: %+v", acceptor)
 	}
-	acceptor, _ = acceptor.Step(Message{Type: MsgCommit, Term: position.Term, Position: Position{position.Term, 3}, State: finalizeReconfiguration(x)})
+	acceptor, _ = acceptor.Step(Message{Type: MsgCommit, Term: position.Term, Position: Position{position.Term, 3}, State: finalizeReconfiguration(removal)})
 	if !acceptor.Removed() {
-		t.Errorf("struck: %+v", acceptor)
+		t.Errorf("not removed: %+v", acceptor)
 	}
-	if f := acceptor.Rejoining(99); f.Phase != PhaseJoining || f.Self.MemberID != 0 || f.Position != acceptor.Position {
-		t.Errorf("afresh: %+v", f)
+	if rejoining := acceptor.Rejoining(99); rejoining.Phase != PhaseJoining || rejoining.Self.MemberID != 0 || rejoining.Position != acceptor.Position {
+		t.Errorf("rejoining: %+v", rejoining)
 	}
 }
--- a/internal/controlplane/consensus/reconfiguration_test.go
+++ b/internal/controlplane/consensus/reconfiguration_test.go
@@ -8,87 +8,87 @@
 	"curlewwalk/internal/config"
 )
 
-// establishedAcceptor is an acceptor of a set that holds a word.
+// establishedAcceptor is an acceptor of three initial members that holds a state.
 func establishedAcceptor(memberID int, position Position, state config.ControlState) Acceptor {
 	return Acceptor{Self: Sender{MemberID: memberID, Incarnation: 1, DiskID: uint64(100 + memberID)}, Phase: PhaseEstablished, Promised: position.Term, Position: position, State: state, Committed: position.Revision, InitialMembers: memberSet(1, 2, 3)}
 }
 
-// A proposer that was left behind asks those of each set that it hears of, and proposes
+// A proposer that was left behind asks the members of each set that it learns of, and proposes
 // nothing before majorities of the newest have promised.
 func TestPrepareExtendsToPreviousMembers(t *testing.T) {
 	first := config.ControlState{Revision: 1, Configuration: []byte("old")}
 	second := config.ControlState{Revision: 3, Configuration: []byte("old"), Members: memberSet(2, 3, 4), HighestMemberID: 4}
 	third := config.ControlState{Revision: 6, Configuration: []byte("new"), Members: memberSet(3, 4, 5), HighestMemberID: 5}
 	acceptors := map[int]Acceptor{1: establishedAcceptor(1, Position{10, 1}, first), 2: establishedAcceptor(2, Position{10, 3}, second)}
-	for s := 3; s <= 5; s++ {
-		acceptors[s] = establishedAcceptor(s, Position{11, 6}, third)
+	for id := 3; id <= 5; id++ {
+		acceptors[id] = establishedAcceptor(id, Position{11, 6}, third)
 	}
 	p := &Proposer{}
 	p.FollowAcceptor(acceptors[1], 0)
-	readies := p.Enqueue(Command{ID: 1, Kind: CommandRefresh, Deadline: time.Minute}, time.Second)
-	asked := []int{}
-	give := func(memberIDs ...int) {
-		message := readies[0].Message
-		readies = nil
-		for _, s := range memberIDs {
-			next, reply := acceptors[s].Step(*message)
-			acceptors[s] = next
-			readies = append(readies, p.HandleReply(reply, time.Second)...)
+	items := p.Enqueue(Command{ID: 1, Kind: CommandRefresh, Deadline: time.Minute}, time.Second)
+	recipients := []int{}
+	deliver := func(memberIDs ...int) {
+		message := items[0].Message
+		items = nil
+		for _, id := range memberIDs {
+			next, reply := acceptors[id].Step(*message)
+			acceptors[id] = next
+			items = append(items, p.HandleReply(reply, time.Second)...)
 		}
-		for _, ready := range readies {
-			asked = append(asked, MemberIDs(ready.To)...)
-			if ready.Message.Type == MsgAccept && !slices.Contains(asked, 5) {
-				t.Fatalf("proposes %q before it has heard of the newest set", ready.Message.State.Configuration)
+		for _, item := range items {
+			recipients = append(recipients, MemberIDs(item.To)...)
+			if item.Message.Type == MsgAccept && !slices.Contains(recipients, 5) {
+				t.Fatalf("proposes %q before it knows the newest set", item.Message.State.Configuration)
 			}
 		}
 	}
-	give(1, 2) // a majority of the set that it knows of
-	if p.phase != proposerPreparing || !slices.Equal(asked, []int{4}) {
-		t.Fatalf("phase %d, asked %v", p.phase, asked)
+	deliver(1, 2) // a majority of the set that it knows
+	if p.phase != proposerPreparing || !slices.Equal(recipients, []int{4}) {
+		t.Fatalf("phase %d, asked %v", p.phase, recipients)
 	}
-	give(4)
-	if p.phase != proposerPreparing || !slices.Contains(asked, 5) {
-		t.Fatalf("phase %d, asked %v", p.phase, asked)
+	deliver(4)
+	if p.phase != proposerPreparing || !slices.Contains(recipients, 5) {
+		t.Fatalf("phase %d, asked %v", p.phase, recipients)
 	}
-	give(5)
+	deliver(5)
 	if p.phase != proposerAccepting || string(p.proposal.state.Configuration) != "new" {
 		t.Fatalf("phase %d, proposes %q", p.phase, p.proposal.state.Configuration)
 	}
 }
 
-// A settled change is sealed by the next word at once, and nothing is proposed before
-// those that it needs have answered.
+// A committed reconfiguration is finalized by the next state at once, and nothing is proposed
+// before the members that it needs have answered.
 func TestReconfigurationIsFinalized(t *testing.T) {
 	acceptors := map[int]Acceptor{}
-	for s := 1; s <= 3; s++ {
-		acceptors[s] = Acceptor{Self: Sender{MemberID: s, Incarnation: 1, DiskID: uint64(100 + s)}, Phase: PhaseEstablished, InitialMembers: memberSet(1, 2, 3)}
+	for id := 1; id <= 3; id++ {
+		acceptors[id] = Acceptor{Self: Sender{MemberID: id, Incarnation: 1, DiskID: uint64(100 + id)}, Phase: PhaseEstablished, InitialMembers: memberSet(1, 2, 3)}
 	}
 	acceptors[4] = Acceptor{Self: Sender{DiskID: 104}, Phase: PhaseJoining}
 	run := func(up ...int) (result CommandResult) {
 		p := &Proposer{}
 		now := time.Second
 		p.FollowAcceptor(acceptors[1], now)
-		readies := p.Enqueue(Command{ID: 1, Kind: CommandReconfigure, Joining: memberSet(4)[0], ExpectedMembers: memberSet(1, 2, 3), Deadline: time.Minute}, now)
+		items := p.Enqueue(Command{ID: 1, Kind: CommandReconfigure, Joining: memberSet(4)[0], ExpectedMembers: memberSet(1, 2, 3), Deadline: time.Minute}, now)
 		for range 1000 {
-			if len(readies) == 0 {
+			if len(items) == 0 {
 				if result.ID != 0 {
 					return result
 				}
 				now += 100 * time.Millisecond
-				readies = p.Tick(now)
+				items = p.Tick(now)
 				continue
 			}
-			ready := readies[0]
-			readies = readies[1:]
-			if ready.Result != nil {
-				result = *ready.Result
+			item := items[0]
+			items = items[1:]
+			if item.Result != nil {
+				result = *item.Result
 			}
-			for _, m := range ready.To {
+			for _, m := range item.To {
 				if slices.Contains(up, m.MemberID) {
-					next, reply := acceptors[m.MemberID].Step(*ready.Message)
+					next, reply := acceptors[m.MemberID].Step(*item.Message)
 					acceptors[m.MemberID] = next
 					if reply := reply.FromMember(m); reply != nil {
-						readies = append(readies, p.HandleReply(*reply, now)...)
+						items = append(items, p.HandleReply(*reply, now)...)
 					}
 				}
 			}
@@ -97,37 +97,37 @@
 		return result
 	}
 	if result := run(1, 2, 3); result.Outcome != OutcomeRejected || acceptors[1].Position != (Position{}) {
-		t.Errorf("without the newcomer: %s, %+v", result.Outcome, acceptors[1].Position)
+		t.Errorf("without the joining member: %s, %+v", result.Outcome, acceptors[1].Position)
 	}
 	if result := run(1, 2, 3, 4); result.Outcome != OutcomeCommitted {
 		t.Errorf("with it: %s", result.Outcome)
 	}
-	for s, acceptor := range acceptors {
+	for id, acceptor := range acceptors {
 		if state := acceptor.State; state.Revision != 2 || len(state.PreviousMembers) != 0 || len(state.Members) != 4 || !acceptor.IsMember() {
-			t.Errorf("%d holds %+v", s, state)
+			t.Errorf("%d holds %+v", id, state)
 		}
 	}
 }
 
-// A change that does not fit what the proposer holds is judged under a new epoch: what it
-// holds may have been overtaken.
+// A reconfiguration that does not fit the base is resolved under a new term: the base may have
+// been superseded.
 func TestReconfigurationOnSupersededState(t *testing.T) {
 	acceptor := establishedAcceptor(1, Position{}, config.ControlState{})
 	acceptor.InitialMembers = memberSet(1)
 	p := &Proposer{}
 	now := time.Second
 	p.FollowAcceptor(acceptor, now)
-	run := func(readies []Ready) (last Outcome) {
-		for len(readies) > 0 {
-			ready := readies[0]
-			readies = readies[1:]
-			if ready.Result != nil {
-				last = ready.Result.Outcome
+	run := func(items []Ready) (last Outcome) {
+		for len(items) > 0 {
+			item := items[0]
+			items = items[1:]
+			if item.Result != nil {
+				last = item.Result.Outcome
 			}
-			if len(ready.To) > 0 && ready.To[0].MemberID == 1 {
+			if len(item.To) > 0 && item.To[0].MemberID == 1 {
 				var reply Reply
-				acceptor, reply = acceptor.Step(*ready.Message)
-				readies = append(readies, p.HandleReply(reply, now)...)
+				acceptor, reply = acceptor.Step(*item.Message)
+				items = append(items, p.HandleReply(reply, now)...)
 			}
 		}
 		return last
@@ -135,7 +135,7 @@
 	if got := run(p.Enqueue(Command{ID: 1, Kind: CommandPutConfiguration, Payload: []byte("a"), Deadline: time.Minute}, now)); got != OutcomeCommitted {
 		t.Fatal(got)
 	}
-	// Another proposer has struck slot 2 of a set that this one never heard of.
+	// Another proposer has removed member 2 of a set that this one never knew.
 	state := acceptor.State
 	state.Revision, state.Members, state.HighestMemberID = 5, memberSet(1), 2
 	acceptor, _ = acceptor.Step(Message{Type: MsgCommit, Term: 1 << 20, Position: Position{1 << 20, 5}, State: state})
@@ -143,50 +143,50 @@
 	now += time.Second
 	p.Enqueue(Command{ID: 2, Kind: CommandReconfigure, Leaving: 1, ExpectedMembers: memberSet(1, 2), Deadline: time.Minute}, now)
 	if p.phase != proposerPreparing {
-		t.Error("judged by a word that was overtaken")
+		t.Error("resolved by a state that was superseded")
 	}
 }
 
-// The word that seals a change is brought to its end though time passes before its votes
-// come and no order waits; but not for ever, if no majority votes.
+// The state that finalizes a reconfiguration is committed though time passes before its replies
+// come and no command waits; but the attempt ends if no majority replies.
 func TestFinalizationOutlastsTicks(t *testing.T) {
 	for _, answered := range []bool{true, false} {
 		acceptors := map[int]Acceptor{}
-		for s := 1; s <= 4; s++ {
-			acceptors[s] = Acceptor{Self: Sender{MemberID: s, Incarnation: 1, DiskID: uint64(100 + s)}, Phase: PhaseEstablished, InitialMembers: memberSet(1, 2, 3, 4)}
+		for id := 1; id <= 4; id++ {
+			acceptors[id] = Acceptor{Self: Sender{MemberID: id, Incarnation: 1, DiskID: uint64(100 + id)}, Phase: PhaseEstablished, InitialMembers: memberSet(1, 2, 3, 4)}
 		}
 		p := &Proposer{}
 		now := time.Second
 		p.FollowAcceptor(acceptors[1], now)
-		readies := p.Enqueue(Command{ID: 1, Kind: CommandReconfigure, Leaving: 4, ExpectedMembers: memberSet(1, 2, 3, 4), Deadline: time.Minute}, now)
-		sealed, settled := false, false
-		for len(readies) > 0 {
-			ready := readies[0]
-			readies = readies[1:]
-			if ready.Message == nil {
+		items := p.Enqueue(Command{ID: 1, Kind: CommandReconfigure, Leaving: 4, ExpectedMembers: memberSet(1, 2, 3, 4), Deadline: time.Minute}, now)
+		finalizing, committed := false, false
+		for len(items) > 0 {
+			item := items[0]
+			items = items[1:]
+			if item.Message == nil {
 				continue
 			}
-			settled = settled || ready.Message.Type == MsgCommit && ready.Message.Position.Revision == 2
-			if ready.Message.Type == MsgAccept && ready.Message.Position.Revision == 2 && !sealed {
-				sealed = true
+			committed = committed || item.Message.Type == MsgCommit && item.Message.Position.Revision == 2
+			if item.Message.Type == MsgAccept && item.Message.Position.Revision == 2 && !finalizing {
+				finalizing = true
 				now += 10 * time.Millisecond
-				readies = append(readies, p.Tick(now)...)
+				items = append(items, p.Tick(now)...)
 			}
-			for _, m := range ready.To {
-				if sealed && !answered {
+			for _, m := range item.To {
+				if finalizing && !answered {
 					continue
 				}
-				next, reply := acceptors[m.MemberID].Step(*ready.Message)
+				next, reply := acceptors[m.MemberID].Step(*item.Message)
 				acceptors[m.MemberID] = next
-				readies = append(readies, p.HandleReply(reply, now)...)
+				items = append(items, p.HandleReply(reply, now)...)
 			}
 		}
-		if !sealed || settled != answered {
-			t.Errorf("votes come %v: seal proposed %v, settled %v", answered, sealed, settled)
+		if !finalizing || committed != answered {
+			t.Errorf("replies come %v: finalization proposed %v, committed %v", answered, finalizing, committed)
 		}
 		p.Tick(now + finishTimeout)
 		if p.phase != proposerIdle {
-			t.Errorf("votes come %v: still in phase %d after %v", answered, p.phase, finishTimeout)
+			t.Errorf("replies come %v: still in phase %d after %v", answered, p.phase, finishTimeout)
 		}
 	}
 }
--- a/internal/controlplane/consensus/reconfigurer_test.go
+++ b/internal/controlplane/consensus/reconfigurer_test.go
@@ -7,20 +7,21 @@
 	"curlewwalk/internal/config"
 )
 
-// liveMembers is what the core on duty of three knows: all live, unless a test says else.
+// liveMembers is an acceptor of n members, and what the coordinator knows of them: all are
+// live.
 func liveMembers(n int) (Acceptor, map[int]MemberStatus) {
 	acceptor := Acceptor{Phase: PhaseEstablished}
 	statuses := map[int]MemberStatus{}
-	for s := 1; s <= n; s++ {
-		addr := string(rune('a' + s - 1))
-		acceptor.InitialMembers = append(acceptor.InitialMembers, config.Member{MemberID: s, DiskID: uint64(s), Addr: addr})
-		statuses[s] = MemberStatus{Addr: addr, Live: true}
+	for id := 1; id <= n; id++ {
+		addr := string(rune('a' + id - 1))
+		acceptor.InitialMembers = append(acceptor.InitialMembers, config.Member{MemberID: id, DiskID: uint64(id), Addr: addr})
+		statuses[id] = MemberStatus{Addr: addr, Live: true}
 	}
 	acceptor.Self = Sender{MemberID: 1, Incarnation: 1, DiskID: 1}
 	return acceptor, statuses
 }
 
-// observed is an usher that has looked at the same places for so long.
+// observed is a reconfigurer that has observed the same statuses for a time.
 func observed(acceptor Acceptor, statuses map[int]MemberStatus, span time.Duration) (Reconfigurer, time.Duration) {
 	reconfigurer := Reconfigurer{RemovalDelay: time.Second}
 	now := time.Second
@@ -31,15 +32,15 @@
 }
 
 func markDead(statuses map[int]MemberStatus, memberIDs ...int) {
-	for _, s := range memberIDs {
-		statuses[s] = MemberStatus{Addr: statuses[s].Addr}
+	for _, id := range memberIDs {
+		statuses[id] = MemberStatus{Addr: statuses[id].Addr}
 	}
 }
 
-// Who asks comes beside all others while they live; instead of one that is gone; and
-// instead of the one whose address it has, at once.
+// A replica that asks joins beside all others while they are live; replaces one that is gone;
+// and replaces the one with its own address, at once.
 func TestReconfigurerPlansJoin(t *testing.T) {
-	stranger, same := JoinRequest{DiskID: 99, Addr: "z"}, JoinRequest{DiskID: 99, Addr: "b"}
+	stranger, sameAddr := JoinRequest{DiskID: 99, Addr: "z"}, JoinRequest{DiskID: 99, Addr: "b"}
 	for _, c := range []struct {
 		name   string
 		of     int
@@ -55,14 +56,14 @@
 		{"beside one", 1, nil, 3 * time.Second, stranger, 0, true, 0, 0},
 		{"one is silent, not yet gone", 3, []int{2}, 400 * time.Millisecond, stranger, 0, false, 0, 0},
 		{"instead of the gone one", 3, []int{2}, 3 * time.Second, stranger, 2, true, 0, 0},
-		{"at the lost disk's address", 3, []int{2}, 0, same, 2, true, 0, 0},
-		{"at the lost disk's address, that seems live", 3, nil, 0, same, 2, true, 0, 0},
+		{"at the lost disk's address", 3, []int{2}, 0, sameAddr, 2, true, 0, 0},
+		{"at the lost disk's address, which seems live", 3, nil, 0, sameAddr, 2, true, 0, 0},
 		{"no majority lives", 3, []int{2, 3}, 3 * time.Second, stranger, 2, false, 0, 0},
 		{"two of five are gone", 5, []int{2, 4}, 3 * time.Second, stranger, 2, true, 0, 0},
 		{"two of four are gone", 4, []int{2, 4}, 3 * time.Second, stranger, 2, false, 0, 0},
-		{"who has a seat", 3, nil, 3 * time.Second, JoinRequest{DiskID: 3, Addr: "c"}, 0, false, 0, 0},
-		{"a slot number is used once", 3, nil, 3 * time.Second, stranger, 0, true, 8, 0},
-		{"static slots", 3, nil, 3 * time.Second, stranger, 0, false, 0, 3},
+		{"already a member", 3, nil, 3 * time.Second, JoinRequest{DiskID: 3, Addr: "c"}, 0, false, 0, 0},
+		{"a member ID is used once", 3, nil, 3 * time.Second, stranger, 0, true, 8, 0},
+		{"static members", 3, nil, 3 * time.Second, stranger, 0, false, 0, 3},
 	} {
 		acceptor, statuses := liveMembers(c.of)
 		acceptor.State.HighestMemberID, acceptor.StaticSize = c.top, c.static
@@ -75,8 +76,8 @@
 	}
 }
 
-// An even set strikes one that is gone, an odd one only if two are; never without a
-// majority, nor below three or the founders' number.
+// A set of even size removes a member that is gone, one of odd size only if two are; never
+// without a majority, nor below three or the number of initial members.
 func TestReconfigurerPlansRemoval(t *testing.T) {
 	for _, c := range []struct {
 		of, founders int
@@ -106,7 +107,8 @@
 	}
 }
 
-// An usher that slept takes nobody for gone until it has looked on for long enough.
+// A reconfigurer that was suspended takes no member for gone until it has observed for long
+// enough.
 func TestReconfigurerAfterSuspension(t *testing.T) {
 	acceptor, statuses := liveMembers(4)
 	acceptor.State.Members, acceptor.InitialMembers = acceptor.InitialMembers, acceptor.InitialMembers[:3]
@@ -114,21 +116,21 @@
 	reconfigurer, now := observed(acceptor, statuses, 500*time.Millisecond)
 	now += 10 * time.Second
 	if _, ok := reconfigurer.PlanRemoval(acceptor, now); ok {
-		t.Error("struck by what it knew before it slept")
+		t.Error("removed by what it knew before it was suspended")
 	}
 	reconfigurer = reconfigurer.Observe(acceptor.MemberSets().Current, statuses, now)
 	if _, ok := reconfigurer.PlanRemoval(acceptor, now); ok {
-		t.Error("struck right after it woke")
+		t.Error("removed right after it resumed")
 	}
 	now += time.Second
 	reconfigurer = reconfigurer.Observe(acceptor.MemberSets().Current, statuses, now)
 	if _, ok := reconfigurer.PlanRemoval(acceptor, now); !ok {
-		t.Error("does not strike after it has looked on")
+		t.Error("does not remove after it has observed")
 	}
 }
 
-// A member that stops leaves an even set, which bears no more losses than the odd one
-// without it; an odd set, a founding one and the smallest stay as they are.
+// A member that stops leaves a set of even size, which bears no more losses than the odd one
+// without it; a set of odd size, the initial one and the smallest stay as they are.
 func TestPlanLeave(t *testing.T) {
 	for _, c := range []struct {
 		of, founders, self int
@@ -158,6 +160,6 @@
 	}
 	static := Acceptor{StaticSize: 3, Phase: PhaseEstablished, Self: Sender{MemberID: 1, Incarnation: 1, DiskID: 1}}
 	if _, ok := PlanLeave(static); ok {
-		t.Error("a static slot is left")
+		t.Error("a static member leaves")
 	}
 }
--- a/internal/controlplane/consensus/state_store_crash_test.go
+++ b/internal/controlplane/consensus/state_store_crash_test.go
@@ -13,174 +13,174 @@
 	"curlewwalk/internal/storage"
 )
 
-// errCrashed ends a run of the program: the process is gone.
+// errCrashed is returned by each step once the process has crashed.
 var errCrashed = errors.New("the process ended here")
 
-// errDiskFull is what a full disk says.
+// errDiskFull is returned by each write to a full disk.
 var errDiskFull = errors.New("no space left")
 
-// inode is a file: what of it lasts, and what it holds now.
+// inode is a file: what of it is durable, and what it holds now.
 type inode struct {
-	now, lasting []byte
-	dirty        bool
+	current, durable []byte
+	dirty            bool
 }
 
-// nameChange is a change of names that the folder's sync has not made lasting.
+// nameChange is a change of names that no sync of the directory has made durable.
 type nameChange struct {
 	from, to string // from is empty for a file that was made, to for one that was removed
 	file     *inode
 }
 
-// crashDirectory is a folder with exactly the promises of storage.Directory. It ends the process
-// after so many steps, a step being a write of one byte or a call of anything else.
+// crashDirectory is a directory with exactly the guarantees of storage.Directory. It crashes
+// after a number of steps, a step being a write of one byte or any other call.
 type crashDirectory struct {
-	current, lasting map[string]*inode
+	current, durable map[string]*inode
 	pending          []nameChange
-	steps, end       int
-	// full fails the steps from one on instead of ending the process.
+	steps, crashAt   int
+	// full makes the steps from crashAt on fail instead.
 	full bool
 }
 
 func newCrashDirectory() *crashDirectory {
-	return &crashDirectory{current: map[string]*inode{}, lasting: map[string]*inode{}, end: -1}
+	return &crashDirectory{current: map[string]*inode{}, durable: map[string]*inode{}, crashAt: -1}
 }
 
-// step counts a step, and fails where the run ends.
-func (m *crashDirectory) step() error {
-	if m.end >= 0 && m.steps >= m.end {
-		if m.full {
+// step counts a step, and fails after the crash.
+func (d *crashDirectory) step() error {
+	if d.crashAt >= 0 && d.steps >= d.crashAt {
+		if d.full {
 			return errDiskFull
 		}
 		return errCrashed
 	}
-	m.steps++
+	d.steps++
 	return nil
 }
 
-func (m *crashDirectory) Create(name string) (storage.File, error) {
-	if err := m.step(); err != nil {
+func (d *crashDirectory) Create(name string) (storage.File, error) {
+	if err := d.step(); err != nil {
 		return nil, err
 	}
-	f, ok := m.current[name]
+	file, ok := d.current[name]
 	if !ok {
-		f = &inode{}
-		m.current[name] = f
-		m.pending = append(m.pending, nameChange{to: name, file: f})
+		file = &inode{}
+		d.current[name] = file
+		d.pending = append(d.pending, nameChange{to: name, file: file})
 	}
-	f.now, f.dirty = nil, true
-	return crashFile{m, f}, nil
+	file.current, file.dirty = nil, true
+	return crashFile{d, file}, nil
 }
 
-func (m *crashDirectory) Rename(from, to string) error {
-	if err := m.step(); err != nil {
+func (d *crashDirectory) Rename(from, to string) error {
+	if err := d.step(); err != nil {
 		return err
 	}
-	f, ok := m.current[from]
+	file, ok := d.current[from]
 	if !ok {
 		return fs.ErrNotExist
 	}
-	delete(m.current, from)
-	m.current[to] = f
-	m.pending = append(m.pending, nameChange{from: from, to: to, file: f})
+	delete(d.current, from)
+	d.current[to] = file
+	d.pending = append(d.pending, nameChange{from: from, to: to, file: file})
 	return nil
 }
 
-func (m *crashDirectory) Remove(name string) error {
-	if err := m.step(); err != nil {
+func (d *crashDirectory) Remove(name string) error {
+	if err := d.step(); err != nil {
 		return err
 	}
-	m.pending = append(m.pending, nameChange{from: name, file: m.current[name]})
-	delete(m.current, name)
+	d.pending = append(d.pending, nameChange{from: name, file: d.current[name]})
+	delete(d.current, name)
 	return nil
 }
 
-func (m *crashDirectory) Read(name string) ([]byte, error) {
-	if f, ok := m.current[name]; ok {
-		return slices.Clone(f.now), nil
+func (d *crashDirectory) Read(name string) ([]byte, error) {
+	if file, ok := d.current[name]; ok {
+		return slices.Clone(file.current), nil
 	}
 	return nil, fs.ErrNotExist
 }
 
-func (m *crashDirectory) List() ([]string, error) { return slices.Collect(maps.Keys(m.current)), nil }
+func (d *crashDirectory) List() ([]string, error) { return slices.Collect(maps.Keys(d.current)), nil }
 
-func (m *crashDirectory) Sync() error {
-	if err := m.step(); err != nil {
+func (d *crashDirectory) Sync() error {
+	if err := d.step(); err != nil {
 		return err
 	}
-	m.lasting, m.pending = maps.Clone(m.current), nil
+	d.durable, d.pending = maps.Clone(d.current), nil
 	return nil
 }
 
 type crashFile struct {
-	m *crashDirectory
-	f *inode
+	directory *crashDirectory
+	inode     *inode
 }
 
-func (w crashFile) Write(b []byte) (int, error) {
+func (f crashFile) Write(b []byte) (int, error) {
 	for i, c := range b {
-		if err := w.m.step(); err != nil {
+		if err := f.directory.step(); err != nil {
 			return i, err
 		}
-		w.f.now = append(w.f.now, c)
+		f.inode.current = append(f.inode.current, c)
 	}
 	return len(b), nil
 }
 
-func (w crashFile) Sync() error {
-	if err := w.m.step(); err != nil {
+func (f crashFile) Sync() error {
+	if err := f.directory.step(); err != nil {
 		return err
 	}
-	w.f.lasting, w.f.dirty = slices.Clone(w.f.now), false
+	f.inode.durable, f.inode.dirty = slices.Clone(f.inode.current), false
 	return nil
 }
 
 func (crashFile) Close() error { return nil }
 
-// afterRestart is the folder of the next process, as it is after names and files were kept
-// or lost.
-func afterRestart(names map[string]*inode, content func(f *inode) []byte) *crashDirectory {
+// afterRestart is the directory of the next process, with the names and the contents that were
+// kept.
+func afterRestart(names map[string]*inode, content func(file *inode) []byte) *crashDirectory {
 	next := newCrashDirectory()
-	for name, f := range names {
-		b := slices.Clone(content(f))
-		next.current[name] = &inode{now: b, lasting: b}
+	for name, file := range names {
+		b := slices.Clone(content(file))
+		next.current[name] = &inode{current: b, durable: b}
 	}
-	next.lasting = maps.Clone(next.current)
+	next.durable = maps.Clone(next.current)
 	return next
 }
 
-// outcomes are all folders that the next process may find: after a kill the files as they
-// are; after a loss of power each change of names that was not synced is kept or lost by
+// outcomes visits all directories that the next process may find: after a kill the files as
+// they are; after a loss of power each change of names that was not synced is kept or lost by
 // itself, and what was not synced of a file is there, missing, or torn in the middle. (The
-// end of the process at every byte of each write is the run's.)
-func (m *crashDirectory) outcomes(t *testing.T, visit func(next *crashDirectory)) {
-	visit(afterRestart(m.current, func(f *inode) []byte { return f.now }))
-	if len(m.pending) > 12 {
-		t.Fatalf("%d changes of names are not synced", len(m.pending))
+// crash at each byte of each write is up to the run.)
+func (d *crashDirectory) outcomes(t *testing.T, visit func(next *crashDirectory)) {
+	visit(afterRestart(d.current, func(file *inode) []byte { return file.current }))
+	if len(d.pending) > 12 {
+		t.Fatalf("%d changes of names are not synced", len(d.pending))
 	}
-	contents := []func(f *inode) []byte{
-		func(f *inode) []byte { return f.now },
-		func(f *inode) []byte { return f.lasting },
-		func(f *inode) []byte {
-			if !f.dirty {
-				return f.now
+	contents := []func(file *inode) []byte{
+		func(file *inode) []byte { return file.current },
+		func(file *inode) []byte { return file.durable },
+		func(file *inode) []byte {
+			if !file.dirty {
+				return file.current
 			}
-			return f.now[:len(f.now)/2]
+			return file.current[:len(file.current)/2]
 		},
 	}
-	if !slices.ContainsFunc(slices.Collect(maps.Values(m.current)), func(f *inode) bool { return f.dirty }) {
+	if !slices.ContainsFunc(slices.Collect(maps.Values(d.current)), func(file *inode) bool { return file.dirty }) {
 		contents = contents[:1]
 	}
-	for kept := range 1 << len(m.pending) {
-		names := maps.Clone(m.lasting)
-		for i, c := range m.pending {
-			if kept&(1<<i) == 0 {
+	for applied := range 1 << len(d.pending) {
+		names := maps.Clone(d.durable)
+		for i, change := range d.pending {
+			if applied&(1<<i) == 0 {
 				continue
 			}
-			if names[c.from] == c.file {
-				delete(names, c.from)
+			if names[change.from] == change.file {
+				delete(names, change.from)
 			}
-			if c.to != "" {
-				names[c.to] = c.file
+			if change.to != "" {
+				names[change.to] = change.file
 			}
 		}
 		for _, content := range contents {
@@ -189,25 +189,25 @@
 	}
 }
 
-// storeModel is an acceptor's life on a disk: what it may have told others, and what may have
-// come of what it did not.
+// storeModel follows an acceptor on a disk: what it may have sent, and what may have become of
+// what it did not.
 type storeModel struct {
-	t     *testing.T
-	start Bootstrap
-	words map[Position]string
-	// told is the last state that was saved, so that votes may have gone out on it.
-	told  Acceptor
-	saved bool
-	seen  int
+	t         *testing.T
+	bootstrap Bootstrap
+	payloads  map[Position]string
+	// saved is the last state that was saved, so that replies may have been sent for it.
+	saved    Acceptor
+	hasSaved bool
+	restarts int
 }
 
 func newStoreModel(t *testing.T) *storeModel {
-	return &storeModel{t: t, words: map[Position]string{}, start: Bootstrap{NewCluster: true, InitialMembers: []string{"a", "b", "c"}, AdvertiseAddr: "a"}}
+	return &storeModel{t: t, payloads: map[Position]string{}, bootstrap: Bootstrap{NewCluster: true, InitialMembers: []string{"a", "b", "c"}, AdvertiseAddr: "a"}}
 }
 
-// messages are an acceptor's life: promises, words that are proposed and settled, epochs that
-// overtake one another, more words than are kept.
-func (d *storeModel) messages(changes int) (out []Message) {
+// messages are what an acceptor takes: promises, states that are proposed and committed, terms
+// that supersede one another, more states than are kept.
+func (model *storeModel) messages(changes int) (out []Message) {
 	term, revision := uint64(5), uint64(0)
 	for i := range changes {
 		if i%3 == 0 {
@@ -215,29 +215,29 @@
 			out = append(out, Message{Type: MsgPrepare, Term: term})
 		}
 		revision++
-		position, text := Position{Term: term, Revision: revision}, fmt.Sprint("word ", revision, " of ", term)
-		d.words[position] = text
+		position, text := Position{Term: term, Revision: revision}, fmt.Sprint("state ", revision, " of ", term)
+		model.payloads[position] = text
 		state := config.ControlState{Revision: revision, Configuration: []byte(text)}
 		out = append(out, Message{Type: MsgAccept, Term: term, Position: position, State: state}, Message{Type: MsgCommit, Term: term, Position: position, State: state})
 	}
 	return out
 }
 
-// run loads an acceptor and has it take ballots until something fails; what failed to be
-// saved it never told, and it goes on as it was, as the keeper does.
-func (d *storeModel) run(files *crashDirectory, messages []Message) (loaded bool, err error) {
+// run loads an acceptor and has it take messages until something fails. It sends nothing of
+// what failed to be saved, and goes on as it was, as the replica does.
+func (model *storeModel) run(files *crashDirectory, messages []Message) (loaded bool, err error) {
 	disk := &StateStore{Store: storage.NewStore(files)}
-	acceptor, err := disk.Load(d.start)
+	acceptor, err := disk.Load(model.bootstrap)
 	if err != nil {
 		return false, err
 	}
-	d.told, d.saved = acceptor, true
+	model.saved, model.hasSaved = acceptor, true
 	for _, message := range messages {
 		next, reply := acceptor.Step(message)
 		if err = disk.Save(next); err == nil {
-			acceptor, d.told = next, next
+			acceptor, model.saved = next, next
 			if !reply.Granted && message.Type != MsgCommit {
-				d.t.Fatalf("%v of epoch %d was refused", message.Type, message.Term)
+				model.t.Fatalf("%v of term %d was refused", message.Type, message.Term)
 			}
 		} else if errors.Is(err, errCrashed) {
 			return true, err
@@ -246,106 +246,106 @@
 	return true, err
 }
 
-// check compares what the next process loads with what was told before. With the same
-// identity it holds and promises no less; lost says that it may have another.
-func (d *storeModel) check(next *crashDirectory, lost bool, where string) {
-	d.seen++
-	acceptor, err := (&StateStore{Store: storage.NewStore(next)}).Load(d.start)
+// check compares what the next process loads with what was sent before. With the same disk ID
+// it holds and promises no less; lost says that it may have another.
+func (model *storeModel) check(next *crashDirectory, lost bool, where string) {
+	model.restarts++
+	acceptor, err := (&StateStore{Store: storage.NewStore(next)}).Load(model.bootstrap)
 	if err != nil {
-		d.t.Fatalf("%s: %v", where, err)
+		model.t.Fatalf("%s: %v", where, err)
 	}
-	if !d.saved {
+	if !model.hasSaved {
 		return
 	}
-	if acceptor.Self.DiskID != d.told.Self.DiskID {
+	if acceptor.Self.DiskID != model.saved.Self.DiskID {
 		if !lost {
-			d.t.Fatalf("%s: another identity, with files %q", where, slices.Sorted(maps.Keys(next.current)))
+			model.t.Fatalf("%s: another disk ID, with files %q", where, slices.Sorted(maps.Keys(next.current)))
 		}
 		return
 	}
-	if acceptor.Promised < d.told.Promised || acceptor.Position.Compare(d.told.Position) < 0 || acceptor.Phase != d.told.Phase || acceptor.Self != d.told.Self {
-		d.t.Fatalf("%s: as %+v it promises %d and holds %v, before as %+v %d and %v; files %q", where, acceptor.Self, acceptor.Promised, acceptor.Position,
-			d.told.Self, d.told.Promised, d.told.Position, slices.Sorted(maps.Keys(next.current)))
+	if acceptor.Promised < model.saved.Promised || acceptor.Position.Compare(model.saved.Position) < 0 || acceptor.Phase != model.saved.Phase || acceptor.Self != model.saved.Self {
+		model.t.Fatalf("%s: as %+v it promises %d and holds %v, before as %+v %d and %v; files %q", where, acceptor.Self, acceptor.Promised, acceptor.Position,
+			model.saved.Self, model.saved.Promised, model.saved.Position, slices.Sorted(maps.Keys(next.current)))
 	}
-	if acceptor.Position != (Position{}) && string(acceptor.State.Configuration) != d.words[acceptor.Position] {
-		d.t.Fatalf("%s: holds %q as %v", where, acceptor.State.Configuration, acceptor.Position)
+	if acceptor.Position != (Position{}) && string(acceptor.State.Configuration) != model.payloads[acceptor.Position] {
+		model.t.Fatalf("%s: holds %q as %v", where, acceptor.State.Configuration, acceptor.Position)
 	}
 }
 
-// A process that ends, or a machine that loses power, at any step of an acceptor's life, at
-// each byte of each write, comes back with the same identity and with all that it ever
-// told, whatever is kept or lost of names and files that were not synced.
+// A process that is killed, or a machine that loses power, at any step of an acceptor, at each
+// byte of each write, comes back with the same disk ID and with all that it ever sent, whatever
+// is kept or lost of names and files that were not synced.
 func TestStoreSurvivesCrashAnywhere(t *testing.T) {
 	t.Parallel()
-	d := newStoreModel(t)
-	messages := d.messages(keepStates + 4)
+	model := newStoreModel(t)
+	messages := model.messages(keepStates + 4)
 	whole := newCrashDirectory()
-	if _, err := d.run(whole, messages); err != nil {
+	if _, err := model.run(whole, messages); err != nil {
 		t.Fatal(err)
 	}
 	for end := range whole.steps {
-		d.told, d.saved = Acceptor{}, false
+		model.saved, model.hasSaved = Acceptor{}, false
 		files := newCrashDirectory()
-		files.end = end
-		if _, err := d.run(files, messages); !errors.Is(err, errCrashed) {
+		files.crashAt = end
+		if _, err := model.run(files, messages); !errors.Is(err, errCrashed) {
 			t.Fatalf("step %d: %v", end, err)
 		}
-		files.outcomes(t, func(next *crashDirectory) { d.check(next, false, fmt.Sprint("ended at step ", end)) })
+		files.outcomes(t, func(next *crashDirectory) { model.check(next, false, fmt.Sprint("crashed at step ", end)) })
 	}
-	t.Logf("%d steps, %d restarts", whole.steps, d.seen)
+	t.Logf("%d steps, %d restarts", whole.steps, model.restarts)
 }
 
-// A disk that is full from any step on, and has space again later or not: nothing is told
-// that is not on it, and a loss of power at the end takes nothing that was told.
+// A disk that is full from any step on, and has space again later or not: nothing is sent that
+// is not on it, and a loss of power at the end takes nothing that was sent.
 func TestStoreSurvivesFullDiskAnywhere(t *testing.T) {
 	t.Parallel()
-	d := newStoreModel(t)
-	messages := d.messages(6)
+	model := newStoreModel(t)
+	messages := model.messages(6)
 	whole := newCrashDirectory()
-	if _, err := d.run(whole, messages); err != nil {
+	if _, err := model.run(whole, messages); err != nil {
 		t.Fatal(err)
 	}
 	for end := range whole.steps {
-		d.told, d.saved = Acceptor{}, false
+		model.saved, model.hasSaved = Acceptor{}, false
 		files := newCrashDirectory()
-		files.end, files.full = end, true
-		if loaded, _ := d.run(files, messages); !loaded {
+		files.crashAt, files.full = end, true
+		if loaded, _ := model.run(files, messages); !loaded {
 			continue // it does not start
 		}
-		files.outcomes(t, func(next *crashDirectory) { d.check(next, false, fmt.Sprint("full from step ", end)) })
+		files.outcomes(t, func(next *crashDirectory) { model.check(next, false, fmt.Sprint("full from step ", end)) })
 	}
-	t.Logf("%d steps, %d restarts", whole.steps, d.seen)
+	t.Logf("%d steps, %d restarts", whole.steps, model.restarts)
 }
 
-// The newest file of a kind does not match its checksum any more: the acceptor has lost what
-// it promised. However often the process or the power ends while it makes a new identity,
-// also at a first start of the whole system, the old identity never votes with less.
+// The latest file of a kind does not match its checksum any more: the acceptor has lost what it
+// promised. However often the process or the power ends while it takes a new disk ID, also at
+// the first start of a cluster, it never replies under the old one with less.
 func TestStoreDetectsLossAnywhere(t *testing.T) {
 	t.Parallel()
 	for _, kind := range []string{kindPromise, kindState} {
-		d := newStoreModel(t)
-		messages := d.messages(4)
+		model := newStoreModel(t)
+		messages := model.messages(4)
 		whole := newCrashDirectory()
-		if _, err := d.run(whole, messages); err != nil {
+		if _, err := model.run(whole, messages); err != nil {
 			t.Fatal(err)
 		}
-		torn := afterRestart(whole.current, func(f *inode) []byte { return f.now })
-		newest := slices.MaxFunc(slices.DeleteFunc(slices.Collect(maps.Keys(torn.current)), func(n string) bool {
+		corrupt := afterRestart(whole.current, func(file *inode) []byte { return file.current })
+		newest := slices.MaxFunc(slices.DeleteFunc(slices.Collect(maps.Keys(corrupt.current)), func(n string) bool {
 			return !strings.HasPrefix(n, kind+".")
 		}), strings.Compare)
-		b := torn.current[newest].now
+		b := corrupt.current[newest].current
 		b[len(b)-1]++
-		told := d.told
-		copied := func(m *crashDirectory) *crashDirectory {
-			return afterRestart(m.current, func(f *inode) []byte { return f.now })
+		lastSaved := model.saved
+		clone := func(m *crashDirectory) *crashDirectory {
+			return afterRestart(m.current, func(file *inode) []byte { return file.current })
 		}
 		var explore func(m *crashDirectory, depth int, where string)
 		explore = func(m *crashDirectory, depth int, where string) {
-			d.told, d.saved = told, true
-			d.check(copied(m), true, where)
+			model.saved, model.hasSaved = lastSaved, true
+			model.check(clone(m), true, where)
 			steps := func() int {
-				m := copied(m)
-				(&StateStore{Store: storage.NewStore(m)}).Load(d.start)
+				m := clone(m)
+				(&StateStore{Store: storage.NewStore(m)}).Load(model.bootstrap)
 				return m.steps
 			}()
 			if depth == 0 {
@@ -353,20 +353,20 @@
 			}
 			last := ""
 			for end := range steps {
-				m := copied(m)
-				m.end = end
-				(&StateStore{Store: storage.NewStore(m)}).Load(d.start)
-				now := fmt.Sprint(slices.Sorted(maps.Keys(m.current)), len(m.pending))
-				if now == last && end%16 != 0 {
+				m := clone(m)
+				m.crashAt = end
+				(&StateStore{Store: storage.NewStore(m)}).Load(model.bootstrap)
+				files := fmt.Sprint(slices.Sorted(maps.Keys(m.current)), len(m.pending))
+				if files == last && end%16 != 0 {
 					continue // in the middle of a write of a file that is not read
 				}
-				last = now
+				last = files
 				m.outcomes(t, func(next *crashDirectory) {
-					explore(next, depth-1, fmt.Sprintf("%s, ended at step %d", where, end))
+					explore(next, depth-1, fmt.Sprintf("%s, crashed at step %d", where, end))
 				})
 			}
 		}
-		explore(torn, 2, kind+" is torn")
-		t.Logf("%s: %d restarts", kind, d.seen)
+		explore(corrupt, 2, kind+" is corrupt")
+		t.Logf("%s: %d restarts", kind, model.restarts)
 	}
 }
