--- a/internal/controlplane/consensus/evacuation_test.go
+++ b/internal/controlplane/consensus/evacuation_test.go
@@ -84,9 +84,9 @@
 	network := newProposerNetwork(t, 3)
 	newest, other := uint64(2), uint64(7)
 	for _, step := range []struct {
-		order Command
-		match *uint64
-		want  Outcome
+		command Command
+		ifMatch *uint64
+		want    Outcome
 	}{
 		{zoneCommand(CommandEvacuate, "west", 0), nil, OutcomeCommitted},
 		{Command{Kind: CommandPutConfiguration, Payload: []byte("plain")}, nil, OutcomeCommitted},
@@ -95,8 +95,8 @@
 		{zoneCommand(CommandRevokeEvacuation, "west", 0), &other, OutcomeMismatch},
 		{zoneCommand(CommandRevokeEvacuation, "west", 0), &newest, OutcomeSuperseded},
 	} {
-		step.order.IfMatch = step.match
-		id := network.submit(1, step.order)
+		step.command.IfMatch = step.ifMatch
+		id := network.submit(1, step.command)
 		network.deliverAll()
 		network.expect(id, step.want)
 	}
--- a/internal/controlplane/consensus/quorum_test.go
+++ b/internal/controlplane/consensus/quorum_test.go
@@ -30,21 +30,23 @@
 	moved := MemberSets{Current: memberSet(3, 4, 5), Previous: memberSet(3, 4, 2)}
 	low, high := Position{1, 1}, Position{1, 2}
 	for _, c := range []struct {
-		name  string
-		votes map[int]Reply
-		want  bool
+		name    string
+		replies map[int]Reply
+		want    bool
 	}{
 		{"a majority of the old", addReplies(map[int]Reply{}, low, old, 1, 2), true},
 		{"a minority", addReplies(map[int]Reply{}, low, old, 1), false},
-		{"one tells of the grown set", addReplies(addReplies(map[int]Reply{}, low, old, 1), high, grown, 2), false},
+		{"one knows the grown set", addReplies(addReplies(map[int]Reply{}, low, old, 1), high, grown, 2), false},
 		{"majorities of both", addReplies(addReplies(map[int]Reply{}, low, old, 1), high, grown, 2, 4), true},
 		{"of the new only", addReplies(map[int]Reply{}, high, moved, 4, 5), false},
 		{"of both moved", addReplies(map[int]Reply{}, high, moved, 3, 4), true},
 		{"none", map[int]Reply{}, false},
 	} {
-		if got := HasReadQuorum(CurrentReplies(c.votes), old); got != c.want {
-			t.Errorf("%s: %v", c.name, got)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			if got := HasReadQuorum(CurrentReplies(c.replies), old); got != c.want {
+				t.Error(got)
+			}
+		})
 	}
 	// Another disk under a member's ID is no member.
 	replies := addReplies(map[int]Reply{}, low, old, 1, 2)
@@ -74,11 +76,11 @@
 		t.Errorf("%+v", unchanged)
 	}
 	for _, c := range []struct {
-		name string
-		held config.ControlState
-		now  []config.Member
-		o    Command
-		want Outcome
+		name    string
+		base    config.ControlState
+		current []config.Member
+		command Command
+		want    Outcome
 	}{
 		{"to be done", config.ControlState{}, current, join, ""},
 		{"done", state, state.Members, join, OutcomeCommitted},
@@ -87,13 +89,16 @@
 		{"the last one", config.ControlState{}, memberSet(1), Command{Kind: CommandReconfigure, Leaving: 1, ExpectedMembers: memberSet(1)}, OutcomeRejected},
 		{"another command", config.ControlState{}, current, Command{Kind: CommandPutConfiguration}, ""},
 	} {
-		result, done := resolveReconfiguration(c.held, c.now, c.o)
-		if done != (c.want != "") || done && result.Outcome != c.want {
-			t.Errorf("%s: %v %v", c.name, result.Outcome, done)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			result, resolved := resolveReconfiguration(c.base, c.current, c.command)
+			if resolved != (c.want != "") || resolved && result.Outcome != c.want {
+				t.Errorf("%v %v", result.Outcome, resolved)
+			}
+		})
 	}
 }
 
+// replaceCommand is a command decided on another set, for another member.
 func replaceCommand(command Command, of []config.Member, memberID int) Command {
 	command.ExpectedMembers, command.Joining.MemberID, command.Joining.DiskID = of, memberID, uint64(100+memberID)
 	return command
--- a/internal/controlplane/consensus/reconfigurer_test.go
+++ b/internal/controlplane/consensus/reconfigurer_test.go
@@ -42,37 +42,43 @@
 func TestReconfigurerPlansJoin(t *testing.T) {
 	stranger, sameAddr := JoinRequest{DiskID: 99, Addr: "z"}, JoinRequest{DiskID: 99, Addr: "b"}
 	for _, c := range []struct {
-		name   string
-		of     int
-		dead   []int
-		span   time.Duration
-		asker  JoinRequest
-		out    int
-		ok     bool
-		top    int
-		static int
+		name       string
+		size       int
+		dead       []int
+		observed   time.Duration
+		request    JoinRequest
+		highestID  int
+		staticSize int
+		leaving    int
+		ok         bool
 	}{
-		{"beside all", 3, nil, 3 * time.Second, stranger, 0, true, 0, 0},
-		{"beside one", 1, nil, 3 * time.Second, stranger, 0, true, 0, 0},
-		{"one is silent, not yet gone", 3, []int{2}, 400 * time.Millisecond, stranger, 0, false, 0, 0},
-		{"instead of the gone one", 3, []int{2}, 3 * time.Second, stranger, 2, true, 0, 0},
-		{"at the lost disk's address", 3, []int{2}, 0, sameAddr, 2, true, 0, 0},
-		{"at the lost disk's address, which seems live", 3, nil, 0, sameAddr, 2, true, 0, 0},
-		{"no majority lives", 3, []int{2, 3}, 3 * time.Second, stranger, 2, false, 0, 0},
-		{"two of five are gone", 5, []int{2, 4}, 3 * time.Second, stranger, 2, true, 0, 0},
-		{"two of four are gone", 4, []int{2, 4}, 3 * time.Second, stranger, 2, false, 0, 0},
-		{"already a member", 3, nil, 3 * time.Second, JoinRequest{DiskID: 3, Addr: "c"}, 0, false, 0, 0},
-		{"a member ID is used once", 3, nil, 3 * time.Second, stranger, 0, true, 8, 0},
-		{"static members", 3, nil, 3 * time.Second, stranger, 0, false, 0, 3},
+		{name: "beside all", size: 3, observed: 3 * time.Second, request: stranger, ok: true},
+		{name: "beside one", size: 1, observed: 3 * time.Second, request: stranger, ok: true},
+		{name: "one is silent, not yet gone", size: 3, dead: []int{2}, observed: 400 * time.Millisecond, request: stranger},
+		{name: "instead of the gone one", size: 3, dead: []int{2}, observed: 3 * time.Second, request: stranger, leaving: 2, ok: true},
+		{name: "at the lost disk's address", size: 3, dead: []int{2}, request: sameAddr, leaving: 2, ok: true},
+		{name: "at the lost disk's address, which seems live", size: 3, request: sameAddr, leaving: 2, ok: true},
+		{name: "no majority lives", size: 3, dead: []int{2, 3}, observed: 3 * time.Second, request: stranger, leaving: 2},
+		{name: "two of five are gone", size: 5, dead: []int{2, 4}, observed: 3 * time.Second, request: stranger, leaving: 2, ok: true},
+		{name: "two of four are gone", size: 4, dead: []int{2, 4}, observed: 3 * time.Second, request: stranger, leaving: 2},
+		{name: "already a member", size: 3, observed: 3 * time.Second, request: JoinRequest{DiskID: 3, Addr: "c"}},
+		{name: "a member ID is used once", size: 3, observed: 3 * time.Second, request: stranger, highestID: 8, ok: true},
+		{name: "static members", size: 3, observed: 3 * time.Second, request: stranger, staticSize: 3},
 	} {
-		acceptor, statuses := liveMembers(c.of)
-		acceptor.State.HighestMemberID, acceptor.StaticSize = c.top, c.static
-		markDead(statuses, c.dead...)
-		reconfigurer, now := observed(acceptor, statuses, c.span)
-		command, ok := reconfigurer.PlanJoin(c.asker, acceptor, statuses, now)
-		if ok != c.ok || ok && (command.Leaving != c.out || command.Joining.MemberID != max(c.of, c.top)+1 || command.Joining.DiskID != c.asker.DiskID || command.Joining.Addr != c.asker.Addr || len(command.ExpectedMembers) != c.of) {
-			t.Errorf("%s: %+v %v", c.name, command, ok)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			acceptor, statuses := liveMembers(c.size)
+			acceptor.State.HighestMemberID, acceptor.StaticSize = c.highestID, c.staticSize
+			markDead(statuses, c.dead...)
+			reconfigurer, now := observed(acceptor, statuses, c.observed)
+			command, ok := reconfigurer.PlanJoin(c.request, acceptor, statuses, now)
+			if ok != c.ok {
+				t.Fatalf("%+v %v", command, ok)
+			}
+			joining := config.Member{MemberID: max(c.size, c.highestID) + 1, DiskID: c.request.DiskID, Addr: c.request.Addr}
+			if ok && (command.Leaving != c.leaving || command.Joining != joining || len(command.ExpectedMembers) != c.size) {
+				t.Errorf("%+v", command)
+			}
+		})
 	}
 }
 
@@ -80,30 +86,33 @@
 // without a majority, nor below three or the number of initial members.
 func TestReconfigurerPlansRemoval(t *testing.T) {
 	for _, c := range []struct {
-		of, founders int
-		dead         []int
-		span         time.Duration
-		out          int
+		name          string
+		size, initial int
+		dead          []int
+		observed      time.Duration
+		leaving       int
 	}{
-		{4, 3, []int{2}, 3 * time.Second, 2},
-		{4, 3, []int{2}, 400 * time.Millisecond, 0},
-		{4, 3, nil, 3 * time.Second, 0},
-		{4, 4, []int{2}, 3 * time.Second, 0},
-		{4, 3, []int{2, 3}, 3 * time.Second, 0},
-		{3, 1, []int{2}, 3 * time.Second, 0},
-		{2, 1, []int{2}, 3 * time.Second, 0},
-		{5, 3, []int{2}, 3 * time.Second, 0},
-		{5, 3, []int{2, 4}, 3 * time.Second, 4},
-		{5, 3, []int{2, 3, 4}, 3 * time.Second, 0},
-		{31, 3, []int{2, 3, 4}, 3 * time.Second, 4},
+		{name: "one of four gone", size: 4, initial: 3, dead: []int{2}, observed: 3 * time.Second, leaving: 2},
+		{name: "one of four silent, not yet gone", size: 4, initial: 3, dead: []int{2}, observed: 400 * time.Millisecond},
+		{name: "all of four live", size: 4, initial: 3, observed: 3 * time.Second},
+		{name: "four initial members", size: 4, initial: 4, dead: []int{2}, observed: 3 * time.Second},
+		{name: "two of four gone", size: 4, initial: 3, dead: []int{2, 3}, observed: 3 * time.Second},
+		{name: "one of three gone", size: 3, initial: 1, dead: []int{2}, observed: 3 * time.Second},
+		{name: "one of two gone", size: 2, initial: 1, dead: []int{2}, observed: 3 * time.Second},
+		{name: "one of five gone", size: 5, initial: 3, dead: []int{2}, observed: 3 * time.Second},
+		{name: "two of five gone", size: 5, initial: 3, dead: []int{2, 4}, observed: 3 * time.Second, leaving: 4},
+		{name: "three of five gone", size: 5, initial: 3, dead: []int{2, 3, 4}, observed: 3 * time.Second},
+		{name: "three of many gone", size: 31, initial: 3, dead: []int{2, 3, 4}, observed: 3 * time.Second, leaving: 4},
 	} {
-		acceptor, statuses := liveMembers(c.of)
-		acceptor.State.Members, acceptor.InitialMembers = acceptor.InitialMembers, acceptor.InitialMembers[:c.founders]
-		markDead(statuses, c.dead...)
-		reconfigurer, now := observed(acceptor, statuses, c.span)
-		if command, ok := reconfigurer.PlanRemoval(acceptor, now); ok != (c.out != 0) || command.Leaving != c.out {
-			t.Errorf("%+v: %+v %v", c, command, ok)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			acceptor, statuses := liveMembers(c.size)
+			acceptor.State.Members, acceptor.InitialMembers = acceptor.InitialMembers, acceptor.InitialMembers[:c.initial]
+			markDead(statuses, c.dead...)
+			reconfigurer, now := observed(acceptor, statuses, c.observed)
+			if command, ok := reconfigurer.PlanRemoval(acceptor, now); ok != (c.leaving != 0) || command.Leaving != c.leaving {
+				t.Errorf("%+v %v", command, ok)
+			}
+		})
 	}
 }
 
@@ -133,30 +142,33 @@
 // without it; a set of odd size, the initial one and the smallest stay as they are.
 func TestPlanLeave(t *testing.T) {
 	for _, c := range []struct {
-		of, founders, self int
-		before             bool
-		leaves             bool
+		name                string
+		size, initial, self int
+		reconfiguring       bool
+		leaves              bool
 	}{
-		{of: 4, founders: 3, self: 1, leaves: true},
-		{of: 4, founders: 3, self: 4, leaves: true},
-		{of: 6, founders: 3, self: 2, leaves: true},
-		{of: 3, founders: 3, self: 1},
-		{of: 5, founders: 3, self: 1},
-		{of: 4, founders: 4, self: 1},
-		{of: 2, founders: 1, self: 1},
-		{of: 4, founders: 3, self: 9}, // no member
-		{of: 4, founders: 3, self: 1, before: true},
+		{name: "first of four", size: 4, initial: 3, self: 1, leaves: true},
+		{name: "last of four", size: 4, initial: 3, self: 4, leaves: true},
+		{name: "of six", size: 6, initial: 3, self: 2, leaves: true},
+		{name: "of three", size: 3, initial: 3, self: 1},
+		{name: "of five", size: 5, initial: 3, self: 1},
+		{name: "four initial members", size: 4, initial: 4, self: 1},
+		{name: "of two", size: 2, initial: 1, self: 1},
+		{name: "not a member", size: 4, initial: 3, self: 9},
+		{name: "while a reconfiguration is under way", size: 4, initial: 3, self: 1, reconfiguring: true},
 	} {
-		acceptor, _ := liveMembers(c.of)
-		acceptor.State.Members, acceptor.InitialMembers = acceptor.InitialMembers, acceptor.InitialMembers[:c.founders]
-		acceptor.Self = Sender{MemberID: c.self, Incarnation: 1, DiskID: uint64(c.self)}
-		if c.before {
-			acceptor.State.PreviousMembers = acceptor.State.Members[:3]
-		}
-		command, ok := PlanLeave(acceptor)
-		if ok != c.leaves || ok && (command.Kind != CommandReconfigure || command.Leaving != c.self || command.Joining.MemberID != 0 || len(command.ExpectedMembers) != c.of) {
-			t.Errorf("%+v: %+v %v", c, command, ok)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			acceptor, _ := liveMembers(c.size)
+			acceptor.State.Members, acceptor.InitialMembers = acceptor.InitialMembers, acceptor.InitialMembers[:c.initial]
+			acceptor.Self = Sender{MemberID: c.self, Incarnation: 1, DiskID: uint64(c.self)}
+			if c.reconfiguring {
+				acceptor.State.PreviousMembers = acceptor.State.Members[:3]
+			}
+			command, ok := PlanLeave(acceptor)
+			if ok != c.leaves || ok && (command.Kind != CommandReconfigure || command.Leaving != c.self || command.Joining.MemberID != 0 || len(command.ExpectedMembers) != c.size) {
+				t.Errorf("%+v %v", command, ok)
+			}
+		})
 	}
 	static := Acceptor{StaticSize: 3, Phase: PhaseEstablished, Self: Sender{MemberID: 1, Incarnation: 1, DiskID: 1}}
 	if _, ok := PlanLeave(static); ok {
