--- a/internal/config/names.go
+++ b/internal/config/names.go
@@ -12,8 +12,8 @@
 func IsValidName(s string) bool {
 	for i := range len(s) {
 		c := s[i]
-		alphanumeric := 'a' <= c && c <= 'z' || '0' <= c && c <= '9'
-		if !alphanumeric && (i == 0 || c != '.' && c != '_' && c != '-') {
+		letter, digit := 'a' <= c && c <= 'z', '0' <= c && c <= '9'
+		if !letter && !digit && (i == 0 || c != '.' && c != '_' && c != '-') {
 			return false
 		}
 	}
