--- a/internal/dataplane/metrics.go
+++ b/internal/dataplane/metrics.go
@@ -45,8 +45,8 @@
 		metrics.Counter("after_clients_left_seconds_total", "Time for which requests went on after their clients had left.", nil, s.outboundTotal(func(total proxy.Totals) float64 { return total.AfterDisconnect.Seconds() })),
 		metrics.Counter("recalled_attempts_total", "Attempts for own backends that were recalled, by what was done.", []string{"outcome"}, func(emit metrics.EmitFunc) {
 			total := s.inbound.Counters.Snapshot()
-			emit(float64(total.CancelledBeforeStart), "not-run")
-			emit(float64(total.CancelledRunning), "stopped")
+			emit(float64(total.CanceledBeforeStart), "not-run")
+			emit(float64(total.CanceledRunning), "stopped")
 			emit(float64(total.LeftRunning), "left-running")
 		}),
 		metrics.Gauge("retry_budget", "Retries to a service that this sidecar may make now.", []string{"service"}, func(emit metrics.EmitFunc) {
--- a/internal/dataplane/proxy/answers_test.go
+++ b/internal/dataplane/proxy/answers_test.go
@@ -134,7 +134,7 @@
 			}
 			var response AttemptResponse
 			if r := p.outbound.Transport.Call(ctx, node, transport.ControlTraffic, KindCancel, CancelRequest{ID: "odd", Incarnation: 7}); !r.Decode(&response) || response.Outcome != routing.NotRun {
-				t.Errorf("cancelled: %+v", response)
+				t.Errorf("canceled: %+v", response)
 			}
 			if len(p.receivedURIs()) > 0 {
 				t.Errorf("it came to the backend: %v", p.receivedURIs())
@@ -162,7 +162,7 @@
 	}
 }
 
-// An attempt lies unread at an inbound side whose connection has broken. If it is cancelled before
+// An attempt lies unread at an inbound side whose connection has broken. If it is canceled before
 // it is read, it is said not to have run, and never runs; if the cancellation does not arrive
 // either, its outcome is unknown, and it runs once at most.
 func TestAttemptReadAfterItsRecall(t *testing.T) {
--- a/internal/dataplane/proxy/attemptlog_test.go
+++ b/internal/dataplane/proxy/attemptlog_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// An attempt begins once; one that was refused or cancelled before never begins; one that has
+// An attempt begins once; one that was refused or canceled before never begins; one that has
 // begun can't be refused any more.
 func TestLedger(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
--- a/internal/dataplane/proxy/cancel.go
+++ b/internal/dataplane/proxy/cancel.go
@@ -18,8 +18,8 @@
 // open when the time for the shutdown is over.
 var ErrStopping = eris.New(stoppingReason)
 
-// errCancelled is the cause with which the context of an attempt ends that was cancelled.
-var errCancelled = eris.New("the attempt was recalled")
+// errCanceled is the cause with which the context of an attempt ends that was canceled.
+var errCanceled = eris.New("the attempt was recalled")
 
 // HandleCancel handles a cancellation: it is the transport.Handler of KindCancel.
 func (in *Inbound) HandleCancel(_ context.Context, request transport.Request) (any, string) {
@@ -42,15 +42,15 @@
 	attempt, open := in.openAttempts.find(id)
 	switch {
 	case notBegun:
-		in.Counters.CancelledBeforeStart.Add(1)
+		in.Counters.CanceledBeforeStart.Add(1)
 	case open && attempt.idempotent:
-		in.Counters.CancelledRunning.Add(1)
+		in.Counters.CanceledRunning.Add(1)
 	default:
 		in.Counters.LeftRunning.Add(1)
 		return false
 	}
 	if open {
-		attempt.cancel(errCancelled)
+		attempt.cancel(errCanceled)
 	}
 	return notBegun
 }
@@ -72,7 +72,7 @@
 func rejectionFor(ctx context.Context) endpoints.Rejection {
 	cause := context.Cause(ctx)
 	switch {
-	case errors.Is(cause, errCancelled):
+	case errors.Is(cause, errCanceled):
 		return endpoints.Canceled
 	case errors.Is(cause, ErrStopping):
 		return endpoints.NodeDraining
--- a/internal/dataplane/proxy/clientwatch.go
+++ b/internal/dataplane/proxy/clientwatch.go
@@ -8,7 +8,7 @@
 
 // clientWatch tells when the client of a request leaves: when it closes its connection, or the
 // connection is lost. net/http tells that through the request's context. The attempt that is
-// under way for the client is cancelled then, once. (DESIGN 10.7)
+// under way for the client is canceled then, once. (DESIGN 10.7)
 type clientWatch struct {
 	// unregister ends the watch of the client's context.
 	unregister func() bool
--- a/internal/dataplane/proxy/clientwatch_test.go
+++ b/internal/dataplane/proxy/clientwatch_test.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// A client that leaves cancels what may be cancelled: an idempotent run at its backend, and
+// A client that leaves cancels what may be canceled: an idempotent run at its backend, and
 // whatever has not reached one yet. What is not idempotent and was begun goes on.
 func TestClientLeaves(t *testing.T) {
 	t.Run("an idempotent run is stopped", func(t *testing.T) {
--- a/internal/dataplane/proxy/counters.go
+++ b/internal/dataplane/proxy/counters.go
@@ -24,10 +24,10 @@
 	// ClientDisconnects counts the requests whose clients left before they were answered, and
 	// AfterDisconnect sums up, in nanoseconds, for how long these went on after that.
 	ClientDisconnects, AfterDisconnect atomic.Int64
-	// CancelledBeforeStart counts the attempts that were cancelled before they were begun,
-	// CancelledRunning those that were stopped, and LeftRunning those that must not be stopped,
+	// CanceledBeforeStart counts the attempts that were canceled before they were begun,
+	// CanceledRunning those that were stopped, and LeftRunning those that must not be stopped,
 	// or are not known.
-	CancelledBeforeStart, CancelledRunning, LeftRunning atomic.Int64
+	CanceledBeforeStart, CanceledRunning, LeftRunning atomic.Int64
 }
 
 // clientDisconnected counts a request whose client left, and which went on for some time after.
@@ -59,10 +59,10 @@
 	Joined            int64 `json:"joined"`
 	ClientDisconnects int64 `json:"clients_left"`
 	// AfterDisconnect is in nanoseconds.
-	AfterDisconnect      time.Duration `json:"after_leaving_ns"`
-	CancelledBeforeStart int64         `json:"recalled"`
-	CancelledRunning     int64         `json:"stopped"`
-	LeftRunning          int64         `json:"left_running"`
+	AfterDisconnect     time.Duration `json:"after_leaving_ns"`
+	CanceledBeforeStart int64         `json:"recalled"`
+	CanceledRunning     int64         `json:"stopped"`
+	LeftRunning         int64         `json:"left_running"`
 }
 
 // Snapshot reads the counters, one after another.
@@ -71,6 +71,6 @@
 		InFlight: c.InFlight.Load(), Requests: c.Requests.Load(), Answered: c.Answered.Load(), NotRun: c.NotRun.Load(),
 		Unknown: c.Unknown.Load(), ExtraAttempts: c.ExtraAttempts.Load(), Joined: c.Joined.Load(),
 		ClientDisconnects: c.ClientDisconnects.Load(), AfterDisconnect: time.Duration(c.AfterDisconnect.Load()),
-		CancelledBeforeStart: c.CancelledBeforeStart.Load(), CancelledRunning: c.CancelledRunning.Load(), LeftRunning: c.LeftRunning.Load(),
+		CanceledBeforeStart: c.CanceledBeforeStart.Load(), CanceledRunning: c.CanceledRunning.Load(), LeftRunning: c.LeftRunning.Load(),
 	}
 }
--- a/internal/dataplane/proxy/doc.go
+++ b/internal/dataplane/proxy/doc.go
@@ -4,7 +4,7 @@
 // more attempts, one after another, as its routing.Decision says. Each attempt is a message to
 // the Inbound beside the backend, which admits it, puts it to the backend as an HTTP request,
 // and replies with the backend's response or with what else is known: that the attempt has not
-// run and never will, or that it may have run. An attempt whose reply is lost is cancelled; only
+// run and never will, or that it may have run. An attempt whose reply is lost is canceled; only
 // the inbound side's word proves that it has not run. A request with an idempotency key runs
 // once: its key is reserved here and on other nodes, and repeats get the first one's response.
 //
--- a/internal/dataplane/proxy/sendattempt.go
+++ b/internal/dataplane/proxy/sendattempt.go
@@ -66,7 +66,7 @@
 }
 
 // transmit sends an attempt and waits for the reply of the inbound side. If the client leaves
-// meanwhile, the attempt is cancelled, and its reply is still waited for.
+// meanwhile, the attempt is canceled, and its reply is still waited for.
 func (o *Outbound) transmit(ctx context.Context, req *request, attempt *outgoingAttempt) transport.Response {
 	attempt.target.Load.Attempts.Add(1)
 	attempt.sentAt = time.Now()
@@ -100,7 +100,7 @@
 }
 
 // showsFault tells whether the response speaks against its target. A full backend, or an attempt
-// that was cancelled, does not.
+// that was canceled, does not.
 func (r *AttemptResponse) showsFault() bool {
 	return r.Outcome != routing.Answered && r.Reason != string(endpoints.BackendFull) && r.Reason != string(endpoints.Canceled)
 }
