--- a/internal/controlplane/node.go
+++ b/internal/controlplane/node.go
@@ -53,18 +53,19 @@
 	n := &Node{
 		process:     p,
 		cfg:         cfg,
-		discovery:   membership.NewDiscovery(),
 		watchServer: watch.NewServer(p.Actors, p.Incarnation),
 		traces:      tracestore.NewStore(),
 	}
+	n.discovery = n.newDiscovery()
 	n.cluster = &cluster{cfg: cfg, incarnation: p.Incarnation, discovery: n.discovery}
 	n.replica = n.openReplica()
 	n.cluster.replica = n.replica
+	// The members that are stored on disk get the first heartbeats, whatever the seeds are now.
+	n.discovery.Receive(membership.Heartbeat{KnownReplicas: storedMembers(n.replica.Acceptor())})
 	n.commands = &commandRouter{cluster: n.cluster, replica: n.replica, actors: p.Actors, executed: &n.counters.commands}
 	n.reconfigurer = newReconfigurer(cfg, n.cluster, n.commands, p)
 	n.joinRequester = &joinRequester{cluster: n.cluster, client: p.TransportClient, stopping: &n.stopping}
 	n.maintenance = &maintenanceScheduler{cluster: n.cluster, commands: n.commands, watchServer: n.watchServer, log: p.Log}
-	n.connectDiscovery()
 	n.reloader = &process.Reloader{Discovery: n.discovery}
 	n.reloader.Apply(cfg.Common)
 
@@ -113,15 +114,14 @@
 	return options
 }
 
-// connectDiscovery has this replica announced to the other processes. The members that are stored
-// on disk get the first heartbeats, whatever the seeds are now.
-func (n *Node) connectDiscovery() {
-	n.discovery.Local = func() membership.Heartbeat { return membership.Heartbeat{Replica: n.cluster.announcedStatus()} }
-	n.discovery.Addr = n.cfg.Advertise
-	n.discovery.Client = n.process.TransportClient
-	n.discovery.Actors = n.process.Actors
-	n.discovery.OnReplica = n.catchUpFrom
-	n.discovery.Receive(membership.Heartbeat{KnownReplicas: storedMembers(n.replica.Acceptor())})
+// newDiscovery makes what announces this replica to the other processes.
+func (n *Node) newDiscovery() *membership.Discovery {
+	return membership.NewDiscovery(n.cfg.Advertise, membership.DiscoveryDeps{
+		Client:    n.process.TransportClient,
+		Actors:    n.process.Actors,
+		Local:     func() membership.Heartbeat { return membership.Heartbeat{Replica: n.cluster.announcedStatus()} },
+		OnReplica: n.catchUpFrom,
+	})
 }
 
 // registerHandlers lists what this node answers to other processes.
--- a/internal/dataplane/agent_test.go
+++ b/internal/dataplane/agent_test.go
@@ -19,7 +19,7 @@
 		Actors:         actors,
 		RetryBudgets:   retrybudget.NewServiceBudgets(addr, 0),
 		LatencyBudgets: retrybudget.NewLatencyBudgets(),
-		Suspects:       membership.NewProber().Suspects,
+		Suspects:       membership.NewProber(addr, membership.ProberDeps{}).Suspects,
 		HeartbeatNow:   func() {},
 	})
 }
--- a/internal/dataplane/sidecar.go
+++ b/internal/dataplane/sidecar.go
@@ -79,10 +79,9 @@
 	s.causality = causality.NewTracker()
 	s.reservations = idempotency.NewStore(func(r proxy.Response) int { return len(r.Body) })
 	s.replicaServer = keyreplication.NewReplicaServer()
-	s.discovery = membership.NewDiscovery()
+	s.discovery = s.newDiscovery()
 	s.prober = s.newProber()
 	s.agent = s.newAgent()
-	s.configureDiscovery()
 	s.reloader = &process.Reloader{Discovery: s.discovery}
 	s.reloader.Apply(set.Common)
 	s.gossiper = s.newGossiper()
--- a/internal/dataplane/wiring.go
+++ b/internal/dataplane/wiring.go
@@ -32,59 +32,62 @@
 	})
 }
 
-// configureDiscovery connects the discovery of control plane replicas with the agent, of
-// which it tells them.
-func (s *Sidecar) configureDiscovery() {
-	s.discovery.Addr = s.settings.Advertise
-	s.discovery.Client = s.process.TransportClient
-	s.discovery.Actors = s.process.Actors
-	s.discovery.Local = s.localHeartbeat
-	s.discovery.OnResponse = s.agent.handleHeartbeatResponse
-	s.discovery.OnReplica = func(context.Context, membership.Replica) {}
+// newDiscovery makes the part that exchanges heartbeats with the control plane replicas.
+func (s *Sidecar) newDiscovery() *membership.Discovery {
+	return membership.NewDiscovery(s.settings.Advertise, membership.DiscoveryDeps{
+		Client: s.process.TransportClient,
+		Actors: s.process.Actors,
+		Local:  s.localHeartbeat,
+		OnResponse: func(ctx context.Context, sent, response membership.Heartbeat) {
+			s.agent.handleHeartbeatResponse(ctx, sent, response)
+		},
+	})
 }
 
 // newProber makes the part that probes the sidecars which this one monitors.
 func (s *Sidecar) newProber() *membership.Prober {
-	prober := membership.NewProber()
-	prober.Addr = s.settings.Advertise
-	prober.View = s.membershipView
-	prober.Client = s.process.TransportClient
-	prober.Actors = s.process.Actors
-	prober.OnChange = s.discovery.HeartbeatNow
-	return prober
+	return membership.NewProber(s.settings.Advertise, membership.ProberDeps{
+		Client:   s.process.TransportClient,
+		Actors:   s.process.Actors,
+		View:     s.membershipView,
+		OnChange: s.discovery.HeartbeatNow,
+	})
 }
 
 // newGossiper makes the part that asks other sidecars while no control plane replica
 // answers. (DESIGN 7.4)
 func (s *Sidecar) newGossiper() *membership.Gossiper {
-	gossiper := membership.NewGossiper()
-	gossiper.Addr = s.settings.Advertise
-	gossiper.Client = s.process.TransportClient
-	gossiper.Actors = s.process.Actors
-	gossiper.Node = s.agent.node
-	gossiper.View = s.membershipView
-	gossiper.Replicas = s.discovery.Replicas
-	gossiper.State = s.agent.controlState.Load
-	gossiper.Seeds = s.discovery.Seeds
-	gossiper.UpdateAge = s.agent.updateAge
-	gossiper.OnConfirmed = s.agent.peerLease.Renew
-	gossiper.OnUpdate = func(ctx context.Context, update membership.GossipUpdate) {
-		s.discovery.Receive(membership.Heartbeat{KnownReplicas: update.KnownReplicas})
-		s.agent.mailbox.Send(ctx, msgGossip{update})
-	}
-	return gossiper
+	return membership.NewGossiper(s.settings.Advertise, membership.GossiperDeps{
+		Client:      s.process.TransportClient,
+		Actors:      s.process.Actors,
+		Node:        s.agent.node,
+		View:        s.membershipView,
+		Replicas:    s.discovery.Replicas,
+		State:       s.agent.controlState.Load,
+		Seeds:       s.discovery.Seeds,
+		UpdateAge:   s.agent.updateAge,
+		OnUpdate:    s.handleGossip,
+		OnConfirmed: s.agent.peerLease.Renew,
+	})
+}
+
+// handleGossip hands on what a round of gossip found.
+func (s *Sidecar) handleGossip(ctx context.Context, update membership.GossipUpdate) {
+	s.discovery.Receive(membership.Heartbeat{KnownReplicas: update.KnownReplicas})
+	s.agent.mailbox.Send(ctx, msgGossip{update})
 }
 
 // newWatcher makes the part that watches a control plane replica for updates.
 func (s *Sidecar) newWatcher() *watch.Watcher {
-	return &watch.Watcher{
-		Addr:         s.settings.Advertise,
-		Zone:         s.settings.Zone,
-		Replicas:     s.discovery.Replicas,
+	return watch.NewWatcher(watch.WatcherConfig{
+		Addr: s.settings.Advertise,
+		Zone: s.settings.Zone,
+	}, watch.WatcherDeps{
 		Client:       s.process.TransportClient,
+		Replicas:     s.discovery.Replicas,
 		HeartbeatNow: s.discovery.HeartbeatNow,
 		OnUpdates:    s.agent.handleUpdates,
-	}
+	})
 }
 
 // newOutbound makes the client side of the proxy.
--- a/internal/membership/discovery.go
+++ b/internal/membership/discovery.go
@@ -27,20 +27,26 @@
 	inboxSize = 64
 )
 
-// Discovery finds the control plane replicas and exchanges heartbeats with them. Run does the
-// work; the other methods may be called from anywhere. (DESIGN 7.1)
-type Discovery struct {
-	// Local returns the process's own state: its Node or its Replica.
-	Local func() Heartbeat
-	// Addr is the process's own address, which it sends no heartbeats to.
-	Addr   string
+// DiscoveryDeps are the parts that a Discovery works with.
+type DiscoveryDeps struct {
 	Client *transport.Client
 	Actors *actor.System
-	// OnReplica is called with each status that came from the replica itself. It must not block.
+	// Local returns the process's own state: its Node or its Replica.
+	Local func() Heartbeat
+	// OnReplica, if set, is called with each status that came from the replica itself. It must
+	// not block.
 	OnReplica func(ctx context.Context, replica Replica)
 	// OnResponse, if set, is called with each heartbeat that was responded to, before the
 	// responder counts as live. It must not block.
 	OnResponse func(ctx context.Context, sent, response Heartbeat)
+}
+
+// Discovery finds the control plane replicas and exchanges heartbeats with them. Run does the
+// work; the other methods may be called from anywhere. (DESIGN 7.1)
+type Discovery struct {
+	DiscoveryDeps
+	// addr is the process's own address, which it sends no heartbeats to.
+	addr string
 
 	seeds   atomic.Pointer[[]string]
 	table   atomic.Pointer[ReplicaTable]
@@ -66,13 +72,15 @@
 	refused  bool
 }
 
-// NewDiscovery makes a Discovery without seeds. The caller sets the exported fields before Run.
-func NewDiscovery() *Discovery {
+// NewDiscovery makes a Discovery of the process at addr, without seeds.
+func NewDiscovery(addr string, deps DiscoveryDeps) *Discovery {
 	d := &Discovery{
-		inbox:    make(chan Heartbeat, inboxSize),
-		results:  make(chan heartbeatResult),
-		trigger:  make(chan struct{}, 1),
-		encoders: map[string]HeartbeatEncoder{},
+		DiscoveryDeps: deps,
+		addr:          addr,
+		inbox:         make(chan Heartbeat, inboxSize),
+		results:       make(chan heartbeatResult),
+		trigger:       make(chan struct{}, 1),
+		encoders:      map[string]HeartbeatEncoder{},
 	}
 	d.setTable(ReplicaTable{})
 	d.SetSeeds(nil)
@@ -150,7 +158,7 @@
 	before := len(d.Replicas().Observed())
 	next, sender := d.Replicas().ObserveHeartbeat(h, time.Now())
 	d.setTable(next)
-	if sender != nil {
+	if sender != nil && d.OnReplica != nil {
 		d.OnReplica(ctx, *sender)
 	}
 	if len(next.Observed()) > before {
@@ -192,7 +200,7 @@
 func (d *Discovery) heartbeatAll(ctx context.Context, exchangeBudgets bool) {
 	d.lastRound = time.Now()
 	full := d.fullHeartbeat()
-	targets := d.Replicas().HeartbeatTargets(d.Addr, d.Seeds(), d.lastRound)
+	targets := d.Replicas().HeartbeatTargets(d.addr, d.Seeds(), d.lastRound)
 	maps.DeleteFunc(d.encoders, func(addr string, _ HeartbeatEncoder) bool { return !slices.Contains(targets, addr) })
 	budgetSource := ""
 	if exchangeBudgets {
@@ -209,7 +217,7 @@
 // evenly and is, as long as all replicas are live, the one that this sidecar watches too.
 // (DESIGN 8.2)
 func (d *Discovery) budgetSource() string {
-	live := rendezvous.Rank(d.Addr, d.Replicas().Live(d.lastRound), func(replica Replica) string { return replica.Addr })
+	live := rendezvous.Rank(d.addr, d.Replicas().Live(d.lastRound), func(replica Replica) string { return replica.Addr })
 	if len(live) == 0 {
 		return ""
 	}
--- a/internal/membership/gossiper.go
+++ b/internal/membership/gossiper.go
@@ -24,12 +24,8 @@
 	roundTimeout = HeartbeatInterval * 4 / 5 // (ours)
 )
 
-// Gossiper replaces the control plane as far as possible while no replica delivers updates. In
-// every HeartbeatInterval it asks a few of the other sidecars for the newest control state, for
-// the nodes that they know, and for what they know of the status of all: a majority of the
-// sidecars can confirm that the control state in force is still the newest. (DESIGN 7.4)
-type Gossiper struct {
-	Addr   string
+// GossiperDeps are the parts that a Gossiper works with.
+type GossiperDeps struct {
 	Client *transport.Client
 	Actors *actor.System
 	// Node returns this sidecar's state, View all nodes that it knows and Replicas the control
@@ -48,6 +44,15 @@
 	// OnConfirmed is called after each round in which a majority confirms that there was no
 	// newer control state at the time asOf.
 	OnConfirmed func(asOf time.Time)
+}
+
+// Gossiper replaces the control plane as far as possible while no replica delivers updates. In
+// every HeartbeatInterval it asks a few of the other sidecars for the newest control state, for
+// the nodes that they know, and for what they know of the status of all: a majority of the
+// sidecars can confirm that the control state in force is still the newest. (DESIGN 7.4)
+type Gossiper struct {
+	GossiperDeps
+	addr string
 
 	statuses     atomic.Pointer[PeerStatusTable]
 	unknownPeers chan string
@@ -73,9 +78,15 @@
 	return u.State == nil && len(u.Nodes) == 0 && len(u.Dead) == 0 && len(u.KnownReplicas) == 0
 }
 
-// NewGossiper makes a Gossiper. The caller sets the exported fields before Run.
-func NewGossiper() *Gossiper {
-	g := &Gossiper{unknownPeers: make(chan string, maxUnknownPeers), now: time.Now, roundTimeout: roundTimeout}
+// NewGossiper makes a Gossiper of the sidecar at addr.
+func NewGossiper(addr string, deps GossiperDeps) *Gossiper {
+	g := &Gossiper{
+		GossiperDeps: deps,
+		addr:         addr,
+		unknownPeers: make(chan string, maxUnknownPeers),
+		now:          time.Now,
+		roundTimeout: roundTimeout,
+	}
 	g.statuses.Store(&PeerStatusTable{})
 	return g
 }
@@ -120,7 +131,7 @@
 	if !update.isEmpty() {
 		g.OnUpdate(ctx, update)
 	}
-	if asOf, ok := statuses.ConfirmedAsOf(g.Addr, revision, others, g.now()); ok {
+	if asOf, ok := statuses.ConfirmedAsOf(g.addr, revision, others, g.now()); ok {
 		g.OnConfirmed(asOf)
 	}
 }
@@ -135,10 +146,10 @@
 // others lists the other sidecars that may be asked: all known ones, or else the seeds.
 func (g *Gossiper) others(view *View) []string {
 	others := view.Addrs()
-	if len(others) == 0 || len(others) == 1 && others[0] == g.Addr {
+	if len(others) == 0 || len(others) == 1 && others[0] == g.addr {
 		others = union(g.Seeds(), nil)
 	}
-	return slices.DeleteFunc(others, func(addr string) bool { return addr == g.Addr })
+	return slices.DeleteFunc(others, func(addr string) bool { return addr == g.addr })
 }
 
 // targets chooses whom to ask in this round: sidecars that asked and are not known, the one
@@ -146,7 +157,7 @@
 // to sidecar.
 func (g *Gossiper) targets(others []string, statuses PeerStatusTable, revision uint64) (out []string) {
 	add := func(addr string) {
-		if len(out) < Fanout && addr != g.Addr && !slices.Contains(out, addr) {
+		if len(out) < Fanout && addr != g.addr && !slices.Contains(out, addr) {
 			out = append(out, addr)
 		}
 	}
@@ -156,7 +167,7 @@
 	if addr, ok := statuses.NewestAbove(revision); ok {
 		add(addr)
 	}
-	ranked := rendezvous.Rank(g.Addr, others, func(addr string) string { return addr })
+	ranked := rendezvous.Rank(g.addr, others, func(addr string) string { return addr })
 	for range ranked {
 		if len(out) == Fanout {
 			break
@@ -203,7 +214,7 @@
 		now := g.now()
 		switch {
 		case r.response != nil:
-			statuses = statuses.Observe(g.Addr, r.response.Peers, r.sentAt, now)
+			statuses = statuses.Observe(g.addr, r.response.Peers, r.sentAt, now)
 		case r.refused:
 			statuses = statuses.MarkDead(r.addr, view.nodes[r.addr].Incarnation, r.sentAt, now)
 		}
--- a/internal/membership/gossiper_test.go
+++ b/internal/membership/gossiper_test.go
@@ -99,30 +99,36 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &testSidecar{Gossiper: NewGossiper(), clock: clock, nodes: map[string]Node{}}
-	s.Addr, s.now, s.roundTimeout = listener.Addr().String(), clock.now, time.Minute
-	hello := transport.Hello{Version: transport.ProtocolVersion, Node: s.Addr}
-	s.Client, s.Actors = transport.NewClient(actors, hello, nil), actors
+	s := &testSidecar{clock: clock, nodes: map[string]Node{}}
+	addr := listener.Addr().String()
+	hello := transport.Hello{Version: transport.ProtocolVersion, Node: addr}
 	self := Node{
-		Addr: s.Addr, Incarnation: uint64(index) + 1<<60, Version: 3, Zone: "north",
+		Addr: addr, Incarnation: uint64(index) + 1<<60, Version: 3, Zone: "north",
 		Backends: []Backend{{Service: "orders", Instance: "orders-" + ip, Address: ip + ":8000", Zone: "north", Capacity: 9}},
 	}
-	s.nodes[s.Addr] = self
-	s.Node = func() Node {
-		node := self
-		if state := s.currentState(); state != nil {
-			node.AppliedRevision = state.Revision
-		}
-		return node
-	}
+	s.nodes[addr] = self
 	dead := Replica{MemberID: 1, MemberCount: 1, Addr: "127.0.0.1:1", Members: []int{1}}
-	s.Replicas = func() ReplicaTable {
-		return ReplicaTable{}.Observe(dead, noon.Add(-time.Hour)).Refused(dead.Addr, clock.now())
-	}
-	s.View, s.State, s.OnUpdate = s.currentView, s.currentState, s.apply
-	s.Seeds = func() []string { return nil }
-	s.UpdateAge = func(time.Time) time.Duration { return time.Hour }
-	s.OnConfirmed = func(asOf time.Time) { s.confirmed = asOf }
+	s.Gossiper = NewGossiper(addr, GossiperDeps{
+		Client: transport.NewClient(actors, hello, nil),
+		Actors: actors,
+		Node: func() Node {
+			node := self
+			if state := s.currentState(); state != nil {
+				node.AppliedRevision = state.Revision
+			}
+			return node
+		},
+		View: s.currentView,
+		Replicas: func() ReplicaTable {
+			return ReplicaTable{}.Observe(dead, noon.Add(-time.Hour)).Refused(dead.Addr, clock.now())
+		},
+		State:       s.currentState,
+		Seeds:       func() []string { return nil },
+		UpdateAge:   func(time.Time) time.Duration { return time.Hour },
+		OnUpdate:    s.apply,
+		OnConfirmed: func(asOf time.Time) { s.confirmed = asOf },
+	})
+	s.now, s.roundTimeout = clock.now, time.Minute
 	s.server = &transport.Server{Hello: hello, Actors: actors, Listener: listener, Handlers: map[string]transport.Handler{KindGossip: s.HandleGossip}}
 	processCtx, stop := context.WithCancel(ctx)
 	s.stop = stop
@@ -169,7 +175,7 @@
 			for _, s := range sidecars {
 				s.state = &config.ControlState{Revision: 7}
 				for _, o := range sidecars {
-					s.addNode(o.nodes[o.Addr])
+					s.addNode(o.nodes[o.addr])
 				}
 			}
 			unconfirmed, rounds := len(sidecars), 0
@@ -215,11 +221,11 @@
 func TestGossipSpreads(t *testing.T) {
 	sidecars := newSidecarsWithoutReplicas(t, 88)
 	late := sidecars[len(sidecars)-1]
-	late.Seeds = func() []string { return []string{sidecars[0].Addr} }
+	late.Seeds = func() []string { return []string{sidecars[0].addr} }
 	for _, s := range sidecars[:len(sidecars)-1] {
 		s.state = &config.ControlState{Revision: 7}
 		for _, o := range sidecars[:len(sidecars)-1] {
-			s.addNode(o.nodes[o.Addr])
+			s.addNode(o.nodes[o.addr])
 		}
 	}
 	sidecars[5].state = &config.ControlState{Revision: 8, Configuration: []byte(strings.Repeat("x", 60000))}
@@ -228,7 +234,7 @@
 	}
 	for _, s := range sidecars {
 		if len(s.nodes) != len(sidecars) || s.state == nil || s.state.Revision != 8 {
-			t.Errorf("%s knows %d nodes, has the newest control state: %v", s.Addr, len(s.nodes), s.state != nil && s.state.Revision == 8)
+			t.Errorf("%s knows %d nodes, has the newest control state: %v", s.addr, len(s.nodes), s.state != nil && s.state.Revision == 8)
 		}
 	}
 }
@@ -240,7 +246,7 @@
 	for _, s := range sidecars {
 		s.state = &config.ControlState{Revision: 7}
 		for _, o := range sidecars {
-			s.addNode(o.nodes[o.Addr])
+			s.addNode(o.nodes[o.addr])
 		}
 	}
 	// Six are partitioned, as if their responses were lost.
@@ -252,7 +258,7 @@
 	}
 	for _, s := range sidecars[:5] {
 		if !s.confirmed.IsZero() {
-			t.Errorf("%s is confirmed by five of eleven", s.Addr)
+			t.Errorf("%s is confirmed by five of eleven", s.addr)
 		}
 	}
 	// Two of the six die: their addresses refuse connections.
@@ -264,7 +270,7 @@
 	}
 	for _, s := range sidecars[:5] {
 		if s.confirmed.IsZero() || len(s.nodes) != 9 {
-			t.Errorf("%s is confirmed as of %v and knows %d", s.Addr, s.confirmed, len(s.nodes))
+			t.Errorf("%s is confirmed as of %v and knows %d", s.addr, s.confirmed, len(s.nodes))
 		}
 	}
 }
@@ -277,7 +283,7 @@
 	for _, s := range sidecars {
 		s.state = &config.ControlState{Revision: 8, ConfigurationRevision: 7, Configuration: configuration}
 		for _, o := range sidecars {
-			s.addNode(o.nodes[o.Addr])
+			s.addNode(o.nodes[o.addr])
 		}
 	}
 	sidecars[0].state = &config.ControlState{Revision: 7, ConfigurationRevision: 7, Configuration: configuration}
--- a/internal/membership/prober.go
+++ b/internal/membership/prober.go
@@ -20,22 +20,28 @@
 	Refutation  uint64 `msgpack:"i"`
 }
 
-// Prober probes the nodes that its own node monitors and keeps the list of those that it
-// suspects. (DESIGN 7.3)
-type Prober struct {
-	Addr   string
-	View   func() *View
+// ProberDeps are the parts that a Prober works with.
+type ProberDeps struct {
 	Client *transport.Client
 	Actors *actor.System
+	// View returns all nodes that are known.
+	View func() *View
 	// OnChange is called when Suspects has changed. It must not block.
 	OnChange func()
+}
+
+// Prober probes the nodes that its own node monitors and keeps the list of those that it
+// suspects. (DESIGN 7.3)
+type Prober struct {
+	ProberDeps
+	addr string
 
 	suspects atomic.Pointer[[]Suspicion]
 }
 
-// NewProber makes a Prober. The caller sets the exported fields before Run.
-func NewProber() *Prober {
-	p := &Prober{}
+// NewProber makes a Prober of the node at addr.
+func NewProber(addr string, deps ProberDeps) *Prober {
+	p := &Prober{ProberDeps: deps, addr: addr}
 	p.suspects.Store(&[]Suspicion{})
 	return p
 }
@@ -54,7 +60,7 @@
 
 // Run probes in each HeartbeatInterval until ctx ends.
 func (p *Prober) Run(ctx context.Context) {
-	detector := NewFailureDetector(p.Addr)
+	detector := NewFailureDetector(p.addr)
 	tick := time.NewTicker(HeartbeatInterval)
 	defer tick.Stop()
 	results := make(chan probeResult)
--- a/internal/watch/watcher.go
+++ b/internal/watch/watcher.go
@@ -12,21 +12,37 @@
 // maxWait is how long a replica may wait for an event before it responds.
 const maxWait = 500 * time.Millisecond // (ours)
 
-// Watcher gets a sidecar its updates from one replica, and changes to another one if that fails.
-// (DESIGN 8.2)
-type Watcher struct {
+// WatcherConfig says whose Watcher it is.
+type WatcherConfig struct {
+	// Addr and Zone are those of the sidecar.
 	Addr string
 	Zone string
+}
+
+// WatcherDeps are the parts that a Watcher works with.
+type WatcherDeps struct {
+	Client *transport.Client
 	// Replicas returns the known replicas; HeartbeatNow has missing ones looked for.
 	Replicas     func() membership.ReplicaTable
 	HeartbeatNow func()
-	Client       *transport.Client
 	// OnUpdates is called with each response in order and the replica that it came from; the
 	// next one is asked for after it returns. Updates.Age counts back from asked, when the
 	// request was sent.
 	OnUpdates func(ctx context.Context, replica membership.Replica, updates Updates, asked time.Time)
 }
 
+// Watcher gets a sidecar its updates from one replica, and changes to another one if that fails.
+// (DESIGN 8.2)
+type Watcher struct {
+	WatcherConfig
+	WatcherDeps
+}
+
+// NewWatcher makes a Watcher.
+func NewWatcher(cfg WatcherConfig, deps WatcherDeps) *Watcher {
+	return &Watcher{WatcherConfig: cfg, WatcherDeps: deps}
+}
+
 // Run watches until ctx ends.
 func (w *Watcher) Run(ctx context.Context) {
 	s := &session{watcher: w, selector: newReplicaSelector(w.Addr, w.Zone)}
