--- a/internal/controlplane/api_response.go
+++ b/internal/controlplane/api_response.go
@@ -83,7 +83,7 @@
 	switch result.Outcome {
 	case consensus.OutcomeCommitted:
 		setRevisionHeaders(w, result.State.Revision)
-		behind, known := n.WaitApplied(r.Context(), result.State.Revision)
+		behind, known := n.AwaitApplied(r.Context(), result.State.Revision)
 		applied := known && len(behind) == 0
 		response.Applied, response.Behind = &applied, behind
 	case consensus.OutcomeMismatch:
--- a/internal/controlplane/operator.go
+++ b/internal/controlplane/operator.go
@@ -85,8 +85,8 @@
 	return state, ok
 }
 
-// WaitApplied waits until all sidecars have applied a revision, or for a bounded time, and lists
+// AwaitApplied waits until all sidecars have applied a revision, or for a bounded time, and lists
 // those that have not; known is false while that can't be told. (DESIGN 6.6)
-func (n *Node) WaitApplied(ctx context.Context, revision uint64) (behind []string, known bool) {
+func (n *Node) AwaitApplied(ctx context.Context, revision uint64) (behind []string, known bool) {
 	return n.watchServer.AwaitApplied(ctx, revision)
 }
