--- a/internal/dataplane/causality/correlator_test.go
+++ b/internal/dataplane/causality/correlator_test.go
@@ -35,9 +35,9 @@
 // accuracy counts the calls of a run of a simulated backend.
 type accuracy struct{ calls, right, wrongProven int }
 
-// inferenceAccuracy runs a backend whose slots are always busy with requests of two routes,
-// each of which makes a call by another route, at a time that varies threefold.
-func inferenceAccuracy(seed uint64, capacity int) (counts accuracy) {
+// inferenceAccuracy runs a backend that always processes a number of requests at a time, of
+// two routes, each of which makes a call by another route, at a time that varies threefold.
+func inferenceAccuracy(seed uint64, concurrency int) (counts accuracy) {
 	rng := rand.New(rand.NewPCG(seed, 3))
 	var queue eventQueue
 	correlator := NewCorrelator()
@@ -72,7 +72,7 @@
 			})
 		})
 	}
-	for range capacity {
+	for range concurrency {
 		after(time.Duration(rng.Int64N(int64(40*time.Millisecond))), begin)
 	}
 	for len(queue) > 0 {
@@ -87,13 +87,13 @@
 // requests the backend processes at a time, and that no wrong link is called proven.
 func TestInferenceAccuracy(t *testing.T) {
 	for _, c := range []struct {
-		slots int
+		concurrency int
 		least float64
 	}{{1, 1}, {2, 0.88}, {4, 0.7}, {9, 0.33}} {
-		t.Run(fmt.Sprint(c.slots, " slots"), func(t *testing.T) {
+		t.Run(fmt.Sprint(c.concurrency, " at a time"), func(t *testing.T) {
 			right := 0.0
 			for seed := range uint64(5) {
-				counts := inferenceAccuracy(seed, c.slots)
+				counts := inferenceAccuracy(seed, c.concurrency)
 				right += float64(counts.right) / float64(counts.calls) / 5
 				if counts.wrongProven > 0 {
 					t.Errorf("%d wrong links were called proven", counts.wrongProven)
--- a/internal/dataplane/causality/mixed_traffic_test.go
+++ b/internal/dataplane/causality/mixed_traffic_test.go
@@ -12,9 +12,9 @@
 // mixedCounts counts the links of a run of mixedBackend.
 type mixedCounts struct{ clients, linkedClients, calls, rightCalls int }
 
-// TestMixedTraffic checks a backend of nine slots whose calls arrive at the same address as
-// clients' requests: after a while, few clients' requests are linked, and enough calls to
-// their true cause.
+// TestMixedTraffic checks a backend that processes nine requests at a time, and whose calls
+// arrive at the same address as clients' requests: after a while, few clients' requests are
+// linked, and enough calls to their true cause.
 func TestMixedTraffic(t *testing.T) {
 	var total mixedCounts
 	for seed := range uint64(8) {
@@ -35,7 +35,7 @@
 // mixedBackend runs a backend for a minute, and counts from 20 s on. Clients send requests of
 // three routes, one of which has less time left than the open requests.
 func mixedBackend(rng *rand.Rand) (counts mixedCounts) {
-	const slots, learningTime = 9, 20 * time.Second
+	const concurrency, learningTime = 9, 20 * time.Second
 	correlator, base := NewCorrelator(), time.Now()
 	type running struct {
 		span         trace.Span
@@ -44,7 +44,7 @@
 	var open []running
 	for now := time.Duration(0); now < 60*time.Second; now += time.Millisecond {
 		at := base.Add(now)
-		if len(open) < slots && rng.IntN(50) == 0 {
+		if len(open) < concurrency && rng.IntN(50) == 0 {
 			span, work := trace.Root(), 80*time.Millisecond+time.Duration(rng.Int64N(int64(160*time.Millisecond)))
 			correlator.Begin(OpenRequest{Span: span, Service: "home", Route: "browse", StartedAt: at, Deadline: at.Add(1800 * time.Millisecond)})
 			open = append(open, running{span: span, callAt: now + (work / 2).Truncate(time.Millisecond), ends: now + work})
