--- a/internal/dataplane/keyreplication/owner.go
+++ b/internal/dataplane/keyreplication/owner.go
@@ -83,7 +83,7 @@
 // as long as an earlier incarnation's records may be kept.
 func (o *Owner) Run(ctx context.Context) {
 	var viewReadyAt time.Time
-	recovery := recovery{owner: o, incarnations: map[string]uint64{}}
+	recovering := recovery{owner: o, answered: map[string]uint64{}}
 	tick := time.NewTicker(recoveryInterval)
 	defer tick.Stop()
 	for {
@@ -103,7 +103,7 @@
 			tick.Reset(membership.HeartbeatInterval)
 		}
 		if time.Since(viewReadyAt) < idempotency.Retention {
-			recovery.requestHandovers(ctx, time.Since(viewReadyAt))
+			recovering.requestHandovers(ctx, time.Since(viewReadyAt))
 		}
 		o.repair(ctx)
 	}
--- a/internal/dataplane/keyreplication/recovery.go
+++ b/internal/dataplane/keyreplication/recovery.go
@@ -20,8 +20,8 @@
 // recovery collects the records of an owner's earlier incarnations from its peers.
 type recovery struct {
 	owner *Owner
-	// incarnations are the incarnations of the peers that have handed over, by address.
-	incarnations map[string]uint64
+	// answered are the incarnations of the peers that have handed over, by address.
+	answered map[string]uint64
 }
 
 // requestHandovers asks the peers that have not handed over yet; viewReadyFor is how long
@@ -29,14 +29,14 @@
 func (r *recovery) requestHandovers(ctx context.Context, viewReadyFor time.Duration) {
 	var pending []membership.Node
 	for _, peer := range r.owner.peers() {
-		if r.incarnations[peer.Addr] != peer.Incarnation {
+		if r.answered[peer.Addr] != peer.Incarnation {
 			pending = append(pending, peer)
 		}
 	}
 	missing := 0
 	for i, ok := range runConcurrently(ctx, r.owner.deps.Actors, pending, handoverTimeout, r.owner.requestHandover) {
 		if ok {
-			r.incarnations[pending[i].Addr] = pending[i].Incarnation
+			r.answered[pending[i].Addr] = pending[i].Incarnation
 		} else {
 			missing++
 		}
--- a/internal/dataplane/keyreplication/replicate.go
+++ b/internal/dataplane/keyreplication/replicate.go
@@ -2,6 +2,8 @@
 
 import (
 	"context"
+	"errors"
+	"fmt"
 	"slices"
 	"time"
 
@@ -30,40 +32,55 @@
 	replicas []string
 }
 
+// ErrNotReplicated is returned if too few peers store a record.
+var ErrNotReplicated = errors.New("too few peers store the record of the idempotency key")
+
+// ReservedError is returned for a key that an earlier incarnation of this sidecar has
+// reserved.
+type ReservedError struct {
+	// Existing is the record of that reservation.
+	Existing Record
+}
+
+// Error implements error.
+func (e *ReservedError) Error() string {
+	return fmt.Sprintf("the idempotency key is reserved by incarnation %d", e.Existing.Incarnation)
+}
+
 // Replicate makes a reservation and stores it on ReplicationFactor peers, or on all of them
 // if they are fewer. remaining is the time until the request's deadline.
 //
-// If ok is false, the request must not be executed: either the replicas could not be had,
-// and then Complete must be called to release the reservation; or an earlier incarnation
-// of this sidecar has reserved the key, and existing is its record.
-func (o *Owner) Replicate(ctx context.Context, key idempotency.Key, fingerprint idempotency.Fingerprint, remaining time.Duration) (reservation Reservation, existing *Record, ok bool) {
-	reservation.Record = Record{
+// With an error the request must not be executed: ErrNotReplicated, and then the reservation
+// is released, or a *ReservedError.
+func (o *Owner) Replicate(ctx context.Context, key idempotency.Key, fingerprint idempotency.Fingerprint, remaining time.Duration) (Reservation, error) {
+	reservation := Reservation{Record: Record{
 		Owner: o.config.Addr, Incarnation: o.config.Incarnation, Sequence: o.sequence.Add(1),
 		Key: key, Fingerprint: fingerprint, TTL: remaining + idempotency.Retention,
-	}
+	}}
 	peers := o.peers()
 	want := min(ReplicationFactor, len(peers))
 	if want == 0 {
-		return reservation, nil, true
+		return reservation, nil
 	}
 	candidates := RankReplicas(o.config.Addr, o.config.Zone, key, peers)
 	slices.SortStableFunc(candidates, o.health.compare)
 	for range replicationAttempts {
 		targets := candidates[:min(want-len(reservation.replicas), len(candidates))]
 		candidates = candidates[len(targets):]
-		accepted, conflict := o.storeOnAll(ctx, targets, reservation.Record)
+		accepted, existing := o.storeOnAll(ctx, targets, reservation.Record)
 		for _, peer := range accepted {
 			reservation.replicas = append(reservation.replicas, peer.Addr)
 			o.addReplica(reservation.Record, peer)
 		}
-		if conflict != nil {
-			return reservation, conflict, false
+		if existing != nil {
+			return reservation, &ReservedError{Existing: *existing}
 		}
 		if len(reservation.replicas) == want {
-			return reservation, nil, true
+			return reservation, nil
 		}
 	}
-	return reservation, nil, false
+	o.Release(ctx, reservation)
+	return reservation, ErrNotReplicated
 }
 
 // storeOnAll asks all targets to store a record. It returns those that accepted it, and the
@@ -97,20 +114,26 @@
 	return reply, ok
 }
 
-// Complete sends a response to the replicas of a reservation; without one, the request was
-// certainly not executed, and the reservation is released. It does not wait for the
-// replicas: a record without its response still prevents a second execution.
+// Complete sends a response to the replicas of a reservation, unless it is too large. It does
+// not wait for them: a record without its response still prevents a second execution.
 func (o *Owner) Complete(ctx context.Context, reservation Reservation, response []byte) {
-	kind := KindRelease
-	switch {
-	case response == nil:
-		o.withTracker(func(tracker *ReplicationTracker, _ time.Duration) { tracker.Remove(reservation.Record) })
-	case len(response) > maxReplicatedResponse:
+	if len(response) > maxReplicatedResponse {
 		return
-	default:
-		kind, reservation.Response, reservation.TTL = KindStore, response, idempotency.Retention
-		o.withTracker(func(tracker *ReplicationTracker, now time.Duration) { tracker.Complete(reservation.Record, now) })
 	}
+	reservation.Response, reservation.TTL = response, idempotency.Retention
+	o.withTracker(func(tracker *ReplicationTracker, now time.Duration) { tracker.Complete(reservation.Record, now) })
+	o.sendToReplicas(ctx, KindStore, reservation)
+}
+
+// Release removes a reservation whose request was certainly not executed. It does not wait
+// for the replicas.
+func (o *Owner) Release(ctx context.Context, reservation Reservation) {
+	o.withTracker(func(tracker *ReplicationTracker, _ time.Duration) { tracker.Remove(reservation.Record) })
+	o.sendToReplicas(ctx, KindRelease, reservation)
+}
+
+// sendToReplicas sends a record to its replicas, also after the end of ctx.
+func (o *Owner) sendToReplicas(ctx context.Context, kind string, reservation Reservation) {
 	for _, addr := range reservation.replicas {
 		o.deps.Actors.Go(context.WithoutCancel(ctx), goroutineName, func(ctx context.Context) {
 			ctx, cancel := context.WithTimeout(ctx, completionTimeout)
--- a/internal/dataplane/proxy/idempotency.go
+++ b/internal/dataplane/proxy/idempotency.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"context"
 	"crypto/sha256"
+	"errors"
 	"time"
 
 	"curlewwalk/internal/dataplane/idempotency"
@@ -91,19 +92,19 @@
 // runFirst runs the first request of a key, once the reservation is replicated to other nodes:
 // one of them may know an earlier request of the key, which this node has forgotten.
 func (o *Outbound) runFirst(ctx context.Context, req *request, key requestKey) keyedOutcome {
-	reservation, existing, ok := o.KeyReplication.Replicate(ctx, key.Key, key.fingerprint, time.Until(req.deadline))
+	reservation, err := o.KeyReplication.Replicate(ctx, key.Key, key.fingerprint, time.Until(req.deadline))
+	var reserved *keyreplication.ReservedError
 	switch {
-	case existing != nil && existing.Fingerprint != key.fingerprint:
+	case errors.As(err, &reserved) && reserved.Existing.Fingerprint != key.fingerprint:
 		return keyedOutcome{response: o.failRequest(req, rejectKeyReused)}
-	case existing != nil:
-		return keyedOutcome{response: o.storedResponse(*existing), keep: true}
-	case !ok:
-		o.KeyReplication.Complete(ctx, reservation, nil)
+	case errors.As(err, &reserved):
+		return keyedOutcome{response: o.storedResponse(reserved.Existing), keep: true}
+	case err != nil:
 		return keyedOutcome{response: o.failRequest(req, rejectKeyNotReplicated)}
 	}
 	response := o.runAttempts(ctx, req)
 	if response.Outcome == routing.NotRun {
-		o.KeyReplication.Complete(ctx, reservation, nil)
+		o.KeyReplication.Release(ctx, reservation)
 		return keyedOutcome{response: response}
 	}
 	o.KeyReplication.Complete(ctx, reservation, response.marshal())
