--- a/internal/controlplane/api_state.go
+++ b/internal/controlplane/api_state.go
@@ -24,7 +24,7 @@
 	MemberRecords map[int]consensus.MemberRecord `json:"incarnations"`
 	Coordinator   int                            `json:"duty"`
 	Replicas      []membership.Replica           `json:"cores"`
-	// Live has the member IDs of the other replicas that are heard.
+	// Live has the member IDs of the other replicas that are live.
 	Live  []int        `json:"live"`
 	Watch watch.Status `json:"directory"`
 }
--- a/internal/controlplane/cluster.go
+++ b/internal/controlplane/cluster.go
@@ -94,8 +94,8 @@
 	return consensus.MemberIDs(own)
 }
 
-// memberStatuses tells of each member's replica that was heard of whether it is live, by member
-// ID. This replica itself is.
+// memberStatuses has the replicas that were reported, by member ID, and whether they are live. This
+// replica itself is.
 func (c *cluster) memberStatuses() map[int]consensus.MemberStatus {
 	statuses := reportedStatuses(c.discovery.Replicas(), time.Now())
 	if self := c.replica.Acceptor().Self; self.MemberID != 0 {
@@ -104,6 +104,7 @@
 	return statuses
 }
 
+// reportedStatuses is memberStatuses without this replica.
 func reportedStatuses(replicas membership.ReplicaTable, now time.Time) map[int]consensus.MemberStatus {
 	live := replicas.Live(now)
 	statuses := map[int]consensus.MemberStatus{}
--- a/internal/controlplane/leave.go
+++ b/internal/controlplane/leave.go
@@ -12,8 +12,7 @@
 	leaveTimeout = 2 * time.Second // (ours)
 	// leavePollInterval is how often it checks whether it has left, or tries again.
 	leavePollInterval = 100 * time.Millisecond // (ours)
-	// closingGrace is how long, after that, clients that keep connecting are told that the node
-	// is stopping.
+	// closingGrace is how long, after that, clients that keep connecting get the closing response.
 	closingGrace = 2 * time.Second // (ours)
 )
 
--- a/internal/controlplane/operator.go
+++ b/internal/controlplane/operator.go
@@ -25,6 +25,7 @@
 	return result, nil
 }
 
+// validate lists what is wrong with the update.
 func (u ConfigurationUpdate) validate() []config.FieldViolation {
 	if len(u.Configuration) > config.MaxBytes || len(u.Source) > config.MaxBytes {
 		return []config.FieldViolation{{Path: "$", Message: fmt.Sprintf("over %d bytes", config.MaxBytes)}}
@@ -36,6 +37,7 @@
 	return violations
 }
 
+// command is the command that commits the update.
 func (u ConfigurationUpdate) command() consensus.Command {
 	command := consensus.Command{
 		Kind: consensus.CommandPutConfiguration, Payload: u.Configuration,
@@ -86,7 +88,7 @@
 }
 
 // AwaitApplied waits until all sidecars have applied a revision, or for a bounded time, and lists
-// those that have not; known is false while that can't be told. (DESIGN 6.6)
+// those that have not; known is false while this replica does not know all sidecars. (DESIGN 6.6)
 func (n *Node) AwaitApplied(ctx context.Context, revision uint64) (behind []string, known bool) {
 	return n.watchServer.AwaitApplied(ctx, revision)
 }
--- a/internal/controlplane/reconfigurer.go
+++ b/internal/controlplane/reconfigurer.go
@@ -38,7 +38,7 @@
 type (
 	// msgJoinRequested is a join request that came in.
 	msgJoinRequested struct{ request consensus.JoinRequest }
-	// msgTick asks for a look at the members.
+	// msgTick has the members checked.
 	msgTick struct{}
 	// msgChangeFinished ends a change.
 	msgChangeFinished struct{ committed bool }
@@ -62,7 +62,7 @@
 	return r
 }
 
-// Run has the members looked at in each heartbeat interval until ctx ends.
+// Run has the members checked in each heartbeat interval until ctx ends.
 func (r *reconfigurer) Run(ctx context.Context) {
 	tick := time.NewTicker(membership.HeartbeatInterval)
 	defer tick.Stop()
@@ -92,6 +92,7 @@
 	return joinReply{Received: true}, ""
 }
 
+// forwardJoin takes a join request to the coordinator, and its reply back.
 func (r *reconfigurer) forwardJoin(ctx context.Context, coordinator membership.Replica, join consensus.JoinRequest) (any, string) {
 	if join.Forwarded {
 		return nil, "not on duty"
--- a/internal/plan/impact.go
+++ b/internal/plan/impact.go
@@ -25,7 +25,7 @@
 	// MovedTraces is the share of traces that would be collected by another control plane node,
 	// from 0 to 1.
 	MovedTraces float64 `json:"collectors"`
-	// AtRisk lists the contracts that may not be kept.
+	// AtRisk lists the contracts that may be violated.
 	AtRisk []Risk `json:"at_risk"`
 	// Windows are the upcoming maintenance windows, and what each affects after the change. They
 	// are shown for information, and are no impact of the change.
@@ -54,7 +54,7 @@
 	To      string `json:"to"`
 }
 
-// Risk is a contract that may not be kept, and why.
+// Risk is a contract that may be violated, and why.
 type Risk struct {
 	Contract string `json:"contract"`
 	Reason   string `json:"why"`
--- a/internal/process/tracked_conn.go
+++ b/internal/process/tracked_conn.go
@@ -14,7 +14,7 @@
 const closingTimeout = 500 * time.Millisecond // (ours)
 
 // errClosing tells a handler that its client was already sent the closing response.
-var errClosing = errors.New("the client was told that the node is stopping")
+var errClosing = errors.New("the client was sent the closing response")
 
 // trackedConn is a client's connection. It can be sent a closing response while it is idle, atomically
 // with what the client may be sending just then: either the request is read first, and gets its own
--- a/internal/tracestore/tree.go
+++ b/internal/tracestore/tree.go
@@ -98,7 +98,7 @@
 	return spans
 }
 
-// addEvent adds an event, and takes from it what no earlier one told of the span.
+// addEvent adds an event; what it says of the span counts unless an earlier one has said it.
 func (n *SpanNode) addEvent(e trace.Event) {
 	n.Route = cmp.Or(n.Route, e.Route)
 	n.Service = cmp.Or(n.Service, e.Service)
