--- a/internal/dataplane/causality/correlator_test.go
+++ b/internal/dataplane/causality/correlator_test.go
@@ -88,7 +88,7 @@
 func TestInferenceAccuracy(t *testing.T) {
 	for _, c := range []struct {
 		concurrency int
-		least float64
+		least       float64
 	}{{1, 1}, {2, 0.88}, {4, 0.7}, {9, 0.33}} {
 		t.Run(fmt.Sprint(c.concurrency, " at a time"), func(t *testing.T) {
 			right := 0.0
