--- a/tests/cmd/soak/main.go
+++ b/tests/cmd/soak/main.go
@@ -1,5 +1,6 @@
-// Command soak runs whole fleets of either deployment under troubles that overlap, drawn by
-// seeds, and judges what clients, backends and operators saw. (DESIGN 14.10)
+// Command soak runs whole fleets of either deployment under overlapping faults, drawn by seeds,
+// and judges what clients, backends and operators saw. It ends with 1 if a rule was broken.
+// (DESIGN 14.10)
 package main
 
 import (
@@ -26,14 +27,14 @@
 	Deployment string        `long:"deployment" default:"association" description:"association or heating"`
 	Seed       uint64        `long:"seed" default:"1" description:"the seed to play"`
 	Seeds      string        `long:"seeds" description:"a range of seeds to play instead, as 1-50"`
-	For        time.Duration `long:"for" default:"60s" description:"how long troubles may begin"`
+	For        time.Duration `long:"for" default:"60s" description:"for how long faults may begin"`
 	Size       int           `long:"size" description:"how many sidecars; the deployment's own number if not set"`
-	Only       string        `long:"only" description:"only entries whose kinds have this in them"`
+	Only       string        `long:"only" description:"only entries whose kinds contain this"`
 	Plan       string        `long:"plan" description:"a plan (TOML) to play instead of drawing one"`
 	Results    string        `long:"results" description:"a file that results are added to, a line of JSON each"`
 	Shorten    int           `long:"shorten" description:"how many plays may go into shortening a plan that breaks"`
 	Print      bool          `long:"print" description:"print the plan and do nothing"`
-	Verbose    bool          `long:"verbose" description:"tell each entry as it begins"`
+	Verbose    bool          `long:"verbose" description:"print each entry as it begins"`
 }
 
 // The exit codes.
@@ -72,7 +73,7 @@
 	}
 }
 
-// plans are what is to be played.
+// plans are the plans to be played.
 func plans(opt options) ([]soak.Plan, error) {
 	if opt.Plan != "" {
 		text, err := os.ReadFile(opt.Plan)
@@ -97,7 +98,7 @@
 	return out, nil
 }
 
-// seedRange reads the seeds to be played.
+// seedRange parses the seeds to be played.
 func seedRange(opt options) (first, last uint64, err error) {
 	if opt.Seeds == "" {
 		return opt.Seed, opt.Seed, nil
@@ -112,8 +113,8 @@
 	return first, last, nil
 }
 
-// play plays the plans one after the other, and counts those that broke a rule. What was
-// played stays whole when it is interrupted.
+// play plays plans one after the other, and counts those that broke a rule. The results so far are
+// kept when it is interrupted.
 func play(opt options, plans []soak.Plan) (broken int, err error) {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
@@ -157,7 +158,7 @@
 	return r.Play(ctx)
 }
 
-// reportBroken tells of a plan that broke a rule: what broke, its plan, and how to play it again.
+// reportBroken prints a plan that broke a rule: what was broken, the plan, and how to play it again.
 func reportBroken(ctx context.Context, opt options, res *soak.Result, bin fleet.Binaries) {
 	for _, narrative := range res.Narratives {
 		fmt.Println(narrative)
@@ -174,7 +175,7 @@
 	fmt.Printf("again: go run ./tests/cmd/soak --deployment %s --seed %d --for %v --size %d --only %q\n", plan.Deployment, plan.Seed, opt.For, opt.Size, opt.Only)
 }
 
-// appendResult adds a result to a file, if there is one.
+// appendResult appends a result to a file, if there is one.
 func appendResult(path string, res *soak.Result) error {
 	if path == "" {
 		return nil
--- a/tests/soak/backends.go
+++ b/tests/soak/backends.go
@@ -11,7 +11,7 @@
 	"curlewwalk/tests/ledger"
 )
 
-// startBackend starts a new backend at a place, at an address or, if that is empty, a new one.
+// startBackend starts a new backend on a machine, at an address or, if that is empty, a new one.
 func (r *Run) startBackend(m *machine, addr, service string) error {
 	m.serial++
 	f := r.Fleet
@@ -32,7 +32,7 @@
 	return nil
 }
 
-// startBackendRetrying stands a new backend up, and waits with an address that was not given back yet.
+// startBackendRetrying starts a new backend, and retries while its address has not been released.
 func (r *Run) startBackendRetrying(ctx context.Context, m *machine, addr, service string) {
 	for ctx.Err() == nil {
 		err := r.startBackend(m, addr, service)
@@ -44,13 +44,14 @@
 	}
 }
 
-// departures counts the backends that left in order, beside sidecars in touch, and those of them
-// that had no acknowledgement.
+// departures counts the backends that left in order while their sidecars were in touch, and
+// those of them whose announcement was never acknowledged.
 type departures struct {
 	mu                     sync.Mutex
 	judged, unacknowledged int
 }
 
+// record records a departure; calm is whether the sidecar was in touch.
 func (d *departures) record(acknowledged, calm bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -63,18 +64,19 @@
 	}
 }
 
-// The ways in which a backend leaves.
+// The variants of a departure.
 const (
-	variantAnnounce     = "leaving"        // it announces that it leaves, and later that it has gone
-	variantDeregister   = "gone"           // it says that it has gone, and serves on
-	variantBoth         = "twice"          // it says both, each twice
-	variantReuseAddress = "address-passes" // as gone; its address passes to the next one
+	variantAnnounce     = "leaving"        // it announces that it is leaving, and deregisters later
+	variantDeregister   = "gone"           // it only deregisters, and goes on serving
+	variantBoth         = "twice"          // it does both, each twice
+	variantReuseAddress = "address-passes" // it deregisters, and its address is used by the next one
 )
 
+// leaveVariants are all of them.
 var leaveVariants = []string{variantAnnounce, variantDeregister, variantBoth, variantReuseAddress}
 
-// lockMachine takes the place that an entry strikes, until its mu is unlocked; false if something is
-// done there already.
+// lockMachine locks the machine that an entry is for, until its mu is unlocked; false if something
+// is being done there already.
 func (r *Run) lockMachine(e Entry) (m *machine, ok bool) {
 	m = r.machines[e.Target%len(r.machines)]
 	if !m.mu.TryLock() {
@@ -84,8 +86,8 @@
 	return m, true
 }
 
-// leave has a backend leave in order, with beats from before its word that come late. The
-// next one stands up beside it, or takes its address once that may be given again.
+// leave has a backend leave in order, with announcements from before that come late. The next
+// backend starts beside it, or at its address once that may be used again.
 func leave(ctx context.Context, r *Run, e Entry, rng *rand.Rand) {
 	m, ok := r.lockMachine(e)
 	if !ok {
@@ -97,42 +99,42 @@
 	for i := range late {
 		late[i] = b.CaptureAnnouncement()
 	}
-	begun := time.Now()
+	began := time.Now()
 	acknowledged := r.announceLeaving(ctx, b, e)
 	if !acknowledged {
 		r.logf("%s had no acknowledgement", b.Instance)
 	}
-	said := time.Now()
-	r.departures.record(acknowledged, r.faults.inTouch(r.Fleet.Site.IP(m.number), begun, begun.Add(acknowledgeLimit)))
-	var beats sync.WaitGroup
+	announced := time.Now()
+	r.departures.record(acknowledged, r.faults.inTouch(r.Fleet.Site.IP(m.number), began, began.Add(acknowledgeLimit)))
+	var sending sync.WaitGroup
 	for _, send := range late {
 		after := time.Duration(rng.Int64N(int64(seconds(e.For)) + 1))
 		for range 1 + rng.IntN(2) {
-			beats.Go(func() { r.sendLateAnnouncement(ctx, b, after, send) })
+			sending.Go(func() { r.sendLateAnnouncement(ctx, b, after, send) })
 		}
 	}
 	if e.Variant != variantReuseAddress {
 		r.startBackendRetrying(ctx, m, "", b.Service)
 	}
-	sleep(ctx, time.Until(said.Add(drainLimit+time.Duration(rng.Int64N(int64(4*time.Second))))))
+	sleep(ctx, time.Until(announced.Add(drainLimit+time.Duration(rng.Int64N(int64(4*time.Second))))))
 	r.stopBackend(ctx, b, e)
 	if e.Variant == variantReuseAddress {
 		sleep(ctx, addressReuseDelay)
 		r.startBackendRetrying(ctx, m, b.Addr(), b.Service)
 	}
-	beats.Wait()
+	sending.Wait()
 }
 
-// announceLeaving says that a backend leaves until that is acknowledged, or for as long as
-// backends wait for it.
+// announceLeaving announces that a backend is leaving until that is acknowledged, or for as long
+// as backends wait for it.
 func (r *Run) announceLeaving(ctx context.Context, b *fakes.Backend, e Entry) (acknowledged bool) {
-	gone := e.Variant == variantDeregister || e.Variant == variantReuseAddress
-	if gone {
+	deregister := e.Variant == variantDeregister || e.Variant == variantReuseAddress
+	if deregister {
 		b.StopAnnouncing()
 	}
-	for begun := time.Now(); time.Since(begun) < acknowledgeLimit && ctx.Err() == nil; sleep(ctx, 200*time.Millisecond) {
+	for began := time.Now(); time.Since(began) < acknowledgeLimit && ctx.Err() == nil; sleep(ctx, 200*time.Millisecond) {
 		call, cancel := context.WithTimeout(ctx, time.Second)
-		err := b.AnnounceLeaving(call, gone)
+		err := b.AnnounceLeaving(call, deregister)
 		cancel()
 		if err != nil {
 			continue
@@ -147,32 +149,32 @@
 	return false
 }
 
-// sendLateAnnouncement sends a beat from before a backend said that it leaves.
+// sendLateAnnouncement sends an announcement from before a backend left.
 func (r *Run) sendLateAnnouncement(ctx context.Context, b *fakes.Backend, after time.Duration, send func(context.Context) error) {
 	sleep(ctx, after)
 	call, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
 	if err := send(call); err == nil {
-		r.logf("%s: a beat from before its leaving came %v late", b.Instance, after.Round(time.Millisecond))
+		r.logf("%s: an announcement from before its departure came %v late", b.Instance, after.Round(time.Millisecond))
 	}
 }
 
-// maxWorkOff is how long a backend that ends waits at most for what it works on.
+// maxWorkOff is how long a backend that ends waits for what it is running.
 const maxWorkOff = 8 * time.Second
 
-// stopBackend says that a backend has gone and ends it once it works on nothing.
+// stopBackend deregisters a backend, and ends it once it runs nothing.
 func (r *Run) stopBackend(ctx context.Context, b *fakes.Backend, e Entry) {
 	if e.Variant == variantAnnounce {
 		b.AnnounceLeaving(ctx, true)
 	}
 	b.StopAnnouncing()
-	for begun := time.Now(); b.Open() > 0 && time.Since(begun) < maxWorkOff; {
+	for began := time.Now(); b.Open() > 0 && time.Since(began) < maxWorkOff; {
 		sleep(ctx, 20*time.Millisecond)
 	}
 	r.killBackend(b)
 }
 
-// killBackend ends a backend; what it still works on is cut.
+// killBackend ends a backend; what it is still running is interrupted.
 func (r *Run) killBackend(b *fakes.Backend) {
 	if b.Open() > 0 {
 		defer r.faults.begin(Fault{Kind: kindCrash, Variant: "its work was not over", Machines: nil})()
@@ -180,7 +182,7 @@
 	b.Kill()
 }
 
-// crash has a backend end without a word; another stands up, at its address or a new one.
+// crash kills a backend; another one starts, at its address or a new one.
 func crash(ctx context.Context, r *Run, e Entry, rng *rand.Rand) {
 	m, ok := r.lockMachine(e)
 	if !ok {
@@ -211,7 +213,7 @@
 	b.TemporarySlowFactor.Store(0)
 }
 
-// garble has a backend lose answers, or send what is none, for a while.
+// garble has a backend lose answers, or send malformed ones, for a while.
 func garble(ctx context.Context, r *Run, e Entry, rng *rand.Rand) {
 	m := r.machines[e.Target%len(r.machines)]
 	b := m.backend.Load()
--- a/tests/soak/capacity.go
+++ b/tests/soak/capacity.go
@@ -9,12 +9,12 @@
 const (
 	// maxProcesses is how many processes a run may start.
 	maxProcesses = 300
-	// processMB is what a process takes at most, about.
+	// processMB is about the most memory that a process uses, in MB.
 	processMB = 40
 )
 
-// CheckCapacity reports whether this machine bears a plan: the processes' memory must be under half of
-// the machine's.
+// CheckCapacity returns an error unless this machine can run a plan: the processes may use half of
+// its memory.
 func CheckCapacity(p Plan) error {
 	size := p.size()
 	processes := size.Replicas + size.Machines
@@ -27,7 +27,7 @@
 	return nil
 }
 
-// memoryMB is the machine's memory; zero if it can't be told.
+// memoryMB is the memory of this machine in MB, or zero if it is not known.
 func memoryMB() int {
 	text, err := os.ReadFile("/proc/meminfo")
 	if err != nil {
--- a/tests/soak/clients.go
+++ b/tests/soak/clients.go
@@ -14,20 +14,21 @@
 	"curlewwalk/tests/fleet"
 )
 
-// exchanges keeps how requests went for their clients.
+// exchanges collects the requests of all clients.
 type exchanges struct {
 	mu  sync.Mutex
 	all []fakes.Exchange
 }
 
+// record takes in a request that has ended.
 func (e *exchanges) record(x fakes.Exchange) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.all = append(e.all, x)
 }
 
-// startClients starts the clients of all machines, those that ask on routes that tell the
-// configuration in force, and the operator that reads all the while.
+// startClients starts the clients of all machines, a client on each that requests marker routes,
+// and the operator that reads all the time.
 func (r *Run) startClients(ctx context.Context, all *sync.WaitGroup) {
 	for machine := range r.Fleet.Sidecars {
 		for n := range r.Plan.Clients {
@@ -44,6 +45,7 @@
 // maxClientPause is the longest pause of a client between two requests.
 const maxClientPause = 60 * time.Millisecond
 
+// newClient makes a client on a machine.
 func (r *Run) newClient(machine int, name string) *fakes.ConnectionClient {
 	f := r.Fleet
 	return &fakes.ConnectionClient{
@@ -52,8 +54,8 @@
 	}
 }
 
-// reportPlan is of requests that may be repeated and take long: what is done for clients that
-// leave them, and what is open at the end of a stop, shows with them.
+// reportPlan is of idempotent requests that take long. With them it shows what is done for clients
+// that abandon their requests, and what is open at the end of a stop.
 func reportPlan(size fleet.Size) fakes.RequestPlan {
 	return fakes.RequestPlan{
 		Name: "report", Method: http.MethodGet, Prefix: "/report/", Service: size.Backends[1], Idempotent: true,
@@ -61,16 +63,17 @@
 	}
 }
 
-// markerInterval is how often each sidecar is asked for a route that tells its configuration.
+// markerInterval is how often each sidecar gets a request on a marker route.
 const markerInterval = 250 * time.Millisecond
 
-// requestMarkers sends requests on routes of the newest configurations, and of some before.
+// requestMarkers sends requests on the marker routes of the newest configurations and of some
+// before.
 func (r *Run) requestMarkers(ctx context.Context, s *fakes.ConnectionClient) {
-	mark := markerPlan(r.Fleet.Size)
+	marker := markerPlan(r.Fleet.Size)
 	for ; ctx.Err() == nil; sleep(ctx, markerInterval) {
 		newest := r.operator.newestSent(time.Now())
 		number := max(1, int(newest)-s.Rand.IntN(markersPerConfiguration+2))
-		p := mark
+		p := marker
 		p.Prefix = fmt.Sprintf("%s%d/", markerPathPrefix, number)
 		p.Name = markerName(number)
 		s.Send(ctx, p)
@@ -79,28 +82,30 @@
 
 const markerNamePrefix = "mark-"
 
+// markerName is the name of the marker route of a configuration.
 func markerName(number int) string { return markerNamePrefix + strconv.Itoa(number) }
 
-// markerNumber is the number of the configuration whose route a request was for; false if it
-// was for none of those.
+// markerNumber is the configuration whose marker route a request was for; false if it was for no
+// marker route.
 func markerNumber(plan string) (number uint64, ok bool) {
 	text, found := strings.CutPrefix(plan, markerNamePrefix)
 	number, err := strconv.ParseUint(text, 10, 64)
 	return number, found && err == nil
 }
 
-// awaitRecovery waits until each kind of request succeeds from every machine, as it is to
-// within the time that service may take to return.
+// awaitRecovery waits until each kind of request succeeds from every machine, which it must within
+// recoveryLimit.
 func (r *Run) awaitRecovery(ctx context.Context) {
-	begun := time.Now()
+	began := time.Now()
 	var all sync.WaitGroup
 	for machine := range r.Fleet.Sidecars {
-		all.Go(func() { r.awaitMachineServes(ctx, machine, begun.Add(recoveryLimit)) })
+		all.Go(func() { r.awaitMachineServes(ctx, machine, began.Add(recoveryLimit)) })
 	}
 	all.Wait()
-	r.logf("service is back after %v", time.Since(begun).Round(time.Millisecond))
+	r.logf("service is back after %v", time.Since(began).Round(time.Millisecond))
 }
 
+// awaitMachineServes waits until each kind of request succeeds from a machine.
 func (r *Run) awaitMachineServes(ctx context.Context, machine int, until time.Time) {
 	s := r.newClient(machine, fmt.Sprintf("return-%d", machine))
 	s.AbandonRate, s.OnExchange = 0, nil
@@ -112,7 +117,7 @@
 			sleep(ctx, 50*time.Millisecond)
 		}
 		if !served && ctx.Err() == nil {
-			r.breach(ruleRecover, "", "%s is not served from machine %d %v after the last trouble", p.Name, machine, recoveryLimit)
+			r.breach(ruleRecover, "", "%s is not served from machine %d %v after the last fault", p.Name, machine, recoveryLimit)
 			return
 		}
 	}
--- a/tests/soak/kinds.go
+++ b/tests/soak/kinds.go
@@ -5,86 +5,88 @@
 	"math/rand/v2"
 )
 
-// Kind names what an entry of a plan does.
+// Kind is what an entry of a plan does.
 type Kind string
 
-// The kinds.
+// The kinds of entry.
 const (
-	kindLeave         Kind = "backend-leaves"
-	kindCrash         Kind = "backend-crashes"
-	kindSlow          Kind = "backend-slow"
-	kindGarble        Kind = "backend-garbles"
-	kindStop          Kind = "sidecars-stop"
-	kindStopCore      Kind = "core-stops"
-	kindReload        Kind = "sidecars-reload"
-	kindKill          Kind = "sidecars-killed"
-	kindKillCore      Kind = "core-killed"
-	kindMassKill      Kind = "many-killed"
-	kindFreeze        Kind = "sidecars-freeze"
-	kindFreezeCore    Kind = "core-freezes"
-	kindDiskLoss      Kind = "core-disk-lost"
-	kindReset         Kind = "connections-reset"
-	kindPartition     Kind = "sidecars-cut"
-	kindPartitionCore Kind = "core-cut"
-	kindSplit         Kind = "core-split"
-	kindConfigure     Kind = "configurations"
-	kindEvacuate      Kind = "zone-emptied"
-	kindZone          Kind = "zone-loses-power"
-	kindClocks        Kind = "clocks-jump"
-	kindInvalid       Kind = "invalid-configurations"
+	kindLeave            Kind = "backend-leaves"
+	kindCrash            Kind = "backend-crashes"
+	kindSlow             Kind = "backend-slow"
+	kindGarble           Kind = "backend-garbles"
+	kindStop             Kind = "sidecars-stop"
+	kindStopReplica      Kind = "core-stops"
+	kindReload           Kind = "sidecars-reload"
+	kindKill             Kind = "sidecars-killed"
+	kindKillReplica      Kind = "core-killed"
+	kindMassKill         Kind = "many-killed"
+	kindFreeze           Kind = "sidecars-freeze"
+	kindFreezeReplica    Kind = "core-freezes"
+	kindDiskLoss         Kind = "core-disk-lost"
+	kindReset            Kind = "connections-reset"
+	kindPartition        Kind = "sidecars-cut"
+	kindPartitionReplica Kind = "core-cut"
+	kindSplit            Kind = "core-split"
+	kindConfigure        Kind = "configurations"
+	kindEvacuate         Kind = "zone-emptied"
+	kindZone             Kind = "zone-loses-power"
+	kindClocks           Kind = "clocks-jump"
+	kindInvalid          Kind = "invalid-configurations"
 )
 
-// The kinds of a plan's end.
+// The kinds of the last fault.
 const (
 	lastPower    Kind = "power-off-all"
 	lastKill     Kind = "kill-all"
 	lastDiskLoss Kind = "disk-lost-and-power-off"
 )
 
+// lastKinds are all of them.
 var lastKinds = []Kind{lastPower, lastKill, lastDiskLoss}
 
-// kind is what an entry of a kind does, and how it is drawn.
+// kind is how entries of a Kind are drawn and played.
 type kind struct {
-	// planned tells that it is planned work, around which nothing may be lost.
+	// planned is set for planned work, around which nothing may be lost.
 	planned bool
-	// variants are its variants; longest is the longest that it lasts, in seconds; most is how
-	// many it strikes at most.
+	// variants are the values of Entry.Variant; maxSeconds bounds how long an entry lasts, and
+	// maxCount on how many targets it is played.
 	variants   []string
 	maxSeconds float64
 	maxCount   int
 	play       func(ctx context.Context, r *Run, e Entry, rng *rand.Rand)
 }
 
+// kinds are the kinds by name.
 var kinds map[Kind]kind
 
 func init() {
 	kinds = map[Kind]kind{
-		kindLeave:         {planned: true, variants: leaveVariants, maxSeconds: 9, play: leave},
-		kindCrash:         {variants: []string{"", variantReuseAddress}, maxSeconds: 2, play: crash},
-		kindSlow:          {planned: true, maxSeconds: 6, play: slow},
-		kindGarble:        {maxSeconds: 5, play: garble},
-		kindStop:          {planned: true, variants: stopVariants, maxCount: 5, play: stop},
-		kindStopCore:      {planned: true, variants: stopVariants, play: stopCore},
-		kindReload:        {planned: true, maxCount: 9, play: reload},
-		kindKill:          {variants: killVariants, maxSeconds: 3, maxCount: 3, play: kill},
-		kindKillCore:      {variants: killVariants, maxSeconds: 4, play: killCore},
-		kindMassKill:      {variants: killVariants, maxSeconds: 2, play: massKill},
-		kindFreeze:        {maxSeconds: 6, maxCount: 2, play: freeze},
-		kindFreezeCore:    {maxSeconds: 6, play: freezeCore},
-		kindDiskLoss:      {maxSeconds: 3, play: loseDisk},
-		kindReset:         {maxCount: 5, play: resetConnections},
-		kindPartition:     {variants: partitionVariants, maxSeconds: 8, maxCount: 3, play: partitionSidecars},
-		kindPartitionCore: {variants: partitionVariants, maxSeconds: 8, play: partitionReplica},
-		kindSplit:         {maxSeconds: 6, play: splitControlPlane},
-		kindConfigure:     {planned: true, variants: configureVariants, maxSeconds: 0.5, maxCount: 12, play: configure},
-		kindEvacuate:      {planned: true, maxSeconds: 9, play: evacuate},
-		kindZone:          {maxSeconds: 5, play: loseZone},
-		kindClocks:        {planned: true, maxSeconds: 6, play: jumpClocks},
-		kindInvalid:       {planned: true, maxCount: 4, play: sendInvalid},
+		kindLeave:            {planned: true, variants: leaveVariants, maxSeconds: 9, play: leave},
+		kindCrash:            {variants: []string{"", variantReuseAddress}, maxSeconds: 2, play: crash},
+		kindSlow:             {planned: true, maxSeconds: 6, play: slow},
+		kindGarble:           {maxSeconds: 5, play: garble},
+		kindStop:             {planned: true, variants: stopVariants, maxCount: 5, play: stop},
+		kindStopReplica:      {planned: true, variants: stopVariants, play: stopReplica},
+		kindReload:           {planned: true, maxCount: 9, play: reload},
+		kindKill:             {variants: killVariants, maxSeconds: 3, maxCount: 3, play: kill},
+		kindKillReplica:      {variants: killVariants, maxSeconds: 4, play: killReplica},
+		kindMassKill:         {variants: killVariants, maxSeconds: 2, play: massKill},
+		kindFreeze:           {maxSeconds: 6, maxCount: 2, play: freeze},
+		kindFreezeReplica:    {maxSeconds: 6, play: freezeReplica},
+		kindDiskLoss:         {maxSeconds: 3, play: loseDisk},
+		kindReset:            {maxCount: 5, play: resetConnections},
+		kindPartition:        {variants: partitionVariants, maxSeconds: 8, maxCount: 3, play: partitionSidecars},
+		kindPartitionReplica: {variants: partitionVariants, maxSeconds: 8, play: partitionReplica},
+		kindSplit:            {maxSeconds: 6, play: splitControlPlane},
+		kindConfigure:        {planned: true, variants: configureVariants, maxSeconds: 0.5, maxCount: 12, play: configure},
+		kindEvacuate:         {planned: true, maxSeconds: 9, play: evacuate},
+		kindZone:             {maxSeconds: 5, play: loseZone},
+		kindClocks:           {planned: true, maxSeconds: 6, play: jumpClocks},
+		kindInvalid:          {planned: true, maxCount: 4, play: sendInvalid},
 	}
 }
 
-// draw draws the variant, the length and the number of an entry.
+// draw draws the variant, the duration and the count of an entry.
 func (k kind) draw(rng *rand.Rand, e *Entry) {
 	if len(k.variants) > 0 {
 		e.Variant = k.variants[rng.IntN(len(k.variants))]
--- a/tests/soak/lastfault.go
+++ b/tests/soak/lastfault.go
@@ -5,10 +5,10 @@
 	"math/rand/v2"
 )
 
-// lastOutage is how long what the last trouble ends is away, in seconds.
+// lastOutage is how long what the last fault ends is away, in seconds.
 const lastOutage = 1.0
 
-// playLast brings the last trouble about, right after one more configuration was acknowledged.
+// playLast plays the last fault, right after one more configuration was acknowledged.
 func (r *Run) playLast(ctx context.Context) {
 	if r.Plan.Last == "" {
 		return
@@ -17,7 +17,7 @@
 	r.submitConfiguration(ctx, r.operator.next(r), rng.IntN(len(r.Fleet.Replicas)), 0, false)
 	r.logf("at the end: %s", r.Plan.Last)
 	all := r.Fleet.Programs()
-	defer r.faults.begin(Fault{Kind: r.Plan.Last, Machines: ips(all), Core: true})()
+	defer r.faults.begin(Fault{Kind: r.Plan.Last, Machines: ips(all), ControlPlane: true})()
 	if r.Plan.Last == lastKill {
 		r.Fleet.Kill(all...)
 	} else {
--- a/tests/soak/narrative.go
+++ b/tests/soak/narrative.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	// maxNarratives is of how many breaches the story is told.
+	// maxNarratives is for how many breaches a narrative is written.
 	maxNarratives = 5
-	// maxLogLines is how many lines of the processes' own logs a story has at most.
+	// maxLogLines is how many lines of the processes' logs a narrative has at most.
 	maxLogLines = 40
 )
 
-// narrative tells of a breach's request: how it went for its client, who ran it, what each of
-// those had said, what was in trouble, and the processes' own lines on those that ran it.
+// narrative describes the request of a breach: how it went for its client, where it ran, the faults
+// at that time, and the log lines on the backends that ran it.
 func (r *Run) narrative(b ledger.Breach) string {
 	out := []string{b.String()}
 	i := slices.IndexFunc(r.exchanges.all, func(x fakes.Exchange) bool { return x.ID == b.ID })
@@ -31,13 +31,13 @@
 	runs, work := r.Fleet.Ledger.Runs(b.ID)
 	for _, run := range runs {
 		out = append(out, fmt.Sprintf("  %.3f s reaches %s", run.At.Sub(r.began).Seconds(), run.Instance))
-		if left, ok := r.Fleet.Ledger.LeavingSince(run.Instance); ok {
-			out = append(out, fmt.Sprintf("  %.3f s %s had said that it leaves, acknowledged", left.Sub(r.began).Seconds(), run.Instance))
+		if leavingSince, ok := r.Fleet.Ledger.LeavingSince(run.Instance); ok {
+			out = append(out, fmt.Sprintf("  %.3f s %s had announced that it is leaving, acknowledged", leavingSince.Sub(r.began).Seconds(), run.Instance))
 		}
 		out = append(out, r.logLines(run.Instance)...)
 	}
-	for _, w := range work {
-		out = append(out, fmt.Sprintf("  %.3f s its work at %s ends, %v were planned", w.Ended.Sub(r.began).Seconds(), w.Instance, w.Duration))
+	for _, work := range work {
+		out = append(out, fmt.Sprintf("  %.3f s its work at %s ends, planned were %v", work.Ended.Sub(r.began).Seconds(), work.Instance, work.Duration))
 	}
 	for _, t := range r.faults.in(x.SentAt.Add(-contactTime), x.EndedAt) {
 		line, _ := json.Marshal(t)
@@ -46,7 +46,7 @@
 	return strings.Join(out, "\n")
 }
 
-// logLines are those of the processes' own output that name an instance.
+// logLines are the lines of the processes' logs that contain an instance.
 func (r *Run) logLines(instance string) (out []string) {
 	for _, p := range r.Fleet.Programs() {
 		for line := range strings.Lines(p.Stdout()) {
--- a/tests/soak/operator.go
+++ b/tests/soak/operator.go
@@ -1,7 +1,6 @@
 package soak
 
 import (
-	"bytes"
 	"context"
 	"encoding/json"
 	"fmt"
@@ -15,30 +14,31 @@
 	"curlewwalk/tests/fleet"
 )
 
-// The headers of an operator's own number of a configuration.
+// headerGeneration is the header of an operator's own number of a configuration.
 const headerGeneration = "Curlewwalk-Edition"
 
-// markersPerConfiguration is how many configurations in a row have a route: that of number n is in n to
-// n+marks-1. So what a sidecar says of a route tells which configuration it goes by.
+// markersPerConfiguration is how many configurations in a row have one marker route: that of number n
+// is in n to n+markersPerConfiguration-1. So the answer to a request on a marker route shows which
+// configuration a sidecar has in force.
 const markersPerConfiguration = 3
 
 const markerPathPrefix = "/mark/"
 
-// markerPlan is what backends make of requests on those routes: they go to the first service.
+// markerPlan is the plan of requests on marker routes: they go to the first service.
 func markerPlan(size fleet.Size) fakes.RequestPlan {
 	return fakes.RequestPlan{Name: "mark", Method: http.MethodGet, Prefix: markerPathPrefix, Service: size.Backends[0], Idempotent: true, LatencyTarget: time.Second, Deadline: 3 * time.Second, Priority: 1, Work: time.Millisecond}
 }
 
-// configuration is one that an operator sent.
+// configuration is a configuration that the operator sent.
 type configuration struct {
 	number uint64
 	body   []byte
 	sent   time.Time
-	// acknowledged is when it was acknowledged first; zero if it has not been.
+	// acknowledged is when it was first acknowledged; zero if it was not.
 	acknowledged time.Time
 }
 
-// operator keeps what was sent and acknowledged.
+// operator records what was sent and acknowledged.
 type operator struct {
 	mu   sync.Mutex
 	sent []*configuration // by number, from 1
@@ -56,7 +56,7 @@
 	return ctx.Err()
 }
 
-// next is a new configuration.
+// next makes a new configuration, with the next number.
 func (o *operator) next(r *Run) *configuration {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -66,7 +66,7 @@
 	return c
 }
 
-// configurationOf is the fleet's own one with the routes that tell its number.
+// configurationOf is the fleet's configuration with the marker routes of a number.
 func (r *Run) configurationOf(number uint64) []byte {
 	var all struct {
 		Routes    []map[string]any `json:"ways"`
@@ -75,17 +75,17 @@
 	if err := json.Unmarshal(r.Fleet.Configuration(), &all); err != nil {
 		panic(err)
 	}
-	mark := markerPlan(r.Fleet.Size)
+	marker := markerPlan(r.Fleet.Size)
 	routes := all.Routes[:0]
 	for _, route := range all.Routes {
-		if route["name"] != mark.Name {
+		if route["name"] != marker.Name {
 			routes = append(routes, route)
 		}
 	}
 	for n := number; n > 0 && n+markersPerConfiguration > number; n-- {
 		routes = append(routes, map[string]any{
-			"name": fmt.Sprintf("mark-%d", n), "prefix": fmt.Sprintf("%s%d/", markerPathPrefix, n), "methods": []string{mark.Method},
-			"service": mark.Service, "contract": mark.Name, "repeatable": true,
+			"name": fmt.Sprintf("mark-%d", n), "prefix": fmt.Sprintf("%s%d/", markerPathPrefix, n), "methods": []string{marker.Method},
+			"service": marker.Service, "contract": marker.Name, "repeatable": true,
 		})
 	}
 	b, err := json.Marshal(map[string]any{"ways": routes, "contracts": all.Contracts})
@@ -95,11 +95,11 @@
 	return b
 }
 
-// putConfiguration puts a configuration to a core, and returns the status; zero if there is no answer.
-func (r *Run) putConfiguration(ctx context.Context, c *configuration, core *fleet.Program) (status int) {
+// putConfiguration puts a configuration at a replica and returns the status; zero without an answer.
+func (r *Run) putConfiguration(ctx context.Context, c *configuration, replica *fleet.Program) (status int) {
 	call, cancel := context.WithTimeout(ctx, acknowledgeLimit)
 	defer cancel()
-	reply, err := r.Fleet.Operate(call, core, http.MethodPut, "/v1/desired", c.body, headerGeneration, strconv.FormatUint(c.number, 10))
+	reply, err := r.Fleet.Operate(call, replica, http.MethodPut, "/v1/desired", c.body, headerGeneration, strconv.FormatUint(c.number, 10))
 	if err != nil {
 		return 0
 	}
@@ -109,6 +109,7 @@
 	return reply.Status
 }
 
+// acknowledged records an acknowledgement.
 func (o *operator) acknowledged(c *configuration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -117,7 +118,7 @@
 	}
 }
 
-// newestAcknowledged is the highest number that was acknowledged by a moment.
+// newestAcknowledged is the newest configuration that was acknowledged by a moment.
 func (o *operator) newestAcknowledged(by time.Time) (c configuration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -129,7 +130,7 @@
 	return c
 }
 
-// newestSent is the highest number that was sent by a moment.
+// newestSent is the number of the newest configuration that was sent by a moment.
 func (o *operator) newestSent(by time.Time) (number uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -141,7 +142,7 @@
 	return number
 }
 
-// byNumber finds a configuration.
+// byNumber returns the configuration with a number.
 func (o *operator) byNumber(n uint64) (c configuration, ok bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -151,16 +152,17 @@
 	return *o.sent[n-1], true
 }
 
-// The ways in which configurations come.
+// The variants of a series of configurations.
 const (
 	variantSeries = "series"
-	variantRace   = "race"   // two at a time, at two cores
+	variantRace   = "race"   // two at a time, at two replicas
 	variantRepeat = "repeat" // each is sent once more after it was acknowledged, elsewhere
 )
 
+// configureVariants are all of them.
 var configureVariants = []string{variantSeries, variantRace, variantRepeat}
 
-// configure sends configurations, with a pause between them.
+// configure puts configurations, with a pause between them.
 func configure(ctx context.Context, r *Run, e Entry, rng *rand.Rand) {
 	for range max(1, e.Count) {
 		var racing sync.WaitGroup
@@ -173,129 +175,42 @@
 	}
 }
 
-// commandTimeout is how long an operator sends an order again that has no clear answer.
+// commandTimeout is for how long an operator retries a command that has no final answer.
 const commandTimeout = 12 * time.Second
 
-// submitConfiguration sends a configuration, first to one core and then in turn from another on, until
-// there is a clear answer.
+// submitConfiguration puts a configuration, first at one replica and then at the others from second
+// on, until there is a final answer. again has it put once more after that.
 func (r *Run) submitConfiguration(ctx context.Context, c *configuration, first, second int, again bool) {
-	cores := r.Fleet.Replicas
-	for try := 0; time.Since(c.sent) < commandTimeout && ctx.Err() == nil; try++ {
-		core := cores[first]
-		if try > 0 {
-			core = cores[(second+try)%len(cores)]
+	replicas := r.Fleet.Replicas
+	for attempt := 0; time.Since(c.sent) < commandTimeout && ctx.Err() == nil; attempt++ {
+		replica := replicas[first]
+		if attempt > 0 {
+			replica = replicas[(second+attempt)%len(replicas)]
 		}
 		began := time.Now()
-		switch status := r.putConfiguration(ctx, c, core); {
+		switch status := r.putConfiguration(ctx, c, replica); {
 		case status == http.StatusOK:
 			if again {
-				r.putConfiguration(ctx, c, cores[second])
+				r.putConfiguration(ctx, c, replicas[second])
 			}
 			r.judgeAcknowledgement("configuration "+strconv.FormatUint(c.number, 10), c.sent, time.Now())
 			return
 		case status >= 400 && status < 500:
-			r.breach(ruleConfig, "", "configuration %d was refused with %d by %s", c.number, status, core.Name)
+			r.breach(ruleConfig, "", "configuration %d was refused with %d by %s", c.number, status, replica.Name)
 			return
 		}
-		sleep(ctx, time.Duration(50*(1+try))*time.Millisecond-time.Since(began)/10)
+		sleep(ctx, time.Duration(50*(1+attempt))*time.Millisecond-time.Since(began)/10)
 	}
 	r.judgeAcknowledgement("configuration "+strconv.FormatUint(c.number, 10), c.sent, time.Time{})
 }
 
-// judgeAcknowledgement holds an order's acknowledgement against the time that there is for it where
-// nothing is in trouble: zero if there is none.
+// judgeAcknowledgement judges how long the acknowledgement of a command took; acked is zero if there
+// was none. The limit only binds while the control plane is stable.
 func (r *Run) judgeAcknowledgement(what string, sent, acked time.Time) {
 	if !acked.IsZero() && acked.Sub(sent) <= acknowledgeLimit {
 		return
 	}
 	if r.faults.controlPlaneStable(sent, sent.Add(acknowledgeLimit)) {
-		r.breach(ruleAcknowledge, "", "%s had no acknowledgement within %v, the core was settled", what, acknowledgeLimit)
-	}
-}
-
-// evacuate empties a zone and takes it back.
-func evacuate(ctx context.Context, r *Run, e Entry, _ *rand.Rand) {
-	zone := r.Fleet.Size.Zones[e.Target%len(r.Fleet.Size.Zones)]
-	if !r.zoneLocks[zone].TryLock() {
-		r.skip(e)
-		return
-	}
-	defer r.zoneLocks[zone].Unlock()
-	path := "/v1/localities/" + zone + "/emptied"
-	if acked, ok := r.submitEvacuation(ctx, e, http.MethodPut, path); ok {
-		r.Fleet.Ledger.RecordEvacuation(zone, acked)
-		sleep(ctx, seconds(e.For))
-		r.Fleet.Ledger.RecordRestored(zone, time.Now())
-	}
-	for ctx.Err() == nil {
-		if _, ok := r.submitEvacuation(ctx, e, http.MethodDelete, path); ok {
-			return
-		}
-	}
-}
-
-// submitEvacuation sends an order on a zone until it is acknowledged, or for as long as operators do.
-func (r *Run) submitEvacuation(ctx context.Context, e Entry, method, path string) (acked time.Time, ok bool) {
-	sent := time.Now()
-	for try := e.Target; time.Since(sent) < commandTimeout && ctx.Err() == nil; try++ {
-		call, cancel := context.WithTimeout(ctx, acknowledgeLimit)
-		reply, err := r.Fleet.Operate(call, r.Fleet.Replicas[try%len(r.Fleet.Replicas)], method, path, nil)
-		cancel()
-		if err == nil && reply.Status == http.StatusOK {
-			acked = time.Now()
-			r.judgeAcknowledgement(method+" "+path, sent, acked)
-			return acked, true
-		}
-		sleep(ctx, 100*time.Millisecond)
-	}
-	r.judgeAcknowledgement(method+" "+path, sent, time.Time{})
-	return acked, false
-}
-
-// readInterval is how often an operator reads the configuration during the run.
-const readInterval = 150 * time.Millisecond
-
-// readContinuously reads the configuration all the while, at any core, and holds it against what was
-// acknowledged.
-func (r *Run) readContinuously(ctx context.Context, rng *rand.Rand) {
-	for ctx.Err() == nil {
-		core := r.Fleet.Replicas[rng.IntN(len(r.Fleet.Replicas))]
-		sent := time.Now()
-		call, cancel := context.WithTimeout(ctx, time.Second)
-		reply, err := r.Fleet.Operate(call, core, http.MethodGet, "/v1/desired", nil)
-		cancel()
-		if err == nil && reply.Status == http.StatusOK {
-			r.judgeRead(core.Name, reply, r.operator.newestAcknowledged(sent.Add(-rolloutLimit)))
-		}
-		sleep(ctx, readInterval)
-	}
-}
-
-// judgeRead holds a configuration that was read against the newest that it must not be
-// older than.
-func (r *Run) judgeRead(at string, reply fleet.Reply, newest configuration) {
-	got, known := r.operator.byNumber(reply.Generation)
-	switch {
-	case reply.Generation < newest.number:
-		r.breach(ruleConfig, "", "%s reads configuration %d, %d was acknowledged before", at, reply.Generation, newest.number)
-	case !known || !bytes.Equal(reply.Body, got.body):
-		r.breach(ruleConfig, "", "%s reads other bytes than were sent under %d", at, reply.Generation)
-	}
-}
-
-// readBack reads the configuration at the end, again and again, at every core.
-func (r *Run) readBack(ctx context.Context) {
-	newest := r.operator.newestAcknowledged(time.Now())
-	for begun := time.Now(); time.Since(begun) < contactTime && ctx.Err() == nil; sleep(ctx, readInterval) {
-		for _, core := range r.Fleet.Replicas {
-			call, cancel := context.WithTimeout(ctx, time.Second)
-			reply, err := r.Fleet.Operate(call, core, http.MethodGet, "/v1/desired", nil)
-			cancel()
-			if err != nil || reply.Status != http.StatusOK {
-				r.breach(ruleConfig, "", "%s does not read back: %d %v", core.Name, reply.Status, err)
-				continue
-			}
-			r.judgeRead(core.Name, reply, newest)
-		}
+		r.breach(ruleAcknowledge, "", "%s had no acknowledgement within %v, though the control plane was stable", what, acknowledgeLimit)
 	}
 }
--- a/tests/soak/plan.go
+++ b/tests/soak/plan.go
@@ -1,6 +1,3 @@
-// Package soak runs whole fleets under troubles that come in series and overlap, drawn by a
-// seed, with clients that use their connections until the process is gone, and judges the run
-// by what clients, backends and operators saw. (DESIGN 14.10)
 package soak
 
 import (
@@ -15,38 +12,38 @@
 	"curlewwalk/tests/fleet"
 )
 
-// Plan is what happens in a run. A plan with the same deployment, size and entries brings the
-// same about, as far as the machine's own timing lets it.
+// Plan is what happens in a run. A plan of the same deployment, size and entries has the same
+// happen, as far as the machine's timing allows it.
 type Plan struct {
 	Deployment string `toml:"deployment"`
 	Seed       uint64 `toml:"seed"`
-	// Machines is how many sidecars there are; zero is the deployment's own number.
+	// Machines is the number of sidecars; zero for the deployment's own.
 	Machines int `toml:"machines"`
-	// Seconds is how long troubles may begin.
+	// Seconds is for how long entries may begin.
 	Seconds float64 `toml:"seconds"`
-	// Clients is how many clients each machine has, Leaves the share of their requests that
-	// they leave.
-	Clients     int     `toml:"clients"`
+	// Clients is the number of clients on each machine.
+	Clients int `toml:"clients"`
+	// AbandonRate is the share of requests that clients abandon.
 	AbandonRate float64 `toml:"leaves"`
 	Entries     []Entry `toml:"entry"`
-	// Last is what happens at the end; empty for nothing.
+	// Last is the last fault; empty for none.
 	Last Kind `toml:"last"`
 }
 
-// Entry is one trouble, or one planned change.
+// Entry is one fault, or one planned change.
 type Entry struct {
-	// At is when it begins, For how long it lasts where it lasts; in seconds.
+	// At is when it begins, For how long it lasts; both in seconds.
 	At   float64 `toml:"at"`
 	For  float64 `toml:"for"`
 	Kind Kind    `toml:"kind"`
-	// Target picks whom it strikes, by number; Count how many.
+	// Target chooses whom it is done to, Count to how many.
 	Target int `toml:"target"`
 	Count  int `toml:"count"`
-	// Variant is the variant, of those that the kind has.
+	// Variant is one of those of the kind.
 	Variant string `toml:"how"`
 }
 
-// Limits of a plan's numbers.
+// Limits of a plan.
 const (
 	maxMachines = 240
 	maxSeconds  = 3600
@@ -56,12 +53,12 @@
 // ReadPlan reads a plan from TOML and checks it.
 func ReadPlan(text []byte) (p Plan, err error) {
 	if err := toml.Unmarshal(text, &p); err != nil {
-		return p, fmt.Errorf("the plan is not to be read: %w", err)
+		return p, fmt.Errorf("read plan: %w", err)
 	}
 	return p, p.Check()
 }
 
-// Check tells what is wrong with a plan, if anything is.
+// Check returns what is wrong with a plan, if anything.
 func (p Plan) Check() error {
 	switch {
 	case p.Deployment != "association" && p.Deployment != "heating":
@@ -86,7 +83,7 @@
 	return nil
 }
 
-// Text is the plan as TOML, which ReadPlan takes again.
+// Text is the plan as TOML, which ReadPlan reads.
 func (p Plan) Text() string {
 	b, err := toml.Marshal(p)
 	if err != nil {
@@ -105,8 +102,8 @@
 	return s
 }
 
-// Draw draws a plan. Of each four seeds one has planned changes only, so that what is owed
-// around them is judged; the others have troubles of every kind beside them.
+// Draw draws a plan. One of four seeds has planned changes only, so that what is promised around
+// them is judged; the others have faults of every kind too.
 func Draw(deployment string, seed uint64, length time.Duration, machines int) Plan {
 	rng := rand.New(rand.NewPCG(seed, 26))
 	p := Plan{Deployment: deployment, Seed: seed, Machines: machines, Seconds: length.Seconds(), Clients: 2 + rng.IntN(3), AbandonRate: 0.15 * rng.Float64()}
@@ -125,7 +122,7 @@
 	return p
 }
 
-// round keeps plans readable: times are in hundredths of a second.
+// round rounds seconds to hundredths, which keeps plans readable.
 func round(seconds float64) float64 { return float64(int(seconds*100)) / 100 }
 
 // kindNames lists the kinds that may be drawn, in order.
@@ -139,7 +136,7 @@
 	return names
 }
 
-// Only is the plan with just the entries whose kinds have a text in them.
+// Only is the plan with only the entries whose kinds contain a text.
 func (p Plan) Only(text string) Plan {
 	p.Entries = slices.DeleteFunc(slices.Clone(p.Entries), func(e Entry) bool { return !strings.Contains(string(e.Kind), text) })
 	return p
--- a/tests/soak/processes.go
+++ b/tests/soak/processes.go
@@ -14,17 +14,18 @@
 	"curlewwalk/tests/fleet"
 )
 
-// The ways in which a process is stopped.
+// The variants of a stop.
 const (
 	variantPlain  = ""       // SIGTERM
 	variantAgain  = "again"  // SIGTERM, and once more
 	variantReload = "reload" // SIGTERM amid SIGHUPs
 )
 
+// stopVariants are all of them.
 var stopVariants = []string{variantPlain, variantAgain, variantReload}
 
-// lockProcesses takes processes for as long as something is done to them; false if one of them is
-// taken already. Of the core no more are taken at a time than it is to bear.
+// lockProcesses locks processes for as long as something is done to them; false if one of them is
+// locked already.
 func (r *Run) lockProcesses(programs ...*fleet.Program) (release func(), ok bool) {
 	var unlocks []func()
 	release = func() {
@@ -42,7 +43,8 @@
 	return release, true
 }
 
-// lockControlPlane takes processes of the core, each of which counts as lost until it has settled.
+// lockControlPlane locks replicas, no more at a time than may be lost at once. Each counts as lost
+// until recoveryHold after its release.
 func (r *Run) lockControlPlane(programs ...*fleet.Program) (release func(), ok bool) {
 	unlock, ok := r.lockProcesses(programs...)
 	if !ok {
@@ -70,13 +72,14 @@
 	}, true
 }
 
+// isControlPlane reports whether a process is a replica.
 func (r *Run) isControlPlane(p *fleet.Program) bool { return slices.Contains(r.Fleet.Replicas, p) }
 
-// injectFault does something to processes that it alone holds meanwhile.
+// injectFault does something to processes, which are locked meanwhile.
 func (r *Run) injectFault(e Entry, planned bool, programs []*fleet.Program, action func()) {
 	lock := r.lockProcesses
-	core := r.isControlPlane(programs[0])
-	if core {
+	controlPlane := r.isControlPlane(programs[0])
+	if controlPlane {
 		lock = r.lockControlPlane
 	}
 	release, ok := lock(programs...)
@@ -85,10 +88,11 @@
 		return
 	}
 	defer release()
-	defer r.faults.begin(Fault{Kind: e.Kind, Variant: e.Variant, Machines: ips(programs), Core: core, Planned: planned})()
+	defer r.faults.begin(Fault{Kind: e.Kind, Variant: e.Variant, Machines: ips(programs), ControlPlane: controlPlane, Planned: planned})()
 	action()
 }
 
+// ips are the IP addresses of processes.
 func ips(programs []*fleet.Program) (out []string) {
 	for _, p := range programs {
 		out = append(out, p.IP)
@@ -96,7 +100,7 @@
 	return out
 }
 
-// sidecars are so many sidecars in a row, from the entry's target on.
+// sidecars are as many sidecars as an entry counts, from its target on.
 func (r *Run) sidecars(e Entry) (out []*fleet.Program) {
 	all := r.Fleet.Sidecars
 	for i := range min(max(1, e.Count), len(all)) {
@@ -105,11 +109,12 @@
 	return out
 }
 
+// replicaOf is the replica that is an entry's target.
 func (r *Run) replicaOf(e Entry) []*fleet.Program {
 	return []*fleet.Program{r.Fleet.Replicas[e.Target%len(r.Fleet.Replicas)]}
 }
 
-// stop stops sidecars in turn, a second apart, whether the last is back or not, and starts
+// stop stops sidecars in turn, a second apart, whether the one before is back or not, and starts
 // each again when it has ended.
 func stop(ctx context.Context, r *Run, e Entry, _ *rand.Rand) {
 	var all sync.WaitGroup
@@ -122,12 +127,13 @@
 	all.Wait()
 }
 
-func stopCore(ctx context.Context, r *Run, e Entry, _ *rand.Rand) {
+// stopReplica stops a replica and starts it again.
+func stopReplica(ctx context.Context, r *Run, e Entry, _ *rand.Rand) {
 	programs := r.replicaOf(e)
 	r.injectFault(e, true, programs, func() { r.restart(ctx, programs[0], e.Variant) })
 }
 
-// restart stops a process, as the platform does, and starts it again.
+// restart stops a process as a platform does, and starts it again.
 func (r *Run) restart(ctx context.Context, p *fleet.Program, variant string) {
 	ended := make(chan int, 1)
 	if variant == variantReload {
@@ -145,7 +151,7 @@
 				r.breach(ruleStop, "", "%s ended with %d: %s", p.Name, code, p.Stderr())
 			}
 		case <-kill:
-			r.breach(ruleStop, "", "%s was still there at the end of its grace time", p.Name)
+			r.breach(ruleStop, "", "%s was still running at the end of its grace time", p.Name)
 			p.Signal(syscall.SIGKILL)
 			<-ended
 			exited = true
@@ -158,7 +164,7 @@
 	r.revive(ctx, p)
 }
 
-// revive starts a process again, and waits until it is ready.
+// revive starts processes again, and waits until they are ready.
 func (r *Run) revive(ctx context.Context, programs ...*fleet.Program) {
 	if err := r.Fleet.Restart(programs...); err != nil {
 		r.breach(ruleStart, "", "%v", err)
@@ -166,11 +172,12 @@
 	}
 	for _, p := range programs {
 		call, cancel := context.WithTimeout(ctx, recoveryLimit)
-		p.AwaitReady(call) // a core may be cut off, or without a majority
+		p.AwaitReady(call) // a replica may be partitioned, or without a majority
 		cancel()
 	}
 }
 
+// reload has sidecars reload their settings.
 func reload(ctx context.Context, r *Run, e Entry, _ *rand.Rand) {
 	for _, p := range r.sidecars(e) {
 		if release, ok := r.lockProcesses(p); ok {
@@ -183,24 +190,28 @@
 	}
 }
 
+// kill kills sidecars for a while.
 func kill(ctx context.Context, r *Run, e Entry, _ *rand.Rand) {
 	programs := r.sidecars(e)
 	r.injectFault(e, false, programs, func() { r.killFor(ctx, programs, e) })
 }
 
-func killCore(ctx context.Context, r *Run, e Entry, _ *rand.Rand) {
+// killReplica kills a replica for a while.
+func killReplica(ctx context.Context, r *Run, e Entry, _ *rand.Rand) {
 	programs := r.replicaOf(e)
 	r.injectFault(e, false, programs, func() { r.killFor(ctx, programs, e) })
 }
 
-// The ways in which processes end at once.
+// The variants of a kill.
 const (
 	variantKill     = "kill"  // their connections are reset
-	variantPowerOff = "power" // what was on its way is lost too
+	variantPowerOff = "power" // what was in flight is lost too
 )
 
+// killVariants are all of them.
 var killVariants = []string{variantKill, variantPowerOff}
 
+// killFor kills processes, and starts them again after a while.
 func (r *Run) killFor(ctx context.Context, programs []*fleet.Program, e Entry) {
 	if e.Variant == variantPowerOff {
 		r.Fleet.PowerOff(programs...)
@@ -211,7 +222,7 @@
 	r.revive(ctx, programs...)
 }
 
-// massKill ends many processes at the same moment, of the core as well; their disks stay.
+// massKill kills many processes at the same moment, replicas among them; their disks stay.
 func massKill(ctx context.Context, r *Run, e Entry, rng *rand.Rand) {
 	var programs []*fleet.Program
 	for _, p := range r.Fleet.Programs() {
@@ -223,18 +234,21 @@
 	if len(programs) == 0 {
 		return
 	}
-	defer r.faults.begin(Fault{Kind: e.Kind, Variant: e.Variant, Machines: ips(programs), Core: true})()
+	defer r.faults.begin(Fault{Kind: e.Kind, Variant: e.Variant, Machines: ips(programs), ControlPlane: true})()
 	r.killFor(ctx, programs, e)
 }
 
+// freeze freezes sidecars.
 func freeze(ctx context.Context, r *Run, e Entry, _ *rand.Rand) {
 	r.freezeAll(ctx, e, r.sidecars(e))
 }
 
-func freezeCore(ctx context.Context, r *Run, e Entry, _ *rand.Rand) {
+// freezeReplica freezes a replica.
+func freezeReplica(ctx context.Context, r *Run, e Entry, _ *rand.Rand) {
 	r.freezeAll(ctx, e, r.replicaOf(e))
 }
 
+// freezeAll stops processes for a while, and continues them.
 func (r *Run) freezeAll(ctx context.Context, e Entry, programs []*fleet.Program) {
 	r.injectFault(e, false, programs, func() {
 		for _, p := range programs {
@@ -247,7 +261,7 @@
 	})
 }
 
-// loseDisk has a machine of the core come back with an empty disk.
+// loseDisk has a replica come back with an empty disk.
 func loseDisk(ctx context.Context, r *Run, e Entry, _ *rand.Rand) {
 	replicas := r.replicaOf(e)
 	r.injectFault(e, false, replicas, func() {
@@ -258,76 +272,10 @@
 	})
 }
 
-// eraseDisk empties a core's disk.
+// eraseDisk deletes the data of a replica.
 func (r *Run) eraseDisk(p *fleet.Program) {
 	data := filepath.Join(r.Fleet.Dir, strings.ReplaceAll(p.Name, "/", "-"))
 	if err := os.RemoveAll(data); err != nil {
 		r.breach(ruleStart, "", "%v", err)
 	}
 }
-
-// resetConnections resets all that goes to some machines' wire addresses.
-func resetConnections(_ context.Context, r *Run, e Entry, _ *rand.Rand) {
-	programs := r.sidecars(e)
-	defer r.faults.begin(Fault{Kind: e.Kind, Machines: ips(programs)})()
-	for _, p := range programs {
-		r.Fleet.ResetConnections(p)
-	}
-}
-
-// The ways in which the network is cut.
-const (
-	variantAll          = "all"     // from all machines
-	variantControlPlane = "cores"   // from the cores
-	variantOneWay       = "one-way" // nothing gets from there to the cores
-)
-
-var partitionVariants = []string{variantAll, variantControlPlane, variantOneWay}
-
-// partitionSidecars cuts sidecars' machines off.
-func partitionSidecars(ctx context.Context, r *Run, e Entry, _ *rand.Rand) {
-	side := ips(r.sidecars(e))
-	r.partition(ctx, e, side, false)
-}
-
-// partitionReplica cuts one machine of the core off.
-func partitionReplica(ctx context.Context, r *Run, e Entry, _ *rand.Rand) {
-	select {
-	case r.controlPlaneFaults <- true:
-	default:
-		r.skip(e)
-		return
-	}
-	r.partition(ctx, e, ips(r.replicaOf(e)), true)
-	sleep(ctx, recoveryHold)
-	<-r.controlPlaneFaults
-}
-
-func (r *Run) partition(ctx context.Context, e Entry, side []string, core bool) {
-	cores := r.Fleet.ReplicaIPs()
-	in := slices.Contains[[]string]
-	blocks := func(from, to string) bool { return in(side, from) != in(side, to) }
-	switch e.Variant {
-	case variantControlPlane:
-		blocks = func(from, to string) bool {
-			return in(side, from) && in(cores, to) && !in(side, to) || in(cores, from) && in(side, to) && !in(side, from)
-		}
-	case variantOneWay:
-		blocks = func(from, to string) bool { return in(side, from) && in(cores, to) && !in(side, to) }
-	}
-	defer r.faults.begin(Fault{Kind: e.Kind, Variant: e.Variant, Machines: side, Core: core})()
-	defer r.Fleet.Network.AddPartition(blocks)()
-	sleep(ctx, seconds(e.For))
-}
-
-// splitControlPlane cuts half of the cores off from the other half; all others reach both.
-func splitControlPlane(ctx context.Context, r *Run, e Entry, _ *rand.Rand) {
-	cores := r.Fleet.ReplicaIPs()
-	half := cores[:len(cores)/2]
-	in := slices.Contains[[]string]
-	defer r.faults.begin(Fault{Kind: e.Kind, Machines: cores, Core: true})()
-	defer r.Fleet.Network.AddPartition(func(from, to string) bool {
-		return in(cores, from) && in(cores, to) && in(half, from) != in(half, to)
-	})()
-	sleep(ctx, seconds(e.For))
-}
--- a/tests/soak/run.go
+++ b/tests/soak/run.go
@@ -14,11 +14,11 @@
 	"curlewwalk/tests/fleet"
 )
 
-// Run is one run of a plan.
+// Run plays a plan once.
 type Run struct {
 	Plan  Plan
 	Fleet *fleet.Fleet
-	// Out is told what happens; nil for nothing.
+	// Out gets a line for each thing that happens.
 	Out io.Writer
 
 	began      time.Time
@@ -27,28 +27,29 @@
 	operator   operator
 	exchanges  exchanges
 	departures departures
-	// controlPlaneFaults bounds how many of the core are in trouble at a time.
+	breaches   breaches
+	// controlPlaneFaults has room for as many replicas as may have a fault at a time.
 	controlPlaneFaults chan bool
 	processLocks       map[*fleet.Program]*sync.Mutex
 	zoneLocks          map[string]*sync.Mutex
-	breaches           breaches
-	skipped            int
-	mu                 sync.Mutex
+
+	mu      sync.Mutex // guards skipped, Out, and the fleet's list of backends
+	skipped int
 }
 
-// machine is a machine with its sidecar and the backend that stands there now.
+// machine is a machine with its sidecar, and the backend that runs there now.
 type machine struct {
-	mu      sync.Mutex // held by whoever changes the backend
+	mu      sync.Mutex // locked by whoever changes the backend
 	number  int
-	serial  int
+	serial  int // of the backend
 	backend atomic.Pointer[fakes.Backend]
 }
 
-// stopSettings are the settings of a stop, as on the users' platform: what is open ends within
-// the grace time, and clients are served on until they learn that the sidecar is not ready.
+// stopSettings are the settings of a stop, as on the users' platform: what is open ends within the
+// grace time, and clients are served until they have learned that the sidecar is not ready.
 var stopSettings = []string{"--drain=5500ms", "--serve-on=1830ms"}
 
-// New lays a run out.
+// New prepares a run. A nil out discards its lines.
 func New(p Plan, bin fleet.Binaries, out io.Writer) (*Run, error) {
 	size := p.size()
 	size.Plans = slices.Concat([]fakes.RequestPlan{reportPlan(size)}, size.Plans, []fakes.RequestPlan{markerPlan(size)})
@@ -74,18 +75,18 @@
 	return r, nil
 }
 
-// logf tells what happens, with the time since the run began.
+// logf writes a line, with the time since the run began.
 func (r *Run) logf(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	fmt.Fprintf(r.Out, "%8.2f  %s\n", time.Since(r.began).Seconds(), fmt.Sprintf(format, args...))
 }
 
-// Play plays the plan and judges it.
+// Play plays the plan and judges the run. It closes the fleet.
 func (r *Run) Play(ctx context.Context) (*Result, error) {
 	defer r.Fleet.Close()
 	if err := r.startFleet(ctx); err != nil {
-		return nil, fmt.Errorf("the fleet did not start: %w", err)
+		return nil, fmt.Errorf("start the fleet: %w", err)
 	}
 	r.began = time.Now()
 	load, stop := context.WithCancel(ctx)
@@ -108,7 +109,7 @@
 	return r.judge(), nil
 }
 
-// startFleet starts the fleet behind relays.
+// startFleet starts the fleet behind proxies.
 func (r *Run) startFleet(ctx context.Context) error {
 	f := r.Fleet
 	if err := f.InterposeProxies(); err != nil {
@@ -144,15 +145,15 @@
 	kinds[e.Kind].play(ctx, r, e, rng)
 }
 
-// skip notes that an entry found what it would strike in trouble already.
+// skip records that the target of an entry has another fault already.
 func (r *Run) skip(e Entry) {
 	r.mu.Lock()
 	r.skipped++
 	r.mu.Unlock()
-	r.logf("%s target %d is skipped: it is in trouble already", e.Kind, e.Target)
+	r.logf("%s target %d is skipped: it has another fault already", e.Kind, e.Target)
 }
 
-// sleep waits, or until ctx ends.
+// sleep waits for d, or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(max(0, d))
 	defer t.Stop()
@@ -162,5 +163,5 @@
 	}
 }
 
-// seconds is a number of seconds as a duration.
+// seconds converts a number of seconds.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/tests/soak/shorten.go
+++ b/tests/soak/shorten.go
@@ -10,8 +10,8 @@
 	"curlewwalk/tests/ledger"
 )
 
-// Shorten takes entries out of a plan while it still breaks a rule that it broke, for so many
-// plays at most: first halves, then smaller parts.
+// Shorten removes entries from a plan as long as it still breaks one of the rules, with so many plays
+// at most: first halves, then smaller parts.
 func Shorten(ctx context.Context, p Plan, rules []ledger.Rule, bin fleet.Binaries, plays int, out io.Writer) Plan {
 	for parts := 2; parts <= 2*len(p.Entries) && plays > 0; parts *= 2 {
 		for part := 0; part < parts && plays > 0 && ctx.Err() == nil; part++ {
@@ -32,7 +32,7 @@
 	return p
 }
 
-// breaks plays a plan and reports whether it breaks one of some rules.
+// breaks plays a plan and reports whether it breaks one of the rules.
 func breaks(ctx context.Context, p Plan, rules []ledger.Rule, bin fleet.Binaries) bool {
 	r, err := New(p, bin, nil)
 	if err != nil {
--- a/tests/soak/soak_test.go
+++ b/tests/soak/soak_test.go
@@ -12,21 +12,21 @@
 	"curlewwalk/tests/ledger"
 )
 
-// The flags choose what TestSeeds plays: by itself, a short run of a few seeds.
+// The flags choose what TestSeeds plays; without any it is a short run of a few seeds.
 var (
 	first    = flag.Uint64("first", 3, "first seed")
 	seeds    = flag.Uint64("seeds", 2, "how many seeds")
-	duration = flag.Duration("length", 14*time.Second, "how long troubles may begin")
+	duration = flag.Duration("length", 14*time.Second, "for how long faults may begin")
 	machines = flag.Int("machines", 5, "how many sidecars")
 	onlyRule = flag.String("rule", "", "fail for this rule only")
-	onlyKind = flag.String("kinds", "", "only entries whose kinds have this in them")
+	onlyKind = flag.String("kinds", "", "only entries whose kinds contain this")
 )
 
 // limit is how long a run may take beyond its own length.
 const limit = 3 * time.Minute
 
-// Whole fleets under troubles that overlap keep every rule, as far as clients, backends and
-// operators see. The first seed has all kinds of trouble, the second planned work only.
+// Whole fleets under overlapping faults keep every rule, as far as clients, backends and operators
+// see. The first seed has all kinds of fault, the second planned work only.
 func TestSeeds(t *testing.T) {
 	bin, err := fleet.Build()
 	if err != nil {
@@ -63,7 +63,7 @@
 	return res
 }
 
-// A plan that is printed is the same when it is read again, and a bad one is told.
+// A plan that is printed is the same when it is read again, and invalid ones are rejected.
 func TestPlans(t *testing.T) {
 	for seed := range uint64(200) {
 		p := Draw("heating", seed, 30*time.Second, 7)
@@ -87,14 +87,16 @@
 		"kind":       func(p *Plan) { p.Entries[0].Kind = "x" },
 		"time":       func(p *Plan) { p.Entries[0].At = -1 },
 	} {
-		p := good
-		p.Entries = append([]Entry{}, good.Entries...)
-		if spoil(&p); p.Check() == nil {
-			t.Errorf("%s: a bad plan passes", name)
-		}
+		t.Run("invalid "+name, func(t *testing.T) {
+			p := good
+			p.Entries = append([]Entry{}, good.Entries...)
+			if spoil(&p); p.Check() == nil {
+				t.Error("an invalid plan passes the check")
+			}
+		})
 	}
 	if _, err := ReadPlan([]byte("entry = 3")); err == nil {
-		t.Error("what is no plan is read")
+		t.Error("a text that is no plan was read")
 	}
 	if err := CheckCapacity(Plan{Deployment: "association", Machines: maxProcesses}); err == nil {
 		t.Error("more processes than are allowed")
--- a/tests/soak/table.go
+++ b/tests/soak/table.go
@@ -8,7 +8,7 @@
 	"curlewwalk/tests/ledger"
 )
 
-// Table prints results, a line each.
+// Table prints results, one a line.
 type Table struct {
 	out    io.Writer
 	played int
@@ -17,7 +17,7 @@
 // NewTable prints the head of a table.
 func NewTable(out io.Writer) *Table {
 	fmt.Fprintf(out, "%-12s %6s %5s %7s %8s %8s %7s %6s %6s %6s %6s %7s %7s  %s\n",
-		"deployment", "seed", "sides", "entries", "sent", "answered", "refused", "cut", "left", "leave", "config", "half-ms", "most-ms", "broken")
+		"deployment", "seed", "size", "entries", "sent", "answered", "refused", "interr.", "aband.", "depart", "config", "p50-ms", "p999-ms", "broken")
 	return &Table{out: out}
 }
 
@@ -34,8 +34,8 @@
 	}
 	fmt.Fprintf(t.out, "%-12s %6d %5d %7d %8d %8d %7d %6d %6d %6d %6d %7d %7d  %s\n",
 		r.Plan.Deployment, r.Seed, r.Size, r.Entries-r.Skipped, r.Sent, r.Endings[fakes.Answered], r.Endings[fakes.Refused],
-		r.Endings[fakes.Interrupted], r.Endings[fakes.Abandoned], r.Departures, r.Configurations, r.HalfMS, r.MostMS, broken)
+		r.Endings[fakes.Interrupted], r.Endings[fakes.Abandoned], r.Departures, r.Configurations, r.MedianMS, r.P999MS, broken)
 }
 
-// Played is how many results there were.
+// Played is how many results were printed.
 func (t *Table) Played() int { return t.played }
--- a/tests/soak/zones.go
+++ b/tests/soak/zones.go
@@ -11,11 +11,10 @@
 	"curlewwalk/tests/fleet"
 )
 
-// loseZone has a zone lose power, its backends with it; all comes back, the backends as new
-// ones. It waits its turn where something else is done there.
+// loseZone has a zone lose power, its backends included; all comes back, with new backends.
 func loseZone(ctx context.Context, r *Run, e Entry, _ *rand.Rand) {
 	zone := r.Fleet.Size.Zones[e.Target%len(r.Fleet.Size.Zones)]
-	var sidecars, cores []*fleet.Program
+	var sidecars, replicas []*fleet.Program
 	for i, p := range r.Fleet.Sidecars {
 		if r.Fleet.Zone(i) == zone {
 			sidecars = append(sidecars, p)
@@ -23,23 +22,23 @@
 	}
 	for i, p := range r.Fleet.Replicas {
 		if r.Fleet.Zone(i) == zone {
-			cores = append(cores, p)
+			replicas = append(replicas, p)
 		}
 	}
-	if len(cores) > 0 {
-		give, ok := r.lockControlPlane(cores...)
+	if len(replicas) > 0 {
+		unlock, ok := r.lockControlPlane(replicas...)
 		if !ok {
 			r.skip(e)
 			return
 		}
-		defer give()
+		defer unlock()
 	}
-	r.injectFault(e, false, sidecars, func() { r.powerOffZone(ctx, e, zone, slices.Concat(sidecars, cores)) })
+	r.injectFault(e, false, sidecars, func() { r.powerOffZone(ctx, e, zone, slices.Concat(sidecars, replicas)) })
 }
 
-// powerOffZone ends all that stands in a zone, and starts it again.
+// powerOffZone ends all that runs in a zone, and starts it again.
 func (r *Run) powerOffZone(ctx context.Context, e Entry, zone string, programs []*fleet.Program) {
-	defer r.faults.begin(Fault{Kind: e.Kind, Machines: ips(programs), Core: true})()
+	defer r.faults.begin(Fault{Kind: e.Kind, Machines: ips(programs), ControlPlane: true})()
 	var affected []*machine
 	for _, m := range r.machines {
 		if r.Fleet.Zone(m.number) == zone && m.mu.TryLock() {
@@ -59,7 +58,7 @@
 // maxClockJump is how far a wall clock jumps at most, either way.
 const maxClockJump = 100 * time.Hour
 
-// jumpClocks has the wall clocks of a third of all machines jump, and back after a while.
+// jumpClocks has the wall clocks of a third of all processes jump, and back after a while.
 func jumpClocks(ctx context.Context, r *Run, e Entry, rng *rand.Rand) {
 	all := r.Fleet.Programs()
 	chosen := rng.Perm(len(all))[:len(all)/3]
@@ -76,24 +75,24 @@
 	}
 }
 
-// invalidConfigurations are refused for good, whatever is wrong with them.
+// invalidConfigurations must be rejected for good.
 var invalidConfigurations = []string{
 	`{"ways":[{"name":"x"}]}`, `{"ways":`, `[]`,
 	`{"ways":[{"name":"x","prefix":"/x/","service":"s","contract":"none"}],"contracts":[]}`,
 }
 
-// sendInvalid sends invalid configurations; none may be acknowledged. That none is in force
-// shows in what is read and in the routes that are served.
+// sendInvalid puts invalid configurations; none may be acknowledged. That none is in force shows in
+// what is read and in the routes that are served.
 func sendInvalid(ctx context.Context, r *Run, e Entry, rng *rand.Rand) {
 	for range max(1, e.Count) {
 		body := invalidConfigurations[rng.IntN(len(invalidConfigurations))]
-		core := r.Fleet.Replicas[rng.IntN(len(r.Fleet.Replicas))]
+		replica := r.Fleet.Replicas[rng.IntN(len(r.Fleet.Replicas))]
 		call, cancel := context.WithTimeout(ctx, acknowledgeLimit)
 		number := strconv.FormatUint(r.operator.newestSent(time.Now())+1000, 10)
-		reply, err := r.Fleet.Operate(call, core, http.MethodPut, "/v1/desired", []byte(body), headerGeneration, number)
+		reply, err := r.Fleet.Operate(call, replica, http.MethodPut, "/v1/desired", []byte(body), headerGeneration, number)
 		cancel()
 		if err == nil && reply.Status < http.StatusBadRequest {
-			r.breach(ruleConfig, "", "%s answered %d to an invalid configuration: %s", core.Name, reply.Status, body)
+			r.breach(ruleConfig, "", "%s answered %d to an invalid configuration: %s", replica.Name, reply.Status, body)
 		}
 		sleep(ctx, 200*time.Millisecond)
 	}
