--- a/internal/process/reload.go
+++ b/internal/process/reload.go
@@ -5,14 +5,16 @@
 	"sync/atomic"
 	"time"
 
-	"curlewwalk/internal/membership"
 	"curlewwalk/internal/settings"
 )
 
+// SeedSetter is given the addresses that a process asks first for the others.
+type SeedSetter interface{ SetSeeds(seeds []string) }
+
 // Reloader applies the settings that can be changed by a SIGHUP, and serves GET /v1/reload, which
-// shows the outcome of the last one.
+// shows the outcome of the last one. Apply is to be called once at the start.
 type Reloader struct {
-	Discovery *membership.Discovery
+	Discovery SeedSetter
 	drain     atomic.Int64 // a time.Duration
 	last      atomic.Pointer[settings.ReloadResult]
 }
