--- a/internal/dataplane/idempotency/decision.go
+++ b/internal/dataplane/idempotency/decision.go
@@ -5,7 +5,8 @@
 
 // The decisions.
 const (
-	// Proceed: the key is reserved for this request. Execute it, then call Complete.
+	// Proceed: the key is reserved for this request. Execute it, then call Complete or
+	// Release.
 	Proceed Decision = iota
 	// Replay: don't execute the request; its response is the first request's.
 	Replay
--- a/internal/dataplane/idempotency/store.go
+++ b/internal/dataplane/idempotency/store.go
@@ -71,10 +71,15 @@
 	}
 }
 
-// Complete ends a reservation whose decision was Proceed. keep is false if the request was
-// certainly not executed: then the reservation is released, and a replay may be executed.
-func (s *Store[T]) Complete(ctx context.Context, key Key, response T, keep bool) {
-	s.execute(ctx, func(table *Table[T], now time.Duration) { table.Complete(key, response, keep, now) })
+// Complete ends a reservation whose decision was Proceed, with the response for its replays.
+func (s *Store[T]) Complete(ctx context.Context, key Key, response T) {
+	s.execute(ctx, func(table *Table[T], now time.Duration) { table.Complete(key, response, now) })
+}
+
+// Release ends a reservation whose decision was Proceed, but whose request was certainly not
+// executed: a replay may be.
+func (s *Store[T]) Release(ctx context.Context, key Key) {
+	s.execute(ctx, func(table *Table[T], _ time.Duration) { table.Release(key) })
 }
 
 // Restore adds a completed reservation that an earlier incarnation of this node made,
--- a/internal/dataplane/idempotency/table.go
+++ b/internal/dataplane/idempotency/table.go
@@ -60,7 +60,7 @@
 }
 
 // Reserve asks for the reservation of a key. deliver is called once with the result: at
-// once, or by the Complete of the first request of the key.
+// once, or when the first request of the key is completed or released.
 func (t *Table[T]) Reserve(key Key, fingerprint Fingerprint, now time.Duration, deliver func(Result[T])) {
 	t.expire(now)
 	reservation, ok := t.reservations[key]
@@ -107,22 +107,28 @@
 	t.evicted++
 }
 
-// Complete ends the reservation of a request whose decision was Proceed, and delivers the
-// response to the replays that wait for it. keep is false if the request was certainly not
-// executed: then the reservation is released, and a replay may be executed.
-func (t *Table[T]) Complete(key Key, response T, keep bool, now time.Duration) {
-	reservation := t.reservations[key]
-	for _, deliver := range reservation.waiters {
-		deliver(Result[T]{Decision: Replay, Response: response, Retry: !keep})
-	}
-	reservation.waiters = nil
-	if !keep {
-		delete(t.reservations, key)
-		return
-	}
+// Complete ends the reservation of a request whose decision was Proceed: its response is
+// stored, and delivered to the replays that wait for it.
+func (t *Table[T]) Complete(key Key, response T, now time.Duration) {
+	t.reservations[key].deliver(Result[T]{Decision: Replay, Response: response})
 	t.storeResponse(key, response, now)
 }
 
+// Release ends the reservation of a request whose decision was Proceed, but which was
+// certainly not executed: a replay may be, and those that wait have to reserve the key anew.
+func (t *Table[T]) Release(key Key) {
+	t.reservations[key].deliver(Result[T]{Decision: Replay, Retry: true})
+	delete(t.reservations, key)
+}
+
+// deliver delivers a result to all replays that wait for it.
+func (e *entry[T]) deliver(result Result[T]) {
+	for _, deliver := range e.waiters {
+		deliver(result)
+	}
+	e.waiters = nil
+}
+
 // Restore adds a completed reservation that an earlier incarnation of this node made,
 // unless the key is reserved already.
 func (t *Table[T]) Restore(key Key, fingerprint Fingerprint, response T, now time.Duration) {
--- a/internal/dataplane/idempotency/table_test.go
+++ b/internal/dataplane/idempotency/table_test.go
@@ -65,12 +65,13 @@
 		}
 		if model := models[key]; model != nil && !model.completed && rng.IntN(3) > 0 {
 			model.response = rng.IntN(maxResponseBytes / 20)
-			keep := rng.IntN(4) > 0
-			model.completed, model.completedAt = keep, now
-			if !keep {
+			if rng.IntN(4) > 0 {
+				model.completed, model.completedAt = true, now
+				table.Complete(key, model.response, now)
+			} else {
 				delete(models, key)
+				table.Release(key)
 			}
-			table.Complete(key, model.response, keep, now)
 		}
 		if table.responseBytes > maxResponseBytes || table.responseBytes < 0 {
 			t.Fatalf("%d bytes of responses are stored", table.responseBytes)
--- a/internal/dataplane/proxy/idempotency.go
+++ b/internal/dataplane/proxy/idempotency.go
@@ -44,7 +44,11 @@
 		return response
 	}
 	outcome := o.runFirst(ctx, req, key)
-	o.Reservations.Complete(o.Lifetime, key.Key, outcome.response, outcome.keep)
+	if outcome.keep {
+		o.Reservations.Complete(o.Lifetime, key.Key, outcome.response)
+	} else {
+		o.Reservations.Release(o.Lifetime, key.Key)
+	}
 	return outcome.response
 }
 
--- a/tests/simulation/requests_sidecar.go
+++ b/tests/simulation/requests_sidecar.go
@@ -37,7 +37,11 @@
 				done(result.Response)
 			case result.Decision == idempotency.Proceed:
 				sim.replicateKey(n, key, run, func(answer clientAnswer, keep bool) {
-					n.reservations.Complete(key, answer, keep, sim.now)
+					if keep {
+						n.reservations.Complete(key, answer, sim.now)
+					} else {
+						n.reservations.Release(key)
+					}
 					done(answer)
 				})
 			default:
