--- a/internal/dataplane/proxy/clientwatch_test.go
+++ b/internal/dataplane/proxy/clientwatch_test.go
@@ -46,139 +46,151 @@
 // A client that leaves cancels what may be canceled: an idempotent run at its backend, and
 // whatever has not reached one yet. What is not idempotent and was begun goes on.
 func TestClientLeaves(t *testing.T) {
-	t.Run("an idempotent run is stopped", func(t *testing.T) {
-		came, stopped := make(chan bool, 9), make(chan bool, 9)
-		p := newProxyPair(t, func(r receivedRequest) bool {
-			came <- true
-			waitForClose(r)
-			stopped <- true
-			return false
-		})
-		p.outbound.EjectionTime = time.Hour
-		c := p.client(t)
-		c.send("GET /look/x HTTP/1.1\r\nHost: x\r\n\r\n")
-		<-came
-		c.Close()
-		waitFor(t, "the backend's connection to be closed", func() bool { return len(stopped) > 0 })
-		waitFor(t, "the request to end", func() bool { return p.outbound.Counters.InFlight.Load() == 0 })
-		if n := p.receivedURIs()["/look/x"]; n != 1 {
-			t.Errorf("it was sent %d times", n)
-		}
-		if p.outbound.View().Service("desk")[0].Load.Ejected() {
-			t.Error("its backend is ejected for what its client did")
-		}
-	})
-	t.Run("an idempotent run with a body is stopped", func(t *testing.T) {
-		came, stopped := make(chan bool, 9), make(chan bool, 9)
-		p := newProxyPair(t, func(r receivedRequest) bool {
-			io.Copy(io.Discard, r.Body)
-			came <- true
-			waitForClose(r)
-			stopped <- true
-			return false
-		})
-		c := p.client(t)
-		c.send("POST /look/x HTTP/1.1\r\nHost: x\r\nContent-Length: 40000\r\n\r\n%040000d", 0)
-		<-came
-		c.Close()
-		waitFor(t, "the backend's connection to be closed", func() bool { return len(stopped) > 0 })
-	})
-	t.Run("a run that is not idempotent goes on", func(t *testing.T) {
-		came, release, readErr := make(chan bool, 9), make(chan bool), make(chan error, 9)
-		p := newProxyPair(t, func(r receivedRequest) bool {
-			io.Copy(io.Discard, r.Body)
-			came <- true
-			<-release
-			r.conn.SetReadDeadline(time.Now().Add(time.Millisecond))
-			_, err := r.conn.Read(make([]byte, 1))
-			readErr <- err
-			r.respond(r.id, "ok")
-			return true
-		})
-		c := p.client(t)
-		c.send("POST /once/x HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\n\r\nx")
-		<-came
-		c.Close()
-		waitFor(t, "the inbound side to be notified", func() bool { return p.inbound.Counters.LeftRunning.Load() == 1 })
-		close(release)
-		if err := <-readErr; err == io.EOF {
-			t.Error("the connection to the backend was closed")
-		}
-		waitFor(t, "the run to end", func() bool { return p.inbound.Counters.Answered.Load() == 1 })
-	})
+	t.Run("an idempotent run is stopped", testIdempotentRunStopped)
+	t.Run("an idempotent run with a body is stopped", testIdempotentRunWithBodyStopped)
+	t.Run("a run that is not idempotent goes on", testOtherRunGoesOn)
 	for _, uri := range []string{"/look/waits", "/once/waits"} {
-		t.Run("what waits in the queue does not run: "+uri, func(t *testing.T) {
-			came, release := make(chan bool, 9), make(chan bool)
-			p := newProxyPair(t, func(r receivedRequest) bool {
-				io.Copy(io.Discard, r.Body)
-				came <- true
-				<-release
-				r.respond(r.id, "ok")
-				return true
-			})
-			table, _ := endpoints.Registry{}.Announce(endpoints.Announcement{Instance: "a", Service: "desk", Address: p.endpoint.Address, Capacity: 1}, "north", time.Now())
-			p.inbound.Endpoints = func() endpoints.Registry { return table }
-			first, second := p.client(t), p.client(t)
-			first.send("POST /once/first HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n")
-			<-came
-			second.send("POST %s HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n", uri)
-			waitFor(t, "the second to be queued", func() bool { return table.Endpoints()[0].Admission.Outstanding() == 2 })
-			second.Close()
-			waitFor(t, "the second to leave the queue", func() bool { return table.Endpoints()[0].Admission.Outstanding() == 1 })
-			close(release)
-			if resp, _ := first.receive(); resp == nil || resp.StatusCode != http.StatusOK {
-				t.Errorf("the first: %+v", resp)
-			}
-			first.send("POST /once/third HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n")
-			if resp, _ := first.receive(); resp == nil || resp.StatusCode != http.StatusOK {
-				t.Errorf("the third: %+v", resp)
-			}
-			if n := p.receivedURIs()[uri]; n != 0 {
-				t.Errorf("it came to the backend %d times", n)
-			}
-		})
+		t.Run("what waits in the queue does not run: "+uri, func(t *testing.T) { testQueuedNotRun(t, uri) })
 	}
-	t.Run("what waits for a backend is not sent", func(t *testing.T) {
-		p := newProxyPair(t, respondOK)
-		full, empty := p.outbound.View(), membership.NewView(nil, nil)
-		var view atomic.Pointer[membership.View]
-		view.Store(empty)
-		p.outbound.View, p.outbound.WaitShare = view.Load, 10
-		c := p.client(t)
-		c.send("GET /look/waiting HTTP/1.1\r\nHost: x\r\n\r\n")
-		waitFor(t, "the request to wait", func() bool { return p.outbound.Counters.InFlight.Load() == 1 })
-		c.Close()
-		waitFor(t, "the request to end", func() bool { return p.outbound.Counters.InFlight.Load() == 0 })
-		view.Store(full)
-		if resp, _ := p.get(t, "/look/other"); resp == nil || resp.StatusCode != http.StatusOK {
-			t.Errorf("another: %+v", resp)
-		}
-		if n := p.receivedURIs()["/look/waiting"]; n != 0 {
-			t.Errorf("it came to the backend %d times", n)
-		}
-	})
+	t.Run("what waits for a backend is not sent", testWaitingNotSent)
 	// No attempt of such a peer can be answered any more. It cancels those that it still can, and
 	// the others end all the same.
 	for _, cancels := range []bool{true, false} {
-		t.Run(fmt.Sprintf("a peer whose connection has broken, cancels %v", cancels), func(t *testing.T) {
-			came, stopped := make(chan bool, 9), make(chan bool, 9)
-			p := newProxyPair(t, func(r receivedRequest) bool {
-				came <- true
-				waitForClose(r)
-				stopped <- true
-				return false
-			})
-			if cancels {
-				c := p.client(t)
-				c.send("GET /look/x HTTP/1.1\r\nHost: x\r\n\r\n")
-			} else {
-				p.attempt(Attempt{ID: "abandoned", Idempotent: true, Method: "GET", URI: "/look/x"})
-			}
-			<-came
-			p.closeConnections()
-			waitFor(t, "the backend's connection to be closed", func() bool { return len(stopped) > 0 })
-		})
+		t.Run(fmt.Sprintf("a peer whose connection has broken, cancels %v", cancels), func(t *testing.T) { testPeerLeaves(t, cancels) })
+	}
+}
+
+// newStoppablePair is a pair whose backend answers nothing. It tells of each request that has
+// come, and of each that was stopped.
+func newStoppablePair(t *testing.T) (p *proxyPair, came, stopped chan bool) {
+	t.Helper()
+	came, stopped = make(chan bool, 9), make(chan bool, 9)
+	return newProxyPair(t, func(r receivedRequest) bool {
+		if r.ContentLength > 0 {
+			io.Copy(io.Discard, r.Body)
+		}
+		came <- true
+		waitForClose(r)
+		stopped <- true
+		return false
+	}), came, stopped
+}
+
+func testIdempotentRunStopped(t *testing.T) {
+	p, came, stopped := newStoppablePair(t)
+	p.outbound.EjectionTime = time.Hour
+	c := p.client(t)
+	c.send("GET /look/x HTTP/1.1\r\nHost: x\r\n\r\n")
+	<-came
+	c.Close()
+	waitFor(t, "the backend's connection to be closed", func() bool { return len(stopped) > 0 })
+	waitFor(t, "the request to end", func() bool { return p.outbound.Counters.InFlight.Load() == 0 })
+	if n := p.receivedURIs()["/look/x"]; n != 1 {
+		t.Errorf("it was sent %d times", n)
+	}
+	if p.outbound.View().Service("desk")[0].Load.Ejected() {
+		t.Error("its backend is ejected for what its client did")
+	}
+}
+
+func testIdempotentRunWithBodyStopped(t *testing.T) {
+	p, came, stopped := newStoppablePair(t)
+	c := p.client(t)
+	c.send("POST /look/x HTTP/1.1\r\nHost: x\r\nContent-Length: 40000\r\n\r\n%040000d", 0)
+	<-came
+	c.Close()
+	waitFor(t, "the backend's connection to be closed", func() bool { return len(stopped) > 0 })
+}
+
+func testOtherRunGoesOn(t *testing.T) {
+	came, release, readErr := make(chan bool, 9), make(chan bool), make(chan error, 9)
+	p := newProxyPair(t, func(r receivedRequest) bool {
+		io.Copy(io.Discard, r.Body)
+		came <- true
+		<-release
+		r.conn.SetReadDeadline(time.Now().Add(time.Millisecond))
+		_, err := r.conn.Read(make([]byte, 1))
+		readErr <- err
+		r.respond(r.id, "ok")
+		return true
+	})
+	c := p.client(t)
+	c.send("POST /once/x HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\n\r\nx")
+	<-came
+	c.Close()
+	waitFor(t, "the inbound side to be notified", func() bool { return p.inbound.Counters.LeftRunning.Load() == 1 })
+	close(release)
+	if err := <-readErr; err == io.EOF {
+		t.Error("the connection to the backend was closed")
+	}
+	waitFor(t, "the run to end", func() bool { return p.inbound.Counters.Answered.Load() == 1 })
+}
+
+func testQueuedNotRun(t *testing.T, uri string) {
+	came, release := make(chan bool, 9), make(chan bool)
+	p := newProxyPair(t, func(r receivedRequest) bool {
+		io.Copy(io.Discard, r.Body)
+		came <- true
+		<-release
+		r.respond(r.id, "ok")
+		return true
+	})
+	registry, _ := endpoints.Registry{}.Announce(endpoints.Announcement{Instance: "a", Service: "desk", Address: p.endpoint.Address, Capacity: 1}, "north", time.Now())
+	p.inbound.Endpoints = func() endpoints.Registry { return registry }
+	outstanding := func(n int64) func() bool {
+		return func() bool { return registry.Endpoints()[0].Admission.Outstanding() == n }
+	}
+	first, second := p.client(t), p.client(t)
+	first.send("POST /once/first HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n")
+	<-came
+	second.send("POST %s HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n", uri)
+	waitFor(t, "the second to be queued", outstanding(2))
+	second.Close()
+	waitFor(t, "the second to leave the queue", outstanding(1))
+	close(release)
+	if resp, _ := first.receive(); resp == nil || resp.StatusCode != http.StatusOK {
+		t.Errorf("the first: %+v", resp)
+	}
+	first.send("POST /once/third HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n")
+	if resp, _ := first.receive(); resp == nil || resp.StatusCode != http.StatusOK {
+		t.Errorf("the third: %+v", resp)
+	}
+	if n := p.receivedURIs()[uri]; n != 0 {
+		t.Errorf("it came to the backend %d times", n)
+	}
+}
+
+func testWaitingNotSent(t *testing.T) {
+	p := newProxyPair(t, respondOK)
+	full, empty := p.outbound.View(), membership.NewView(nil, nil)
+	var view atomic.Pointer[membership.View]
+	view.Store(empty)
+	p.outbound.View, p.outbound.WaitShare = view.Load, 10
+	c := p.client(t)
+	c.send("GET /look/waiting HTTP/1.1\r\nHost: x\r\n\r\n")
+	waitFor(t, "the request to wait", func() bool { return p.outbound.Counters.InFlight.Load() == 1 })
+	c.Close()
+	waitFor(t, "the request to end", func() bool { return p.outbound.Counters.InFlight.Load() == 0 })
+	view.Store(full)
+	if resp, _ := p.get(t, "/look/other"); resp == nil || resp.StatusCode != http.StatusOK {
+		t.Errorf("another: %+v", resp)
+	}
+	if n := p.receivedURIs()["/look/waiting"]; n != 0 {
+		t.Errorf("it came to the backend %d times", n)
+	}
+}
+
+func testPeerLeaves(t *testing.T, cancels bool) {
+	p, came, stopped := newStoppablePair(t)
+	if cancels {
+		c := p.client(t)
+		c.send("GET /look/x HTTP/1.1\r\nHost: x\r\n\r\n")
+	} else {
+		p.attempt(Attempt{ID: "abandoned", Idempotent: true, Method: "GET", URI: "/look/x"})
 	}
+	<-came
+	p.closeConnections()
+	waitFor(t, "the backend's connection to be closed", func() bool { return len(stopped) > 0 })
 }
 
 // attempt sends an attempt, as a peer would that then neither waits nor cancels it.
--- a/internal/dataplane/proxy/exchange_test.go
+++ b/internal/dataplane/proxy/exchange_test.go
@@ -183,86 +183,114 @@
 	}
 }
 
+// respondAndClose answers a request, and closes the connection at random: before the response,
+// after it, with a reset, or after a surplus response.
+func respondAndClose(r receivedRequest) bool {
+	io.Copy(io.Discard, r.Body)
+	switch rand.IntN(8) {
+	case 0:
+		return false
+	case 1:
+		r.respond(r.id, "ok")
+		return false
+	case 2:
+		r.respond(r.id, "ok")
+		r.conn.(*net.TCPConn).SetLinger(0)
+		return false
+	case 3:
+		r.respond(r.id, "ok")
+		r.respond("nobody", "surplus")
+		return true
+	}
+	r.respond(r.id, "ok")
+	return true
+}
+
+// randomAttempt is one of a short, a middle or a long body, some with hardly any time.
+func randomAttempt() Attempt {
+	attempt := Attempt{ID: fmt.Sprint("attempt-", attemptCount.Add(1)), Body: make([]byte, []int{1, 20 << 10, 300 << 10}[rand.IntN(3)])}
+	if rand.IntN(8) == 0 {
+		attempt.Timeout = time.Duration(1 + rand.Int64N(int64(2*time.Millisecond)))
+	}
+	return attempt
+}
+
+// rejectSome rejects one of 16 attempts before the write.
+func rejectSome() endpoints.Rejection {
+	if rand.IntN(16) == 0 {
+		return endpoints.BackendDraining
+	}
+	return endpoints.Admitted
+}
+
+// attemptResults is what became of many attempts.
+type attemptResults struct {
+	answered, others atomic.Int64
+	// notRun has the reasons of those that were said not to have run, by attempt.
+	notRun sync.Map
+}
+
+// add checks what became of an attempt against what the backend has received by now.
+func (r *attemptResults) add(t *testing.T, b *fakeBackend, id string, response AttemptResponse) {
+	t.Helper()
+	if response.Outcome == routing.NotRun {
+		r.notRun.Store(id, response.Reason)
+	}
+	b.mu.Lock()
+	ran := b.runs[id]
+	b.mu.Unlock()
+	if response.Outcome == routing.Answered {
+		r.answered.Add(1)
+	} else {
+		r.others.Add(1)
+	}
+	if ran > 1 || response.Outcome == routing.NotRun && ran > 0 || response.Outcome == routing.Answered && response.Header.Get("For") != id {
+		t.Errorf("%s: %v %q, ran %d times, response to %q", id, response.Outcome, response.Reason, ran, response.Header.Get("For"))
+	}
+}
+
+// checkNotRun checks that none of those said not to have run has run since, and counts them.
+func (r *attemptResults) checkNotRun(t *testing.T, b *fakeBackend) (count int) {
+	t.Helper()
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	r.notRun.Range(func(id, reason any) bool {
+		count++
+		if n := b.runs[id.(string)]; n > 0 {
+			t.Errorf("%s was said not to have run (%s), and ran %d times", id, reason, n)
+		}
+		return true
+	})
+	return count
+}
+
 // With a backend that closes connections at any time, attempts with little time, and rejections
 // before the write, nothing runs twice or after it was said not to, and no attempt gets another
 // one's response.
 func TestBackendCloses(t *testing.T) {
-	b := newFakeBackend(t, func(r receivedRequest) bool {
-		io.Copy(io.Discard, r.Body)
-		switch rand.IntN(8) {
-		case 0:
-			return false // read, and closed without a response
-		case 1:
-			r.respond(r.id, "ok")
-			return false
-		case 2:
-			r.respond(r.id, "ok")
-			r.conn.(*net.TCPConn).SetLinger(0)
-			return false
-		case 3:
-			r.respond(r.id, "ok")
-			r.respond("nobody", "surplus")
-			return true
-		}
-		r.respond(r.id, "ok")
-		return true
-	})
-	var answered, unknown atomic.Int64
-	var all sync.WaitGroup
-	var notRun sync.Map
+	b := newFakeBackend(t, respondAndClose)
+	var results attemptResults
+	var senders sync.WaitGroup
 	for range 8 {
-		all.Go(func() {
+		senders.Go(func() {
 			for range 200 {
-				id := fmt.Sprint("attempt-", attemptCount.Add(1))
-				attempt := Attempt{ID: id, Body: make([]byte, []int{1, 20 << 10, 300 << 10}[rand.IntN(3)])}
-				if rand.IntN(8) == 0 {
-					attempt.Timeout = time.Duration(1 + rand.Int64N(int64(2*time.Millisecond)))
-				}
-				response := b.send(attempt, func() endpoints.Rejection {
-					if rand.IntN(16) == 0 {
-						return endpoints.BackendDraining
-					}
-					return endpoints.Admitted
-				})
-				if response.Outcome == routing.NotRun {
-					notRun.Store(id, response.Reason)
-				}
-				b.mu.Lock()
-				ran := b.runs[id]
-				b.mu.Unlock()
-				if response.Outcome == routing.Answered {
-					answered.Add(1)
-				} else {
-					unknown.Add(1)
-				}
-				if ran > 1 || response.Outcome == routing.NotRun && ran > 0 || response.Outcome == routing.Answered && response.Header.Get("For") != id {
-					t.Errorf("%s: %v %q, ran %d times, response to %q", id, response.Outcome, response.Reason, ran, response.Header.Get("For"))
-				}
+				attempt := randomAttempt()
+				results.add(t, b, attempt.ID, b.send(attempt, rejectSome))
 			}
 		})
 	}
-	all.Wait()
+	senders.Wait()
 	for _, entry := range b.inbound.pool.entries {
 		for _, conn := range entry.idle {
 			conn.Close()
 		}
 	}
 	for range b.inbound.ConnectionsOpened() {
-		<-b.closed // what was written is read by then
+		<-b.closed // what was written has been read by then
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	refused := 0
-	notRun.Range(func(id, why any) bool {
-		refused++
-		if n := b.runs[id.(string)]; n > 0 {
-			t.Errorf("%s was said not to have run (%s), and ran %d times", id, why, n)
-		}
-		return true
-	})
-	t.Logf("%d were not run", refused)
-	t.Logf("%d answered, %d not, on %d connections", answered.Load(), unknown.Load(), b.connections.Load())
-	if refused == 0 || answered.Load() < 700 || b.connections.Load() > 1500 {
+	notRun, answered, connections := results.checkNotRun(t, b), results.answered.Load(), b.connections.Load()
+	t.Logf("%d answered, %d not, of which %d have not run, on %d connections", answered, results.others.Load(), notRun, connections)
+	if notRun == 0 || answered < 700 || connections > 1500 {
 		t.Error("few were answered, or few connections were reused")
 	}
 }
--- a/internal/dataplane/proxy/fuzz_test.go
+++ b/internal/dataplane/proxy/fuzz_test.go
@@ -102,26 +102,8 @@
 			c.(*net.TCPConn).CloseWrite()
 		}()
 		sent := requests(text)
-		responses, reader := 0, bufio.NewReader(c)
-		for {
-			method := http.MethodGet
-			if responses < len(sent) {
-				method = sent[responses].method
-			}
-			resp, err := http.ReadResponse(reader, &http.Request{Method: method})
-			if err != nil {
-				break
-			}
-			if resp.StatusCode == http.StatusContinue {
-				continue
-			}
-			responses++
-			if _, err := io.Copy(io.Discard, resp.Body); err != nil {
-				t.Errorf("response %d was cut short: %v", responses, err)
-			}
-		}
-		if responses > len(sent)+1 {
-			t.Errorf("%d responses to %d requests", responses, len(sent))
+		if n := countResponses(t, c, sent); n > len(sent)+1 {
+			t.Errorf("%d responses to %d requests", n, len(sent))
 		}
 		for len(got) > 0 {
 			r := <-got
@@ -136,36 +118,60 @@
 	})
 }
 
+// countResponses reads the final responses to the requests that were sent, until the connection
+// ends, and counts them. Each must be complete.
+func countResponses(t *testing.T, conn net.Conn, sent []plainRequest) (count int) {
+	t.Helper()
+	reader := bufio.NewReader(conn)
+	for {
+		method := http.MethodGet
+		if count < len(sent) {
+			method = sent[count].method
+		}
+		resp, err := http.ReadResponse(reader, &http.Request{Method: method})
+		if err != nil {
+			return count
+		}
+		if resp.StatusCode == http.StatusContinue {
+			continue
+		}
+		count++
+		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
+			t.Errorf("response %d was cut short: %v", count, err)
+		}
+	}
+}
+
 // plainRequest is what of a request must not be changed on the way.
 type plainRequest struct{ method, uri, body string }
 
 // requests parses the requests in a client's text, up to the first that is not valid.
-func requests(text []byte) (out []plainRequest) {
-	in := bufio.NewReader(bytes.NewReader(text))
+func requests(text []byte) (parsed []plainRequest) {
+	reader := bufio.NewReader(bytes.NewReader(text))
 	for {
-		if n := len(out); n > 0 && out[n-1].method == http.MethodPost {
-			skipLineEnds(in)
+		if n := len(parsed); n > 0 && parsed[n-1].method == http.MethodPost {
+			skipLineEnds(reader)
 		}
-		r, err := http.ReadRequest(in)
+		r, err := http.ReadRequest(reader)
 		if err != nil {
-			return out
+			return parsed
 		}
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
-			return append(out, plainRequest{method: r.Method, uri: "cut short"})
+			return append(parsed, plainRequest{method: r.Method, uri: "cut short"})
 		}
-		out = append(out, plainRequest{r.Method, r.RequestURI, string(body)})
+		parsed = append(parsed, plainRequest{r.Method, r.RequestURI, string(body)})
 	}
 }
 
 // skipLineEnds skips the line ends that some clients send after a POST's body, as net/http's
 // server does.
-func skipLineEnds(in *bufio.Reader) {
-	next, _ := in.Peek(4)
+func skipLineEnds(reader *bufio.Reader) {
+	next, _ := reader.Peek(4)
 	for _, b := range next {
 		if b != '\r' && b != '\n' {
 			return
 		}
-		in.Discard(1)
+		reader.Discard(1)
 	}
 }
--- a/internal/dataplane/proxy/warmup_test.go
+++ b/internal/dataplane/proxy/warmup_test.go
@@ -13,77 +13,105 @@
 	"curlewwalk/internal/trace"
 )
 
-// A backend that is warming up gets its service's rate of requests over any second, from the
-// sidecar's start on, and no more than that at a time; what is rejected has not run, and is told
-// when to retry.
-func TestColdRate(t *testing.T) {
-	b := newFakeBackend(t, respondOK)
-	in := b.inbound
-	in.Draining, in.LeaseHeld = func() bool { return false }, func() bool { return true }
-	in.Causality = causality.NewTracker()
-	ctx, cancel := context.WithCancel(context.Background())
-	defer cancel()
-	in.Actors.Go(ctx, "causality", in.Causality.Run)
+// warmupFixture is an inbound side whose backend warms up with 4 requests a second, and takes 6
+// connections.
+type warmupFixture struct {
+	*fakeBackend
+	t    *testing.T
+	sent int
+}
+
+func newWarmupFixture(t *testing.T) *warmupFixture {
+	t.Helper()
+	f := &warmupFixture{fakeBackend: newFakeBackend(t, respondOK), t: t}
 	table, ok := routing.NewTable(config.ControlState{Revision: 1, ConfigurationRevision: 1, Configuration: []byte(`{"ways": [{"name": "w", "prefix": "/", "service": "desk", "contract": "c"}],
 		"contracts": [{"name": "c", "rank": 1, "aim": "1s", "expiry": "2s"}],
 		"services": [{"name": "desk", "connections": 6, "cold": {"for": "5s", "rate": 4}}]}`)})
 	if !ok {
 		t.Fatal("the configuration is not valid")
 	}
+	in := f.inbound
 	in.Table = func() *routing.Table { return table }
-	announce := func(remaining string) {
-		t.Helper()
-		registry, faults := endpoints.Registry{}.Announce(endpoints.Announcement{Instance: "a", Service: "desk", Address: b.endpoint.Address, Capacity: 20, Warmup: &endpoints.Warmup{Remaining: remaining}}, "north", time.Now())
-		if len(faults) > 0 {
-			t.Fatal(faults)
-		}
-		in.Endpoints = func() endpoints.Registry { return registry }
+	in.Draining, in.LeaseHeld = func() bool { return false }, func() bool { return true }
+	in.Causality = causality.NewTracker()
+	ctx, cancel := context.WithCancel(context.Background())
+	t.Cleanup(cancel)
+	in.Actors.Go(ctx, "causality", in.Causality.Run)
+	return f
+}
+
+// announce announces the backend with some of its warm-up remaining.
+func (f *warmupFixture) announce(remaining string) {
+	f.t.Helper()
+	registry, faults := endpoints.Registry{}.Announce(endpoints.Announcement{Instance: "a", Service: "desk", Address: f.endpoint.Address, Capacity: 20, Warmup: &endpoints.Warmup{Remaining: remaining}}, "north", time.Now())
+	if len(faults) > 0 {
+		f.t.Fatal(faults)
 	}
-	n := 0
-	send := func() AttemptResponse {
-		n++
-		ctx, cancel := context.WithTimeout(ctx, time.Second)
-		defer cancel()
-		return in.admit(ctx, &Attempt{ID: fmt.Sprint(n), Service: "desk", Instance: "a", Route: "w", Method: "GET", URI: "/", Host: "x", Timeout: time.Second, TimeToTarget: time.Second}, trace.Root())
+	f.inbound.Endpoints = func() endpoints.Registry { return registry }
+}
+
+// limit is the backend's concurrency limit, with a capacity of its own if that is not zero.
+func (f *warmupFixture) limit(capacity int) int64 {
+	endpoint := f.inbound.Endpoints().Endpoints()[0]
+	if capacity > 0 {
+		endpoint.Capacity = capacity
 	}
-	answered := func() (count int) {
-		for range 20 {
-			response := send()
-			switch {
-			case response.Outcome == routing.Answered:
-				count++
-			case response.Outcome != routing.NotRun || response.Reason != string(endpoints.BackendFull) || response.RetryAfter <= 0 || response.ReachedBackend:
-				t.Fatalf("%+v", response)
-			}
+	return f.inbound.ConcurrencyLimit(endpoint, time.Now())
+}
+
+// send sends an attempt.
+func (f *warmupFixture) send() AttemptResponse {
+	f.sent++
+	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
+	defer cancel()
+	return f.inbound.admit(ctx, &Attempt{ID: fmt.Sprint(f.sent), Service: "desk", Instance: "a", Route: "w", Method: "GET", URI: "/", Host: "x", Timeout: time.Second, TimeToTarget: time.Second}, trace.Root())
+}
+
+// countAnswered sends 20 attempts and counts those that are answered. The others must be rejected
+// as the backend is full, and told when to retry.
+func (f *warmupFixture) countAnswered() (count int) {
+	f.t.Helper()
+	for range 20 {
+		response := f.send()
+		switch {
+		case response.Outcome == routing.Answered:
+			count++
+		case response.Outcome != routing.NotRun || response.Reason != string(endpoints.BackendFull) || response.RetryAfter <= 0 || response.ReachedBackend:
+			f.t.Fatalf("%+v", response)
 		}
-		return count
 	}
-	announce("5s")
-	if got := answered(); got != 0 {
+	return count
+}
+
+// A backend that is warming up gets its service's rate of requests over any second, from the
+// sidecar's start on, and no more than that at a time; what is rejected has not run, and is told
+// when to retry.
+func TestColdRate(t *testing.T) {
+	f := newWarmupFixture(t)
+	f.announce("5s")
+	if got := f.countAnswered(); got != 0 {
 		t.Errorf("%d were answered just after the start", got)
 	}
-	in.started = time.Now().Add(-time.Minute)
-	if got := answered(); got != 4 {
+	f.inbound.started = time.Now().Add(-time.Minute)
+	if got := f.countAnswered(); got != 4 {
 		t.Errorf("%d were answered within a second", got)
 	}
-	if got := len(b.runs); got != 4 {
+	if got := len(f.runs); got != 4 {
 		t.Errorf("the backend received %d", got)
 	}
-	limit := in.ConcurrencyLimit(in.Endpoints().Endpoints()[0], time.Now())
-	announce("0s")
-	if warm := in.ConcurrencyLimit(in.Endpoints().Endpoints()[0], time.Now()); limit != 4 || warm != 6 {
-		t.Errorf("warming up it runs %d at a time, warm %d", limit, warm)
+	warmingUp := f.limit(0)
+	f.announce("0s")
+	if warm := f.limit(0); warmingUp != 4 || warm != 6 {
+		t.Errorf("warming up it runs %d at a time, warm %d", warmingUp, warm)
 	}
 	for halfCapacityTime, want := range map[time.Duration]int64{0: 6, 10 * time.Second: 5} {
-		// Half of ten, or no more than the connections that it takes.
-		in.HalfCapacityTime, in.started = halfCapacityTime, time.Now()
-		e := in.Endpoints().Endpoints()[0]
-		e.Capacity = 10
-		if got := in.ConcurrencyLimit(e, time.Now()); got != want {
+		// Half of a capacity of ten, or as many as it takes connections.
+		f.inbound.HalfCapacityTime, f.inbound.started = halfCapacityTime, time.Now()
+		if got := f.limit(10); got != want {
 			t.Errorf("at the start, half capacity for %v: %d, want %d", halfCapacityTime, got, want)
 		}
 	}
-	if got := answered(); got != 20 {
+	if got := f.countAnswered(); got != 20 {
 		t.Errorf("warm: %d of 20", got)
 	}
 }
