--- a/internal/actor/rules_test.go
+++ b/internal/actor/rules_test.go
@@ -12,7 +12,7 @@
 // forbiddenImports start processes, or go round the language's rules.
 var forbiddenImports = []string{"os/exec", "plugin", "unsafe", "C"}
 
-// forbiddenSystemCall tells whether a function of package syscall starts a process, shares
+// forbiddenSystemCall reports whether a function of package syscall starts a process, shares
 // memory with one, or goes round the runtime.
 func forbiddenSystemCall(name string) bool {
 	return name == "Exec" || name == "Mmap" || strings.HasPrefix(name, "Fork") ||
--- a/internal/actor/system.go
+++ b/internal/actor/system.go
@@ -11,8 +11,8 @@
 	"curlewwalk/internal/trace"
 )
 
-// PanicHandler is told of a panic: a broken invariant of the part with that name. It should
-// end the process.
+// PanicHandler is called with a panic: a broken invariant of the part with that name. It
+// should end the process.
 type PanicHandler func(name string, cause any, stack []byte)
 
 // System starts every goroutine and every actor of a process.
--- a/internal/dataplane/agent.go
+++ b/internal/dataplane/agent.go
@@ -112,7 +112,7 @@
 	}
 }
 
-// configured tells whether this sidecar has got a configuration and the other sidecars,
+// configured reports whether this sidecar has got a configuration and the other sidecars,
 // from the control plane or from a peer.
 func (a *agent) configured() bool {
 	return a.watchStatus.Load().Replica != "" || a.controlState.Load() != nil
--- a/internal/dataplane/agent_messages.go
+++ b/internal/dataplane/agent_messages.go
@@ -19,7 +19,7 @@
 		announcement endpoints.Announcement
 		reply        chan<- []string
 	}
-	// msgLeave says that an own backend is leaving. Its answer tells whether it was known.
+	// msgLeave says that an own backend is leaving. Its answer reports whether it was known.
 	msgLeave struct {
 		instance string
 		reply    chan<- bool
--- a/internal/dataplane/api.go
+++ b/internal/dataplane/api.go
@@ -30,13 +30,13 @@
 	return mux
 }
 
-// checkLiveness tells whether the agent still handles messages, and what was checked.
+// checkLiveness reports whether the agent still handles messages, and what was checked.
 func (s *Sidecar) checkLiveness(ctx context.Context) (live bool, checked string) {
 	_, live = actor.Ask(ctx, s.agent.mailbox, func(reply chan<- bool) any { return msgPing{reply} })
 	return live, "control thread"
 }
 
-// Ready tells whether clients may be sent here, or why not.
+// Ready reports whether clients may be sent here, or why not.
 func (s *Sidecar) Ready(context.Context) (ready bool, reason string) {
 	switch {
 	case s.draining.Load():
--- a/internal/dataplane/freshness.go
+++ b/internal/dataplane/freshness.go
@@ -10,7 +10,7 @@
 // trusted to be the newest: an acknowledged change is in force everywhere within it.
 const configurationTrustedFor = 2 * time.Second // (ours)
 
-// leaseValid tells whether this sidecar may admit requests to its backends: its lease has
+// leaseValid reports whether this sidecar may admit requests to its backends: its lease has
 // not expired, or the control plane has lost its quorum, so that no newer configuration can
 // be acknowledged, and a majority of the sidecars agree that there is none. (DESIGN 7.2,
 // 7.4)
@@ -22,12 +22,12 @@
 	return s.peerLeaseValid(now)
 }
 
-// peerLeaseValid tells whether the other sidecars' agreement stands in for the lease.
+// peerLeaseValid reports whether the other sidecars' agreement stands in for the lease.
 func (s *Sidecar) peerLeaseValid(now time.Time) bool {
 	return s.agent.peerLease.Age(now) <= endpoints.LeaseDuration && s.discovery.Replicas().QuorumLost(now)
 }
 
-// configurationUnconfirmed tells whether a newer configuration may have been in force
+// configurationUnconfirmed reports whether a newer configuration may have been in force
 // elsewhere for so long that it would be wrong to say that a request has no route.
 // (DESIGN 7.2)
 func (s *Sidecar) configurationUnconfirmed() bool {
@@ -35,7 +35,7 @@
 	return s.agent.lease.Age(now) > configurationTrustedFor && !s.peerLeaseValid(now)
 }
 
-// configurationOutdated tells whether this sidecar must not choose routes by what it has:
+// configurationOutdated reports whether this sidecar must not choose routes by what it has:
 // a live control plane replica reports that a newer revision is committed, and none has
 // confirmed this sidecar's for so long that the newer one is to be in force by now. A
 // sidecar that no replica reaches goes on; admission is bound by the lease of the sidecar
--- a/internal/dataplane/metrics.go
+++ b/internal/dataplane/metrics.go
@@ -98,8 +98,8 @@
 			return float64(len(s.membershipView().Nodes()))
 		})),
 		metrics.Gauge("keys_held", "Idempotency keys held for other sidecars, by state.", []string{"state"}, func(emit metrics.EmitFunc) {
-			held, completed := s.replicaServer.Count()
-			emit(float64(held-completed), "open")
+			stored, completed := s.replicaServer.Count()
+			emit(float64(stored-completed), "open")
 			emit(float64(completed), "answered")
 		}),
 		metrics.Counter("backend_departures_total", "Announcements and words of leaving of own backends, by what they came to.", []string{"word"}, func(emit metrics.EmitFunc) {
--- a/internal/dataplane/report_limiter.go
+++ b/internal/dataplane/report_limiter.go
@@ -7,7 +7,8 @@
 // most of what is sent. (ours)
 const reportInterval = 250 * time.Millisecond
 
-// reportLimiter decides when the control plane is told that a new configuration is in force.
+// reportLimiter decides when to report to the control plane that a new configuration is in
+// force.
 // One goroutine owns it. (DESIGN 8.3)
 type reportLimiter struct {
 	lastReport time.Time
--- a/internal/dataplane/shutdown.go
+++ b/internal/dataplane/shutdown.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// refusesClients tells whether clients' requests are refused. The calls of an own backend
-// belong to requests that were accepted: where they can't be told from clients', all that
+// refusesClients reports whether clients' requests are refused. The calls of an own backend
+// belong to requests that were accepted: where they can't be distinguished from clients', all that
 // surely end before the shutdown does are taken while the backend runs one. (DESIGN 11.3)
 func (s *Sidecar) refusesClients() bool {
 	return s.closed.Load() && (s.settings.Caller == "" || s.inbound.Counters.InFlight.Load() == 0)
@@ -103,9 +103,9 @@
 	ctx, cancel := context.WithTimeout(ctx, closeIdleTimeout)
 	defer cancel()
 	shutdownResponse := proxy.ShutdownResponse(s.outbound.Dialect)
-	farewell := process.ClosingResponse(shutdownResponse.Header, shutdownResponse.Body)
-	s.requestServer.CloseIdle(ctx, farewell)
-	s.egress.closeIdle(ctx, farewell)
+	closing := process.ClosingResponse(shutdownResponse.Header, shutdownResponse.Body)
+	s.requestServer.CloseIdle(ctx, closing)
+	s.egress.closeIdle(ctx, closing)
 }
 
 // closeServers closes the HTTP addresses; open requests may finish until ctx ends.
--- a/internal/dataplane/sidecar.go
+++ b/internal/dataplane/sidecar.go
@@ -103,7 +103,7 @@
 // collector starts to work harder. (ours)
 const memoryLimitPercent = 85
 
-// limitMemory tells the runtime of the memory given to the process, in MiB; zero is no limit.
+// limitMemory sets the memory given to the process, in MiB; zero is no limit.
 func limitMemory(mebibytes int64) {
 	if mebibytes > 0 {
 		debug.SetMemoryLimit(mebibytes << 20 * memoryLimitPercent / 100)
--- a/internal/dataplane/stats.go
+++ b/internal/dataplane/stats.go
@@ -58,12 +58,12 @@
 	// Closed tells that requests of clients are refused.
 	Closed bool `json:"closed"`
 	// KeysHeld counts the reservations of keys that this node stores for others,
-	// KeysCompleted those of them with a response. KeysRecovered tells whether it has got
+	// KeysCompleted those of them with a response. KeysRecovered reports whether it has got
 	// back its own of earlier incarnations.
 	KeysHeld      int64 `json:"claims_held"`
 	KeysCompleted int64 `json:"claims_settled"`
 	KeysRecovered bool  `json:"claims_handed_over"`
-	// BodyBytes are the bytes of requests' bodies held now, outbound and inbound.
+	// BodyBytes are the bytes of requests' bodies in memory now, outbound and inbound.
 	BodyBytes [2]int64 `json:"bodies_held"`
 	// ExtraAttempts is how many extra attempts to each service this node may make now.
 	ExtraAttempts map[string]float64 `json:"extra_legs"`
@@ -72,7 +72,7 @@
 // stats reads all that GET /v1/stats shows.
 func (s *Sidecar) stats() sidecarStats {
 	watched := *s.agent.watchStatus.Load()
-	held, completed := s.replicaServer.Count()
+	stored, completed := s.replicaServer.Count()
 	return sidecarStats{
 		Node:          s.settings.Advertise,
 		Incarnation:   s.process.Incarnation,
@@ -88,7 +88,7 @@
 		Trace:         s.traceQueue.Stats(),
 		Draining:      s.draining.Load(),
 		Closed:        s.closed.Load(),
-		KeysHeld:      held,
+		KeysHeld:      stored,
 		KeysCompleted: completed,
 		KeysRecovered: s.outbound.KeyReplication.Recovered(),
 		BodyBytes:     [2]int64{s.outbound.Bodies.Reserved(), s.inbound.Bodies.Reserved()},
--- a/internal/dataplane/trace_publisher.go
+++ b/internal/dataplane/trace_publisher.go
@@ -51,7 +51,7 @@
 	return ranked[0].Addr, true
 }
 
-// publishTraces sends a batch of events to a collector, and tells whether it took them.
+// publishTraces sends a batch of events to a collector, and reports whether it took them.
 func (s *Sidecar) publishTraces(ctx context.Context, collector string, batch []trace.Event) bool {
 	ctx, cancel := context.WithTimeout(ctx, tracePublishTimeout)
 	defer cancel()
--- a/internal/dataplane/wiring.go
+++ b/internal/dataplane/wiring.go
@@ -200,7 +200,7 @@
 	return membership.Probe{Incarnation: s.process.Incarnation, Refutation: s.agent.refutation.Load()}, ""
 }
 
-// localHeartbeat is what this sidecar tells of itself.
+// localHeartbeat is what this sidecar reports of itself.
 func (s *Sidecar) localHeartbeat() membership.Heartbeat {
 	node := s.agent.node()
 	return membership.Heartbeat{Node: &node}
--- a/internal/rendezvous/score_test.go
+++ b/internal/rendezvous/score_test.go
@@ -33,15 +33,15 @@
 	for i := range nodes {
 		all = append(all, fmt.Sprintf("10.0.0.%d:7400", i))
 	}
-	lost := all[2]
-	rest := slices.DeleteFunc(slices.Clone(all), func(n string) bool { return n == lost })
+	removed := all[2]
+	rest := slices.DeleteFunc(slices.Clone(all), func(n string) bool { return n == removed })
 	first := map[string]int{}
 	for i := range keys {
 		key := fmt.Sprint("key-", i)
 		before := Rank(key, all, name)
 		after := Rank(key, rest, name)
 		first[before[0]]++
-		if !slices.Equal(after, slices.DeleteFunc(before, func(n string) bool { return n == lost })) {
+		if !slices.Equal(after, slices.DeleteFunc(before, func(n string) bool { return n == removed })) {
 			t.Fatalf("%s: the others' order changed", key)
 		}
 	}
--- a/internal/transport/doc.go
+++ b/internal/transport/doc.go
@@ -11,7 +11,7 @@
 //	checksum  4 bytes, big endian: CRC-32C of the payload
 //	payload   a trace prefix if the call is traced, and a message in msgpack
 //
-// The outcome of a call is a Response, never a Go error: its Delivery tells whether the call
+// The outcome of a call is a Response, never a Go error: its Delivery reports whether the call
 // was answered, certainly not delivered, or neither is known. Callers decide by it whether a
 // request may be sent to another node.
 package transport
--- a/internal/transport/frame.go
+++ b/internal/transport/frame.go
@@ -39,7 +39,7 @@
 	return frame
 }
 
-// readFrame reads a frame and returns its payload, whole, of at most maxLen bytes.
+// readFrame reads a complete frame and returns its payload, of at most maxLen bytes.
 func readFrame(r io.Reader, maxLen uint32) ([]byte, error) {
 	var header [headerLen]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
--- a/internal/transport/idle_detector.go
+++ b/internal/transport/idle_detector.go
@@ -27,7 +27,7 @@
 	*d = idleDetector{lastCheck: now, bytesRead: bytesRead}
 }
 
-// check takes the bytes read so far, and tells whether the peer has timed out.
+// check takes the bytes read so far, and reports whether the peer has timed out.
 func (d *idleDetector) check(now time.Time, bytesRead uint64) (timedOut bool) {
 	elapsed := now.Sub(d.lastCheck)
 	d.lastCheck = now
@@ -39,7 +39,7 @@
 	return d.idle >= idleTimeout
 }
 
-// suspected tells whether the peer left a ping unanswered until the next was due.
+// suspected reports whether the peer left a ping unanswered until the next was due.
 func (d *idleDetector) suspected() bool { return d.idle >= 2*pingInterval }
 
 // countingConn counts the bytes read from a connection, whole frames or not.
--- a/internal/transport/pending_calls.go
+++ b/internal/transport/pending_calls.go
@@ -166,7 +166,7 @@
 }
 
 // checkPeer pings the peer while calls are pending, and ends the connection if it has timed
-// out. While a frame is being written, the write's own timeout tells whether the peer is
+// out. While a frame is being written, the write's own timeout reports whether the peer is
 // there.
 func (p *pendingCalls) checkPeer() bool {
 	p.forgetAbandoned()
--- a/internal/transport/response.go
+++ b/internal/transport/response.go
@@ -18,7 +18,7 @@
 	ConnectionRefused bool
 	// Span is the peer's, if Traced is set.
 	Span trace.Span
-	// Traced tells whether the peer answered with a span.
+	// Traced reports whether the peer answered with a span.
 	Traced bool
 	body   msgpack.RawMessage
 }
@@ -32,7 +32,7 @@
 // is part of the protocol.
 const unknownKindPrefix = "unknown kind "
 
-// UnknownKind tells whether the peer is of a version without that kind of call.
+// UnknownKind reports whether the peer is of a version without that kind of call.
 func (r Response) UnknownKind() bool { return strings.HasPrefix(r.Fault, unknownKindPrefix) }
 
 // Decode reads the body of an answer into v; false if there is none that fits.
--- a/tests/mutation/catalogue.go
+++ b/tests/mutation/catalogue.go
@@ -125,7 +125,7 @@
 	{slowStartExceeded, "internal/dataplane/endpoints/endpoint.go", "bearable := float64(e.Capacity) * e.ShareAt(now) * zoneShare", "bearable := float64(e.Capacity) * zoneShare", "./tests/e2e", "TestSlowStartLimit", nil},
 	{slowStartExceeded, "internal/dataplane/routing/table.go", "longest = max(longest, min(maxEarlierRun, c.Deadline.Duration))", "longest = max(longest, min(0, c.Deadline.Duration))", "./tests/simulation", "TestSlowStartThroughKills", nil},
 	{droppedInRestart, "internal/dataplane/shutdown.go", "s.awaitIdle(ctx, abandonAt)", "", "./tests/e2e", "TestDrain", nil},
-	{droppedInRestart, "internal/dataplane/shutdown.go", "s.requestServer.CloseIdle(ctx, farewell)", "_ = farewell", "./tests/e2e", "TestConnectionCloseAnnounced", nil},
+	{droppedInRestart, "internal/dataplane/shutdown.go", "s.requestServer.CloseIdle(ctx, closing)", "_ = closing", "./tests/e2e", "TestConnectionCloseAnnounced", nil},
 	{droppedInRestart, "internal/dataplane/shutdown.go", "s.abandonRequests(proxy.ErrStopping)", "", "./tests/e2e", "TestStopAnswersOpenRequests", nil},
 	{droppedInRestart, "internal/dataplane/proxy/sendcancel.go", "case errors.Is(context.Cause(ctx), ErrStopping):", "case false && errors.Is(context.Cause(ctx), ErrStopping):", "./tests/e2e", "TestStopAnswersOpenRequests", nil},
 	{droppedInRestart, "internal/dataplane/proxy/outbound.go", "caller == \"\" && o.outlivesNode(req.deadline)", "false", "./tests/e2e", "TestStopRefusesLongRequests", nil},
