--- a/tests/e2e/await_test.go
+++ b/tests/e2e/await_test.go
@@ -6,21 +6,29 @@
 	"fmt"
 	"net/http"
 	"sync/atomic"
+	"testing"
+	"time"
 
 	"curlewwalk/tests/fleet"
 )
 
-// awaitRuns waits until a count has come to at least n.
+// awaitRuns waits until a count is at least n.
 func awaitRuns(ctx context.Context, count func() int64, n int64) error {
-	return fleet.Await(ctx, "runs", func(context.Context) bool { return count() >= n })
+	return fleet.Await(ctx, "more runs", func(context.Context) bool { return count() >= n })
 }
 
-// awaitCondition waits until a page shows what is wanted.
+// awaitCondition waits until ok returns true.
 func awaitCondition(ctx context.Context, ok func(ctx context.Context) bool) error {
-	return fleet.Await(ctx, "a page to show it", ok)
+	return fleet.Await(ctx, "the condition of the test", ok)
 }
 
-// awaitUnready waits until a sidecar of a rig says that it is not ready.
+// awaitElapsed waits until d has passed since a moment.
+func awaitElapsed(ctx context.Context, t *testing.T, since time.Time, d time.Duration) {
+	t.Helper()
+	must(t, fleet.Await(ctx, fmt.Sprintf("%v to pass", d), func(context.Context) bool { return time.Since(since) > d }))
+}
+
+// awaitUnready waits until a sidecar reports that it is not ready.
 func awaitUnready(r *rig, machine int) error {
 	return awaitCondition(r.ctx, func(ctx context.Context) bool {
 		status, err := r.Sidecars[machine].Get(ctx, "/ready", nil)
@@ -28,11 +36,10 @@
 	})
 }
 
-// awaitServed waits until every kind of request that clients send succeeds from a
-// machine.
+// awaitServed waits until every kind of request that clients send succeeds from a machine.
 func awaitServed(ctx context.Context, f *fleet.Fleet, machine int) error {
 	client := f.NewClient(machine, 1)
-	client.Name = fmt.Sprintf("serves-%d-%d", machine, servedCalls.Add(1))
+	client.Name = fmt.Sprintf("served-%d-%d", machine, servedCalls.Add(1))
 	for _, p := range f.Size.Plans {
 		err := fleet.Await(ctx, p.Name+" from machine "+fmt.Sprint(machine), func(ctx context.Context) bool {
 			return p.Share == 0 || client.SendOne(ctx, p).Status == http.StatusOK
@@ -44,8 +51,8 @@
 	return nil
 }
 
-// servedCalls tells the callers of serves from each other.
+// servedCalls gives the clients of awaitServed different names.
 var servedCalls atomic.Int64
 
-// decode reads a JSON answer.
+// decode parses a JSON document.
 func decode(b []byte, into any) bool { return json.Unmarshal(b, into) == nil }
--- a/tests/e2e/body_test.go
+++ b/tests/e2e/body_test.go
@@ -12,7 +12,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Chunks and trailers pass both ways, whole and in their own form.
+// Chunked bodies and trailers pass both ways unaltered.
 func TestTrailers(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
@@ -48,8 +48,8 @@
 	}
 }
 
-// Bodies near the bound pass both ways; larger ones are told so before they are
-// read; many at once are held only as far as the node's memory for them goes.
+// Bodies near the bound pass both ways; larger ones are rejected before they are read; and no more
+// are accepted at a time than the memory for bodies allows.
 func TestLargeBodies(t *testing.T) {
 	t.Parallel()
 	size := smallFleet()
@@ -82,7 +82,7 @@
 		}
 		defer resp.Body.Close()
 		back, _ := io.ReadAll(resp.Body)
-		return resp.StatusCode, resp.Header.Get("Curlewwalk-Outcome") + resp.Header.Get("Retry-After"), bytes.Equal(back, body)
+		return resp.StatusCode, resp.Header.Get(outcomeHeader) + resp.Header.Get("Retry-After"), bytes.Equal(back, body)
 	}
 	if status, outcome, _ := send(most + 1); status != 413 || outcome != "not-run" {
 		t.Errorf("over the bound: %d %s", status, outcome)
--- a/tests/e2e/budget_test.go
+++ b/tests/e2e/budget_test.go
@@ -8,7 +8,7 @@
 	"curlewwalk/tests/fleet"
 )
 
-// budgets is what is read of GET /v1/budgets.
+// budgets is the part of GET /v1/budgets that is read.
 type budgets struct {
 	Whole   bool
 	Budgets []struct {
@@ -18,8 +18,8 @@
 	}
 }
 
-// Each core and each sidecar shows one budget for a contract, summed over all
-// nodes: what is late or refused anywhere is taken from it everywhere.
+// Each replica and each sidecar shows one budget for a contract, summed over all nodes: what is late
+// or refused anywhere is taken from it everywhere.
 func TestBudgetsAreSummed(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
--- a/tests/e2e/cancellation_test.go
+++ b/tests/e2e/cancellation_test.go
@@ -12,8 +12,8 @@
 	"curlewwalk/tests/fleet"
 )
 
-// A client that leaves ends the whole tree of calls that works for it: each backend's
-// connection is closed, which ends its own calls, and so on down.
+// When a client abandons a request the whole tree of calls for it ends: the connection to each
+// backend is closed, which ends that backend's own calls, and so on down.
 func TestClientCancellationPropagates(t *testing.T) {
 	t.Parallel()
 	deep := fakes.RequestPlan{Name: "deep", Method: "GET", Prefix: "/deep/", Service: "store", LatencyTarget: time.Second, Deadline: 10 * time.Second, Priority: 1, Idempotent: true}
@@ -54,7 +54,7 @@
 	for range 2 {
 		name := receive(r, ended)
 		if after := time.Since(leftAt); after > 3*time.Second {
-			t.Errorf("%s ended %v after the client had left", name, after)
+			t.Errorf("%s ended %v after the request was abandoned", name, after)
 		}
 	}
 }
--- a/tests/e2e/configuration_test.go
+++ b/tests/e2e/configuration_test.go
@@ -18,18 +18,18 @@
 	"curlewwalk/tests/fleet"
 )
 
-// controlPlaneOnly is a fleet without machines.
+// controlPlaneOnly is a fleet of replicas with a single machine without backends.
 func controlPlaneOnly(n int) fleet.Size {
-	return fleet.Size{Name: "cores", Replicas: n, Machines: 1, Zones: []string{"north", "east", "south"}, Plans: fleet.Association().Plans}
+	return fleet.Size{Name: "control-plane", Replicas: n, Machines: 1, Zones: []string{"north", "east", "south"}, Plans: fleet.Association().Plans}
 }
 
-// configuration is a valid one, told from others by its service's name.
+// configuration is a valid configuration, told from others by the name of its service.
 func configuration(n int) []byte {
 	return fmt.Appendf(nil, "{ \"ways\": [{\"name\":\"w\",\"prefix\":\"/\",\"service\":\"s%d\",\"contract\":\"c\"}],\n \"contracts\": [{\"name\":\"c\",\"aim\":\"1s\",\"expiry\":\"2s\",\"rank\":1}]} \n", n)
 }
 
-// Acknowledged words outlive kills of any minority and of the whole herd, with
-// 3 and with 5 cores; without a majority a write is refused and says so.
+// An acknowledged configuration survives kills of any minority and of all replicas, with 3 and with 5
+// replicas; without a majority a write is refused and says so.
 func TestConfigurationSurvivesKills(t *testing.T) {
 	for _, n := range []int{3, 5} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
@@ -37,16 +37,16 @@
 			f, ctx := startFleet(t, controlPlaneOnly(n))
 			revision, err := f.PutConfiguration(ctx, 1, configuration(1))
 			must(t, err)
-			// The core on duty is killed; another takes the duty.
+			// The coordinator is killed; another replica becomes it.
 			f.Replicas[0].Kill()
 			last := f.Replicas[n-1]
-			must(t, fleet.Await(ctx, "a write without the first core", func(ctx context.Context) bool {
-				r, err := f.Operate(ctx, last, "PUT", "/v1/desired", configuration(2))
+			must(t, fleet.Await(ctx, "a write without the first replica", func(ctx context.Context) bool {
+				r, err := f.Operate(ctx, last, "PUT", configurationPath, configuration(2))
 				if err != nil || r.Status != 200 {
 					return false
 				}
 				if r.Revision <= revision {
-					t.Errorf("stamp %d after %d", r.Revision, revision)
+					t.Errorf("revision %d after %d", r.Revision, revision)
 				}
 				revision = r.Revision
 				return true
@@ -54,15 +54,15 @@
 			for _, p := range f.Replicas[1 : n/2+1] {
 				p.Kill()
 			}
-			r, err := f.Operate(ctx, last, "PUT", "/v1/desired", configuration(3))
+			r, err := f.Operate(ctx, last, "PUT", configurationPath, configuration(3))
 			must(t, err)
 			if r.Status != 503 || r.Outcome != "not-taken" && r.Outcome != "unknown" {
 				t.Errorf("a write without a majority: %d %s", r.Status, r.Body)
 			}
-			if r, err = f.Operate(ctx, last, "GET", "/v1/desired", nil); err != nil || r.Status != 503 {
+			if r, err = f.Operate(ctx, last, "GET", configurationPath, nil); err != nil || r.Status != 503 {
 				t.Errorf("a read without a majority: %d %s %v", r.Status, r.Body, err)
 			}
-			// The whole herd dies and comes back.
+			// All replicas die and come back.
 			for _, p := range f.Replicas {
 				if p.Running() {
 					p.Kill()
@@ -75,12 +75,12 @@
 				must(t, p.AwaitReady(ctx))
 			}
 			for _, p := range f.Replicas {
-				must(t, fleet.Await(ctx, "the word to be read back", func(ctx context.Context) bool {
-					r, err = f.Operate(ctx, p, "GET", "/v1/desired", nil)
+				must(t, fleet.Await(ctx, "the configuration to be read back", func(ctx context.Context) bool {
+					r, err = f.Operate(ctx, p, "GET", configurationPath, nil)
 					return err == nil && r.Status == 200
 				}))
 				if r.Revision < revision || !bytes.Equal(r.Body, configuration(2)) && !bytes.Equal(r.Body, configuration(3)) {
-					t.Errorf("%s reads back stamp %d, %q", p.Name, r.Revision, r.Body)
+					t.Errorf("%s reads back revision %d, %q", p.Name, r.Revision, r.Body)
 				}
 			}
 			must(t, f.AwaitServing(ctx, revision, 0))
@@ -88,8 +88,8 @@
 	}
 }
 
-// A core machine swapped for an empty one at a new address takes the slot in a
-// new incarnation and is as good as the old: with it, another core may be lost.
+// A replica that is replaced by one with an empty disk at a new address gets the member ID in a new
+// incarnation, and is as good as the old one: with it, another replica may be lost.
 func TestReplacedReplica(t *testing.T) {
 	f, ctx := startFleet(t, controlPlaneOnly(3))
 	revision, err := f.PutConfiguration(ctx, 0, configuration(1))
@@ -101,51 +101,49 @@
 	must(t, f.Replicas[2].AwaitReady(ctx))
 	f.Replicas[0].Kill()
 	var r fleet.Reply
-	must(t, fleet.Await(ctx, "a read with the new core", func(ctx context.Context) bool {
-		r, err = f.Operate(ctx, f.Replicas[2], "GET", "/v1/desired", nil)
+	must(t, fleet.Await(ctx, "a read with the new replica", func(ctx context.Context) bool {
+		r, err = f.Operate(ctx, f.Replicas[2], "GET", configurationPath, nil)
 		return err == nil && r.Status == 200
 	}))
 	if r.Revision != revision || !bytes.Equal(r.Body, configuration(1)) {
-		t.Errorf("read back stamp %d %q", r.Revision, r.Body)
+		t.Errorf("read back revision %d %q", r.Revision, r.Body)
 	}
-	must(t, fleet.Await(ctx, "a write with the new core", func(ctx context.Context) bool {
-		r, err = f.Operate(ctx, f.Replicas[1], "PUT", "/v1/desired", configuration(2))
+	must(t, fleet.Await(ctx, "a write with the new replica", func(ctx context.Context) bool {
+		r, err = f.Operate(ctx, f.Replicas[1], "PUT", configurationPath, configuration(2))
 		return err == nil && r.Status == 200
 	}))
-	// The old core comes back with its old disk: it has no say any more.
+	// The old replica comes back with its old disk, and counts for nothing.
 	must(t, old.Start())
 	defer old.Kill()
 	f.Replicas[1].Kill()
-	r, err = f.Operate(ctx, old, "PUT", "/v1/desired", configuration(3))
+	r, err = f.Operate(ctx, old, "PUT", configurationPath, configuration(3))
 	must(t, err)
 	if r.Status != 503 {
-		t.Errorf("two holders of one slot made a majority: %d %s", r.Status, r.Body)
+		t.Errorf("two replicas with one member ID made a majority: %d %s", r.Status, r.Body)
 	}
 	must(t, f.AwaitServing(ctx, 3, 0))
 }
 
-// A file that does not match its checksum is set aside; the core takes its
-// seat anew and has the word again. A half-written aside file is nothing.
+// A file that does not match its checksum is moved aside; the replica joins again and gets the state
+// from the others. A half-written temporary file is ignored.
 func TestTornFiles(t *testing.T) {
 	f, ctx := startFleet(t, controlPlaneOnly(3))
 	revision, err := f.PutConfiguration(ctx, 0, configuration(1))
 	must(t, err)
-	var st struct {
-		Self struct{ Incarnation uint64 }
-		Mark struct{ Stamp uint64 }
-	}
+	var st replicaState
 	for _, kind := range []string{"word.", "oath."} {
 		// Others may have been the majority that acknowledged it.
-		must(t, fleet.Await(ctx, "the word on its disk", func(ctx context.Context) bool {
-			_, err := f.Replicas[1].Get(ctx, "/v1/state", &st)
-			return err == nil && st.Mark.Stamp == revision
+		must(t, fleet.Await(ctx, "the state on its disk", func(ctx context.Context) bool {
+			var err error
+			st, err = readState(ctx, f.Replicas[1])
+			return err == nil && st.Position.Revision == revision
 		}))
 		incarnation := st.Self.Incarnation
 		f.Replicas[1].Kill()
 		dir := filepath.Join(f.Dir, "replica-2")
 		names, err := filepath.Glob(filepath.Join(dir, kind+"*"))
 		must(t, err)
-		// A file that was being written aside is nothing, and tearing it no harm.
+		// A temporary file is ignored, so tearing it would do no harm.
 		names = slices.DeleteFunc(names, func(n string) bool { return strings.HasSuffix(n, ".aside") })
 		newest := names[len(names)-1]
 		b, err := os.ReadFile(newest)
@@ -157,17 +155,17 @@
 		aside, err := filepath.Glob(filepath.Join(dir, "torn-"+kind+"*"))
 		must(t, err)
 		if len(aside) == 0 {
-			t.Errorf("no %s file was set aside", kind)
+			t.Errorf("no %s file was moved aside", kind)
 		}
-		must(t, fleet.Await(ctx, "the word to be mended", func(ctx context.Context) bool {
-			_, err := f.Replicas[1].Get(ctx, "/v1/state", &st)
-			return err == nil && st.Mark.Stamp == revision && st.Self.Incarnation > incarnation
+		must(t, fleet.Await(ctx, "the state to be repaired", func(ctx context.Context) bool {
+			st, err := readState(ctx, f.Replicas[1])
+			return err == nil && st.Position.Revision == revision && st.Self.Incarnation > incarnation
 		}))
 	}
 }
 
-// Operators race at all cores, some on condition: every acknowledged write has
-// a stamp of its own, and what is read back is the newest of them.
+// Operators race at all replicas, some conditionally: every acknowledged write has a revision of its
+// own, and what is read back is the newest of them.
 func TestRacingOperators(t *testing.T) {
 	f, ctx := startFleet(t, controlPlaneOnly(3))
 	const writers, each = 6, 8
@@ -178,14 +176,14 @@
 		wg.Go(func() {
 			for i := range each {
 				n := w*each + i
-				r, err := f.Operate(ctx, f.Replicas[w%3], "PUT", "/v1/desired", configuration(n))
+				r, err := f.Operate(ctx, f.Replicas[w%3], "PUT", configurationPath, configuration(n))
 				if err != nil || r.Status != 200 {
 					t.Errorf("write %d: %d %s %v", n, r.Status, r.Body, err)
 					return
 				}
 				mu.Lock()
 				if o, twice := acknowledged[r.Revision]; twice {
-					t.Errorf("stamp %d for both %d and %d", r.Revision, o, n)
+					t.Errorf("revision %d for both %d and %d", r.Revision, o, n)
 				}
 				acknowledged[r.Revision] = n
 				mu.Unlock()
@@ -198,17 +196,17 @@
 		newest = max(newest, s)
 	}
 	for _, p := range f.Replicas {
-		r, err := f.Operate(ctx, p, "GET", "/v1/desired", nil)
+		r, err := f.Operate(ctx, p, "GET", configurationPath, nil)
 		must(t, err)
 		if r.Revision != newest || !bytes.Equal(r.Body, configuration(acknowledged[newest])) {
-			t.Errorf("%s reads back stamp %d, the newest is %d", p.Name, r.Revision, newest)
+			t.Errorf("%s reads back revision %d, the newest is %d", p.Name, r.Revision, newest)
 		}
 	}
-	// Of writers that all name the same stamp, one wins.
+	// Of writers that all expect the same revision, one wins.
 	wins := make(chan uint64, writers)
 	for w := range writers {
 		wg.Go(func() {
-			r, err := f.Operate(ctx, f.Replicas[w%3], "PUT", "/v1/desired", configuration(100+w), "If-Match", fmt.Sprintf(`"%d"`, newest))
+			r, err := f.Operate(ctx, f.Replicas[w%3], "PUT", configurationPath, configuration(100+w), "If-Match", fmt.Sprintf(`"%d"`, newest))
 			switch {
 			case err == nil && r.Status == 200:
 				wins <- r.Revision
@@ -223,8 +221,8 @@
 	}
 }
 
-// A configuration that does not check changes nothing and is told all its
-// faults; what is no JSON is a bad request.
+// An invalid configuration changes nothing, and the answer lists all its faults; what is no JSON is a
+// bad request.
 func TestInvalidConfigurations(t *testing.T) {
 	f, ctx := startFleet(t, controlPlaneOnly(1))
 	_, err := f.PutConfiguration(ctx, 0, configuration(1))
@@ -245,7 +243,7 @@
 		`{"ways":[{"name":1,"prefix":"/","service":"s","contract":2}]}`:                      {"$.ways[0].name", "$.ways[0].contract"},
 		`{"ways":[], "contracts":[{"name":"` + strings.Repeat("x", config.MaxBytes) + `"}]}`: {"$"},
 	} {
-		r, err := f.Operate(ctx, f.Replicas[0], "PUT", "/v1/desired", []byte(body))
+		r, err := f.Operate(ctx, f.Replicas[0], "PUT", configurationPath, []byte(body))
 		must(t, err)
 		short := body[:min(len(body), 60)]
 		if want == nil {
@@ -271,15 +269,15 @@
 			}
 		}
 	}
-	r, err := f.Operate(ctx, f.Replicas[0], "GET", "/v1/desired", nil)
+	r, err := f.Operate(ctx, f.Replicas[0], "GET", configurationPath, nil)
 	must(t, err)
 	if r.Revision != 2 || !bytes.Equal(r.Body, configuration(1)) {
-		t.Errorf("afterwards stamp %d %q", r.Revision, r.Body)
+		t.Errorf("afterwards revision %d %q", r.Revision, r.Body)
 	}
 }
 
-// In a storm of configurations every sidecar has each newest one in force
-// within 2 s, and none goes back.
+// In a storm of configurations every sidecar has the newest one in force within 2 s, and none goes
+// back.
 func TestConfigurationStorm(t *testing.T) {
 	f, ctx := startFleet(t, smallFleet())
 	watchContext, stop := context.WithCancel(ctx)
--- a/tests/e2e/coordinator_test.go
+++ b/tests/e2e/coordinator_test.go
@@ -12,20 +12,21 @@
 	"curlewwalk/tests/fleet"
 )
 
-// configurationWriter has numbered configurations put to some cores in turn, one every interval,
-// each again until it is acknowledged, until the test says stop.
+// configurationWriter has numbered configurations put to some replicas in turn, one at each
+// interval, each again until it is acknowledged.
 type configurationWriter struct {
 	f        *fleet.Fleet
 	replicas []*fleet.Program
 	interval time.Duration
-	// revision is the highest stamp that was acknowledged, count how many were.
+	// revision is the highest that was acknowledged, count how many were.
 	revision, count atomic.Uint64
-	mu              sync.Mutex
-	slowest         time.Duration // that one took until it was acknowledged
-	refused         []string      // answers for good
+
+	mu      sync.Mutex
+	slowest time.Duration // until an acknowledgement
+	refused []string      // final refusals
 }
 
-// start begins; stop waits for the end.
+// start begins writing; stop ends it and waits for the end.
 func (w *configurationWriter) start(ctx context.Context) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	var wg sync.WaitGroup
@@ -47,13 +48,12 @@
 	}
 }
 
-// put puts one configuration; a second of silence from one core is a failure, and the
-// next is asked.
+// put puts one configuration. After a second without an answer the next replica is tried.
 func (w *configurationWriter) put(ctx context.Context, n int) {
 	begin := time.Now()
-	for try := n; ctx.Err() == nil; try++ {
+	for attempt := n; ctx.Err() == nil; attempt++ {
 		call, cancel := context.WithTimeout(ctx, time.Second)
-		r, err := w.f.Operate(call, w.replicas[try%len(w.replicas)], "PUT", "/v1/desired", w.f.Configuration(), "Curlewwalk-Edition", fmt.Sprint(n))
+		r, err := w.f.Operate(call, w.replicas[attempt%len(w.replicas)], "PUT", configurationPath, w.f.Configuration(), generationHeader, fmt.Sprint(n))
 		cancel()
 		if err == nil && r.Status/100 == 4 {
 			w.mu.Lock()
@@ -72,15 +72,15 @@
 	}
 }
 
-// report is what went on: the longest time that a change took, and what was refused.
+// report returns how long the slowest acknowledgement took, and what was refused.
 func (w *configurationWriter) report() (longest time.Duration, refused []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.slowest, w.refused
 }
 
-// watchLeases watches that no sidecar's right to admit lapses until the test says stop,
-// which tells the oldest that it came to.
+// watchLeases watches that no sidecar's lease lapses until stop is called, which returns the age of the
+// oldest lease and how often one had lapsed.
 func watchLeases(ctx context.Context, f *fleet.Fleet) (stop func() (oldest time.Duration, lapsed int)) {
 	ctx, cancel := context.WithCancel(ctx)
 	var wg sync.WaitGroup
@@ -92,14 +92,14 @@
 		for {
 			for _, p := range f.Sidecars {
 				var st struct {
-					Claimed bool   `json:"claimed"`
-					Age     string `json:"claim_age"`
+					Valid bool   `json:"claimed"`
+					Age   string `json:"claim_age"`
 				}
 				if _, err := p.Get(ctx, "/v1/stats", &st); err != nil {
 					continue
 				}
 				age, _ := time.ParseDuration(st.Age)
-				if oldest = max(oldest, age); !st.Claimed {
+				if oldest = max(oldest, age); !st.Valid {
 					lapsed++
 				}
 			}
@@ -117,10 +117,9 @@
 	}
 }
 
-// The disk of the core on duty stalls, takes nothing, or is slow, while the
-// configuration is changed again and again: the other two confirm the changes, no
-// sidecar's lease lapses, nothing is refused for want of one, and once the disk is well
-// its core has the newest word and the duty again.
+// The disk of the coordinator stalls, is full, or is slow, while the configuration is changed again and
+// again: the other replicas confirm the changes, no sidecar's lease lapses, nothing is refused for
+// that, and once the disk is healthy its replica has the newest state and is the coordinator again.
 func TestDiskFaultOnCoordinator(t *testing.T) {
 	for _, fault := range []string{fleet.DiskStall, fleet.DiskFull, fleet.DiskSlow} {
 		t.Run(fault, func(t *testing.T) {
@@ -134,7 +133,7 @@
 			stopLeases := watchLeases(ctx, f)
 			must(t, f.SetDiskFault(f.Replicas[0], fault))
 			began, before := time.Now(), w.count.Load()
-			must(t, fleet.Await(ctx, "8 s to pass", func(context.Context) bool { return time.Since(began) > 8*time.Second }))
+			awaitElapsed(ctx, t, began, 8*time.Second)
 			during := w.count.Load() - before
 			must(t, f.SetDiskFault(f.Replicas[0], fleet.DiskHealthy))
 			oldest, lapsed := stopLeases()
@@ -147,13 +146,9 @@
 			}
 			t.Logf("%d changes acknowledged, the oldest lease %v", during, oldest.Round(time.Millisecond))
 			must(t, f.AwaitServing(ctx, w.revision.Load(), len(f.Size.Backends)))
-			must(t, fleet.Await(ctx, "the duty to be back with the newest word", func(ctx context.Context) bool {
-				var st struct {
-					Duty int
-					Mark struct{ Stamp uint64 }
-				}
-				_, err := f.Replicas[0].Get(ctx, "/v1/state", &st)
-				return err == nil && st.Duty == 1 && st.Mark.Stamp >= w.revision.Load()
+			must(t, fleet.Await(ctx, "the replica to be the coordinator again, with the newest state", func(ctx context.Context) bool {
+				st, err := readState(ctx, f.Replicas[0])
+				return err == nil && st.Coordinator == 1 && st.Position.Revision >= w.revision.Load()
 			}))
 			stopLoad()
 			checkLedger(t, f)
--- a/tests/e2e/day_test.go
+++ b/tests/e2e/day_test.go
@@ -7,8 +7,8 @@
 	"curlewwalk/tests/fleet"
 )
 
-// A short day of a small fleet: some of the brief's failures in seeded order
-// under load, a last one, and the reading back. Whole days are tests/cmd/day.
+// A short day of a small fleet: some failures in seeded order under load, a last one, and reading back.
+// Whole days are run by tests/cmd/day.
 func TestShortDay(t *testing.T) {
 	t.Parallel()
 	f, err := fleet.New(smallFleet(), binaries)
@@ -18,7 +18,7 @@
 	v, err := d.Run(t.Context(), 3)
 	must(t, err)
 	for _, b := range v.Breaches {
-		t.Error("must never happen: ", b)
+		t.Error("broken rule: ", b)
 	}
 	if v.Good == 0 {
 		t.Error("nothing was answered")
--- a/tests/e2e/duplicate_generation_test.go
+++ b/tests/e2e/duplicate_generation_test.go
@@ -9,17 +9,16 @@
 	"curlewwalk/tests/fleet"
 )
 
-// Two operators race with one configuration each under the same number, each at a core of
-// its own, while the cores are killed and started one after the other, the one on duty
-// first. One is acknowledged and the other learns that it is not; and so they are told at
-// every core, whenever they ask again.
+// Two operators race with one configuration each under the same generation, at replicas that are killed
+// and started in turn, the coordinator first. One is acknowledged, and the other learns that it is not;
+// and so they are answered at every replica whenever they ask again.
 func TestEqualNumbers(t *testing.T) {
 	f, ctx := startFleet(t, controlPlaneOnly(3))
-	// put has an order taken or refused, at this core or at the next ones.
+	// put has a configuration acknowledged or refused, at one replica or the next ones.
 	put := func(replica, number, operator int) (status int) {
-		err := fleet.Await(ctx, "a clear answer", func(ctx context.Context) bool {
+		err := fleet.Await(ctx, "a final answer", func(ctx context.Context) bool {
 			replica++
-			r, err := f.Operate(ctx, f.Replicas[replica%3], "PUT", "/v1/desired", configuration(1000*number+operator), "Curlewwalk-Edition", fmt.Sprint(number))
+			r, err := f.Operate(ctx, f.Replicas[replica%3], "PUT", configurationPath, configuration(1000*number+operator), generationHeader, fmt.Sprint(number))
 			if err == nil && r.Status != 200 && r.Status != 409 && r.Status != 503 {
 				t.Errorf("%d of operator %d: %d %s", number, operator, r.Status, r.Body)
 			}
--- a/tests/e2e/failure_detection_test.go
+++ b/tests/e2e/failure_detection_test.go
@@ -8,7 +8,7 @@
 	"curlewwalk/tests/fleet"
 )
 
-// knowsNode reports whether a sidecar has a node in its view.
+// knowsNode reports whether a sidecar has a node in its view; ok is false if it does not answer.
 func knowsNode(ctx context.Context, p *fleet.Program, addr string) (known, ok bool) {
 	var nodes []struct {
 		Address string `json:"address"`
@@ -20,8 +20,8 @@
 	return known, err == nil
 }
 
-// A dead sidecar is taken out of all views when its watchers agree, before it
-// has been silent for long.
+// A dead sidecar is removed from all views once the nodes that monitor it agree, before its heartbeats
+// are overdue.
 func TestDeadNodeIsRemoved(t *testing.T) {
 	f, ctx := startFleet(t, smallFleet())
 	addr := f.Sidecars[3].IP + ":7400"
@@ -33,11 +33,11 @@
 			return ok && !known
 		}))
 	}
-	t.Logf("taken out everywhere after %v", time.Since(dead).Round(time.Millisecond))
+	t.Logf("removed everywhere after %v", time.Since(dead).Round(time.Millisecond))
 }
 
-// A node that its watchers can't reach, but the cores can, refutes them: it
-// stays in every view, and is accused in a later incarnation each time.
+// A node that its monitors can't reach, but the replicas can, refutes the suspicion: it stays in every
+// view, and the next suspicion is of a later incarnation.
 func TestSuspectedNodeRefutes(t *testing.T) {
 	f, ctx := newFleet(t, smallFleet())
 	must(t, f.InterposeProxies())
@@ -50,7 +50,7 @@
 	f.Network.PartitionBetween([]string{f.Sidecars[3].IP}, others)
 	refuted := func(ctx context.Context) bool {
 		if known, ok := knowsNode(ctx, f.Sidecars[0], addr); ok && !known {
-			t.Error("it was taken out")
+			t.Error("it was removed")
 			return true
 		}
 		var st struct {
@@ -73,7 +73,7 @@
 	partitionedAt := time.Now()
 	must(t, fleet.Await(ctx, "3 s to pass", func(ctx context.Context) bool {
 		if known, ok := knowsNode(ctx, f.Sidecars[0], addr); ok && !known {
-			t.Error("it was taken out later")
+			t.Error("it was removed later")
 			return true
 		}
 		return time.Since(partitionedAt) > 3*time.Second
--- a/tests/e2e/frozen_test.go
+++ b/tests/e2e/frozen_test.go
@@ -13,12 +13,13 @@
 	"curlewwalk/tests/fleet"
 )
 
-// orderCounter counts how often each order ran, by its body.
+// orderCounter is a backend that counts how often each order ran, by its body.
 type orderCounter struct {
 	mu   sync.Mutex
 	runs map[string]int
 }
 
+// ServeHTTP runs an order.
 func (o *orderCounter) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	b, err := io.ReadAll(q.Body)
 	if err != nil {
@@ -30,15 +31,16 @@
 	io.WriteString(w, "done "+string(b))
 }
 
+// runsOf is how often an order ran.
 func (o *orderCounter) runsOf(id string) int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.runs[id]
 }
 
-// A far sidecar is frozen for shorter and longer than a connection bears, with attempts in its
-// buffers, and woken. What was promised not to run never runs, and nothing runs twice,
-// whatever it finds there: the attempt, its recall behind it, or the end of the connection.
+// The sidecar beside the backend is frozen for shorter and longer than a connection tolerates, with
+// attempts in its buffers, and woken. What was promised not to run never runs, and nothing runs twice,
+// whatever it finds there: the attempt, its cancellation, or the end of the connection.
 func TestInboundSidecarFrozen(t *testing.T) {
 	t.Parallel()
 	for _, frozen := range []time.Duration{700 * time.Millisecond, 2500 * time.Millisecond, 5 * time.Second} {
@@ -57,7 +59,7 @@
 				all.Go(func() {
 					a := r.send("POST", "/once/", id(i))
 					want := "done " + id(i)
-					switch outcome := a.Header.Get("Curlewwalk-Outcome"); {
+					switch outcome := a.Header.Get(outcomeHeader); {
 					case outcome == "" && string(a.body) != want:
 						t.Errorf("%s got %d %q", id(i), a.StatusCode, a.body)
 					case outcome == "unknown" && a.StatusCode == 503:
@@ -70,21 +72,21 @@
 			must(t, fleet.Await(r.ctx, "the freeze to pass", func(context.Context) bool { return time.Since(since) > frozen }))
 			r.Sidecars[1].Signal(syscall.SIGCONT)
 			all.Wait()
-			// Once it serves again, and nothing is open, what lay in its buffers is done.
+			// Once it serves again and nothing is open, what was in its buffers is done.
 			must(t, fleet.Await(r.ctx, "the woken sidecar to serve", func(context.Context) bool { return r.send("GET", "/look/", "").StatusCode == 200 }))
 			must(t, fleet.Await(r.ctx, "nothing to be open", func(c context.Context) bool {
 				var st struct {
-					Far struct {
+					Inbound struct {
 						Open int64 `json:"open"`
 					} `json:"far"`
 				}
 				_, err := r.Sidecars[1].Get(c, "/v1/stats", &st)
-				return err == nil && st.Far.Open == 0
+				return err == nil && st.Inbound.Open == 0
 			}))
 			close(answers)
 			counts := map[string]int{}
 			for a := range answers {
-				outcome, ran := a.Header.Get("Curlewwalk-Outcome"), orders.runsOf(string(a.body))
+				outcome, ran := a.Header.Get(outcomeHeader), orders.runsOf(string(a.body))
 				counts[fmt.Sprint(a.StatusCode, " ", outcome, " ran ", ran)]++
 				if ran > 1 || ran > 0 && outcome == "not-run" || ran != 1 && outcome == "" {
 					t.Errorf("%s: %d %q, ran %d times", a.body, a.StatusCode, outcome, ran)
@@ -95,8 +97,8 @@
 	}
 }
 
-// A near sidecar that is frozen for longer than a connection may be silent has not heard
-// what it was answered meanwhile: woken, it passes the answers on.
+// The sidecar beside the client is frozen for longer than a connection may be silent, while it is
+// answered. Once woken it passes the answers on.
 func TestOutboundSidecarFrozen(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
--- a/tests/e2e/generation_test.go
+++ b/tests/e2e/generation_test.go
@@ -12,7 +12,7 @@
 	"curlewwalk/tests/fleet"
 )
 
-// largeConfiguration is a configuration of n ways, told from others by a number.
+// largeConfiguration is a configuration of n routes, told from others by a number.
 func largeConfiguration(n, number int) []byte {
 	configuration := config.Configuration{Contracts: []config.Contract{{Name: "c", LatencyTarget: config.Duration{Duration: time.Second}, Deadline: config.Duration{Duration: 2 * time.Second}, Priority: 1}}}
 	for i := range n {
@@ -25,37 +25,37 @@
 	return configuration.Bytes()
 }
 
-// Generations come through any core; an old one changes nothing, whoever repeats it,
-// also after the herd of cores has died.
+// Generations may be put at any replica; an old one changes nothing, whoever repeats it, also after all
+// replicas were killed.
 func TestGenerations(t *testing.T) {
 	f, ctx := startFleet(t, controlPlaneOnly(3))
 	put := func(replica int, body []byte, header ...string) fleet.Reply {
 		t.Helper()
-		r, err := f.Operate(ctx, f.Replicas[replica], "PUT", "/v1/desired", body, header...)
+		r, err := f.Operate(ctx, f.Replicas[replica], "PUT", configurationPath, body, header...)
 		must(t, err)
 		return r
 	}
 	putNumbered := func(replica int, n uint64, body []byte) fleet.Reply {
 		t.Helper()
-		r := put(replica, body, "Curlewwalk-Edition", fmt.Sprint(n))
+		r := put(replica, body, generationHeader, fmt.Sprint(n))
 		if r.Status != 200 || r.Outcome != "taken" {
-			t.Errorf("edition %d: %d %s", n, r.Status, r.Body)
+			t.Errorf("generation %d: %d %s", n, r.Status, r.Body)
 		}
 		return r
 	}
 	expectRead := func(replica int, generation, revision uint64, body []byte) {
 		t.Helper()
-		r, err := f.Operate(ctx, f.Replicas[replica], "GET", "/v1/desired", nil)
+		r, err := f.Operate(ctx, f.Replicas[replica], "GET", configurationPath, nil)
 		must(t, err)
 		if r.Generation != generation || r.Revision != revision || !bytes.Equal(r.Body, body) {
-			t.Errorf("%d: stamp %d, edition %d, %.80s", r.Status, r.Revision, r.Generation, r.Body)
+			t.Errorf("%d: revision %d, generation %d, %.80s", r.Status, r.Revision, r.Generation, r.Body)
 		}
 	}
 	expectRead(1, 0, put(0, configuration(1)).Revision, configuration(1))
 	revisionOfSeven := putNumbered(2, 7, configuration(7)).Revision
 	expectRefused := func(replica int, n uint64, body []byte) {
 		t.Helper()
-		if r := put(replica, body, "Curlewwalk-Edition", fmt.Sprint(n)); r.Status != 409 || r.Outcome != "conflict" {
+		if r := put(replica, body, generationHeader, fmt.Sprint(n)); r.Status != 409 || r.Outcome != "conflict" {
 			t.Errorf("another configuration under %d: %d %s", n, r.Status, r.Body)
 		}
 	}
@@ -66,12 +66,12 @@
 	}
 	expectRead(2, 7, revisionOfSeven, configuration(7))
 	for _, bad := range []string{"0", "-1", "x", "18446744073709551616"} {
-		if r := put(0, configuration(9), "Curlewwalk-Edition", bad); r.Status != 400 {
-			t.Errorf("edition %s: %d %s", bad, r.Status, r.Body)
+		if r := put(0, configuration(9), generationHeader, bad); r.Status != 400 {
+			t.Errorf("generation %s: %d %s", bad, r.Status, r.Body)
 		}
 	}
-	if r := put(0, configuration(9), "Curlewwalk-Edition", "9", "If-Match", `"1"`); r.Status != 412 {
-		t.Errorf("bound to an old stamp: %d %s", r.Status, r.Body)
+	if r := put(0, configuration(9), generationHeader, "9", "If-Match", `"1"`); r.Status != 412 {
+		t.Errorf("conditional on an old revision: %d %s", r.Status, r.Body)
 	}
 	for _, p := range f.Replicas {
 		p.Kill()
@@ -90,11 +90,11 @@
 	expectRead(2, 8, putNumbered(0, 8, configuration(8)).Revision, configuration(8))
 	expectRefused(1, 7, configuration(8))
 	putNumbered(2, 7, configuration(7))
-	// The one on duty is gone, and it is still told.
+	// The coordinator is gone, and the answers are the same.
 	f.Replicas[0].Kill()
 	for replica := 1; replica <= 2; replica++ {
-		must(t, fleet.Await(ctx, "another to be on duty", func(ctx context.Context) bool {
-			r, err := f.Operate(ctx, f.Replicas[replica], "PUT", "/v1/desired", configuration(8), "Curlewwalk-Edition", "8")
+		must(t, fleet.Await(ctx, "another coordinator", func(ctx context.Context) bool {
+			r, err := f.Operate(ctx, f.Replicas[replica], "PUT", configurationPath, configuration(8), generationHeader, "8")
 			return err == nil && r.Status == 200
 		}))
 		expectRefused(replica, 8, configuration(9))
@@ -103,8 +103,8 @@
 	}
 }
 
-// A storm of generations, all at once and in no order, is taken without piling up:
-// each is acknowledged, and the highest is held, in force and read back.
+// A storm of generations, all at once and in no order, does not pile up: each is acknowledged, and the
+// highest is in force and read back.
 func TestGenerationStorm(t *testing.T) {
 	f, ctx := startFleet(t, smallFleet())
 	const storm = 90 // what 3 s bring at 30 a second
@@ -116,18 +116,18 @@
 	var wg sync.WaitGroup
 	for n := 1; n <= storm; n++ {
 		wg.Go(func() {
-			r, err := f.Operate(ctx, f.Replicas[n%3], "PUT", "/v1/desired", bodies[n], "Curlewwalk-Edition", fmt.Sprint(n))
+			r, err := f.Operate(ctx, f.Replicas[n%3], "PUT", configurationPath, bodies[n], generationHeader, fmt.Sprint(n))
 			if err != nil || r.Status != 200 {
-				t.Errorf("edition %d: %d %s %v", n, r.Status, r.Body, err)
+				t.Errorf("generation %d: %d %s %v", n, r.Status, r.Body, err)
 			}
 		})
 	}
 	wg.Wait()
 	took := time.Since(begin)
-	r, err := f.Operate(ctx, f.Replicas[1], "GET", "/v1/desired", nil)
+	r, err := f.Operate(ctx, f.Replicas[1], "GET", configurationPath, nil)
 	must(t, err)
 	if r.Generation != storm || !bytes.Equal(r.Body, bodies[storm]) {
-		t.Errorf("edition %d under stamp %d is read back", r.Generation, r.Revision)
+		t.Errorf("generation %d at revision %d is read back", r.Generation, r.Revision)
 	}
 	for _, p := range f.Sidecars {
 		if s, err := f.Revision(ctx, p); err != nil || s < r.Revision {
@@ -137,5 +137,5 @@
 	if took > 3*time.Second {
 		t.Errorf("it took %v", took)
 	}
-	t.Logf("%d editions of 300 ways (%d KiB each) acknowledged and in force in %v, by %d words", storm, len(bodies[storm])>>10, took, r.Revision)
+	t.Logf("%d generations of 300 routes (%d KiB each) acknowledged and in force in %v, in %d revisions", storm, len(bodies[storm])>>10, took, r.Revision)
 }
--- a/tests/e2e/invalid_input_test.go
+++ b/tests/e2e/invalid_input_test.go
@@ -2,23 +2,24 @@
 
 import (
 	"bytes"
+	"fmt"
 	"io"
 	"net/http"
 	"strings"
 	"testing"
 )
 
-// What operators and backends may send in error or in malice is refused by field,
-// and nothing of it is taken: huge, deep, doubled, cut short, out of range.
+// What operators and backends send by mistake or in malice is rejected with the field that is wrong, and
+// has no effect: huge, deep, repeated, truncated or out of range.
 func TestHostileInput(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
 	good := `{"instance": "a", "service": "desk", "address": "127.0.0.1:1", "capacity": 1`
-	core, sidecar := "http://"+r.Replicas[0].Control, "http://"+r.Sidecars[1].Control
-	for _, c := range []struct {
+	replica, sidecar := "http://"+r.Replicas[0].Control, "http://"+r.Sidecars[1].Control
+	for _, test := range []struct {
 		method, url, body, header string
 		status                    int
-		says                      string
+		message                   string
 	}{
 		{"POST", sidecar + "/v1/backends", "", "", 400, "announcement"},
 		{"POST", sidecar + "/v1/backends", good, "", 400, "announcement"},
@@ -32,33 +33,35 @@
 		{"POST", sidecar + "/v1/backends", good + `, "address": "example.org:80"}`, "", 422, "address"},
 		{"POST", sidecar + "/v1/backends", good + `, "warmup": {"share": 7, "ramp": "-3s"}}`, "", 422, "warmup.share"},
 		{"DELETE", sidecar + "/v1/backends/nobody", "", "", 404, "no such"},
-		{"PUT", core + "/v1/localities/No%20Where/emptied", "", "", 422, "No Where"},
-		{"PUT", core + "/v1/localities/" + strings.Repeat("x", 64) + "/emptied", "", "", 422, "at most 63"},
-		{"PUT", core + "/v1/desired", strings.Repeat("[", 200000), "", 400, "not JSON"},
-		{"PUT", core + "/v1/desired", string(r.Configuration()), "If-Match: newest", 400, "If-Match"},
-		{"PUT", core + "/v1/windows", "", "", 422, "line 1"},
-		{"PUT", core + "/v1/windows", strings.Repeat("x", 1<<19), "", 422, "over"},
-		{"GET", core + "/v1/traces/zz", "", "", 400, "hex"},
+		{"PUT", replica + "/v1/localities/No%20Where/emptied", "", "", 422, "No Where"},
+		{"PUT", replica + "/v1/localities/" + strings.Repeat("x", 64) + "/emptied", "", "", 422, "at most 63"},
+		{"PUT", replica + configurationPath, strings.Repeat("[", 200000), "", 400, "not JSON"},
+		{"PUT", replica + configurationPath, string(r.Configuration()), "If-Match: newest", 400, "If-Match"},
+		{"PUT", replica + "/v1/windows", "", "", 422, "line 1"},
+		{"PUT", replica + "/v1/windows", strings.Repeat("x", 1<<19), "", 422, "over"},
+		{"GET", replica + "/v1/traces/zz", "", "", 400, "hex"},
 	} {
-		req, err := http.NewRequestWithContext(r.ctx, c.method, c.url, bytes.NewReader([]byte(c.body)))
-		must(t, err)
-		if name, value, ok := strings.Cut(c.header, ": "); ok {
-			req.Header.Set(name, value)
-		}
-		resp, err := r.HTTP.Do(req)
-		must(t, err)
-		b, _ := io.ReadAll(resp.Body)
-		resp.Body.Close()
-		if resp.StatusCode != c.status || !bytes.Contains(b, []byte(c.says)) {
-			t.Errorf("%s %s %.60s: %d %.200s, want %d with %q", c.method, c.url, c.body, resp.StatusCode, b, c.status, c.says)
-		}
+		t.Run(fmt.Sprintf("%s %s %.20s", test.method, strings.TrimPrefix(test.url, "http://"), test.body), func(t *testing.T) {
+			req, err := http.NewRequestWithContext(r.ctx, test.method, test.url, bytes.NewReader([]byte(test.body)))
+			must(t, err)
+			if name, value, ok := strings.Cut(test.header, ": "); ok {
+				req.Header.Set(name, value)
+			}
+			resp, err := r.HTTP.Do(req)
+			must(t, err)
+			defer resp.Body.Close()
+			b, _ := io.ReadAll(resp.Body)
+			if resp.StatusCode != test.status || !bytes.Contains(b, []byte(test.message)) {
+				t.Errorf("%s %s %.60s: %d %.200s, want %d with %q", test.method, test.url, test.body, resp.StatusCode, b, test.status, test.message)
+			}
+		})
 	}
 	var known []any
 	if _, err := r.Sidecars[1].Get(r.ctx, "/v1/backends", &known); err != nil || len(known) > 0 {
-		t.Errorf("taken: %v %v", known, err)
+		t.Errorf("backends were accepted: %v %v", known, err)
 	}
 	if s, err := r.Revision(r.ctx, r.Sidecars[1]); err != nil || s != r.FirstRevision {
-		t.Errorf("the stamp went from %d to %d", r.FirstRevision, s)
+		t.Errorf("the revision went from %d to %d", r.FirstRevision, s)
 	}
 	r.expect(r.send("POST", "/once/", "x", "Idempotency-Key", strings.Repeat("k", 256)), 400, "not-run")
 }
--- a/tests/e2e/isolation_test.go
+++ b/tests/e2e/isolation_test.go
@@ -11,8 +11,8 @@
 	"curlewwalk/tests/fleet"
 )
 
-// operatorProbe asks one core again and again what an operator may ask, and judges each
-// answer by what was acknowledged before the question was put.
+// operatorProbe sends one replica again and again what an operator may request, and judges each answer
+// by what was acknowledged before the request.
 type operatorProbe struct {
 	f       *fleet.Fleet
 	replica *fleet.Program
@@ -25,7 +25,7 @@
 	slowest    time.Duration
 }
 
-// start begins; stop waits for the end.
+// start begins; stop ends it and waits for the end.
 func (probe *operatorProbe) start(ctx context.Context) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	var wg sync.WaitGroup
@@ -49,7 +49,7 @@
 	}
 }
 
-// operate puts one question, which a second of silence ends.
+// operate sends one request with a time-out of a second; false without a usable answer.
 func (probe *operatorProbe) operate(ctx context.Context, method, path string, body []byte, header ...string) (fleet.Reply, bool) {
 	call, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
@@ -72,39 +72,42 @@
 	return r, r.Status == http.StatusOK
 }
 
-// expectRevision notes an answer that tells of less than was acknowledged before it was asked for.
+// expectRevision records a violation if an answer is older than what was acknowledged before it was
+// requested.
 func (probe *operatorProbe) expectRevision(path string, got, want uint64) {
 	probe.mu.Lock()
 	defer probe.mu.Unlock()
 	if got < want {
-		probe.violations = append(probe.violations, fmt.Sprintf("%s tells of stamp %d, %d was acknowledged", path, got, want))
+		probe.violations = append(probe.violations, fmt.Sprintf("%s returned revision %d, %d was acknowledged", path, got, want))
 	}
 }
 
+// readConfiguration reads the configuration.
 func (probe *operatorProbe) readConfiguration(ctx context.Context) {
 	want := probe.writer.revision.Load()
-	if r, ok := probe.operate(ctx, "GET", "/v1/desired", nil); ok {
-		probe.expectRevision("/v1/desired", r.Revision, want)
+	if r, ok := probe.operate(ctx, "GET", configurationPath, nil); ok {
+		probe.expectRevision(configurationPath, r.Revision, want)
 	}
 }
 
-// repeatChange sends a change that was acknowledged once more: never refused, and confirmed
-// only by a majority.
+// repeatChange repeats a change that was acknowledged: it must never be refused, and is confirmed only by
+// a majority.
 func (probe *operatorProbe) repeatChange(ctx context.Context) {
-	probe.operate(ctx, "PUT", "/v1/desired", probe.f.Configuration(), "Curlewwalk-Edition", "1")
+	probe.operate(ctx, "PUT", configurationPath, probe.f.Configuration(), generationHeader, "1")
 }
 
+// readDrain reads the report on a zone.
 func (probe *operatorProbe) readDrain(ctx context.Context) {
 	want := probe.writer.revision.Load()
 	var d struct {
-		Stamp uint64 `json:"stamp"`
+		Revision uint64 `json:"stamp"`
 	}
 	if r, ok := probe.operate(ctx, "GET", "/v1/localities/west", nil); ok && decode(r.Body, &d) {
-		probe.expectRevision("/v1/localities/west", d.Stamp, want)
+		probe.expectRevision("/v1/localities/west", d.Revision, want)
 	}
 }
 
-// takeReport is what went on since it was asked last.
+// takeReport returns what happened since the last call.
 func (probe *operatorProbe) takeReport() (wrong []string, unclear, answered int, slowest time.Duration) {
 	probe.mu.Lock()
 	defer probe.mu.Unlock()
@@ -113,24 +116,22 @@
 	return wrong, unclear, answered, slowest
 }
 
-// promisedTerm is the epoch that a core has promised.
+// promisedTerm is the term that a replica has promised.
 func promisedTerm(ctx context.Context, t *testing.T, p *fleet.Program) uint64 {
 	t.Helper()
-	var st struct{ Promised uint64 }
-	_, err := p.Get(ctx, "/v1/state", &st)
+	st, err := readState(ctx, p)
 	must(t, err)
 	return st.Promised
 }
 
-// ownTerms collects the epochs of its own that a core has been seen to promise. One that
-// hears the others promises what they begin, too: how many epochs those need among
-// themselves says nothing of the core.
+// ownTerms collects the terms of its own that a replica was seen to promise. A replica that hears the
+// others also promises the terms that they begin; how many those need says nothing of this one.
 type ownTerms struct {
 	memberID, replicas int
 	seen               map[uint64]bool
 }
 
-// observe takes what the core has promised now.
+// observe takes in what the replica has promised now.
 func (o *ownTerms) observe(promised uint64) {
 	if promised%uint64(o.replicas) == uint64(o.memberID%o.replicas) {
 		o.seen[promised] = true
@@ -208,7 +209,7 @@
 						healedAt := time.Now()
 						must(t, fleet.Await(ctx, "the core to serve the newest configuration", func(ctx context.Context) bool {
 							want := writer.revision.Load()
-							r, err := f.Operate(ctx, isolated, "GET", "/v1/desired", nil)
+							r, err := f.Operate(ctx, isolated, "GET", configurationPath, nil)
 							return err == nil && r.Status == http.StatusOK && r.Revision >= want
 						}))
 						if took := time.Since(healedAt); took > 4*time.Second {
@@ -222,7 +223,7 @@
 					during := writer.slowest
 					writer.slowest = 0
 					writer.mu.Unlock()
-					must(t, fleet.Await(ctx, "3 s to pass", func(context.Context) bool { return time.Since(settledAt) > 3*time.Second }))
+					awaitElapsed(ctx, t, settledAt, 3*time.Second)
 					stopQuestions()
 					stopChanges()
 					after, refused := writer.report()
--- a/tests/e2e/keyreplication_test.go
+++ b/tests/e2e/keyreplication_test.go
@@ -14,17 +14,18 @@
 	"curlewwalk/tests/fleet"
 )
 
-// keyedFleet is a fleet of some machines with one backend, of orders, on the last;
-// clients send to machine 0 under keys.
+// keyedFleet is a fleet with one backend, of orders, on the last machine; clients send to machine 0 with
+// idempotency keys.
 type keyedFleet struct {
 	*fleet.Fleet
 	t    *testing.T
 	ctx  context.Context
 	runs atomic.Int64
-	// running is told of each run, which then waits for release.
+	// running gets each run, which then waits for release.
 	running, release chan struct{}
 }
 
+// newKeyedFleet starts such a fleet.
 func newKeyedFleet(t *testing.T, machines int) *keyedFleet {
 	t.Helper()
 	size := smallFleet()
@@ -52,7 +53,7 @@
 	return keyed
 }
 
-// sendKeyed sends an order under a key; a broken connection counts as status 0.
+// sendKeyed sends an order under a key; a broken connection is status 0.
 func (k *keyedFleet) sendKeyed(key, body string) (status int, text string) {
 	req, err := http.NewRequestWithContext(k.ctx, "POST", "http://"+k.RequestAddress(0)+"/orders/1", bytes.NewReader([]byte(body)))
 	must(k.t, err)
@@ -66,7 +67,7 @@
 	return resp.StatusCode, string(b)
 }
 
-// restartClientSidecar kills the client's sidecar and starts it again.
+// restartClientSidecar kills the client's sidecar, together with others, and starts it again.
 func (k *keyedFleet) restartClientSidecar(others ...*fleet.Program) {
 	k.Kill(others...)
 	k.Kill(k.Sidecars[0])
@@ -74,9 +75,8 @@
 	must(k.t, k.Sidecars[0].AwaitReady(k.ctx))
 }
 
-// A key outlives its sidecar: killed after the run and before the answer, alone
-// or together with any one other node, the repeat is not run again; after the
-// answer, the repeat gets that very answer.
+// A key survives its sidecar. If that is killed after the run and before the answer, alone or together
+// with any one other node, the repeat does not run again; after the answer, the repeat gets that answer.
 func TestKeySurvivesItsSidecar(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -89,7 +89,7 @@
 			first := make(chan string, 1)
 			go func() {
 				status, text := k.sendKeyed("a", "x")
-				for status == 503 && k.ctx.Err() == nil && k.runs.Load() == 0 { // its holders were too slow
+				for status == 503 && k.ctx.Err() == nil && k.runs.Load() == 0 { // its replicas were too slow
 					status, text = k.sendKeyed("a", "x")
 				}
 				first <- text
@@ -105,7 +105,7 @@
 			if c.later {
 				k.release <- struct{}{}
 				want = <-first
-				// The holders are told of the response after the client was.
+				// The replicas get the response after the client.
 				must(t, k.awaitReplicated(2, 2))
 			}
 			var others []*fleet.Program
@@ -118,7 +118,7 @@
 				t.Errorf("the repeat got %d %q, the first %q", status, text, want)
 			}
 			if status, _ := k.sendKeyed("a", "another"); status != 422 {
-				t.Errorf("another inquiry under the key got %d", status)
+				t.Errorf("another request under the key got %d", status)
 			}
 			if n := k.runs.Load(); n != 1 {
 				t.Errorf("it ran %d times", n)
@@ -128,27 +128,26 @@
 	}
 }
 
-// awaitReplicated waits until the other nodes hold so many claims, and so many responses.
+// awaitReplicated waits until the other nodes hold so many records, and so many of them with responses.
 func (k *keyedFleet) awaitReplicated(records, responses int) error {
-	return fleet.Await(k.ctx, "claims to be held", func(ctx context.Context) bool {
+	return fleet.Await(k.ctx, "the key's replicas", func(ctx context.Context) bool {
 		stored, completed := 0, 0
 		for _, p := range k.Sidecars[1:] {
 			var st struct {
-				Held    int `json:"claims_held"`
-				Settled int `json:"claims_settled"`
+				Stored    int `json:"claims_held"`
+				Completed int `json:"claims_settled"`
 			}
 			if _, err := p.Get(ctx, "/v1/stats", &st); err != nil {
 				return false
 			}
-			stored, completed = stored+st.Held, completed+st.Settled
+			stored, completed = stored+st.Stored, completed+st.Completed
 		}
 		return stored == records && completed == responses
 	})
 }
 
-// All sidecars are killed and started again, one after another, and with them all
-// who hold a claim and the one who laid it: it outlives them, since what a holder
-// has lost is entrusted anew.
+// All sidecars are killed and started again one after another, and with them all replicas of a key and
+// its owner: it survives them, since what a replica has lost is replicated anew.
 func TestKeySurvivesRollingKills(t *testing.T) {
 	t.Parallel()
 	k := newKeyedFleet(t, 4)
@@ -168,8 +167,8 @@
 	}
 }
 
-// What surely did not run gives its claim up at the holders too; a holder that
-// is silent is replaced by another, and where there is no other, nothing is run.
+// A request that surely did not run releases its key at the replicas too; a replica that does not answer
+// is replaced by another one, and where there is none, nothing is run.
 func TestKeyReplicaSelection(t *testing.T) {
 	t.Parallel()
 	k := newKeyedFleet(t, 4)
@@ -179,7 +178,7 @@
 		t.Errorf("without a backend: %d %s", status, text)
 	}
 	k.Backends[0].Kill()
-	must(t, k.awaitReplicated(0, 0)) // given up there too, before the sidecar dies
+	must(t, k.awaitReplicated(0, 0)) // released there too, before the sidecar dies
 	k.restartClientSidecar()
 	b, err := k.StartBackend(3, "orders", "two", 8001)
 	must(t, err)
@@ -187,27 +186,27 @@
 	if b.Runs.Load() != 1 {
 		t.Errorf("what had not run was run %d times afterwards", b.Runs.Load())
 	}
-	// Cut off from its client's sidecar only, a holder stays in view.
+	// Partitioned from the owner only, a replica stays in view.
 	k.Network.PartitionBetween([]string{k.Sidecars[0].IP}, []string{k.Sidecars[1].IP})
 	for i := range 5 {
 		if status, text := k.sendKeyed(fmt.Sprint("b", i), "x"); status != 418 && status != 200 {
-			t.Errorf("with a silent holder: %d %s", status, text)
+			t.Errorf("with a replica that does not answer: %d %s", status, text)
 		}
 	}
 	before := b.Runs.Load()
 	k.Network.PartitionBetween([]string{k.Sidecars[0].IP}, []string{k.Sidecars[1].IP, k.Sidecars[2].IP})
 	if status, text := k.sendKeyed("c", "x"); status != 503 {
-		t.Errorf("with too few holders: %d %s", status, text)
+		t.Errorf("with too few replicas: %d %s", status, text)
 	}
 	if n := b.Runs.Load(); n != before {
-		t.Errorf("%d were run that nobody held", n-before)
+		t.Errorf("%d ran whose key was not replicated", n-before)
 	}
 	k.Network.Heal()
 	must(t, awaitCondition(k.ctx, func(context.Context) bool { status, _ := k.sendKeyed("c", "x"); return status == 418 || status == 200 }))
 }
 
-// Under load from clients that repeat at once, under the same key, whatever was
-// not answered, sidecars are killed one after another: each order runs once.
+// Sidecars are killed one after another under load from clients that repeat at once, under the same key,
+// whatever was not answered: each order runs once.
 func TestKeyedThroughKills(t *testing.T) {
 	t.Parallel()
 	f, ctx := startFleet(t, smallFleet())
--- a/tests/e2e/late_announcement_test.go
+++ b/tests/e2e/late_announcement_test.go
@@ -9,27 +9,27 @@
 	"curlewwalk/tests/fleet"
 )
 
-// leavingFleet is a fleet of two machines with a backend of a service on each: one that will
-// leave, on machine 1, and one that stays.
+// leavingFleet is a fleet of two machines with a backend of one service on each: one that will leave, on
+// machine 1, and one that stays.
 func leavingFleet(t *testing.T) (f *fleet.Fleet, ctx context.Context, leaving *fakes.Backend) {
 	t.Helper()
 	size := smallFleet()
 	size.Machines, size.Backends = 2, nil
 	f, ctx = newFleet(t, size)
 	must(t, f.Start(ctx))
-	_, err := f.StartBackend(0, "surveys", "stayer", 8000)
+	_, err := f.StartBackend(0, "surveys", "staying", 8000)
 	must(t, err)
-	leaving, err = f.StartBackend(1, "surveys", "leaver", 8000)
+	leaving, err = f.StartBackend(1, "surveys", "leaving", 8000)
 	must(t, err)
 	must(t, f.AwaitServing(ctx, f.FirstRevision, 2))
 	return f, ctx, leaving
 }
 
-// watchAfterLeaving is how long after its word of leaving a backend is watched.
+// watchAfterLeaving is for how long a backend is watched after it left.
 const watchAfterLeaving = 3500 * time.Millisecond
 
-// sendDuringLateAnnouncements sends requests one after the other for a while, at both machines, with the
-// leaver's late beats among them.
+// sendDuringLateAnnouncements sends requests one after the other at both machines, with late announcements
+// of the leaving backend among them.
 func sendDuringLateAnnouncements(ctx context.Context, t *testing.T, f *fleet.Fleet, leaving *fakes.Backend) {
 	t.Helper()
 	survey := f.Size.Plans[2]
@@ -42,9 +42,8 @@
 	}
 }
 
-// A beat that was sent before a backend said that it leaves, and comes after that word,
-// however late, doesn't bring it back: neither after it announced its leaving nor after it
-// just said that it has gone.
+// An announcement from before a backend left that arrives after it, however late, does not bring the
+// backend back: neither after it announced that it is leaving nor after it only deregistered.
 func TestLateAnnouncement(t *testing.T) {
 	t.Parallel()
 	variants := map[string]func(b *fakes.Backend, ctx context.Context) error{
@@ -54,23 +53,22 @@
 	for name, announce := range variants {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			f, ctx, leaver := leavingFleet(t)
-			must(t, announce(leaver, ctx))
-			sendDuringLateAnnouncements(ctx, t, f, leaver)
+			f, ctx, leaving := leavingFleet(t)
+			must(t, announce(leaving, ctx))
+			sendDuringLateAnnouncements(ctx, t, f, leaving)
 			checkLedger(t, f)
 		})
 	}
 }
 
-// Nor does it where the sidecar that took the word was killed meanwhile and has started
-// anew.
+// Nor does it if the sidecar that knew of the departure was killed meanwhile and has restarted.
 func TestLateAnnouncementAtRestartedSidecar(t *testing.T) {
 	t.Parallel()
-	f, ctx, leaver := leavingFleet(t)
-	must(t, leaver.Deregister(ctx))
+	f, ctx, leaving := leavingFleet(t)
+	must(t, leaving.Deregister(ctx))
 	f.Sidecars[1].Kill()
 	must(t, f.Sidecars[1].Start())
 	must(t, f.Sidecars[1].AwaitReady(ctx))
-	sendDuringLateAnnouncements(ctx, t, f, leaver)
+	sendDuringLateAnnouncements(ctx, t, f, leaving)
 	checkLedger(t, f)
 }
--- a/tests/e2e/loss_test.go
+++ b/tests/e2e/loss_test.go
@@ -15,7 +15,7 @@
 	"curlewwalk/tests/fleet"
 )
 
-// startLoad has clients on all machines send until the test says stop.
+// startLoad has clients on all machines send until stop is called.
 func startLoad(ctx context.Context, f *fleet.Fleet) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	var wg sync.WaitGroup
@@ -26,8 +26,8 @@
 	}
 }
 
-// Right after each acknowledgement the core that gave it is killed and loses its
-// disk, and another is killed; what is read back is what was acknowledged, or newer.
+// Right after each acknowledgement the replica that gave it is killed and loses its disk, and another one
+// is killed; what is read back is what was acknowledged.
 func TestAcknowledgedThenDiskLost(t *testing.T) {
 	t.Parallel()
 	f, ctx := startFleet(t, controlPlaneOnly(3))
@@ -37,7 +37,7 @@
 		body := configuration(100 + round)
 		var revision uint64
 		must(t, fleet.Await(ctx, "a write", func(ctx context.Context) bool {
-			r, err := f.Operate(ctx, lost, "PUT", "/v1/desired", body)
+			r, err := f.Operate(ctx, lost, "PUT", configurationPath, body)
 			revision = r.Revision
 			return err == nil && r.Status == 200
 		}))
@@ -49,21 +49,20 @@
 		}
 		for _, p := range f.Replicas {
 			var r fleet.Reply
-			must(t, fleet.Await(ctx, "the reading back", func(ctx context.Context) bool {
+			must(t, fleet.Await(ctx, "the configuration to be read back", func(ctx context.Context) bool {
 				var err error
-				r, err = f.Operate(ctx, p, "GET", "/v1/desired", nil)
+				r, err = f.Operate(ctx, p, "GET", configurationPath, nil)
 				return err == nil && r.Status == 200
 			}))
 			if r.Revision < revision || !bytes.Equal(r.Body, body) {
-				t.Errorf("round %d: %s reads back stamp %d %q; %d %q was acknowledged", round, p.Name, r.Revision, r.Body, revision, body)
+				t.Errorf("round %d: %s reads back revision %d %q; %d %q was acknowledged", round, p.Name, r.Revision, r.Body, revision, body)
 			}
 		}
 	}
 }
 
-// A zone loses power, with the core on duty, sidecars and backends in it: from
-// all other machines every kind of request and the operator's word are served within
-// 15 s, and so from all once it has come back.
+// A zone loses power, with the coordinator, sidecars and backends in it: from all other machines every
+// kind of request and an operator's write succeed within 15 s, and from all once it has come back.
 func TestZoneLost(t *testing.T) {
 	t.Parallel()
 	size := smallFleet()
@@ -79,7 +78,7 @@
 			must(t, awaitServed(ctx, f, i))
 		}
 		must(t, fleet.Await(ctx, "a write", func(ctx context.Context) bool {
-			r, err := f.Operate(ctx, f.Replicas[2], "PUT", "/v1/desired", f.Configuration())
+			r, err := f.Operate(ctx, f.Replicas[2], "PUT", configurationPath, f.Configuration())
 			return err == nil && r.Status == 200
 		}))
 		if took := time.Since(begin); took > 15*time.Second {
@@ -99,8 +98,8 @@
 	checkLedger(t, f)
 }
 
-// One backend after the other is replaced under load, the new one cold: nothing is
-// dropped, and none gets more than it can bear.
+// One backend after the other is replaced under load by a cold one: nothing is dropped, and none gets more
+// than it can bear.
 func TestReplacedOneByOne(t *testing.T) {
 	t.Parallel()
 	f, ctx := startFleet(t, smallFleet())
@@ -110,7 +109,7 @@
 		must(t, err)
 		must(t, awaitRuns(ctx, b.Runs.Load, 3))
 		must(t, old.Leave(ctx))
-		// What was written to it before it left may not have been read yet.
+		// It may not have read yet what was written to it before it left.
 		must(t, fleet.Await(ctx, "the old one to be idle", func(ctx context.Context) bool {
 			type entry struct {
 				Instance string
@@ -138,9 +137,8 @@
 	}
 }
 
-// Under load a fifth of all answers is lost or garbled after the run: nothing is
-// run again that must not, no garbled answer is passed on, and extra attempts keep to
-// their bound.
+// Under load a fifth of all answers is lost or malformed after the run: nothing runs again that must not,
+// no malformed answer is passed on, and retries stay within their bound.
 func TestGarbledUnderLoad(t *testing.T) {
 	t.Parallel()
 	f, ctx := startFleet(t, smallFleet())
@@ -157,19 +155,18 @@
 	}
 }
 
-// A backend's machine is frozen with requests in it, and woken: those come to an
-// end, the others are served elsewhere meanwhile, and nothing runs twice or after it
-// was promised not to.
+// A backend's sidecar is frozen with requests in it, and woken: those end, the others are served elsewhere
+// meanwhile, and nothing runs twice or after it was promised not to.
 func TestFrozenWithRequests(t *testing.T) {
 	t.Parallel()
 	f, ctx := startFleet(t, smallFleet())
 	stop := startLoad(ctx, f)
 	for range 2 {
-		must(t, fleet.Await(ctx, "inquiries at the backend", func(context.Context) bool { return f.Backends[3].Open() > 0 }))
+		must(t, fleet.Await(ctx, "requests at the backend", func(context.Context) bool { return f.Backends[3].Open() > 0 }))
 		f.Sidecars[3].Signal(syscall.SIGSTOP)
 		frozen := time.Now()
 		must(t, awaitServed(ctx, f, 0))
-		must(t, fleet.Await(ctx, "4 s to pass", func(context.Context) bool { return time.Since(frozen) > 4*time.Second }))
+		awaitElapsed(ctx, t, frozen, 4*time.Second)
 		f.Sidecars[3].Signal(syscall.SIGCONT)
 		must(t, awaitRuns(ctx, f.Backends[3].Runs.Load, f.Backends[3].Runs.Load()+5))
 		must(t, awaitServed(ctx, f, 3))
@@ -178,8 +175,8 @@
 	checkLedger(t, f)
 }
 
-// In a zone whose backends have become thirty times slower, contracts that would
-// be late go elsewhere, and what was learned can be read.
+// In a zone whose backends have become thirty times slower, requests that would be late go elsewhere, and
+// the learned latencies can be read.
 func TestSlowZone(t *testing.T) {
 	t.Parallel()
 	size := smallFleet()
--- a/tests/e2e/main_test.go
+++ b/tests/e2e/main_test.go
@@ -1,4 +1,3 @@
-// Package e2e tests whole programs over loopback sockets. (DESIGN 14)
 package e2e
 
 import (
@@ -13,6 +12,7 @@
 	"curlewwalk/tests/ledger"
 )
 
+// binaries are the programs, built once for all tests.
 var binaries fleet.Binaries
 
 func TestMain(m *testing.M) {
@@ -26,10 +26,18 @@
 	os.Exit(code)
 }
 
-// testTimeout is how long a test may wait for what it waits for. It is no measure.
+// Names of the system's interface that many tests use.
+const (
+	configurationPath = "/v1/desired"
+	generationHeader  = "Curlewwalk-Edition"
+	outcomeHeader     = "Curlewwalk-Outcome"
+)
+
+// testTimeout bounds what a test waits for. It is no measure of speed.
 const testTimeout = 40 * time.Second
 
-// newFleet lays a fleet out; it is not started yet.
+// newFleet prepares a fleet that is not started yet. When the test ends the fleet is closed, and
+// none of its processes may have reported a data race or a broken invariant.
 func newFleet(t *testing.T, size fleet.Size) (*fleet.Fleet, context.Context) {
 	t.Helper()
 	f, err := fleet.New(size, binaries)
@@ -41,15 +49,15 @@
 		cancel()
 		f.Close()
 		for _, p := range append(f.Sidecars, f.Replicas...) {
-			if said := p.Stderr(); strings.Contains(said, "DATA RACE") || strings.Contains(said, "broken invariant") {
-				t.Errorf("%s said: %s", p.Name, said)
+			if stderr := p.Stderr(); strings.Contains(stderr, "DATA RACE") || strings.Contains(stderr, "broken invariant") {
+				t.Errorf("%s wrote: %s", p.Name, stderr)
 			}
 		}
 	})
 	return f, ctx
 }
 
-// startFleet starts a fleet of a size.
+// startFleet starts a fleet.
 func startFleet(t *testing.T, size fleet.Size) (*fleet.Fleet, context.Context) {
 	t.Helper()
 	f, ctx := newFleet(t, size)
@@ -57,6 +65,7 @@
 	return f, ctx
 }
 
+// must fails the test at once on an error.
 func must(t *testing.T, err error) {
 	t.Helper()
 	if err != nil {
@@ -64,7 +73,7 @@
 	}
 }
 
-// smallFleet is a fleet for tests that need no full size.
+// smallFleet is a size for tests that need no full deployment: four machines, one in each zone.
 func smallFleet() fleet.Size {
 	s := fleet.Association()
 	s.Name, s.Machines, s.Backends = "small", 4, []string{"orders", "stock", "surveys", "orders"}
@@ -72,21 +81,22 @@
 	return s
 }
 
-// checkLedger fails the test on anything that must never happen.
+// maxReported bounds how many breaches, or interruptions, of one fleet are printed.
+const maxReported = 10
+
+// checkLedger fails the test on each rule that the fleet broke, and if nothing was answered.
 func checkLedger(t *testing.T, f *fleet.Fleet) ledger.Verdict {
 	t.Helper()
 	v := f.Ledger.Judge()
-	for i, b := range v.Breaches {
-		if i < 10 {
-			t.Error("must never happen: ", b)
-		}
+	for _, breach := range v.Breaches[:min(len(v.Breaches), maxReported)] {
+		t.Error("broken rule: ", breach)
 	}
 	if v.Good == 0 {
 		t.Error("nothing was answered")
 	}
-	for _, interruption := range v.Interruptions[:min(len(v.Interruptions), 10)] {
+	for _, interruption := range v.Interruptions[:min(len(v.Interruptions), maxReported)] {
 		t.Log("got no answer: ", interruption)
 	}
-	t.Logf("sent %d, ran %d, good %d, not-run %d, unknown %d, cut %d, broken %d", v.Sent, v.Ran, v.Good, v.NotRun, v.Unknown, v.Interrupted, len(v.Breaches))
+	t.Logf("sent %d, ran %d, good %d, not-run %d, unknown %d, interrupted %d, broken rules %d", v.Sent, v.Ran, v.Good, v.NotRun, v.Unknown, v.Interrupted, len(v.Breaches))
 	return v
 }
--- a/tests/e2e/maintenance_test.go
+++ b/tests/e2e/maintenance_test.go
@@ -13,8 +13,7 @@
 	"curlewwalk/tests/fleet"
 )
 
-// calendar is a file with one window a zone, by how many seconds from now on
-// it begins and ends.
+// calendar is a calendar file with one window for each zone, from and to so many seconds from now.
 func calendar(windows map[string][2]int) []byte {
 	at := func(s int) string {
 		return time.Now().Add(time.Duration(s) * time.Second).UTC().Format("20060102T150405Z")
@@ -26,35 +25,36 @@
 	return []byte(strings.ReplaceAll(text+"END:VCALENDAR\n", "\n", "\r\n"))
 }
 
-// evacuatedZones reads which zones are emptied.
+// evacuatedZones reads which zones are evacuated.
 func evacuatedZones(ctx context.Context, f *fleet.Fleet, replica *fleet.Program) []string {
-	var got struct{ Emptied []string }
+	var got struct {
+		Evacuated []string `json:"emptied"`
+	}
 	r, err := f.Operate(ctx, replica, "GET", "/v1/localities", nil)
 	if err != nil || r.Status != 200 || json.Unmarshal(r.Body, &got) != nil {
 		return []string{"not known"}
 	}
-	return got.Emptied
+	return got.Evacuated
 }
 
-// A window empties its zone and takes it back, through a change of the duty
-// and with the wall clock of the core on duty hours off. An operator's own
-// emptying stays after a window's end; a zone that an operator takes back
-// during a window is not emptied again by it. A bad file changes nothing.
+// A maintenance window evacuates its zone and restores it, through a change of the coordinator and with the
+// coordinator's wall clock hours off. An operator's own evacuation stays after a window's end; a zone that
+// an operator restores during a window is not evacuated again by it. An invalid file changes nothing.
 func TestMaintenanceWindows(t *testing.T) {
 	t.Parallel()
 	f, ctx := startFleet(t, smallFleet())
 	expectEvacuated := func(replica int, want ...string) {
 		t.Helper()
 		var got []string
-		err := fleet.Await(ctx, "emptied localities", func(ctx context.Context) bool {
+		err := fleet.Await(ctx, "the evacuated zones", func(ctx context.Context) bool {
 			got = evacuatedZones(ctx, f, f.Replicas[replica])
 			return slices.Equal(got, want)
 		})
 		if err != nil {
-			t.Fatalf("emptied are %v, want %v", got, want)
+			t.Fatalf("evacuated are %v, want %v", got, want)
 		}
 	}
-	must(t, f.JumpClock(f.Replicas[0], 6*time.Hour)) // it is on duty
+	must(t, f.JumpClock(f.Replicas[0], 6*time.Hour)) // it is the coordinator
 	operate := func(replica int, method, path string, body []byte, status int) fleet.Reply {
 		t.Helper()
 		r, err := f.Operate(ctx, f.Replicas[replica], method, path, body)
@@ -66,36 +66,35 @@
 	}
 	put := operate(1, "PUT", "/v1/windows", calendar(map[string][2]int{"west": {1, 8}, "south": {1, 8}, "east": {1, 8}, "north": {5 * 3600, 7 * 3600}}), 200)
 	if r := operate(1, "PUT", "/v1/windows", []byte("BEGIN:VCALENDAR\r\nnonsense\r\n"), 422); !strings.Contains(string(r.Body), `"line 2"`) {
-		t.Errorf("a bad file: %s", r.Body)
+		t.Errorf("an invalid file: %s", r.Body)
 	}
 	expectEvacuated(1, "east", "south", "west")
 	operate(1, "PUT", "/v1/localities/west/emptied", nil, 200)
 	operate(1, "DELETE", "/v1/localities/south/emptied", nil, 200)
-	f.Kill(f.Replicas[0]) // another takes the duty
+	f.Kill(f.Replicas[0]) // another replica becomes the coordinator
 	expectEvacuated(1, "east", "west")
-	expectEvacuated(1, "west") // the window is over, the operator's own word is not
+	expectEvacuated(1, "west") // the window is over, the operator's own evacuation is not
 	var got struct {
-		Stamp uint64
-		Noted []any
+		Revision uint64 `json:"stamp"`
+		Noted    []any
 	}
 	must(t, awaitCondition(ctx, func(ctx context.Context) bool {
 		status, err := f.Replicas[2].Get(ctx, "/v1/windows", &got)
 		return err == nil && status == http.StatusOK && len(got.Noted) == 0
 	}))
-	if got.Stamp != put.Revision {
-		t.Errorf("the calendar is of stamp %d, put under %d", got.Stamp, put.Revision)
+	if got.Revision != put.Revision {
+		t.Errorf("the calendar is of revision %d, put at %d", got.Revision, put.Revision)
 	}
 	operate(1, "DELETE", "/v1/localities/west/emptied", nil, 200)
 	expectEvacuated(2)
-	// begun and ended three windows, one more order each for west, south and west
+	// three windows began and ended, and one more command each for west, south and west
 	if r := operate(1, "DELETE", "/v1/windows", nil, 200); r.Revision != put.Revision+3+3+3+1 {
-		t.Errorf("%d orders were carried out, want %d", r.Revision-put.Revision, 10)
+		t.Errorf("%d commands were committed, want %d", r.Revision-put.Revision, 10)
 	}
 }
 
-// Wall clocks of cores and sidecars jump by hours, both ways, under load, again
-// and again, while configurations change, a zone is emptied and taken back,
-// and a sidecar dies: nothing that must never happen does.
+// Wall clocks of replicas and sidecars jump by hours, both ways, under load, again and again, while
+// configurations change, a zone is evacuated and restored, and a sidecar dies: no rule is broken.
 func TestClocksJump(t *testing.T) {
 	t.Parallel()
 	f, ctx := startFleet(t, smallFleet())
--- a/tests/e2e/members_test.go
+++ b/tests/e2e/members_test.go
@@ -13,7 +13,7 @@
 	"curlewwalk/tests/fleet"
 )
 
-// dynamicFleet is a fleet of cores without static seats.
+// dynamicFleet is a fleet of replicas with dynamic membership.
 type dynamicFleet struct {
 	*fleet.Fleet
 	t    *testing.T
@@ -21,7 +21,7 @@
 	puts int
 }
 
-// newDynamicFleet lays out so many founders and starts them.
+// newDynamicFleet starts so many founders.
 func newDynamicFleet(t *testing.T, founders int) *dynamicFleet {
 	t.Helper()
 	return newDynamicFleetOf(t, founders, binaries)
@@ -48,11 +48,12 @@
 	return d
 }
 
+// dataDirectory is that of the nth replica.
 func (d *dynamicFleet) dataDirectory(n int) string {
 	return filepath.Join(d.Dir, fmt.Sprintf("replica-%d", n))
 }
 
-// join starts a core more, on the nth machine, without any founders.
+// join starts another replica on the nth machine, without founders.
 func (d *dynamicFleet) join(n int) *fleet.Program {
 	d.t.Helper()
 	p := d.NewJoiner(n, d.dataDirectory(n))
@@ -60,8 +61,7 @@
 	return p
 }
 
-// awaitMembers waits until all running cores are ready and tell one set of so many slots,
-// and returns it.
+// awaitMembers waits until all running replicas are ready and agree on a set of n members, and returns it.
 func (d *dynamicFleet) awaitMembers(n int) (members []int) {
 	d.t.Helper()
 	must(d.t, fleet.Await(d.ctx, fmt.Sprintf("a set of %d", n), func(ctx context.Context) bool {
@@ -70,22 +70,18 @@
 			if !p.Running() {
 				continue
 			}
-			var st struct {
-				Phase string
-				Self  struct{ Slot int }
-				Slots struct{ Now, Before []struct{ Slot int } }
-			}
-			if _, err := p.Get(ctx, "/v1/state", &st); err != nil || len(st.Slots.Before) > 0 || len(st.Slots.Now) != n {
+			st, err := readState(ctx, p)
+			if err != nil || len(st.Members.Previous) > 0 || len(st.Members.Current) != n {
 				return false
 			}
 			var now []int
-			for _, s := range st.Slots.Now {
-				now = append(now, s.Slot)
+			for _, member := range st.Members.Current {
+				now = append(now, member.MemberID)
 			}
 			if members == nil {
 				members = now
 			}
-			if status, err := p.Get(ctx, "/ready", nil); !slices.Equal(members, now) || !slices.Contains(now, st.Self.Slot) || err != nil || status != 200 {
+			if status, err := p.Get(ctx, "/ready", nil); !slices.Equal(members, now) || !slices.Contains(now, st.Self.MemberID) || err != nil || status != 200 {
 				return false
 			}
 		}
@@ -94,77 +90,76 @@
 	return members
 }
 
-// putAndVerify puts a new configuration at one core and reads it back from each.
+// putAndVerify puts a new configuration at one replica and reads it back from each.
 func (d *dynamicFleet) putAndVerify(replica *fleet.Program) {
 	d.t.Helper()
 	d.puts++
 	body := configuration(d.puts)
 	must(d.t, fleet.Await(d.ctx, "a write", func(ctx context.Context) bool {
-		r, err := d.Operate(ctx, replica, "PUT", "/v1/desired", body)
+		r, err := d.Operate(ctx, replica, "PUT", configurationPath, body)
 		return err == nil && r.Status == 200
 	}))
 	d.verifyConfiguration(body)
 }
 
-// verifyConfiguration reads what was taken last back from each core.
+// verifyConfiguration reads a configuration back from each running replica.
 func (d *dynamicFleet) verifyConfiguration(body []byte) {
 	d.t.Helper()
 	for _, p := range d.Replicas {
 		if !p.Running() {
 			continue
 		}
-		must(d.t, fleet.Await(d.ctx, "the reading back at "+p.Name, func(ctx context.Context) bool {
-			r, err := d.Operate(ctx, p, "GET", "/v1/desired", nil)
+		must(d.t, fleet.Await(d.ctx, p.Name+" to return the configuration", func(ctx context.Context) bool {
+			r, err := d.Operate(ctx, p, "GET", configurationPath, nil)
 			return err == nil && r.Status == 200 && bytes.Equal(r.Body, body)
 		}))
 	}
 }
 
-// Three founders are born at once and take an order; a fourth and a fifth join; one
-// dies and an empty one at another address comes in its place; one loses its disk and
-// comes back at its address; one goes for good, then another. What was taken stays,
-// and each time a new configuration is taken.
+// Three founders bootstrap at once and accept a command; a fourth and a fifth join; one dies and an empty
+// one at another address replaces it; one loses its disk and comes back at its address; one is removed for
+// good, then another. What was acknowledged stays, and each time a new configuration is accepted.
 func TestMembershipChanges(t *testing.T) {
 	t.Parallel()
 	begin := time.Now()
 	d := newDynamicFleet(t, 3)
 	d.putAndVerify(d.Replicas[1])
-	t.Logf("took an order %v after the start", time.Since(begin).Round(time.Millisecond))
+	t.Logf("acknowledged a command %v after the start", time.Since(begin).Round(time.Millisecond))
 	d.awaitMembers(3)
 	for n := 4; n <= 5; n++ {
 		begin = time.Now()
 		p := d.join(n)
 		d.awaitMembers(n)
-		t.Logf("core %d had a seat %v after its start", n, time.Since(begin).Round(time.Millisecond))
+		t.Logf("replica %d was a member %v after its start", n, time.Since(begin).Round(time.Millisecond))
 		d.putAndVerify(p)
 	}
 	d.Kill(d.Replicas[0])
 	begin = time.Now()
 	p := d.join(6)
 	if set := d.awaitMembers(5); slices.Contains(set, 1) {
-		t.Errorf("the dead core's slot is still in %v", set)
+		t.Errorf("the dead member is still in %v", set)
 	}
-	t.Logf("core 6 had the dead one's place after %v", time.Since(begin).Round(time.Millisecond))
+	t.Logf("replica 6 had replaced the dead one after %v", time.Since(begin).Round(time.Millisecond))
 	d.putAndVerify(p)
 
 	old := d.awaitMembers(5)
-	wiped := d.Replicas[2]
-	wiped.Kill()
+	diskless := d.Replicas[2]
+	diskless.Kill()
 	must(t, os.RemoveAll(d.dataDirectory(3)))
-	wiped.RemoveArgs("--first", "--founders")
+	diskless.RemoveArgs("--first", "--founders")
 	begin = time.Now()
-	must(t, d.Restart(wiped))
+	must(t, d.Restart(diskless))
 	if set := d.awaitMembers(5); slices.Equal(set, old) {
-		t.Errorf("the lost disk's slot is still in %v", set)
+		t.Errorf("the member of the lost disk is still in %v", set)
 	}
-	t.Logf("the wiped core was back after %v", time.Since(begin).Round(time.Millisecond))
-	d.putAndVerify(wiped)
+	t.Logf("the replica without its disk was a member again after %v", time.Since(begin).Round(time.Millisecond))
+	d.putAndVerify(diskless)
 
-	// Two go for good: an odd set may lack one, but not two.
+	// Two are removed for good: an odd set may lack one member, but not two.
 	d.Kill(d.Replicas[3], d.Replicas[4])
 	d.awaitMembers(3)
 	d.putAndVerify(d.Replicas[1])
-	// One comes back and finds its slot struck.
+	// One comes back and finds that it is no member any more.
 	must(t, d.Restart(d.Replicas[3]))
 	d.awaitMembers(4)
 	d.putAndVerify(d.Replicas[3])
@@ -182,7 +177,7 @@
 	d.putAndVerify(d.Replicas[5])
 }
 
-// An empty disk without --first is no birth: it waits for somebody to ask.
+// An empty disk without --first does not found a cluster: the replica waits until it may join.
 func TestNoBootstrapWithoutFirst(t *testing.T) {
 	t.Parallel()
 	d := newDynamicFleet(t, 3)
@@ -193,25 +188,24 @@
 		p.RemoveArgs("--first")
 	}
 	must(t, d.Restart(d.Replicas...))
-	// They hear of each other, and none makes itself out to be anything.
-	must(t, fleet.Await(d.ctx, "all to seek", func(ctx context.Context) bool {
+	// They learn of each other, and none makes itself a member.
+	must(t, fleet.Await(d.ctx, "all to ask to join", func(ctx context.Context) bool {
 		for _, p := range d.Replicas {
-			var st struct{ Phase string }
-			if _, err := p.Get(ctx, "/v1/state", &st); err != nil || st.Phase != "seeking" {
+			if st, err := readState(ctx, p); err != nil || st.Phase != "seeking" {
 				return false
 			}
 		}
 		return true
 	}))
 	for _, p := range d.Replicas {
-		if r, err := d.Operate(d.ctx, p, "PUT", "/v1/desired", configuration(9)); err != nil || r.Status != 503 {
-			t.Errorf("%s took an order without a seat: %d %v", p.Name, r.Status, err)
+		if r, err := d.Operate(d.ctx, p, "PUT", configurationPath, configuration(9)); err != nil || r.Status != 503 {
+			t.Errorf("%s accepted a command without being a member: %d %v", p.Name, r.Status, err)
 		}
 	}
 }
 
-// A minority of the disks is lost at once, right after an acknowledgement, and the
-// power of all others too: what was acknowledged is there.
+// A minority of the disks is lost at once, right after an acknowledgement, together with the power of all
+// others: what was acknowledged is there.
 func TestMinorityOfDisksLost(t *testing.T) {
 	t.Parallel()
 	d := newDynamicFleet(t, 5)
@@ -221,7 +215,7 @@
 		d.puts++
 		body := configuration(d.puts)
 		must(t, fleet.Await(d.ctx, "a write", func(ctx context.Context) bool {
-			r, err := d.Operate(ctx, d.Replicas[lost[0]], "PUT", "/v1/desired", body)
+			r, err := d.Operate(ctx, d.Replicas[lost[0]], "PUT", configurationPath, body)
 			return err == nil && r.Status == 200
 		}))
 		d.Kill(d.Replicas...)
@@ -236,10 +230,9 @@
 	d.putAndVerify(d.Replicas[0])
 }
 
-// A planned replacement: the new core comes first, then the old one is stopped for
-// good, and right after its end another loses its disk for good. The two that are left
-// are a majority of the set without the one that was stopped: they serve, and hold what
-// was taken.
+// A planned replacement: the new replica joins first, then the old one is stopped for good, and right after
+// that another one loses its disk for good. The two that are left are a majority of the set without the
+// stopped one: they serve, and have what was acknowledged.
 func TestLossAfterPlannedReplacement(t *testing.T) {
 	t.Parallel()
 	d := newDynamicFleet(t, 3)
@@ -248,18 +241,18 @@
 	d.awaitMembers(4)
 	d.putAndVerify(d.Replicas[3])
 	if code := d.Replicas[0].Stop(); code != 0 {
-		t.Errorf("the stopped core ended with %d", code)
+		t.Errorf("the stopped replica ended with %d", code)
 	}
 	d.Kill(d.Replicas[1])
 	must(t, os.RemoveAll(d.dataDirectory(2)))
 	begin := time.Now()
 	d.verifyConfiguration(configuration(d.puts))
 	d.putAndVerify(d.Replicas[2])
-	t.Logf("took an order %v after the second loss", time.Since(begin).Round(time.Millisecond))
+	t.Logf("acknowledged a command %v after the second loss", time.Since(begin).Round(time.Millisecond))
 	d.Replicas[1].RemoveArgs("--first", "--founders")
 	must(t, d.Restart(d.Replicas[1]))
 	d.awaitMembers(3)
-	// The stopped one may come back after all: it is seated anew.
+	// The stopped one may come back after all: it joins anew.
 	d.Replicas[0].RemoveArgs("--first", "--founders")
 	must(t, d.Restart(d.Replicas[0]))
 	d.awaitMembers(4)
--- a/tests/e2e/metrics_test.go
+++ b/tests/e2e/metrics_test.go
@@ -14,10 +14,10 @@
 	"github.com/prometheus/common/expfmt"
 )
 
-// documented is a row of the metrics' table: the name, and which program has it.
+// documented matches a row of the metrics table: the name, and which program has it.
 var documented = regexp.MustCompile("(?m)^\\| `(curlewwalk_[a-z_]+)` \\| (sidecar|controlplane|both) \\|")
 
-// families scrapes a program as Prometheus does.
+// families scrapes the metrics of a program.
 func (r *rig) families(control string) map[string]*dto.MetricFamily {
 	r.t.Helper()
 	resp, err := r.HTTP.Get("http://" + control + "/metrics")
@@ -31,8 +31,7 @@
 	return got
 }
 
-// sampleValue is the sample of a family that has all the labels, given as name and
-// value in turn.
+// sampleValue is the sample of a family that has all the labels, which are given as name and value in turn.
 func sampleValue(family *dto.MetricFamily, labels ...string) (v float64, found bool) {
 	for _, m := range family.GetMetric() {
 		if hasLabels(m, labels) {
@@ -42,6 +41,7 @@
 	return 0, false
 }
 
+// hasLabels reports whether a sample has all the labels.
 func hasLabels(m *dto.Metric, labels []string) bool {
 	for i := 0; i+1 < len(labels); i += 2 {
 		if !slices.ContainsFunc(m.GetLabel(), func(l *dto.LabelPair) bool { return l.GetName() == labels[i] && l.GetValue() == labels[i+1] }) {
@@ -51,8 +51,8 @@
 	return true
 }
 
-// Both programs show what happened, under the names that OPERATING.md lists: no
-// other of our own, none missing, and all as the library's rules want them.
+// Both programs export what happened under the names that OPERATING.md lists: no other of our own, none
+// missing, and all of them lint clean.
 func TestMetrics(t *testing.T) {
 	r := newRig(t)
 	r.backend(1, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) }))
@@ -61,11 +61,11 @@
 	}
 	r.send("POST", "/once/a", "", "Idempotency-Key", "k")
 	r.send("GET", "/nowhere", "")
-	_, err := r.Operate(r.ctx, r.Replicas[0], "GET", "/v1/desired", nil)
+	_, err := r.Operate(r.ctx, r.Replicas[0], "GET", configurationPath, nil)
 	must(t, err)
 
 	caller, callee := r.families(r.Sidecars[0].Control), r.families(r.Sidecars[1].Control)
-	core := r.families(r.Replicas[0].Control)
+	replica := r.families(r.Replicas[0].Control)
 	for _, want := range []struct {
 		in     map[string]*dto.MetricFamily
 		name   string
@@ -85,15 +85,15 @@
 		{callee, "backend_departures_total", 0, []string{"word", "late"}},
 		{caller, "cores_live", 1, nil},
 		{callee, "keys_held", 1, []string{"state", "answered"}},
-		{core, "configuration_version", 1, []string{"state", "committed"}},
-		{core, "leader", 1, nil},
-		{core, "member", 1, nil},
-		{core, "members", 1, []string{"set", "current"}},
-		{core, "cores_live", 0, nil},
-		{core, "writes_total", 1, []string{"kind", "put", "result", "taken"}},
-		{core, "quorum_reads_total", 1, []string{"outcome", "answered"}},
-		{core, "sidecars_known", 2, nil},
-		{core, "feed_ready", 1, nil},
+		{replica, "configuration_version", 1, []string{"state", "committed"}},
+		{replica, "leader", 1, nil},
+		{replica, "member", 1, nil},
+		{replica, "members", 1, []string{"set", "current"}},
+		{replica, "cores_live", 0, nil},
+		{replica, "writes_total", 1, []string{"kind", "put", "result", "taken"}},
+		{replica, "quorum_reads_total", 1, []string{"outcome", "answered"}},
+		{replica, "sidecars_known", 2, nil},
+		{replica, "feed_ready", 1, nil},
 	} {
 		if got, found := sampleValue(want.in["curlewwalk_"+want.name], want.labels...); !found || got != want.value {
 			t.Errorf("%s %v is %v (found: %v), not %v", want.name, want.labels, got, found, want.value)
@@ -105,17 +105,16 @@
 	if got, found := sampleValue(caller["curlewwalk_lease_age_seconds"]); !found || got < 0 || got > 4*time.Second.Seconds() {
 		t.Errorf("the lease is %v s old (found: %v)", got, found)
 	}
-	for in, kind := range map[*map[string]*dto.MetricFamily]string{&caller: "leg", &callee: "hail", &core: "hail"} {
+	for in, kind := range map[*map[string]*dto.MetricFamily]string{&caller: "leg", &callee: "hail", &replica: "hail"} {
 		if got, _ := sampleValue((*in)["curlewwalk_wire_bytes_total"], "kind", kind); got <= 0 {
 			t.Errorf("no bytes of kind %s", kind)
 		}
 	}
 	checkDocumented(t, caller, "sidecar")
-	checkDocumented(t, core, "controlplane")
+	checkDocumented(t, replica, "controlplane")
 }
 
-// checkDocumented compares a program's own metrics with the table, and has their names and
-// types linted.
+// checkDocumented compares the metrics of a program with the table, and lints their names and types.
 func checkDocumented(t *testing.T, got map[string]*dto.MetricFamily, program string) {
 	t.Helper()
 	page, err := os.ReadFile("../../docs/OPERATING.md")
--- a/tests/e2e/overload_test.go
+++ b/tests/e2e/overload_test.go
@@ -9,12 +9,11 @@
 	"time"
 
 	"curlewwalk/tests/fakes"
-	"curlewwalk/tests/fleet"
 	"curlewwalk/tests/ledger"
 )
 
-// Under overload, with clients that ask again at once, the higher rank keeps
-// its service and the lower one gives way; nothing else goes wrong.
+// Under overload, with clients that retry at once, the higher priority keeps its service and the lower one
+// gives way; nothing else goes wrong.
 func TestOverloadByPriority(t *testing.T) {
 	t.Parallel()
 	size := smallFleet()
@@ -38,16 +37,15 @@
 	}
 	f.RunClients(load, callers...)
 	checkLedger(t, f)
-	t.Logf("good by rank: %v of %v", good, sent)
+	t.Logf("good by priority: %v of %v", good, sent)
 	first, second := float64(good[1])/float64(sent[1]), float64(good[2])/float64(sent[2])
 	if first <= second || good[2] == sent[2] {
-		t.Errorf("rank 1 was served %.2f, rank 2 %.2f", first, second)
+		t.Errorf("priority 1 was served %.2f, priority 2 %.2f", first, second)
 	}
 }
 
-// A cold backend that is the only one, with everybody coming at once, never
-// gets more than one and a half times what it can bear; so also when its
-// sidecar was killed and started again.
+// A cold backend that is the only one never gets more than one and a half times what it can bear, with all
+// clients sending at once; also when its sidecar was killed and started again.
 func TestSlowStartLimit(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
@@ -81,12 +79,12 @@
 		wg.Wait()
 		return n.Load()
 	}
-	// Once the sidecar no longer holds back what an earlier one may have let in.
-	must(t, fleet.Await(r.ctx, "4 s to pass", func(context.Context) bool { return time.Since(started) > 4*time.Second }))
+	// Until the sidecar no longer accounts for what an earlier one may have admitted.
+	awaitElapsed(r.ctx, t, started, 4*time.Second)
 	if good := flood(); good == 0 {
 		t.Error("nothing was served")
 	}
-	// What a killed sidecar had open may still be running.
+	// What a killed sidecar had admitted may still be running.
 	var wg sync.WaitGroup
 	wg.Go(func() { flood() })
 	must(t, awaitRuns(r.ctx, open.Load, 3))
--- a/tests/e2e/partition_test.go
+++ b/tests/e2e/partition_test.go
@@ -11,30 +11,29 @@
 	"curlewwalk/tests/fleet"
 )
 
-// The core on duty is cut off together with a machine: the others go on, the
-// part that is cut off acknowledges nothing, and once the network is whole the
-// newest word is in force everywhere.
+// The coordinator is partitioned from the others together with a machine: the others go on, the minority
+// acknowledges nothing, and after the partition the newest state is in force everywhere.
 func TestPartitionedControlPlane(t *testing.T) {
 	f, ctx := newFleet(t, smallFleet())
 	must(t, f.InterposeProxies())
 	must(t, f.Start(ctx))
 	f.Network.Partition(f.Replicas[0].IP, f.Sidecars[0].IP)
 	var revision uint64
-	must(t, fleet.Await(ctx, "a write beside the cut", func(ctx context.Context) bool {
-		r, err := f.Operate(ctx, f.Replicas[1], "PUT", "/v1/desired", f.Configuration())
+	must(t, fleet.Await(ctx, "a write at the majority", func(ctx context.Context) bool {
+		r, err := f.Operate(ctx, f.Replicas[1], "PUT", configurationPath, f.Configuration())
 		revision = r.Revision
 		return err == nil && r.Status == 200
 	}))
-	r, err := f.Operate(ctx, f.Replicas[0], "PUT", "/v1/desired", configuration(9))
+	r, err := f.Operate(ctx, f.Replicas[0], "PUT", configurationPath, configuration(9))
 	must(t, err)
 	if r.Status != 503 {
-		t.Errorf("the part that is cut off took a write: %d %s", r.Status, r.Body)
+		t.Errorf("the minority accepted a write: %d %s", r.Status, r.Body)
 	}
-	if r, err = f.Operate(ctx, f.Replicas[0], "GET", "/v1/desired", nil); err != nil || r.Status != 503 {
-		t.Errorf("the part that is cut off was read: %d %v", r.Status, err)
+	if r, err = f.Operate(ctx, f.Replicas[0], "GET", configurationPath, nil); err != nil || r.Status != 503 {
+		t.Errorf("the minority was read: %d %v", r.Status, err)
 	}
 	for _, p := range f.Sidecars[1:] {
-		must(t, fleet.Await(ctx, "the word beside the cut", func(ctx context.Context) bool {
+		must(t, fleet.Await(ctx, "the state at the majority's sidecars", func(ctx context.Context) bool {
 			s, err := f.Revision(ctx, p)
 			return err == nil && s >= revision
 		}))
@@ -42,16 +41,16 @@
 	f.Network.Heal()
 	healed := time.Now()
 	must(t, f.AwaitServing(ctx, revision, len(f.Size.Backends)))
-	t.Logf("in force everywhere %v after the network was whole", time.Since(healed).Round(time.Millisecond))
-	r, err = f.Operate(ctx, f.Replicas[0], "GET", "/v1/desired", nil)
+	t.Logf("in force everywhere %v after the partition", time.Since(healed).Round(time.Millisecond))
+	r, err = f.Operate(ctx, f.Replicas[0], "GET", configurationPath, nil)
 	must(t, err)
 	if r.Revision < revision || r.Revision == revision && !bytes.Equal(r.Body, f.Configuration()) {
-		t.Errorf("read back stamp %d after %d was acknowledged", r.Revision, revision)
+		t.Errorf("read back revision %d after %d was acknowledged", r.Revision, revision)
 	}
 }
 
-// Every process of the system dies at once and comes back: backends and nodes
-// are told again, the word comes from the disks, and service returns.
+// Every process of the system dies at once and comes back: backends and nodes are announced again, the
+// state comes from the disks, and service returns.
 func TestMassRestart(t *testing.T) {
 	f, ctx := startFleet(t, smallFleet())
 	stop := startLoad(ctx, f)
@@ -66,22 +65,22 @@
 	for _, p := range f.Programs() {
 		must(t, p.Start())
 	}
-	phase("all processes have their addresses")
+	phase("all processes listen")
 	for _, p := range f.Replicas {
 		must(t, p.AwaitReady(ctx))
 	}
-	phase("the cores have their seats and have listened to all nodes")
+	phase("the replicas are members and know all nodes")
 	must(t, f.AwaitServing(ctx, 1, len(f.Size.Backends)))
-	phase("every sidecar has the word, the nodes and the backends")
+	phase("every sidecar has the state, the nodes and the backends")
 	for i := range f.Sidecars {
 		must(t, awaitServed(ctx, f, i))
 	}
 	took := time.Since(begin)
-	phase("every kind of inquiry is served from every machine")
+	phase("every kind of request is served from every machine")
 	for _, p := range f.Sidecars {
 		must(t, p.AwaitReady(ctx))
 	}
-	phase("every sidecar is ready: keys handed over, time given to their holders")
+	phase("every sidecar is ready: keys recovered, their replicas had time to answer")
 	before := f.Backends[0].Runs.Load()
 	must(t, awaitRuns(ctx, f.Backends[0].Runs.Load, before+20))
 	stop()
@@ -91,18 +90,17 @@
 	checkLedger(t, f)
 }
 
-// A machine that nobody reaches, whose zone is emptied: its sidecar, which
-// can't have heard, admits nothing once 5 s have passed; nor does one that is
-// frozen over that time and woken with requests piled up. Taken back and
-// reached again, it serves.
+// The zone of a machine that nobody reaches is evacuated: its sidecar, which can't know of it, admits
+// nothing once 5 s have passed; nor does one that is frozen meanwhile and woken with requests queued up.
+// Once the zone is restored and the machine reached again, it serves.
 func TestEvacuationOfUnreachableZone(t *testing.T) {
 	for name, hide := range map[string]func(f *fleet.Fleet) (restore func()){
-		"cut off": func(f *fleet.Fleet) func() {
+		"partitioned": func(f *fleet.Fleet) func() {
 			f.Network.Partition(f.Sidecars[3].IP)
 			return f.Network.Heal
 		},
-		// The core on its side answers, but can't be sure.
-		"cut off with a core": func(f *fleet.Fleet) func() {
+		// The replica on its side answers, but can't confirm its state.
+		"partitioned with a replica": func(f *fleet.Fleet) func() {
 			f.Network.Partition(f.Sidecars[3].IP, f.Replicas[2].IP)
 			return f.Network.Heal
 		},
@@ -122,9 +120,9 @@
 			evacuated := time.Now()
 			r, err := f.EvacuateZone(ctx, f.Replicas[0], "west")
 			must(t, err)
-			must(t, fleet.Await(ctx, "7 s to pass", func(context.Context) bool { return time.Since(evacuated) > 7*time.Second }))
+			awaitElapsed(ctx, t, evacuated, 7*time.Second)
 			restore()
-			must(t, fleet.Await(ctx, "the word to be heard", func(ctx context.Context) bool {
+			must(t, fleet.Await(ctx, "the evacuation to be in force", func(ctx context.Context) bool {
 				s, err := f.Revision(ctx, f.Sidecars[3])
 				return err == nil && s >= r.Revision
 			}))
@@ -137,8 +135,8 @@
 	}
 }
 
-// With every core dead, which each sidecar can tell from a cut, traffic runs
-// on beyond the time of a claim.
+// With every replica dead, which each sidecar can tell from a partition, traffic goes on for longer than a
+// lease lasts.
 func TestAllReplicasDead(t *testing.T) {
 	t.Parallel()
 	f, ctx := startFleet(t, smallFleet())
@@ -149,15 +147,15 @@
 	c := f.NewClient(0, 1)
 	for time.Since(dead) < 6*time.Second {
 		if a := c.SendOne(ctx, c.PickPlan()); a.Status != 200 || a.Outcome != "" {
-			t.Fatalf("%v after the cores had died: %+v", time.Since(dead), a)
+			t.Fatalf("%v after the replicas had died: %+v", time.Since(dead), a)
 		}
 	}
 	checkLedger(t, f)
 }
 
-// An emptying is acknowledged and all cores lose power at once, while a machine
-// of that zone is cut off from them: reached again, by sidecars that know of
-// the word and by cores' machines that refuse, it hears of it before it admits.
+// An evacuation is acknowledged and all replicas lose power at once, while a machine of that zone is
+// partitioned from them. Reached again by sidecars that know of it, and refused by the replicas' machines,
+// its sidecar gets the evacuation before it admits anything.
 func TestEvacuationThenReplicasDie(t *testing.T) {
 	t.Parallel()
 	f, ctx := newFleet(t, smallFleet())
@@ -171,22 +169,22 @@
 	must(t, err)
 	f.PowerOff(f.Replicas...)
 	if !bytes.Contains(r.Body, []byte(`"in_force": false`)) || !bytes.Contains(r.Body, []byte(f.Sidecars[3].IP)) {
-		t.Errorf("the receipt does not tell who is behind: %s", r.Body)
+		t.Errorf("the answer does not list who is behind: %s", r.Body)
 	}
 	f.Network.Heal()
-	must(t, fleet.Await(ctx, "8 s to pass", func(context.Context) bool { return time.Since(evacuated) > 8*time.Second }))
-	must(t, fleet.Await(ctx, "the word to be heard without cores", func(ctx context.Context) bool {
+	awaitElapsed(ctx, t, evacuated, 8*time.Second)
+	must(t, fleet.Await(ctx, "the evacuation to be in force without replicas", func(ctx context.Context) bool {
 		s, err := f.Revision(ctx, f.Sidecars[3])
 		return err == nil && s >= r.Revision
 	}))
-	// It serves its own clients by the other zones.
+	// It serves its own clients from the other zones.
 	must(t, awaitServed(ctx, f, 3))
 	stop()
 	checkLedger(t, f)
 }
 
-// A sidecar that starts while all cores are dead gets configuration, nodes and
-// the right to admit from the other sidecars; its own backends are known to them.
+// A sidecar that starts while all replicas are dead gets the configuration, the nodes and a lease from the
+// other sidecars, and they get its backends.
 func TestStartWithoutControlPlane(t *testing.T) {
 	t.Parallel()
 	f, ctx := startFleet(t, smallFleet())
@@ -207,8 +205,8 @@
 	checkLedger(t, f)
 }
 
-// A sidecar that nobody can tell a configuration is not ready, and says at once
-// that nothing was run and when to come back.
+// A sidecar that can get no configuration is not ready, and answers at once that nothing was run and when
+// to retry.
 func TestStartAlone(t *testing.T) {
 	t.Parallel()
 	f, ctx := newFleet(t, smallFleet())
--- a/tests/e2e/planner_test.go
+++ b/tests/e2e/planner_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// The planner shows what a change would move, from a live core and from a file
-// alike, says it with its exit code, and changes nothing.
+// The planner prints what a change would move, from a live replica and from a file alike, reports it by its
+// exit code, and changes nothing.
 func TestPlanner(t *testing.T) {
 	t.Parallel()
 	f, ctx := startFleet(t, smallFleet())
@@ -57,13 +57,13 @@
 		}
 		for _, s := range c.says {
 			if !strings.Contains(string(out), s) {
-				t.Errorf("%v: does not say %q: %s", c.args, s, out)
+				t.Errorf("%v: does not print %q: %s", c.args, s, out)
 			}
 		}
 	}
 	for _, p := range f.Sidecars {
 		if s, err := f.Revision(ctx, p); err != nil || s != r.Revision {
-			t.Errorf("%s is at stamp %d: the planner changed something", p.Name, s)
+			t.Errorf("%s is at revision %d: the planner changed something", p.Name, s)
 		}
 	}
 }
--- a/tests/e2e/request_test.go
+++ b/tests/e2e/request_test.go
@@ -62,14 +62,14 @@
 	}
 }
 
-// Refusals of the near side say at once what is known.
+// Refusals of the outbound sidecar come at once and say what is known.
 func TestRefusals(t *testing.T) {
 	r := newRig(t)
 	r.expect(r.send("GET", "/nowhere", ""), 404, "not-run")
 	r.expect(r.send("POST", "/look/", ""), 404, "not-run")
 	r.expect(r.send("POST", "/once/", strings.Repeat("x", 17<<20)), 413, "not-run")
 	r.expect(r.send("POST", "/once/", "x"), 503, "not-run") // no backend at all
-	// A body that is cut short is a bad request.
+	// A truncated body is a bad request.
 	c, err := net.Dial("tcp", r.RequestAddress(0))
 	must(t, err)
 	defer c.Close()
@@ -77,9 +77,9 @@
 	must(t, c.(*net.TCPConn).CloseWrite())
 	reply, _ := io.ReadAll(c)
 	if !bytes.HasPrefix(reply, []byte("HTTP/1.1 400 ")) {
-		t.Errorf("a cut request got %q", reply)
+		t.Errorf("a truncated request got %q", reply)
 	}
-	// A backend that nobody listens for is proven not run.
+	// Where nobody listens, the request surely did not run.
 	ln, err := net.Listen("tcp", net.JoinHostPort(r.Site.IP(1), "0"))
 	must(t, err)
 	addr := ln.Addr().String()
@@ -88,8 +88,8 @@
 	r.expect(r.send("POST", "/once/", "x"), 503, "not-run")
 }
 
-// Whatever a backend does wrong after it was written to, an order is not run
-// again and its answer is not passed on as whole.
+// Whatever a backend answers wrongly after it was written to, an order is not run again, and its answer is
+// not passed on as complete.
 func TestWrongAnswers(t *testing.T) {
 	for name, speak := range map[string]string{
 		"nothing":         "",
@@ -112,7 +112,7 @@
 			if n := count(); n != 1 {
 				t.Errorf("it ran %d times", n)
 			}
-			// The key's claim stands: a repeat gets the same and does not run.
+			// The key stays reserved: a repeat gets the same answer and does not run.
 			again := r.send("POST", "/once/", "x", "Idempotency-Key", "k")
 			if !bytes.Equal(a.body, again.body) || count() != 1 {
 				t.Errorf("a repeat got %q after %q and ran %d times", again.body, a.body, count())
@@ -121,8 +121,7 @@
 	}
 }
 
-// A way marked repeatable gets another attempt after a lost answer; an order does
-// not, even with two backends to go to.
+// A request on an idempotent route is retried after a lost answer; an order is not, even with two backends.
 func TestRetry(t *testing.T) {
 	r := newRig(t)
 	count := r.rawBackend(1, func(int, net.Conn) {})
@@ -141,13 +140,13 @@
 	}
 	for count() < 7 && r.ctx.Err() == nil {
 		if a := r.send("GET", "/look/", ""); a.StatusCode != 200 {
-			t.Errorf("a repeatable inquiry got %d %s", a.StatusCode, a.body)
+			t.Errorf("an idempotent request got %d %s", a.StatusCode, a.body)
 		}
 	}
 }
 
-// When everything fails and clients ask on, extra attempts stay within a fifth of
-// the traffic and the allowance.
+// When everything fails and clients go on sending, retries stay within a fifth of the traffic and the
+// allowance.
 func TestRetriesBounded(t *testing.T) {
 	r := newRig(t)
 	var count []func() int
@@ -159,14 +158,13 @@
 		r.expect(r.send("GET", "/look/", ""), 502, "unknown")
 	}
 	runs := count[0]() + count[1]() + count[2]()
-	t.Logf("%d sent, %d legs", sent, runs)
+	t.Logf("%d sent, %d attempts", sent, runs)
 	if runs <= sent || float64(runs) > 1.2*sent+20 {
-		t.Errorf("%d inquiries came to %d legs", sent, runs)
+		t.Errorf("%d requests came to %d attempts", sent, runs)
 	}
 }
 
-// Past its deadline a request is answered at once, and a slow backend is not
-// asked a second time.
+// A request is answered when its deadline has passed, and a slow backend is not tried a second time.
 func TestDeadline(t *testing.T) {
 	r := newRig(t)
 	release := make(chan struct{})
@@ -183,12 +181,12 @@
 		t.Errorf("it ran %d times", runs.Load())
 	}
 	if a.took > oncePlan.Deadline+time.Second {
-		t.Errorf("an expiry of %v was answered after %v", oncePlan.Deadline, a.took)
+		t.Errorf("a deadline of %v was answered after %v", oncePlan.Deadline, a.took)
 	}
 }
 
-// The claims of Idempotency-Key: a repeat joins the running one, gets the same
-// response afterwards, and can't be another request. What did not run may run.
+// A repeat under a key joins the running request, gets the same response afterwards, and can't be another
+// request. What did not run may run.
 func TestIdempotencyKeys(t *testing.T) {
 	r := newRig(t)
 	r.expect(r.send("POST", "/once/", "x", "Idempotency-Key", "a"), 503, "not-run")
--- a/tests/e2e/rig_test.go
+++ b/tests/e2e/rig_test.go
@@ -15,8 +15,8 @@
 	"curlewwalk/tests/fleet"
 )
 
-// rig is a fleet of one core and two machines for tests with backends of their
-// own: callers stand on machine 0, backends on machine 1.
+// rig is a fleet of one replica and two machines for tests with backends of their own: clients
+// are on machine 0, backends on machine 1.
 type rig struct {
 	*fleet.Fleet
 	t   *testing.T
@@ -25,20 +25,20 @@
 	known int
 }
 
-// The two ways of a rig: an order must run once, a look may be repeated.
+// The routes of a rig: an order must run once, a read is idempotent.
 var (
 	oncePlan = fakes.RequestPlan{Name: "once", Method: "POST", Prefix: "/once/", Service: "desk", LatencyTarget: time.Second, Deadline: 3 * time.Second, Priority: 1, Work: time.Millisecond, BodySize: 50}
 	headPlan = fakes.RequestPlan{Name: "head", Method: "HEAD", Prefix: "/look/", Service: "desk", LatencyTarget: time.Second, Deadline: 3 * time.Second, Priority: 1, Idempotent: true}
 	readPlan = fakes.RequestPlan{Name: "look", Method: "GET", Prefix: "/look/", Service: "desk", LatencyTarget: time.Second, Deadline: 3 * time.Second, Priority: 1, Work: time.Millisecond, Idempotent: true}
 )
 
+// newRig starts a rig.
 func newRig(t *testing.T) *rig {
 	f, ctx := startFleet(t, fleet.Size{Name: "rig", Replicas: 1, Machines: 2, Zones: []string{"north", "south"}, Capacity: 9, Plans: []fakes.RequestPlan{oncePlan, readPlan, headPlan}})
 	return &rig{Fleet: f, t: t, ctx: ctx}
 }
 
-// backend starts a backend on a machine that answers by h, and waits until the
-// sidecars of the rig know as many as there are.
+// backend starts a backend on a machine that answers by h, and waits until the sidecars know it.
 func (r *rig) backend(machine int, h http.Handler) *fakes.Backend {
 	r.t.Helper()
 	return r.backendOf("desk", machine, h)
@@ -59,14 +59,14 @@
 	return b
 }
 
-// answer is what a raw request got.
+// answer is the answer to a request, with its body and how long it took.
 type answer struct {
 	*http.Response
 	body []byte
 	took time.Duration
 }
 
-// send sends a request to the sidecar of machine 0.
+// send sends a request to the sidecar of machine 0; header holds names and values in turn.
 func (r *rig) send(method, uri, body string, header ...string) answer {
 	r.t.Helper()
 	req, err := http.NewRequestWithContext(r.ctx, method, "http://"+r.RequestAddress(0)+uri, bytes.NewReader([]byte(body)))
@@ -83,21 +83,21 @@
 	return answer{Response: resp, body: b, took: time.Since(begin)}
 }
 
-// expect checks status and outcome of an answer of the sidecar's own.
+// expect checks the status and outcome of a sidecar's own answer.
 func (r *rig) expect(a answer, status int, outcome string) {
 	r.t.Helper()
 	var own struct{ Outcome, Reason, Trace string }
 	json.Unmarshal(a.body, &own)
-	if a.StatusCode != status || a.Header.Get("Curlewwalk-Outcome") != outcome || own.Outcome != outcome || own.Reason == "" {
-		r.t.Errorf("got %d %q %s, want %d %q", a.StatusCode, a.Header.Get("Curlewwalk-Outcome"), a.body, status, outcome)
+	if a.StatusCode != status || a.Header.Get(outcomeHeader) != outcome || own.Outcome != outcome || own.Reason == "" {
+		r.t.Errorf("got %d %q %s, want %d %q", a.StatusCode, a.Header.Get(outcomeHeader), a.body, status, outcome)
 	}
 	if status >= 500 && a.Header.Get("Retry-After") == "" {
 		r.t.Errorf("%d without Retry-After", status)
 	}
 }
 
-// rawBackend answers each connection by what speak writes after the request
-// was read; it counts the requests it saw.
+// rawBackend starts a backend that answers each connection by what respond writes once something was read
+// from it; count returns how many requests came.
 func (r *rig) rawBackend(machine int, respond func(n int, c net.Conn)) (count func() int) {
 	r.t.Helper()
 	return r.rawBackendAs(machine, "raw", respond)
@@ -133,8 +133,7 @@
 	return func() int { n := <-seen; seen <- n; return n }
 }
 
-// announceBackend keeps telling a sidecar of a backend at an address until the test
-// ends.
+// announceBackend announces a backend at an address until the test ends.
 func (r *rig) announceBackend(machine int, instance, addr string) {
 	r.t.Helper()
 	body, _ := json.Marshal(map[string]any{"instance": instance, "service": "desk", "address": addr, "capacity": 9})
@@ -164,27 +163,27 @@
 	must(r.t, r.AwaitServing(r.ctx, 1, r.known))
 }
 
-// awaitJoined waits until repeats wait for a running request on machine 0.
+// awaitJoined waits until n repeats wait for a running request on machine 0.
 func (r *rig) awaitJoined(n int64) error {
 	return fleet.Await(r.ctx, "repeats to join", func(ctx context.Context) bool {
 		var st struct {
-			Near struct {
+			Outbound struct {
 				Open int64 `json:"open"`
 			} `json:"near"`
 		}
 		_, err := r.Sidecars[0].Get(ctx, "/v1/stats", &st)
-		return err == nil && st.Near.Open == n+1
+		return err == nil && st.Outbound.Open == n+1
 	})
 }
 
-// receive receives or fails the test when its time is over.
+// receive receives from a channel, or fails the test when its time is over.
 func receive[T any](r *rig, ch <-chan T) T {
 	r.t.Helper()
 	select {
 	case v := <-ch:
 		return v
 	case <-r.ctx.Done():
-		r.t.Fatal("waited in vain")
+		r.t.Fatal("timed out")
 		panic("not reached")
 	}
 }
--- a/tests/e2e/routes_test.go
+++ b/tests/e2e/routes_test.go
@@ -8,8 +8,8 @@
 	"curlewwalk/tests/fleet"
 )
 
-// The whole path at the size of either deployment: each kind of request goes
-// from every machine to a right backend and its answer comes back untouched.
+// At the size of either deployment each kind of request gets from every machine to a right backend, and its
+// answer comes back unaltered.
 func TestEveryRoute(t *testing.T) {
 	for _, size := range []fleet.Size{fleet.Association(), fleet.Heating()} {
 		t.Run(size.Name, func(t *testing.T) {
@@ -24,21 +24,20 @@
 			checkLedger(t, f)
 			want := f.Configuration()
 			for _, replica := range f.Replicas {
-				r, err := f.Operate(ctx, replica, "GET", "/v1/desired", nil)
+				r, err := f.Operate(ctx, replica, "GET", configurationPath, nil)
 				must(t, err)
 				if r.Revision != 1 || !cmp.Equal(r.Body, want) {
-					t.Errorf("%s reads back stamp %d: %s", replica.Name, r.Revision, cmp.Diff(string(want), string(r.Body)))
+					t.Errorf("%s reads back revision %d: %s", replica.Name, r.Revision, cmp.Diff(string(want), string(r.Body)))
 				}
 			}
 		})
 	}
 }
 
-// Any one live seed is enough, in any order of starting, with a dead first
-// seed.
+// Any one live seed is enough, in any order of starting, with a dead first seed.
 func TestSeedsAndOrder(t *testing.T) {
 	f, ctx := newFleet(t, smallFleet())
-	// Everyone has three seeds: two cores and sidecar-0.
+	// All processes have three seeds: two replicas and sidecar-0.
 	for _, p := range []*fleet.Program{f.Sidecars[2], f.Sidecars[0], f.Replicas[2], f.Sidecars[1], f.Replicas[0], f.Replicas[1], f.Sidecars[3]} {
 		must(t, p.Start())
 	}
--- a/tests/e2e/stop_test.go
+++ b/tests/e2e/stop_test.go
@@ -17,16 +17,16 @@
 
 // sidecarStats is the part of GET /v1/stats that these tests read.
 type sidecarStats struct {
-	Closed bool `json:"closed"`
-	Near   struct {
+	Closed   bool `json:"closed"`
+	Outbound struct {
 		Open int64 `json:"open"`
 	} `json:"near"`
-	Far struct {
+	Inbound struct {
 		Open int64 `json:"open"`
 	} `json:"far"`
 }
 
-// awaitStats waits until a sidecar's statistics are as wanted.
+// awaitStats waits until the statistics of a sidecar are as wanted.
 func (r *rig) awaitStats(machine int, what string, want func(s sidecarStats) bool) {
 	r.t.Helper()
 	must(r.t, fleet.Await(r.ctx, what, func(ctx context.Context) bool {
@@ -36,14 +36,14 @@
 	}))
 }
 
-// connectionAnswer is what a connection of its own brought; err if it ended without an answer.
+// connectionAnswer is the answer on a connection; err is set if it ended without one.
 type connectionAnswer struct {
 	status  int
 	outcome string
 	err     error
 }
 
-// sendOnNewConnection sends a request to a machine's sidecar on a connection of its own.
+// sendOnNewConnection sends a request to a sidecar on a connection of its own.
 func (r *rig) sendOnNewConnection(machine int, method, uri string, answers chan<- connectionAnswer) {
 	c, err := net.Dial("tcp", r.RequestAddress(machine))
 	if err != nil {
@@ -59,10 +59,10 @@
 		return
 	}
 	_, err = io.Copy(io.Discard, resp.Body)
-	answers <- connectionAnswer{resp.StatusCode, resp.Header.Get("Curlewwalk-Outcome"), err}
+	answers <- connectionAnswer{resp.StatusCode, resp.Header.Get(outcomeHeader), err}
 }
 
-// restart starts a sidecar anew with further settings.
+// restart restarts a sidecar with further settings.
 func (r *rig) restart(machine int, args ...string) {
 	r.t.Helper()
 	r.Sidecars[machine].Stop()
@@ -71,9 +71,8 @@
 	must(r.t, r.AwaitServing(r.ctx, 1, r.known))
 }
 
-// A stopping sidecar whose backend still runs something takes calls of that backend, which
-// can't be told from clients' requests there; of all these it takes none that may last
-// longer than it will itself.
+// A stopping sidecar whose backend still runs something accepts the calls of that backend, which can't be
+// told from clients' requests there; but none that may take longer than the stop.
 func TestStopRefusesLongRequests(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
@@ -110,8 +109,8 @@
 	}
 }
 
-// When the time to stop is over, all that is still open is answered: refused if it was not
-// begun, and with an unknown outcome if it was. No connection is closed without an answer.
+// When the time to stop is over, all that is still open is answered: refused if it was not begun, with an
+// unknown outcome if it was. No connection is closed without an answer.
 func TestStopAnswersOpenRequests(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
@@ -128,7 +127,7 @@
 	for range asked {
 		go r.sendOnNewConnection(0, "POST", "/once/", begun)
 	}
-	r.awaitStats(1, "all to run or wait", func(s sidecarStats) bool { return s.Far.Open == asked })
+	r.awaitStats(1, "all to run or wait", func(s sidecarStats) bool { return s.Inbound.Open == asked })
 	exit := make(chan int, 1)
 	go func() { exit <- r.Sidecars[0].Stop() }()
 	outcomes := map[string]int{}
@@ -149,8 +148,8 @@
 	}
 }
 
-// A core that stops answers its operators on the connections that they keep: what crosses
-// its end is told to have gone unheard, so that they turn to another core.
+// A replica that stops answers operators on the connections that they keep: a request that meets its end is
+// answered as not handled, so that they try another replica.
 func TestReplicaStopAnswers(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
@@ -172,9 +171,9 @@
 	}
 	exit := make(chan int, 1)
 	go func() { exit <- r.Replicas[0].Stop() }()
-	_, err = in.Peek(1) // the farewell has come, or the end
+	_, err = in.Peek(1) // the close is announced, or the connection has ended
 	if err != nil {
-		t.Fatalf("no farewell: %v", err)
+		t.Fatalf("the close was not announced: %v", err)
 	}
 	if resp, err := get(); err != nil || resp.StatusCode != http.StatusRequestTimeout || !resp.Close {
 		t.Errorf("%+v %v", resp, err)
--- a/tests/e2e/trace_test.go
+++ b/tests/e2e/trace_test.go
@@ -14,9 +14,9 @@
 	"curlewwalk/tests/fleet"
 )
 
-// The whole tree of a request and of the calls that it causes, from any core:
-// identifiers on every hop, the four events of each span in logical order, and
-// the answer traced only to the client that sent identifiers.
+// The whole tree of a request and of the calls that it causes can be read from any replica: identifiers on
+// every hop, the four events of each span in logical order, and identifiers in the answer only for the
+// client that sent some.
 func TestTraceTree(t *testing.T) {
 	f, ctx := startFleet(t, smallFleet())
 	ids := make(chan http.Header, 1)
@@ -51,7 +51,7 @@
 		}))
 		root, child := tr.Roots[0], tr.Roots[0].Children[0]
 		if root.Parent != "00000000000000ff" || root.Route != "order-read" || root.Caller != "" || tr.Whole {
-			t.Errorf("root %+v, whole %v though the client's own span is missing", root, tr.Whole)
+			t.Errorf("root %+v, complete %v though the client's own span is missing", root, tr.Whole)
 		}
 		if child.Parent != root.Span || child.Route != "stock-read" || child.Caller != "orders" || child.Link != "proven" || len(child.Candidates) != 1 {
 			t.Errorf("child %+v", child)
@@ -75,8 +75,8 @@
 	}
 }
 
-// With every collector frozen, and then dead, requests neither fail nor wait
-// for tracing; what was dropped is counted.
+// With every collector frozen, and then dead, requests neither fail nor wait for tracing; what was dropped
+// is counted.
 func TestCollectorsStopped(t *testing.T) {
 	size := smallFleet()
 	f, ctx := newFleet(t, size)
@@ -97,7 +97,7 @@
 		}
 		c := f.NewClient(0, 1)
 		c.Name += stop.how
-		// Within the time of a claim: frozen cores renew none.
+		// Within the time of a lease: frozen replicas renew none.
 		for begin, i := time.Now(), 0; i < 200 && time.Since(begin) < 1500*time.Millisecond; i++ {
 			if a := c.SendOne(ctx, plan); a.Status != 200 || a.Outcome != "" {
 				t.Fatalf("collectors %s: %+v", stop.how, a)
@@ -115,8 +115,8 @@
 	checkLedger(t, f)
 }
 
-// How well a backend's outgoing calls are tied to their causes, at one and at
-// nine requests at a time. At one, all are right and proven.
+// How well a backend's outgoing calls are linked to their causes, at one and at nine requests at a time. At
+// one, all are correct and proven.
 func TestCausalLinks(t *testing.T) {
 	for _, busy := range []int{1, 9} {
 		t.Run(fmt.Sprint(busy), func(t *testing.T) {
--- a/tests/e2e/wake_test.go
+++ b/tests/e2e/wake_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"context"
 	"fmt"
 	"net/http"
 	"sync"
@@ -13,12 +12,10 @@
 
 	"curlewwalk/tests/fakes"
 	"curlewwalk/tests/faultproxy"
-	"curlewwalk/tests/fleet"
 )
 
-// A sidecar is frozen with beats of a backend piled up in its sockets, while
-// the backend dies and its address passes to another service. Woken, it must
-// not take the old beats for new ones.
+// A sidecar is frozen with announcements of a backend queued in its sockets, while the backend dies and its
+// address is used by another service. Woken, it must not take the old announcements for new ones.
 func TestOldAnnouncementsAfterWake(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
@@ -49,13 +46,13 @@
 	srv := &http.Server{Handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) { misdirected.Add(1) })}
 	defer srv.Close()
 	go srv.Serve(ln)
-	must(t, fleet.Await(r.ctx, "3 s to pass", func(context.Context) bool { return time.Since(frozen) > 3*time.Second }))
+	awaitElapsed(r.ctx, t, frozen, 3*time.Second)
 	r.Sidecars[1].Signal(syscall.SIGCONT)
 	woken := time.Now()
 	for time.Since(woken) < 3*time.Second {
 		r.send("GET", "/look/", "")
 	}
 	if n := misdirected.Load(); n > 0 {
-		t.Errorf("%d inquiries reached another service", n)
+		t.Errorf("%d requests reached another service", n)
 	}
 }
