--- a/internal/controlplane/consensus/handlers.go
+++ b/internal/controlplane/consensus/handlers.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 
 	"curlewwalk/internal/actor"
 	"curlewwalk/internal/config"
@@ -10,8 +11,8 @@
 
 // The kinds of request on the wire. Those with a delta hold the control state, or the command,
 // as a difference from one that the other replica has. A replica of an earlier version answers
-// that it does not know the kind, one that lacks the base answers faultBase; either is sent the
-// whole at once. (DESIGN 8.3)
+// that it does not know the kind, one that lacks the base answers errMissingBase; either is sent
+// the whole at once. (DESIGN 8.3)
 const (
 	KindMessage      = "ballot"
 	KindCommand      = "order"
@@ -20,12 +21,12 @@
 	KindDeltaCommand = "patched-order"
 )
 
-// The faults that a request may be answered with.
-const (
-	faultBase    = "the base of the difference is not here"
-	faultCommand = "not an order"
-	faultDisk    = "the disk does not take it"
-	faultMessage = "not a ballot"
+// The errors that a request may be answered with. Their texts are part of the protocol.
+var (
+	errMissingBase = errors.New("the base of the difference is not here")
+	errNotCommand  = errors.New("not an order")
+	errDisk        = errors.New("the disk does not take it")
+	errNotMessage  = errors.New("not a ballot")
 )
 
 // Handlers are the requests that a replica answers, by kind.
@@ -37,61 +38,61 @@
 }
 
 // handleMessage takes a message to the local acceptor.
-func (r *Replica) handleMessage(ctx context.Context, request transport.Request) (any, string) {
+func (r *Replica) handleMessage(ctx context.Context, request transport.Request) (any, error) {
 	var message Message
 	if !request.Decode(&message) {
-		return nil, faultMessage
+		return nil, errNotMessage
 	}
 	if reply := r.stepAcceptor(ctx, message); reply != nil {
-		return reply, ""
+		return reply, nil
 	}
-	return nil, faultDisk
+	return nil, errDisk
 }
 
 // handleDeltaMessage takes a message whose control state is a delta.
-func (r *Replica) handleDeltaMessage(ctx context.Context, request transport.Request) (any, string) {
+func (r *Replica) handleDeltaMessage(ctx context.Context, request transport.Request) (any, error) {
 	var delta deltaMessage
 	if !request.Decode(&delta) {
-		return nil, faultMessage
+		return nil, errNotMessage
 	}
 	version, ok := r.members.deltas.apply(delta.Patch, r.Acceptor())
 	if !ok || version.Decode(&delta.Message.State) != nil {
-		return nil, faultBase
+		return nil, errMissingBase
 	}
 	if _, ok := r.members.deltas.add(delta.Message.Position, delta.Message.State); !ok {
-		return nil, faultBase
+		return nil, errMissingBase
 	}
 	if reply := r.stepAcceptor(ctx, delta.Message); reply != nil {
 		reply.MemberSets = MemberSets{} // whoever proposes or commits knows them
-		return reply, ""
+		return reply, nil
 	}
-	return nil, faultDisk
+	return nil, errDisk
 }
 
 // handleCommand carries out a command that another replica has forwarded.
-func (r *Replica) handleCommand(ctx context.Context, request transport.Request) (any, string) {
+func (r *Replica) handleCommand(ctx context.Context, request transport.Request) (any, error) {
 	var command Command
 	if !request.Decode(&command) {
-		return nil, faultCommand
+		return nil, errNotCommand
 	}
-	return r.Submit(ctx, command).forSender(command), ""
+	return r.Submit(ctx, command).forSender(command), nil
 }
 
 // handleDeltaCommand carries out a forwarded command that is a delta.
-func (r *Replica) handleDeltaCommand(ctx context.Context, request transport.Request) (any, string) {
+func (r *Replica) handleDeltaCommand(ctx context.Context, request transport.Request) (any, error) {
 	var patch config.Patch
 	if !request.Decode(&patch) {
-		return nil, faultCommand
+		return nil, errNotCommand
 	}
 	version, ok := r.members.deltas.apply(patch, r.Acceptor())
 	if !ok {
-		return nil, faultBase
+		return nil, errMissingBase
 	}
 	var command Command
 	if version.Decode(&command) != nil {
-		return nil, faultCommand
+		return nil, errNotCommand
 	}
-	return r.Submit(ctx, command).forSender(command), ""
+	return r.Submit(ctx, command).forSender(command), nil
 }
 
 // stepAcceptor has the local acceptor take a message; nil if it did not in time, or if the
--- a/internal/controlplane/consensus/replica_harness_test.go
+++ b/internal/controlplane/consensus/replica_harness_test.go
@@ -148,10 +148,10 @@
 	late     time.Duration
 }
 
-func (p *slowPeer) handleMessage(ctx context.Context, request transport.Request) (any, string) {
+func (p *slowPeer) handleMessage(ctx context.Context, request transport.Request) (any, error) {
 	var message Message
 	if !request.Decode(&message) {
-		return nil, faultMessage
+		return nil, errNotMessage
 	}
 	p.mu.Lock()
 	next, reply := p.acceptor.Step(message)
@@ -163,7 +163,7 @@
 		case <-ctx.Done():
 		}
 	}
-	return reply, ""
+	return reply, nil
 }
 
 // memberRecord is what it knows of a member ID.
--- a/internal/controlplane/heartbeat.go
+++ b/internal/controlplane/heartbeat.go
@@ -10,10 +10,10 @@
 
 // handleHeartbeat answers a membership.Heartbeat of another process: a replica's, or a sidecar's
 // whole state (Node) or the difference from it (NodeStatus).
-func (n *Node) handleHeartbeat(ctx context.Context, request transport.Request) (any, string) {
+func (n *Node) handleHeartbeat(ctx context.Context, request transport.Request) (any, error) {
 	var h membership.Heartbeat
 	if !request.Decode(&h) {
-		return nil, "not a heartbeat"
+		return nil, membership.ErrNotHeartbeat
 	}
 	response, sidecar := n.discovery.Respond(h, n.cluster.announcedStatus()), ""
 	switch {
@@ -30,7 +30,7 @@
 	if incarnation, ok := n.watchServer.Suspected(sidecar); ok {
 		response.Suspected = &incarnation
 	}
-	return response, ""
+	return response, nil
 }
 
 // catchUpFrom copies committed state from another replica if that one has a newer revision.
--- a/internal/controlplane/reconfigurer.go
+++ b/internal/controlplane/reconfigurer.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"log/slog"
 	"time"
 
@@ -76,12 +77,19 @@
 	}
 }
 
+// The errors that a request to join may be answered with. Their texts are part of the protocol.
+var (
+	errNotJoinRequest         = errors.New("does not ask for a seat")
+	errNotCoordinator         = errors.New("not on duty")
+	errCoordinatorUnreachable = errors.New("the core on duty does not answer")
+)
+
 // handleJoin answers a consensus.JoinRequest of a replica that is no member. A replica that is not
 // the coordinator forwards the request to it, once.
-func (r *reconfigurer) handleJoin(ctx context.Context, request transport.Request) (any, string) {
+func (r *reconfigurer) handleJoin(ctx context.Context, request transport.Request) (any, error) {
 	var join consensus.JoinRequest
 	if !request.Decode(&join) {
-		return nil, "does not ask for a seat"
+		return nil, errNotJoinRequest
 	}
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
@@ -89,20 +97,20 @@
 		return r.forwardJoin(ctx, coordinator, join)
 	}
 	r.mailbox.Send(ctx, msgJoinRequested{join})
-	return joinReply{Received: true}, ""
+	return joinReply{Received: true}, nil
 }
 
 // forwardJoin takes a join request to the coordinator, and its reply back.
-func (r *reconfigurer) forwardJoin(ctx context.Context, coordinator membership.Replica, join consensus.JoinRequest) (any, string) {
+func (r *reconfigurer) forwardJoin(ctx context.Context, coordinator membership.Replica, join consensus.JoinRequest) (any, error) {
 	if join.Forwarded {
-		return nil, "not on duty"
+		return nil, errNotCoordinator
 	}
 	join.Forwarded = true
 	var reply joinReply
 	if !r.client.Call(ctx, coordinator.Addr, transport.ControlTraffic, consensus.KindJoin, join).Decode(&reply) {
-		return nil, "the core on duty does not answer"
+		return nil, errCoordinatorUnreachable
 	}
-	return reply, ""
+	return reply, nil
 }
 
 // handle is the actor: it plans the next change and begins it.
--- a/internal/dataplane/keyreplication/replica_server.go
+++ b/internal/dataplane/keyreplication/replica_server.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"sync/atomic"
 	"time"
 
@@ -63,19 +64,25 @@
 	}
 }
 
+// The errors that a call may be answered with. Their texts are part of the protocol.
+var (
+	errWrongBody = errors.New("not of this kind")
+	errStopping  = errors.New("stopping")
+)
+
 // handle returns a handler that decodes a call's body into a Body and has Run answer it.
 func handle[Body, Reply any](s *ReplicaServer, answer func(store *ReplicaStore, body Body, now time.Duration) Reply) transport.Handler {
-	return func(ctx context.Context, request transport.Request) (any, string) {
+	return func(ctx context.Context, request transport.Request) (any, error) {
 		var body Body
 		if !request.Decode(&body) {
-			return nil, "not of this kind"
+			return nil, errWrongBody
 		}
 		reply := make(chan Reply, 1)
 		select {
 		case s.operations <- func(store *ReplicaStore, now time.Duration) { reply <- answer(store, body, now) }:
-			return <-reply, ""
+			return <-reply, nil
 		case <-ctx.Done():
-			return nil, "stopping"
+			return nil, errStopping
 		}
 	}
 }
--- a/internal/dataplane/proxy/answers_test.go
+++ b/internal/dataplane/proxy/answers_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -89,7 +90,7 @@
 		t.Run(name, func(t *testing.T) {
 			attempts := 0
 			p := newProxyPairWith(t, respondOK, func(h map[string]transport.Handler) {
-				h[KindAttempt] = func(_ context.Context, request transport.Request) (any, string) {
+				h[KindAttempt] = func(_ context.Context, request transport.Request) (any, error) {
 					var attempt Attempt
 					request.Decode(&attempt)
 					attempts++
@@ -97,9 +98,9 @@
 					if out.ID == "" {
 						out.ID = attempt.ID
 					}
-					return out, ""
+					return out, nil
 				}
-				h[KindCancel] = func(context.Context, transport.Request) (any, string) { return nil, "not known" }
+				h[KindCancel] = func(context.Context, transport.Request) (any, error) { return nil, errors.New("not known") }
 			})
 			c := p.client(t)
 			c.send("POST /once/x HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\n\r\nx")
@@ -171,14 +172,14 @@
 			came, woken, ended := make(chan struct{}, 9), make(chan struct{}), make(chan AttemptResponse, 9)
 			p := newProxyPairWith(t, respondOK, func(h map[string]transport.Handler) {
 				handleAttempt, handleCancel := h[KindAttempt], h[KindCancel]
-				h[KindAttempt] = func(ctx context.Context, request transport.Request) (any, string) {
+				h[KindAttempt] = func(ctx context.Context, request transport.Request) (any, error) {
 					came <- struct{}{}
 					<-woken
-					reply, fault := handleAttempt(ctx, request)
+					reply, err := handleAttempt(ctx, request)
 					ended <- reply.(AttemptResponse)
-					return reply, fault
+					return reply, err
 				}
-				h[KindCancel] = func(ctx context.Context, request transport.Request) (any, string) {
+				h[KindCancel] = func(ctx context.Context, request transport.Request) (any, error) {
 					if !arrives {
 						<-woken
 					}
--- a/internal/dataplane/proxy/cancel.go
+++ b/internal/dataplane/proxy/cancel.go
@@ -21,17 +21,20 @@
 // errCanceled is the cause with which the context of an attempt ends that was canceled.
 var errCanceled = eris.New("the attempt was recalled")
 
+// errNotCancel answers a call that is not a CancelRequest. Its text is part of the protocol.
+var errNotCancel = errors.New("not a recall")
+
 // HandleCancel handles a cancellation: it is the transport.Handler of KindCancel.
-func (in *Inbound) HandleCancel(_ context.Context, request transport.Request) (any, string) {
+func (in *Inbound) HandleCancel(_ context.Context, request transport.Request) (any, error) {
 	var cancel CancelRequest
 	if !request.Decode(&cancel) {
-		return nil, "not a recall"
+		return nil, errNotCancel
 	}
 	response := AttemptResponse{ID: cancel.ID, Outcome: routing.Unknown, Reason: "it was begun, or begun before a restart"}
 	if in.cancel(cancel.ID) && cancel.Incarnation == in.Incarnation {
 		response.Outcome, response.Reason = routing.NotRun, "recalled before it was begun"
 	}
-	return response, ""
+	return response, nil
 }
 
 // cancel ends an attempt that nobody waits for any more. One that was not begun never is, and
--- a/internal/dataplane/proxy/inbound.go
+++ b/internal/dataplane/proxy/inbound.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"time"
 
 	"curlewwalk/internal/actor"
@@ -64,11 +65,14 @@
 // ConnectionsReused is how many attempts were given a connection that was open already.
 func (in *Inbound) ConnectionsReused() int64 { return in.pool.reused.Load() }
 
+// errNotAttempt answers a call that is not a valid Attempt. Its text is part of the protocol.
+var errNotAttempt = errors.New("not a leg")
+
 // HandleAttempt handles an attempt: it is the transport.Handler of KindAttempt.
-func (in *Inbound) HandleAttempt(ctx context.Context, request transport.Request) (any, string) {
+func (in *Inbound) HandleAttempt(ctx context.Context, request transport.Request) (any, error) {
 	var attempt Attempt
 	if !request.Decode(&attempt) || !attempt.valid() {
-		return nil, "not a leg" // and never begun, as the reply to a cancellation will tell
+		return nil, errNotAttempt // and never begun, as the reply to a cancellation will tell
 	}
 	in.Counters.Requests.Add(1)
 	in.Counters.InFlight.Add(1)
@@ -87,7 +91,7 @@
 	defer context.AfterFunc(peer, func() { in.cancel(attempt.ID) })()
 	response := in.withTrace(span, &attempt, func() AttemptResponse { return in.admit(ctx, &attempt, span) })
 	in.Counters.completed(response.Outcome)
-	return response, ""
+	return response, nil
 }
 
 // withTrace traces the handling of an attempt.
--- a/internal/dataplane/wiring.go
+++ b/internal/dataplane/wiring.go
@@ -187,17 +187,17 @@
 }
 
 // handleHeartbeat answers another process's heartbeat.
-func (s *Sidecar) handleHeartbeat(_ context.Context, request transport.Request) (any, string) {
+func (s *Sidecar) handleHeartbeat(_ context.Context, request transport.Request) (any, error) {
 	var heartbeat membership.Heartbeat
 	if !request.Decode(&heartbeat) {
-		return nil, "not a heartbeat"
+		return nil, membership.ErrNotHeartbeat
 	}
-	return s.discovery.Respond(heartbeat, nil), ""
+	return s.discovery.Respond(heartbeat, nil), nil
 }
 
 // handleProbe answers a health check of another sidecar.
-func (s *Sidecar) handleProbe(context.Context, transport.Request) (any, string) {
-	return membership.Probe{Incarnation: s.process.Incarnation, Refutation: s.agent.refutation.Load()}, ""
+func (s *Sidecar) handleProbe(context.Context, transport.Request) (any, error) {
+	return membership.Probe{Incarnation: s.process.Incarnation, Refutation: s.agent.refutation.Load()}, nil
 }
 
 // localHeartbeat is what this sidecar reports of itself.
--- a/internal/membership/gossip_fetch.go
+++ b/internal/membership/gossip_fetch.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 
 	"curlewwalk/internal/config"
 	"curlewwalk/internal/transport"
@@ -10,15 +11,18 @@
 // maxFetchNodes is how many nodes are asked for in one call.
 const maxFetchNodes = 64 // (ours)
 
+// errNotGossip answers a call that is not a GossipRequest. Its text is part of the protocol.
+var errNotGossip = errors.New("not a gossip")
+
 // HandleGossip handles a GossipRequest.
-func (g *Gossiper) HandleGossip(_ context.Context, in transport.Request) (any, string) {
+func (g *Gossiper) HandleGossip(_ context.Context, in transport.Request) (any, error) {
 	var req GossipRequest
 	if !in.Decode(&req) {
-		return nil, "not a gossip"
+		return nil, errNotGossip
 	}
 	view := g.View()
 	if f := req.Fetch; f != nil {
-		return GossipResponse{Nodes: view.nodesAt(f.Nodes), State: g.stateFor(*f)}, ""
+		return GossipResponse{Nodes: view.nodesAt(f.Nodes), State: g.stateFor(*f)}, nil
 	}
 	if known, ok := view.nodes[req.Sender.Addr]; !ok || known.Incarnation != req.Sender.Incarnation {
 		select {
@@ -31,7 +35,7 @@
 	if replicas := g.Replicas(); replicas.Digest(nil) != req.Digest {
 		out.KnownReplicas = replicas.All()
 	}
-	return out, ""
+	return out, nil
 }
 
 // stateFor returns the control state as a fetch asks for it; nil if it has none to get.
--- a/internal/membership/gossiper_test.go
+++ b/internal/membership/gossiper_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"log/slog"
 	"net"
@@ -251,7 +252,7 @@
 	}
 	// Six are partitioned, as if their responses were lost.
 	for _, s := range sidecars[5:] {
-		s.server.Handlers[KindGossip] = func(context.Context, transport.Request) (any, string) { return nil, "lost" }
+		s.server.Handlers[KindGossip] = func(context.Context, transport.Request) (any, error) { return nil, errors.New("lost") }
 	}
 	for range 6 {
 		gossipRound(t, sidecars[:5])
--- a/internal/membership/heartbeat.go
+++ b/internal/membership/heartbeat.go
@@ -1,10 +1,18 @@
 package membership
 
-import "curlewwalk/internal/retrybudget"
+import (
+	"errors"
+
+	"curlewwalk/internal/retrybudget"
+)
 
 // KindHeartbeat is the message kind of a heartbeat on the wire.
 const KindHeartbeat = "hail"
 
+// ErrNotHeartbeat answers a call of KindHeartbeat that is not a Heartbeat. Its text is part of
+// the protocol.
+var ErrNotHeartbeat = errors.New("not a heartbeat")
+
 // Heartbeat is what each process sends to the control plane replicas, and what they respond:
 // the sender's own state and the replicas that it knows of. To a receiver that has shown that
 // it understands them, differences are sent: a NodeStatus for the Node, a digest for the
--- a/internal/tracestore/store.go
+++ b/internal/tracestore/store.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"slices"
 
 	"curlewwalk/internal/trace"
@@ -63,31 +64,38 @@
 	}
 }
 
+// The errors that a Batch or a Query may be answered with. Their texts are part of the protocol.
+var (
+	errNotBatch = errors.New("not a batch")
+	errNotQuery = errors.New("not a query")
+	errStopping = errors.New("stopping")
+)
+
 // HandlePublish handles a Batch with a PublishReply.
-func (s *Store) HandlePublish(ctx context.Context, request transport.Request) (any, string) {
+func (s *Store) HandlePublish(ctx context.Context, request transport.Request) (any, error) {
 	var batch Batch
 	if !request.Decode(&batch) {
-		return nil, "not a batch"
+		return nil, errNotBatch
 	}
 	select {
 	case s.batches <- batch.Events:
-		return PublishReply{Stored: len(batch.Events)}, ""
+		return PublishReply{Stored: len(batch.Events)}, nil
 	case <-ctx.Done():
-		return nil, "stopping"
+		return nil, errStopping
 	}
 }
 
 // HandleQuery handles a Query with a Batch.
-func (s *Store) HandleQuery(ctx context.Context, request transport.Request) (any, string) {
+func (s *Store) HandleQuery(ctx context.Context, request transport.Request) (any, error) {
 	var query Query
 	if !request.Decode(&query) {
-		return nil, "not a query"
+		return nil, errNotQuery
 	}
 	l := lookup{id: query.Trace, response: make(chan []trace.Event, 1)}
 	select {
 	case s.lookups <- l:
-		return Batch{Events: <-l.response}, ""
+		return Batch{Events: <-l.response}, nil
 	case <-ctx.Done():
-		return nil, "stopping"
+		return nil, errStopping
 	}
 }
--- a/internal/transport/backpressure_test.go
+++ b/internal/transport/backpressure_test.go
@@ -34,9 +34,9 @@
 	ctx, actors := setup(t)
 	answered := make(chan bool, 200)
 	server := startServerWith(t, ctx, actors, smallBufferListener{listen(t)}, map[string]Handler{
-		"large": func(context.Context, Request) (any, string) {
+		"large": func(context.Context, Request) (any, error) {
 			answered <- true
-			return make([]byte, 256<<10), ""
+			return make([]byte, 256<<10), nil
 		},
 	})
 	conn, err := net.Dial("tcp", server.Addr().String())
--- a/internal/transport/helpers_test.go
+++ b/internal/transport/helpers_test.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"context"
+	"errors"
 	"io"
 	"log/slog"
 	"net"
@@ -51,15 +52,15 @@
 func startServer(t *testing.T, ctx context.Context, actors *actor.System) *Server {
 	t.Helper()
 	return startServerWith(t, ctx, actors, listen(t), map[string]Handler{
-		"echo": func(ctx context.Context, request Request) (any, string) {
+		"echo": func(ctx context.Context, request Request) (any, error) {
 			var echo echoMessage
 			if !request.Decode(&echo) {
-				return nil, "not an echo"
+				return nil, errors.New("not an echo")
 			}
 			if span, ok := trace.SpanFromContext(ctx); ok {
 				echo.Trace = span.Trace.String()
 			}
-			return echo, ""
+			return echo, nil
 		},
 	})
 }
--- a/internal/transport/malformed_test.go
+++ b/internal/transport/malformed_test.go
@@ -64,12 +64,12 @@
 func TestServerOutlivesMalformedFrames(t *testing.T) {
 	ctx, actors := setup(t)
 	server := startServerWith(t, ctx, actors, listen(t), map[string]Handler{
-		"list": func(_ context.Context, request Request) (any, string) {
+		"list": func(_ context.Context, request Request) (any, error) {
 			var list listMessage
 			if !request.Decode(&list) {
-				return nil, "not a list"
+				return nil, errors.New("not a list")
 			}
-			return len(list.Entries), ""
+			return len(list.Entries), nil
 		},
 	})
 	connection := dialPeer(t, ctx, actors, server.Addr().String())
--- a/internal/transport/response.go
+++ b/internal/transport/response.go
@@ -35,6 +35,9 @@
 // UnknownKind reports whether the peer is of a version without that kind of call.
 func (r Response) UnknownKind() bool { return strings.HasPrefix(r.Fault, unknownKindPrefix) }
 
+// FaultIs reports whether the peer answered with the text of an error.
+func (r Response) FaultIs(err error) bool { return r.Fault == err.Error() }
+
 // Decode reads the body of an answer into v; false if there is none that fits.
 func (r Response) Decode(v any) bool {
 	return r.Delivery == Answered && r.Fault == "" && msgpack.Unmarshal(r.body, v) == nil
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -21,9 +21,9 @@
 func (r Request) Decode(v any) bool { return msgpack.Unmarshal(r.body, v) == nil }
 
 // Handler answers one kind of call. ctx has the caller's span, if it sent one, and ends with
-// the connection. A fault other than "" means that the call was not taken; it is sent to the
-// caller in place of the body.
-type Handler func(ctx context.Context, request Request) (body any, fault string)
+// the connection. An error means that the call was not taken; its text is sent to the caller
+// in place of the body.
+type Handler func(ctx context.Context, request Request) (body any, err error)
 
 // Server answers the calls of other processes. Its fields are set before Run. (DESIGN 3.2)
 type Server struct {
--- a/internal/transport/server_connection.go
+++ b/internal/transport/server_connection.go
@@ -59,8 +59,9 @@
 		response.Fault = unknownKindPrefix + call.Kind
 		return response
 	}
-	body, fault := handler(ctx, Request{Peer: c.peer, body: call.Body})
-	if response.Fault = fault; fault != "" {
+	body, err := handler(ctx, Request{Peer: c.peer, body: call.Body})
+	if err != nil {
+		response.Fault = err.Error()
 		return response
 	}
 	encoded, err := msgpack.Marshal(body)
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -127,7 +127,7 @@
 	ctx, actors := setup(t)
 	runs := make(chan int, 9)
 	server := startServerWith(t, ctx, actors, listen(t), map[string]Handler{
-		"run": func(context.Context, Request) (any, string) { runs <- 1; return 1, "" },
+		"run": func(context.Context, Request) (any, error) { runs <- 1; return 1, nil },
 	})
 	conn, r := dialRaw(t, server)
 	frame := frameOf(t, message{ID: 1, Kind: "run"})
@@ -150,8 +150,8 @@
 	const calls = 8
 	ran := make(chan bool, calls)
 	server := startServerWith(t, life, actors, listen(t), map[string]Handler{
-		"long": func(context.Context, Request) (any, string) { return make([]byte, 8<<20), "" },
-		"run":  func(context.Context, Request) (any, string) { ran <- true; return 1, "" },
+		"long": func(context.Context, Request) (any, error) { return make([]byte, 8<<20), nil },
+		"run":  func(context.Context, Request) (any, error) { ran <- true; return 1, nil },
 	})
 	conn, r := dialRaw(t, server)
 	conn.Write(frameOf(t, message{ID: 1, Kind: "long"}))
--- a/internal/watch/server.go
+++ b/internal/watch/server.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"sync/atomic"
 	"time"
 
@@ -125,16 +126,22 @@
 	return lagging, ok && lagging != nil
 }
 
+// The errors that a Request may be answered with. Their texts are part of the protocol.
+var (
+	errNotRequest = errors.New("not a follow")
+	errNoUpdates  = errors.New("not settled in")
+)
+
 // HandleWatch handles a Request. It returns when there are events for the watcher, or after
 // Request.Wait.
-func (s *Server) HandleWatch(ctx context.Context, in transport.Request) (any, string) {
+func (s *Server) HandleWatch(ctx context.Context, in transport.Request) (any, error) {
 	var req Request
 	if !in.Decode(&req) {
-		return nil, "not a follow"
+		return nil, errNotRequest
 	}
 	updates, ok := actor.Ask(ctx, s.mailbox, func(r chan<- *Updates) any { return msgWatch{req, r} })
 	if !ok || updates == nil {
-		return nil, "not settled in"
+		return nil, errNoUpdates
 	}
-	return updates, ""
+	return updates, nil
 }
