--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -61,7 +61,7 @@
 	return out
 }
 
-// encodesTime tells whether a field with a time has a key in JSON or msgpack.
+// encodesTime reports whether a field with a time has a key in JSON or msgpack.
 func encodesTime(p *packages.Package, f *ast.Field) bool {
 	t := p.TypesInfo.TypeOf(f.Type)
 	if f.Tag == nil || t == nil || !strings.Contains(t.String(), "time.Time") {
--- a/internal/controlplane/consensus/acceptor.go
+++ b/internal/controlplane/consensus/acceptor.go
@@ -182,12 +182,12 @@
 	return MemberSets{Current: a.InitialMembers}
 }
 
-// IsMember tells whether the current member set names this acceptor, as far as it knows.
+// IsMember reports whether the current member set names this acceptor, as far as it knows.
 func (a Acceptor) IsMember() bool {
 	return a.Phase == PhaseEstablished && containsSender(a.MemberSets().Current, a.Self)
 }
 
-// Removed tells whether a committed state has removed this acceptor. While a majority of the
+// Removed reports whether a committed state has removed this acceptor. While a majority of the
 // previous member set is still needed, so is its vote.
 func (a Acceptor) Removed() bool {
 	return a.StaticSize == 0 && a.Phase == PhaseEstablished && a.Committed == a.Position.Revision && !containsSender(a.MemberSets().Union(), a.Self)
--- a/internal/controlplane/consensus/command_queue.go
+++ b/internal/controlplane/consensus/command_queue.go
@@ -29,12 +29,12 @@
 	}
 }
 
-// reorderable tells whether a command may be carried out before those queued earlier.
+// reorderable reports whether a command may be carried out before those queued earlier.
 func (c Command) reorderable() bool {
 	return c.isNumbered() && c.IfMatch == nil
 }
 
-// wasProposed tells whether any acceptor may have got what the command asks for.
+// wasProposed reports whether any acceptor may have got what the command asks for.
 func (c Command) wasProposed() bool { return c.proposedAt != Position{} }
 
 // end is the answer to a command that was not carried out for sure.
--- a/internal/controlplane/consensus/command_resolution.go
+++ b/internal/controlplane/consensus/command_resolution.go
@@ -42,12 +42,12 @@
 	return result, false
 }
 
-// isNumbered tells whether the command puts a configuration under an operator's generation.
+// isNumbered reports whether the command puts a configuration under an operator's generation.
 func (c Command) isNumbered() bool {
 	return c.Kind == CommandPutConfiguration && c.Generation != 0
 }
 
-// conditionHolds tells whether the revision that the command is bound to is the newest one.
+// conditionHolds reports whether the revision that the command is bound to is the newest one.
 func (c Command) conditionHolds(base config.ControlState) bool {
 	switch {
 	case c.IfMatch == nil:
@@ -88,7 +88,7 @@
 	return OutcomeSuperseded, true
 }
 
-// satisfies tells whether a state is what the command asked for.
+// satisfies reports whether a state is what the command asked for.
 func satisfies(state config.ControlState, command Command) bool {
 	switch command.Kind {
 	case CommandPutConfiguration:
--- a/internal/controlplane/consensus/commit_tracker.go
+++ b/internal/controlplane/consensus/commit_tracker.go
@@ -30,7 +30,7 @@
 	return true
 }
 
-// observe takes what a majority showed; it tells whether the newest state was shown twice and
+// observe takes what a majority showed; it reports whether the newest state was shown twice and
 // is still not delivered.
 func (t *commitTracker) observe(e readIndexEvent) (behind bool) {
 	position := e.read.highest.Position
--- a/internal/controlplane/consensus/golden_disk_test.go
+++ b/internal/controlplane/consensus/golden_disk_test.go
@@ -17,8 +17,8 @@
 // goldenData is the directory with the golden data of a replica.
 const goldenData = "data"
 
-// newcomer is the member that replaces the third initial one.
-var newcomer = config.Member{MemberID: 4, DiskID: 44, Addr: "10.0.0.4:7000"}
+// replacement is the member that replaces the third initial one.
+var replacement = config.Member{MemberID: 4, DiskID: 44, Addr: "10.0.0.4:7000"}
 
 // history is a cluster of three initial members, the first of which proposes all commands and
 // has a disk. A fourth one joins later.
@@ -48,7 +48,7 @@
 		acceptor := Bootstrap{NewCluster: true, InitialMembers: initialMembers, AdvertiseAddr: addr}.InitialState(1)
 		h.acceptors[acceptor.Self.DiskID] = acceptor
 	}
-	h.acceptors[newcomer.DiskID] = Bootstrap{AdvertiseAddr: newcomer.Addr}.InitialState(newcomer.DiskID)
+	h.acceptors[replacement.DiskID] = Bootstrap{AdvertiseAddr: replacement.Addr}.InitialState(replacement.DiskID)
 	h.proposer.FollowAcceptor(own, 0)
 	return h
 }
@@ -98,7 +98,7 @@
 // generation and without, zones evacuated and revoked, a calendar with a window that was
 // waived, and a reconfiguration, which is finalized.
 func (h *history) replay() {
-	since := func() *uint64 { settled := h.own().Committed; return &settled }
+	since := func() *uint64 { committed := h.own().Committed; return &committed }
 	for n := range uint64(12) {
 		text := fmt.Sprintf(`{"ways":[],"contracts":[{"name":"c%d","aim":"1s","expiry":"2s","rank":1}]}`, n)
 		h.write(Command{Kind: CommandPutConfiguration, Generation: 10 + n, Payload: []byte(text), Submitted: []byte(fmt.Sprintf(`{"generation":%d}`, 10+n))})
@@ -112,7 +112,7 @@
 	h.write(Command{Kind: CommandBeginWindow, Zone: "far", Window: "w2@2026-12-02"})
 	h.write(Command{Kind: CommandRevokeEvacuation, Zone: "far", SinceRevision: since()})
 	members := h.own().MemberSets().Current
-	h.write(Command{Kind: CommandReconfigure, ExpectedMembers: members, Joining: newcomer, Leaving: 3})
+	h.write(Command{Kind: CommandReconfigure, ExpectedMembers: members, Joining: replacement, Leaving: 3})
 	h.write(Command{Kind: CommandPutConfiguration, Generation: 30, Payload: []byte(`{"ways":[],"contracts":[]}`), Submitted: []byte(`{"generation":30}`)})
 	h.write(Command{Kind: CommandEvacuate, Zone: "east", SinceRevision: since()})
 }
--- a/internal/controlplane/consensus/health.go
+++ b/internal/controlplane/consensus/health.go
@@ -46,15 +46,15 @@
 	return h
 }
 
-// DiskHealthy tells whether the disk takes writes, as far as is known.
+// DiskHealthy reports whether the disk takes writes, as far as is known.
 func (h Health) DiskHealthy(now time.Duration) bool {
 	return !h.writeFailed && !(h.writing && now-h.writeStarted > maxWriteDuration)
 }
 
-// Connected tells whether a majority has answered lately.
+// Connected reports whether a majority has answered lately.
 func (h Health) Connected(now time.Duration) bool { return now-h.lastQuorumContact <= maxContactAge }
 
-// Healthy tells whether the replica can do what a coordinator has to.
+// Healthy reports whether the replica can do what a coordinator has to.
 func (h Health) Healthy(now time.Duration) bool { return h.DiskHealthy(now) && h.Connected(now) }
 
 // Ticked notes that the replica runs.
@@ -66,7 +66,7 @@
 	return h
 }
 
-// RecentlyResumed tells whether the process was suspended just now, so that what arrives may
+// RecentlyResumed reports whether the process was suspended just now, so that what arrives may
 // be old: its sender may have gone away, which is not known here yet.
 func (h Health) RecentlyResumed(now time.Duration) bool {
 	return now-h.lastTick > suspensionGap || h.resumed > 0 && now-h.resumed < resumeGracePeriod
--- a/internal/controlplane/consensus/member_id_test.go
+++ b/internal/controlplane/consensus/member_id_test.go
@@ -23,10 +23,10 @@
 		}
 		return store, acceptor
 	}
-	store, newcomer := open()
-	state := config.ControlState{Revision: 5, Configuration: []byte("{}"), Members: append(memberSet(1, 2), config.Member{MemberID: 4, DiskID: newcomer.Self.DiskID}), HighestMemberID: 4}
+	store, joining := open()
+	state := config.ControlState{Revision: 5, Configuration: []byte("{}"), Members: append(memberSet(1, 2), config.Member{MemberID: 4, DiskID: joining.Self.DiskID}), HighestMemberID: 4}
 	accept := Message{Sender: Sender{MemberID: 1, Incarnation: 1, DiskID: 101}, Type: MsgAccept, Term: 9, Position: Position{9, 5}, State: state}
-	accepted, reply := newcomer.Step(accept)
+	accepted, reply := joining.Step(accept)
 	if !reply.Granted || accepted.Self.MemberID != 4 {
 		t.Fatalf("does not adopt its member ID: %+v", accepted.Self)
 	}
--- a/internal/controlplane/consensus/proposer_phases.go
+++ b/internal/controlplane/consensus/proposer_phases.go
@@ -48,7 +48,7 @@
 	return resolveWithoutWrite(p.base.state, command)
 }
 
-// mayBeStale tells whether an outcome can't be given yet, since the base may have been
+// mayBeStale reports whether an outcome can't be given yet, since the base may have been
 // superseded under a later term: only a term that was started after the command came proves
 // the base to be the newest state.
 func (p *Proposer) mayBeStale(command Command, outcome Outcome) bool {
@@ -69,7 +69,7 @@
 	return p.startPhase(proposerAccepting, now)
 }
 
-// expects tells whether a reply answers the message of the current phase.
+// expects reports whether a reply answers the message of the current phase.
 func (p *Proposer) expects(reply Reply) bool {
 	if reply.Term != p.term {
 		return false
@@ -84,7 +84,7 @@
 	return false
 }
 
-// hasQuorum tells whether replies are enough to end the current phase.
+// hasQuorum reports whether replies are enough to end the current phase.
 func (p *Proposer) hasQuorum(replies map[int]Reply) bool {
 	// The local promise must be on disk first: it keeps a restarted proposer from
 	// taking the same term again. (DESIGN 6.3)
--- a/internal/controlplane/consensus/quorum.go
+++ b/internal/controlplane/consensus/quorum.go
@@ -28,7 +28,7 @@
 // Union lists the members of all sets, sorted by ID.
 func (s MemberSets) Union() []config.Member { return unionMembers(s.Current, s.Previous) }
 
-// HasQuorum tells whether replies came from a majority of each set.
+// HasQuorum reports whether replies came from a majority of each set.
 func (s MemberSets) HasQuorum(replies map[int]Reply) bool {
 	for _, members := range s.inForce() {
 		if len(members) == 0 || countMembers(members, replies) < Majority(len(members)) {
@@ -38,7 +38,7 @@
 	return true
 }
 
-// quorumReachable tells whether a majority of each set is left without some acceptors.
+// quorumReachable reports whether a majority of each set is left without some acceptors.
 func (s MemberSets) quorumReachable(without map[int]Reply) bool {
 	for _, members := range s.inForce() {
 		if len(members)-countMembers(members, without) < Majority(len(members)) {
@@ -77,15 +77,15 @@
 	return slices.CompactFunc(members, sameMember)
 }
 
-// sameMember tells whether two are one disk under one member ID.
+// sameMember reports whether two are one disk under one member ID.
 func sameMember(a, b config.Member) bool { return a.MemberID == b.MemberID && a.DiskID == b.DiskID }
 
-// containsMember tells whether a set has a member with the same ID and disk.
+// containsMember reports whether a set has a member with the same ID and disk.
 func containsMember(members []config.Member, member config.Member) bool {
 	return slices.ContainsFunc(members, func(m config.Member) bool { return sameMember(m, member) })
 }
 
-// containsSender tells whether a set has a sender among its members. A static member has no
+// containsSender reports whether a set has a sender among its members. A static member has no
 // disk ID: any disk under its member ID will do.
 func containsSender(members []config.Member, sender Sender) bool {
 	return slices.ContainsFunc(members, func(m config.Member) bool {
--- a/internal/controlplane/consensus/reconfiguration.go
+++ b/internal/controlplane/consensus/reconfiguration.go
@@ -54,7 +54,7 @@
 	return result, false
 }
 
-// reusesMemberID tells whether a joining member has an ID that another one may have had.
+// reusesMemberID reports whether a joining member has an ID that another one may have had.
 func reusesMemberID(base config.ControlState, current []config.Member, joining config.Member) bool {
 	return joining.MemberID != 0 && joining.MemberID <= max(base.HighestMemberID, current[len(current)-1].MemberID)
 }
--- a/internal/controlplane/consensus/reconfigurer.go
+++ b/internal/controlplane/consensus/reconfigurer.go
@@ -60,7 +60,7 @@
 	return r
 }
 
-// isGone tells whether a member has been absent for long.
+// isGone reports whether a member has been absent for long.
 func (r Reconfigurer) isGone(memberID int, now time.Duration) bool {
 	since, ok := r.absentSince[memberID]
 	return ok && now-r.lastObserved <= maxObservationGap && now-since >= r.RemovalDelay
--- a/internal/controlplane/consensus/reconfigurer_test.go
+++ b/internal/controlplane/consensus/reconfigurer_test.go
@@ -9,10 +9,10 @@
 
 // liveMembers is an acceptor of n members, and what the coordinator knows of them: all are
 // live.
-func liveMembers(n int) (Acceptor, map[int]MemberStatus) {
+func liveMembers(size int) (Acceptor, map[int]MemberStatus) {
 	acceptor := Acceptor{Phase: PhaseEstablished}
 	statuses := map[int]MemberStatus{}
-	for id := 1; id <= n; id++ {
+	for id := 1; id <= size; id++ {
 		addr := string(rune('a' + id - 1))
 		acceptor.InitialMembers = append(acceptor.InitialMembers, config.Member{MemberID: id, DiskID: uint64(id), Addr: addr})
 		statuses[id] = MemberStatus{Addr: addr, Live: true}
--- a/internal/controlplane/consensus/replica.go
+++ b/internal/controlplane/consensus/replica.go
@@ -51,7 +51,7 @@
 type Peers interface {
 	// Addr finds the replica that has a member ID, or would get it.
 	Addr(memberID int) (string, bool)
-	// IsCoordinator tells whether this replica is the first live and healthy one in the order
+	// IsCoordinator reports whether this replica is the first live and healthy one in the order
 	// that all agree on.
 	IsCoordinator() bool
 }
--- a/internal/controlplane/consensus/replica_commands.go
+++ b/internal/controlplane/consensus/replica_commands.go
@@ -75,7 +75,7 @@
 	r.handleReady(ctx, r.proposer.Enqueue(e.command, now))
 }
 
-// refreshDue tells whether this replica has to make sure of the newest state: one that no
+// refreshDue reports whether this replica has to make sure of the newest state: one that no
 // majority is known to hold, here or elsewhere, as after a cold start or when a proposer has
 // stopped half way. That is for the coordinator.
 func (r *Replica) refreshDue(now time.Duration) bool {
--- a/internal/controlplane/consensus/replica_health.go
+++ b/internal/controlplane/consensus/replica_health.go
@@ -8,13 +8,13 @@
 // Health is what the replica can do.
 func (r *Replica) Health() Health { return *r.health.Load() }
 
-// Healthy tells whether the replica can do what a coordinator has to. (DESIGN 6.3)
+// Healthy reports whether the replica can do what a coordinator has to. (DESIGN 6.3)
 func (r *Replica) Healthy() bool { return r.Health().Healthy(r.now()) }
 
-// Connected tells whether a majority has answered this replica lately.
+// Connected reports whether a majority has answered this replica lately.
 func (r *Replica) Connected() bool { return r.Health().Connected(r.now()) }
 
-// RecentlyResumed tells whether the process was suspended just now.
+// RecentlyResumed reports whether the process was suspended just now.
 func (r *Replica) RecentlyResumed() bool { return r.Health().RecentlyResumed(r.now()) }
 
 func (r *Replica) setHealth(h Health) { r.health.Store(&h) }
--- a/internal/controlplane/consensus/replies.go
+++ b/internal/controlplane/consensus/replies.go
@@ -33,7 +33,7 @@
 	return highest, highest.MemberSets
 }
 
-// HasReadQuorum tells whether current replies are a majority of each member set of the highest
+// HasReadQuorum reports whether current replies are a majority of each member set of the highest
 // state among them: then no state that was acknowledged before they were asked for is higher.
 // (DESIGN 6.5)
 func HasReadQuorum(current map[int]Reply, own MemberSets) bool {
@@ -42,7 +42,7 @@
 }
 
 // NewestState finds the newest state among current replies that are a read quorum; committed
-// tells whether majorities are known to hold it.
+// reports whether majorities are known to hold it.
 func NewestState(current map[int]Reply, own MemberSets) (highest Reply, committed bool) {
 	highest, sets := HighestReply(current, own)
 	matching, known := map[int]Reply{}, false
--- a/internal/controlplane/consensus/reply.go
+++ b/internal/controlplane/consensus/reply.go
@@ -7,7 +7,7 @@
 	Sender Sender      `msgpack:"f"`
 	Type   MessageType `msgpack:"a"`
 	Term   uint64      `msgpack:"e"`
-	// Granted tells whether the acceptor did what the message asks for.
+	// Granted reports whether the acceptor did what the message asks for.
 	Granted bool  `msgpack:"ok"`
 	Phase   Phase `msgpack:"ph"`
 	// Promised is the highest term that the acceptor has promised.
--- a/internal/controlplane/consensus/sender.go
+++ b/internal/controlplane/consensus/sender.go
@@ -15,7 +15,7 @@
 	DiskID      uint64 `msgpack:"d" json:"id"`
 }
 
-// isCurrent tells whether no other disk has replaced the sender's, as far as a record says.
+// isCurrent reports whether no other disk has replaced the sender's, as far as a record says.
 func (s Sender) isCurrent(record MemberRecord) bool {
 	return s.Incarnation > record.Incarnation || s.Incarnation == record.Incarnation && (record.DiskID == 0 || record.DiskID == s.DiskID)
 }
--- a/internal/controlplane/consensus/state_encoding.go
+++ b/internal/controlplane/consensus/state_encoding.go
@@ -146,10 +146,10 @@
 	return b
 }
 
-// HoldsTerm tells whether the proposer goes on under a term.
+// HoldsTerm reports whether the proposer goes on under a term.
 func (p *Proposer) HoldsTerm(term uint64) bool { return p.phase != proposerIdle && p.term == term }
 
-// CanAffect tells whether a reply can still change what the proposer does: it has a higher term,
+// CanAffect reports whether a reply can still change what the proposer does: it has a higher term,
 // or belongs to the current phase, or to one that a reconfiguration may start again under the
 // same term.
 func (p *Proposer) CanAffect(reply Reply) bool {
--- a/internal/controlplane/consensus/state_store_crash_test.go
+++ b/internal/controlplane/consensus/state_store_crash_test.go
@@ -104,11 +104,11 @@
 	t.Parallel()
 	model := newStoreModel(t)
 	messages := model.messages(keepStates + 4)
-	whole := newCrashDirectory()
-	if _, err := model.run(whole, messages); err != nil {
+	completed := newCrashDirectory()
+	if _, err := model.run(completed, messages); err != nil {
 		t.Fatal(err)
 	}
-	for end := range whole.steps {
+	for end := range completed.steps {
 		model.saved, model.hasSaved = Acceptor{}, false
 		files := newCrashDirectory()
 		files.crashAt = end
@@ -117,7 +117,7 @@
 		}
 		files.outcomes(t, func(next *crashDirectory) { model.check(next, false, fmt.Sprint("crashed at step ", end)) })
 	}
-	t.Logf("%d steps, %d restarts", whole.steps, model.restarts)
+	t.Logf("%d steps, %d restarts", completed.steps, model.restarts)
 }
 
 // A disk that is full from any step on, and has space again later or not: nothing is sent that
@@ -126,11 +126,11 @@
 	t.Parallel()
 	model := newStoreModel(t)
 	messages := model.messages(6)
-	whole := newCrashDirectory()
-	if _, err := model.run(whole, messages); err != nil {
+	completed := newCrashDirectory()
+	if _, err := model.run(completed, messages); err != nil {
 		t.Fatal(err)
 	}
-	for end := range whole.steps {
+	for end := range completed.steps {
 		model.saved, model.hasSaved = Acceptor{}, false
 		files := newCrashDirectory()
 		files.crashAt, files.full = end, true
@@ -139,7 +139,7 @@
 		}
 		files.outcomes(t, func(next *crashDirectory) { model.check(next, false, fmt.Sprint("full from step ", end)) })
 	}
-	t.Logf("%d steps, %d restarts", whole.steps, model.restarts)
+	t.Logf("%d steps, %d restarts", completed.steps, model.restarts)
 }
 
 // The latest file of a kind does not match its checksum any more: the acceptor has lost what it
@@ -150,11 +150,11 @@
 	for _, kind := range []string{kindPromise, kindState} {
 		model := newStoreModel(t)
 		messages := model.messages(4)
-		whole := newCrashDirectory()
-		if _, err := model.run(whole, messages); err != nil {
+		completed := newCrashDirectory()
+		if _, err := model.run(completed, messages); err != nil {
 			t.Fatal(err)
 		}
-		corrupt := afterRestart(whole.current, func(file *inode) []byte { return file.current })
+		corrupt := afterRestart(completed.current, func(file *inode) []byte { return file.current })
 		newest := slices.MaxFunc(slices.DeleteFunc(slices.Collect(maps.Keys(corrupt.current)), func(n string) bool {
 			return !strings.HasPrefix(n, kind+".")
 		}), strings.Compare)
