--- a/internal/controlplane/metrics.go
+++ b/internal/controlplane/metrics.go
@@ -10,8 +10,8 @@
 	"curlewwalk/internal/watch"
 )
 
-// stateTimeout is how long a scrape waits for the watch server's status.
-const stateTimeout = 500 * time.Millisecond // (ours)
+// statusTimeout is how long a scrape waits for the watch server's status.
+const statusTimeout = 500 * time.Millisecond // (ours)
 
 // counters count what no other part counts.
 type counters struct {
@@ -97,7 +97,7 @@
 // watchGauge reads a value of the watch server's status; none if that doesn't come in time.
 func (n *Node) watchGauge(value func(s watch.Status) float64) metrics.ReadFunc {
 	return func(emit metrics.EmitFunc) {
-		ctx, cancel := context.WithTimeout(n.process.Context, stateTimeout)
+		ctx, cancel := context.WithTimeout(n.process.Context, statusTimeout)
 		defer cancel()
 		if status, ok := n.watchServer.Status(ctx); ok {
 			emit(value(status))
