--- a/internal/controlplane/consensus/acceptor_join.go
+++ b/internal/controlplane/consensus/acceptor_join.go
@@ -69,11 +69,11 @@
 	return a, true
 }
 
-// AsInitialMember is the first state on an empty disk of one of the initial members, at the
+// asInitialMember is the first state on an empty disk of one of the initial members, at the
 // first start of a whole cluster. All members know the disk IDs of all, so they need no
 // control state to agree on them. Member IDs count from 1 in the order of the addresses.
 // (DESIGN 6.5)
-func (a Acceptor) AsInitialMember(memberID int, addresses []string) Acceptor {
+func (a Acceptor) asInitialMember(memberID int, addresses []string) Acceptor {
 	for i, addr := range addresses {
 		a.InitialMembers = append(a.InitialMembers, config.Member{MemberID: i + 1, DiskID: initialDiskID(addr), Addr: addr})
 	}
--- a/internal/controlplane/consensus/bootstrap.go
+++ b/internal/controlplane/consensus/bootstrap.go
@@ -27,7 +27,7 @@
 	// It is never established by itself: it asks for membership.
 	acceptor.Phase, acceptor.StaticSize = PhaseJoining, 0
 	if i := slices.Index(b.InitialMembers, b.AdvertiseAddr); b.NewCluster && i >= 0 {
-		return acceptor.AsInitialMember(i+1, b.InitialMembers)
+		return acceptor.asInitialMember(i+1, b.InitialMembers)
 	}
 	return acceptor
 }
--- a/internal/controlplane/consensus/conflict_test.go
+++ b/internal/controlplane/consensus/conflict_test.go
@@ -202,7 +202,7 @@
 	}
 	restart := func() {
 		t.Helper()
-		acceptor, err := (&StateStore{Store: disk}).Load(Bootstrap{MemberID: 1, StaticSize: 1})
+		acceptor, err := newStateStore(disk).load(Bootstrap{MemberID: 1, StaticSize: 1})
 		if err != nil || acceptor.Phase != PhaseEstablished {
 			t.Fatal(acceptor.Phase, err)
 		}
@@ -213,7 +213,7 @@
 	put(putGeneration(4, "four"), OutcomeCommitted)
 	acceptor := network.acceptors[0]
 	acceptor.PromiseDirty, acceptor.StateDirty = true, true
-	if err := (&StateStore{Store: disk}).Save(acceptor); err != nil {
+	if err := newStateStore(disk).save(acceptor); err != nil {
 		t.Fatal(err)
 	}
 	restart()
--- a/internal/controlplane/consensus/generation_test.go
+++ b/internal/controlplane/consensus/generation_test.go
@@ -173,8 +173,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	store := StateStore{Store: disk}
-	acceptor, err := store.Load(Bootstrap{MemberID: 1, StaticSize: 1})
+	store := newStateStore(disk)
+	acceptor, err := store.load(Bootstrap{MemberID: 1, StaticSize: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -182,10 +182,10 @@
 	acceptor.Position = Position{Term: 2, Revision: 3}
 	acceptor.State = config.ControlState{Revision: 3, ConfigurationRevision: 3, Generation: 9, Configuration: []byte("{\n}\n"), Submitted: []byte("a\n\x00b")}
 	acceptor.PromiseDirty, acceptor.StateDirty = true, true
-	if err := store.Save(acceptor); err != nil {
+	if err := store.save(acceptor); err != nil {
 		t.Fatal(err)
 	}
-	got, err := (&StateStore{Store: disk}).Load(Bootstrap{MemberID: 1, StaticSize: 1})
+	got, err := newStateStore(disk).load(Bootstrap{MemberID: 1, StaticSize: 1})
 	if diff := cmp.Diff(acceptor.State, got.State, cmpopts.EquateEmpty()); diff != "" || err != nil {
 		t.Error(diff, err)
 	}
@@ -193,7 +193,7 @@
 	if err := disk.Save(kindState, "00000000000000000004.00000000000000000004", []byte(earlier)); err != nil {
 		t.Fatal(err)
 	}
-	if got, err = (&StateStore{Store: disk}).Load(Bootstrap{MemberID: 1, StaticSize: 1}); err != nil || got.State.Generation != 0 || string(got.State.Configuration) != "{}" || got.State.ConfigurationRevision != 4 {
+	if got, err = newStateStore(disk).load(Bootstrap{MemberID: 1, StaticSize: 1}); err != nil || got.State.Generation != 0 || string(got.State.Configuration) != "{}" || got.State.ConfigurationRevision != 4 {
 		t.Errorf("%+v %v", got.State, err)
 	}
 }
--- a/internal/controlplane/consensus/golden_disk_test.go
+++ b/internal/controlplane/consensus/golden_disk_test.go
@@ -24,7 +24,7 @@
 // has a disk. A fourth one joins later.
 type history struct {
 	t         *testing.T
-	store     *StateStore
+	store     *stateStore
 	now       time.Duration
 	acceptors map[uint64]Acceptor // by disk ID
 	proposer  Proposer
@@ -37,9 +37,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &history{t: t, store: &StateStore{Store: disk}, acceptors: map[uint64]Acceptor{}}
+	h := &history{t: t, store: newStateStore(disk), acceptors: map[uint64]Acceptor{}}
 	initialMembers := []string{"10.0.0.1:7000", "10.0.0.2:7000", "10.0.0.3:7000"}
-	own, err := h.store.Load(Bootstrap{NewCluster: true, InitialMembers: initialMembers, AdvertiseAddr: initialMembers[0]})
+	own, err := h.store.load(Bootstrap{NewCluster: true, InitialMembers: initialMembers, AdvertiseAddr: initialMembers[0]})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,7 +54,7 @@
 }
 
 // own is the acceptor with the disk.
-func (h *history) own() Acceptor { return h.acceptors[h.proposer.Self.DiskID] }
+func (h *history) own() Acceptor { return h.acceptors[h.proposer.self.DiskID] }
 
 // write has a command carried out by all members.
 func (h *history) write(command Command) {
@@ -81,8 +81,8 @@
 		for _, m := range item.To {
 			next, reply := h.acceptors[m.DiskID].Step(*item.Message)
 			h.acceptors[m.DiskID] = next
-			if m.DiskID == h.proposer.Self.DiskID {
-				if err := h.store.Save(next); err != nil {
+			if m.DiskID == h.proposer.self.DiskID {
+				if err := h.store.save(next); err != nil {
 					h.t.Fatal(err)
 				}
 				h.proposer.FollowAcceptor(next, h.now)
@@ -168,8 +168,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	store := &StateStore{Store: disk}
-	got, err := store.Load(Bootstrap{})
+	store := newStateStore(disk)
+	got, err := store.load(Bootstrap{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -185,7 +185,7 @@
 	newestState := newest(before, kindState)
 	newestPromise := newest(before, kindPromise)
 	got.PromiseDirty, got.StateDirty = true, true
-	if err := store.Save(got); err != nil {
+	if err := store.save(got); err != nil {
 		t.Fatal(err)
 	}
 	after := readDirectory(t, dir)
--- a/internal/controlplane/consensus/member_id_test.go
+++ b/internal/controlplane/consensus/member_id_test.go
@@ -11,13 +11,13 @@
 // promise. It is a member all the same, once it learns that the state is committed.
 func TestMemberIDAdoptedAfterPowerLoss(t *testing.T) {
 	dir := t.TempDir()
-	open := func() (*StateStore, Acceptor) {
+	open := func() (*stateStore, Acceptor) {
 		disk, err := storage.Open(dir)
 		if err != nil {
 			t.Fatal(err)
 		}
-		store := &StateStore{Store: disk}
-		acceptor, err := store.Load(Bootstrap{})
+		store := newStateStore(disk)
+		acceptor, err := store.load(Bootstrap{})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -31,7 +31,7 @@
 		t.Fatalf("does not adopt its member ID: %+v", accepted.Self)
 	}
 	accepted.PromiseDirty = false // power is lost before the promise is synced
-	if err := store.Save(accepted); err != nil {
+	if err := store.save(accepted); err != nil {
 		t.Fatal(err)
 	}
 	_, reloaded := open()
--- a/internal/controlplane/consensus/proposer.go
+++ b/internal/controlplane/consensus/proposer.go
@@ -41,10 +41,9 @@
 // what is to be sent and answered. The zero value is ready once FollowAcceptor was called.
 // (DESIGN 6.3)
 type Proposer struct {
-	// Self and StaticSize are those of the local acceptor.
-	Self       Sender
-	StaticSize int
-
+	// self, staticSize and initialMembers are those of the local acceptor.
+	self           Sender
+	staticSize     int
 	initialMembers []config.Member
 	memberSets     MemberSets // those that the local acceptor knows
 	phase          proposerPhase
@@ -154,7 +153,7 @@
 	if acceptor.Phase != PhaseEstablished && p.phase != proposerIdle {
 		p.abandonTerm(now)
 	}
-	p.Self, p.StaticSize, p.initialMembers = acceptor.Self, acceptor.StaticSize, acceptor.InitialMembers
+	p.self, p.staticSize, p.initialMembers = acceptor.Self, acceptor.StaticSize, acceptor.InitialMembers
 	p.memberSets = acceptor.MemberSets()
 	p.highestTerm = max(p.highestTerm, acceptor.Promised)
 }
--- a/internal/controlplane/consensus/proposer_network_test.go
+++ b/internal/controlplane/consensus/proposer_network_test.go
@@ -143,10 +143,10 @@
 	}
 	acceptor := establishedAcceptor(1, Position{Term: 1, Revision: state.Revision}, state)
 	acceptor.PromiseDirty, acceptor.StateDirty = true, true
-	if err := (&StateStore{Store: disk}).Save(acceptor); err != nil {
+	if err := newStateStore(disk).save(acceptor); err != nil {
 		t.Fatal(err)
 	}
-	got, err := (&StateStore{Store: disk}).Load(Bootstrap{})
+	got, err := newStateStore(disk).load(Bootstrap{})
 	if err != nil || got.Phase != PhaseEstablished {
 		t.Fatal(got.Phase, err)
 	}
--- a/internal/controlplane/consensus/proposer_phases.go
+++ b/internal/controlplane/consensus/proposer_phases.go
@@ -34,7 +34,7 @@
 	if now < p.backoffUntil {
 		return nil
 	}
-	p.term = nextTerm(p.highestTerm, p.Self.MemberID, p.StaticSize)
+	p.term = nextTerm(p.highestTerm, p.self.MemberID, p.staticSize)
 	p.termStarted = now
 	return p.startPhase(proposerPreparing, now)
 }
@@ -88,7 +88,7 @@
 func (p *Proposer) hasQuorum(replies map[int]Reply) bool {
 	// The local promise must be on disk first: it keeps a restarted proposer from
 	// taking the same term again. (DESIGN 6.3)
-	if _, self := replies[p.Self.MemberID]; !self {
+	if _, self := replies[p.self.MemberID]; !self {
 		return false
 	}
 	sets := p.memberSetsOf(p.proposal.state)
@@ -105,7 +105,7 @@
 func (p *Proposer) handleRejection(reply Reply, now time.Duration) {
 	rejections := p.exchange.rejections
 	rejections[reply.Sender.MemberID] = reply
-	_, self := rejections[p.Self.MemberID]
+	_, self := rejections[p.self.MemberID]
 	if p.phase != proposerAccepting || self || !p.memberSetsOf(p.proposal.state).quorumReachable(rejections) {
 		p.abandonTerm(now)
 	}
@@ -145,7 +145,7 @@
 func (p *Proposer) handleCommitted(now time.Duration) []Ready {
 	p.base = p.proposal.stateSnapshot
 	p.phase = proposerIdle
-	commit := &Message{Sender: p.Self, Type: MsgCommit, Term: p.term, Position: p.base.position, State: p.base.state}
+	commit := &Message{Sender: p.self, Type: MsgCommit, Term: p.term, Position: p.base.position, State: p.base.state}
 	ready := []Ready{{Message: commit, To: unionMembers(p.exchange.recipients, p.memberSets.Union())}}
 	if p.proposal.forCommand {
 		first := p.commands.pop()
@@ -167,7 +167,7 @@
 	p.phase, p.term = proposerIdle, 0
 	position := 1
 	for _, m := range p.memberSets.Current {
-		if m.MemberID < p.Self.MemberID {
+		if m.MemberID < p.self.MemberID {
 			position++
 		}
 	}
@@ -190,15 +190,15 @@
 
 // unlistedSelf is the local acceptor as a member, if no member set names it.
 func (p *Proposer) unlistedSelf() []config.Member {
-	if containsSender(p.memberSets.Union(), p.Self) {
+	if containsSender(p.memberSets.Union(), p.self) {
 		return nil
 	}
-	return []config.Member{{MemberID: p.Self.MemberID, DiskID: p.Self.DiskID}}
+	return []config.Member{{MemberID: p.self.MemberID, DiskID: p.self.DiskID}}
 }
 
 // memberSetsOf are the member sets that a state puts in force.
 func (p *Proposer) memberSetsOf(state config.ControlState) MemberSets {
-	return Acceptor{State: state, StaticSize: p.StaticSize, InitialMembers: p.initialMembers}.MemberSets()
+	return Acceptor{State: state, StaticSize: p.staticSize, InitialMembers: p.initialMembers}.MemberSets()
 }
 
 // extendRecipients sends the message of the phase to members that a reply has named as well.
@@ -223,7 +223,7 @@
 
 // message is the message of the current phase.
 func (p *Proposer) message() *Message {
-	message := &Message{Sender: p.Self, Type: MsgPrepare, Term: p.term}
+	message := &Message{Sender: p.self, Type: MsgPrepare, Term: p.term}
 	switch p.phase {
 	case proposerAccepting:
 		message.Type, message.Position, message.State = MsgAccept, p.proposal.position, p.proposal.state
--- a/internal/controlplane/consensus/quorum_test.go
+++ b/internal/controlplane/consensus/quorum_test.go
@@ -126,47 +126,47 @@
 // it.
 func TestBootstrap(t *testing.T) {
 	initialMembers := []string{"a", "b", "c"}
-	open := func() StateStore {
+	open := func() *stateStore {
 		disk, err := storage.Open(t.TempDir())
 		if err != nil {
 			t.Fatal(err)
 		}
-		return StateStore{Store: disk}
+		return newStateStore(disk)
 	}
-	load := func(store *StateStore, bootstrap Bootstrap) Acceptor {
-		acceptor, err := store.Load(bootstrap)
+	load := func(store *stateStore, bootstrap Bootstrap) Acceptor {
+		acceptor, err := store.load(bootstrap)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return acceptor
 	}
 	store := open()
-	initial := load(&store, Bootstrap{NewCluster: true, InitialMembers: initialMembers, AdvertiseAddr: "b"})
+	initial := load(store, Bootstrap{NewCluster: true, InitialMembers: initialMembers, AdvertiseAddr: "b"})
 	if initial.Phase != PhaseEstablished || initial.Self.MemberID != 2 || !initial.IsMember() || len(initial.MemberSets().Current) != 3 {
 		t.Errorf("the initial member: %+v", initial)
 	}
-	reloaded := load(&store, Bootstrap{NewCluster: true, InitialMembers: []string{"x"}, AdvertiseAddr: "x"})
+	reloaded := load(store, Bootstrap{NewCluster: true, InitialMembers: []string{"x"}, AdvertiseAddr: "x"})
 	if reloaded.Self != initial.Self || len(reloaded.MemberSets().Current) != 3 || !reloaded.IsMember() {
 		t.Errorf("the initial member, restarted: %+v", reloaded)
 	}
 	for _, bootstrap := range []Bootstrap{{InitialMembers: initialMembers, AdvertiseAddr: "b"}, {NewCluster: true, InitialMembers: initialMembers, AdvertiseAddr: "z"}, {}} {
 		store := open()
-		if acceptor := load(&store, bootstrap); acceptor.Phase != PhaseJoining || acceptor.Self.MemberID != 0 || acceptor.IsMember() {
+		if acceptor := load(store, bootstrap); acceptor.Phase != PhaseJoining || acceptor.Self.MemberID != 0 || acceptor.IsMember() {
 			t.Errorf("%+v: %+v", bootstrap, acceptor)
 		}
 	}
 	store = open()
-	acceptor := load(&store, Bootstrap{})
+	acceptor := load(store, Bootstrap{})
 	state := config.ControlState{Revision: 1, Members: []config.Member{{MemberID: 1, DiskID: 7}, {MemberID: 4, DiskID: acceptor.Self.DiskID}}, PreviousMembers: []config.Member{{MemberID: 1, DiskID: 7}}, HighestMemberID: 4}
 	position := Position{Term: termStride + 1, Revision: 1}
 	acceptor, reply := acceptor.Step(Message{Type: MsgAccept, Term: position.Term, Position: position, State: state})
 	if !reply.Granted || reply.Sender.MemberID != 4 || acceptor.Phase != PhaseJoining {
 		t.Errorf("named by a proposal: %+v", reply)
 	}
-	if err := store.Save(acceptor); err != nil {
+	if err := store.save(acceptor); err != nil {
 		t.Fatal(err)
 	}
-	acceptor = load(&store, Bootstrap{})
+	acceptor = load(store, Bootstrap{})
 	acceptor, _ = acceptor.Step(Message{Type: MsgCommit, Term: position.Term, Position: position, State: state})
 	if acceptor.Phase != PhaseEstablished || !acceptor.IsMember() || acceptor.Removed() {
 		t.Errorf("named by a committed state: %+v", acceptor)
--- a/internal/controlplane/consensus/reconfigurer.go
+++ b/internal/controlplane/consensus/reconfigurer.go
@@ -76,7 +76,7 @@
 	}
 	joining := config.Member{MemberID: max(acceptor.State.HighestMemberID, members[len(members)-1].MemberID) + 1, DiskID: request.DiskID, Addr: request.Addr}
 	command := Command{Kind: CommandReconfigure, ExpectedMembers: members, Joining: joining}
-	if joining.MemberID > MaxMemberID || slices.ContainsFunc(members, func(m config.Member) bool { return m.DiskID == request.DiskID }) {
+	if joining.MemberID > maxMemberID || slices.ContainsFunc(members, func(m config.Member) bool { return m.DiskID == request.DiskID }) {
 		return command, false
 	}
 	leaving, live := r.replacedBy(request, members, statuses, now)
--- a/internal/controlplane/consensus/rejection_test.go
+++ b/internal/controlplane/consensus/rejection_test.go
@@ -22,7 +22,7 @@
 			}
 			next, reply := acceptors[m.MemberID].Step(*item.Message)
 			acceptors[m.MemberID] = next
-			if m.MemberID == p.Self.MemberID {
+			if m.MemberID == p.self.MemberID {
 				p.FollowAcceptor(next, now)
 			}
 			items = append(items, p.HandleReply(reply, now)...)
--- a/internal/controlplane/consensus/replica.go
+++ b/internal/controlplane/consensus/replica.go
@@ -63,7 +63,7 @@
 	deps    Deps
 	started time.Time
 	mailbox *actor.Mailbox
-	store   *StateStore
+	store   *stateStore
 
 	published atomic.Pointer[Acceptor]
 	health    atomic.Pointer[Health]
@@ -88,8 +88,8 @@
 
 // New loads the acceptor from disk and starts the replica's mailbox; Run starts its timers.
 func New(cfg Config, deps Deps) (*Replica, error) {
-	store := &StateStore{Store: cfg.Store}
-	acceptor, err := store.Load(cfg.Bootstrap)
+	store := newStateStore(cfg.Store)
+	acceptor, err := store.load(cfg.Bootstrap)
 	if err != nil {
 		return nil, eris.Wrap(err, "load acceptor")
 	}
--- a/internal/controlplane/consensus/replica_harness_test.go
+++ b/internal/controlplane/consensus/replica_harness_test.go
@@ -80,7 +80,7 @@
 		t.Fatal(err)
 	}
 	h.store = store
-	if err := (&StateStore{Store: store}).Save(holds(1, own)); err != nil {
+	if err := newStateStore(store).save(holds(1, own)); err != nil {
 		t.Fatal(err)
 	}
 	client := transport.NewClient(actors, transport.Hello{Version: transport.ProtocolVersion, Node: "own"}, nil)
@@ -134,7 +134,7 @@
 // loadFromDisk is what a restart would find.
 func (h *replicaHarness) loadFromDisk(t *testing.T) Acceptor {
 	t.Helper()
-	acceptor, err := (&StateStore{Store: h.store}).Load(Bootstrap{})
+	acceptor, err := newStateStore(h.store).load(Bootstrap{})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/controlplane/consensus/state_encoding.go
+++ b/internal/controlplane/consensus/state_encoding.go
@@ -23,7 +23,7 @@
 // AppendState appends an encoding of the proposer. Times are encoded as far as they matter if
 // the next time that the proposer is given is far later than any of its limits.
 func (p *Proposer) AppendState(b []byte, now time.Duration) []byte {
-	b = appendSender(b, p.Self)
+	b = appendSender(b, p.self)
 	b = appendMembers(b, p.initialMembers)
 	b = appendMemberSets(b, p.memberSets)
 	b = appendMembers(b, p.exchange.recipients)
--- a/internal/controlplane/consensus/state_encoding_test.go
+++ b/internal/controlplane/consensus/state_encoding_test.go
@@ -13,10 +13,10 @@
 		of     any
 		fields []string
 	}{
-		// StaticSize is zero where members come and go; backoffUntil, termStarted, startedAt and
+		// staticSize is zero where members come and go; backoffUntil, termStarted, startedAt and
 		// lastSent are encoded as far as they matter.
 		{Proposer{}, []string{
-			"Self", "StaticSize", "initialMembers", "memberSets", "phase", "term", "termStarted", "highestTerm", "backoffUntil",
+			"self", "staticSize", "initialMembers", "memberSets", "phase", "term", "termStarted", "highestTerm", "backoffUntil",
 			"base", "proposal", "commands", "exchange",
 		}},
 		{stateSnapshot{}, []string{"position", "state"}},
--- a/internal/controlplane/consensus/state_store_crash_test.go
+++ b/internal/controlplane/consensus/state_store_crash_test.go
@@ -51,15 +51,15 @@
 // run loads an acceptor and has it take messages until something fails. It sends nothing of
 // what failed to be saved, and goes on as it was, as the replica does.
 func (model *storeModel) run(files *crashDirectory, messages []Message) (loaded bool, err error) {
-	disk := &StateStore{Store: storage.NewStore(files)}
-	acceptor, err := disk.Load(model.bootstrap)
+	disk := newStateStore(storage.NewStore(files))
+	acceptor, err := disk.load(model.bootstrap)
 	if err != nil {
 		return false, err
 	}
 	model.saved, model.hasSaved = acceptor, true
 	for _, message := range messages {
 		next, reply := acceptor.Step(message)
-		if err = disk.Save(next); err == nil {
+		if err = disk.save(next); err == nil {
 			acceptor, model.saved = next, next
 			if !reply.Granted && message.Type != MsgCommit {
 				model.t.Fatalf("%v of term %d was refused", message.Type, message.Term)
@@ -75,7 +75,7 @@
 // it holds and promises no less; lost says that it may have another.
 func (model *storeModel) check(next *crashDirectory, lost bool, where string) {
 	model.restarts++
-	acceptor, err := (&StateStore{Store: storage.NewStore(next)}).Load(model.bootstrap)
+	acceptor, err := newStateStore(storage.NewStore(next)).load(model.bootstrap)
 	if err != nil {
 		model.t.Fatalf("%s: %v", where, err)
 	}
@@ -170,7 +170,7 @@
 			model.check(clone(m), true, where)
 			steps := func() int {
 				m := clone(m)
-				(&StateStore{Store: storage.NewStore(m)}).Load(model.bootstrap)
+				newStateStore(storage.NewStore(m)).load(model.bootstrap)
 				return m.steps
 			}()
 			if depth == 0 {
@@ -180,7 +180,7 @@
 			for end := range steps {
 				m := clone(m)
 				m.crashAt = end
-				(&StateStore{Store: storage.NewStore(m)}).Load(model.bootstrap)
+				newStateStore(storage.NewStore(m)).load(model.bootstrap)
 				files := fmt.Sprint(slices.Sorted(maps.Keys(m.current)), len(m.pending))
 				if files == last && end%16 != 0 {
 					continue // in the middle of a write of a file that is not read
--- a/internal/controlplane/consensus/term.go
+++ b/internal/controlplane/consensus/term.go
@@ -6,8 +6,8 @@
 	// ten terms a second. It is a multiple of the stride of earlier versions, 1 << 16, so that
 	// the terms of members with an ID below that differ from those of such a version.
 	termStride = 1 << 29
-	// MaxMemberID bounds member IDs, of which each disk gets a new one.
-	MaxMemberID = termStride - 1
+	// maxMemberID bounds member IDs, of which each disk gets a new one.
+	maxMemberID = termStride - 1
 )
 
 // nextTerm is the next term of a member after the highest known one. No two members ever get
--- a/internal/controlplane/consensus/term_test.go
+++ b/internal/controlplane/consensus/term_test.go
@@ -8,7 +8,7 @@
 	const earlierStride = 1 << 16
 	for _, highest := range []uint64{0, 1, 7, earlierStride - 1, earlierStride, 3*earlierStride + 2, 1<<30 + 5, 1 << 40, 1<<50 + 17} {
 		seen := map[uint64]int{}
-		for _, memberID := range []int{1, 2, 3, 4, 1000, earlierStride - 1, earlierStride, earlierStride + 1, earlierStride + 2, 1 << 20, MaxMemberID} {
+		for _, memberID := range []int{1, 2, 3, 4, 1000, earlierStride - 1, earlierStride, earlierStride + 1, earlierStride + 2, 1 << 20, maxMemberID} {
 			term := nextTerm(highest, memberID, 0)
 			if term <= highest {
 				t.Errorf("member %d takes term %d after %d", memberID, term, highest)
--- a/internal/controlplane/consensus/transition.go
+++ b/internal/controlplane/consensus/transition.go
@@ -97,7 +97,7 @@
 	r.transitions.saving = true
 	r.setHealth(r.Health().WriteStarted(r.now()))
 	r.deps.Actors.Go(ctx, "save", func(ctx context.Context) {
-		err := r.store.Save(next)
+		err := r.store.save(next)
 		r.mailbox.Send(ctx, savedEvent{next: next, err: err, done: done})
 	})
 }
