--- a/internal/controlplane/consensus/conflict_test.go
+++ b/internal/controlplane/consensus/conflict_test.go
@@ -4,8 +4,6 @@
 	"fmt"
 	"testing"
 	"time"
-
-	"curlewwalk/internal/storage"
 )
 
 // A generation stands for one configuration: the same bytes are acknowledged again at any
@@ -188,10 +186,7 @@
 // The record of generations survives a restart; for a state of a version that kept no record,
 // what the operator submitted takes its place.
 func TestAcceptedGenerationsOnDisk(t *testing.T) {
-	disk, err := storage.Open(t.TempDir())
-	if err != nil {
-		t.Fatal(err)
-	}
+	disk := openTestStore(t)
 	network := newProposerNetwork(t, 1)
 	put := func(command Command, want Outcome) {
 		t.Helper()
--- a/internal/controlplane/consensus/generation_test.go
+++ b/internal/controlplane/consensus/generation_test.go
@@ -8,7 +8,6 @@
 	"github.com/google/go-cmp/cmp/cmpopts"
 
 	"curlewwalk/internal/config"
-	"curlewwalk/internal/storage"
 )
 
 // A generation is committed once; one that is no higher changes nothing; a configuration
@@ -169,10 +168,7 @@
 // The generation of a state, and what was submitted, are read back from disk; a file of a
 // version without generations is read.
 func TestGenerationOnDisk(t *testing.T) {
-	disk, err := storage.Open(t.TempDir())
-	if err != nil {
-		t.Fatal(err)
-	}
+	disk := openTestStore(t)
 	store := newStateStore(disk)
 	acceptor, err := store.load(Bootstrap{MemberID: 1, StaticSize: 1})
 	if err != nil {
--- a/internal/controlplane/consensus/proposer_network_test.go
+++ b/internal/controlplane/consensus/proposer_network_test.go
@@ -5,7 +5,6 @@
 	"time"
 
 	"curlewwalk/internal/config"
-	"curlewwalk/internal/storage"
 )
 
 // proposerNetwork connects proposers and acceptors without a transport.
@@ -134,25 +133,6 @@
 	network.sent[memberID] = nil
 }
 
-// saveAndLoad is a state as it comes back from disk.
-func saveAndLoad(t *testing.T, state config.ControlState) config.ControlState {
-	t.Helper()
-	disk, err := storage.Open(t.TempDir())
-	if err != nil {
-		t.Fatal(err)
-	}
-	acceptor := establishedAcceptor(1, Position{Term: 1, Revision: state.Revision}, state)
-	acceptor.PromiseDirty, acceptor.StateDirty = true, true
-	if err := newStateStore(disk).save(acceptor); err != nil {
-		t.Fatal(err)
-	}
-	got, err := newStateStore(disk).load(Bootstrap{})
-	if err != nil || got.Phase != PhaseEstablished {
-		t.Fatal(got.Phase, err)
-	}
-	return got.State
-}
-
 // zoneCommand is a command on a zone that came while a revision was the newest.
 func zoneCommand(kind CommandKind, zone string, sinceRevision uint64) Command {
 	return Command{Kind: kind, Zone: zone, SinceRevision: &sinceRevision}
--- a/internal/controlplane/consensus/reconfiguration_test.go
+++ b/internal/controlplane/consensus/reconfiguration_test.go
@@ -190,3 +190,49 @@
 		}
 	}
 }
+
+// Only one reconfiguration is in force at a time, decided on the current set, and no member ID
+// is used again.
+func TestReconfigurationNeedsBothMajorities(t *testing.T) {
+	current := memberSet(1, 2, 3)
+	join := Command{Kind: CommandReconfigure, Joining: config.Member{MemberID: 4, DiskID: 104}, ExpectedMembers: current}
+	state := applyReconfiguration(config.ControlState{Revision: 1}, current, join)
+	if len(state.Members) != 4 || len(state.PreviousMembers) != 3 || state.HighestMemberID != 4 {
+		t.Errorf("%+v", state)
+	}
+	swap := Command{Kind: CommandReconfigure, Joining: config.Member{MemberID: 5, DiskID: 105}, Leaving: 2, ExpectedMembers: state.Members}
+	swapped := applyReconfiguration(finalizeReconfiguration(state), state.Members, swap)
+	if s := MemberIDs(swapped.Members); len(s) != 4 || s[1] != 3 || s[3] != 5 || len(swapped.PreviousMembers) != 4 || swapped.HighestMemberID != 5 {
+		t.Errorf("%+v", swapped)
+	}
+	if unchanged := applyReconfiguration(swapped, swapped.Members, Command{Kind: CommandPutConfiguration}); len(unchanged.PreviousMembers) != 0 || len(unchanged.Members) != 4 {
+		t.Errorf("%+v", unchanged)
+	}
+	for _, c := range []struct {
+		name    string
+		base    config.ControlState
+		current []config.Member
+		command Command
+		want    Outcome
+	}{
+		{"to be done", config.ControlState{}, current, join, ""},
+		{"done", state, state.Members, join, OutcomeCommitted},
+		{"decided on another set", swapped, swapped.Members, replaceCommand(join, current, 6), OutcomeRejected},
+		{"a member ID used before", config.ControlState{Members: current, HighestMemberID: 4}, current, join, OutcomeRejected},
+		{"the last one", config.ControlState{}, memberSet(1), Command{Kind: CommandReconfigure, Leaving: 1, ExpectedMembers: memberSet(1)}, OutcomeRejected},
+		{"another command", config.ControlState{}, current, Command{Kind: CommandPutConfiguration}, ""},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			result, resolved := resolveReconfiguration(c.base, c.current, c.command)
+			if resolved != (c.want != "") || resolved && result.Outcome != c.want {
+				t.Errorf("%v %v", result.Outcome, resolved)
+			}
+		})
+	}
+}
+
+// replaceCommand is a command decided on another set, for another member.
+func replaceCommand(command Command, of []config.Member, memberID int) Command {
+	command.ExpectedMembers, command.Joining.MemberID, command.Joining.DiskID = of, memberID, uint64(100+memberID)
+	return command
+}
--- a/internal/controlplane/consensus/replica_harness_test.go
+++ b/internal/controlplane/consensus/replica_harness_test.go
@@ -75,12 +75,8 @@
 	for memberID, position := range others {
 		h.acceptors[memberID].acceptor = holds(memberID, position)
 	}
-	store, err := storage.Open(t.TempDir())
-	if err != nil {
-		t.Fatal(err)
-	}
-	h.store = store
-	if err := newStateStore(store).save(holds(1, own)); err != nil {
+	h.store = openTestStore(t)
+	if err := newStateStore(h.store).save(holds(1, own)); err != nil {
 		t.Fatal(err)
 	}
 	client := transport.NewClient(actors, transport.Hello{Version: transport.ProtocolVersion, Node: "own"}, nil)
@@ -88,9 +84,11 @@
 	deps.OnCommit = func(_ context.Context, state config.ControlState) { h.committed <- state.Revision }
 	deps.OnReadConfirmed = func(_ context.Context, at time.Time) { h.confirmed <- at }
 	deps.OnHealthChange = func() { h.changed <- h.Healthy() }
-	if h.Replica, err = New(Config{Store: store}, deps); err != nil {
+	replica, err := New(Config{Store: h.store}, deps)
+	if err != nil {
 		t.Fatal(err)
 	}
+	h.Replica = replica
 	actors.Go(ctx, "client", client.Run)
 	return h
 }
--- a/internal/controlplane/consensus/replica_test.go
+++ b/internal/controlplane/consensus/replica_test.go
@@ -6,7 +6,6 @@
 	"time"
 
 	"curlewwalk/internal/config"
-	"curlewwalk/internal/storage"
 	"curlewwalk/internal/transport"
 )
 
@@ -169,10 +168,7 @@
 		others = append(others, p)
 		peers[memberID] = p.serve(ctx, t, actors)
 	}
-	store, err := storage.Open(t.TempDir())
-	if err != nil {
-		t.Fatal(err)
-	}
+	store := openTestStore(t)
 	client := transport.NewClient(actors, transport.Hello{Version: transport.ProtocolVersion, Node: "new"}, nil)
 	r, err := New(Config{Store: store, Bootstrap: Bootstrap{MemberID: 3, StaticSize: 3}}, testDeps(actors, client, peers))
 	if err != nil {
--- a/internal/controlplane/consensus/term_test.go
+++ b/internal/controlplane/consensus/term_test.go
@@ -42,3 +42,20 @@
 		t.Errorf("%d terms of %d each do not fit", terms, step)
 	}
 }
+
+// No two members ever get the same term, whatever each of them knows.
+func TestTermsSurviveReconfiguration(t *testing.T) {
+	for _, staticSize := range []int{0, 3} {
+		seen := map[uint64]int{}
+		for memberID := 1; memberID <= 3; memberID++ {
+			term := uint64(0)
+			for range 100 {
+				term = nextTerm(term, memberID, staticSize)
+				if id, ok := seen[term]; ok {
+					t.Fatalf("members %d and %d both have term %d", id, memberID, term)
+				}
+				seen[term] = memberID
+			}
+		}
+	}
+}
