--- a/internal/dataplane/endpoints/announcement.go
+++ b/internal/dataplane/endpoints/announcement.go
@@ -33,7 +33,7 @@
 	// Draining says that the backend is about to stop and takes no more requests.
 	Draining bool `json:"leaving"`
 	// Sequence rises with each announcement of an instance, so that one which arrives out
-	// of order can be told; zero if the backend does not number them.
+	// of order is recognized; zero if the backend does not number them.
 	Sequence uint64 `json:"count,omitempty"`
 }
 
--- a/internal/dataplane/endpoints/doc.go
+++ b/internal/dataplane/endpoints/doc.go
@@ -7,6 +7,6 @@
 // AdmissionController, which bounds the requests that run at the backend (AdmissionQueue)
 // and the rate at which one that is warming up gets them (SlowStartLimiter).
 //
-// A sidecar admits only while it holds a Lease, and takes no heartbeat for new right after
-// its process was frozen (WakeDetector).
+// A sidecar admits only while it holds a Lease. Right after its process was frozen it ignores
+// announcements, since they may have waited for long (WakeDetector).
 package endpoints
--- a/internal/dataplane/endpoints/slow_start.go
+++ b/internal/dataplane/endpoints/slow_start.go
@@ -10,7 +10,7 @@
 	// longer than a second, since requests may arrive closer together than they were
 	// admitted.
 	limiterWindow = 1020 * time.Millisecond // (ours)
-	// minRate is the lowest rate that is told from none, in requests a second.
+	// minRate is the lowest rate that is distinguished from none, in requests a second.
 	minRate = 1e-3
 )
 
--- a/internal/dataplane/endpoints/slow_start_test.go
+++ b/internal/dataplane/endpoints/slow_start_test.go
@@ -9,7 +9,7 @@
 
 // TestSlowStartLimiter checks, for requests that arrive in bursts or evenly, that no more
 // than the rate are admitted in any second, and none in the first second after the
-// sidecar's start; that one which retries when it was told to is admitted, if no other came
+// sidecar's start; that one which retries at the time it was given is admitted, if no other came
 // first; and that low rates are not wasted.
 func TestSlowStartLimiter(t *testing.T) {
 	for seed := range uint64(200) {
@@ -57,7 +57,7 @@
 		if rng.IntN(4) == 0 {
 			now += retryAfter
 			if ok, _ := limiter.Allow(rate, startedAt+now, now); !ok {
-				t.Fatal("rejected when it retried as told")
+				t.Fatal("rejected when it retried at the time it was given")
 			}
 			admitted = append(admitted, now)
 		}
@@ -66,7 +66,7 @@
 }
 
 // TestScaleShares checks that a backend that is warming up is reported with the share that
-// its service's rate comes to, until it is warm, and that a heartbeat without news changes
+// its service's rate comes to, until it is warm, and that a heartbeat that says the same changes
 // nothing.
 func TestScaleShares(t *testing.T) {
 	begin := time.Now()
--- a/internal/dataplane/idempotency/table.go
+++ b/internal/dataplane/idempotency/table.go
@@ -20,8 +20,8 @@
 	Text string `msgpack:"Text"`
 }
 
-// Fingerprint is a digest of a request, by which a replay is told from another request
-// that uses the same key.
+// Fingerprint is a digest of a request, which tells a replay from another request that
+// uses the same key.
 type Fingerprint [32]byte
 
 // Table holds the reservations of one sidecar. It is not safe for concurrent use, and
--- a/internal/dataplane/keyreplication/peer_health.go
+++ b/internal/dataplane/keyreplication/peer_health.go
@@ -8,16 +8,18 @@
 	"curlewwalk/internal/membership"
 )
 
-// unresponsiveFor is how long a peer that did not answer comes after all others.
+// unresponsiveFor is how long a peer that did not answer counts as unresponsive, and comes
+// after all others.
 const unresponsiveFor = time.Second
 
 // peerHealth remembers the peers that lately did not answer. It is safe for concurrent use.
 type peerHealth struct {
-	// unresponsive has the end of each peer's bad mark by address; replaced, never changed.
+	// unresponsive has the times until which peers count as unresponsive, by address. The
+	// map is replaced, never changed.
 	unresponsive atomic.Pointer[map[string]time.Time]
 }
 
-// responsive reports whether a peer has no bad mark.
+// responsive reports whether a peer does not count as unresponsive.
 func (h *peerHealth) responsive(addr string) bool {
 	unresponsive := h.unresponsive.Load()
 	return unresponsive == nil || !time.Now().Before((*unresponsive)[addr])
@@ -53,7 +55,7 @@
 	}
 }
 
-// responsivePeers returns the peers without a bad mark.
+// responsivePeers returns the peers that don't count as unresponsive.
 func (o *Owner) responsivePeers() []membership.Node {
 	return slices.DeleteFunc(o.peers(), func(peer membership.Node) bool { return !o.health.responsive(peer.Addr) })
 }
