--- a/internal/dataplane/proxy/golden_test.go
+++ b/internal/dataplane/proxy/golden_test.go
@@ -11,14 +11,14 @@
 	"curlewwalk/tests/golden"
 )
 
-// What clients are told of a request that was not answered is what it has always been.
+// The body that clients get for a request that has no response is the same as ever.
 func TestGoldenRefusal(t *testing.T) {
 	golden.Value(t, golden.JSON, "refusal.json", &localReplyBody{})
 	r := newLocalReply(LocalReply{Status: 503, Outcome: routing.NotRun, Reason: "a reason", TraceID: "0123456789abcdef", RetryAfter: time.Second})
 	golden.Check(t, "own-response.body", r.Body)
 }
 
-// A response that is kept for an Idempotency-Key reads back as it was, and is the same bytes.
+// A response that is stored for an Idempotency-Key decodes as it was, and is the same bytes.
 func TestGoldenKeptResponse(t *testing.T) {
 	var r Response
 	golden.Fill(&r, golden.Msgpack.Tag)
@@ -33,10 +33,10 @@
 		t.Errorf("%+v", read)
 	}
 
-	var entry keyreplication.Record
-	golden.Fill(&entry, golden.Msgpack.Tag)
-	entry.Response = r.marshal()
-	encoded, err := golden.Msgpack.Marshal(&entry)
+	var record keyreplication.Record
+	golden.Fill(&record, golden.Msgpack.Tag)
+	record.Response = r.marshal()
+	encoded, err := golden.Msgpack.Marshal(&record)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/dataplane/proxy/configuration_test.go
+++ b/internal/dataplane/proxy/request_test.go
@@ -66,3 +66,22 @@
 		t.Errorf("%d, %q, retry after %q", response.Code, header.Get(HeaderOutcome), header.Get("Retry-After"))
 	}
 }
+
+// A request's deadline is its contract's, or that of a client that waits for a shorter time.
+func TestDeadlines(t *testing.T) {
+	var contract config.Contract
+	contract.LatencyTarget.Duration, contract.Deadline.Duration = time.Second, 3*time.Second
+	start := time.Now()
+	for name, c := range map[string]struct{ clientTimeout, want time.Duration }{
+		"the client does not say":  {0, 3 * time.Second},
+		"the client waits longer":  {time.Minute, 3 * time.Second},
+		"the client waits shorter": {time.Millisecond, time.Millisecond},
+	} {
+		t.Run(name, func(t *testing.T) {
+			got := newDeadlines(start, contract, c.clientTimeout)
+			if want := (deadlines{start, start.Add(time.Second), start.Add(c.want)}); got != want {
+				t.Errorf("%+v, want %+v", got, want)
+			}
+		})
+	}
+}
