--- a/internal/dataplane/proxy/admit.go
+++ b/internal/dataplane/proxy/admit.go
@@ -48,7 +48,7 @@
 	return in.forward(ctx, endpoint, attempt, span)
 }
 
-// checkAdmission tells whether an attempt may be sent to its backend now. It is asked at first,
+// checkAdmission reports whether an attempt may be sent to its backend now. It is asked at first,
 // and again immediately before the write.
 func (in *Inbound) checkAdmission(ctx context.Context, attempt *Attempt) (endpoints.Endpoint, endpoints.Rejection) {
 	switch {
@@ -116,7 +116,7 @@
 	return response
 }
 
-// checkBeforeWrite tells whether an attempt may still be written to the backend that it was
+// checkBeforeWrite reports whether an attempt may still be written to the backend that it was
 // admitted to. A backend that is warming up also takes no more than its rate of requests.
 func (in *Inbound) checkBeforeWrite(ctx context.Context, admitted endpoints.Endpoint, attempt *Attempt) refusal {
 	current, rejection := in.checkAdmission(ctx, attempt)
--- a/internal/dataplane/proxy/attempt.go
+++ b/internal/dataplane/proxy/attempt.go
@@ -51,7 +51,7 @@
 	Body    []byte      `msgpack:"b"`
 }
 
-// queueRequest is what the attempt asks of its backend's admission queue.
+// queueRequest returns the attempt's request to its backend's admission queue.
 func (a *Attempt) queueRequest() endpoints.QueueRequest {
 	request := endpoints.QueueRequest{Priority: a.Priority, Route: a.Route, Remaining: min(a.Timeout, a.TimeToTarget)}
 	if a.QueuePastTarget {
@@ -60,7 +60,7 @@
 	return request
 }
 
-// valid tells whether the attempt makes one HTTP request, and the same one to every reader of
+// valid reports whether the attempt makes one HTTP request, and the same one to every reader of
 // it.
 func (a *Attempt) valid() bool {
 	for name := range a.Trailer {
@@ -71,14 +71,14 @@
 	return isToken(a.Method) && hasNoBlanks(a.URI) && hasNoBlanks(a.Host) && a.URI != "" && requestTargetURL("", a.URI).RequestURI() == a.URI
 }
 
-// isToken tells whether s is a token as RFC 9110 (5.6.2) defines it.
+// isToken reports whether s is a token as RFC 9110 (5.6.2) defines it.
 func isToken(s string) bool {
 	return s != "" && !strings.ContainsFunc(s, func(r rune) bool {
 		return r <= ' ' || r >= 0x7f || strings.ContainsRune(`"(),/:;<=>?@[\]{}`, r)
 	})
 }
 
-// hasNoBlanks tells whether s has neither blanks nor control characters in it.
+// hasNoBlanks reports whether s has neither blanks nor control characters in it.
 func hasNoBlanks(s string) bool {
 	return !slices.ContainsFunc([]byte(s), func(b byte) bool { return b <= ' ' || b == 0x7f })
 }
@@ -104,7 +104,7 @@
 	RetryAfter time.Duration `msgpack:"bk,omitempty"`
 }
 
-// answers tells whether the reply is understood, and is that to the given attempt.
+// answers reports whether the reply is understood, and is that to the given attempt.
 func (r *AttemptResponse) answers(attempt *Attempt) bool {
 	switch r.Outcome {
 	case routing.Answered:
@@ -116,7 +116,7 @@
 }
 
 // CancelRequest asks an inbound side, in one incarnation of its process, that an attempt never
-// runs, or is stopped if it is idempotent. The reply tells whether it has run.
+// runs, or is stopped if it is idempotent. The reply reports whether it has run.
 type CancelRequest struct {
 	ID          string `msgpack:"id"`
 	Incarnation uint64 `msgpack:"bt"`
--- a/internal/dataplane/proxy/bench_test.go
+++ b/internal/dataplane/proxy/bench_test.go
@@ -70,7 +70,7 @@
 	b.ReportMetric(100*float64(backend.inbound.ConnectionsOpened())/float64(b.N), "conns/100attempts")
 }
 
-// cpu is the CPU time of this process so far.
+// cpu returns the CPU time of this process so far.
 func cpu() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
--- a/internal/dataplane/proxy/bodylimiter.go
+++ b/internal/dataplane/proxy/bodylimiter.go
@@ -25,5 +25,5 @@
 // Release gives reserved bytes back.
 func (b *BodyLimiter) Release(n int64) { b.reserved.Add(-n) }
 
-// Reserved is how many bytes are reserved now.
+// Reserved returns how many bytes are reserved now.
 func (b *BodyLimiter) Reserved() int64 { return b.reserved.Load() }
--- a/internal/dataplane/proxy/cancel.go
+++ b/internal/dataplane/proxy/cancel.go
@@ -39,7 +39,7 @@
 
 // cancel ends an attempt that nobody waits for any more. One that was not begun never is, and
 // leaves the queue; one that the backend is running is stopped if it is idempotent, else left to
-// its end. It tells whether the attempt was not begun. (DESIGN 10.7)
+// its end. It reports whether the attempt was not begun. (DESIGN 10.7)
 func (in *Inbound) cancel(id string) (notBegun bool) {
 	notBegun = in.attemptLog.refuse(context.Background(), id)
 	attempt, open := in.openAttempts.find(id)
--- a/internal/dataplane/proxy/clientwatch.go
+++ b/internal/dataplane/proxy/clientwatch.go
@@ -27,7 +27,7 @@
 	return w
 }
 
-// ignoreClient is the watch of a request that goes on whether its client stays or not.
+// ignoreClient returns the watch of a request that goes on whether its client stays or not.
 func ignoreClient() *clientWatch {
 	return &clientWatch{unregister: func() bool { return true }}
 }
@@ -42,7 +42,7 @@
 	}
 }
 
-// hasLeft tells whether the client has left.
+// hasLeft reports whether the client has left.
 func (w *clientWatch) hasLeft() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -65,7 +65,7 @@
 	}
 }
 
-// finish ends the watch. It tells whether the client has left, and for how long the request went
+// finish ends the watch. It reports whether the client has left, and for how long the request went
 // on after that.
 func (w *clientWatch) finish() (left bool, after time.Duration) {
 	w.unregister()
--- a/internal/dataplane/proxy/clientwatch_test.go
+++ b/internal/dataplane/proxy/clientwatch_test.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// newStoppablePair is a pair whose backend answers nothing. It tells of each request that has
+// newStoppablePair returns a pair whose backend answers nothing. It tells of each request that has
 // come, and of each that was stopped.
 func newStoppablePair(t *testing.T) (p *proxyPair, came, stopped chan bool) {
 	t.Helper()
--- a/internal/dataplane/proxy/connpool.go
+++ b/internal/dataplane/proxy/connpool.go
@@ -21,7 +21,7 @@
 	// lifetime is that of the sweeper: when it ends, all idle connections are closed.
 	lifetime context.Context
 	actors   *actor.System
-	// isCurrent tells whether a backend at its address may still be sent something.
+	// isCurrent reports whether a backend at its address may still be sent something.
 	isCurrent func(backendAddress) bool
 
 	mu       sync.Mutex
--- a/internal/dataplane/proxy/exchange.go
+++ b/internal/dataplane/proxy/exchange.go
@@ -22,7 +22,7 @@
 	return response
 }
 
-// maxIdleTimeFor is how long an open connection may have been idle to be used for an attempt.
+// maxIdleTimeFor returns how long an open connection may have been idle to be used for an attempt.
 func maxIdleTimeFor(attempt *Attempt) time.Duration {
 	if attempt.Idempotent {
 		return maxIdleTime
--- a/internal/dataplane/proxy/exchange_test.go
+++ b/internal/dataplane/proxy/exchange_test.go
@@ -206,7 +206,7 @@
 	return true
 }
 
-// randomAttempt is one of a short, a middle or a long body, some with hardly any time.
+// randomAttempt returns one of a short, a middle or a long body, some with hardly any time.
 func randomAttempt() Attempt {
 	attempt := Attempt{ID: fmt.Sprint("attempt-", attemptCount.Add(1)), Body: make([]byte, []int{1, 20 << 10, 300 << 10}[rand.IntN(3)])}
 	if rand.IntN(8) == 0 {
--- a/internal/dataplane/proxy/fakebackend_test.go
+++ b/internal/dataplane/proxy/fakebackend_test.go
@@ -57,7 +57,7 @@
 	io.WriteString(r.conn, responseText(id, body, header...))
 }
 
-// responseText is a response in the name of an attempt, as it is on the wire.
+// responseText returns a response in the name of an attempt, as it is on the wire.
 func responseText(id, body string, header ...string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nFor: %s\r\n%sContent-Length: %d\r\n\r\n%s", id, strings.Join(append(header, ""), "\r\n"), len(body), body)
 }
@@ -195,7 +195,7 @@
 	}
 }
 
-// idleConn is the one idle connection.
+// idleConn returns the one idle connection.
 func (b *fakeBackend) idleConn(t *testing.T) *backendConn {
 	t.Helper()
 	b.inbound.pool.mu.Lock()
--- a/internal/dataplane/proxy/header.go
+++ b/internal/dataplane/proxy/header.go
@@ -36,7 +36,7 @@
 	return out
 }
 
-// isHopByHop tells whether a header field concerns one connection only.
+// isHopByHop reports whether a header field concerns one connection only.
 func isHopByHop(name string) bool {
 	return slices.Contains(hopByHop, http.CanonicalHeaderKey(name))
 }
--- a/internal/dataplane/proxy/idempotency.go
+++ b/internal/dataplane/proxy/idempotency.go
@@ -52,7 +52,7 @@
 	return outcome.response
 }
 
-// newRequestKey is the key of a request, or tells why the request can't run under it.
+// newRequestKey returns the key of a request, or why the request can't run under it.
 func (o *Outbound) newRequestKey(req *request) (key requestKey, rejection *routing.Failure) {
 	text := req.metadata.IdempotencyKey
 	if len(text) > maxKeyLength {
@@ -65,16 +65,15 @@
 	return requestKey{idempotency.Key{Caller: req.caller, Text: text}, req.fingerprint()}, nil
 }
 
-// fingerprint is a digest of what makes two requests the same one.
+// fingerprint returns a digest of what makes two requests the same one.
 func (req *request) fingerprint() idempotency.Fingerprint {
 	attempt := &req.template
 	parts := [][]byte{[]byte(attempt.Method), []byte(attempt.Host), []byte(attempt.URI), attempt.Body}
 	return idempotency.Fingerprint(sha256.Sum256(bytes.Join(parts, []byte{0})))
 }
 
-// reserveKey reserves a key on this node. It tells whether the request is the key's first one
-// and has to run, or returns the response of the first one, for which it waits, or tells why
-// there is none.
+// reserveKey reserves a key on this node. It reports whether the request is the key's first one,
+// which has to run. Else it waits for the first one, and returns its response or why there is none.
 func (o *Outbound) reserveKey(ctx context.Context, key requestKey) (first bool, response Response, rejection *routing.Failure) {
 	decision, response, err := o.Reservations.Reserve(ctx, key.Key, key.fingerprint)
 	switch decision {
@@ -121,7 +120,7 @@
 	o.Reservations.Restore(ctx, record.Key, record.Fingerprint, o.storedResponse(record))
 }
 
-// storedResponse is the response in a key's record. If there is none, nobody knows whether the
+// storedResponse returns the response in a key's record. If there is none, nobody knows whether the
 // request has run.
 func (o *Outbound) storedResponse(record keyreplication.Record) Response {
 	response, ok := unmarshalResponse(record.Response)
--- a/internal/dataplane/proxy/inbound.go
+++ b/internal/dataplane/proxy/inbound.go
@@ -30,9 +30,9 @@
 	Table     func() *routing.Table
 	Spans     *trace.Queue
 	Causality *causality.Tracker
-	// LeaseHeld tells whether this node may admit attempts.
+	// LeaseHeld reports whether this node may admit attempts.
 	LeaseHeld func() bool
-	// Draining tells whether new attempts are refused.
+	// Draining reports whether new attempts are refused.
 	Draining func() bool
 	Bodies   *BodyLimiter
 	Dialect  Dialect
@@ -59,10 +59,10 @@
 	return in
 }
 
-// ConnectionsOpened is how many connections to backends were opened.
+// ConnectionsOpened returns how many connections to backends were opened.
 func (in *Inbound) ConnectionsOpened() int64 { return in.pool.opened.Load() }
 
-// ConnectionsReused is how many attempts were given a connection that was open already.
+// ConnectionsReused returns how many attempts were given a connection that was open already.
 func (in *Inbound) ConnectionsReused() int64 { return in.pool.reused.Load() }
 
 // errNotAttempt answers a call that is not a valid Attempt. Its text is part of the protocol.
@@ -104,7 +104,7 @@
 	return response
 }
 
-// deadline is when ctx ends; zero if it has no deadline.
+// deadline returns the deadline of ctx; zero if it has none.
 func deadline(ctx context.Context) time.Time {
 	t, _ := ctx.Deadline()
 	return t
--- a/internal/dataplane/proxy/outbound.go
+++ b/internal/dataplane/proxy/outbound.go
@@ -59,9 +59,9 @@
 	// Lifetime ends when the node has to answer all requests that are still open; its cause is
 	// ErrStopping if the node is being stopped.
 	Lifetime context.Context
-	// Draining tells whether clients' requests are rejected.
+	// Draining reports whether clients' requests are rejected.
 	Draining func() bool
-	// ShutdownTime, if set, tells whether this node is being stopped, and when another node may
+	// ShutdownTime, if set, reports whether this node is being stopped, and when another node may
 	// take its place: its requests must have ended by then. (DESIGN 11.3)
 	ShutdownTime func() (end time.Time, stopping bool)
 	// ConfigurationUnconfirmed, if set, tells that a newer configuration than this node's may
@@ -165,7 +165,7 @@
 	}
 }
 
-// outlivesNode tells whether a request with a deadline may last longer than this node.
+// outlivesNode reports whether a request with a deadline may last longer than this node.
 func (o *Outbound) outlivesNode(deadline time.Time) bool {
 	if o.ShutdownTime == nil {
 		return false
--- a/internal/dataplane/proxy/readresponse.go
+++ b/internal/dataplane/proxy/readresponse.go
@@ -146,9 +146,9 @@
 	return buffer.Bytes(), resp.Trailer, nil
 }
 
-// idleTimeoutAfter is for how long a connection may be idle after a response, whose body was
-// read with err; zero if it must be closed. It is half of what the backend's Keep-Alive says, if
-// that is less than the own maximum.
+// idleTimeoutAfter returns the time for which a connection may be idle after a response; zero if it
+// must be closed. err is the error of reading the response's body. The time is half of what the
+// backend's Keep-Alive says, and at most maxIdleTime.
 func idleTimeoutAfter(resp *http.Response, err error) time.Duration {
 	if err != nil || resp.Close || !resp.ProtoAtLeast(1, 1) {
 		return 0
@@ -169,7 +169,7 @@
 	return maxIdleTime
 }
 
-// unknownOutcome is what is known of an attempt whose response can't be passed on.
+// unknownOutcome returns what is known of an attempt whose response can't be passed on.
 func unknownOutcome(ctx context.Context, err error) AttemptResponse {
 	reason := err.Error()
 	if ctx.Err() != nil {
@@ -178,7 +178,7 @@
 	return AttemptResponse{Outcome: routing.Unknown, Reason: reason}
 }
 
-// connectionLost is what is known of an attempt whose connection failed.
+// connectionLost returns what is known of an attempt whose connection failed.
 func connectionLost(ctx context.Context, err error) AttemptResponse {
 	reason, end := "backend: "+rootCause(err), deadline(ctx)
 	switch {
@@ -190,7 +190,7 @@
 	return AttemptResponse{Outcome: routing.Unknown, Reason: reason}
 }
 
-// rootCause is the text of the innermost error that err wraps.
+// rootCause returns the text of the innermost error that err wraps.
 func rootCause(err error) string {
 	for next := err; next != nil; next = errors.Unwrap(next) {
 		err = next
@@ -198,7 +198,7 @@
 	return err.Error()
 }
 
-// earlier is the earlier one of two times; a zero a counts as none.
+// earlier returns the earlier one of two times; a zero a counts as none.
 func earlier(a, b time.Time) time.Time {
 	if a.IsZero() || b.Before(a) {
 		return b
--- a/internal/dataplane/proxy/request.go
+++ b/internal/dataplane/proxy/request.go
@@ -46,8 +46,8 @@
 	deadline time.Time
 }
 
-// newDeadlines are those of a contract. A client that waits for a shorter time than that brings
-// the deadline forward; clientTimeout is zero if it does not say.
+// newDeadlines returns the deadlines that a contract sets. A client that waits for a shorter time
+// brings the deadline forward; clientTimeout is zero if the client does not say.
 func newDeadlines(startedAt time.Time, contract config.Contract, clientTimeout time.Duration) deadlines {
 	d := deadlines{
 		startedAt:  startedAt,
@@ -135,7 +135,7 @@
 	}
 }
 
-// newSpan is the request's span: a child of its cause's, else of its client's, else a root.
+// newSpan returns the request's span: a child of its cause's, else of its client's, else a new root.
 func (req *request) newSpan(clientSpan trace.Span) trace.Span {
 	switch {
 	case !req.cause.Parent.IsZero():
@@ -146,7 +146,7 @@
 	return trace.Root()
 }
 
-// maxLateness is how late the request may be at all.
+// maxLateness returns how late the request may be at all.
 func (req *request) maxLateness() time.Duration {
 	return req.contract.Deadline.Duration - req.contract.LatencyTarget.Duration
 }
--- a/internal/dataplane/proxy/request_test.go
+++ b/internal/dataplane/proxy/request_test.go
@@ -11,7 +11,7 @@
 	"curlewwalk/internal/dataplane/routing"
 )
 
-// newRoutesOutbound is an outbound side that rejects requests by its configuration.
+// newRoutesOutbound returns an outbound side that rejects requests by its configuration.
 func newRoutesOutbound(t *testing.T, configuration string, unconfirmed, outdated func() bool) *Outbound {
 	t.Helper()
 	table, ok := routing.NewTable(config.ControlState{Revision: 3, ConfigurationRevision: 3, Configuration: []byte(configuration)})
@@ -24,7 +24,7 @@
 	})
 }
 
-// serve is a sidecar's response to a client's request.
+// serve returns a sidecar's response to a client's request.
 func serve(o *Outbound, method, url string) *httptest.ResponseRecorder {
 	response := httptest.NewRecorder()
 	o.Handler("").ServeHTTP(response, httptest.NewRequest(method, url, nil))
--- a/internal/dataplane/proxy/response.go
+++ b/internal/dataplane/proxy/response.go
@@ -23,8 +23,8 @@
 	Outcome routing.Outcome `msgpack:"Fate"`
 }
 
-// ShutdownResponse is what a sidecar that is being stopped sends on an idle connection of a
-// client, in a dialect.
+// ShutdownResponse returns the response that a sidecar that is being stopped sends on an idle
+// connection of a client, in a dialect.
 // (DESIGN 11.3)
 func ShutdownResponse(d Dialect) Response {
 	return d.BuildReply(LocalReply{Status: http.StatusRequestTimeout, Outcome: routing.NotRun, Reason: stoppingReason, RetryAfter: briefly})
--- a/internal/dataplane/proxy/retry.go
+++ b/internal/dataplane/proxy/retry.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// newDecision is what is asked about a request's next action.
+// newDecision returns the decision that tells a request's next action.
 func (o *Outbound) newDecision(req *request) *routing.Decision {
 	return &routing.Decision{
 		Route:    req.route,
@@ -69,11 +69,12 @@
 	return response
 }
 
-// traceEvent is what is traced of a request as a whole.
+// traceEvent returns the trace event of a request as a whole.
 func (req *request) traceEvent() trace.Event {
 	return trace.Event{Route: req.route.Name, Service: req.route.Service, Caller: req.caller, Link: req.cause.Link, Candidates: req.cause.Candidates}
 }
 
+// logFailure logs a request that ended without a response of its backend.
 func (o *Outbound) logFailure(req *request, f routing.Failure, attempts int) {
 	o.Log.Info("request failed", "trace", req.span.Trace.String(), "route", req.route.Name, "caller", req.caller,
 		"status", f.Status, "outcome", f.Outcome, "reason", f.Reason, "attempts", attempts)
@@ -100,23 +101,24 @@
 	}
 }
 
-// allowedLateness is how late a request may be planned to be by its contract's budget.
+// allowedLateness returns how late a request may be planned to be by its contract's budget.
 func (o *Outbound) allowedLateness(req *request) time.Duration {
 	return o.Budgets.AllowedLateness(req.contract.Name, req.maxLateness())
 }
 
-// waitUntil is until when a request may wait for a backend with capacity. (DESIGN 15.4)
+// waitUntil returns the time until which a request may wait for a backend with capacity.
+// (DESIGN 15.4)
 func (o *Outbound) waitUntil(req *request) time.Time {
 	return req.startedAt.Add(time.Duration(o.WaitShare * float64(req.contract.LatencyTarget.Duration)))
 }
 
-// crossZoneCost is the cost of leaving the own zone: it grows with the size of the request.
+// crossZoneCost returns the cost of leaving the own zone: it grows with the size of the request.
 func (o *Outbound) crossZoneCost(req *request) float64 {
 	return o.CrossZoneCost * (1 + float64(len(req.template.Body))/usualRequestSize)
 }
 
-// retryAfter is when a rejected request may come again: at random, so that those rejected
-// together do not come again together.
+// retryAfter returns the time after which a rejected client should send again: it is random, so that
+// those rejected together do not come again together.
 func (o *Outbound) retryAfter() time.Duration {
 	return o.MinRetryAfter + time.Duration(rand.Int64N(int64(o.MinRetryAfter)/2+1))
 }
--- a/internal/dataplane/proxy/sendattempt.go
+++ b/internal/dataplane/proxy/sendattempt.go
@@ -29,7 +29,7 @@
 	response AttemptResponse
 }
 
-// isRetry tells whether it is not the request's first attempt.
+// isRetry reports whether it is not the request's first attempt.
 func (a *outgoingAttempt) isRetry() bool { return a.Number > 1 }
 
 // sendAttempt sends one attempt of a request, and waits for what becomes of it.
@@ -99,13 +99,13 @@
 	return attemptOutcome{result: o.cancelLost(ctx, attempt), response: response}
 }
 
-// showsFault tells whether the response speaks against its target. A full backend, or an attempt
+// showsFault reports whether the response speaks against its target. A full backend, or an attempt
 // that was canceled, does not.
 func (r *AttemptResponse) showsFault() bool {
 	return r.Outcome != routing.Answered && r.Reason != string(endpoints.BackendFull) && r.Reason != string(endpoints.Canceled)
 }
 
-// result is what the response tells the decision.
+// result returns the response as a result for the decision.
 func (r *AttemptResponse) result(target membership.Target) routing.AttemptResult {
 	return routing.AttemptResult{
 		Target:           target,
@@ -118,7 +118,7 @@
 	}
 }
 
-// forClient is the response that is passed on to the client.
+// forClient returns the response that is passed on to the client.
 func (r *AttemptResponse) forClient() Response {
 	return Response{Status: r.Status, Header: r.Header, Trailer: r.Trailer, Body: r.Body, Outcome: routing.Answered}
 }
@@ -140,7 +140,7 @@
 	o.Spans.Put(attempt.span, trace.ClientReceive, event)
 }
 
-// traceEvent is what is traced of a retry.
+// traceEvent returns the trace event of a retry.
 func (a *outgoingAttempt) traceEvent() trace.Event {
 	return trace.Event{Route: a.Route, Service: a.Service, Instance: a.Instance, Attempt: a.Number}
 }
--- a/internal/dataplane/proxy/target.go
+++ b/internal/dataplane/proxy/target.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// requestTargetURL is the URL that net/http writes as the request target uri, byte for byte, in
+// requestTargetURL returns the URL that net/http writes as the request target uri, byte for byte, in
 // a request to addr.
 func requestTargetURL(addr, uri string) *url.URL {
 	u := &url.URL{Scheme: "http", Host: addr}
--- a/internal/dataplane/proxy/warmup_test.go
+++ b/internal/dataplane/proxy/warmup_test.go
@@ -50,7 +50,7 @@
 	f.inbound.Endpoints = func() endpoints.Registry { return registry }
 }
 
-// limit is the backend's concurrency limit, with a capacity of its own if that is not zero.
+// limit returns the backend's concurrency limit, with a capacity of its own if that is not zero.
 func (f *warmupFixture) limit(capacity int) int64 {
 	endpoint := f.inbound.Endpoints().Endpoints()[0]
 	if capacity > 0 {
--- a/internal/dataplane/proxy/writeguard.go
+++ b/internal/dataplane/proxy/writeguard.go
@@ -32,7 +32,7 @@
 	bytesWritten bool
 }
 
-// allowWrite tells whether a byte may be written. The first one may if the attempt is still
+// allowWrite reports whether a byte may be written. The first one may if the attempt is still
 // admitted and the guard is not closed; all that follow may.
 func (g *writeGuard) allowWrite() bool {
 	if g.state.Load() == guardWritten {
@@ -45,7 +45,7 @@
 	return g.state.CompareAndSwap(guardOpen, guardWritten)
 }
 
-// close closes the guard, and tells whether that proves that no byte was or will be written.
+// close closes the guard, and reports whether that proves that no byte was or will be written.
 func (g *writeGuard) close() bool { return g.state.CompareAndSwap(guardOpen, guardClosed) }
 
 // written tells that a byte may have been written.
--- a/internal/dataplane/routing/action.go
+++ b/internal/dataplane/routing/action.go
@@ -39,7 +39,7 @@
 type Failure struct {
 	// Status is the HTTP status.
 	Status int
-	// Outcome tells whether the request may have run.
+	// Outcome reports whether the request may have run.
 	Outcome Outcome
 	// Reason tells people why it ended.
 	Reason string
--- a/internal/dataplane/routing/conditions.go
+++ b/internal/dataplane/routing/conditions.go
@@ -66,13 +66,14 @@
 	return c.AbandonReason()
 }
 
-// expectedLateness is how late the request would be on average at a target.
+// expectedLateness returns how late the request would be on average at a target.
 func (c *Conditions) expectedLateness(t membership.Target, now time.Time) time.Duration {
 	histogram := c.Latency(t)
 	return histogram.ExpectedLateness(c.TargetTime.Sub(now), c.MaxLateness)
 }
 
-// onTimeProbability is the chance of an answer in time at a target; 1 where too little is known.
+// onTimeProbability returns the chance of an answer in time at a target; 1 where too little is
+// known.
 func (c *Conditions) onTimeProbability(t membership.Target, now time.Time) float64 {
 	histogram := c.Latency(t)
 	if !histogram.Reliable() {
@@ -81,7 +82,7 @@
 	return histogram.ShareWithin(c.TargetTime.Sub(now))
 }
 
-// withinLatenessBudget tells whether the request can afford a slower target.
+// withinLatenessBudget reports whether the request can afford a slower target.
 func (c *Conditions) withinLatenessBudget(t membership.Target, now time.Time) bool {
 	return c.expectedLateness(t, now) <= c.LatenessBudget/slowTargetDivisor
 }
@@ -105,7 +106,7 @@
 	return a
 }
 
-// shouldCrossZone tells whether to prefer a target in another zone to one in the own zone.
+// shouldCrossZone reports whether to prefer a target in another zone to one in the own zone.
 func (c *Conditions) shouldCrossZone(local, remote membership.Target, now time.Time) bool {
 	if c.CrossZoneCost > 0 {
 		// A full target rejects the attempt, and the next one leaves the zone all the same.
@@ -121,8 +122,8 @@
 	return c.expectedLateness(remote, now)+c.MaxLateness/crossZoneDivisor < c.expectedLateness(local, now)
 }
 
-// onTimeGain is by how much the chance of an answer in time is greater at a target in another
-// zone. Where the own zone's target is full and only the latency of the route at all backends is
+// onTimeGain returns the difference that another zone's target makes to the chance of an answer in
+// time. Where the own zone's target is full and only the latency of the route at all backends is
 // known of the other, that says nothing of a target without a queue: it is tried, and then
 // judged by what is learned of it.
 func (c *Conditions) onTimeGain(local, remote membership.Target, now time.Time) float64 {
@@ -133,7 +134,7 @@
 	return remoteProbability - c.onTimeProbability(local, now)
 }
 
-// unlikelyToFinish tells whether an attempt to a target would hardly be answered in the time
+// unlikelyToFinish reports whether an attempt to a target would hardly be answered in the time
 // left to the deadline.
 func (c *Conditions) unlikelyToFinish(t membership.Target, remaining time.Duration) bool {
 	histogram := c.Latency(t)
--- a/internal/dataplane/routing/decision.go
+++ b/internal/dataplane/routing/decision.go
@@ -48,7 +48,7 @@
 // Record takes the result of an attempt.
 func (d *Decision) Record(result AttemptResult) { d.attempts = append(d.attempts, result) }
 
-// Service is the one service that all attempts go to.
+// Service returns the one service that all attempts go to.
 func (d *Decision) Service() string { return d.Route.Service }
 
 // Attempts lists the results of the attempts so far.
@@ -77,7 +77,7 @@
 	return Action{Kind: Send, Target: target, QueuePastTarget: queuePastTarget}
 }
 
-// answered tells whether the last attempt was answered.
+// answered reports whether the last attempt was answered.
 func (d *Decision) answered() bool {
 	n := len(d.attempts)
 	return n > 0 && d.attempts[n-1].Outcome == Answered
@@ -107,7 +107,7 @@
 	return past.fail(past.reason)
 }
 
-// exhausted tells whether no further attempt may be made: one of a request that is not
+// exhausted reports whether no further attempt may be made: one of a request that is not
 // idempotent may have run, or there were as many as are allowed.
 func (d *Decision) exhausted(past history) bool {
 	if past.outcome == Unknown && !d.Route.Idempotent {
@@ -116,7 +116,7 @@
 	return past.reached >= cmp.Or(d.Route.MaxAttempts, defaultMaxAttempts) || len(d.attempts) >= maxAttemptsAtAll
 }
 
-// leasesExpired tells whether no sidecar may be expected to admit the request now.
+// leasesExpired reports whether no sidecar may be expected to admit the request now.
 func (d *Decision) leasesExpired() bool {
 	expired := 0
 	for _, result := range d.attempts {
--- a/internal/dataplane/routing/histogram.go
+++ b/internal/dataplane/routing/histogram.go
@@ -40,7 +40,7 @@
 	return min(bucketCount-1, 1+int(math.Log(float64(d)/firstBucketBound)/math.Log(bucketGrowth)))
 }
 
-// bucketDuration is the duration that stands for the attempts of a bucket.
+// bucketDuration returns the duration that stands for the attempts of a bucket.
 func bucketDuration(bucket int) time.Duration {
 	return time.Duration(firstBucketBound * math.Pow(bucketGrowth, float64(bucket)-0.5))
 }
@@ -68,10 +68,10 @@
 	h.decayedAt = now
 }
 
-// Reliable tells whether there are enough observations to rely on.
+// Reliable reports whether there are enough observations to rely on.
 func (h *LatencyHistogram) Reliable() bool { return h.total >= minObservations }
 
-// ShareWithin is the share of attempts that are answered within d; 1 if there are none.
+// ShareWithin returns the share of attempts that are answered within d; 1 if there are none.
 func (h *LatencyHistogram) ShareWithin(d time.Duration) float64 {
 	if h.total == 0 {
 		return 1
@@ -85,7 +85,7 @@
 	return within / h.total
 }
 
-// Quantile is how long a share of the attempts takes at most; ok is false if it falls among
+// Quantile returns how long a share of the attempts takes at most; ok is false if it falls among
 // those that were not answered in time.
 func (h *LatencyHistogram) Quantile(share float64) (d time.Duration, ok bool) {
 	remaining := share * h.total
@@ -97,7 +97,7 @@
 	return bucketDuration(bucketCount), false
 }
 
-// ExpectedLateness is how late an attempt that is sent now is answered on average, given the
+// ExpectedLateness returns how late an attempt that is sent now is answered on average, given the
 // time left to its target time and the most that it may be late; zero if nothing was observed.
 func (h *LatencyHistogram) ExpectedLateness(timeToTarget, maxLateness time.Duration) time.Duration {
 	if h.total == 0 {
--- a/internal/dataplane/routing/index.go
+++ b/internal/dataplane/routing/index.go
@@ -85,7 +85,7 @@
 	return strings.ToLower(s)
 }
 
-// canonicalRune is the rune that stands for a rune and all that fold to it: the lower-case one
+// canonicalRune returns the rune that stands for a rune and all that fold to it: the lower-case one
 // for those of ASCII, else the one with the lowest code point.
 func canonicalRune(r rune) rune {
 	low := r
--- a/internal/dataplane/routing/latencies.go
+++ b/internal/dataplane/routing/latencies.go
@@ -76,7 +76,7 @@
 	}
 }
 
-// Estimate is what was learned of a route at a backend or, if that is too little, of the route
+// Estimate returns what was learned of a route at a backend or, if that is too little, of the route
 // at all backends; a zero histogram if that is too little as well.
 func (t *LatencyTable) Estimate(route string, target membership.Target) LatencyHistogram {
 	now := time.Since(t.start)
--- a/internal/dataplane/routing/slowstart.go
+++ b/internal/dataplane/routing/slowstart.go
@@ -14,7 +14,7 @@
 // DefaultSlowStart is used where the settings say nothing else. (ours)
 var DefaultSlowStart = SlowStart{Duration: 10 * time.Second, InitialShare: 0.2}
 
-// ShareAfter is the share of capacity after some time of the slow start.
+// ShareAfter returns the share of capacity after some time of the slow start.
 func (s SlowStart) ShareAfter(elapsed time.Duration) float64 {
 	if elapsed >= s.Duration {
 		return 1
--- a/internal/dataplane/routing/table.go
+++ b/internal/dataplane/routing/table.go
@@ -89,7 +89,7 @@
 	}
 }
 
-// ZoneShare is the share of their capacity that the backends of a zone are given now, from 0
+// ZoneShare returns the share of their capacity that the backends of a zone are given now, from 0
 // to 1: less than 1 during the zone's slow start.
 func (t *Table) ZoneShare(zone string, now time.Time) float64 {
 	since, ok := t.restoredZones[zone]
@@ -99,7 +99,7 @@
 	return t.SlowStart.ShareAfter(now.Sub(since))
 }
 
-// ZoneDrained tells whether a zone is evacuated: no request is sent to its backends.
+// ZoneDrained reports whether a zone is evacuated: no request is sent to its backends.
 func (t *Table) ZoneDrained(zone string) bool { return t.drainedZones[zone] }
 
 // Match finds the route of a request and its contract; false if no route matches. host may
@@ -115,13 +115,13 @@
 	return *route, t.contracts[route.Contract], true
 }
 
-// Service is the configuration of a service; false if it has none.
+// Service returns the configuration of a service; false if it has none.
 func (t *Table) Service(name string) (config.Service, bool) {
 	s, ok := t.services[name]
 	return s, ok
 }
 
-// WarmupRate is how many requests a second a backend of a service bears while it is warming up;
+// WarmupRate returns how many requests a second a backend of a service bears while it is warming up;
 // zero if none is configured.
 func (t *Table) WarmupRate(service string) float64 {
 	if s := t.services[service]; s.SlowStart != nil {
@@ -130,7 +130,7 @@
 	return 0
 }
 
-// Limits are the configured limits of what clients may send.
+// Limits returns the configured limits of what clients may send.
 func (t *Table) Limits() config.Limits { return t.limits }
 
 // Services lists the services that routes lead to or that have a configuration, in order of
@@ -144,7 +144,7 @@
 	return slices.Compact(services)
 }
 
-// EarlierRunsPossible tells whether runs that an earlier process of this node admitted may still
+// EarlierRunsPossible reports whether runs that an earlier process of this node admitted may still
 // be going on, when this process has been up for that long.
 func (t *Table) EarlierRunsPossible(up time.Duration) bool {
 	longest := minEarlierRun
--- a/internal/dataplane/routing/target.go
+++ b/internal/dataplane/routing/target.go
@@ -65,12 +65,12 @@
 	return d.Conditions.prefer(a, b, now), true
 }
 
-// utilization is the share of a backend's capacity that is in use.
+// utilization returns the share of a backend's capacity that is in use.
 func utilization(t membership.Target) float64 {
 	return float64(t.Load.EstimateOpen()) / max(1, float64(t.Capacity)*t.CapacityShare)
 }
 
-// attempted tells whether a target is excluded, as an attempt has gone to this incarnation of it.
+// attempted reports whether a target is excluded, as an attempt has gone to this incarnation of it.
 func (d *Decision) attempted(t membership.Target) bool {
 	for i, result := range d.attempts {
 		if i < d.forgiven && !result.ReachedBackend && result.Outcome == NotRun {
