--- a/tests/day/day.go
+++ b/tests/day/day.go
@@ -1,5 +1,3 @@
-// Package day runs a day of a deployment: its load, the brief's failures in
-// seeded order, one last fault, and a verdict. (DESIGN 14.5)
 package day
 
 import (
@@ -20,39 +18,48 @@
 	"curlewwalk/tests/ledger"
 )
 
+// The users' limits for the return of service after a fault, and for a configuration to be in
+// force.
 const (
 	recoveryLimit = 15 * time.Second
 	rolloutLimit  = 2 * time.Second
 )
 
-// ruleDay is of what the day judges itself: configurations, and the return of service.
+// putTimeout bounds each attempt to put a configuration.
+const putTimeout = 6 * time.Second
+
+// overrun is how many times its capacity a backend may run at most.
+const overrun = 1.5
+
+// ruleDay is the rule of what the day judges by itself: configurations, and the return of
+// service.
 const ruleDay ledger.Rule = "DAY"
 
 // Day is one run.
 type Day struct {
 	Fleet *fleet.Fleet
 	Out   io.Writer
-	// Only, if set, leaves out all failures whose names lack it.
+	// Only, if set, restricts the failures to those whose names contain it.
 	Only string
 	rng  *rand.Rand
 	ctx  context.Context
 
-	serial          int
-	acknowledged    map[uint64][]byte
+	serial          int               // of backends, configurations and checks
+	acknowledged    map[uint64][]byte // configurations by revision
 	newestRevision  uint64
 	breaches        []ledger.Breach
-	slowestRecovery time.Duration              // return of service after a fault
-	slowestRollout  time.Duration              // slowest configuration in force
-	recoveries      map[string][]time.Duration // return of service, by kind of request and of its word
-	runningBackends map[*fakes.Backend]int     // running backends by machine
+	slowestRecovery time.Duration
+	slowestRollout  time.Duration
+	recoveries      map[string][]time.Duration // by kind of request
+	runningBackends map[*fakes.Backend]int     // by machine
 }
 
-// New lays a day out over a fleet that is not started yet.
+// New prepares a day of a fleet that is not started yet.
 func New(f *fleet.Fleet, seed uint64, out io.Writer) *Day {
 	return &Day{Fleet: f, Out: out, rng: rand.New(rand.NewPCG(seed, 11)), acknowledged: map[uint64][]byte{}, runningBackends: map[*fakes.Backend]int{}, recoveries: map[string][]time.Duration{}}
 }
 
-// Run runs it with so many events and returns what must never happen and did.
+// Run plays so many events and a last one, and returns the verdict.
 func (d *Day) Run(ctx context.Context, events int) (v ledger.Verdict, err error) {
 	d.ctx = ctx
 	if err := d.start(); err != nil {
@@ -74,7 +81,7 @@
 	return v, nil
 }
 
-// start starts the fleet behind relays.
+// start starts the fleet behind proxies.
 func (d *Day) start() error {
 	if err := d.Fleet.InterposeProxies(); err != nil {
 		return err
@@ -90,8 +97,7 @@
 	return nil
 }
 
-// play has so many events happen and a last fault, each followed by the return of
-// service.
+// play plays so many events and a last one, and waits after each for the return of service.
 func (d *Day) play(events int) error {
 	all := d.allEvents()
 	if d.Only != "" {
@@ -119,31 +125,33 @@
 	return nil
 }
 
-// judgePeaks tells of backends that ran far more at a time than they can bear.
+// judgePeaks reports backends that ran far more at a time than they can bear.
 func (d *Day) judgePeaks() {
 	for _, b := range d.Fleet.Backends {
-		bear := float64(b.Capacity)
+		capacity := float64(b.Capacity)
 		if b.Warmth > 0 {
-			bear *= b.Warmth
+			capacity *= b.Warmth
 		}
-		if float64(b.Peak.Load()) > 1.5*bear {
-			d.breach("%s ran %d at a time and can bear %.1f", b.Instance, b.Peak.Load(), bear)
+		if float64(b.Peak.Load()) > overrun*capacity {
+			d.breach("%s ran %d at a time and can bear %.1f", b.Instance, b.Peak.Load(), capacity)
 		}
 	}
 }
 
-// Slowest is the slowest return of service, and the slowest configuration.
+// Slowest returns the slowest return of service and the slowest rollout of a configuration.
 func (d *Day) Slowest() (service, configuration time.Duration) {
 	return d.slowestRecovery, d.slowestRollout
 }
 
+// logf prints a line.
 func (d *Day) logf(format string, args ...any) { fmt.Fprintf(d.Out, format+"\n", args...) }
 
+// breach records a broken rule.
 func (d *Day) breach(format string, args ...any) {
 	d.breaches = append(d.breaches, ledger.Breach{Rule: ruleDay, Text: fmt.Sprintf(format, args...)})
 }
 
-// sleep lets load run for a while.
+// sleep waits for a while, or until the day is canceled.
 func (d *Day) sleep(t time.Duration) {
 	tm := time.NewTimer(t)
 	defer tm.Stop()
@@ -153,8 +161,8 @@
 	}
 }
 
-// awaitRecovery waits until each kind of request succeeds from every machine,
-// and the operator's word can be read from every core; it keeps how long each took.
+// awaitRecovery waits until each kind of request succeeds from every machine, and the configuration can be
+// read from every replica. It returns how long that took.
 func (d *Day) awaitRecovery(event string) time.Duration {
 	w := &recoveryWait{day: d, event: event, begin: time.Now()}
 	for i := range d.Fleet.Sidecars {
@@ -165,38 +173,38 @@
 		}
 	}
 	for _, p := range d.Fleet.Replicas {
-		w.until("reading the word", "at "+p.Name, func() bool {
+		w.until("reading the configuration", "at "+p.Name, func() bool {
 			r, err := d.Fleet.Operate(d.ctx, p, http.MethodGet, "/v1/desired", nil)
 			return err == nil && r.Status == http.StatusOK
 		})
 	}
 	w.checks.Wait()
-	took := time.Since(w.begin)
-	d.slowestRecovery = max(d.slowestRecovery, took)
-	if took > recoveryLimit {
-		d.breach("%s: service returned only after %v", event, took)
+	recovery := time.Since(w.begin)
+	d.slowestRecovery = max(d.slowestRecovery, recovery)
+	if recovery > recoveryLimit {
+		d.breach("%s: service returned only after %v", event, recovery)
 	}
-	return took
+	return recovery
 }
 
-// Recoveries tells, for each kind, after how long it was back: of half of the times,
-// of 99 in a hundred, and at most.
+// Recoveries describes, for each kind of request, after how long it was served again: the median, the 99th
+// percentile and the maximum.
 func (d *Day) Recoveries() (out []string) {
 	for _, kind := range slices.Sorted(maps.Keys(d.recoveries)) {
 		all := d.recoveries[kind]
 		slices.Sort(all)
 		at := func(share float64) time.Duration { return all[int(share*float64(len(all)-1))].Round(time.Millisecond) }
-		out = append(out, fmt.Sprintf("%-18s back %4d times, half after %v, 99%% after %v, all after %v", kind, len(all), at(0.5), at(0.99), at(1)))
+		out = append(out, fmt.Sprintf("%-18s back %4d times, 50%% after %v, 99%% after %v, all after %v", kind, len(all), at(0.5), at(0.99), at(1)))
 	}
 	return out
 }
 
-// putConfiguration puts a configuration to any core; the day's own differ by a blank tail.
+// putConfiguration puts a configuration at any replica; the day's configurations differ in trailing blanks.
 func (d *Day) putConfiguration() error {
 	d.serial++
 	body := append(d.Fleet.Configuration(), bytes.Repeat([]byte(" "), d.serial%50)...)
-	return fleet.Await(d.ctx, "a configuration to be taken", func(ctx context.Context) bool {
-		ctx, cancel := context.WithTimeout(ctx, 6*time.Second)
+	return fleet.Await(d.ctx, "a configuration to be acknowledged", func(ctx context.Context) bool {
+		ctx, cancel := context.WithTimeout(ctx, putTimeout)
 		defer cancel()
 		r, err := d.Fleet.Operate(ctx, d.Fleet.Replicas[d.rng.IntN(len(d.Fleet.Replicas))], http.MethodPut, "/v1/desired", body)
 		if err != nil || r.Status != http.StatusOK {
@@ -207,9 +215,10 @@
 	})
 }
 
+// acknowledge records an acknowledged configuration.
 func (d *Day) acknowledge(revision uint64, body []byte) {
 	if old, ok := d.acknowledged[revision]; ok && !bytes.Equal(old, body) {
-		d.breach("stamp %d was acknowledged for two configurations", revision)
+		d.breach("revision %d was acknowledged for two configurations", revision)
 	}
 	d.acknowledged[revision] = body
 	d.newestRevision = max(d.newestRevision, revision)
@@ -219,7 +228,7 @@
 func (d *Day) awaitRollout() error {
 	begin := time.Now()
 	for _, p := range d.Fleet.Sidecars {
-		err := fleet.Await(d.ctx, p.Name+" to have the newest stamp", func(ctx context.Context) bool {
+		err := fleet.Await(d.ctx, p.Name+" to have the newest revision", func(ctx context.Context) bool {
 			s, err := d.Fleet.Revision(ctx, p)
 			return err == nil && s >= d.newestRevision
 		})
@@ -227,18 +236,18 @@
 			return err
 		}
 	}
-	took := time.Since(begin)
-	if d.slowestRollout = max(d.slowestRollout, took); took > rolloutLimit {
-		d.breach("stamp %d was in force only after %v", d.newestRevision, took)
+	rollout := time.Since(begin)
+	if d.slowestRollout = max(d.slowestRollout, rollout); rollout > rolloutLimit {
+		d.breach("revision %d was in force only after %v", d.newestRevision, rollout)
 	}
 	return nil
 }
 
-// readBack reads the configuration as operators do at day's end.
+// readBack reads the configuration from each replica at the end of the day.
 func (d *Day) readBack() {
 	for _, p := range d.Fleet.Replicas {
 		var r fleet.Reply
-		err := fleet.Await(d.ctx, "the day's reading back", func(ctx context.Context) (ok bool) {
+		err := fleet.Await(d.ctx, "the configuration to be read back", func(ctx context.Context) (ok bool) {
 			var err error
 			r, err = d.Fleet.Operate(ctx, p, http.MethodGet, "/v1/desired", nil)
 			return err == nil && r.Status == http.StatusOK
@@ -248,9 +257,9 @@
 		case err != nil:
 			d.breach("%s does not read back: %v", p.Name, err)
 		case r.Revision < d.newestRevision:
-			d.breach("%s reads back stamp %d, %d was acknowledged", p.Name, r.Revision, d.newestRevision)
+			d.breach("%s reads back revision %d, %d was acknowledged", p.Name, r.Revision, d.newestRevision)
 		case known && !bytes.Equal(r.Body, want):
-			d.breach("%s reads back other bytes than were sent under stamp %d", p.Name, r.Revision)
+			d.breach("%s reads back other bytes than were sent as revision %d", p.Name, r.Revision)
 		}
 	}
 }
--- a/tests/day/events.go
+++ b/tests/day/events.go
@@ -13,62 +13,64 @@
 	"curlewwalk/tests/fleet"
 )
 
+// event is a failure, or a planned change.
 type event struct {
 	name string
 	run  func() error
 }
 
-// allEvents lists the brief's failures.
+// allEvents lists the events of a day.
 func (d *Day) allEvents() []event {
 	f := d.Fleet
 	anySidecar := func() *fleet.Program { return f.Sidecars[d.rng.IntN(len(f.Sidecars))] }
-	anyCore := func() *fleet.Program { return f.Replicas[d.rng.IntN(len(f.Replicas))] }
-	kill := func(pick func() []*fleet.Program, down time.Duration) func() error {
+	anyReplica := func() *fleet.Program { return f.Replicas[d.rng.IntN(len(f.Replicas))] }
+	kill := func(choose func() []*fleet.Program, down time.Duration) func() error {
 		return func() error {
-			programs := pick()
+			programs := choose()
 			f.Kill(programs...)
 			d.sleep(down)
 			return f.Restart(programs...)
 		}
 	}
-	one := func(pick func() *fleet.Program) func() []*fleet.Program {
-		return func() []*fleet.Program { return []*fleet.Program{pick()} }
+	one := func(choose func() *fleet.Program) func() []*fleet.Program {
+		return func() []*fleet.Program { return []*fleet.Program{choose()} }
 	}
 	return []event{
 		{"a sidecar is killed", kill(one(anySidecar), time.Second)},
-		{"a core is killed", kill(one(anyCore), time.Second)},
+		{"a replica is killed", kill(one(anyReplica), time.Second)},
 		{"all sidecars are killed", kill(func() []*fleet.Program { return f.Sidecars }, time.Second)},
-		{"all cores are killed", kill(func() []*fleet.Program { return f.Replicas }, 6*time.Second)},
+		{"all replicas are killed", kill(func() []*fleet.Program { return f.Replicas }, 6*time.Second)},
 		{"everything is killed", kill(f.Programs, time.Second)},
 		{"a sidecar is frozen and woken", d.freeze(anySidecar, 6*time.Second)},
-		{"a core is frozen and woken", d.freeze(anyCore, 6*time.Second)},
-		{"a machine is cut off", d.partition(func() []string { return []string{anySidecar().IP} })},
-		{"a core is cut off", d.partition(func() []string { return []string{anyCore().IP} })},
-		{"the cores are split", d.partition(func() (side []string) {
+		{"a replica is frozen and woken", d.freeze(anyReplica, 6*time.Second)},
+		{"a machine is partitioned", d.partition(func() []string { return []string{anySidecar().IP} })},
+		{"a replica is partitioned", d.partition(func() []string { return []string{anyReplica().IP} })},
+		{"the control plane is split", d.partition(func() (side []string) {
 			for _, i := range d.rng.Perm(len(f.Replicas))[:len(f.Replicas)/2] {
 				side = append(side, f.Replicas[i].IP)
 			}
 			return side
 		})},
-		{"a locality loses power", d.blackout},
-		{"machines stop and start in turn", d.rollingRestart},
-		{"a core machine is swapped", d.replaceControlPlane},
+		{"a zone loses power", d.blackout},
+		{"a rolling restart", d.rollingRestart},
+		{"a replica is replaced", d.replaceControlPlane},
 		{"a backend leaves and is replaced", d.replaceBackend},
-		{"a backend dies, its address passes", d.reuseAddress},
+		{"a backend dies, its address is reused", d.reuseAddress},
 		{"configurations race and storm", d.raceOperators},
 		{"an invalid configuration", d.putInvalid},
-		{"a locality is emptied, taken back", d.evacuate},
+		{"a zone is evacuated and restored", d.evacuate},
 		{"wall clocks jump", d.jumpClocks},
-		{"answers are lost and wrong", d.garbleAnswers},
-		{"a locality is lost in a restart in turn", d.zoneLossDuringRollingRestart},
-		{"a storm in a split", d.raceDuringPartition},
-		{"a core is swapped in an emptying", d.replaceDuringEvacuation},
+		{"answers are lost and malformed", d.garbleAnswers},
+		{"a zone is lost in a rolling restart", d.zoneLossDuringRollingRestart},
+		{"operators race in a partition", d.raceDuringPartition},
+		{"a replica is replaced in an evacuation", d.replaceDuringEvacuation},
 	}
 }
 
-func (d *Day) freeze(pick func() *fleet.Program, t time.Duration) func() error {
+// freeze stops a process for a while, and continues it.
+func (d *Day) freeze(choose func() *fleet.Program, t time.Duration) func() error {
 	return func() error {
-		p := pick()
+		p := choose()
 		p.Signal(syscall.SIGSTOP)
 		d.sleep(t)
 		p.Signal(syscall.SIGCONT)
@@ -76,6 +78,7 @@
 	}
 }
 
+// partition partitions machines while a configuration is put.
 func (d *Day) partition(side func() []string) func() error {
 	return func() error {
 		d.Fleet.Network.Partition(side()...)
@@ -91,22 +94,21 @@
 	return d.blackoutWhile(func() error { d.sleep(5 * time.Second); return nil })
 }
 
-// blackoutWhile kills all that stands in one zone, backends included, and
-// starts it again once something else is done.
-func (d *Day) blackoutWhile(do func() error) error {
+// blackoutWhile has one zone lose power, backends included, and starts it again after an action.
+func (d *Day) blackoutWhile(action func() error) error {
 	zone := d.Fleet.Size.Zones[d.rng.IntN(len(d.Fleet.Size.Zones))]
-	dead, gone := d.Fleet.PowerOffZone(zone)
+	programs, backends := d.Fleet.PowerOffZone(zone)
 	var again []int
-	for _, b := range gone {
+	for _, b := range backends {
 		if machine, ok := d.runningBackends[b]; ok {
 			delete(d.runningBackends, b)
 			again = append(again, machine)
 		}
 	}
-	if err := do(); err != nil {
+	if err := action(); err != nil {
 		return err
 	}
-	if err := d.Fleet.Restart(dead...); err != nil {
+	if err := d.Fleet.Restart(programs...); err != nil {
 		return err
 	}
 	for _, machine := range again {
@@ -117,17 +119,18 @@
 	return nil
 }
 
-func (d *Day) startBackend(machine int, share float64) error {
+// startBackend starts a new backend on a machine.
+func (d *Day) startBackend(machine int, warmth float64) error {
 	d.serial++
-	svc := d.Fleet.Size.Backends[machine]
-	b, err := d.Fleet.StartBackendOn(fmt.Sprintf("%s:%d", d.Fleet.Site.IP(machine), 8000+d.serial), machine, svc, fmt.Sprintf("%s-%d-%d", svc, machine, d.serial), share)
+	service := d.Fleet.Size.Backends[machine]
+	b, err := d.Fleet.StartBackendOn(fmt.Sprintf("%s:%d", d.Fleet.Site.IP(machine), 8000+d.serial), machine, service, fmt.Sprintf("%s-%d-%d", service, machine, d.serial), warmth)
 	if err == nil {
 		d.runningBackends[b] = machine
 	}
 	return err
 }
 
-// rollingRestart restarts every process in turn; nothing handed over may be dropped.
+// rollingRestart restarts every process in turn; no request may be dropped.
 func (d *Day) rollingRestart() error {
 	before := d.Fleet.Ledger.Judge()
 	for _, p := range d.Fleet.Programs() {
@@ -143,12 +146,12 @@
 	}
 	after := d.Fleet.Ledger.Judge()
 	if n := after.Interrupted - before.Interrupted; n > 0 {
-		d.breach("planned restarts dropped %d inquiries: %v", n, slices.DeleteFunc(after.Interruptions, func(c string) bool { return slices.Contains(before.Interruptions, c) }))
+		d.breach("planned restarts dropped %d requests: %v", n, slices.DeleteFunc(after.Interruptions, func(c string) bool { return slices.Contains(before.Interruptions, c) }))
 	}
 	return nil
 }
 
-// replaceControlPlane puts an empty machine in the place of a core, at a new address.
+// replaceControlPlane replaces a replica by one with an empty disk at a new address.
 func (d *Day) replaceControlPlane() error {
 	i := d.rng.IntN(len(d.Fleet.Replicas))
 	d.serial++
@@ -165,9 +168,10 @@
 	return p.AwaitReady(d.ctx)
 }
 
+// anyBackend draws a running backend; the machine is the one it runs on.
 func (d *Day) anyBackend() (*fakes.Backend, int) {
 	i := d.rng.IntN(len(d.runningBackends))
-	for _, b := range d.Fleet.Backends { // in the order of their start, so that a seed repeats
+	for _, b := range d.Fleet.Backends { // in the order of their start, so that a seed repeats the same draw
 		if machine, ok := d.runningBackends[b]; ok {
 			if i == 0 {
 				return b, machine
@@ -178,6 +182,7 @@
 	panic("not reached")
 }
 
+// replaceBackend has a backend leave, and another take its place.
 func (d *Day) replaceBackend() error {
 	b, machine := d.anyBackend()
 	if err := b.Leave(d.ctx); err != nil {
@@ -192,7 +197,7 @@
 	return nil
 }
 
-// reuseAddress has a backend die and its address taken by one of another service.
+// reuseAddress has a backend die, and its address used by one of another service.
 func (d *Day) reuseAddress() error {
 	b, machine := d.anyBackend()
 	addr := b.Addr()
@@ -201,17 +206,17 @@
 	d.sleep(2 * time.Second)
 	d.serial++
 	services := d.Fleet.Size.Backends
-	svc := services[(machine+1)%len(services)]
-	n, err := d.Fleet.StartBackendOn(addr, machine, svc, fmt.Sprintf("%s-%d-%d", svc, machine, d.serial), 0)
+	service := services[(machine+1)%len(services)]
+	backend, err := d.Fleet.StartBackendOn(addr, machine, service, fmt.Sprintf("%s-%d-%d", service, machine, d.serial), 0)
 	if err != nil {
 		return err
 	}
 	d.sleep(2 * time.Second)
-	n.Kill()
+	backend.Kill()
 	return d.startBackend(machine, 0)
 }
 
-// raceOperators has operators race; each sidecar must have the newest in 2 s.
+// raceOperators has operators race; then each sidecar must have the newest configuration in force in time.
 func (d *Day) raceOperators() error {
 	d.race(10)
 	if err := d.putConfiguration(); err != nil {
@@ -220,7 +225,7 @@
 	return d.awaitRollout()
 }
 
-// race has four operators put so many configurations each at once.
+// race has four operators put so many configurations each, all at once.
 func (d *Day) race(each int) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -240,6 +245,7 @@
 	wg.Wait()
 }
 
+// putInvalid puts an invalid configuration, which must be rejected.
 func (d *Day) putInvalid() error {
 	r, err := d.Fleet.Operate(d.ctx, d.Fleet.Replicas[0], http.MethodPut, "/v1/desired", []byte(`{"ways":[{"name":"x"}]}`))
 	if err == nil && r.Status != http.StatusUnprocessableEntity {
@@ -248,17 +254,18 @@
 	return err
 }
 
+// evacuate evacuates a zone for a while.
 func (d *Day) evacuate() error {
 	return d.evacuateWhile(func() error { d.sleep(7 * time.Second); return nil })
 }
 
-// evacuateWhile has a zone emptied, and taken back once something else is done.
-func (d *Day) evacuateWhile(do func() error) error {
+// evacuateWhile evacuates a zone, and restores it after an action.
+func (d *Day) evacuateWhile(action func() error) error {
 	zone := d.Fleet.Size.Zones[d.rng.IntN(len(d.Fleet.Size.Zones))]
 	if _, err := d.Fleet.EvacuateZone(d.ctx, d.Fleet.Replicas[0], zone); err != nil {
 		return err
 	}
-	if err := do(); err != nil {
+	if err := action(); err != nil {
 		return err
 	}
 	_, err := d.Fleet.RestoreZone(d.ctx, d.Fleet.Replicas[0], zone)
@@ -267,9 +274,9 @@
 
 // jumpClocks has the wall clocks of some machines jump by hours, both ways.
 func (d *Day) jumpClocks() error {
-	ps := d.Fleet.Programs()
-	for _, i := range d.rng.Perm(len(ps))[:len(ps)/3] {
-		if err := d.Fleet.JumpClock(ps[i], time.Duration(d.rng.Int64N(int64(200*time.Hour)))-100*time.Hour); err != nil {
+	programs := d.Fleet.Programs()
+	for _, i := range d.rng.Perm(len(programs))[:len(programs)/3] {
+		if err := d.Fleet.JumpClock(programs[i], time.Duration(d.rng.Int64N(int64(200*time.Hour)))-100*time.Hour); err != nil {
 			return err
 		}
 	}
@@ -277,8 +284,7 @@
 	return d.awaitRollout()
 }
 
-// garbleAnswers has some backends lose a part of their answers or send wrong bytes, after
-// they have run what they were asked.
+// garbleAnswers has some backends lose a part of their answers, or send malformed ones, after the run.
 func (d *Day) garbleAnswers() error {
 	for b := range d.runningBackends {
 		b.GarblePercent.Store(10)
@@ -290,8 +296,8 @@
 	return nil
 }
 
-// leaveUnder has one backend leave and be replaced while something else goes on.
-func (d *Day) leaveUnder(do func() error) error {
+// leaveWhile has a backend leave and be replaced while an action goes on.
+func (d *Day) leaveWhile(action func() error) error {
 	b, machine := d.anyBackend()
 	if err := b.Leave(d.ctx); err != nil {
 		return err
@@ -299,19 +305,18 @@
 	if err := d.startBackend(machine, 0.5); err != nil {
 		return err
 	}
-	err := do()
+	err := action()
 	b.Kill()
 	delete(d.runningBackends, b)
 	return err
 }
 
-// zoneLossDuringRollingRestart has a zone lose power half way through a restart of all others in
-// turn.
+// zoneLossDuringRollingRestart has a zone lose power half way through a rolling restart.
 func (d *Day) zoneLossDuringRollingRestart() error {
-	return d.leaveUnder(func() error {
-		ps := d.Fleet.Programs()
-		restart := func(ps []*fleet.Program) error {
-			for _, p := range ps {
+	return d.leaveWhile(func() error {
+		programs := d.Fleet.Programs()
+		restart := func(programs []*fleet.Program) error {
+			for _, p := range programs {
 				if !p.Running() {
 					continue
 				}
@@ -322,17 +327,17 @@
 			}
 			return nil
 		}
-		if err := restart(ps[:len(ps)/2]); err != nil {
+		if err := restart(programs[:len(programs)/2]); err != nil {
 			return err
 		}
-		return d.blackoutWhile(func() error { return restart(ps[len(ps)/2:]) })
+		return d.blackoutWhile(func() error { return restart(programs[len(programs)/2:]) })
 	})
 }
 
-// raceDuringPartition has operators race while the cores are split, and checks what is in
-// force once they are whole.
+// raceDuringPartition has operators race while the replicas are partitioned, and checks what is in force
+// afterwards.
 func (d *Day) raceDuringPartition() error {
-	return d.leaveUnder(func() error {
+	return d.leaveWhile(func() error {
 		var side []string
 		for _, i := range d.rng.Perm(len(d.Fleet.Replicas))[:len(d.Fleet.Replicas)/2] {
 			side = append(side, d.Fleet.Replicas[i].IP)
@@ -347,11 +352,10 @@
 	})
 }
 
-// replaceDuringEvacuation puts an empty machine in a core's place while a zone is being
-// emptied.
+// replaceDuringEvacuation replaces a replica while a zone is being evacuated.
 func (d *Day) replaceDuringEvacuation() error {
 	return d.evacuateWhile(func() error {
-		return d.leaveUnder(func() error {
+		return d.leaveWhile(func() error {
 			if err := d.replaceControlPlane(); err != nil {
 				return err
 			}
--- a/tests/day/recovery.go
+++ b/tests/day/recovery.go
@@ -12,14 +12,13 @@
 // recheckInterval is how long a check that failed waits before it is made again.
 const recheckInterval = 20 * time.Millisecond
 
-// recoveryWait waits for the return of service after an event, by checks that are
-// made side by side.
+// recoveryWait waits for the return of service after an event, by checks that run in parallel.
 type recoveryWait struct {
 	day    *Day
 	event  string
 	begin  time.Time
 	checks sync.WaitGroup
-	// mu guards what the checks write into the day.
+	// mu guards what the checks write to the day.
 	mu sync.Mutex
 }
 
@@ -35,8 +34,8 @@
 	})
 }
 
-// until makes a check again and again until it succeeds, and keeps how long that
-// took; or tells that it did not in twice the time allowed.
+// until makes a check again and again until it succeeds, and records how long that took. It gives up after
+// twice the time allowed.
 func (w *recoveryWait) until(kind, what string, ok func() bool) {
 	w.checks.Go(func() {
 		d := w.day
--- a/tests/messages/messages_test.go
+++ b/tests/messages/messages_test.go
@@ -1,6 +1,5 @@
-// Package messages fuzzes what the system's processes read from one another: each kind of
-// message is read as a host or a caller reads it, and handed to the production values
-// that act on it.
+// Package messages fuzzes what the processes read from one another: each kind of message is
+// parsed as its receiver does, and handed to the production code that acts on it.
 package messages
 
 import (
@@ -24,15 +23,15 @@
 	"curlewwalk/internal/watch"
 )
 
-// kind is one kind of message: how it may look, and what becomes of it.
+// kind is one kind of message, with a sample and what handles it.
 type kind struct {
 	name   string
 	sample any
-	// handle reads a message and acts on it; false if it was not understood.
+	// handle parses a message and acts on it; false if it can't be parsed.
 	handle func(b []byte) bool
 }
 
-// newKind makes a kind of a sample and of what acts on such messages.
+// newKind makes a kind from a sample and the code that acts on such messages.
 func newKind[M any](name string, sample M, act func(m M)) kind {
 	return kind{name, sample, func(b []byte) bool {
 		var m M
@@ -57,7 +56,8 @@
 	sender       = consensus.Sender{MemberID: 1}
 )
 
-// kinds are all that are registered on the wire, each way.
+// kinds are all messages on the wire, in both directions. The corpus under testdata refers to them by
+// index, so new ones are added at the end.
 var kinds = []kind{
 	newKind("greeting", transport.Hello{Version: 1, Node: "n", Incarnation: 7}, func(transport.Hello) {}),
 	newKind(membership.KindHeartbeat, membership.Heartbeat{Node: &node, Replica: &replica, KnownReplicas: []membership.Replica{replica}, TableDigest: 3, KnownDigest: 8}, handleHeartbeat),
@@ -84,6 +84,7 @@
 	newKind("receipt", proxy.Response{Status: 200, Body: []byte("ok"), Outcome: routing.Answered}, func(proxy.Response) {}),
 }
 
+// buildView makes a view of nodes.
 func buildView(nodes ...membership.Node) {
 	all := map[string]membership.Node{}
 	for _, n := range nodes {
@@ -92,6 +93,7 @@
 	membership.NewView(all, nil).Nodes()
 }
 
+// handleHeartbeat does what replicas and sidecars do with a heartbeat.
 func handleHeartbeat(h membership.Heartbeat) {
 	now := time.Now()
 	replicas, _ := membership.ReplicaTable{}.ObserveHeartbeat(h, now)
@@ -117,6 +119,7 @@
 	budgets.Totals()
 }
 
+// handleProbe does what a sidecar does with the answer to a probe.
 func handleProbe(p membership.Probe) {
 	w := membership.NewFailureDetector("127.0.0.1:2")
 	w.Monitored([]string{"127.0.0.1:3"})
@@ -124,6 +127,7 @@
 	w.Suspects(map[string]membership.Node{"127.0.0.1:3": {}})
 }
 
+// handleGossipReply does what a sidecar does with the answer to a gossip request.
 func handleGossipReply(g membership.GossipResponse) {
 	now := time.Now()
 	s := membership.PeerStatusTable{}.Observe("127.0.0.1:9", g.Peers, now, now)
@@ -139,6 +143,7 @@
 	applyState(g.State)
 }
 
+// applyState does what a sidecar does with a new control state.
 func applyState(state *config.ControlState) {
 	if state == nil {
 		return
@@ -149,6 +154,7 @@
 	}
 }
 
+// handleWatch does what a replica does with a watch request.
 func handleWatch(q watch.Request) {
 	f := watch.NewEventLog(1, 0)
 	f.ObserveNode(node, 0)
@@ -159,17 +165,20 @@
 	}
 }
 
+// handleUpdates does what a sidecar does with updates.
 func handleUpdates(n watch.Updates) {
 	c := watch.NewMirror()
-	word, _ := c.Apply(n)
-	applyState(word)
+	state, _ := c.Apply(n)
+	applyState(state)
 	c.Apply(n)
 }
 
+// acceptor is a member that has accepted a state.
 func acceptor() consensus.Acceptor {
 	return consensus.Acceptor{Self: sender, Position: position, State: controlState, Members: map[int]consensus.MemberRecord{}}
 }
 
+// handleMessage does what a member does with a consensus message.
 func handleMessage(b consensus.Message) {
 	next, _ := acceptor().Step(b)
 	next, _ = next.Step(b)
@@ -177,11 +186,13 @@
 	applyState(&next.State)
 }
 
+// handleReply does what a proposer does with a reply.
 func handleReply(v consensus.Reply) {
 	v.FromMember(controlState.Members[0])
 	consensus.HighestReply(map[int]consensus.Reply{1: v}, acceptor().MemberSets())
 }
 
+// handlePatch does what a receiver of a patch does.
 func handlePatch(p config.Patch) {
 	base, err := config.NewVersion(controlState)
 	if err != nil {
@@ -195,18 +206,21 @@
 	kept.Apply(p)
 }
 
+// handleJoinRequest does what the coordinator does with a request to join.
 func handleJoinRequest(a consensus.JoinRequest) {
 	u := consensus.Reconfigurer{RemovalDelay: time.Second}
 	u = u.Observe(controlState.Members, nil, time.Second)
 	u.PlanJoin(a, acceptor(), map[int]consensus.MemberStatus{1: {Addr: a.Addr}}, 2*time.Second)
 }
 
+// handleBatch does what the trace store does with events.
 func handleBatch(b tracestore.Batch) {
 	for _, e := range b.Events {
 		tracestore.BuildTree(e.Trace, b.Events)
 	}
 }
 
+// handleRecord does what a replica of a key does with its record.
 func handleRecord(e keyreplication.Record) {
 	h := keyreplication.NewReplicaStore()
 	h.Store(e, 0)
@@ -218,6 +232,7 @@
 	}
 }
 
+// handleHandover does what the owner of keys does with a handover.
 func handleHandover(h keyreplication.HandoverReply) {
 	t := keyreplication.NewReplicationTracker("o", "north")
 	for _, e := range h.Records {
@@ -228,27 +243,29 @@
 	}
 }
 
-// Every sample is read as it was written, so that the seeds reach what they are for.
+// Each sample can be parsed again, and none of its truncations can, so that the seeds of the
+// fuzzing reach the code that they are for.
 func TestSamples(t *testing.T) {
 	for _, k := range kinds {
-		b, err := msgpack.Marshal(k.sample)
-		if err != nil || !k.handle(b) {
-			t.Errorf("%s: %v", k.name, err)
-			continue
-		}
-		again := reflect.New(reflect.TypeOf(k.sample))
-		if err := transport.Unmarshal(b, again.Interface()); err != nil {
-			t.Errorf("%s: %v", k.name, err)
-		}
-		for cut := range b {
-			if k.handle(b[:cut]) {
-				t.Errorf("%s was taken though cut short at %d of %d", k.name, cut, len(b))
+		t.Run(k.name, func(t *testing.T) {
+			b, err := msgpack.Marshal(k.sample)
+			if err != nil || !k.handle(b) {
+				t.Fatal(err)
 			}
-		}
+			parsed := reflect.New(reflect.TypeOf(k.sample))
+			if err := transport.Unmarshal(b, parsed.Interface()); err != nil {
+				t.Error(err)
+			}
+			for length := range b {
+				if k.handle(b[:length]) {
+					t.Errorf("it was parsed though truncated to %d of %d bytes", length, len(b))
+				}
+			}
+		})
 	}
 }
 
-// FuzzMessage: whatever a message holds, it is not understood, or what acts on it lives.
+// FuzzMessage: whatever bytes a message holds, they can't be parsed, or what acts on them does not panic.
 func FuzzMessage(f *testing.F) {
 	for i, k := range kinds {
 		b, err := msgpack.Marshal(k.sample)
