--- a/tests/e2e/isolation_test.go
+++ b/tests/e2e/isolation_test.go
@@ -138,105 +138,138 @@
 	}
 }
 
-// A core is cut off, wholly, hearing nothing, not being heard, from the cores only or
-// again and again, on duty and not, while operators go on at the others and ask it too:
-// the others take each change, it hands out nothing old and refuses nothing for good,
-// and back again it serves at once and disturbs nobody.
-func TestIsolatedReplica(t *testing.T) {
-	others := func(f *fleet.Fleet, isolated int) (ips []string) {
-		for i, p := range f.Replicas {
-			if i != isolated {
-				ips = append(ips, p.IP)
-			}
+// isolation is a way to isolate one replica from the others.
+type isolation struct {
+	name  string
+	times int
+	lasts time.Duration
+	begin func(f *fleet.Fleet, replica int)
+}
+
+// otherIPs are the machines of all replicas but one.
+func otherIPs(f *fleet.Fleet, replica int) (ips []string) {
+	for i, p := range f.Replicas {
+		if i != replica {
+			ips = append(ips, p.IP)
 		}
-		return ips
-	}
-	type variant struct {
-		name  string
-		times int
-		lasts time.Duration
-		cut   func(f *fleet.Fleet, replica int)
-	}
-	for _, v := range []variant{
-		{"wholly", 1, 20 * time.Second, func(f *fleet.Fleet, i int) { f.Network.Partition(f.Replicas[i].IP) }},
-		{"from the cores", 1, 8 * time.Second, func(f *fleet.Fleet, i int) { f.Network.PartitionBetween([]string{f.Replicas[i].IP}, others(f, i)) }},
-		{"hearing nothing", 1, 8 * time.Second, func(f *fleet.Fleet, i int) { f.Network.BlockOneWay(others(f, i), []string{f.Replicas[i].IP}) }},
-		{"not heard", 1, 8 * time.Second, func(f *fleet.Fleet, i int) { f.Network.BlockOneWay([]string{f.Replicas[i].IP}, others(f, i)) }},
+	}
+	return ips
+}
+
+// Limits of what an isolated replica may do, and of how long changes may take.
+const (
+	// maxOwnTerms is how many terms it may begin: that from before, and one more.
+	maxOwnTerms = 2
+	// serveAfterHeal is how soon it must serve the newest configuration afterwards.
+	serveAfterHeal = 4 * time.Second
+	// maxChangeDuring and maxChangeAfter bound the slowest change at the other replicas.
+	maxChangeDuring = 5 * time.Second
+	maxChangeAfter  = 2 * time.Second
+)
+
+// A replica is isolated in several ways, as coordinator and not, while operators go on at the
+// others and send requests to it too: the others accept each change, it returns nothing old and
+// refuses nothing for good, and afterwards it serves at once and disturbs nobody.
+func TestIsolatedReplica(t *testing.T) {
+	for _, way := range []isolation{
+		{"from everything", 1, 20 * time.Second, func(f *fleet.Fleet, i int) { f.Network.Partition(f.Replicas[i].IP) }},
+		{"from the other replicas", 1, 8 * time.Second, func(f *fleet.Fleet, i int) {
+			f.Network.PartitionBetween([]string{f.Replicas[i].IP}, otherIPs(f, i))
+		}},
+		{"receives nothing", 1, 8 * time.Second, func(f *fleet.Fleet, i int) { f.Network.BlockOneWay(otherIPs(f, i), []string{f.Replicas[i].IP}) }},
+		{"sends nothing", 1, 8 * time.Second, func(f *fleet.Fleet, i int) { f.Network.BlockOneWay([]string{f.Replicas[i].IP}, otherIPs(f, i)) }},
 		{"again and again", 3, 2500 * time.Millisecond, func(f *fleet.Fleet, i int) { f.Network.Partition(f.Replicas[i].IP) }},
 	} {
-		t.Run(v.name, func(t *testing.T) {
+		t.Run(way.name, func(t *testing.T) {
 			for _, replica := range []int{0, 2} {
-				t.Run(fmt.Sprintf("slot %d", replica+1), func(t *testing.T) {
+				t.Run(fmt.Sprintf("member %d", replica+1), func(t *testing.T) {
 					t.Parallel()
-					f, ctx := newFleet(t, controlPlaneOnly(3))
-					must(t, f.InterposeProxies())
-					must(t, f.Start(ctx))
-					isolated := f.Replicas[replica]
-					writer := &configurationWriter{f: f, interval: 300 * time.Millisecond}
-					for i, p := range f.Replicas {
-						if i != replica {
-							writer.replicas = append(writer.replicas, p)
-						}
-					}
-					stopChanges := writer.start(ctx)
-					must(t, fleet.Await(ctx, "a change", func(context.Context) bool { return writer.count.Load() > 0 }))
-					probe := &operatorProbe{f: f, replica: isolated, writer: writer}
-					stopQuestions := probe.start(ctx)
-					must(t, fleet.Await(ctx, "answers of the core", func(context.Context) bool { probe.mu.Lock(); defer probe.mu.Unlock(); return probe.answered > 3 }))
-					for range v.times {
-						count := writer.count.Load()
-						v.cut(f, replica)
-						began := time.Now()
-						// What it began before it misses the others may still end badly.
-						must(t, fleet.Await(ctx, "the cut to be known", func(context.Context) bool { return time.Since(began) > 2*time.Second }))
-						own := ownTerms{memberID: replica + 1, replicas: len(f.Replicas), seen: map[uint64]bool{}}
-						must(t, fleet.Await(ctx, "the cut to last", func(context.Context) bool {
-							own.observe(promisedTerm(ctx, t, isolated))
-							return time.Since(began) > v.lasts
-						}))
-						if len(own.seen) > 2 { // the one before the cut was known, and one more
-							t.Errorf("cut off it began %d epochs: %v", len(own.seen), own.seen)
-						}
-						if writer.count.Load() < count+2 {
-							t.Errorf("%d changes were taken beside the cut", writer.count.Load()-count)
-						}
-						wrong, unclear, _, slowest := probe.takeReport()
-						t.Logf("cut off: %d answers were none, the slowest after %v", unclear, slowest.Round(time.Millisecond))
-						for _, w := range wrong {
-							t.Error("cut off: ", w)
-						}
-						f.Network.Heal()
-						healedAt := time.Now()
-						must(t, fleet.Await(ctx, "the core to serve the newest configuration", func(ctx context.Context) bool {
-							want := writer.revision.Load()
-							r, err := f.Operate(ctx, isolated, "GET", configurationPath, nil)
-							return err == nil && r.Status == http.StatusOK && r.Revision >= want
-						}))
-						if took := time.Since(healedAt); took > 4*time.Second {
-							t.Errorf("it served only %v after the cut", took)
-						} else {
-							t.Logf("it served %v after the cut", took.Round(time.Millisecond))
-						}
-					}
-					settledAt := time.Now()
-					writer.mu.Lock()
-					during := writer.slowest
-					writer.slowest = 0
-					writer.mu.Unlock()
-					awaitElapsed(ctx, t, settledAt, 3*time.Second)
-					stopQuestions()
-					stopChanges()
-					after, refused := writer.report()
-					wrong, _, _, _ := probe.takeReport()
-					for _, w := range append(wrong, refused...) {
-						t.Error("refused or old: ", w)
-					}
-					if during > 5*time.Second || after > 2*time.Second {
-						t.Errorf("the slowest change took %v, and %v after the cut", during, after)
-					}
-					t.Logf("the slowest change took %v, and %v after the cut", during.Round(time.Millisecond), after.Round(time.Millisecond))
+					testIsolation(t, way, replica)
 				})
 			}
 		})
 	}
 }
+
+// testIsolation isolates one replica in one way.
+func testIsolation(t *testing.T, way isolation, replica int) {
+	t.Helper()
+	f, ctx := newFleet(t, controlPlaneOnly(3))
+	must(t, f.InterposeProxies())
+	must(t, f.Start(ctx))
+	writer := &configurationWriter{f: f, interval: 300 * time.Millisecond}
+	for i, p := range f.Replicas {
+		if i != replica {
+			writer.replicas = append(writer.replicas, p)
+		}
+	}
+	stopWriter := writer.start(ctx)
+	must(t, fleet.Await(ctx, "a change", func(context.Context) bool { return writer.count.Load() > 0 }))
+	probe := &operatorProbe{f: f, replica: f.Replicas[replica], writer: writer}
+	stopProbe := probe.start(ctx)
+	must(t, fleet.Await(ctx, "answers of the replica", func(context.Context) bool {
+		probe.mu.Lock()
+		defer probe.mu.Unlock()
+		return probe.answered > 3
+	}))
+	for range way.times {
+		isolateOnce(ctx, t, way, replica, probe)
+	}
+	healed := time.Now()
+	writer.mu.Lock()
+	during := writer.slowest
+	writer.slowest = 0
+	writer.mu.Unlock()
+	awaitElapsed(ctx, t, healed, 3*time.Second)
+	stopProbe()
+	stopWriter()
+	after, refused := writer.report()
+	violations, _, _, _ := probe.takeReport()
+	for _, violation := range append(violations, refused...) {
+		t.Error("refused or old: ", violation)
+	}
+	if during > maxChangeDuring || after > maxChangeAfter {
+		t.Errorf("the slowest change took %v, and %v afterwards", during, after)
+	}
+	t.Logf("the slowest change took %v, and %v afterwards", during.Round(time.Millisecond), after.Round(time.Millisecond))
+}
+
+// isolateOnce isolates the replica for as long as the way says, and checks what it did
+// meanwhile and how soon it serves afterwards.
+func isolateOnce(ctx context.Context, t *testing.T, way isolation, replica int, probe *operatorProbe) {
+	t.Helper()
+	f, writer, isolated := probe.f, probe.writer, probe.replica
+	before := writer.count.Load()
+	way.begin(f, replica)
+	began := time.Now()
+	// What it began before it misses the others may still fail late.
+	must(t, fleet.Await(ctx, "the isolation to be noticed", func(context.Context) bool { return time.Since(began) > 2*time.Second }))
+	own := ownTerms{memberID: replica + 1, replicas: len(f.Replicas), seen: map[uint64]bool{}}
+	must(t, fleet.Await(ctx, "the end of the isolation", func(context.Context) bool {
+		own.observe(promisedTerm(ctx, t, isolated))
+		return time.Since(began) > way.lasts
+	}))
+	if len(own.seen) > maxOwnTerms {
+		t.Errorf("isolated it began %d terms: %v", len(own.seen), own.seen)
+	}
+	if writer.count.Load() < before+2 {
+		t.Errorf("the other replicas accepted %d changes", writer.count.Load()-before)
+	}
+	violations, unanswered, _, slowest := probe.takeReport()
+	t.Logf("isolated: %d requests were not answered, the slowest after %v", unanswered, slowest.Round(time.Millisecond))
+	for _, violation := range violations {
+		t.Error("isolated: ", violation)
+	}
+	f.Network.Heal()
+	healed := time.Now()
+	must(t, fleet.Await(ctx, "the replica to serve the newest configuration", func(ctx context.Context) bool {
+		want := writer.revision.Load()
+		r, err := f.Operate(ctx, isolated, "GET", configurationPath, nil)
+		return err == nil && r.Status == http.StatusOK && r.Revision >= want
+	}))
+	took := time.Since(healed)
+	t.Logf("it served %v after the isolation", took.Round(time.Millisecond))
+	if took > serveAfterHeal {
+		t.Errorf("it served only %v after the isolation", took)
+	}
+}
