--- a/tests/e2e/configuration_test.go
+++ b/tests/e2e/configuration_test.go
@@ -63,17 +63,7 @@
 				t.Errorf("a read without a majority: %d %s %v", r.Status, r.Body, err)
 			}
 			// All replicas die and come back.
-			for _, p := range f.Replicas {
-				if p.Running() {
-					p.Kill()
-				}
-			}
-			for _, p := range f.Replicas {
-				must(t, p.Start())
-			}
-			for _, p := range f.Replicas {
-				must(t, p.AwaitReady(ctx))
-			}
+			restartReplicas(ctx, t, f)
 			for _, p := range f.Replicas {
 				must(t, fleet.Await(ctx, "the configuration to be read back", func(ctx context.Context) bool {
 					r, err = f.Operate(ctx, p, "GET", configurationPath, nil)
@@ -227,47 +217,48 @@
 	f, ctx := startFleet(t, controlPlaneOnly(1))
 	_, err := f.PutConfiguration(ctx, 0, configuration(1))
 	must(t, err)
-	for body, want := range map[string][]string{
-		`{`:                     nil,
-		`nonsense`:              nil,
-		``:                      nil,
-		`[]`:                    {"$"},
-		`null`:                  {"$"},
-		`{"ways":3}`:            {"$.ways"},
-		`{"ways":[],"other":1}`: {"$.other"},
-		`{"ways":[],"ways":[]}`: {"$.ways"},
-		`{"contracts":[{"name":"c","aim":"2s","expiry":"1s","rank":1},{"name":"c","aim":"x","expiry":"1h","rank":0}],"ways":[{"name":"w","prefix":"p","service":"S","contract":"d"}]}`: {
-			"$.contracts[0].aim", "$.contracts[1].name", "$.contracts[1].aim", "$.contracts[1].expiry", "$.contracts[1].rank",
-			"$.ways[0].service", "$.ways[0].prefix", "$.ways[0].contract",
+	for name, test := range map[string]struct {
+		body string
+		// faults are the paths of the faults that must be listed; none for what is no JSON.
+		faults []string
+	}{
+		"unfinished":     {`{`, nil},
+		"text":           {`nonsense`, nil},
+		"nothing":        {``, nil},
+		"array":          {`[]`, []string{"$"}},
+		"null":           {`null`, []string{"$"}},
+		"wrong type":     {`{"ways":3}`, []string{"$.ways"}},
+		"unknown field":  {`{"ways":[],"other":1}`, []string{"$.other"}},
+		"repeated field": {`{"ways":[],"ways":[]}`, []string{"$.ways"}},
+		"several faults": {
+			`{"contracts":[{"name":"c","aim":"2s","expiry":"1s","rank":1},{"name":"c","aim":"x","expiry":"1h","rank":0}],"ways":[{"name":"w","prefix":"p","service":"S","contract":"d"}]}`,
+			[]string{
+				"$.contracts[0].aim", "$.contracts[1].name", "$.contracts[1].aim", "$.contracts[1].expiry", "$.contracts[1].rank",
+				"$.ways[0].service", "$.ways[0].prefix", "$.ways[0].contract",
+			},
 		},
-		`{"ways":[{"name":1,"prefix":"/","service":"s","contract":2}]}`:                      {"$.ways[0].name", "$.ways[0].contract"},
-		`{"ways":[], "contracts":[{"name":"` + strings.Repeat("x", config.MaxBytes) + `"}]}`: {"$"},
+		"wrong types in a route": {`{"ways":[{"name":1,"prefix":"/","service":"s","contract":2}]}`, []string{"$.ways[0].name", "$.ways[0].contract"}},
+		"too large":              {`{"ways":[], "contracts":[{"name":"` + strings.Repeat("x", config.MaxBytes) + `"}]}`, []string{"$"}},
 	} {
-		r, err := f.Operate(ctx, f.Replicas[0], "PUT", configurationPath, []byte(body))
-		must(t, err)
-		short := body[:min(len(body), 60)]
-		if want == nil {
-			if r.Status != http.StatusBadRequest {
-				t.Errorf("%s: %d %s", short, r.Status, r.Body)
+		t.Run(name, func(t *testing.T) {
+			r, err := f.Operate(ctx, f.Replicas[0], "PUT", configurationPath, []byte(test.body))
+			must(t, err)
+			if test.faults == nil {
+				if r.Status != http.StatusBadRequest {
+					t.Errorf("%d %s", r.Status, r.Body)
+				}
+				return
 			}
-			continue
-		}
-		var got struct {
-			Faults []struct{ Path, Message string }
-		}
-		must(t, json.Unmarshal(r.Body, &got))
-		if r.Status != http.StatusUnprocessableEntity {
-			t.Errorf("%s: status %d", short, r.Status)
-		}
-		paths := map[string]bool{}
-		for _, x := range got.Faults {
-			paths[x.Path] = true
-		}
-		for _, p := range want {
-			if !paths[p] {
-				t.Errorf("%s: no fault at %s in %s", short, p, r.Body)
+			if r.Status != http.StatusUnprocessableEntity {
+				t.Errorf("status %d", r.Status)
 			}
-		}
+			paths := faultPaths(t, r.Body)
+			for _, path := range test.faults {
+				if !paths[path] {
+					t.Errorf("no fault at %s in %s", path, r.Body)
+				}
+			}
+		})
 	}
 	r, err := f.Operate(ctx, f.Replicas[0], "GET", configurationPath, nil)
 	must(t, err)
@@ -276,6 +267,22 @@
 	}
 }
 
+// faultPaths are the paths of the faults that an answer lists.
+func faultPaths(t *testing.T, body []byte) map[string]bool {
+	t.Helper()
+	var answer struct {
+		Faults []struct {
+			Path string `json:"path"`
+		} `json:"faults"`
+	}
+	must(t, json.Unmarshal(body, &answer))
+	paths := map[string]bool{}
+	for _, fault := range answer.Faults {
+		paths[fault.Path] = true
+	}
+	return paths
+}
+
 // In a storm of configurations every sidecar has the newest one in force within 2 s, and none goes
 // back.
 func TestConfigurationStorm(t *testing.T) {
--- a/tests/e2e/generation_test.go
+++ b/tests/e2e/generation_test.go
@@ -25,71 +25,81 @@
 	return configuration.Bytes()
 }
 
+// generationClient is an operator that numbers its configurations.
+type generationClient struct {
+	*fleet.Fleet
+	t   *testing.T
+	ctx context.Context
+}
+
+// put puts a configuration at a replica.
+func (c *generationClient) put(replica int, body []byte, header ...string) fleet.Reply {
+	c.t.Helper()
+	r, err := c.Operate(c.ctx, c.Replicas[replica], "PUT", configurationPath, body, header...)
+	must(c.t, err)
+	return r
+}
+
+// putNumbered puts configuration n under generation n, which must be acknowledged.
+func (c *generationClient) putNumbered(replica, n int) fleet.Reply {
+	c.t.Helper()
+	r := c.put(replica, configuration(n), generationHeader, fmt.Sprint(n))
+	if r.Status != 200 || r.Outcome != "taken" {
+		c.t.Errorf("generation %d: %d %s", n, r.Status, r.Body)
+	}
+	return r
+}
+
+// expectRefused puts another configuration under a generation that is used, which must be refused.
+func (c *generationClient) expectRefused(replica, generation, other int) {
+	c.t.Helper()
+	if r := c.put(replica, configuration(other), generationHeader, fmt.Sprint(generation)); r.Status != 409 || r.Outcome != "conflict" {
+		c.t.Errorf("another configuration under %d: %d %s", generation, r.Status, r.Body)
+	}
+}
+
+// expectRead reads the configuration from a replica.
+func (c *generationClient) expectRead(replica int, generation, revision uint64, body []byte) {
+	c.t.Helper()
+	r, err := c.Operate(c.ctx, c.Replicas[replica], "GET", configurationPath, nil)
+	must(c.t, err)
+	if r.Generation != generation || r.Revision != revision || !bytes.Equal(r.Body, body) {
+		c.t.Errorf("%d: revision %d, generation %d, %.80s", r.Status, r.Revision, r.Generation, r.Body)
+	}
+}
+
 // Generations may be put at any replica; an old one changes nothing, whoever repeats it, also after all
-// replicas were killed.
+// replicas were killed, and at another coordinator.
 func TestGenerations(t *testing.T) {
 	f, ctx := startFleet(t, controlPlaneOnly(3))
-	put := func(replica int, body []byte, header ...string) fleet.Reply {
-		t.Helper()
-		r, err := f.Operate(ctx, f.Replicas[replica], "PUT", configurationPath, body, header...)
-		must(t, err)
-		return r
-	}
-	putNumbered := func(replica int, n uint64, body []byte) fleet.Reply {
-		t.Helper()
-		r := put(replica, body, generationHeader, fmt.Sprint(n))
-		if r.Status != 200 || r.Outcome != "taken" {
-			t.Errorf("generation %d: %d %s", n, r.Status, r.Body)
-		}
-		return r
-	}
-	expectRead := func(replica int, generation, revision uint64, body []byte) {
-		t.Helper()
-		r, err := f.Operate(ctx, f.Replicas[replica], "GET", configurationPath, nil)
-		must(t, err)
-		if r.Generation != generation || r.Revision != revision || !bytes.Equal(r.Body, body) {
-			t.Errorf("%d: revision %d, generation %d, %.80s", r.Status, r.Revision, r.Generation, r.Body)
-		}
-	}
-	expectRead(1, 0, put(0, configuration(1)).Revision, configuration(1))
-	revisionOfSeven := putNumbered(2, 7, configuration(7)).Revision
-	expectRefused := func(replica int, n uint64, body []byte) {
-		t.Helper()
-		if r := put(replica, body, generationHeader, fmt.Sprint(n)); r.Status != 409 || r.Outcome != "conflict" {
-			t.Errorf("another configuration under %d: %d %s", n, r.Status, r.Body)
-		}
-	}
-	putNumbered(1, 7, configuration(7))
-	putNumbered(0, 6, configuration(6))
+	c := &generationClient{Fleet: f, t: t, ctx: ctx}
+	c.expectRead(1, 0, c.put(0, configuration(1)).Revision, configuration(1))
+	revisionOfSeven := c.putNumbered(2, 7).Revision
+	c.putNumbered(1, 7)
+	c.putNumbered(0, 6)
 	for replica := range f.Replicas {
-		expectRefused(replica, 7, configuration(8))
+		c.expectRefused(replica, 7, 8)
 	}
-	expectRead(2, 7, revisionOfSeven, configuration(7))
-	for _, bad := range []string{"0", "-1", "x", "18446744073709551616"} {
-		if r := put(0, configuration(9), generationHeader, bad); r.Status != 400 {
-			t.Errorf("generation %s: %d %s", bad, r.Status, r.Body)
+	c.expectRead(2, 7, revisionOfSeven, configuration(7))
+	for _, invalid := range []string{"0", "-1", "x", "18446744073709551616"} {
+		if r := c.put(0, configuration(9), generationHeader, invalid); r.Status != 400 {
+			t.Errorf("generation %s: %d %s", invalid, r.Status, r.Body)
 		}
 	}
-	if r := put(0, configuration(9), generationHeader, "9", "If-Match", `"1"`); r.Status != 412 {
+	if r := c.put(0, configuration(9), generationHeader, "9", "If-Match", `"1"`); r.Status != 412 {
 		t.Errorf("conditional on an old revision: %d %s", r.Status, r.Body)
 	}
-	for _, p := range f.Replicas {
-		p.Kill()
-	}
-	for _, p := range f.Replicas {
-		must(t, p.Start())
-	}
-	for _, p := range f.Replicas {
-		must(t, p.AwaitReady(ctx))
-	}
+
+	restartReplicas(ctx, t, f)
 	for replica := range f.Replicas {
-		expectRefused(replica, 7, configuration(8))
+		c.expectRefused(replica, 7, 8)
 	}
-	putNumbered(1, 7, configuration(7))
-	expectRead(0, 7, revisionOfSeven, configuration(7))
-	expectRead(2, 8, putNumbered(0, 8, configuration(8)).Revision, configuration(8))
-	expectRefused(1, 7, configuration(8))
-	putNumbered(2, 7, configuration(7))
+	c.putNumbered(1, 7)
+	c.expectRead(0, 7, revisionOfSeven, configuration(7))
+	c.expectRead(2, 8, c.putNumbered(0, 8).Revision, configuration(8))
+	c.expectRefused(1, 7, 8)
+	c.putNumbered(2, 7)
+
 	// The coordinator is gone, and the answers are the same.
 	f.Replicas[0].Kill()
 	for replica := 1; replica <= 2; replica++ {
@@ -97,9 +107,9 @@
 			r, err := f.Operate(ctx, f.Replicas[replica], "PUT", configurationPath, configuration(8), generationHeader, "8")
 			return err == nil && r.Status == 200
 		}))
-		expectRefused(replica, 8, configuration(9))
-		expectRefused(replica, 7, configuration(9))
-		putNumbered(replica, 7, configuration(7))
+		c.expectRefused(replica, 8, 9)
+		c.expectRefused(replica, 7, 9)
+		c.putNumbered(replica, 7)
 	}
 }
 
--- a/tests/e2e/main_test.go
+++ b/tests/e2e/main_test.go
@@ -65,6 +65,22 @@
 	return f, ctx
 }
 
+// restartReplicas kills all replicas that are running, starts all, and waits until they are ready.
+func restartReplicas(ctx context.Context, t *testing.T, f *fleet.Fleet) {
+	t.Helper()
+	for _, p := range f.Replicas {
+		if p.Running() {
+			p.Kill()
+		}
+	}
+	for _, p := range f.Replicas {
+		must(t, p.Start())
+	}
+	for _, p := range f.Replicas {
+		must(t, p.AwaitReady(ctx))
+	}
+}
+
 // must fails the test at once on an error.
 func must(t *testing.T, err error) {
 	t.Helper()
