--- a/tests/e2e/metrics_test.go
+++ b/tests/e2e/metrics_test.go
@@ -1,6 +1,7 @@
 package e2e
 
 import (
+	"context"
 	"net/http"
 	"os"
 	"regexp"
@@ -63,6 +64,11 @@
 	r.send("GET", "/nowhere", "")
 	_, err := r.Operate(r.ctx, r.Replicas[0], "GET", configurationPath, nil)
 	must(t, err)
+	// The answer to a request with a key is replicated beside the client's answer.
+	must(t, awaitCondition(r.ctx, func(context.Context) bool {
+		replicated, _ := sampleValue(r.families(r.Sidecars[1].Control)["curlewwalk_keys_held"], "state", "answered")
+		return replicated == 1
+	}))
 
 	caller, callee := r.families(r.Sidecars[0].Control), r.families(r.Sidecars[1].Control)
 	replica := r.families(r.Replicas[0].Control)
