--- a/internal/dataplane/agent_test.go
+++ b/internal/dataplane/agent_test.go
@@ -88,3 +88,28 @@
 		t.Error("what an earlier process had acknowledged is not known")
 	}
 }
+
+// A suspicion of this incarnation is refuted at once, by a number above the suspected one; an
+// earlier one, which has been refuted, is not refuted again.
+func TestSuspicionIsRefuted(t *testing.T) {
+	for name, c := range map[string]struct {
+		suspected  uint64
+		refutation uint64 // after the response, from 3 before
+		heartbeats int    // sent at once
+	}{
+		"an earlier suspicion":          {suspected: 2, refutation: 3},
+		"one of the present refutation": {suspected: 3, refutation: 4, heartbeats: 1},
+		"one of a later refutation":     {suspected: 7, refutation: 8, heartbeats: 1},
+	} {
+		t.Run(name, func(t *testing.T) {
+			a := newTestAgent(t)
+			heartbeats := 0
+			a.HeartbeatNow = func() { heartbeats++ }
+			a.refutation.Store(3)
+			a.handleHeartbeatResponse(t.Context(), membership.Heartbeat{}, membership.Heartbeat{Suspected: &c.suspected})
+			if got := a.refutation.Load(); got != c.refutation || heartbeats != c.heartbeats {
+				t.Errorf("refutation %d and %d heartbeats, not %d and %d", got, heartbeats, c.refutation, c.heartbeats)
+			}
+		})
+	}
+}
