--- a/tests/e2e/admission_test.go
+++ b/tests/e2e/admission_test.go
@@ -15,6 +15,7 @@
 
 	"curlewwalk/tests/faultproxy"
 	"curlewwalk/tests/fleet"
+	"curlewwalk/tests/ledger"
 )
 
 // The address of a backend that died is used by one of another service: nothing meant for the first
@@ -38,7 +39,7 @@
 	must(t, err)
 	resp.Body.Close()
 	for range 10 {
-		r.expect(r.send("POST", "/once/", "x"), 503, "not-run")
+		r.expect(r.send("POST", "/once/", "x"), 503, ledger.OutcomeNotRun)
 	}
 	if misdirected.Load() != 0 {
 		t.Errorf("%d requests reached another service", misdirected.Load())
@@ -100,7 +101,7 @@
 	r := newRig(t)
 	r.rawBackend(1, func(int, net.Conn) {})
 	a := r.send("POST", "/once/", "x")
-	r.expect(a, 502, "unknown")
+	r.expect(a, 502, ledger.OutcomeUnknown)
 	var own struct{ Trace string }
 	must(t, json.Unmarshal(a.body, &own))
 	must(t, fleet.Await(r.ctx, "the reason in the trace", func(ctx context.Context) bool {
@@ -110,7 +111,7 @@
 			return false
 		}
 		last := tr.Roots[0].Events[3]
-		return last.Status == 502 && last.Outcome == "unknown" && last.Reason != "" && tr.Roots[0].Events[2].Reason == last.Reason
+		return last.Status == 502 && last.Outcome == ledger.OutcomeUnknown && last.Reason != "" && tr.Roots[0].Events[2].Reason == last.Reason
 	}))
 	resp, err := r.HTTP.Get("http://" + r.Sidecars[0].Control + "/v1/log")
 	must(t, err)
--- a/tests/e2e/body_test.go
+++ b/tests/e2e/body_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"context"
+	"fmt"
 	"io"
 	"net/http"
 	"strings"
@@ -10,6 +11,9 @@
 	"testing"
 
 	"github.com/google/go-cmp/cmp"
+
+	"curlewwalk/tests/fleet"
+	"curlewwalk/tests/ledger"
 )
 
 // Chunked bodies and trailers pass both ways unaltered.
@@ -48,71 +52,99 @@
 	}
 }
 
-// Bodies near the bound pass both ways; larger ones are rejected before they are read; and no more
-// are accepted at a time than the memory for bodies allows.
-func TestLargeBodies(t *testing.T) {
-	t.Parallel()
+const (
+	// maxBody is the bound on a body's size in TestLargeBodies.
+	maxBody = 4 << 20
+	// bodiesInMemory is how many such bodies the memory of a node for them has room for.
+	bodiesInMemory = 3
+)
+
+// echoFleet is a fleet of two machines whose backend, on machine 1, returns the body of each request
+// once it is released.
+type echoFleet struct {
+	*fleet.Fleet
+	t                *testing.T
+	ctx              context.Context
+	running, release chan struct{}
+}
+
+// newEchoFleet starts an echo fleet with bounds on bodies.
+func newEchoFleet(t *testing.T) *echoFleet {
+	t.Helper()
 	size := smallFleet()
 	size.Machines, size.Backends = 2, nil
 	f, ctx := newFleet(t, size)
-	const most, held = 4 << 20, 3
-	f.Sidecars[0].AddArgs("--max-body=4194304", "--body-memory=12582912")
-	f.Sidecars[1].AddArgs("--max-body=4194304")
+	e := &echoFleet{Fleet: f, t: t, ctx: ctx, running: make(chan struct{}, 20), release: make(chan struct{})}
+	f.Sidecars[0].AddArgs(fmt.Sprintf("--max-body=%d", maxBody), fmt.Sprintf("--body-memory=%d", bodiesInMemory*maxBody))
+	f.Sidecars[1].AddArgs(fmt.Sprintf("--max-body=%d", maxBody))
 	must(t, f.Start(ctx))
-	running, release := make(chan struct{}, 20), make(chan struct{})
 	b, err := f.StartBackend(1, "surveys", "echo", 8000)
 	must(t, err)
 	b.Kill()
 	b.Handle = http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		body, _ := io.ReadAll(q.Body)
-		running <- struct{}{}
-		<-release
+		e.running <- struct{}{}
+		<-e.release
 		w.Write(body)
 	})
 	must(t, b.Start(b.Addr()))
 	must(t, f.AwaitServing(ctx, f.FirstRevision, 1))
-	send := func(n int) (int, string, bool) {
-		body := bytes.Repeat([]byte{byte(n)}, n)
-		req, err := http.NewRequestWithContext(ctx, "POST", "http://"+f.RequestAddress(0)+"/surveys/x", bytes.NewReader(body))
-		must(t, err)
-		resp, err := f.HTTP.Do(req)
-		if err != nil {
-			t.Error(err)
-			return 0, "", false
-		}
-		defer resp.Body.Close()
-		back, _ := io.ReadAll(resp.Body)
-		return resp.StatusCode, resp.Header.Get(outcomeHeader) + resp.Header.Get("Retry-After"), bytes.Equal(back, body)
+	return e
+}
+
+// send sends a body of n bytes. outcome has the seconds of Retry-After appended; same reports whether
+// the body was returned.
+func (e *echoFleet) send(n int) (status int, outcome string, same bool) {
+	body := bytes.Repeat([]byte{byte(n)}, n)
+	req, err := http.NewRequestWithContext(e.ctx, "POST", "http://"+e.RequestAddress(0)+"/surveys/x", bytes.NewReader(body))
+	if err != nil {
+		e.t.Error(err)
+		return 0, "", false
+	}
+	resp, err := e.HTTP.Do(req)
+	if err != nil {
+		e.t.Error(err)
+		return 0, "", false
 	}
-	if status, outcome, _ := send(most + 1); status != 413 || outcome != "not-run" {
+	defer resp.Body.Close()
+	got, _ := io.ReadAll(resp.Body)
+	return resp.StatusCode, resp.Header.Get(outcomeHeader) + resp.Header.Get("Retry-After"), bytes.Equal(got, body)
+}
+
+// Bodies near the bound pass both ways; larger ones are rejected before they are read; and no more
+// are accepted at a time than the memory for bodies allows.
+func TestLargeBodies(t *testing.T) {
+	t.Parallel()
+	e := newEchoFleet(t)
+	if status, outcome, _ := e.send(maxBody + 1); status != http.StatusRequestEntityTooLarge || outcome != ledger.OutcomeNotRun {
 		t.Errorf("over the bound: %d %s", status, outcome)
 	}
 	var wg sync.WaitGroup
-	for range held {
+	for range bodiesInMemory {
 		wg.Go(func() {
-			if status, _, same := send(most); status != 200 || !same {
+			if status, _, same := e.send(maxBody); status != http.StatusOK || !same {
 				t.Errorf("at the bound: %d, the same %v", status, same)
 			}
 		})
 	}
-	for range held {
-		<-running
+	for range bodiesInMemory {
+		<-e.running
 	}
 	for range 9 {
-		if status, outcome, _ := send(most); status != 503 || outcome != "not-run1" {
+		if status, outcome, _ := e.send(maxBody); status != http.StatusServiceUnavailable || outcome != ledger.OutcomeNotRun+"1" {
 			t.Errorf("with the memory full: %d %s", status, outcome)
 		}
 	}
-	close(release)
+	close(e.release)
 	wg.Wait()
-	must(t, awaitCondition(ctx, func(ctx context.Context) bool {
+	must(t, awaitCondition(e.ctx, func(ctx context.Context) bool {
 		var st struct {
-			Held [2]int64 `json:"bodies_held"`
+			BodiesInMemory [2]int64 `json:"bodies_held"`
 		}
-		_, err := f.Sidecars[0].Get(ctx, "/v1/stats", &st)
-		return err == nil && st.Held == [2]int64{}
+		_, err := e.Sidecars[0].Get(ctx, "/v1/stats", &st)
+		return err == nil && st.BodiesInMemory == [2]int64{}
 	}))
-	if status, _, same := send(most); status != 200 || !same {
+	if status, _, same := e.send(maxBody); status != http.StatusOK || !same {
 		t.Errorf("afterwards: %d", status)
 	}
 }
--- a/tests/e2e/budget_test.go
+++ b/tests/e2e/budget_test.go
@@ -6,6 +6,7 @@
 	"testing"
 
 	"curlewwalk/tests/fleet"
+	"curlewwalk/tests/ledger"
 )
 
 // budgets is the part of GET /v1/budgets that is read.
@@ -52,7 +53,7 @@
 	shows(20, true)
 	must(t, r.Backends[0].Leave(r.ctx))
 	for range 5 {
-		r.expect(r.send("POST", "/once/", "x"), 503, "not-run")
+		r.expect(r.send("POST", "/once/", "x"), 503, ledger.OutcomeNotRun)
 	}
 	shows(25, false)
 }
--- a/tests/e2e/drain_test.go
+++ b/tests/e2e/drain_test.go
@@ -12,6 +12,7 @@
 
 	"curlewwalk/internal/watch"
 	"curlewwalk/tests/fleet"
+	"curlewwalk/tests/ledger"
 )
 
 // While an evacuated zone still runs something, the report says so.
@@ -139,7 +140,7 @@
 	must(t, b.Leave(ctx))
 	leftAt := time.Now()
 	for time.Since(leftAt) < 3*time.Second {
-		if a := c.SendOne(ctx, survey); a.Status != 503 || a.Outcome != "not-run" {
+		if a := c.SendOne(ctx, survey); a.Status != 503 || a.Outcome != ledger.OutcomeNotRun {
 			t.Fatalf("%v after it left: %+v", time.Since(leftAt), a)
 		}
 	}
@@ -199,7 +200,7 @@
 	}
 	must(t, awaitUnready(r, 0))
 	must(t, awaitUnready(r, 1))
-	r.expect(r.send("POST", "/once/", "x"), 503, "not-run")
+	r.expect(r.send("POST", "/once/", "x"), 503, ledger.OutcomeNotRun)
 	close(release)
 	if a := receive(r, open); a.StatusCode != 200 || string(a.body) != "done" {
 		t.Errorf("what was accepted got %d %q", a.StatusCode, a.body)
--- a/tests/e2e/frozen_test.go
+++ b/tests/e2e/frozen_test.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"curlewwalk/tests/fleet"
+	"curlewwalk/tests/ledger"
 )
 
 // orderCounter is a backend that counts how often each order ran, by its body.
@@ -46,57 +47,52 @@
 	for _, frozen := range []time.Duration{700 * time.Millisecond, 2500 * time.Millisecond, 5 * time.Second} {
 		t.Run(frozen.String(), func(t *testing.T) {
 			t.Parallel()
-			r := newRig(t)
-			orders := &orderCounter{runs: map[string]int{}}
-			r.backend(1, orders)
-			r.send("POST", "/once/", "warm")
-			answers := make(chan answer, 40)
-			id := func(i int) string { return fmt.Sprint("order ", i) }
-			r.Sidecars[1].Signal(syscall.SIGSTOP)
-			since := time.Now()
-			var all sync.WaitGroup
-			for i := range cap(answers) {
-				all.Go(func() {
-					a := r.send("POST", "/once/", id(i))
-					want := "done " + id(i)
-					switch outcome := a.Header.Get(outcomeHeader); {
-					case outcome == "" && string(a.body) != want:
-						t.Errorf("%s got %d %q", id(i), a.StatusCode, a.body)
-					case outcome == "unknown" && a.StatusCode == 503:
-						t.Errorf("%s: 503 for what is unknown: %s", id(i), a.body)
-					}
-					a.body = []byte(id(i))
-					answers <- a
-				})
-			}
-			must(t, fleet.Await(r.ctx, "the freeze to pass", func(context.Context) bool { return time.Since(since) > frozen }))
-			r.Sidecars[1].Signal(syscall.SIGCONT)
-			all.Wait()
-			// Once it serves again and nothing is open, what was in its buffers is done.
-			must(t, fleet.Await(r.ctx, "the woken sidecar to serve", func(context.Context) bool { return r.send("GET", "/look/", "").StatusCode == 200 }))
-			must(t, fleet.Await(r.ctx, "nothing to be open", func(c context.Context) bool {
-				var st struct {
-					Inbound struct {
-						Open int64 `json:"open"`
-					} `json:"far"`
-				}
-				_, err := r.Sidecars[1].Get(c, "/v1/stats", &st)
-				return err == nil && st.Inbound.Open == 0
-			}))
-			close(answers)
-			counts := map[string]int{}
-			for a := range answers {
-				outcome, ran := a.Header.Get(outcomeHeader), orders.runsOf(string(a.body))
-				counts[fmt.Sprint(a.StatusCode, " ", outcome, " ran ", ran)]++
-				if ran > 1 || ran > 0 && outcome == "not-run" || ran != 1 && outcome == "" {
-					t.Errorf("%s: %d %q, ran %d times", a.body, a.StatusCode, outcome, ran)
-				}
-			}
-			t.Logf("frozen for %v: %v", frozen, counts)
+			testInboundFrozen(t, frozen)
 		})
 	}
 }
 
+// testInboundFrozen freezes the inbound sidecar for so long while orders are sent.
+func testInboundFrozen(t *testing.T, frozen time.Duration) {
+	t.Helper()
+	r := newRig(t)
+	orders := &orderCounter{runs: map[string]int{}}
+	r.backend(1, orders)
+	r.send("POST", "/once/", "warm")
+	r.Sidecars[1].Signal(syscall.SIGSTOP)
+	since := time.Now()
+	const sent = 40
+	answers := make([]answer, sent)
+	var all sync.WaitGroup
+	for i := range answers {
+		all.Go(func() { answers[i] = r.send("POST", "/once/", orderID(i)) })
+	}
+	awaitElapsed(r.ctx, t, since, frozen)
+	r.Sidecars[1].Signal(syscall.SIGCONT)
+	all.Wait()
+	// Once it serves again and nothing is open, what was in its buffers is done.
+	must(t, fleet.Await(r.ctx, "the woken sidecar to serve", func(context.Context) bool { return r.send("GET", "/look/", "").StatusCode == 200 }))
+	r.awaitStats(1, "nothing to be open", func(s sidecarStats) bool { return s.Inbound.Open == 0 })
+	counts := map[string]int{}
+	for i, a := range answers {
+		outcome, ran := a.Header.Get(outcomeHeader), orders.runsOf(orderID(i))
+		counts[fmt.Sprint(a.StatusCode, " ", outcome, " ran ", ran)]++
+		switch {
+		case outcome == "" && string(a.body) != "done "+orderID(i):
+			t.Errorf("%s got %d %q", orderID(i), a.StatusCode, a.body)
+		case outcome == ledger.OutcomeUnknown && a.StatusCode == http.StatusServiceUnavailable:
+			t.Errorf("%s: 503 for an unknown outcome: %s", orderID(i), a.body)
+		}
+		if ran > 1 || ran > 0 && outcome == ledger.OutcomeNotRun || ran != 1 && outcome == "" {
+			t.Errorf("%s: %d %q, ran %d times", orderID(i), a.StatusCode, outcome, ran)
+		}
+	}
+	t.Logf("frozen for %v: %v", frozen, counts)
+}
+
+// orderID is the body of the ith order.
+func orderID(i int) string { return fmt.Sprint("order ", i) }
+
 // The sidecar beside the client is frozen for longer than a connection may be silent, while it is
 // answered. Once woken it passes the answers on.
 func TestOutboundSidecarFrozen(t *testing.T) {
@@ -127,7 +123,7 @@
 	r.Sidecars[0].Signal(syscall.SIGSTOP)
 	since := time.Now()
 	close(release)
-	must(t, fleet.Await(r.ctx, "the freeze to pass", func(context.Context) bool { return time.Since(since) > frozen }))
+	awaitElapsed(r.ctx, t, since, frozen)
 	r.Sidecars[0].Signal(syscall.SIGCONT)
 	all.Wait()
 }
--- a/tests/e2e/invalid_input_test.go
+++ b/tests/e2e/invalid_input_test.go
@@ -7,6 +7,8 @@
 	"net/http"
 	"strings"
 	"testing"
+
+	"curlewwalk/tests/ledger"
 )
 
 // What operators and backends send by mistake or in malice is rejected with the field that is wrong, and
@@ -63,5 +65,5 @@
 	if s, err := r.Revision(r.ctx, r.Sidecars[1]); err != nil || s != r.FirstRevision {
 		t.Errorf("the revision went from %d to %d", r.FirstRevision, s)
 	}
-	r.expect(r.send("POST", "/once/", "x", "Idempotency-Key", strings.Repeat("k", 256)), 400, "not-run")
+	r.expect(r.send("POST", "/once/", "x", "Idempotency-Key", strings.Repeat("k", 256)), 400, ledger.OutcomeNotRun)
 }
--- a/tests/e2e/partition_test.go
+++ b/tests/e2e/partition_test.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"curlewwalk/tests/fleet"
+	"curlewwalk/tests/ledger"
 )
 
 // The coordinator is partitioned from the others together with a machine: the others go on, the minority
@@ -212,7 +213,7 @@
 	f, ctx := newFleet(t, smallFleet())
 	must(t, f.Sidecars[1].Start())
 	a := f.NewClient(1, 1).SendOne(ctx, f.Size.Plans[0])
-	if a.Status != 503 || a.Outcome != "not-run" || a.Mismatch != "" {
+	if a.Status != 503 || a.Outcome != ledger.OutcomeNotRun || a.Mismatch != "" {
 		t.Errorf("%+v", a)
 	}
 	if status, err := f.Sidecars[1].Get(ctx, "/ready", nil); err != nil || status != 503 {
--- a/tests/e2e/request_test.go
+++ b/tests/e2e/request_test.go
@@ -12,6 +12,8 @@
 	"time"
 
 	"github.com/google/go-cmp/cmp"
+
+	"curlewwalk/tests/ledger"
 )
 
 // What a backend gets is what the client sent, and the other way round.
@@ -65,10 +67,10 @@
 // Refusals of the outbound sidecar come at once and say what is known.
 func TestRefusals(t *testing.T) {
 	r := newRig(t)
-	r.expect(r.send("GET", "/nowhere", ""), 404, "not-run")
-	r.expect(r.send("POST", "/look/", ""), 404, "not-run")
-	r.expect(r.send("POST", "/once/", strings.Repeat("x", 17<<20)), 413, "not-run")
-	r.expect(r.send("POST", "/once/", "x"), 503, "not-run") // no backend at all
+	r.expect(r.send("GET", "/nowhere", ""), 404, ledger.OutcomeNotRun)
+	r.expect(r.send("POST", "/look/", ""), 404, ledger.OutcomeNotRun)
+	r.expect(r.send("POST", "/once/", strings.Repeat("x", 17<<20)), 413, ledger.OutcomeNotRun)
+	r.expect(r.send("POST", "/once/", "x"), 503, ledger.OutcomeNotRun) // no backend at all
 	// A truncated body is a bad request.
 	c, err := net.Dial("tcp", r.RequestAddress(0))
 	must(t, err)
@@ -85,7 +87,7 @@
 	addr := ln.Addr().String()
 	ln.Close()
 	r.announceBackend(1, "dead", addr)
-	r.expect(r.send("POST", "/once/", "x"), 503, "not-run")
+	r.expect(r.send("POST", "/once/", "x"), 503, ledger.OutcomeNotRun)
 }
 
 // Whatever a backend answers wrongly after it was written to, an order is not run again, and its answer is
@@ -108,7 +110,7 @@
 			r := newRig(t)
 			count := r.rawBackend(1, func(_ int, c net.Conn) { io.WriteString(c, speak) })
 			a := r.send("POST", "/once/", "x", "Idempotency-Key", "k")
-			r.expect(a, 502, "unknown")
+			r.expect(a, 502, ledger.OutcomeUnknown)
 			if n := count(); n != 1 {
 				t.Errorf("it ran %d times", n)
 			}
@@ -125,7 +127,7 @@
 func TestRetry(t *testing.T) {
 	r := newRig(t)
 	count := r.rawBackend(1, func(int, net.Conn) {})
-	r.expect(r.send("POST", "/once/", "x"), 502, "unknown")
+	r.expect(r.send("POST", "/once/", "x"), 502, ledger.OutcomeUnknown)
 	if n := count(); n != 1 {
 		t.Fatalf("an order ran %d times", n)
 	}
@@ -155,7 +157,7 @@
 	}
 	const sent = 300
 	for range sent {
-		r.expect(r.send("GET", "/look/", ""), 502, "unknown")
+		r.expect(r.send("GET", "/look/", ""), 502, ledger.OutcomeUnknown)
 	}
 	runs := count[0]() + count[1]() + count[2]()
 	t.Logf("%d sent, %d attempts", sent, runs)
@@ -176,7 +178,7 @@
 	}))
 	a := r.send("POST", "/once/", "x")
 	close(release)
-	r.expect(a, 504, "unknown")
+	r.expect(a, 504, ledger.OutcomeUnknown)
 	if runs.Load() != 1 {
 		t.Errorf("it ran %d times", runs.Load())
 	}
@@ -189,7 +191,7 @@
 // request. What did not run may run.
 func TestIdempotencyKeys(t *testing.T) {
 	r := newRig(t)
-	r.expect(r.send("POST", "/once/", "x", "Idempotency-Key", "a"), 503, "not-run")
+	r.expect(r.send("POST", "/once/", "x", "Idempotency-Key", "a"), 503, ledger.OutcomeNotRun)
 	var runs atomic.Int64
 	running, release := make(chan struct{}, 9), make(chan struct{})
 	r.backend(1, http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
@@ -205,7 +207,7 @@
 	receive(r, running)
 	go sendOne()
 	go sendOne()
-	must(t, r.awaitJoined(2))
+	r.awaitJoined(2)
 	close(release)
 	for range 3 {
 		if got := receive(r, answers); got != "run 1" {
@@ -215,7 +217,7 @@
 	if a := r.send("POST", "/once/", "x", "Idempotency-Key", "a"); string(a.body) != "run 1" {
 		t.Errorf("afterwards: %q", a.body)
 	}
-	r.expect(r.send("POST", "/once/", "other", "Idempotency-Key", "a"), 422, "not-run")
+	r.expect(r.send("POST", "/once/", "other", "Idempotency-Key", "a"), 422, ledger.OutcomeNotRun)
 	if a := r.send("POST", "/once/", "x", "Idempotency-Key", "b"); string(a.body) != "run 2" || runs.Load() != 2 {
 		t.Errorf("another key: %q after %d runs", a.body, runs.Load())
 	}
--- a/tests/e2e/rig_test.go
+++ b/tests/e2e/rig_test.go
@@ -164,16 +164,9 @@
 }
 
 // awaitJoined waits until n repeats wait for a running request on machine 0.
-func (r *rig) awaitJoined(n int64) error {
-	return fleet.Await(r.ctx, "repeats to join", func(ctx context.Context) bool {
-		var st struct {
-			Outbound struct {
-				Open int64 `json:"open"`
-			} `json:"near"`
-		}
-		_, err := r.Sidecars[0].Get(ctx, "/v1/stats", &st)
-		return err == nil && st.Outbound.Open == n+1
-	})
+func (r *rig) awaitJoined(n int64) {
+	r.t.Helper()
+	r.awaitStats(0, "repeats to join", func(s sidecarStats) bool { return s.Outbound.Open == n+1 })
 }
 
 // receive receives from a channel, or fails the test when its time is over.
--- a/tests/e2e/stop_test.go
+++ b/tests/e2e/stop_test.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"curlewwalk/tests/fleet"
+	"curlewwalk/tests/ledger"
 )
 
 // sidecarStats is the part of GET /v1/stats that these tests read.
@@ -97,7 +98,7 @@
 	r.awaitStats(1, "clients to be refused", func(s sidecarStats) bool { return s.Closed })
 	// Its deadline is 3 s away.
 	go r.sendOnNewConnection(1, "POST", "/once/", second)
-	if a := receive(r, second); a.err != nil || a.status != 503 || a.outcome != "not-run" {
+	if a := receive(r, second); a.err != nil || a.status != 503 || a.outcome != ledger.OutcomeNotRun {
 		t.Errorf("what outlasts the stop: %+v", a)
 	}
 	if n := runs.Load(); n != 0 {
--- a/tests/e2e/trace_test.go
+++ b/tests/e2e/trace_test.go
@@ -49,30 +49,42 @@
 			return err == nil && tr.Spans == 2 && len(tr.Roots) == 1 && len(tr.Roots[0].Children) == 1 &&
 				len(tr.Roots[0].Events) == 4 && len(tr.Roots[0].Children[0].Events) == 4
 		}))
-		root, child := tr.Roots[0], tr.Roots[0].Children[0]
-		if root.Parent != "00000000000000ff" || root.Route != "order-read" || root.Caller != "" || tr.Whole {
-			t.Errorf("root %+v, complete %v though the client's own span is missing", root, tr.Whole)
-		}
-		if child.Parent != root.Span || child.Route != "stock-read" || child.Caller != "orders" || child.Link != "proven" || len(child.Candidates) != 1 {
-			t.Errorf("child %+v", child)
-		}
-		for _, b := range []fleet.SpanNode{root, child} {
-			kinds := ""
-			for i, e := range b.Events {
-				kinds += e.Kind + " "
-				if i > 0 && e.Counter <= b.Events[i-1].Counter {
-					t.Errorf("events out of order: %+v", b.Events)
-				}
-			}
-			if kinds != "cs sr ss cr " || len(b.Missing) > 0 {
-				t.Errorf("events %s, missing %v", kinds, b.Missing)
-			}
-		}
-		// The child's events lie between those of its parent.
-		if child.Events[0].Counter <= root.Events[1].Counter || child.Events[3].Counter >= root.Events[2].Counter {
-			t.Errorf("child %+v is not inside its parent %+v", child.Events, root.Events)
+		checkTraceTree(t, tr)
+	}
+}
+
+// checkTraceTree checks the tree of a request with one inner call, whose client sent the parent span
+// 00000000000000ff.
+func checkTraceTree(t *testing.T, tree fleet.TraceTree) {
+	t.Helper()
+	root, child := tree.Roots[0], tree.Roots[0].Children[0]
+	if root.Parent != "00000000000000ff" || root.Route != "order-read" || root.Caller != "" || tree.Whole {
+		t.Errorf("root %+v, complete %v though the client's own span is missing", root, tree.Whole)
+	}
+	if child.Parent != root.Span || child.Route != "stock-read" || child.Caller != "orders" || child.Link != "proven" || len(child.Candidates) != 1 {
+		t.Errorf("child %+v", child)
+	}
+	checkEvents(t, root)
+	checkEvents(t, child)
+	// The child's events are between those of its parent.
+	if child.Events[0].Counter <= root.Events[1].Counter || child.Events[3].Counter >= root.Events[2].Counter {
+		t.Errorf("child %+v is not inside its parent %+v", child.Events, root.Events)
+	}
+}
+
+// checkEvents checks that a span has its four events in logical order.
+func checkEvents(t *testing.T, span fleet.SpanNode) {
+	t.Helper()
+	kinds := ""
+	for i, e := range span.Events {
+		kinds += e.Kind + " "
+		if i > 0 && e.Counter <= span.Events[i-1].Counter {
+			t.Errorf("events out of order: %+v", span.Events)
 		}
 	}
+	if kinds != "cs sr ss cr " || len(span.Missing) > 0 {
+		t.Errorf("events %s, missing %v", kinds, span.Missing)
+	}
 }
 
 // With every collector frozen, and then dead, requests neither fail nor wait for tracing; what was dropped
--- a/tests/fleet/links.go
+++ b/tests/fleet/links.go
@@ -24,38 +24,45 @@
 
 // CountLinks reads the traces of up to limit inner calls.
 func (f *Fleet) CountLinks(ctx context.Context, limit int) (counts LinkCounts, err error) {
-	for _, inner := range f.Ledger.InnerCalls() {
-		if counts.Calls++; counts.Calls > limit {
-			counts.Calls--
-			break
-		}
-		var span SpanNode
-		err := Await(ctx, "span "+inner.Span+" in trace "+inner.Trace, func(ctx context.Context) bool {
-			var tree TraceTree
-			_, err := f.Replicas[0].Get(ctx, "/v1/traces/"+inner.Trace, &tree)
-			found := false
-			if err == nil {
-				span, found = findSpan(tree.Roots, inner.Span)
-			}
-			return found && len(span.Events) > 0
-		})
+	calls := f.Ledger.InnerCalls()
+	for _, call := range calls[:min(len(calls), limit)] {
+		span, err := f.awaitSpan(ctx, call.Trace, call.Span)
 		if err != nil {
 			return counts, err
 		}
-		outer, _ := f.Ledger.FirstRun(inner.Parent)
-		right := span.Parent == outer.Span
-		switch {
-		case right:
-			counts.Correct++
-		case span.Parent == "":
-			counts.Unlinked++
+		parent, _ := f.Ledger.FirstRun(call.Parent)
+		counts.add(span, span.Parent == parent.Span)
+	}
+	return counts, nil
+}
+
+// awaitSpan waits until a span can be read with its events.
+func (f *Fleet) awaitSpan(ctx context.Context, trace, id string) (span SpanNode, err error) {
+	err = Await(ctx, "span "+id+" in trace "+trace, func(ctx context.Context) bool {
+		var tree TraceTree
+		if _, err := f.Replicas[0].Get(ctx, "/v1/traces/"+trace, &tree); err != nil {
+			return false
 		}
-		if span.Link == "proven" {
-			counts.Proven++
-			if !right {
-				counts.ProvenWrong++
-			}
+		found := false
+		span, found = findSpan(tree.Roots, id)
+		return found && len(span.Events) > 0
+	})
+	return span, err
+}
+
+// add counts the link of one call.
+func (n *LinkCounts) add(span SpanNode, correct bool) {
+	n.Calls++
+	switch {
+	case correct:
+		n.Correct++
+	case span.Parent == "":
+		n.Unlinked++
+	}
+	if span.Link == "proven" {
+		n.Proven++
+		if !correct {
+			n.ProvenWrong++
 		}
 	}
-	return counts, nil
 }
