--- a/internal/config/encoding_test.go
+++ b/internal/config/encoding_test.go
@@ -16,7 +16,12 @@
 			{Name: "quick", LatencyTarget: Duration{Duration: 500 * time.Microsecond}, Deadline: Duration{Duration: time.Millisecond}, Priority: 1},
 			{Name: "slow", LatencyTarget: Duration{Duration: time.Second}, Deadline: Duration{Duration: 90 * time.Second}, Priority: 9},
 		},
-		Limits: Limits{MaxHeaderBytes: 16 << 10, MaxBodyBytes: 1 << 20, ReadHeaderTimeout: Duration{Duration: 5 * time.Second}, IdleTimeout: Duration{Duration: time.Minute}},
+		Limits: Limits{
+			MaxHeaderBytes:    16 << 10,
+			MaxBodyBytes:      1 << 20,
+			ReadHeaderTimeout: Duration{Duration: 5 * time.Second},
+			IdleTimeout:       Duration{Duration: time.Minute},
+		},
 	}
 	for i := range n {
 		s := Service{Name: fmt.Sprintf("service-%d", i), MaxConnections: i}
--- a/internal/config/version_test.go
+++ b/internal/config/version_test.go
@@ -20,7 +20,10 @@
 		}
 		fmt.Fprintf(&b, `{"name":"route-%d","host":"h%d.example","prefix":"/p%d/","service":"svc-%d","legs":%d},`, i, i%7, i*i, i%3, n)
 	}
-	return ControlState{Revision: revision, ConfigurationRevision: revision, Configuration: []byte(b.String()), Submitted: []byte(b.String()), EvacuatedByOperator: []string{"west"}, Members: []Member{{MemberID: 1, DiskID: 7}}}
+	return ControlState{
+		Revision: revision, ConfigurationRevision: revision, Configuration: []byte(b.String()), Submitted: []byte(b.String()),
+		EvacuatedByOperator: []string{"west"}, Members: []Member{{MemberID: 1, DiskID: 7}},
+	}
 }
 
 func mustVersion(t *testing.T, state ControlState) Version {
--- a/internal/membership/coordinator_test.go
+++ b/internal/membership/coordinator_test.go
@@ -11,7 +11,10 @@
 	now := time.Now()
 	members := []int{1, 2, 3}
 	replica := func(memberID int, ineligible bool) Replica {
-		return Replica{MemberID: memberID, MemberCount: 3, Members: members, Addr: string(rune('a' + memberID)), MemberIncarnation: 1, Established: true, Ineligible: ineligible}
+		return Replica{
+			MemberID: memberID, MemberCount: 3, Members: members, Addr: string(rune('a' + memberID)),
+			MemberIncarnation: 1, Established: true, Ineligible: ineligible,
+		}
 	}
 	for name, c := range map[string]struct {
 		own      Replica
--- a/internal/membership/digest_test.go
+++ b/internal/membership/digest_test.go
@@ -52,106 +52,168 @@
 	return sent, response
 }
 
+// heartbeatSimulation is a control plane of three replicas and three sidecars, all of which send
+// heartbeats to the replicas.
+type heartbeatSimulation struct {
+	t         *testing.T
+	seed      uint64
+	rng       *rand.Rand
+	start     time.Time
+	elapsed   time.Duration
+	processes []*testProcess // the replicas first
+	accepted  uint64
+}
+
+const (
+	simulatedReplicas  = 3
+	simulatedProcesses = 6
+)
+
+func newHeartbeatSimulation(t *testing.T, seed uint64) *heartbeatSimulation {
+	t.Helper()
+	sim := &heartbeatSimulation{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 9)), start: time.Now(), accepted: 1}
+	for i := range simulatedProcesses {
+		p := &testProcess{addr: fmt.Sprint("side-", i)}
+		if i < simulatedReplicas {
+			p.addr = fmt.Sprint("replica-", i)
+			status := Replica{
+				MemberID: i + 1, MemberCount: simulatedReplicas, Addr: p.addr, MemberIncarnation: 1, Incarnation: sim.rng.Uint64(),
+				Established: true, Members: []int{1, 2, 3}, AcceptedRevision: sim.accepted, CommittedRevision: sim.accepted,
+			}.WithDigest()
+			p.replica = &status
+		}
+		p.forget()
+		sim.processes = append(sim.processes, p)
+	}
+	return sim
+}
+
+func (sim *heartbeatSimulation) replicas() []*testProcess { return sim.processes[:simulatedReplicas] }
+
+func (sim *heartbeatSimulation) now() time.Time { return sim.start.Add(sim.elapsed) }
+
+// forget is what a restart does to a process's memory.
+func (p *testProcess) forget() {
+	p.table, p.encoders = ReplicaTable{}, map[string]HeartbeatEncoder{}
+}
+
+// update changes a replica's status.
+func (p *testProcess) update(change func(status *Replica)) {
+	status := *p.replica
+	change(&status)
+	status = status.WithDigest()
+	p.replica = &status
+}
+
+// disturb restarts a random process or gives it a new control state, or does nothing.
+func (sim *heartbeatSimulation) disturb() {
+	p := sim.processes[sim.rng.IntN(len(sim.processes))]
+	switch sim.rng.IntN(6) {
+	case 0:
+		if p.forget(); p.replica != nil {
+			p.update(func(status *Replica) {
+				status.Incarnation = sim.rng.Uint64()
+				status.MemberIncarnation += sim.rng.Uint64N(2)
+			})
+		}
+	case 1:
+		if p.replica != nil { // a new control state is accepted; its members may be others
+			sim.accepted++
+			members := [][]int{{1, 2, 3}, {1, 2, 3, 4}}[sim.rng.IntN(2)]
+			p.update(func(status *Replica) {
+				status.AcceptedRevision = sim.accepted
+				status.Members, status.MemberCount, status.PreviousMembers = members, len(members), []int{1, 2, 3}
+			})
+		}
+	}
+}
+
+// commitEverywhere gives all replicas the same committed control state.
+func (sim *heartbeatSimulation) commitEverywhere() {
+	sim.accepted++
+	for _, p := range sim.replicas() {
+		p.update(func(status *Replica) {
+			status.AcceptedRevision, status.CommittedRevision = sim.accepted, sim.accepted
+			status.Members, status.MemberCount, status.PreviousMembers = []int{1, 2, 3}, 3, nil
+		})
+	}
+}
+
+// round sends a heartbeat from each process to each replica and returns all messages. If it is
+// lossy, one of four exchanges loses the heartbeat or the response.
+func (sim *heartbeatSimulation) round(lossy bool) (messages []Heartbeat) {
+	sim.elapsed += HeartbeatInterval
+	for _, p := range sim.processes {
+		for _, o := range sim.replicas() {
+			if p == o {
+				continue
+			}
+			d := delivered
+			if lossy {
+				d = min(delivered, delivery(sim.rng.IntN(8)))
+			}
+			if p.replica != nil {
+				p.update(func(status *Replica) { status.WallClock = sim.now().UnixNano() })
+			}
+			sent, response := p.sendHeartbeat(o, sim.now(), d)
+			messages = append(messages, sent, response)
+		}
+	}
+	return messages
+}
+
+// checkKnown checks what a process knows of a replica.
+func (sim *heartbeatSimulation) checkKnown(p, of *testProcess) {
+	sim.t.Helper()
+	known, ok := p.table.Member(of.replica.MemberID)
+	known.WallClock = of.replica.WallClock
+	if !ok || cmp.Diff(known, *of.replica) != "" {
+		sim.t.Fatalf("seed %d: %s knows %+v of %+v", sim.seed, p.addr, known, *of.replica)
+	}
+}
+
+// checkTable checks which replicas are live for a process, and its clock if it is one itself.
+func (sim *heartbeatSimulation) checkTable(p *testProcess) {
+	sim.t.Helper()
+	want := simulatedReplicas
+	if p.replica != nil {
+		want--
+	}
+	if live := p.table.Live(sim.now()); len(live) != want {
+		sim.t.Fatalf("seed %d: for %s %d replicas are live", sim.seed, p.addr, len(live))
+	}
+	clock := p.table.MedianClock(sim.now(), 9, sim.now())
+	if p.replica != nil && clock.Sub(sim.now()).Abs() > time.Millisecond {
+		sim.t.Fatalf("seed %d: for %s the time is %v", sim.seed, p.addr, clock)
+	}
+}
+
 // Replicas and sidecars that send differences converge, through lost messages, restarts and
 // changes of members: all replicas are live, each with its newest status. From then on neither a
 // status nor the known replicas are sent any more.
 func TestHeartbeatsConverge(t *testing.T) {
-	base := time.Now()
 	for seed := range uint64(40) {
-		rng := rand.New(rand.NewPCG(seed, 9))
-		now := time.Duration(0)
-		var all []*testProcess
-		accepted := uint64(1)
-		restart := func(p *testProcess) { p.table, p.encoders = ReplicaTable{}, map[string]HeartbeatEncoder{} }
-		const replicas = 3
-		for i := range 6 {
-			p := &testProcess{addr: fmt.Sprint("side-", i)}
-			if i < replicas {
-				p.addr = fmt.Sprint("replica-", i)
-				s := Replica{MemberID: i + 1, MemberCount: replicas, Addr: p.addr, MemberIncarnation: 1, Incarnation: rng.Uint64(), Established: true, Members: []int{1, 2, 3}, AcceptedRevision: accepted, CommittedRevision: accepted}.WithDigest()
-				p.replica = &s
-			}
-			restart(p)
-			all = append(all, p)
-		}
-		update := func(c *testProcess, change func(s *Replica)) {
-			s := *c.replica
-			change(&s)
-			s = s.WithDigest()
-			c.replica = &s
-		}
-		round := func(lossy bool) (messages []Heartbeat) {
-			now += HeartbeatInterval
-			for _, p := range all {
-				for _, o := range all[:replicas] {
-					if p == o {
-						continue
-					}
-					d := delivered
-					if lossy {
-						d = min(delivered, delivery(rng.IntN(8)))
-					}
-					if p.replica != nil {
-						update(p, func(s *Replica) { s.WallClock = base.Add(now).UnixNano() })
-					}
-					a, b := p.sendHeartbeat(o, base.Add(now), d)
-					messages = append(messages, a, b)
-				}
-			}
-			return messages
-		}
+		sim := newHeartbeatSimulation(t, seed)
 		for range 60 {
-			p := all[rng.IntN(len(all))]
-			switch rng.IntN(6) {
-			case 0:
-				if restart(p); p.replica != nil {
-					update(p, func(s *Replica) { s.Incarnation = rng.Uint64(); s.MemberIncarnation += rng.Uint64N(2) })
-				}
-			case 1:
-				if p.replica != nil { // a new control state is accepted; its members may be others
-					accepted++
-					members := [][]int{{1, 2, 3}, {1, 2, 3, 4}}[rng.IntN(2)]
-					update(p, func(s *Replica) {
-						s.AcceptedRevision, s.Members, s.MemberCount, s.PreviousMembers = accepted, members, len(members), []int{1, 2, 3}
-					})
-				}
-			}
-			round(true)
-		}
-		accepted++
-		for _, c := range all[:replicas] {
-			update(c, func(s *Replica) {
-				s.AcceptedRevision, s.CommittedRevision, s.Members, s.MemberCount, s.PreviousMembers = accepted, accepted, []int{1, 2, 3}, 3, nil
-			})
+			sim.disturb()
+			sim.round(true)
 		}
+		sim.commitEverywhere()
 		for range 3 {
-			round(false)
+			sim.round(false)
 		}
-		for i, h := range round(false) {
+		for i, h := range sim.round(false) {
 			if h.Replica != nil || len(h.KnownReplicas) > 0 || h.RequestFull {
 				t.Fatalf("seed %d: message %d still sends a status: %+v", seed, i, h)
 			}
 		}
-		for _, p := range all {
-			for _, c := range all[:replicas] {
-				if p == c {
-					continue
+		for _, p := range sim.processes {
+			for _, o := range sim.replicas() {
+				if p != o {
+					sim.checkKnown(p, o)
 				}
-				s, ok := p.table.Member(c.replica.MemberID)
-				if s.WallClock = c.replica.WallClock; !ok || cmp.Diff(s, *c.replica) != "" {
-					t.Fatalf("seed %d: %s knows %+v of %+v", seed, p.addr, s, *c.replica)
-				}
-			}
-			want := replicas
-			if p.replica != nil {
-				want--
-			}
-			if live := p.table.Live(base.Add(now)); len(live) != want {
-				t.Fatalf("seed %d: for %s %d replicas are live", seed, p.addr, len(live))
-			}
-			if wall := p.table.MedianClock(base.Add(now), 9, base.Add(now)); p.replica != nil && wall.Sub(base.Add(now)).Abs() > time.Millisecond {
-				t.Fatalf("seed %d: for %s the time is %v", seed, p.addr, wall)
 			}
+			sim.checkTable(p)
 		}
 	}
 }
--- a/internal/membership/peer_status_table_test.go
+++ b/internal/membership/peer_status_table_test.go
@@ -89,7 +89,12 @@
 // A peer is outdated if the own view lacks its node, or has it in an earlier version or in another
 // incarnation than its own status says; the dead are not.
 func TestOutdated(t *testing.T) {
-	view := NewView(map[string]Node{"a": {Addr: "a", Incarnation: 1, Version: 5}, "b": {Addr: "b", Incarnation: 1, Version: 5}, "c": {Addr: "c", Incarnation: 1}, "d": {Addr: "d", Incarnation: 1}}, nil)
+	view := NewView(map[string]Node{
+		"a": {Addr: "a", Incarnation: 1, Version: 5},
+		"b": {Addr: "b", Incarnation: 1, Version: 5},
+		"c": {Addr: "c", Incarnation: 1},
+		"d": {Addr: "d", Incarnation: 1},
+	}, nil)
 	peers := []Peer{
 		{Addr: "a", Incarnation: 1, Version: 5},
 		{Addr: "b", Incarnation: 1, Version: 6},
--- a/internal/membership/replica.go
+++ b/internal/membership/replica.go
@@ -8,8 +8,8 @@
 	// then 1 to MemberCount.
 	MemberCount int    `msgpack:"n" json:"slots"`
 	Addr        string `msgpack:"a" json:"address"`
-	// MemberIncarnation rises each time that a node takes the member's place; of two
-	// replicas with the same MemberID the higher one is right.
+	// MemberIncarnation rises each time that a replica with an empty disk takes the member's
+	// place; of two replicas with the same MemberID the one with the higher counts.
 	MemberIncarnation uint64 `msgpack:"i" json:"incarnation"`
 	// Incarnation identifies the replica's process; it is drawn anew at each start.
 	Incarnation uint64 `msgpack:"b" json:"boot"`
--- a/internal/membership/replica_table_test.go
+++ b/internal/membership/replica_table_test.go
@@ -7,7 +7,10 @@
 )
 
 func newReplica(memberID int, addr string, accepted uint64, members ...int) Replica {
-	return Replica{MemberID: memberID, MemberCount: len(members), Addr: addr, MemberIncarnation: 1, Established: true, CommittedRevision: accepted, AcceptedRevision: accepted, Members: members}
+	return Replica{
+		MemberID: memberID, MemberCount: len(members), Addr: addr, MemberIncarnation: 1, Established: true,
+		CommittedRevision: accepted, AcceptedRevision: accepted, Members: members,
+	}
 }
 
 // The newest members that any replica sent are the ones that count. A former member is forgotten
@@ -51,7 +54,10 @@
 	now := time.Unix(1000, 0)
 	replica := newReplica(1, "a", 1, 1, 2, 3, 4)
 	replica.AcceptedRevision, replica.PreviousMembers = 2, []int{1, 2, 3}
-	table := ReplicaTable{}.Observe(replica, now).Observe(newReplica(2, "b", 1, 1, 2, 3), now).Observe(newReplica(3, "c", 1, 1, 2, 3), now).Observe(newReplica(4, "d", 1, 1, 2, 3), now)
+	table := ReplicaTable{}.Observe(replica, now)
+	for i, addr := range []string{"b", "c", "d"} {
+		table = table.Observe(newReplica(i+2, addr, 1, 1, 2, 3), now)
+	}
 	later := now.Add(time.Millisecond)
 	table = table.Refused("d", later).Refused("c", later)
 	if table.QuorumLost(later) {
@@ -76,7 +82,9 @@
 // from one that is silent.
 func TestCommittedPast(t *testing.T) {
 	now := time.Now()
-	table := ReplicaTable{}.Observe(Replica{MemberID: 1, Addr: "a", MemberIncarnation: 1, CommittedRevision: 7}, now).Observe(Replica{MemberID: 2, Addr: "b", MemberIncarnation: 1, CommittedRevision: 9}, now.Add(-time.Second))
+	table := ReplicaTable{}.
+		Observe(Replica{MemberID: 1, Addr: "a", MemberIncarnation: 1, CommittedRevision: 7}, now).
+		Observe(Replica{MemberID: 2, Addr: "b", MemberIncarnation: 1, CommittedRevision: 9}, now.Add(-time.Second))
 	for name, c := range map[string]struct {
 		revision uint64
 		after    time.Duration
