--- a/internal/watch/event_log_test.go
+++ b/internal/watch/event_log_test.go
@@ -12,83 +12,118 @@
 	"curlewwalk/internal/membership"
 )
 
+// watchSimulation is a watcher and the two replicas that it polls in turn.
+type watchSimulation struct {
+	t    *testing.T
+	seed uint64
+	rng  *rand.Rand
+	now  time.Duration
+	logs []*EventLog
+	// newest is the newest revision that was committed.
+	newest uint64
+
+	// The watcher's state: which replica it asks, its next request, and what it has.
+	current  int
+	req      Request
+	nodes    map[string]membership.Node
+	revision uint64
+
+	snapshots, resumed int
+}
+
+// step lets some time pass, with heartbeats and commits, and perhaps a poll or a change of the
+// replica.
+func (sim *watchSimulation) step(number int) {
+	sim.now += time.Duration(sim.rng.Int64N(int64(20 * time.Millisecond)))
+	if sim.rng.IntN(800) == 0 {
+		sim.now += 3 * time.Second // all are frozen
+	}
+	for _, log := range sim.logs {
+		log.DetectPause(sim.now)
+		log.Tick(sim.now)
+	}
+	for range sim.rng.IntN(6) {
+		n := membership.Node{Addr: fmt.Sprint("node-", sim.rng.IntN(8)), Incarnation: 1 + sim.rng.Uint64N(2), Version: uint64(number)}
+		sim.logs[sim.rng.IntN(2)].ObserveNode(n, sim.now)
+	}
+	if sim.rng.IntN(30) == 0 {
+		sim.newest++
+		state := config.ControlState{Revision: sim.newest - sim.rng.Uint64N(min(sim.newest, 3))}
+		sim.logs[sim.rng.IntN(2)].ObserveCommitted(state)
+	}
+	switch sim.rng.IntN(40) {
+	case 0:
+		sim.current, sim.req = 1-sim.current, Request{}
+	case 1, 2, 3:
+		sim.poll()
+	}
+}
+
+// poll sends the watcher's request, and checks what it has if the response arrives.
+func (sim *watchSimulation) poll() {
+	log := sim.logs[sim.current]
+	if !log.Ready(sim.now) {
+		return
+	}
+	updates, _ := log.Since(sim.req)
+	if sim.rng.IntN(5) == 0 {
+		return // the response is lost: the offset stays
+	}
+	sim.req = Request{LogID: updates.LogID, Offset: updates.Offset}
+	sim.apply(updates)
+	sim.check(log)
+}
+
+func (sim *watchSimulation) apply(updates Updates) {
+	if updates.Snapshot {
+		clear(sim.nodes)
+		sim.snapshots++
+	} else if len(updates.Events) > 0 {
+		sim.resumed++
+	}
+	for _, event := range updates.Events {
+		switch {
+		case event.State != nil:
+			sim.revision = max(sim.revision, event.State.Revision)
+		case event.Node != nil:
+			sim.nodes[event.Node.Addr] = *event.Node
+		default:
+			delete(sim.nodes, event.RemovedNode)
+		}
+	}
+}
+
+// check compares what the watcher has with what the replica has.
+func (sim *watchSimulation) check(log *EventLog) {
+	sim.t.Helper()
+	want := log.Nodes()
+	if len(want) != len(sim.nodes) {
+		sim.t.Fatalf("seed %d: the watcher has %d nodes, the replica %d", sim.seed, len(sim.nodes), len(want))
+	}
+	for _, n := range want {
+		if d := cmp.Diff(n, sim.nodes[n.Addr]); d != "" {
+			sim.t.Fatalf("seed %d: %s", sim.seed, d)
+		}
+	}
+	if state := log.State(); state != nil && sim.revision < state.Revision {
+		sim.t.Fatalf("seed %d: the watcher is at revision %d, the replica at %d", sim.seed, sim.revision, state.Revision)
+	}
+}
+
 // A watcher that polls now and then, through changes of the replica, lost responses, frozen
 // replicas and more events than are kept, always ends with what the replica has that it asked
 // last, and its revision never falls.
 func TestWatchConverges(t *testing.T) {
 	snapshots, resumed := 0, 0
 	for seed := range uint64(40) {
-		rng := rand.New(rand.NewPCG(seed, 2))
-		now := time.Duration(0)
-		logs := []*EventLog{NewEventLog(1, 0), NewEventLog(100, 0)}
-		var req Request
-		at := 0
-		nodes, revision := map[string]membership.Node{}, uint64(0)
-		poll := func() {
-			if !logs[at].Ready(now) {
-				return
-			}
-			updates, _ := logs[at].Since(req)
-			if rng.IntN(5) == 0 {
-				return // the response is lost: the offset stays
-			}
-			req = Request{LogID: updates.LogID, Offset: updates.Offset}
-			if updates.Snapshot {
-				clear(nodes)
-				snapshots++
-			} else if len(updates.Events) > 0 {
-				resumed++
-			}
-			for _, event := range updates.Events {
-				switch {
-				case event.State != nil:
-					revision = max(revision, event.State.Revision)
-				case event.Node != nil:
-					nodes[event.Node.Addr] = *event.Node
-				default:
-					delete(nodes, event.RemovedNode)
-				}
-			}
-			var want []membership.Node
-			want = append(want, logs[at].Nodes()...)
-			if len(want) != len(nodes) {
-				t.Fatalf("seed %d: the watcher has %d nodes, the replica %d", seed, len(nodes), len(want))
-			}
-			for _, w := range want {
-				if d := cmp.Diff(w, nodes[w.Addr]); d != "" {
-					t.Fatalf("seed %d: %s", seed, d)
-				}
-			}
-			if state := logs[at].State(); state != nil && revision < state.Revision {
-				t.Fatalf("seed %d: the watcher is at revision %d, the replica at %d", seed, revision, state.Revision)
-			}
+		sim := &watchSimulation{
+			t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 2)),
+			logs: []*EventLog{NewEventLog(1, 0), NewEventLog(100, 0)}, nodes: map[string]membership.Node{},
 		}
-		var newest uint64
-		for step := range 4000 {
-			now += time.Duration(rng.Int64N(int64(20 * time.Millisecond)))
-			if rng.IntN(800) == 0 {
-				now += 3 * time.Second // all are frozen
-			}
-			for _, log := range logs {
-				log.DetectPause(now)
-				log.Tick(now)
-			}
-			for range rng.IntN(6) {
-				n := membership.Node{Addr: fmt.Sprint("node-", rng.IntN(8)), Incarnation: 1 + rng.Uint64N(2), Version: uint64(step)}
-				logs[rng.IntN(2)].ObserveNode(n, now)
-			}
-			if rng.IntN(30) == 0 {
-				newest++
-				state := config.ControlState{Revision: newest - rng.Uint64N(min(newest, 3))}
-				logs[rng.IntN(2)].ObserveCommitted(state)
-			}
-			switch rng.IntN(40) {
-			case 0:
-				at, req = 1-at, Request{}
-			case 1, 2, 3:
-				poll()
-			}
+		for number := range 4000 {
+			sim.step(number)
 		}
+		snapshots, resumed = snapshots+sim.snapshots, resumed+sim.resumed
 	}
 	if snapshots == 0 || resumed == 0 {
 		t.Errorf("%d snapshots, %d resumed", snapshots, resumed)
