--- a/internal/config/member.go
+++ b/internal/config/member.go
@@ -4,7 +4,7 @@
 // and no ID is used twice. (DESIGN 6.5)
 type Member struct {
 	MemberID int `msgpack:"s" json:"slot"`
-	// DiskID identifies the disk; zero for a founding member, whose place any disk may take.
+	// DiskID identifies the disk; zero for a founding member, which any disk may be.
 	DiskID uint64 `msgpack:"d,omitempty" json:"id,omitempty"`
 	// Addr is the address that the replica had when it was added.
 	Addr string `msgpack:"a,omitempty" json:"address,omitempty"`
--- a/internal/membership/digest.go
+++ b/internal/membership/digest.go
@@ -58,8 +58,8 @@
 }
 
 // Digest returns the digest of what one process can teach another about replicas it has not
-// observed itself: who takes the place of each member, in which member incarnation, and the
-// newest members. own is the process's own replica; nil if it is a sidecar.
+// observed itself: which replica each member is, in which member incarnation, and the newest
+// members. own is the process's own replica; nil if it is a sidecar.
 func (t ReplicaTable) Digest(own *Replica) uint64 {
 	t = t.withOwn(own)
 	d := digestBuilder{}
--- a/internal/membership/discovery.go
+++ b/internal/membership/discovery.go
@@ -67,7 +67,7 @@
 type heartbeatResult struct {
 	addr string
 	sent Heartbeat
-	// response is nil if there was none; refused tells whether the connection was refused.
+	// response is nil if there was none; refused says whether the connection was refused.
 	response *Heartbeat
 	refused  bool
 }
@@ -195,7 +195,7 @@
 	return h
 }
 
-// heartbeatAll sends a round of heartbeats. exchangeBudgets tells whether counts by contract are
+// heartbeatAll sends a round of heartbeats. exchangeBudgets says whether counts by contract are
 // sent and their sums asked for in this one.
 func (d *Discovery) heartbeatAll(ctx context.Context, exchangeBudgets bool) {
 	d.lastRound = time.Now()
--- a/internal/membership/gossiper.go
+++ b/internal/membership/gossiper.go
@@ -182,7 +182,7 @@
 type gossipResult struct {
 	addr   string
 	sentAt time.Time
-	// response is nil if there was none; refused tells whether the connection was refused.
+	// response is nil if there was none; refused says whether the connection was refused.
 	response *GossipResponse
 	refused  bool
 }
--- a/internal/membership/heartbeat_encoder.go
+++ b/internal/membership/heartbeat_encoder.go
@@ -13,7 +13,7 @@
 	tableDigest uint64
 }
 
-// Encode reduces a full heartbeat to what the receiver lacks. includeBudgets tells whether the
+// Encode reduces a full heartbeat to what the receiver lacks. includeBudgets says whether the
 // node's counts by contract go into a NodeStatus.
 func (e HeartbeatEncoder) Encode(full Heartbeat, includeBudgets bool) Heartbeat {
 	if full.TableDigest == e.tableDigest {
@@ -30,7 +30,7 @@
 }
 
 // Acknowledge takes the response to an encoded heartbeat and returns the encoder for the next
-// one. resend tells whether that should be sent at once, because this one left out something
+// one. resend says whether that should be sent at once, because this one left out something
 // that the receiver lacks.
 func (e HeartbeatEncoder) Acknowledge(sent, response Heartbeat) (next HeartbeatEncoder, resend bool) {
 	next.tableDigest = response.TableDigest
--- a/internal/membership/peer_status_table.go
+++ b/internal/membership/peer_status_table.go
@@ -12,7 +12,7 @@
 const PeerStatusTTL = 4 * time.Second // (ours)
 
 // PeerStatusTable is what the sidecars reported of themselves, received from them or through
-// others. It tells whether a majority of them confirms that there is no newer control state than
+// others. It says whether a majority of them confirms that there is no newer control state than
 // the one in force. It is an immutable value: methods that change it return the next one; the
 // zero value knows nothing. (DESIGN 7.4)
 type PeerStatusTable struct {
--- a/internal/membership/replica.go
+++ b/internal/membership/replica.go
@@ -1,6 +1,6 @@
 package membership
 
-// Replica is the status of one control plane replica: a control plane node in the place of a
+// Replica is the status of one control plane replica: a control plane node that runs as a
 // member. Only the replica itself issues it; others pass it on unchanged.
 type Replica struct {
 	MemberID int `msgpack:"s" json:"slot"`
@@ -8,8 +8,8 @@
 	// then 1 to MemberCount.
 	MemberCount int    `msgpack:"n" json:"slots"`
 	Addr        string `msgpack:"a" json:"address"`
-	// MemberIncarnation rises each time that a replica with an empty disk takes the member's
-	// place; of two replicas with the same MemberID the one with the higher counts.
+	// MemberIncarnation rises each time that a replica with an empty disk joins as the member;
+	// of two replicas with the same MemberID the one with the higher counts.
 	MemberIncarnation uint64 `msgpack:"i" json:"incarnation"`
 	// Incarnation identifies the replica's process; it is drawn anew at each start.
 	Incarnation uint64 `msgpack:"b" json:"boot"`
--- a/internal/membership/replica_table.go
+++ b/internal/membership/replica_table.go
@@ -14,18 +14,18 @@
 // and does not answer.
 const candidateTTL = 30 * time.Second // (ours)
 
-// ReplicaTable is what one process knows of the control plane replicas: which one takes the
-// place of which member, and when it last sent its status. Only a replica's own message puts it
-// into a member's place; what others report makes its address a candidate for heartbeats.
+// ReplicaTable is what one process knows of the control plane replicas: which one is which
+// member, and when it last sent its status. Only a replica's own message makes it the member;
+// what others report makes its address a candidate for heartbeats.
 //
 // The table is an immutable value: methods that change it return the next one. The zero value
 // knows nothing.
 type ReplicaTable struct {
 	// byMember are the replicas that sent a status themselves, by member ID.
 	byMember map[int]observation
-	// refused tells when a connection to an address was last refused: no process listens.
+	// refused says when a connection to an address was last refused: no process listens.
 	refused map[string]time.Time
-	// candidates tells when an address was last reported by others.
+	// candidates says when an address was last reported by others.
 	candidates map[string]time.Time
 	// reported are the replicas as others reported them, by member ID.
 	reported map[int]Replica
@@ -51,7 +51,7 @@
 	return next.updateMembers(replica).removeFormerMembers(now)
 }
 
-// outranks reports whether the observed replica keeps its member's place against another one:
+// outranks reports whether the observed replica stays the member against another one:
 // if that has a lower member incarnation, or, in the same one, another address while the
 // observed one is live. The latter happens only before any of the two is established.
 func (o observation) outranks(other Replica, now time.Time) bool {
--- a/internal/watch/drain.go
+++ b/internal/watch/drain.go
@@ -8,7 +8,7 @@
 // DrainStatus says how far the evacuation of a zone has come.
 type DrainStatus struct {
 	Zone string `json:"locality"`
-	// Evacuated tells whether the control state has the zone evacuated, and Revision is that
+	// Evacuated says whether the control state has the zone evacuated, and Revision is that
 	// control state's.
 	Evacuated bool   `json:"emptied"`
 	Revision  uint64 `json:"stamp"`
--- a/internal/watch/mirror.go
+++ b/internal/watch/mirror.go
@@ -18,7 +18,7 @@
 func NewMirror() *Mirror { return &Mirror{Nodes: map[string]membership.Node{}} }
 
 // Apply takes updates whose patches are decoded. state is a control state to put in force, nil if
-// there is none newer; changed tells whether there was any event.
+// there is none newer; changed says whether there was any event.
 func (m *Mirror) Apply(updates Updates) (state *config.ControlState, changed bool) {
 	if updates.Snapshot {
 		clear(m.Nodes)
--- a/internal/watch/replica_selector.go
+++ b/internal/watch/replica_selector.go
@@ -37,7 +37,7 @@
 	own, zone string
 	// failedAt is when a replica last failed, by address.
 	failedAt map[string]time.Time
-	// current is the replica that was asked last; answered tells whether it responded, even if
+	// current is the replica that was asked last; answered says whether it responded, even if
 	// its confirmation was too old.
 	current  membership.Replica
 	answered bool
