--- a/tests/mutation/catalogue.go
+++ b/tests/mutation/catalogue.go
@@ -82,7 +82,7 @@
 	{sentAfterEvacuation, "internal/controlplane/consensus/command_resolution.go", "case revision <= *command.SinceRevision:", "case revision <= *command.SinceRevision || true:", "./internal/controlplane/consensus", "TestDelayedDuplicateOfEvacuation", nil},
 	{sentAfterEvacuation, "internal/controlplane/consensus/state_files.go", "Evacuations: header.Evacuations, CompactedRevision: header.CompactedRevision,", "", "./internal/controlplane/consensus", "TestEvacuationsOnDisk", nil},
 	{staleConfiguration, "internal/watch/event.go", "return event == Event{}", "return event.State == nil", "./internal/watch", "TestNewestStateOnly", nil},
-	{slowRecovery, "internal/watch/nodes.go", "return n.Version >= status.Version", "return true", "./internal/watch", "TestHeartbeatsConverge", nil},
+	{slowRecovery, "internal/watch/nodes.go", "return n.Version >= status.Version", "return true", "./internal/watch", "TestObserveStatus", nil},
 	{slowRecovery, "internal/watch/nodes.go", "if !ok || n.Incarnation != status.Incarnation {", "if !ok {", "./internal/watch", "TestHeartbeatsConverge", nil},
 	{slowRecovery, "internal/membership/heartbeat_encoder.go", "if response.TableDigest == 0 || response.RequestFull {", "if response.RequestFull {", "./internal/watch", "TestHeartbeatsConverge", nil},
 	{staleConfiguration, "internal/watch/nodes.go", "n.Version == status.Version && n.Sequence <= status.Sequence", "n.Version == status.Version", "./internal/watch", "TestHeartbeatsConverge", nil},
