--- a/internal/dataplane/proxy/cancel.go
+++ b/internal/dataplane/proxy/cancel.go
@@ -19,7 +19,7 @@
 var ErrStopping = eris.New(stoppingReason)
 
 // errCanceled is the cause with which the context of an attempt ends that was canceled.
-var errCanceled = eris.New("the attempt was recalled")
+var errCanceled = eris.New("the attempt was canceled")
 
 // errNotCancel answers a call that is not a CancelRequest. Its text is part of the protocol.
 var errNotCancel = errors.New("not a recall")
--- a/internal/dataplane/proxy/writeguard.go
+++ b/internal/dataplane/proxy/writeguard.go
@@ -10,7 +10,7 @@
 )
 
 // errGuardClosed is the error of a write that the guard has not allowed.
-var errGuardClosed = eris.New("the gate was shut before the write")
+var errGuardClosed = eris.New("the attempt must not be written")
 
 // The states of a writeGuard. It goes once from open to one of the others, and back from written
 // to open only if no byte was taken.
--- a/internal/dataplane/routing/conditions.go
+++ b/internal/dataplane/routing/conditions.go
@@ -27,8 +27,8 @@
 	// AcceptLate says that an answer past TargetTime is better than none. Then the queue at the
 	// backend decides, which knows more of the present than was learned.
 	AcceptLate bool
-	// RetryAfter is the least time after which a rejected client should send again; zero: a
-	// second.
+	// RetryAfter is the least time after which a rejected client should send again; zero:
+	// defaultRetryAfter.
 	RetryAfter time.Duration
 	// SpendRetry takes a retry from the retry budget; false if that is used up. It is asked for
 	// each attempt after one that reached a backend.
--- a/internal/dataplane/routing/history.go
+++ b/internal/dataplane/routing/history.go
@@ -6,6 +6,10 @@
 	"time"
 )
 
+// defaultRetryAfter is the least time after which a rejected request should be sent again, where
+// the conditions set none.
+const defaultRetryAfter = time.Second // (ours)
+
 // history is what is known of a request from its attempts so far.
 type history struct {
 	// outcome is NotRun only if every attempt is proven not to have run.
@@ -25,7 +29,7 @@
 	past := history{
 		outcome:          NotRun,
 		reason:           "no backend of " + d.Route.Service,
-		retryAfter:       cmp.Or(d.Conditions.RetryAfter, time.Second),
+		retryAfter:       cmp.Or(d.Conditions.RetryAfter, defaultRetryAfter),
 		deadlineExceeded: !now.Before(d.Deadline),
 	}
 	for _, attempt := range d.attempts {
