--- a/tests/simulation/leases.go
+++ b/tests/simulation/leases.go
@@ -4,8 +4,6 @@
 	"fmt"
 	"time"
 
-	"curlewwalk/internal/config"
-	"curlewwalk/internal/controlplane/consensus"
 	"curlewwalk/internal/dataplane/endpoints"
 	"curlewwalk/internal/membership"
 	"curlewwalk/internal/watch"
@@ -120,246 +118,29 @@
 		})
 	}
 	for _, replica := range sim.replicas {
-		sim.repeat(300*time.Millisecond, forever, func() { sim.ifAwake(replica.frozenUntil, func() { sim.quorumRead(replica) }) })
-		sim.repeat(100*time.Millisecond, forever, func() {
-			sim.ifAwake(replica.frozenUntil, func() { replica.watch.DetectPause(sim.now); replica.watch.Tick(sim.now) })
-		})
+		sim.whileAwake(300*time.Millisecond, &replica.frozenUntil, func() { sim.quorumRead(replica) })
+		sim.whileAwake(100*time.Millisecond, &replica.frozenUntil, func() { replica.watch.DetectPause(sim.now); replica.watch.Tick(sim.now) })
 	}
 	for _, sidecar := range sim.sidecars {
-		sim.repeat(300*time.Millisecond, forever, func() { sim.ifAwake(sidecar.frozenUntil, func() { sim.watchReplica(sidecar) }) })
-		sim.repeat(50*time.Millisecond, forever, func() { sim.ifAwake(sidecar.frozenUntil, func() { sim.checkAdmission(sidecar) }) })
-		sim.repeat(500*time.Millisecond, forever, func() { sim.ifAwake(sidecar.frozenUntil, func() { sim.queryPeers(sidecar) }) })
+		sim.whileAwake(300*time.Millisecond, &sidecar.frozenUntil, func() { sim.watchReplica(sidecar) })
+		sim.whileAwake(50*time.Millisecond, &sidecar.frozenUntil, func() { sim.checkAdmission(sidecar) })
+		sim.whileAwake(500*time.Millisecond, &sidecar.frozenUntil, func() { sim.queryPeers(sidecar) })
 	}
 	sim.run(d)
 }
 
-// ifAwake runs an action unless its process is frozen.
-func (sim *ServingLeases) ifAwake(frozenUntil time.Duration, action func()) {
-	if frozenUntil <= sim.now {
-		action()
-	}
-}
-
-// write commits the next revision: each replica accepts it when the message comes, and it is
-// acknowledged once a majority has accepted it and the sidecars had time to apply it.
-func (sim *ServingLeases) write() {
-	if sim.controlPlaneDown() {
-		return
-	}
-	revision := uint64(len(sim.ackedAt) + 1)
-	if revision > 1 && sim.ackedAt[revision-2] == 0 {
-		return // the one before is still in flight
-	}
-	sim.ackedAt = append(sim.ackedAt, 0)
-	from := sim.replicas[sim.rng.IntN(len(sim.replicas))]
-	accepted := map[*leaseReplica]bool{}
-	var propose func()
-	propose = func() {
-		if sim.ackedAt[revision-1] != 0 {
-			return
+// whileAwake runs an action at an interval, but not while its process is frozen.
+func (sim *ServingLeases) whileAwake(interval time.Duration, frozenUntil *time.Duration, action func()) {
+	sim.repeat(interval, forever, func() {
+		if *frozenUntil <= sim.now {
+			action()
 		}
-		for _, replica := range sim.replicas {
-			sim.send(&from.partition, &replica.partition, &replica.frozenUntil, func() {
-				replica.accepted = max(replica.accepted, revision)
-				sim.send(&replica.partition, &from.partition, &from.frozenUntil, func() {
-					if accepted[replica] = true; len(accepted) >= consensus.Majority(len(sim.replicas)) && len(sim.committedAt) < int(revision) {
-						sim.committedAt = append(sim.committedAt, sim.now)
-						sim.acknowledge(revision, sim.now+ackTimeout)
-					}
-				})
-			})
-		}
-		sim.after(400*time.Millisecond, propose)
-	}
-	propose()
-}
-
-// acknowledge acknowledges a revision once all sidecars have applied it; after until, once most
-// of them have; and ackMajorityTimeout later in any case.
-func (sim *ServingLeases) acknowledge(revision uint64, until time.Duration) {
-	applied := 0
-	for _, sidecar := range sim.sidecars {
-		if sidecar.revision >= revision {
-			applied++
-		}
-	}
-	timedOut := sim.now >= until && (applied > len(sim.sidecars)/2 || sim.now >= until+ackMajorityTimeout)
-	if sim.ackedAt[revision-1] != 0 || applied < len(sim.sidecars) && !timedOut {
-		sim.after(20*time.Millisecond, func() {
-			if sim.ackedAt[revision-1] == 0 && !sim.controlPlaneDown() {
-				sim.acknowledge(revision, until)
-			}
-		})
-		return
-	}
-	sim.ackedAt[revision-1] = sim.now
-	if applied <= len(sim.sidecars)/2 {
-		sim.unconfirmed[revision] = true
-	}
+	})
 }
 
 // controlPlaneDown reports whether all replicas have lost power.
 func (sim *ServingLeases) controlPlaneDown() bool { return sim.outageAt > 0 && sim.now >= sim.outageAt }
 
-// isolated reports whether a sidecar can tell that no majority of the replicas is alive: their
-// machines refuse its connections.
-func (sim *ServingLeases) isolated(sidecar *leaseSidecar) bool {
-	refused := 0
-	for _, replica := range sim.replicas {
-		if sim.controlPlaneDown() && replica.partition == sidecar.partition {
-			refused++
-		}
-	}
-	return refused >= consensus.Majority(len(sim.replicas))
-}
-
-// queryPeers asks some other sidecars for their status, and for what they know of others, while
-// no replica answers. Enough of them that have lost the control plane too, and have applied no
-// newer revision, confirm the sidecar's own.
-func (sim *ServingLeases) queryPeers(sidecar *leaseSidecar) {
-	if sim.now-sidecar.updatedAt < queryAfter {
-		return
-	}
-	begin, known := sim.now, []string{}
-	for _, peer := range sim.sidecars {
-		known = append(known, peer.addr)
-	}
-	for _, i := range sim.rng.Perm(len(sim.sidecars))[:membership.Fanout] {
-		peer := sim.sidecars[i]
-		if peer == sidecar {
-			continue
-		}
-		sim.send(&sidecar.partition, &peer.partition, &peer.frozenUntil, func() {
-			reports, revision := peer.peers.Report(sim.peer(peer), membership.NewView(nil, nil), sim.base.Add(sim.now)), peer.revision
-			sim.send(&peer.partition, &sidecar.partition, &sidecar.frozenUntil, func() {
-				if revision > sidecar.revision {
-					sim.fetch(sidecar, peer)
-				}
-				if sim.now-begin > queryTimeout {
-					return // timed out
-				}
-				sidecar.peers = sidecar.peers.Observe(sidecar.addr, reports, sim.base.Add(begin), sim.base.Add(sim.now))
-				if asOf, ok := sidecar.peers.ConfirmedAsOf(sidecar.addr, sidecar.revision, known, sim.base.Add(sim.now)); ok {
-					sidecar.peerLease.Renew(asOf)
-				}
-			})
-		})
-	}
-}
-
-// peer is the status that a sidecar reports of itself.
-func (sim *ServingLeases) peer(sidecar *leaseSidecar) membership.Peer {
-	return membership.Peer{Addr: sidecar.addr, Incarnation: 1, Status: &membership.PeerStatus{AppliedRevision: sidecar.revision, QuorumLost: sim.isolated(sidecar)}}
-}
-
-// fetch gets the revision of another sidecar.
-func (sim *ServingLeases) fetch(sidecar, peer *leaseSidecar) {
-	sim.send(&sidecar.partition, &peer.partition, &peer.frozenUntil, func() {
-		revision := peer.revision
-		sim.send(&peer.partition, &sidecar.partition, &sidecar.frozenUntil, func() { sidecar.revision = max(sidecar.revision, revision) })
-	})
-}
-
-// quorumRead reads from a majority. As in production, a replica learns only later that what it
-// read is committed.
-func (sim *ServingLeases) quorumRead(replica *leaseReplica) {
-	begin := sim.now
-	replies := map[*leaseReplica]uint64{}
-	for _, peer := range sim.replicas {
-		sim.send(&replica.partition, &peer.partition, &peer.frozenUntil, func() {
-			accepted := peer.accepted
-			sim.send(&peer.partition, &replica.partition, &replica.frozenUntil, func() {
-				replies[peer] = accepted
-				if len(replies) != consensus.Majority(len(sim.replicas)) {
-					return
-				}
-				var newest uint64
-				for _, revision := range replies {
-					newest = max(newest, revision)
-				}
-				if !replica.reading || begin > replica.readBegan && newest <= replica.readRevision {
-					replica.reading, replica.readBegan, replica.readRevision = true, begin, newest
-				}
-				// That revision is committed here some time later.
-				if newest > 0 && len(sim.committedAt) >= int(newest) {
-					replica.watch.ObserveCommitted(config.ControlState{Revision: newest})
-				}
-				sim.confirmRead(replica)
-			})
-		})
-	}
-}
-
-// confirmRead ends a quorum read once its revision is committed here.
-func (*ServingLeases) confirmRead(replica *leaseReplica) {
-	var committed uint64
-	if state := replica.watch.State(); state != nil {
-		committed = state.Revision
-	}
-	if replica.reading && committed >= replica.readRevision {
-		replica.reading, replica.confirmedAt = false, replica.readBegan
-	}
-}
-
-// watchReplica asks the watched replica for updates. The lease counts from when the replica was
-// last confirmed, as of the moment it was asked.
-func (sim *ServingLeases) watchReplica(sidecar *leaseSidecar) {
-	sentAt, replicaIndex := sim.now, sidecar.replica
-	replica := sim.replicas[replicaIndex]
-	if sim.rng.IntN(40) == 0 {
-		sidecar.replica, sidecar.offset = sim.rng.IntN(len(sim.replicas)), watch.Request{}
-		return
-	}
-	sim.send(&sidecar.partition, &replica.partition, &replica.frozenUntil, func() {
-		replica.watch.DetectPause(sim.now)
-		if !replica.watch.Ready(sim.now) {
-			return
-		}
-		updates, _ := replica.watch.Since(sidecar.offset)
-		age := time.Hour
-		if replica.confirmedAt >= 0 {
-			age = sim.now - replica.confirmedAt
-		}
-		sim.send(&replica.partition, &sidecar.partition, &sidecar.frozenUntil, func() {
-			if sidecar.replica != replicaIndex {
-				return
-			}
-			sidecar.offset = watch.Request{LogID: updates.LogID, Offset: updates.Offset}
-			for _, event := range updates.Events {
-				if event.State != nil {
-					sidecar.revision = max(sidecar.revision, event.State.Revision)
-				}
-			}
-			sidecar.updatedAt = sim.now
-			sidecar.lease.Renew(sim.base.Add(sentAt - age))
-		})
-	})
-}
-
-// checkAdmission checks what a lease promises, at a moment at which the sidecar would admit a
-// request: no revision that it lacks was committed more than LeaseDuration ago.
-func (sim *ServingLeases) checkAdmission(sidecar *leaseSidecar) {
-	now := sim.base.Add(sim.now)
-	switch {
-	case sidecar.lease.Age(now) <= endpoints.LeaseDuration:
-		sim.Admitted++
-	case sidecar.peerLease.Age(now) <= endpoints.LeaseDuration && sim.isolated(sidecar):
-		sim.AdmittedByPeers++
-	default:
-		sim.Lapsed++
-		return
-	}
-	for i := sidecar.revision; i < uint64(len(sim.ackedAt)); i++ {
-		if committedAt := sim.committedAt; sim.ackedAt[i] != 0 && sim.now-committedAt[i] > endpoints.LeaseDuration {
-			if sim.controlPlaneDown() && sim.unconfirmed[i+1] {
-				sim.Unconfirmed++
-				continue
-			}
-			sim.Violations = append(sim.Violations, fmt.Sprintf("%v: admitted at revision %d, %v after a majority had accepted %d", sim.now, sidecar.revision, sim.now-committedAt[i], i+1))
-		}
-	}
-}
-
 // injectFaults partitions, heals and freezes.
 func (sim *ServingLeases) injectFaults() {
 	for _, replica := range sim.replicas {
--- a/tests/simulation/membership.go
+++ b/tests/simulation/membership.go
@@ -138,32 +138,39 @@
 	}
 	sim.after(timeout, func() { finish(nil, false) })
 	quiet := sim.now >= sim.until
-	lost := func() bool { return !quiet && sim.rng.IntN(12) == 0 || from.partition != to.partition }
-	delay := func() time.Duration {
-		if !quiet && sim.rng.IntN(30) == 0 {
-			return sim.randomDuration(2 * time.Second)
-		}
-		return sim.randomDuration(10 * time.Millisecond)
-	}
-	if lost() {
+	if sim.lost(from, to, quiet) {
 		return
 	}
-	sim.after(delay(), func() {
+	sim.after(sim.delay(quiet), func() {
 		if !to.up {
 			finish(nil, true)
 			return
 		}
 		targetIncarnation := to.incarnation
 		sim.after(max(0, to.frozenUntil-sim.now), func() {
-			if to.incarnation != targetIncarnation || !to.up || lost() {
+			if to.incarnation != targetIncarnation || !to.up || sim.lost(from, to, quiet) {
 				return
 			}
 			answer := handle()
-			sim.after(delay(), func() { finish(answer, false) })
+			sim.after(sim.delay(quiet), func() { finish(answer, false) })
 		})
 	})
 }
 
+// lost draws whether a message is lost. Of a call that is quiet, as those after the faults are,
+// none is lost but by a partition.
+func (sim *Membership) lost(from, to *gossipHost, quiet bool) bool {
+	return !quiet && sim.rng.IntN(12) == 0 || from.partition != to.partition
+}
+
+// delay draws how long a message is on its way; one of thirty is late, unless its call is quiet.
+func (sim *Membership) delay(quiet bool) time.Duration {
+	if !quiet && sim.rng.IntN(30) == 0 {
+		return sim.randomDuration(2 * time.Second)
+	}
+	return sim.randomDuration(10 * time.Millisecond)
+}
+
 // heartbeat sends a heartbeat to all replicas.
 func (sim *Membership) heartbeat(sidecar *gossipSidecar) {
 	sidecar.node.AppliedRevision = sidecar.revision
@@ -185,22 +192,7 @@
 		sim.DeltaHeartbeats++
 	}
 	sim.call(&sidecar.gossipHost, &replica.gossipHost, 750*time.Millisecond, func() any {
-		replica.watch.DetectPause(sim.now)
-		reply := membership.Heartbeat{TableDigest: 1}
-		if sent.Node != nil {
-			replica.watch.ObserveNode(*sent.Node, sim.now)
-		} else {
-			reply.RequestFull = !replica.watch.ObserveStatus(*sent.NodeStatus, sim.now)
-		}
-		for _, n := range replica.watch.Nodes() {
-			if !slices.Equal(n.Backends, backends(n)) {
-				sim.violation("%s shows %+v", replica.addr, n)
-			}
-		}
-		if refutation, ok := replica.watch.Suspected()[sidecar.addr]; ok {
-			reply.Suspected = &refutation
-		}
-		return reply
+		return sim.receiveHeartbeat(replica, sidecar.addr, sent)
 	}, func(answer any, _ bool) {
 		reply, ok := answer.(membership.Heartbeat)
 		if !ok {
@@ -220,6 +212,27 @@
 	})
 }
 
+// receiveHeartbeat has a replica take in a heartbeat, and returns its reply. It checks that the
+// replica shows no node with the backends of another version.
+func (sim *Membership) receiveHeartbeat(replica *gossipReplica, sender string, heartbeat membership.Heartbeat) membership.Heartbeat {
+	replica.watch.DetectPause(sim.now)
+	reply := membership.Heartbeat{TableDigest: 1}
+	if heartbeat.Node != nil {
+		replica.watch.ObserveNode(*heartbeat.Node, sim.now)
+	} else {
+		reply.RequestFull = !replica.watch.ObserveStatus(*heartbeat.NodeStatus, sim.now)
+	}
+	for _, n := range replica.watch.Nodes() {
+		if !slices.Equal(n.Backends, backends(n)) {
+			sim.violation("%s shows %+v", replica.addr, n)
+		}
+	}
+	if refutation, ok := replica.watch.Suspected()[sender]; ok {
+		reply.Suspected = &refutation
+	}
+	return reply
+}
+
 // backends are the backends of a node, different in each incarnation and version.
 func backends(n membership.Node) []membership.Backend {
 	return []membership.Backend{{Instance: fmt.Sprint(n.Addr, " ", n.Incarnation, " ", n.Version)}}
--- a/tests/simulation/membership_watch.go
+++ b/tests/simulation/membership_watch.go
@@ -16,19 +16,10 @@
 // watchReplica asks the first live replica in rendezvous order for updates; one that failed
 // lately comes last.
 func (sim *Membership) watchReplica(sidecar *gossipSidecar) {
-	live := rendezvous.Rank(sidecar.addr, sidecar.replicas.Live(sim.base.Add(sim.now)), func(c membership.Replica) string { return c.Addr })
-	if len(live) == 0 {
+	if !sim.chooseReplica(sidecar) {
 		return
 	}
-	slices.SortStableFunc(live, func(a, b membership.Replica) int {
-		return int(sidecar.failedAt[a.Addr]/1e6) - int(sidecar.failedAt[b.Addr]/1e6)
-	})
-	replica := sim.replicas[live[0].MemberID-1]
-	if sidecar.replica != replica || sidecar.replicaStartID != live[0].Incarnation {
-		sidecar.replica, sidecar.replicaStartID, sidecar.offset = replica, live[0].Incarnation, watch.Request{}
-		sim.Redirected++
-	}
-	offset, request := sidecar.offset, sidecar.decoder.Prepare(sidecar.offset)
+	replica, offset, request := sidecar.replica, sidecar.offset, sidecar.decoder.Prepare(sidecar.offset)
 	sim.call(&sidecar.gossipHost, &replica.gossipHost, 900*time.Millisecond, func() any {
 		replica.watch.DetectPause(sim.now)
 		if !replica.watch.Ready(sim.now) {
@@ -45,27 +36,52 @@
 		if sidecar.replica != replica || sidecar.offset.LogID != offset.LogID || sidecar.offset.Offset != offset.Offset {
 			return // a later call was answered first
 		}
-		for _, event := range updates.Events {
-			if event.StatePatch != nil {
-				sim.Patched++
-			}
-		}
-		updates.Events = slices.Clone(updates.Events) // the replica owns them
-		if !sidecar.decoder.Decode(&updates) {
-			sim.Unreadable++
-			return // the next request is for the full state
-		}
-		sidecar.offset = watch.Request{LogID: updates.LogID, Offset: updates.Offset}
-		if state, _ := sidecar.mirror.Apply(updates); state != nil {
-			if state.Revision < sidecar.revision {
-				sim.violation("%s went from revision %d back to %d", sidecar.addr, sidecar.revision, state.Revision)
-			}
-			sidecar.revision = state.Revision
-			if !bytes.Equal(state.Configuration, stateOf(state.Revision).Configuration) {
-				sim.violation("%s applied another content as revision %d", sidecar.addr, state.Revision)
-			}
-		}
+		sim.applyUpdates(sidecar, updates)
+	})
+}
+
+// chooseReplica has a sidecar choose the replica that it watches; false if none is live.
+func (sim *Membership) chooseReplica(sidecar *gossipSidecar) bool {
+	live := rendezvous.Rank(sidecar.addr, sidecar.replicas.Live(sim.base.Add(sim.now)), func(r membership.Replica) string { return r.Addr })
+	if len(live) == 0 {
+		return false
+	}
+	slices.SortStableFunc(live, func(a, b membership.Replica) int {
+		return int(sidecar.failedAt[a.Addr]/1e6) - int(sidecar.failedAt[b.Addr]/1e6)
 	})
+	replica := sim.replicas[live[0].MemberID-1]
+	if sidecar.replica != replica || sidecar.replicaStartID != live[0].Incarnation {
+		sidecar.replica, sidecar.replicaStartID, sidecar.offset = replica, live[0].Incarnation, watch.Request{}
+		sim.Redirected++
+	}
+	return true
+}
+
+// applyUpdates has a sidecar apply updates, and checks that it does not go back and that each
+// revision has its own content.
+func (sim *Membership) applyUpdates(sidecar *gossipSidecar, updates watch.Updates) {
+	for _, event := range updates.Events {
+		if event.StatePatch != nil {
+			sim.Patched++
+		}
+	}
+	updates.Events = slices.Clone(updates.Events) // the replica owns them
+	if !sidecar.decoder.Decode(&updates) {
+		sim.Unreadable++
+		return // the next request is for the full state
+	}
+	sidecar.offset = watch.Request{LogID: updates.LogID, Offset: updates.Offset}
+	state, _ := sidecar.mirror.Apply(updates)
+	if state == nil {
+		return
+	}
+	if state.Revision < sidecar.revision {
+		sim.violation("%s went from revision %d back to %d", sidecar.addr, sidecar.revision, state.Revision)
+	}
+	sidecar.revision = state.Revision
+	if !bytes.Equal(state.Configuration, stateOf(state.Revision).Configuration) {
+		sim.violation("%s applied another content as revision %d", sidecar.addr, state.Revision)
+	}
 }
 
 // catchUp copies what another replica has committed, as the heartbeats between replicas do.
--- a/tests/simulation/operators.go
+++ b/tests/simulation/operators.go
@@ -255,22 +255,16 @@
 			return // the replica sees that its caller has gone
 		}
 		command.SinceRevision = &revision
-		forward := o.simulation.randomDuration(50 * time.Millisecond)
-		if o.simulation.rng.IntN(2) == 0 {
-			forward = o.simulation.randomDuration(maxForwardDelay)
-		}
-		o.simulation.after(forward, func() {
+		o.simulation.after(o.forwardDelay(), func() {
 			target := o.randomReplica()
 			if target == nil {
 				return
 			}
 			o.simulation.submit(target, command, func(result consensus.CommandResult) {
-				if o.simulation.rng.Float64() < answerLossRate || finished {
-					o.receiveEvacuationResult(e, result, false)
-					return
-				}
-				o.receiveEvacuationResult(e, result, true)
-				if finished = result.Outcome == consensus.OutcomeCommitted; finished {
+				received := o.simulation.rng.Float64() >= answerLossRate && !finished
+				o.receiveEvacuationResult(e, result, received)
+				if received && result.Outcome == consensus.OutcomeCommitted {
+					finished = true
 					done()
 				}
 			})
@@ -278,6 +272,16 @@
 	})
 }
 
+// forwardDelay draws how long a command is on its way to another replica; half of them are
+// late.
+func (o *Operators) forwardDelay() time.Duration {
+	delay := o.simulation.randomDuration(50 * time.Millisecond)
+	if o.simulation.rng.IntN(2) == 0 {
+		delay = o.simulation.randomDuration(maxForwardDelay)
+	}
+	return delay
+}
+
 // receiveEvacuationResult checks the result of a command on a zone.
 func (o *Operators) receiveEvacuationResult(order evacuation, result consensus.CommandResult, byOperator bool) {
 	switch result.Outcome {
--- a/tests/simulation/reconfiguration.go
+++ b/tests/simulation/reconfiguration.go
@@ -71,25 +71,11 @@
 // heartbeat exchanges status with all other replicas, and has the coordinator remove members
 // that are gone.
 func (sim *Consensus) heartbeat(r *replica) {
-	known := r.members.Observed()
-	replica := r.status()
+	known, status := r.members.Observed(), r.status()
 	for _, to := range sim.replicas {
-		if to == r || to.removed {
-			continue
+		if to != r && !to.removed {
+			sim.exchangeStatus(r, to, status, known)
 		}
-		sim.send(r, to, func() {
-			to.members = to.members.AddReported(known, sim.wallTime())
-			if replica.Established {
-				sim.receiveStatus(to, replica)
-			}
-			reply, replyKnown := to.status(), to.members.Observed()
-			sim.send(to, r, func() {
-				r.members = r.members.AddReported(replyKnown, sim.wallTime())
-				if reply.Established {
-					sim.receiveStatus(r, reply)
-				}
-			})
-		})
 	}
 	r.reconfigurer = r.reconfigurer.Observe(r.acceptor.MemberSets().Current, r.knownMembers(sim.wallTime()), sim.now)
 	if r.acceptor.IsMember() && sim.coordinatorOf(r) == r {
@@ -99,6 +85,24 @@
 	}
 }
 
+// exchangeStatus sends the status of a replica, and of those that it knows, to another one,
+// which replies with the same.
+func (sim *Consensus) exchangeStatus(r, to *replica, status membership.Replica, known []membership.Replica) {
+	sim.send(r, to, func() {
+		sim.observeReplicas(to, status, known)
+		reply, replyKnown := to.status(), to.members.Observed()
+		sim.send(to, r, func() { sim.observeReplicas(r, reply, replyKnown) })
+	})
+}
+
+// observeReplicas takes in the status of the sender of a heartbeat, and of those that it knows.
+func (sim *Consensus) observeReplicas(r *replica, sender membership.Replica, known []membership.Replica) {
+	r.members = r.members.AddReported(known, sim.wallTime())
+	if sender.Established {
+		sim.receiveStatus(r, sender)
+	}
+}
+
 // receiveStatus takes in the status of another replica, and fetches its state if that is newer.
 func (sim *Consensus) receiveStatus(r *replica, status membership.Replica) {
 	r.members = r.members.Observe(status, sim.wallTime())
--- a/tests/simulation/requests_keys.go
+++ b/tests/simulation/requests_keys.go
@@ -138,10 +138,7 @@
 				pending = -1 // all are asked again
 				return
 			}
-			for _, record := range handover.Records {
-				n.reservations.Restore(record.Key, record.Fingerprint, restoredAnswer(record), sim.now)
-				n.replication.AddReplica(record, peer.Node, sim.now)
-			}
+			sim.restore(n, peer, handover)
 			if pending--; pending == 0 {
 				n.ready = true
 			}
@@ -155,6 +152,14 @@
 	})
 }
 
+// restore takes over the keys that a replica has handed over.
+func (sim *Requests) restore(n, replica *requestNode, handover keyreplication.HandoverReply) {
+	for _, record := range handover.Records {
+		n.reservations.Restore(record.Key, record.Fingerprint, restoredAnswer(record), sim.now)
+		n.replication.AddReplica(record, replica.Node, sim.now)
+	}
+}
+
 // repairReplicas stores anew what replicas that have gone had held.
 func (sim *Requests) repairReplicas(n *requestNode) {
 	for _, missing := range n.replication.MissingReplicas(keyreplication.Peers(sim.view, n.Addr), 1000, sim.now) {
--- a/tests/simulation/requests_network.go
+++ b/tests/simulation/requests_network.go
@@ -29,7 +29,6 @@
 		sim.after(time.Millisecond, func() { finish(nil, true) })
 		return
 	}
-	incarnation := to.incarnation
 	copies := 1
 	if sim.rng.IntN(20) == 0 {
 		copies = 2 // the transport drops duplicates; the attempt log must not rely on it
@@ -38,19 +37,23 @@
 		if sim.rng.IntN(20) == 0 {
 			continue // lost
 		}
-		sim.after(sim.delay(), func() {
-			if to.incarnation != incarnation {
-				return // its connection died with it
-			}
-			sim.whenAwake(to, func() {
-				handle(func(answer any) {
-					if sim.rng.IntN(20) > 0 {
-						sim.after(sim.delay(), func() { finish(answer, false) })
-					}
-				})
-			})
-		})
+		sim.deliver(to, handle, func(answer any) { finish(answer, false) })
+	}
+}
+
+// deliver delivers one copy of a call. Its answer may be lost.
+func (sim *Requests) deliver(to *requestNode, handle func(reply func(any)), answered func(answer any)) {
+	incarnation := to.incarnation
+	reply := func(answer any) {
+		if sim.rng.IntN(20) > 0 {
+			sim.after(sim.delay(), func() { answered(answer) })
+		}
 	}
+	sim.after(sim.delay(), func() {
+		if to.incarnation == incarnation { // else its connection died with it
+			sim.whenAwake(to, func() { handle(reply) })
+		}
+	})
 }
 
 // delay draws how long a message is on its way; one of twenty is late.
