--- a/tests/e2e/keyreplication_test.go
+++ b/tests/e2e/keyreplication_test.go
@@ -78,43 +78,37 @@
 // A key survives its sidecar. If that is killed after the run and before the answer, alone or together
 // with any one other node, the repeat does not run again; after the answer, the repeat gets that answer.
 func TestKeySurvivesItsSidecar(t *testing.T) {
-	for _, c := range []struct {
-		name  string
-		lose  int // the node that dies as well; none if 0
-		later bool
-	}{{"before the answer", 0, false}, {"with one other", 1, false}, {"with another", 2, false}, {"after the answer", 0, true}, {"after, with one other", 1, true}} {
-		t.Run(c.name, func(t *testing.T) {
+	for _, test := range []struct {
+		name string
+		// also is the index of a node that dies together with the client's sidecar; none if 0.
+		also     int
+		answered bool // before it dies
+	}{
+		{"before the answer", 0, false},
+		{"with one other", 1, false},
+		{"with another", 2, false},
+		{"after the answer", 0, true},
+		{"after, with one other", 1, true},
+	} {
+		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
 			k := newKeyedFleet(t, 4)
-			first := make(chan string, 1)
-			go func() {
-				status, text := k.sendKeyed("a", "x")
-				for status == 503 && k.ctx.Err() == nil && k.runs.Load() == 0 { // its replicas were too slow
-					status, text = k.sendKeyed("a", "x")
-				}
-				first <- text
-			}()
-			select {
-			case <-k.running:
-			case text := <-first:
-				t.Fatalf("answered without a run: %s", text)
-			case <-k.ctx.Done():
-				t.Fatal("it was never run")
-			}
+			first := k.sendInBackground("a", "x")
+			k.awaitRun(first)
 			want := ""
-			if c.later {
+			if test.answered {
 				k.release <- struct{}{}
 				want = <-first
 				// The replicas get the response after the client.
 				must(t, k.awaitReplicated(2, 2))
 			}
 			var others []*fleet.Program
-			if c.lose > 0 {
-				others = k.Sidecars[c.lose : c.lose+1]
+			if test.also > 0 {
+				others = k.Sidecars[test.also : test.also+1]
 			}
 			k.restartClientSidecar(others...)
 			status, text := k.sendKeyed("a", "x")
-			if c.later && (status != 200 || text != want) || !c.later && status != 502 {
+			if test.answered && (status != 200 || text != want) || !test.answered && status != 502 {
 				t.Errorf("the repeat got %d %q, the first %q", status, text, want)
 			}
 			if status, _ := k.sendKeyed("a", "another"); status != 422 {
@@ -128,6 +122,32 @@
 	}
 }
 
+// sendInBackground sends an order under a key, again while its replicas are too slow for it to run.
+// The channel gets the text of the answer.
+func (k *keyedFleet) sendInBackground(key, body string) <-chan string {
+	answer := make(chan string, 1)
+	go func() {
+		status, text := k.sendKeyed(key, body)
+		for status == 503 && k.ctx.Err() == nil && k.runs.Load() == 0 {
+			status, text = k.sendKeyed(key, body)
+		}
+		answer <- text
+	}()
+	return answer
+}
+
+// awaitRun waits until an order runs, which must be before its answer.
+func (k *keyedFleet) awaitRun(answer <-chan string) {
+	k.t.Helper()
+	select {
+	case <-k.running:
+	case text := <-answer:
+		k.t.Fatalf("answered without a run: %s", text)
+	case <-k.ctx.Done():
+		k.t.Fatal("it was never run")
+	}
+}
+
 // awaitReplicated waits until the other nodes hold so many records, and so many of them with responses.
 func (k *keyedFleet) awaitReplicated(records, responses int) error {
 	return fleet.Await(k.ctx, "the key's replicas", func(ctx context.Context) bool {
--- a/tests/e2e/maintenance_test.go
+++ b/tests/e2e/maintenance_test.go
@@ -37,59 +37,83 @@
 	return got.Evacuated
 }
 
+// maintenanceFleet is a fleet whose zones are evacuated by maintenance windows and by an operator.
+type maintenanceFleet struct {
+	*fleet.Fleet
+	t   *testing.T
+	ctx context.Context
+}
+
+// expectEvacuated waits until a replica reports that just these zones are evacuated.
+func (m *maintenanceFleet) expectEvacuated(replica int, want ...string) {
+	m.t.Helper()
+	var got []string
+	err := fleet.Await(m.ctx, "the evacuated zones", func(ctx context.Context) bool {
+		got = evacuatedZones(ctx, m.Fleet, m.Replicas[replica])
+		return slices.Equal(got, want)
+	})
+	if err != nil {
+		m.t.Fatalf("evacuated are %v, want %v", got, want)
+	}
+}
+
+// operate sends an operator's request to a replica, which must answer with a status.
+func (m *maintenanceFleet) operate(replica int, method, path string, body []byte, status int) fleet.Reply {
+	m.t.Helper()
+	r, err := m.Operate(m.ctx, m.Replicas[replica], method, path, body)
+	must(m.t, err)
+	if r.Status != status {
+		m.t.Fatalf("%s %s: %d %s", method, path, r.Status, r.Body)
+	}
+	return r
+}
+
+// awaitCalendar waits until no window is open any more, and returns the revision of the calendar.
+func (m *maintenanceFleet) awaitCalendar() uint64 {
+	m.t.Helper()
+	var calendar struct {
+		Revision uint64 `json:"stamp"`
+		Open     []any  `json:"noted"`
+	}
+	must(m.t, awaitCondition(m.ctx, func(ctx context.Context) bool {
+		status, err := m.Replicas[2].Get(ctx, "/v1/windows", &calendar)
+		return err == nil && status == http.StatusOK && len(calendar.Open) == 0
+	}))
+	return calendar.Revision
+}
+
 // A maintenance window evacuates its zone and restores it, through a change of the coordinator and with the
 // coordinator's wall clock hours off. An operator's own evacuation stays after a window's end; a zone that
 // an operator restores during a window is not evacuated again by it. An invalid file changes nothing.
 func TestMaintenanceWindows(t *testing.T) {
 	t.Parallel()
 	f, ctx := startFleet(t, smallFleet())
-	expectEvacuated := func(replica int, want ...string) {
-		t.Helper()
-		var got []string
-		err := fleet.Await(ctx, "the evacuated zones", func(ctx context.Context) bool {
-			got = evacuatedZones(ctx, f, f.Replicas[replica])
-			return slices.Equal(got, want)
-		})
-		if err != nil {
-			t.Fatalf("evacuated are %v, want %v", got, want)
-		}
-	}
+	m := &maintenanceFleet{Fleet: f, t: t, ctx: ctx}
 	must(t, f.JumpClock(f.Replicas[0], 6*time.Hour)) // it is the coordinator
-	operate := func(replica int, method, path string, body []byte, status int) fleet.Reply {
-		t.Helper()
-		r, err := f.Operate(ctx, f.Replicas[replica], method, path, body)
-		must(t, err)
-		if r.Status != status {
-			t.Fatalf("%s %s: %d %s", method, path, r.Status, r.Body)
-		}
-		return r
-	}
-	put := operate(1, "PUT", "/v1/windows", calendar(map[string][2]int{"west": {1, 8}, "south": {1, 8}, "east": {1, 8}, "north": {5 * 3600, 7 * 3600}}), 200)
-	if r := operate(1, "PUT", "/v1/windows", []byte("BEGIN:VCALENDAR\r\nnonsense\r\n"), 422); !strings.Contains(string(r.Body), `"line 2"`) {
+	put := m.operate(1, "PUT", "/v1/windows", calendar(map[string][2]int{"west": {1, 8}, "south": {1, 8}, "east": {1, 8}, "north": {5 * 3600, 7 * 3600}}), 200)
+	if r := m.operate(1, "PUT", "/v1/windows", []byte("BEGIN:VCALENDAR\r\nnonsense\r\n"), 422); !strings.Contains(string(r.Body), `"line 2"`) {
 		t.Errorf("an invalid file: %s", r.Body)
 	}
-	expectEvacuated(1, "east", "south", "west")
-	operate(1, "PUT", "/v1/localities/west/emptied", nil, 200)
-	operate(1, "DELETE", "/v1/localities/south/emptied", nil, 200)
+	m.expectEvacuated(1, "east", "south", "west")
+	m.operate(1, "PUT", "/v1/localities/west/emptied", nil, 200)
+	m.operate(1, "DELETE", "/v1/localities/south/emptied", nil, 200)
 	f.Kill(f.Replicas[0]) // another replica becomes the coordinator
-	expectEvacuated(1, "east", "west")
-	expectEvacuated(1, "west") // the window is over, the operator's own evacuation is not
-	var got struct {
-		Revision uint64 `json:"stamp"`
-		Noted    []any
-	}
-	must(t, awaitCondition(ctx, func(ctx context.Context) bool {
-		status, err := f.Replicas[2].Get(ctx, "/v1/windows", &got)
-		return err == nil && status == http.StatusOK && len(got.Noted) == 0
-	}))
-	if got.Revision != put.Revision {
-		t.Errorf("the calendar is of revision %d, put at %d", got.Revision, put.Revision)
+	m.expectEvacuated(1, "east", "west")
+	m.expectEvacuated(1, "west") // the window is over, the operator's own evacuation is not
+	if revision := m.awaitCalendar(); revision != put.Revision {
+		t.Errorf("the calendar is of revision %d, put at %d", revision, put.Revision)
 	}
-	operate(1, "DELETE", "/v1/localities/west/emptied", nil, 200)
-	expectEvacuated(2)
-	// three windows began and ended, and one more command each for west, south and west
-	if r := operate(1, "DELETE", "/v1/windows", nil, 200); r.Revision != put.Revision+3+3+3+1 {
-		t.Errorf("%d commands were committed, want %d", r.Revision-put.Revision, 10)
+	m.operate(1, "DELETE", "/v1/localities/west/emptied", nil, 200)
+	m.expectEvacuated(2)
+	const (
+		windowsBegan = 3
+		windowsEnded = 3
+		byOperator   = 3 // west, south and west again
+		deletions    = 1 // of the calendar
+	)
+	want := uint64(windowsBegan + windowsEnded + byOperator + deletions)
+	if r := m.operate(1, "DELETE", "/v1/windows", nil, 200); r.Revision != put.Revision+want {
+		t.Errorf("%d commands were committed, want %d", r.Revision-put.Revision, want)
 	}
 }
 
