--- a/internal/controlplane/maintenance.go
+++ b/internal/controlplane/maintenance.go
@@ -5,6 +5,7 @@
 	"log/slog"
 	"time"
 
+	"curlewwalk/internal/actor"
 	"curlewwalk/internal/controlplane/consensus"
 	"curlewwalk/internal/maintenance"
 	"curlewwalk/internal/watch"
@@ -28,18 +29,11 @@
 
 // Run checks the calendar until ctx ends.
 func (m *maintenanceScheduler) Run(ctx context.Context) {
-	tick := time.NewTicker(maintenanceInterval)
-	defer tick.Stop()
-	for {
-		select {
-		case <-ctx.Done():
-			return
-		case <-tick.C:
-			if m.cluster.IsCoordinator() && m.cluster.replica.Acceptor().Phase == consensus.PhaseEstablished {
-				m.applyCalendar(ctx)
-			}
+	actor.Every(ctx, maintenanceInterval, func(ctx context.Context) {
+		if m.cluster.IsCoordinator() && m.cluster.replica.Acceptor().Phase == consensus.PhaseEstablished {
+			m.applyCalendar(ctx)
 		}
-	}
+	})
 }
 
 // applyCalendar submits what the calendar asks for now.
--- a/internal/controlplane/reconfigurer.go
+++ b/internal/controlplane/reconfigurer.go
@@ -65,16 +65,7 @@
 
 // Run has the members checked in each heartbeat interval until ctx ends.
 func (r *reconfigurer) Run(ctx context.Context) {
-	tick := time.NewTicker(membership.HeartbeatInterval)
-	defer tick.Stop()
-	for {
-		select {
-		case <-ctx.Done():
-			return
-		case <-tick.C:
-			r.mailbox.Send(ctx, msgTick{})
-		}
-	}
+	actor.Every(ctx, membership.HeartbeatInterval, func(ctx context.Context) { r.mailbox.Send(ctx, msgTick{}) })
 }
 
 // The errors that a request to join may be answered with. Their texts are part of the protocol.
--- a/internal/membership/gossiper.go
+++ b/internal/membership/gossiper.go
@@ -93,18 +93,11 @@
 
 // Run runs a round in each interval while updates are missing, until ctx ends.
 func (g *Gossiper) Run(ctx context.Context) {
-	tick := time.NewTicker(HeartbeatInterval)
-	defer tick.Stop()
-	for {
-		select {
-		case <-ctx.Done():
-			return
-		case <-tick.C:
-			if g.UpdateAge(g.now()) > maxUpdateAge {
-				g.round(ctx)
-			}
+	actor.Every(ctx, HeartbeatInterval, func(ctx context.Context) {
+		if g.UpdateAge(g.now()) > maxUpdateAge {
+			g.round(ctx)
 		}
-	}
+	})
 }
 
 // round asks a few sidecars and hands on what they know.
--- a/internal/watch/server.go
+++ b/internal/watch/server.go
@@ -62,16 +62,7 @@
 
 // Run sends the actor ticks until ctx ends.
 func (s *Server) Run(ctx context.Context) {
-	tick := time.NewTicker(tickInterval)
-	defer tick.Stop()
-	for {
-		select {
-		case <-ctx.Done():
-			return
-		case <-tick.C:
-			s.mailbox.Send(ctx, msgTick{})
-		}
-	}
+	actor.Every(ctx, tickInterval, func(ctx context.Context) { s.mailbox.Send(ctx, msgTick{}) })
 }
 
 // ObserveNode takes the node that a heartbeat brought, and returns the departures that earlier
