--- a/internal/dataplane/proxy/outbound.go
+++ b/internal/dataplane/proxy/outbound.go
@@ -43,24 +43,24 @@
 // otherwise.
 type OutboundDeps struct {
 	// Table and View return the newest snapshots of the routes and of the members.
-	Table        func() *routing.Table
-	View         func() *membership.View
-	Transport    *transport.Client
-	Actors       *actor.System
-	Spans        *trace.Queue
-	Log          *slog.Logger
-	Causality    *causality.Tracker
-	Reservations *idempotency.Store[Response]
-	Bodies       *BodyLimiter
-	RetryBudgets *retrybudget.ServiceBudgets
-	Budgets      *retrybudget.LatencyBudgets
-	Latencies    *routing.LatencyTable
-	Dialect      Dialect
+	Table          func() *routing.Table
+	View           func() *membership.View
+	Transport      *transport.Client
+	Actors         *actor.System
+	Spans          *trace.Queue
+	Log            *slog.Logger
+	Causality      *causality.Tracker
+	Reservations   *idempotency.Store[Response]
+	Bodies         *BodyLimiter
+	RetryBudgets   *retrybudget.ServiceBudgets
+	LatencyBudgets *retrybudget.LatencyBudgets
+	Latencies      *routing.LatencyTable
+	Dialect        Dialect
 	// Lifetime ends when the node has to answer all requests that are still open; its cause is
 	// ErrStopping if the node is being stopped.
 	Lifetime context.Context
-	// Draining reports whether clients' requests are rejected.
-	Draining func() bool
+	// RefusesClients reports whether clients' requests are rejected.
+	RefusesClients func() bool
 	// ShutdownTime, if set, reports whether this node is being stopped, and when another node may
 	// take its place: its requests must have ended by then. (DESIGN 11.3)
 	ShutdownTime func() (end time.Time, stopping bool)
@@ -94,7 +94,7 @@
 // Handler serves the requests of one caller: a backend service, or "" for clients.
 func (o *Outbound) Handler(caller string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if o.Draining() {
+		if o.RefusesClients() {
 			w.Header().Set("Connection", "close")
 		}
 		if r.ContentLength != 0 {
@@ -121,7 +121,7 @@
 func (o *Outbound) handle(caller string, r *http.Request) Response {
 	startedAt := time.Now()
 	// Calls of this node's backends belong to requests that were admitted before the drain.
-	if caller == "" && o.Draining() {
+	if caller == "" && o.RefusesClients() {
 		return o.reject(nodeStopping(briefly))
 	}
 	size, rejection := o.reserveBody(r)
--- a/internal/dataplane/proxy/proxypair_test.go
+++ b/internal/dataplane/proxy/proxypair_test.go
@@ -140,8 +140,8 @@
 		Table: func() *routing.Table { return table }, View: func() *membership.View { return view },
 		Transport: transport.NewClient(actors, transport.Hello{}, nil), Actors: actors, Spans: spans, Log: slog.New(slog.DiscardHandler),
 		Causality: tracker, Bodies: &BodyLimiter{MaxBody: 1 << 20, MaxTotal: 8 << 20},
-		RetryBudgets: retrybudget.NewServiceBudgets("outbound", 20), Budgets: retrybudget.NewLatencyBudgets(), Latencies: routing.NewLatencyTable(),
-		Dialect: echoDialect{}, Lifetime: ctx, Draining: func() bool { return false },
+		RetryBudgets: retrybudget.NewServiceBudgets("outbound", 20), LatencyBudgets: retrybudget.NewLatencyBudgets(), Latencies: routing.NewLatencyTable(),
+		Dialect: echoDialect{}, Lifetime: ctx, RefusesClients: func() bool { return false },
 	})
 	actors.Go(ctx, "client", p.outbound.Transport.Run)
 }
--- a/internal/dataplane/proxy/request_test.go
+++ b/internal/dataplane/proxy/request_test.go
@@ -19,7 +19,7 @@
 		t.Fatal("the configuration is not valid")
 	}
 	return NewOutbound(OutboundConfig{MinRetryAfter: 100 * time.Millisecond}, OutboundDeps{
-		Table: func() *routing.Table { return table }, Dialect: DefaultDialect{}, Draining: func() bool { return false }, Bodies: &BodyLimiter{MaxBody: 1 << 20, MaxTotal: 1 << 20},
+		Table: func() *routing.Table { return table }, Dialect: DefaultDialect{}, RefusesClients: func() bool { return false }, Bodies: &BodyLimiter{MaxBody: 1 << 20, MaxTotal: 1 << 20},
 		ConfigurationUnconfirmed: unconfirmed, ConfigurationOutdated: outdated,
 	})
 }
--- a/internal/dataplane/proxy/retry.go
+++ b/internal/dataplane/proxy/retry.go
@@ -62,7 +62,7 @@
 // conclude counts a request's response against its contract, and ends its span.
 func (o *Outbound) conclude(req *request, response Response, failure routing.Failure, attempts int) Response {
 	contract := req.contract
-	o.Budgets.Observe(contract.Name, time.Since(req.startedAt), contract.LatencyTarget.Duration, contract.Deadline.Duration, response.Outcome == routing.Answered)
+	o.LatencyBudgets.Observe(contract.Name, time.Since(req.startedAt), contract.LatencyTarget.Duration, contract.Deadline.Duration, response.Outcome == routing.Answered)
 	event := req.traceEvent()
 	event.Status, event.Outcome, event.Reason, event.Attempt = response.Status, string(response.Outcome), failure.Reason, attempts
 	o.Spans.Put(req.span, trace.ClientReceive, event)
@@ -103,7 +103,7 @@
 
 // allowedLateness returns how late a request may be planned to be by its contract's budget.
 func (o *Outbound) allowedLateness(req *request) time.Duration {
-	return o.Budgets.AllowedLateness(req.contract.Name, req.maxLateness())
+	return o.LatencyBudgets.AllowedLateness(req.contract.Name, req.maxLateness())
 }
 
 // waitUntil returns the time until which a request may wait for a backend with capacity.
