--- a/internal/dataplane/proxy/inbound.go
+++ b/internal/dataplane/proxy/inbound.go
@@ -83,12 +83,12 @@
 	}
 	// The end of the peer's connection cancels the attempt only as the peer itself would: what
 	// has begun and is not idempotent goes on.
-	peer := ctx
-	ctx, end := context.WithCancelCause(trace.ContextWithSpan(context.WithoutCancel(ctx), span))
+	peerCtx := ctx
+	ctx, cancelWithCause := context.WithCancelCause(trace.ContextWithSpan(context.WithoutCancel(ctx), span))
 	ctx, cancel := context.WithTimeout(ctx, attempt.Timeout)
 	defer cancel()
-	defer in.openAttempts.add(&attempt, end)()
-	defer context.AfterFunc(peer, func() { in.cancel(attempt.ID) })()
+	defer in.openAttempts.add(&attempt, cancelWithCause)()
+	defer context.AfterFunc(peerCtx, func() { in.cancel(attempt.ID) })()
 	response := in.withTrace(span, &attempt, func() AttemptResponse { return in.admit(ctx, &attempt, span) })
 	in.Counters.completed(response.Outcome)
 	return response, nil
--- a/internal/dataplane/routing/decision.go
+++ b/internal/dataplane/routing/decision.go
@@ -61,12 +61,12 @@
 		return Action{Kind: Respond}
 	}
 	past := d.history(now)
-	if action, over := d.over(past); over {
+	if action, over := d.failIfOver(past); over {
 		return action
 	}
 	target, queuePastTarget, ok := d.nextTarget(t, v, past, now)
 	if !ok {
-		return d.withoutTarget(past, now)
+		return d.waitOrFail(past, now)
 	}
 	if !d.Conditions.AcceptLate && d.Conditions.unlikelyToFinish(target, d.Deadline.Sub(now)) && d.Rand.IntN(unlikelySampleRate) > 0 {
 		return past.fail("the time left does not cover what it takes")
@@ -83,8 +83,8 @@
 	return n > 0 && d.attempts[n-1].Outcome == Answered
 }
 
-// over ends the request if nothing more may be sent for it, whatever backends there are.
-func (d *Decision) over(past history) (action Action, over bool) {
+// failIfOver ends the request if nothing more may be sent for it, whatever backends there are.
+func (d *Decision) failIfOver(past history) (action Action, over bool) {
 	if past.deadlineExceeded {
 		return past.failWithStatus(http.StatusGatewayTimeout, past.reason), true
 	}
@@ -97,9 +97,9 @@
 	return Action{}, false
 }
 
-// withoutTarget waits for a backend with capacity, as long as the request may wait. The
-// rejections up to now do not exclude their backends then.
-func (d *Decision) withoutTarget(past history, now time.Time) Action {
+// waitOrFail waits for a backend with capacity, as long as the request may wait, else ends the
+// request. The rejections up to now do not exclude their backends after the wait.
+func (d *Decision) waitOrFail(past history, now time.Time) Action {
 	if now.Add(capacityPollInterval).Before(d.Conditions.WaitUntil) {
 		d.forgiven = len(d.attempts)
 		return Action{Kind: Wait, Wait: capacityPollInterval}
--- a/internal/dataplane/routing/target.go
+++ b/internal/dataplane/routing/target.go
@@ -29,7 +29,7 @@
 	var local, remote, ejected []membership.Target
 	for _, target := range v.Service(d.Route.Service) {
 		switch {
-		case target.Draining || t.ZoneDrained(target.Zone) || d.attempted(target):
+		case target.Draining || t.ZoneDrained(target.Zone) || d.excluded(target):
 		case target.Load.Ejected():
 			ejected = append(ejected, target)
 		case target.Zone == d.Zone:
@@ -70,8 +70,9 @@
 	return float64(t.Load.EstimateOpen()) / max(1, float64(t.Capacity)*t.CapacityShare)
 }
 
-// attempted reports whether a target is excluded, as an attempt has gone to this incarnation of it.
-func (d *Decision) attempted(t membership.Target) bool {
+// excluded reports whether a target is excluded, as an attempt has gone to this incarnation of it.
+// Of the first d.forgiven attempts, those that were rejected do not exclude their targets.
+func (d *Decision) excluded(t membership.Target) bool {
 	for i, result := range d.attempts {
 		if i < d.forgiven && !result.ReachedBackend && result.Outcome == NotRun {
 			continue
--- a/tests/mutation/catalogue.go
+++ b/tests/mutation/catalogue.go
@@ -135,7 +135,7 @@
 	{abandonedWork, "internal/dataplane/proxy/cancel.go", "case open && attempt.idempotent:", "case false:", "./internal/dataplane/proxy", "TestClientLeaves", nil},
 	{duplicateRun, "internal/dataplane/proxy/cancel.go", "case open && attempt.idempotent:", "case open:", "./internal/dataplane/proxy", "TestClientLeaves", nil},
 	{abandonedWork, "internal/dataplane/proxy/exchange.go", "context.AfterFunc(ctx, func() { conn.SetDeadline(time.Now()) })", "func() bool { return true }", "./internal/dataplane/proxy", "TestClientLeaves", nil},
-	{abandonedWork, "internal/dataplane/proxy/inbound.go", "defer context.AfterFunc(peer, func() { in.cancel(attempt.ID) })()", "_ = peer", "./internal/dataplane/proxy", "TestClientLeaves", nil},
+	{abandonedWork, "internal/dataplane/proxy/inbound.go", "defer context.AfterFunc(peerCtx, func() { in.cancel(attempt.ID) })()", "_ = peerCtx", "./internal/dataplane/proxy", "TestClientLeaves", nil},
 	{abandonedWork, "internal/dataplane/routing/decision.go", "reason := d.Conditions.abandonReason(); reason != \"\"", "reason := d.Conditions.abandonReason(); reason == \"-\"", "./internal/dataplane/proxy", "TestClientLeaves", nil},
 	{slowRecovery, "internal/watch/event_log.go", "StartupDelay = 700 * time.Millisecond", "StartupDelay = 17 * time.Second", "./tests/e2e", "TestMassRestart", nil},
 	{slowRecovery, "internal/controlplane/consensus/joining.go", "!r.joining.inProgress && ", "", "./internal/controlplane/consensus", "TestJoinGrantedSlowly", nil},
