--- a/internal/dataplane/proxy/attempt.go
+++ b/internal/dataplane/proxy/attempt.go
@@ -29,13 +29,14 @@
 	// Incarnation is that of the inbound side's process for which the attempt is meant.
 	Incarnation uint64 `msgpack:"bt"`
 	Route       string `msgpack:"w"`
-	// Priority is the request's: an attempt of a higher one is admitted before.
+	// Priority is the request's; the lowest number is admitted first.
 	Priority int `msgpack:"rk"`
 	// Timeout is the time left until the request's deadline.
 	Timeout time.Duration `msgpack:"l"`
-	// TimeToTarget is the time left in which the request is in time; it is queued no longer.
+	// TimeToTarget is the time left until the request's latency target, with the lateness that
+	// its contract's budget allows; the attempt is queued no longer than that.
 	TimeToTarget time.Duration `msgpack:"am"`
-	// QueuePastTarget says that it may be queued longer than that, rather than be rejected.
+	// QueuePastTarget says that it may be queued beyond TimeToTarget, rather than be rejected.
 	QueuePastTarget bool `msgpack:"pt,omitempty"`
 	// Idempotent says that running it twice does no harm.
 	Idempotent bool `msgpack:"rp,omitempty"`
@@ -68,7 +69,7 @@
 			return false
 		}
 	}
-	return isToken(a.Method) && hasNoBlanks(a.URI) && hasNoBlanks(a.Host) && a.URI != "" && requestTargetURL("", a.URI).RequestURI() == a.URI
+	return isToken(a.Method) && hasNoBlanks(a.URI) && hasNoBlanks(a.Host) && a.URI != "" && isFaithfulTarget(a.URI)
 }
 
 // isToken reports whether s is a token as RFC 9110 (5.6.2) defines it.
--- a/internal/dataplane/proxy/body.go
+++ b/internal/dataplane/proxy/body.go
@@ -25,7 +25,7 @@
 	return size, nil
 }
 
-// readBody reads a request's complete body, or tells why the request can't be sent.
+// readBody reads a request's complete body, or tells why it can't be read.
 func (o *Outbound) readBody(r *http.Request) (body []byte, rejection *routing.Failure) {
 	body, err := io.ReadAll(http.MaxBytesReader(nil, r.Body, o.Bodies.MaxBody))
 	var tooLarge *http.MaxBytesError
@@ -36,8 +36,6 @@
 		return nil, rejectBodyTimeout
 	case err != nil:
 		return nil, rejectBodyCutShort
-	case requestTargetURL("", r.RequestURI).RequestURI() != r.RequestURI:
-		return nil, rejectPathNotFaithful
 	}
 	return body, nil
 }
--- a/internal/dataplane/proxy/outbound.go
+++ b/internal/dataplane/proxy/outbound.go
@@ -120,7 +120,8 @@
 // tied to what caused it, and then it is sent, under its idempotency key if it has one.
 func (o *Outbound) handle(caller string, r *http.Request) Response {
 	startedAt := time.Now()
-	// Calls of this node's backends belong to requests that were admitted before the drain.
+	// Calls of this node's backends are still taken during a shutdown: they belong to requests
+	// that were admitted before it.
 	if caller == "" && o.RefusesClients() {
 		return o.reject(nodeStopping(briefly))
 	}
@@ -133,6 +134,9 @@
 	if rejection != nil {
 		return o.reject(rejection)
 	}
+	if !isFaithfulTarget(r.RequestURI) {
+		return o.reject(rejectPathNotFaithful)
+	}
 	match, rejection := o.matchRoute(r)
 	if rejection != nil {
 		return o.reject(rejection)
--- a/internal/dataplane/proxy/target.go
+++ b/internal/dataplane/proxy/target.go
@@ -6,7 +6,7 @@
 )
 
 // requestTargetURL returns the URL that net/http writes as the request target uri, byte for byte, in
-// a request to addr.
+// a request to addr; that is so of all targets for which isFaithfulTarget is true.
 func requestTargetURL(addr, uri string) *url.URL {
 	u := &url.URL{Scheme: "http", Host: addr}
 	if !strings.HasPrefix(uri, "//") {
@@ -19,3 +19,6 @@
 	u.RawPath, u.RawQuery, u.ForceQuery = path, query, hasQuery
 	return u
 }
+
+// isFaithfulTarget reports whether net/http writes the request target uri as it is.
+func isFaithfulTarget(uri string) bool { return requestTargetURL("", uri).RequestURI() == uri }
