--- a/internal/dataplane/endpoints/admission.go
+++ b/internal/dataplane/endpoints/admission.go
@@ -11,7 +11,7 @@
 // reason of a response.
 type Rejection string
 
-// The rejections. All but Canceled precede the first byte to the backend.
+// The rejections. All but Canceled and DeadlineExpired precede the first byte to the backend.
 const (
 	Admitted         Rejection = ""
 	UnknownBackend   Rejection = "no-such-backend"
--- a/internal/dataplane/endpoints/queue.go
+++ b/internal/dataplane/endpoints/queue.go
@@ -14,7 +14,8 @@
 	// Priority is that of the contract; the lowest number comes first.
 	Priority int
 	Route    string
-	// Remaining is the time until the latency target passes.
+	// Remaining is the time left for the response: until the latency target, or a little longer
+	// where the contract's latency budget allows that.
 	Remaining time.Duration
 	// LateRemaining is the time for which a response past the target is still worth
 	// something; zero if it is worth nothing.
--- a/internal/dataplane/proxy/admit.go
+++ b/internal/dataplane/proxy/admit.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"time"
 
 	"curlewwalk/internal/dataplane/causality"
@@ -21,7 +22,9 @@
 	inFlight int64
 }
 
-// admit takes an attempt through admission and its backend's queue to the backend.
+// admit takes an attempt through admission and its backend's queue to the backend. Once the
+// attempt log has let it begin, a cancellation can't prove any more that it has not run: only the
+// write guard or the backend itself can.
 func (in *Inbound) admit(ctx context.Context, attempt *Attempt, span trace.Span) AttemptResponse {
 	if in.Draining() {
 		return in.refuse(ctx, attempt, refusal{rejection: endpoints.NodeDraining})
@@ -39,7 +42,7 @@
 	if done == nil {
 		return in.refuse(ctx, attempt, refusal{queueRejection(ctx), retryAfter, endpoint.Admission.Outstanding()})
 	}
-	defer func() { done(rejectionFor(ctx) == endpoints.Canceled) }()
+	defer func() { done(errors.Is(context.Cause(ctx), errCanceled)) }()
 	if !in.attemptLog.begin(ctx, attempt.ID) {
 		return in.notBegun(ctx, attempt)
 	}
@@ -81,7 +84,9 @@
 	return AttemptResponse{ID: attempt.ID, Outcome: routing.Unknown, Reason: "this leg came before"}
 }
 
-// queueRejection tells why an attempt has left the queue without being admitted.
+// queueRejection tells why an attempt has left the queue without being admitted. If it was
+// neither canceled nor ended by a shutdown, the queue was too long for it, whether the queue has
+// rejected it or its time has passed in there.
 func queueRejection(ctx context.Context) endpoints.Rejection {
 	if rejection := rejectionFor(ctx); rejection != endpoints.DeadlineExpired {
 		return rejection
@@ -89,8 +94,9 @@
 	return endpoints.BackendFull
 }
 
-// currentLimit tells, whenever it is asked, how many requests an attempt's backend may run: its
-// newest heartbeat tells its capacity.
+// currentLimit returns a function that tells how many requests an attempt's backend may run at
+// the moment of the call. The capacity is that of the backend's newest heartbeat, or that of the
+// admission if the backend would not be admitted to any more.
 func (in *Inbound) currentLimit(ctx context.Context, attempt *Attempt, admitted endpoints.Endpoint) func() int64 {
 	return func() int64 {
 		current, rejection := in.checkAdmission(ctx, attempt)
--- a/internal/dataplane/proxy/cancel.go
+++ b/internal/dataplane/proxy/cancel.go
@@ -37,9 +37,9 @@
 	return response, nil
 }
 
-// cancel ends an attempt that nobody waits for any more. One that was not begun never is, and
-// leaves the queue; one that the backend is running is stopped if it is idempotent, else left to
-// its end. It reports whether the attempt was not begun. (DESIGN 10.7)
+// cancel ends an attempt that nobody waits for any more, also one that has not arrived yet. One
+// that was not begun never is, and leaves the queue; one that the backend is running is stopped if
+// it is idempotent, else left to its end. It reports whether the attempt was not begun. (DESIGN 10.7)
 func (in *Inbound) cancel(id string) (notBegun bool) {
 	notBegun = in.attemptLog.refuse(context.Background(), id)
 	attempt, open := in.openAttempts.find(id)
@@ -71,7 +71,8 @@
 	}
 }
 
-// rejectionFor tells why an attempt whose context has ended does not go on.
+// rejectionFor tells why an attempt whose context has ended does not go on. Of a context that has
+// not ended, the result is DeadlineExpired, too.
 func rejectionFor(ctx context.Context) endpoints.Rejection {
 	cause := context.Cause(ctx)
 	switch {
--- a/internal/dataplane/proxy/request.go
+++ b/internal/dataplane/proxy/request.go
@@ -78,8 +78,9 @@
 	return routeMatch{}, rejectNoRoute
 }
 
-// newRequest makes the request that a caller's HTTP request asks for. The watch of its client
-// must be ended with stopWatching.
+// newRequest makes the request that a caller's HTTP request asks for: it picks the service of a
+// split route, reads what the request says of itself, sets its deadlines, links it to its cause
+// and opens its span. The watch of its client must be ended with stopWatching.
 func (o *Outbound) newRequest(caller string, startedAt time.Time, match routeMatch, r *http.Request, body []byte) *request {
 	req := &request{caller: caller, route: match.route, contract: match.contract}
 	req.route.Service = routing.PickService(req.route, rand.IntN)
@@ -118,7 +119,8 @@
 }
 
 // linkCause ties a backend's request to the request that caused it: it inherits that one's
-// deadline and priority. (DESIGN 2.5)
+// priority, and its deadline if that is earlier. Where clients and the backends of LocalService
+// share an address, a request is only traced to its likely cause. (DESIGN 2.5)
 func (o *Outbound) linkCause(req *request, clientSpan trace.Span) {
 	if req.caller != "" {
 		req.cause = o.Causality.Link(o.Lifetime, req.caller, req.route.Name, clientSpan)
--- a/internal/dataplane/proxy/sendattempt.go
+++ b/internal/dataplane/proxy/sendattempt.go
@@ -45,8 +45,8 @@
 	return outcome
 }
 
-// newAttempt makes the next attempt of a request: the first one earns a part of a retry, a
-// retry begins a span.
+// newAttempt makes the next attempt of a request. The first one deposits a part of a retry in the
+// service's retry budget; a retry gets a span of its own.
 func (o *Outbound) newAttempt(req *request, action routing.Action, number int) *outgoingAttempt {
 	attempt := &outgoingAttempt{Attempt: req.template, target: action.Target, span: req.span}
 	attempt.Number = number
@@ -80,8 +80,9 @@
 	return reply
 }
 
-// interpret tells what became of an attempt from the reply of the inbound side: it was not
-// delivered, or answered, or is lost. A target that failed is ejected for a while.
+// interpret tells what became of an attempt from the reply of the inbound side. An attempt that was
+// not delivered is proven not to have run; one without an intelligible reply is lost, and canceled. A
+// target that failed is ejected for a while.
 func (o *Outbound) interpret(ctx context.Context, attempt *outgoingAttempt, reply transport.Response) attemptOutcome {
 	var response AttemptResponse
 	switch {
--- a/internal/dataplane/proxy/sendcancel.go
+++ b/internal/dataplane/proxy/sendcancel.go
@@ -9,9 +9,10 @@
 	"curlewwalk/internal/transport"
 )
 
-// cancelLost cancels an attempt whose reply was lost. Only the inbound side's word that it has
+// cancelLost cancels an attempt whose reply was lost. Only the inbound side's reply that it has
 // not run, and never will, proves that; else it may have run. Past the deadline nobody waits for
-// that word; at the end of a shutdown it is waited for, but only shortly. (DESIGN 10.2)
+// that reply; at the end of a shutdown it is waited for, but only for shutdownCancelTimeout.
+// (DESIGN 10.2)
 func (o *Outbound) cancelLost(ctx context.Context, attempt *outgoingAttempt) routing.AttemptResult {
 	lost := routing.AttemptResult{Target: attempt.target, Outcome: routing.Unknown, Reason: "lost on the way", ReachedBackend: true}
 	timeout := cancelTimeout
--- a/internal/dataplane/shutdown.go
+++ b/internal/dataplane/shutdown.go
@@ -20,8 +20,10 @@
 	stopPollInterval = 10 * time.Millisecond
 )
 
-// shutdown drains the sidecar: it is unready at once, begins nothing new, and lets what was
-// accepted finish within the grace time. (DESIGN 11.3)
+// shutdown drains the sidecar. It is unready at once, and its backends are reported as draining
+// and get no new attempts; it serves clients for a while on other sidecars' backends, then
+// refuses them; and what was accepted may finish until abandonAt. What is still open then is
+// answered with what is known of it, within the rest of the grace time. (DESIGN 11.3)
 func (s *Sidecar) shutdown() {
 	signaledAt, before := time.Now(), s.outbound.Counters.Snapshot()
 	drain := s.reloader.Drain()
@@ -33,7 +35,8 @@
 	s.agent.mailbox.Send(ctx, msgDrain{})
 	s.serveOn(ctx, drain)
 	s.closed.Store(true)
-	// Outgoing calls of own backends belong to requests that were accepted.
+	// The outgoing calls of own backends are waited for as well: they belong to requests that
+	// were accepted.
 	s.awaitIdle(ctx, abandonAt)
 	abandonedRequests, abandonedAttempts := s.outbound.Counters.InFlight.Load(), s.inbound.Counters.InFlight.Load()
 	s.inbound.RefuseWaiting()
--- a/internal/dataplane/sidecar.go
+++ b/internal/dataplane/sidecar.go
@@ -56,8 +56,8 @@
 	// apiServer serves operators and backends, requestServer the clients.
 	apiServer, requestServer *process.HTTPServer
 
-	// draining: the sidecar reports itself unready and admits no new attempts.
-	// closed: it refuses new requests of clients, too.
+	// draining is set at the start of a shutdown: the sidecar reports itself unready and admits
+	// no new attempts. closed is set later in it: new requests of clients are refused, too.
 	draining, closed atomic.Bool
 	// abandonAt is when a stopping sidecar answers whatever is still open; nil before.
 	// abandonRequests does so.
