--- a/tests/e2e/mixed_test.go
+++ b/tests/e2e/mixed_test.go
@@ -143,13 +143,13 @@
 	t.Helper()
 	for i := range f.Replicas {
 		putAndRead(t, ctx, f, i)
-		time.Sleep(serveFor)
+		awaitElapsed(ctx, t, time.Now(), serveFor)
 	}
 	zone := f.Zone(lastOrders)
 	evacuated, err := f.EvacuateZone(ctx, f.Replicas[0], zone)
 	must(t, err)
 	must(t, f.AwaitServing(ctx, evacuated.Revision, len(f.Size.Backends)))
-	time.Sleep(serveFor)
+	awaitElapsed(ctx, t, time.Now(), serveFor)
 	restored, err := f.RestoreZone(ctx, f.Replicas[1], zone)
 	must(t, err)
 	must(t, f.AwaitServing(ctx, restored.Revision, len(f.Size.Backends)))
--- a/tests/golden/live_test.go
+++ b/tests/golden/live_test.go
@@ -59,7 +59,9 @@
 // in turn.
 func ask(t *testing.T, method, url, body string, status int, headers ...string) (header http.Header, answer []byte) {
 	t.Helper()
-	for end := time.Now().Add(10 * time.Second); ; time.Sleep(20 * time.Millisecond) {
+	poll := time.NewTicker(20 * time.Millisecond)
+	defer poll.Stop()
+	for end := time.Now().Add(10 * time.Second); ; <-poll.C {
 		request, err := http.NewRequestWithContext(t.Context(), method, url, strings.NewReader(body))
 		if err != nil {
 			t.Fatal(err)
