--- a/internal/clock/offset_injected.go
+++ b/internal/clock/offset_injected.go
@@ -1,4 +1,4 @@
-//go:build proof
+//go:build faultinjection
 
 package clock
 
@@ -9,7 +9,7 @@
 )
 
 // offsetVariable names the file with the offset.
-const offsetVariable = "CURLEWWALK_PROOF_CLOCK"
+const offsetVariable = "CURLEWWALK_FAULT_CLOCK"
 
 // wallOffset is by how much a test has the wall clock jump: the duration that stands in a file,
 // zero without one.
--- a/internal/clock/offset_none.go
+++ b/internal/clock/offset_none.go
@@ -1,4 +1,4 @@
-//go:build !proof
+//go:build !faultinjection
 
 package clock
 
--- a/internal/storage/fault_injected.go
+++ b/internal/storage/fault_injected.go
@@ -1,4 +1,4 @@
-//go:build proof
+//go:build faultinjection
 
 package storage
 
@@ -10,7 +10,7 @@
 
 // The variable that names the file with the fault, and the faults that the file may hold.
 const (
-	faultVariable = "CURLEWWALK_PROOF_DISK"
+	faultVariable = "CURLEWWALK_FAULT_DISK"
 	faultFull     = "full"  // every write fails
 	faultStall    = "stall" // a write waits until the file holds something else
 	faultSlow     = "slow"  // a write takes slowWrite longer
--- a/tests/e2e/mixed_test.go
+++ b/tests/e2e/mixed_test.go
@@ -15,7 +15,7 @@
 
 // earlierFolder names the environment variable that says in which folder the programs of an
 // earlier version are. Without it there is nothing to mix with, and TestMixedVersions does not run.
-const earlierFolder = "CURLEWWALK_PROOF_EARLIER"
+const earlierFolder = "CURLEWWALK_EARLIER_BUILD"
 
 // earlierNames are the names that programs had in earlier versions.
 var earlierNames = map[string]string{"controlplane": "core"}
--- a/tests/fleet/binaries.go
+++ b/tests/fleet/binaries.go
@@ -27,7 +27,7 @@
 	if err != nil {
 		return "", err
 	}
-	args := []string{"build", "-tags", "proof", "-o", dir}
+	args := []string{"build", "-tags", "faultinjection", "-o", dir}
 	if raceDetector {
 		args = append(args, "-race")
 	}
--- a/tests/fleet/doc.go
+++ b/tests/fleet/doc.go
@@ -2,5 +2,5 @@
 // backends and clients of package fakes. Each "machine" is a loopback address of its own
 // with its own processes, and each fleet has a range of addresses to itself. The programs
 // are real; faults come from signals, from the proxies of package faultproxy, and from the
-// build tag proof, which lets wall clocks jump and disks fail. (DESIGN 14.1)
+// build tag faultinjection, which lets wall clocks jump and disks fail. (DESIGN 14.1)
 package fleet
--- a/tests/fleet/program.go
+++ b/tests/fleet/program.go
@@ -77,7 +77,7 @@
 // Start starts the process and returns once it listens on its addresses.
 func (p *Program) Start() error {
 	p.cmd = exec.Command(p.path, p.args...)
-	p.cmd.Env = append(os.Environ(), "CURLEWWALK_PROOF_CLOCK="+p.clockFile, "CURLEWWALK_PROOF_DISK="+p.diskFile)
+	p.cmd.Env = append(os.Environ(), "CURLEWWALK_FAULT_CLOCK="+p.clockFile, "CURLEWWALK_FAULT_DISK="+p.diskFile)
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	p.stdout, p.stderr = &output{}, &output{}
 	p.cmd.Stderr = p.stderr
