--- a/internal/dataplane/causality/mixed_traffic.go
+++ b/internal/dataplane/causality/mixed_traffic.go
@@ -30,8 +30,9 @@
 // backend sends its calls. A call ends before its cause: so one that has more time left
 // (remaining) than any open request of the service, or arrives while none is open, is a
 // client's; and a route of which some requests are clients' is one of clients. What remains
-// is linked by inference, never as proven, and only decides the parent in the trace.
-// (DESIGN 2.5)
+// is linked by inference, even if there is only one candidate. Only a request that carries the
+// span of an open one is linked to that as proven. Either way the cause is to be used for the
+// parent in the trace only. (DESIGN 2.5)
 func (c *Correlator) LinkMixed(service, route string, carried trace.Span, remaining time.Duration, now time.Time) Cause {
 	if request := c.carriedRequest(service, carried); request != nil {
 		return c.linkProven(request, route, now)
