--- a/cmd/planner/main.go
+++ b/cmd/planner/main.go
@@ -22,7 +22,7 @@
 )
 
 type options struct {
-	Core          string   `long:"core" description:"control address of a core to read the state from (IP:port)"`
+	ControlPlane  string   `long:"core" description:"control address of a core to read the state from (IP:port)"`
 	State         string   `long:"state" description:"file to read the state from, as --save wrote it"`
 	Save          string   `long:"save" description:"write the state that was read to a file"`
 	Configuration string   `long:"desired" description:"file with a candidate configuration"`
--- a/cmd/planner/snapshot.go
+++ b/cmd/planner/snapshot.go
@@ -23,12 +23,12 @@
 // readSnapshot takes the state from a file, or from a live control plane node.
 func readSnapshot(o options) (plan.Snapshot, error) {
 	switch {
-	case (o.Core == "") == (o.State == ""):
+	case (o.ControlPlane == "") == (o.State == ""):
 		return plan.Snapshot{}, errNoSource
 	case o.State != "":
 		return loadSnapshot(o.State)
 	}
-	return fetchSnapshot(o.Core)
+	return fetchSnapshot(o.ControlPlane)
 }
 
 func loadSnapshot(file string) (snapshot plan.Snapshot, err error) {
--- a/cmd/planner/snapshot_test.go
+++ b/cmd/planner/snapshot_test.go
@@ -45,7 +45,7 @@
 
 // The state is read from one source.
 func TestSnapshotNeedsOneSource(t *testing.T) {
-	for name, o := range map[string]options{"none": {}, "both": {Core: "127.0.0.1:1", State: "state.json"}} {
+	for name, o := range map[string]options{"none": {}, "both": {ControlPlane: "127.0.0.1:1", State: "state.json"}} {
 		t.Run(name, func(t *testing.T) {
 			if _, err := readSnapshot(o); err != errNoSource {
 				t.Errorf("%v, want %v", err, errNoSource)
--- a/internal/dataplane/endpoints/draining_test.go
+++ b/internal/dataplane/endpoints/draining_test.go
@@ -178,8 +178,8 @@
 // keeps it.
 func TestStaleAnnouncementAfterStart(t *testing.T) {
 	begin := time.Now()
-	for _, heardBefore := range []int{0, 1, 2} {
-		t.Run(fmt.Sprintf("after %d heartbeats of the other", heardBefore), func(t *testing.T) {
+	for _, receivedBefore := range []int{0, 1, 2} {
+		t.Run(fmt.Sprintf("after %d heartbeats of the other", receivedBefore), func(t *testing.T) {
 			r := Registry{Started: begin}
 			_, stale := registryWithBackend(t, 7, begin)
 			there := stale
@@ -190,13 +190,13 @@
 				r, _ = r.Announce(there, "north", now)
 				there.Sequence++
 			}
-			for range heardBefore {
+			for range receivedBefore {
 				heartbeat()
 			}
 			for range 2 { // it may be duplicated on the way
 				r, _ = r.Announce(stale, "north", now)
 			}
-			if admitted := isAdmitted(r, "a", now); admitted == (heardBefore == 2) {
+			if admitted := isAdmitted(r, "a", now); admitted == (receivedBefore == 2) {
 				t.Errorf("the stale instance is admitted: %v", admitted)
 			}
 			for heartbeats := 1; heartbeats <= 3; heartbeats++ {
--- a/internal/dataplane/proxy/faults_test.go
+++ b/internal/dataplane/proxy/faults_test.go
@@ -166,7 +166,7 @@
 // An attempt lies unread at an inbound side whose connection has broken. If it is canceled before
 // it is read, it is said not to have run, and never runs; if the cancellation does not arrive
 // either, its outcome is unknown, and it runs once at most.
-func TestAttemptReadAfterItsRecall(t *testing.T) {
+func TestAttemptReadAfterItsCancel(t *testing.T) {
 	for _, arrives := range []bool{true, false} {
 		t.Run(fmt.Sprintf("cancellation arrives %v", arrives), func(t *testing.T) {
 			came, woken, ended := make(chan struct{}, 9), make(chan struct{}), make(chan AttemptResponse, 9)
--- a/tests/mutation/catalogue.go
+++ b/tests/mutation/catalogue.go
@@ -145,7 +145,7 @@
 	{runAfterRefusal, "platform/dialect.go", "case response.Status == http.StatusServiceUnavailable:", "case false:", "./platform", "TestBuildReply", nil},
 	{runAfterRefusal, "internal/dataplane/proxy/attempt.go", "case routing.NotRun, routing.Unknown:", "default:", "./internal/dataplane/proxy", "TestResponseNotUnderstood", nil},
 	{wrongAnswer, "internal/dataplane/proxy/attempt.go", "return r.ID == attempt.ID && r.Status >= 200 && r.Status <= 999", "return r.Status >= 200 && r.Status <= 999", "./internal/dataplane/proxy", "TestResponseNotUnderstood", nil},
-	{runAfterRefusal, "internal/dataplane/proxy/sendattempt.go", "case reply.Delivery == transport.NotDelivered:", "case reply.Delivery != transport.Answered:", "./internal/dataplane/proxy", "TestAttemptReadAfterItsRecall", nil},
+	{runAfterRefusal, "internal/dataplane/proxy/sendattempt.go", "case reply.Delivery == transport.NotDelivered:", "case reply.Delivery != transport.Answered:", "./internal/dataplane/proxy", "TestAttemptReadAfterItsCancel", nil},
 	{duplicateRun, "internal/dataplane/proxy/exchange.go", "return response, reused && x.nothingWritten", "return response, reused && response.Status == 0", "./internal/dataplane/proxy", "TestBackendResets", nil},
 	{alteredRequest, "internal/dataplane/proxy/request.go", "trailer := endToEnd(r.Trailer)", "trailer := r.Trailer", "./internal/dataplane/proxy", "TestClientTrailers", nil},
 	{alteredRequest, "internal/dataplane/proxy/request.go", "o.Dialect.ParseRequest(r, trailer)", "", "./internal/dataplane/proxy", "TestClientTrailers", nil},
--- a/tests/style/terms.go
+++ b/tests/style/terms.go
@@ -25,6 +25,10 @@
 // compatibilityNames are the identifiers, log messages and log attribute keys that keep a
 // withdrawn word, each with the reason.
 var compatibilityNames = map[string]string{
+	"Beat":                "a setting's field, which --check prints by its name",
+	"Shun":                "a setting's field, which --check prints by its name",
+	"Slot":                "a setting's field, which --check prints by its name",
+	"Slots":               "a setting's field, which --check prints by its name",
 	"letter":              "a letter of the alphabet",
 	"maxWaitersPerSlot":   "a backend's slot for one request, the usual word for it",
 	"TestCancelFreesSlot": "a backend's slot for one request, the usual word for it",
