--- a/tests/simulation/operators.go
+++ b/tests/simulation/operators.go
@@ -255,23 +255,26 @@
 			return // the replica sees that its caller has gone
 		}
 		command.SinceRevision = &revision
-		o.simulation.after(o.forwardDelay(), func() {
-			target := o.randomReplica()
-			if target == nil {
-				return
+		o.forward(command, func(result consensus.CommandResult) {
+			received := o.simulation.rng.Float64() >= answerLossRate && !finished
+			o.receiveEvacuationResult(e, result, received)
+			if received && result.Outcome == consensus.OutcomeCommitted {
+				finished = true
+				done()
 			}
-			o.simulation.submit(target, command, func(result consensus.CommandResult) {
-				received := o.simulation.rng.Float64() >= answerLossRate && !finished
-				o.receiveEvacuationResult(e, result, received)
-				if received && result.Outcome == consensus.OutcomeCommitted {
-					finished = true
-					done()
-				}
-			})
 		})
 	})
 }
 
+// forward has a command submitted at some replica, after a while.
+func (o *Operators) forward(command consensus.Command, done func(consensus.CommandResult)) {
+	o.simulation.after(o.forwardDelay(), func() {
+		if target := o.randomReplica(); target != nil {
+			o.simulation.submit(target, command, done)
+		}
+	})
+}
+
 // forwardDelay draws how long a command is on its way to another replica; half of them are
 // late.
 func (o *Operators) forwardDelay() time.Duration {
