--- a/tests/simulation/requests_sidecar.go
+++ b/tests/simulation/requests_sidecar.go
@@ -131,22 +131,27 @@
 		return
 	}
 	began := sim.now
-	sim.after(sim.randomDuration(20*time.Millisecond), func() { // the backend is dialled
+	sim.after(sim.randomDuration(20*time.Millisecond), func() { // the backend is dialed
 		sim.whenAwake(n, func() {
 			if sim.now-began > attempt.Timeout || sim.rng.IntN(20) == 0 {
 				respond(routing.NotRun, nil) // closed before the write
 				return
 			}
-			sim.recordRun(id, name)
-			sim.after(sim.randomDuration(60*time.Millisecond), func() {
-				sim.whenAwake(n, func() {
-					if sim.rng.IntN(20) == 0 {
-						respond(routing.Unknown, nil) // the backend's answer is lost
-						return
-					}
-					respond(routing.Answered, []byte(id))
-				})
-			})
+			sim.runBackend(n, id, name, respond)
+		})
+	})
+}
+
+// runBackend has the backend run a request. Its answer may be lost.
+func (sim *Requests) runBackend(n *requestNode, id, name string, respond func(outcome routing.Outcome, body []byte)) {
+	sim.recordRun(id, name)
+	sim.after(sim.randomDuration(60*time.Millisecond), func() {
+		sim.whenAwake(n, func() {
+			if sim.rng.IntN(20) == 0 {
+				respond(routing.Unknown, nil)
+				return
+			}
+			respond(routing.Answered, []byte(id))
 		})
 	})
 }
