--- a/tests/style/names.go
+++ b/tests/style/names.go
@@ -103,6 +103,7 @@
 		s.declared(n.Name)
 	case *ast.ValueSpec:
 		s.declared(n.Names...)
+		s.logKeys(n)
 	case *ast.Field:
 		s.declared(n.Names...)
 	case *ast.ImportSpec:
@@ -147,11 +148,25 @@
 // logCall checks the message and the attribute keys of a log call, as far as they are
 // literals.
 func (s *scanner) logCall(call *ast.CallExpr) {
-	if !isLogCall(call) {
-		return
+	if isLogCall(call) {
+		s.logTexts(call.Args...)
 	}
-	for _, argument := range call.Args {
-		literal, ok := argument.(*ast.BasicLit)
+}
+
+// logKeys checks constants for attribute keys, which are named logZone, logRevision, ...
+func (s *scanner) logKeys(spec *ast.ValueSpec) {
+	for _, name := range spec.Names {
+		if parts := splitName(name.Name); len(parts) > 1 && parts[0] == "log" {
+			s.logTexts(spec.Values...)
+			return
+		}
+	}
+}
+
+// logTexts checks those expressions that are string literals.
+func (s *scanner) logTexts(expressions ...ast.Expr) {
+	for _, expression := range expressions {
+		literal, ok := expression.(*ast.BasicLit)
 		if !ok || literal.Kind != token.STRING {
 			continue
 		}
