--- a/internal/dataplane/agent_backends.go
+++ b/internal/dataplane/agent_backends.go
@@ -6,7 +6,7 @@
 	"curlewwalk/internal/dataplane/endpoints"
 )
 
-// announce registers an own backend, or takes from it that it is leaving.
+// announce registers an own backend, or notes that it is leaving.
 func (a *agent) announce(m msgAnnounce, now time.Time) {
 	if a.wakeDetector.CatchingUp(now) && !m.announcement.Draining {
 		// It may have waited while the process was frozen, and the backend be gone: its
@@ -21,7 +21,8 @@
 	a.acknowledge(*before, after, now, func() { m.reply <- faults })
 }
 
-// leave takes an own backend out for good.
+// leave notes that an own backend is leaving for good: it gets no more requests, and is removed
+// once it has been silent for long enough.
 func (a *agent) leave(m msgLeave, now time.Time) {
 	before := a.registry.Load()
 	_, known := before.Lookup(m.instance)
@@ -31,8 +32,8 @@
 	a.acknowledge(*before, after, now, func() { m.reply <- known })
 }
 
-// acknowledge answers a backend: at once, unless it has just said that it is leaving, which
-// a control plane replica must have stored first.
+// acknowledge answers a backend: at once, unless it has just said that it is leaving. That a
+// control plane replica must have stored first, or acknowledgeTimeout have passed.
 func (a *agent) acknowledge(before, after endpoints.Registry, now time.Time, answer func()) {
 	if !after.DepartedSince(before) {
 		answer()
--- a/internal/dataplane/api.go
+++ b/internal/dataplane/api.go
@@ -49,13 +49,13 @@
 	return true, "serving"
 }
 
-// Announce registers an own backend, or takes from it that it is leaving. faults lists what
+// Announce registers an own backend, or notes that it is leaving. faults lists what
 // is wrong with the announcement; ok is false if ctx ended first.
 func (s *Sidecar) Announce(ctx context.Context, announcement endpoints.Announcement) (faults []string, ok bool) {
 	return actor.Ask(ctx, s.agent.mailbox, func(reply chan<- []string) any { return msgAnnounce{announcement, reply} })
 }
 
-// Leave takes an own backend out for good. known is false if there is none such; ok is
+// Leave notes that an own backend is leaving for good. known is false if there is none such; ok is
 // false if ctx ended first.
 func (s *Sidecar) Leave(ctx context.Context, instance string) (known, ok bool) {
 	return actor.Ask(ctx, s.agent.mailbox, func(reply chan<- bool) any { return msgLeave{instance, reply} })
--- a/internal/dataplane/endpoints/endpoint.go
+++ b/internal/dataplane/endpoints/endpoint.go
@@ -28,7 +28,8 @@
 	Admission *AdmissionController
 }
 
-// Supersedes reports whether an announcement was sent before the latest one.
+// Supersedes reports whether the backend's latest announcement was sent after the given one, which
+// is stale then. It is false of announcements without a number.
 func (e Endpoint) Supersedes(a Announcement) bool { return a.Sequence != 0 && a.Sequence < e.sequence }
 
 // ShareAt returns the fraction of its capacity that the backend bears at a time.
--- a/internal/dataplane/pending_departures.go
+++ b/internal/dataplane/pending_departures.go
@@ -11,8 +11,8 @@
 const acknowledgeTimeout = 250 * time.Millisecond
 
 // pendingDepartures are departures of own backends that are not acknowledged yet. Each is
-// once a control plane replica has stored it, so that it outlives this process. They belong
-// to the agent's actor. (DESIGN 9.1)
+// acknowledged once a control plane replica has stored it, so that it outlives this process. They
+// belong to the agent's actor. (DESIGN 9.1)
 type pendingDepartures struct {
 	pending []pendingDeparture
 	// nonEmpty tells other goroutines whether there are any.
@@ -27,7 +27,7 @@
 	acknowledge func()
 }
 
-// add puts a departure off until the version has been stored.
+// add puts the acknowledgment of a departure off until the version has been stored.
 func (p *pendingDepartures) add(version uint64, now time.Time, acknowledge func()) {
 	p.pending = append(p.pending, pendingDeparture{version: version, deadline: now.Add(acknowledgeTimeout), acknowledge: acknowledge})
 	p.nonEmpty.Store(true)
--- a/internal/dataplane/report_limiter.go
+++ b/internal/dataplane/report_limiter.go
@@ -8,14 +8,13 @@
 const reportInterval = 250 * time.Millisecond
 
 // reportLimiter decides when to report to the control plane that a new configuration is in
-// force.
-// One goroutine owns it. (DESIGN 8.3)
+// force. One goroutine owns it. (DESIGN 8.3)
 type reportLimiter struct {
 	lastReport time.Time
 	pending    bool
 }
 
-// changed takes that a configuration came into force; true if that is to be reported now.
+// changed notes that a configuration came into force; true if that is to be reported now.
 func (r *reportLimiter) changed(now time.Time) bool {
 	r.pending = true
 	return r.tick(now)
