--- a/internal/watch/server.go
+++ b/internal/watch/server.go
@@ -33,7 +33,7 @@
 	suspected atomic.Pointer[map[string]uint64]
 
 	// The following fields belong to the actor.
-	log           *EventLog
+	eventLog      *EventLog
 	watches       []pendingWatch
 	revisionWaits []revisionWait
 	// confirmedAt is as of when there was no newer control state; zero if never.
@@ -53,7 +53,7 @@
 // NewServer starts the actor with an empty log. incarnation is that of the process; it becomes the
 // log's ID.
 func NewServer(actors *actor.System, incarnation uint64) *Server {
-	s := &Server{log: NewEventLog(incarnation, 0), start: time.Now()}
+	s := &Server{eventLog: NewEventLog(incarnation, 0), start: time.Now()}
 	s.budgets.Store(&map[string]retrybudget.Counts{})
 	s.suspected.Store(&map[string]uint64{})
 	s.mailbox = actors.Spawn("directory", s.handle)
--- a/internal/watch/server_actor.go
+++ b/internal/watch/server_actor.go
@@ -64,26 +64,26 @@
 // handle handles one message to the actor.
 func (s *Server) handle(_ context.Context, msg any) {
 	now := time.Since(s.start)
-	s.log.DetectPause(now)
+	s.eventLog.DetectPause(now)
 	switch m := msg.(type) {
 	case msgNode:
-		m.reply <- s.log.ObserveDepartures(m.node, now)
-		if !s.log.ObserveNode(m.node, now) {
+		m.reply <- s.eventLog.ObserveDepartures(m.node, now)
+		if !s.eventLog.ObserveNode(m.node, now) {
 			s.answerRevisionWaits(now)
 			return // no event for watchers
 		}
 	case msgNodeStatus:
-		m.reply <- s.log.ObserveStatus(m.status, now)
+		m.reply <- s.eventLog.ObserveStatus(m.status, now)
 		s.answerRevisionWaits(now)
 		return // no event for watchers
 	case msgCommitted:
-		s.log.ObserveCommitted(m.state)
+		s.eventLog.ObserveCommitted(m.state)
 	case msgConfirmed:
 		s.confirmedAt = m.asOf
 	case msgTick:
 		s.tick(now)
 	case msgWatch:
-		if !s.log.Ready(now) {
+		if !s.eventLog.Ready(now) {
 			m.reply <- nil
 			return
 		}
@@ -91,7 +91,7 @@
 	case msgAwaitApplied:
 		s.revisionWaits = append(s.revisionWaits, revisionWait{revision: m.revision, deadline: now + appliedTimeout, reply: m.reply})
 	case msgDrain:
-		m.reply <- s.log.DrainStatus(m.zone, now)
+		m.reply <- s.eventLog.DrainStatus(m.zone, now)
 	case msgStatus:
 		m.reply <- s.status(now)
 	}
@@ -101,17 +101,17 @@
 
 // tick removes nodes that have timed out and publishes what is summed up over all nodes.
 func (s *Server) tick(now time.Duration) {
-	s.log.Tick(now)
-	sums := retrybudget.Merge(s.log.Budgets())
+	s.eventLog.Tick(now)
+	sums := retrybudget.Merge(s.eventLog.Budgets())
 	s.budgets.Store(&sums)
-	suspected := s.log.Suspected()
+	suspected := s.eventLog.Suspected()
 	s.suspected.Store(&suspected)
 }
 
 // status returns a snapshot of the log.
 func (s *Server) status(now time.Duration) Status {
-	status := Status{LogID: s.log.ID, Offset: s.log.offset, Ready: s.log.Ready(now), Nodes: s.log.Nodes()}
-	if state := s.log.State(); state != nil {
+	status := Status{LogID: s.eventLog.ID, Offset: s.eventLog.offset, Ready: s.eventLog.Ready(now), Nodes: s.eventLog.Nodes()}
+	if state := s.eventLog.State(); state != nil {
 		status.Revision, status.ControlState = state.Revision, *state
 	}
 	return status
@@ -121,7 +121,7 @@
 // enough.
 func (s *Server) answerWatches(now time.Duration) {
 	s.watches = slices.DeleteFunc(s.watches, func(w pendingWatch) bool {
-		updates, fresh := s.log.Since(w.request)
+		updates, fresh := s.eventLog.Since(w.request)
 		if !fresh && now < w.deadline {
 			return false
 		}
@@ -139,10 +139,10 @@
 func (s *Server) answerRevisionWaits(now time.Duration) {
 	s.revisionWaits = slices.DeleteFunc(s.revisionWaits, func(w revisionWait) bool {
 		var lagging []string // nil while the nodes are not known yet
-		if s.log.Ready(now) {
-			lagging = s.log.LaggingNodes(w.revision)
+		if s.eventLog.Ready(now) {
+			lagging = s.eventLog.LaggingNodes(w.revision)
 		}
-		if !w.isOver(lagging, len(s.log.nodes), now) {
+		if !w.isOver(lagging, len(s.eventLog.nodes), now) {
 			return false
 		}
 		w.reply <- lagging
--- a/internal/watch/watcher.go
+++ b/internal/watch/watcher.go
@@ -26,9 +26,9 @@
 	Replicas     func() membership.ReplicaTable
 	HeartbeatNow func()
 	// OnUpdates is called with each response in order and the replica that it came from; the
-	// next one is asked for after it returns. Updates.Age counts back from asked, when the
+	// next one is asked for after it returns. Updates.Age counts back from requestedAt, when the
 	// request was sent.
-	OnUpdates func(ctx context.Context, replica membership.Replica, updates Updates, asked time.Time)
+	OnUpdates func(ctx context.Context, replica membership.Replica, updates Updates, requestedAt time.Time)
 }
 
 // Watcher gets a sidecar its updates from one replica, and changes to another one if that fails.
@@ -84,17 +84,17 @@
 	if next.Addr != s.replica.Addr || next.Incarnation != s.replica.Incarnation {
 		s.replica, s.req = next, Request{Wait: maxWait}
 	}
-	asked := time.Now()
+	requestedAt := time.Now()
 	updates, ok := w.request(ctx, s.replica, s.decoder.Prepare(s.req), s.selector.timeout)
 	if !ok {
-		s.selector.recordFailure(time.Since(asked) >= s.selector.timeout, time.Now())
+		s.selector.recordFailure(time.Since(requestedAt) >= s.selector.timeout, time.Now())
 		return false
 	}
 	if !s.decoder.Decode(&updates) {
 		return true // the same is asked for again, in full
 	}
 	s.req.LogID, s.req.Offset = updates.LogID, updates.Offset
-	w.OnUpdates(ctx, s.replica, updates, asked)
+	w.OnUpdates(ctx, s.replica, updates, requestedAt)
 	s.selector.recordResponse(updates.Age, time.Now())
 	return updates.Age <= maxConfirmationAge
 }
