--- a/internal/controlplane/consensus/command_queue.go
+++ b/internal/controlplane/consensus/command_queue.go
@@ -29,15 +29,15 @@
 	}
 }
 
-// reorderable reports whether a command may be carried out before those queued earlier.
+// reorderable reports whether the command may go before those that were queued earlier.
 func (c Command) reorderable() bool {
 	return c.isNumbered() && c.IfMatch == nil
 }
 
-// wasProposed reports whether any acceptor may have got what the command asks for.
+// wasProposed reports whether an acceptor may hold what the command asks for.
 func (c Command) wasProposed() bool { return c.proposedAt != Position{} }
 
-// end is the answer to a command that was not carried out for sure.
-func (c Command) end(outcome Outcome) Ready {
+// endWith answers the command, without a state: it was not committed, or may not have been.
+func (c Command) endWith(outcome Outcome) Ready {
 	return Ready{Result: &CommandResult{ID: c.ID, Outcome: outcome}}
 }
--- a/internal/controlplane/consensus/proposer.go
+++ b/internal/controlplane/consensus/proposer.go
@@ -141,7 +141,7 @@
 		if i == 0 && p.phase == proposerProbing {
 			p.phase = proposerIdle // no acceptor has its state
 		}
-		ready = append(ready, command.end(OutcomeRejected))
+		ready = append(ready, command.endWith(OutcomeRejected))
 	}
 	p.commands = kept
 	return ready
@@ -177,7 +177,7 @@
 		if first && p.phase == proposerProbing {
 			p.phase = proposerIdle // no acceptor has its state
 		}
-		ready = append(ready, command.end(outcome))
+		ready = append(ready, command.endWith(outcome))
 	}
 	p.commands = kept
 	return ready
@@ -190,7 +190,7 @@
 	}
 	first := p.commands.pop()
 	p.abandonTerm(now)
-	return []Ready{first.end(OutcomeRejected)}
+	return []Ready{first.endWith(OutcomeRejected)}
 }
 
 // resend sends the message of the phase again to those who have not granted it.
