--- a/internal/dataplane/routing/index.go
+++ b/internal/dataplane/routing/index.go
@@ -36,11 +36,11 @@
 			list = append(list, &hostRoutes{hostLength: len(route.Host), routes: map[string][]config.Route{}})
 			x.hosts[key] = list
 		}
-		g := list[len(list)-1]
-		if n := len(g.prefixLengths); n == 0 || g.prefixLengths[n-1] != len(route.Prefix) {
-			g.prefixLengths = append(g.prefixLengths, len(route.Prefix))
+		last := list[len(list)-1]
+		if n := len(last.prefixLengths); n == 0 || last.prefixLengths[n-1] != len(route.Prefix) {
+			last.prefixLengths = append(last.prefixLengths, len(route.Prefix))
 		}
-		g.routes[route.Prefix] = append(g.routes[route.Prefix], route)
+		last.routes[route.Prefix] = append(last.routes[route.Prefix], route)
 	}
 	return x
 }
@@ -49,8 +49,8 @@
 // for any host.
 func (x *index) match(host, path, method string) *config.Route {
 	for _, key := range [2]string{foldCase(host), ""} {
-		for _, g := range x.hosts[key] {
-			if route := g.match(path, method); route != nil {
+		for _, routesOfHost := range x.hosts[key] {
+			if route := routesOfHost.match(path, method); route != nil {
 				return route
 			}
 		}
@@ -60,12 +60,12 @@
 
 // match finds the route with the longest prefix of path that takes the method; nil if there is
 // none.
-func (g *hostRoutes) match(path, method string) *config.Route {
-	for _, n := range g.prefixLengths {
+func (h *hostRoutes) match(path, method string) *config.Route {
+	for _, n := range h.prefixLengths {
 		if n > len(path) {
 			continue
 		}
-		list := g.routes[path[:n]]
+		list := h.routes[path[:n]]
 		for i := range list {
 			if route := &list[i]; len(route.Methods) == 0 || slices.Contains(route.Methods, method) {
 				return route
