--- a/internal/controlplane/consensus/doc.go
+++ b/internal/controlplane/consensus/doc.go
@@ -8,7 +8,7 @@
 // the other under that term. A state is committed once a majority has accepted it, and while a
 // reconfiguration is under way, a majority of the previous member set as well.
 //
-// Acceptor, Proposer, Reconfigurer and Health are pure: they are given messages and the time,
+// Acceptor, Proposer, MembershipPlanner and Health are pure: they are given messages and the time,
 // and return what is to be sent, saved and answered. That is why tests/modelcheck explores
 // their interleavings, and tests/simulation runs many of them on a clock of its own. A Replica
 // runs an acceptor and a proposer: it holds the mailbox, the disk, the network and the timers.
--- a/internal/controlplane/consensus/reconfigurer.go
+++ b/internal/controlplane/consensus/membership_planner.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// maxObservationGap is how long after its last observation a reconfigurer counts as having
+	// maxObservationGap is how long after its last observation a planner counts as having
 	// been suspended.
 	maxObservationGap = 2 * time.Second // (ours)
 	// minMembers is the smallest member set that a removal leaves.
@@ -31,45 +31,45 @@
 	Live bool
 }
 
-// Reconfigurer decides for the coordinator which members join and which are removed. It is a
+// MembershipPlanner decides for the coordinator which members join and which are removed. It is a
 // pure value; times count from any fixed moment. (DESIGN 6.5)
-type Reconfigurer struct {
+type MembershipPlanner struct {
 	// RemovalDelay is how long a member may be absent before it may be removed.
 	RemovalDelay time.Duration
 	absentSince  map[int]time.Duration // by the ID of a member whose replica is not live
 	lastObserved time.Duration
 }
 
-// Observe takes which members are live. A reconfigurer that was suspended does not know of any
+// Observe takes which members are live. A planner that was suspended does not know of any
 // how long it was absent.
-func (r Reconfigurer) Observe(members []config.Member, statuses map[int]MemberStatus, now time.Duration) Reconfigurer {
-	previous := r.absentSince
-	if r.lastObserved == 0 || now-r.lastObserved > maxObservationGap {
+func (p MembershipPlanner) Observe(members []config.Member, statuses map[int]MemberStatus, now time.Duration) MembershipPlanner {
+	previous := p.absentSince
+	if p.lastObserved == 0 || now-p.lastObserved > maxObservationGap {
 		previous = nil
 	}
-	r.absentSince, r.lastObserved = map[int]time.Duration{}, now
+	p.absentSince, p.lastObserved = map[int]time.Duration{}, now
 	for _, m := range members {
 		if statuses[m.MemberID].Live {
 			continue
 		}
-		r.absentSince[m.MemberID] = now
+		p.absentSince[m.MemberID] = now
 		if since, ok := previous[m.MemberID]; ok {
-			r.absentSince[m.MemberID] = since
+			p.absentSince[m.MemberID] = since
 		}
 	}
-	return r
+	return p
 }
 
 // isGone reports whether a member has been absent for long.
-func (r Reconfigurer) isGone(memberID int, now time.Duration) bool {
-	since, ok := r.absentSince[memberID]
-	return ok && now-r.lastObserved <= maxObservationGap && now-since >= r.RemovalDelay
+func (p MembershipPlanner) isGone(memberID int, now time.Duration) bool {
+	since, ok := p.absentSince[memberID]
+	return ok && now-p.lastObserved <= maxObservationGap && now-since >= p.RemovalDelay
 }
 
 // PlanJoin finds the reconfiguration that makes a disk a member; false if there is none now.
 // Each disk gets a member ID never used before. It replaces the member that had its address
 // before its disk was lost, else one that is gone, else it joins beside all others.
-func (r Reconfigurer) PlanJoin(request JoinRequest, acceptor Acceptor, statuses map[int]MemberStatus, now time.Duration) (Command, bool) {
+func (p MembershipPlanner) PlanJoin(request JoinRequest, acceptor Acceptor, statuses map[int]MemberStatus, now time.Duration) (Command, bool) {
 	members := acceptor.MemberSets().Current
 	if acceptor.StaticSize > 0 || len(members) == 0 {
 		return Command{}, false // static members don't come and go
@@ -79,7 +79,7 @@
 	if joining.MemberID > maxMemberID || slices.ContainsFunc(members, func(m config.Member) bool { return m.DiskID == request.DiskID }) {
 		return command, false
 	}
-	leaving, live := r.replacedBy(request, members, statuses, now)
+	leaving, live := p.replacedBy(request, members, statuses, now)
 	if leaving == 0 {
 		// A member that is silent may be back, or gone, in a moment.
 		return command, live == len(members)
@@ -91,7 +91,7 @@
 
 // replacedBy is the ID of the member that a joining disk replaces, zero for none, and the
 // number of live members apart from one at the disk's own address.
-func (r Reconfigurer) replacedBy(request JoinRequest, members []config.Member, statuses map[int]MemberStatus, now time.Duration) (leaving, live int) {
+func (p MembershipPlanner) replacedBy(request JoinRequest, members []config.Member, statuses map[int]MemberStatus, now time.Duration) (leaving, live int) {
 	gone := 0
 	for _, m := range members {
 		switch status := statuses[m.MemberID]; {
@@ -99,7 +99,7 @@
 			leaving = m.MemberID
 		case status.Live:
 			live++
-		case gone == 0 && r.isGone(m.MemberID, now):
+		case gone == 0 && p.isGone(m.MemberID, now):
 			gone = m.MemberID
 		}
 	}
@@ -112,19 +112,19 @@
 // PlanRemoval finds the reconfiguration that removes a member that is gone; false if there is
 // none now. The set must be of even size or two of its members gone, and the live ones a
 // majority of what is left.
-func (r Reconfigurer) PlanRemoval(acceptor Acceptor, now time.Duration) (Command, bool) {
+func (p MembershipPlanner) PlanRemoval(acceptor Acceptor, now time.Duration) (Command, bool) {
 	members := acceptor.MemberSets().Current
 	if acceptor.StaticSize > 0 || len(members) <= smallestSize(acceptor) {
 		return Command{}, false
 	}
 	leaving, gone := 0, 0
 	for _, m := range members {
-		if r.isGone(m.MemberID, now) {
+		if p.isGone(m.MemberID, now) {
 			leaving = m.MemberID
 			gone++
 		}
 	}
-	live := len(members) - len(r.absentSince)
+	live := len(members) - len(p.absentSince)
 	if gone == 0 || len(members)%2 == 1 && gone < 2 || live < Majority(len(members)) {
 		return Command{}, false
 	}
--- a/internal/controlplane/consensus/reconfigurer_test.go
+++ b/internal/controlplane/consensus/membership_planner_test.go
@@ -21,14 +21,14 @@
 	return acceptor, statuses
 }
 
-// observed is a reconfigurer that has observed the same statuses for a time.
-func observed(acceptor Acceptor, statuses map[int]MemberStatus, span time.Duration) (Reconfigurer, time.Duration) {
-	reconfigurer := Reconfigurer{RemovalDelay: time.Second}
+// observed is a planner that has observed the same statuses for a time.
+func observed(acceptor Acceptor, statuses map[int]MemberStatus, span time.Duration) (MembershipPlanner, time.Duration) {
+	planner := MembershipPlanner{RemovalDelay: time.Second}
 	now := time.Second
 	for end := now + span; now < end; now += 500 * time.Millisecond {
-		reconfigurer = reconfigurer.Observe(acceptor.MemberSets().Current, statuses, now)
+		planner = planner.Observe(acceptor.MemberSets().Current, statuses, now)
 	}
-	return reconfigurer.Observe(acceptor.MemberSets().Current, statuses, now), now
+	return planner.Observe(acceptor.MemberSets().Current, statuses, now), now
 }
 
 func markDead(statuses map[int]MemberStatus, memberIDs ...int) {
@@ -39,7 +39,7 @@
 
 // A replica that asks joins beside all others while they are live; replaces one that is gone;
 // and replaces the one with its own address, at once.
-func TestReconfigurerPlansJoin(t *testing.T) {
+func TestMembershipPlannerPlansJoin(t *testing.T) {
 	stranger, sameAddr := JoinRequest{DiskID: 99, Addr: "z"}, JoinRequest{DiskID: 99, Addr: "b"}
 	for _, c := range []struct {
 		name       string
@@ -69,8 +69,8 @@
 			acceptor, statuses := liveMembers(c.size)
 			acceptor.State.HighestMemberID, acceptor.StaticSize = c.highestID, c.staticSize
 			markDead(statuses, c.dead...)
-			reconfigurer, now := observed(acceptor, statuses, c.observed)
-			command, ok := reconfigurer.PlanJoin(c.request, acceptor, statuses, now)
+			planner, now := observed(acceptor, statuses, c.observed)
+			command, ok := planner.PlanJoin(c.request, acceptor, statuses, now)
 			if ok != c.ok {
 				t.Fatalf("%+v %v", command, ok)
 			}
@@ -84,7 +84,7 @@
 
 // A set of even size removes a member that is gone, one of odd size only if two are; never
 // without a majority, nor below three or the number of initial members.
-func TestReconfigurerPlansRemoval(t *testing.T) {
+func TestMembershipPlannerPlansRemoval(t *testing.T) {
 	for _, c := range []struct {
 		name          string
 		size, initial int
@@ -108,32 +108,32 @@
 			acceptor, statuses := liveMembers(c.size)
 			acceptor.State.Members, acceptor.InitialMembers = acceptor.InitialMembers, acceptor.InitialMembers[:c.initial]
 			markDead(statuses, c.dead...)
-			reconfigurer, now := observed(acceptor, statuses, c.observed)
-			if command, ok := reconfigurer.PlanRemoval(acceptor, now); ok != (c.leaving != 0) || command.Leaving != c.leaving {
+			planner, now := observed(acceptor, statuses, c.observed)
+			if command, ok := planner.PlanRemoval(acceptor, now); ok != (c.leaving != 0) || command.Leaving != c.leaving {
 				t.Errorf("%+v %v", command, ok)
 			}
 		})
 	}
 }
 
-// A reconfigurer that was suspended takes no member for gone until it has observed for long
+// A planner that was suspended takes no member for gone until it has observed for long
 // enough.
-func TestReconfigurerAfterSuspension(t *testing.T) {
+func TestMembershipPlannerAfterSuspension(t *testing.T) {
 	acceptor, statuses := liveMembers(4)
 	acceptor.State.Members, acceptor.InitialMembers = acceptor.InitialMembers, acceptor.InitialMembers[:3]
 	markDead(statuses, 2)
-	reconfigurer, now := observed(acceptor, statuses, 500*time.Millisecond)
+	planner, now := observed(acceptor, statuses, 500*time.Millisecond)
 	now += 10 * time.Second
-	if _, ok := reconfigurer.PlanRemoval(acceptor, now); ok {
+	if _, ok := planner.PlanRemoval(acceptor, now); ok {
 		t.Error("removed by what it knew before it was suspended")
 	}
-	reconfigurer = reconfigurer.Observe(acceptor.MemberSets().Current, statuses, now)
-	if _, ok := reconfigurer.PlanRemoval(acceptor, now); ok {
+	planner = planner.Observe(acceptor.MemberSets().Current, statuses, now)
+	if _, ok := planner.PlanRemoval(acceptor, now); ok {
 		t.Error("removed right after it resumed")
 	}
 	now += time.Second
-	reconfigurer = reconfigurer.Observe(acceptor.MemberSets().Current, statuses, now)
-	if _, ok := reconfigurer.PlanRemoval(acceptor, now); !ok {
+	planner = planner.Observe(acceptor.MemberSets().Current, statuses, now)
+	if _, ok := planner.PlanRemoval(acceptor, now); !ok {
 		t.Error("does not remove after it has observed")
 	}
 }
--- a/internal/controlplane/consensus/term_test.go
+++ b/internal/controlplane/consensus/term_test.go
@@ -32,8 +32,8 @@
 	acceptor, statuses := liveMembers(3)
 	acceptor.State.Members, acceptor.State.HighestMemberID = acceptor.InitialMembers, replacements
 	markDead(statuses, 3)
-	reconfigurer, now := observed(acceptor, statuses, 0)
-	command, ok := reconfigurer.PlanJoin(JoinRequest{DiskID: 99, Addr: "c"}, acceptor, statuses, now)
+	planner, now := observed(acceptor, statuses, 0)
+	command, ok := planner.PlanJoin(JoinRequest{DiskID: 99, Addr: "c"}, acceptor, statuses, now)
 	if !ok || command.Joining.MemberID != replacements+1 || command.Leaving != 3 {
 		t.Fatalf("after %d replacements an empty disk gets no member ID: %+v %v", replacements, command, ok)
 	}
--- a/internal/controlplane/reconfigurer.go
+++ b/internal/controlplane/reconfigurer.go
@@ -20,7 +20,7 @@
 
 // reconfigurer admits replicas that ask to join, and removes members that have failed for good,
 // while this replica is the coordinator: one change at a time. What to change is decided by
-// consensus.Reconfigurer. (DESIGN 6.5)
+// consensus.MembershipPlanner. (DESIGN 6.5)
 type reconfigurer struct {
 	cluster  *cluster
 	commands *commandRouter
@@ -31,7 +31,7 @@
 
 	// The rest belongs to the actor. Times are since started.
 	started     time.Time
-	planner     consensus.Reconfigurer
+	planner     consensus.MembershipPlanner
 	changing    bool          // a change is being executed
 	pausedUntil time.Duration // no change begins before
 }
@@ -57,7 +57,7 @@
 	r := &reconfigurer{
 		cluster: cluster, commands: commands, client: p.TransportClient, actors: p.Actors, log: p.Log,
 		started: time.Now(),
-		planner: consensus.Reconfigurer{RemovalDelay: max(0, cfg.GoneAfter-membership.ReplicaTimeout)},
+		planner: consensus.MembershipPlanner{RemovalDelay: max(0, cfg.GoneAfter-membership.ReplicaTimeout)},
 	}
 	r.mailbox = p.Actors.Spawn("reconfigurer", r.handle)
 	return r
--- a/tests/messages/messages_test.go
+++ b/tests/messages/messages_test.go
@@ -208,7 +208,7 @@
 
 // handleJoinRequest does what the coordinator does with a request to join.
 func handleJoinRequest(a consensus.JoinRequest) {
-	u := consensus.Reconfigurer{RemovalDelay: time.Second}
+	u := consensus.MembershipPlanner{RemovalDelay: time.Second}
 	u = u.Observe(controlState.Members, nil, time.Second)
 	u.PlanJoin(a, acceptor(), map[int]consensus.MemberStatus{1: {Addr: a.Addr}}, 2*time.Second)
 }
--- a/tests/simulation/replica.go
+++ b/tests/simulation/replica.go
@@ -26,7 +26,7 @@
 	addr          string
 	removed       bool // for good
 	members       membership.ReplicaTable
-	reconfigurer  consensus.Reconfigurer
+	reconfigurer  consensus.MembershipPlanner
 	reconfiguring bool // a change of the member set is in flight
 	leaving       bool // it is being stopped, and does not ask to join
 }
@@ -41,7 +41,7 @@
 	r.acceptor.Committed = 0
 	r.proposer = &consensus.Proposer{}
 	r.proposer.FollowAcceptor(r.acceptor, sim.now)
-	r.members, r.reconfigurer, r.replies, r.reconfiguring = membership.ReplicaTable{}, consensus.Reconfigurer{RemovalDelay: time.Second}, nil, false
+	r.members, r.reconfigurer, r.replies, r.reconfiguring = membership.ReplicaTable{}, consensus.MembershipPlanner{RemovalDelay: time.Second}, nil, false
 	var tick func()
 	tick = func() {
 		if r.up && r.incarnation == incarnation {
