--- a/internal/controlplane/consensus/commit_tracker.go
+++ b/internal/controlplane/consensus/commit_tracker.go
@@ -31,7 +31,8 @@
 }
 
 // observe takes what a majority showed; it reports whether the newest state was shown twice and
-// is still not delivered.
+// is still not delivered. Of two reads that wait for confirmation the later one counts, unless it
+// waits for a newer revision: that may take longer to be delivered.
 func (t *commitTracker) observe(e readIndexEvent) (behind bool) {
 	position := e.read.highest.Position
 	if !t.confirmation.pending || e.startedAt.After(t.confirmation.startedAt) && position.Revision <= t.confirmation.revision {
--- a/internal/controlplane/consensus/replica.go
+++ b/internal/controlplane/consensus/replica.go
@@ -156,9 +156,8 @@
 	}
 }
 
-// tick lets time pass. What it does depends on the phase of the acceptor: one that is established
-// follows the proposer's timers; one on an empty or lost disk of a static member tries to get its
-// membership back.
+// tick lets time pass. Only an established acceptor has a proposer beside it that is ticked. That
+// of a static member whose disk is empty, or was lost, tries to become the member instead.
 func (r *Replica) tick(ctx context.Context, now time.Duration) {
 	r.rejectUnproposed(ctx, now)
 	r.reportHealth(now)
