--- a/internal/dataplane/proxy/admit_test.go
+++ b/internal/dataplane/proxy/admit_test.go
@@ -13,7 +13,7 @@
 
 // An attempt that comes a second time while the first runs, and is then refused, is not said not to
 // have run.
-func TestRefusedTwin(t *testing.T) {
+func TestDuplicateAttempt(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	actors := actor.New(slog.New(slog.DiscardHandler), func(name string, cause any, _ []byte) { t.Errorf("%s: %v", name, cause) })
--- a/internal/dataplane/proxy/attemptlog_test.go
+++ b/internal/dataplane/proxy/attemptlog_test.go
@@ -8,7 +8,7 @@
 
 // An attempt begins once; one that was refused or canceled before never begins; one that has
 // begun can't be refused any more.
-func TestLedger(t *testing.T) {
+func TestAttemptLog(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	log := newAttemptLogActor()
--- a/internal/dataplane/proxy/clientrequest_test.go
+++ b/internal/dataplane/proxy/clientrequest_test.go
@@ -43,7 +43,7 @@
 
 // After an early rejection, while the body is still on its way, what follows is never taken for a
 // request, and if the connection is reused, the next request gets its own response.
-func TestBodyAfterARefusal(t *testing.T) {
+func TestBodyAfterRejection(t *testing.T) {
 	smuggled := "POST /once/smuggled HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n"
 	long := strings.Repeat(smuggled, (2<<20)/len(smuggled))
 	for name, c := range map[string]struct {
@@ -81,7 +81,7 @@
 
 // Requests whose ends two readers might see at different places are rejected, or reach the backend
 // as one, complete and unchanged.
-func TestTwoLengths(t *testing.T) {
+func TestAmbiguousLength(t *testing.T) {
 	inner := "POST /once/smuggled HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n"
 	for name, text := range map[string]string{
 		"two lengths":             "Content-Length: 5\r\nContent-Length: 6\r\n\r\nabcdef" + inner,
@@ -170,7 +170,7 @@
 }
 
 // A client that knows no chunks gets a response with a trailer with its length instead.
-func TestTrailersForAnOldClient(t *testing.T) {
+func TestTrailersForHTTP10(t *testing.T) {
 	p := newProxyPair(t, func(r receivedRequest) bool {
 		io.WriteString(r.conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: Sum\r\nFor: "+r.id+"\r\n\r\n2\r\nok\r\n0\r\nSum: 7\r\n\r\n")
 		return true
--- a/internal/dataplane/proxy/connpool_test.go
+++ b/internal/dataplane/proxy/connpool_test.go
@@ -10,7 +10,7 @@
 )
 
 // Where nobody listens, an attempt has not run, and leaves nothing in the pool.
-func TestNobodyThere(t *testing.T) {
+func TestBackendUnreachable(t *testing.T) {
 	b := newFakeBackend(t, respondOK)
 	address := b.endpoint.Address
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/dataplane/proxy/exchange_test.go
+++ b/internal/dataplane/proxy/exchange_test.go
@@ -16,7 +16,7 @@
 )
 
 // A connection that is known to stand between two responses is reused, whatever their form.
-func TestLinkIsUsedAgain(t *testing.T) {
+func TestConnectionReused(t *testing.T) {
 	b := newFakeBackend(t, func(r receivedRequest) bool {
 		io.Copy(io.Discard, r.Body)
 		switch r.requestNumber % 6 {
@@ -54,7 +54,7 @@
 }
 
 // The response to HEAD has a length and no body.
-func TestLinkAfterHead(t *testing.T) {
+func TestConnectionAfterHead(t *testing.T) {
 	b := newFakeBackend(t, func(r receivedRequest) bool {
 		io.WriteString(r.conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nFor: "+r.id+"\r\n\r\n")
 		if r.Method != "HEAD" {
@@ -71,7 +71,7 @@
 }
 
 // A connection that the backend closes, or may close, is not reused.
-func TestLinkIsNotUsedAgain(t *testing.T) {
+func TestConnectionNotReused(t *testing.T) {
 	for name, c := range map[string]struct {
 		response string
 		body     bool
@@ -97,7 +97,7 @@
 
 // A connection is reused after an idle time of at most half of what the backend says, and of the
 // own maximum; for an attempt that is not idempotent, of less.
-func TestLinkIdle(t *testing.T) {
+func TestConnectionIdleTime(t *testing.T) {
 	b := newFakeBackend(t, func(r receivedRequest) bool {
 		r.respond(r.id, "ok", "Keep-Alive: timeout=6, max=9")
 		return true
@@ -122,7 +122,7 @@
 
 // A response to another request, in the place of the one that is due, is skipped; after it, the
 // connection is not reused.
-func TestStrayAnswers(t *testing.T) {
+func TestMismatchedResponses(t *testing.T) {
 	for mismatched, want := range []routing.Outcome{routing.Answered, routing.Answered, routing.Answered, routing.Unknown} {
 		b := newFakeBackend(t, func(r receivedRequest) bool {
 			if r.requestNumber == 2 {
@@ -148,7 +148,7 @@
 
 // Where a connection has carried a HEAD request, nobody knows whether a response to another
 // request has a body: what looks like the own one behind it may be bytes of a body.
-func TestStrayAnswerAfterHead(t *testing.T) {
+func TestMismatchedResponseAfterHead(t *testing.T) {
 	b := newFakeBackend(t, func(r receivedRequest) bool {
 		if r.Method == "HEAD" {
 			io.WriteString(r.conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nFor: "+r.id+"\r\n\r\n")
@@ -296,7 +296,7 @@
 }
 
 // An attempt that is rejected before the write writes no byte, and its connection can be reused.
-func TestGateOnALink(t *testing.T) {
+func TestRejectedBeforeWrite(t *testing.T) {
 	b := newFakeBackend(t, respondOK)
 	b.mustAnswer(t, Attempt{})
 	for _, body := range []int{1, 100 << 10} {
@@ -313,7 +313,7 @@
 
 // A connection that takes no byte proves that nothing was sent: a new one is used, after another
 // check.
-func TestNotAByte(t *testing.T) {
+func TestNothingWritten(t *testing.T) {
 	release := make(chan struct{})
 	b := newFakeBackend(t, func(r receivedRequest) bool {
 		r.respond(r.id, "ok")
@@ -335,7 +335,7 @@
 }
 
 // An attempt whose deadline passes closes its connection.
-func TestAttemptPastItsTime(t *testing.T) {
+func TestAttemptDeadline(t *testing.T) {
 	gone := make(chan error, 1)
 	b := newFakeBackend(t, func(r receivedRequest) bool {
 		_, err := r.conn.Read(make([]byte, 1))
@@ -355,7 +355,7 @@
 }
 
 // A long request may be answered before its end; its connection is not reused.
-func TestAnswerBeforeTheEnd(t *testing.T) {
+func TestResponseBeforeRequestEnds(t *testing.T) {
 	b := newFakeBackend(t, func(r receivedRequest) bool {
 		r.respond(r.id, "too long")
 		return r.ContentLength < 1<<20
--- a/internal/dataplane/proxy/nethttp_test.go
+++ b/internal/dataplane/proxy/nethttp_test.go
@@ -16,7 +16,7 @@
 
 // The product uses net/http's client only in the planner, which only reads: elsewhere, requests
 // that must not be repeated would be, unnoticed.
-func TestNoHiddenRepeats(t *testing.T) {
+func TestNoHiddenRetries(t *testing.T) {
 	found := 0
 	err := filepath.WalkDir("../../..", func(path string, d fs.DirEntry, err error) error {
 		rel, _ := filepath.Rel("../../..", path)
--- a/internal/dataplane/proxy/request_test.go
+++ b/internal/dataplane/proxy/request_test.go
@@ -33,7 +33,7 @@
 
 // That there is no route for a request is said only if the configuration is confirmed as the
 // newest; else the request is rejected as not run, with when to retry.
-func TestNoRouteWhileUnsure(t *testing.T) {
+func TestNoRouteWhileUnconfirmed(t *testing.T) {
 	var unconfirmed bool
 	o := newRoutesOutbound(t, `{"ways":[],"contracts":[]}`, func() bool { return unconfirmed }, nil)
 	for i, c := range []struct {
@@ -56,7 +56,7 @@
 
 // A sidecar whose configuration is known to be outdated uses no route of it, be it one that it
 // has: the request is rejected at once as not run, with when to retry.
-func TestNoRouteWhileBehind(t *testing.T) {
+func TestNoRouteWhileOutdated(t *testing.T) {
 	o := newRoutesOutbound(t,
 		`{"ways":[{"name":"old","prefix":"/old/","service":"orders","contract":"c"}],"contracts":[{"name":"c","aim":"1s","expiry":"2s","rank":1}]}`,
 		nil, func() bool { return true })
--- a/internal/dataplane/proxy/target_test.go
+++ b/internal/dataplane/proxy/target_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // The request target that net/http writes is the client's, byte for byte.
-func TestTarget(t *testing.T) {
+func TestRequestTarget(t *testing.T) {
 	for _, uri := range []string{"/", "/a%2Fb", "/a//b?x=%20", "//two/slashes?q", "//two?", "/?", "*", "/%e2%82%ac", "http://host/path?q=1"} {
 		t.Run(uri, func(t *testing.T) {
 			if got := requestTargetURL("127.0.0.1:1", uri).RequestURI(); got != uri {
--- a/internal/dataplane/proxy/warmup_test.go
+++ b/internal/dataplane/proxy/warmup_test.go
@@ -86,7 +86,7 @@
 // A backend that is warming up gets its service's rate of requests over any second, from the
 // sidecar's start on, and no more than that at a time; what is rejected has not run, and is told
 // when to retry.
-func TestColdRate(t *testing.T) {
+func TestWarmupRate(t *testing.T) {
 	f := newWarmupFixture(t)
 	f.announce("5s")
 	if got := f.countAnswered(); got != 0 {
--- a/internal/dataplane/proxy/writeguard_test.go
+++ b/internal/dataplane/proxy/writeguard_test.go
@@ -10,7 +10,7 @@
 // Either the write goes first or the guard is closed first, never both, however the two meet; and
 // an attempt whose guard is closed while its admission is still being checked is not written,
 // whatever the check says.
-func TestGuard(t *testing.T) {
+func TestWriteGuard(t *testing.T) {
 	admitted := func() refusal { return refusal{} }
 	written, closed := 0, 0
 	for range 20000 {
--- a/internal/dataplane/routing/conditions_test.go
+++ b/internal/dataplane/routing/conditions_test.go
@@ -78,7 +78,7 @@
 
 // A request with a lateness budget uses slower backends too and leaves the fast ones to others;
 // one without takes the fast ones as long as they are not full.
-func TestSlowerPlaces(t *testing.T) {
+func TestSlowerBackends(t *testing.T) {
 	s := newSite(backendSpecs{"slow": {"north", 200 * time.Millisecond}, "fast": {"north", 20 * time.Millisecond}})
 	if got := s.countChoices(time.Second, 800*time.Millisecond); got["slow"] < 150 {
 		t.Errorf("with a budget: %v", got)
@@ -98,7 +98,7 @@
 
 // Leaving the zone has its cost: a request with a lateness budget stays, one that would be late
 // goes to where it would not be.
-func TestCrossing(t *testing.T) {
+func TestCrossZone(t *testing.T) {
 	s := newSite(backendSpecs{"local": {"north", 200 * time.Millisecond}, "remote": {"south", 20 * time.Millisecond}})
 	if got := s.countChoices(time.Second, 800*time.Millisecond); got["local"] != 400 {
 		t.Errorf("with a budget: %v", got)
@@ -115,7 +115,7 @@
 // With a cross-zone cost, a remote backend of which nothing was learned is tried once the own
 // zone's is full and late: what was learned there says nothing of it. One of which something was
 // learned is judged by that. (incident inc-ea11)
-func TestCrossingUnlearned(t *testing.T) {
+func TestCrossZoneUnlearned(t *testing.T) {
 	const late, inTime = 200 * time.Millisecond, 20 * time.Millisecond
 	for name, c := range map[string]struct {
 		// inFlight is how many requests the local backend has, of a capacity of 4.
@@ -149,7 +149,7 @@
 
 // A request whose time left hardly covers what its route takes is rejected before any attempt;
 // a few are sent all the same, so that what was learned wrongly is corrected.
-func TestVain(t *testing.T) {
+func TestUnlikelyToFinish(t *testing.T) {
 	s := newSite(backendSpecs{"local": {"north", 500 * time.Millisecond}, "remote": {"south", 500 * time.Millisecond}})
 	if got := s.countChoices(time.Second, 0); got["rejected"] > 0 {
 		t.Errorf("with time enough: %v", got)
--- a/internal/dataplane/routing/decision_test.go
+++ b/internal/dataplane/routing/decision_test.go
@@ -43,7 +43,7 @@
 // Where no sidecar's configuration is confirmed, a request is rejected at once, after two have
 // said so, and told when to retry; where the own one is confirmed, or not all others are
 // unconfirmed, it goes on to those that may admit it.
-func TestRefusedAtOnceWhileUnsure(t *testing.T) {
+func TestRejectedWhileUnconfirmed(t *testing.T) {
 	backends := backendSpecs{}
 	for _, name := range []string{"a", "b", "c", "d", "e", "f", "g", "h", "i", "j"} {
 		backends[name] = backendSpec{"north", 10 * time.Millisecond}
--- a/internal/dataplane/routing/split_test.go
+++ b/internal/dataplane/routing/split_test.go
@@ -8,7 +8,7 @@
 )
 
 // A split's services get their shares; one without weight gets nothing.
-func TestPick(t *testing.T) {
+func TestPickService(t *testing.T) {
 	if got := PickService(config.Route{Service: "one"}, nil); got != "one" {
 		t.Errorf("without a split: %q", got)
 	}
--- a/internal/dataplane/routing/table_test.go
+++ b/internal/dataplane/routing/table_test.go
@@ -19,7 +19,7 @@
 
 // A zone whose evacuation has ended gets its capacity back little by little, whatever states
 // come meanwhile; evacuated again, it begins anew.
-func TestRamp(t *testing.T) {
+func TestZoneSlowStart(t *testing.T) {
 	start := time.Now()
 	at := func(seconds float64) time.Time {
 		return start.Add(time.Duration(seconds * float64(time.Second)))
@@ -81,7 +81,7 @@
 }
 
 // A table has the services and limits of its configuration; an empty one has none.
-func TestSaid(t *testing.T) {
+func TestServicesAndLimits(t *testing.T) {
 	table := mustTable(t, []byte(`{"contracts": [{"name":"c","aim":"1s","expiry":"2s","rank":1}],
 		"services": [{"name":"b","connections":7},{"name":"a"},{"name":"z"}], "limits": {"body_bytes": 9},
 		"ways": [{"name":"w","prefix":"/","split":[{"service":"b","weight":1},{"service":"a","weight":1}],"contract":"c"}]}`))
