--- a/internal/controlplane/api_state.go
+++ b/internal/controlplane/api_state.go
@@ -38,7 +38,7 @@
 		Promised:      acceptor.Promised,
 		Position:      acceptor.Position,
 		Members:       acceptor.MemberSets(),
-		MemberRecords: acceptor.Members,
+		MemberRecords: acceptor.MemberRecords,
 		Coordinator:   n.cluster.coordinator().MemberID,
 		Replicas:      replicas.Observed(),
 	}
--- a/internal/controlplane/consensus/acceptor.go
+++ b/internal/controlplane/consensus/acceptor.go
@@ -23,8 +23,8 @@
 	// Position and State are what was accepted last.
 	Position Position
 	State    config.ControlState
-	// Members has the highest known incarnation of each member ID.
-	Members map[int]MemberRecord
+	// MemberRecords has the highest known incarnation of each member ID, and the disk that has it.
+	MemberRecords map[int]MemberRecord
 	// Committed is the highest revision known to be held by a majority; not on disk.
 	Committed uint64
 	// PromiseDirty and StateDirty say what must be saved.
@@ -53,7 +53,7 @@
 	if message.Type == MsgJoin && a.StaticSize == 0 {
 		return false // where members come and go, the control state names them
 	}
-	return a.Phase == PhaseEstablished && (message.Type == MsgJoin || message.Sender.isCurrent(a.Members[message.Sender.MemberID]))
+	return a.Phase == PhaseEstablished && (message.Type == MsgJoin || message.Sender.isCurrent(a.MemberRecords[message.Sender.MemberID]))
 }
 
 // handle takes a message that was admitted.
@@ -105,7 +105,7 @@
 // handleJoin records that another disk takes over a static member.
 func (a Acceptor) handleJoin(message Message) (next Acceptor, granted bool) {
 	sender := message.Sender
-	if sender.Incarnation <= a.Members[sender.MemberID].Incarnation {
+	if sender.Incarnation <= a.MemberRecords[sender.MemberID].Incarnation {
 		return a, false
 	}
 	return a.recordMembers(map[int]MemberRecord{sender.MemberID: {Incarnation: sender.Incarnation, DiskID: sender.DiskID}}), true
@@ -115,7 +115,7 @@
 func (a Acceptor) reply(message Message, granted bool) Reply {
 	reply := Reply{
 		Sender: a.Self, Type: message.Type, Term: message.Term, Granted: granted, Phase: a.Phase, Promised: a.Promised,
-		Position: a.Position, Committed: a.Committed, Members: a.Members, MemberSets: a.MemberSets(),
+		Position: a.Position, Committed: a.Committed, MemberRecords: a.MemberRecords, MemberSets: a.MemberSets(),
 	}
 	if message.Type == MsgPrepare || message.Type == MsgRead || message.Type == MsgJoin {
 		reply.State = a.State
@@ -158,7 +158,7 @@
 
 // recordMembers takes over the records of incarnations that are higher than the known ones.
 func (a Acceptor) recordMembers(records map[int]MemberRecord) Acceptor {
-	next := maps.Clone(a.Members)
+	next := maps.Clone(a.MemberRecords)
 	if next == nil {
 		next = map[int]MemberRecord{}
 	}
@@ -167,7 +167,7 @@
 			next[id], a.PromiseDirty = record, true
 		}
 	}
-	a.Members = next
+	a.MemberRecords = next
 	return a
 }
 
--- a/internal/controlplane/consensus/acceptor_join.go
+++ b/internal/controlplane/consensus/acceptor_join.go
@@ -20,7 +20,7 @@
 	members := map[int]MemberRecord{a.Self.MemberID: {Incarnation: 1, DiskID: a.Self.DiskID}}
 	promised := a.Promised
 	for id, reply := range replies {
-		replaced := reply.Phase == PhaseEstablished && reply.Members[a.Self.MemberID] != members[a.Self.MemberID]
+		replaced := reply.Phase == PhaseEstablished && reply.MemberRecords[a.Self.MemberID] != members[a.Self.MemberID]
 		if reply.Phase == PhaseLost || reply.Position != (Position{}) || replaced {
 			return a, false
 		}
@@ -39,7 +39,7 @@
 func (a Acceptor) NextIncarnation(replies map[int]Reply) (self Sender, ready bool) {
 	incarnation := a.Self.Incarnation
 	for _, reply := range replies {
-		incarnation = max(incarnation, reply.Members[a.Self.MemberID].Incarnation)
+		incarnation = max(incarnation, reply.MemberRecords[a.Self.MemberID].Incarnation)
 	}
 	self = Sender{MemberID: a.Self.MemberID, Incarnation: incarnation + 1, DiskID: a.Self.DiskID}
 	return self, len(CurrentReplies(replies)) >= Majority(a.StaticSize)
@@ -57,7 +57,7 @@
 	}
 	a.Self = self
 	for _, reply := range granted {
-		a = a.recordMembers(reply.Members)
+		a = a.recordMembers(reply.MemberRecords)
 		a.Promised = max(a.Promised, reply.Promised)
 		if a.Position.Compare(reply.Position) < 0 {
 			a = a.accept(reply.Position, reply.State)
--- a/internal/controlplane/consensus/bootstrap.go
+++ b/internal/controlplane/consensus/bootstrap.go
@@ -19,7 +19,7 @@
 func (b Bootstrap) InitialState(diskID uint64) Acceptor {
 	acceptor := Acceptor{
 		Self: Sender{MemberID: b.MemberID, DiskID: diskID}, Phase: PhaseEmpty, StaticSize: b.StaticSize,
-		Members: map[int]MemberRecord{}, PromiseDirty: true,
+		MemberRecords: map[int]MemberRecord{}, PromiseDirty: true,
 	}
 	if b.MemberID != 0 {
 		return acceptor
--- a/internal/controlplane/consensus/proposer_network_test.go
+++ b/internal/controlplane/consensus/proposer_network_test.go
@@ -29,7 +29,7 @@
 	}
 	for id := 1; id <= size; id++ {
 		self := Sender{MemberID: id, Incarnation: 1, DiskID: uint64(id)}
-		network.acceptors = append(network.acceptors, Acceptor{Self: self, StaticSize: size, Phase: PhaseEstablished, Members: members})
+		network.acceptors = append(network.acceptors, Acceptor{Self: self, StaticSize: size, Phase: PhaseEstablished, MemberRecords: members})
 		network.proposers[id] = &Proposer{}
 		network.proposers[id].FollowAcceptor(network.acceptors[id-1], 0)
 	}
--- a/internal/controlplane/consensus/replica_harness_test.go
+++ b/internal/controlplane/consensus/replica_harness_test.go
@@ -168,7 +168,7 @@
 func (p *slowPeer) memberRecord(memberID int) MemberRecord {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.acceptor.Members[memberID]
+	return p.acceptor.MemberRecords[memberID]
 }
 
 // addresses are peers that stay where they are.
--- a/internal/controlplane/consensus/replica_test.go
+++ b/internal/controlplane/consensus/replica_test.go
@@ -162,7 +162,7 @@
 	for memberID := 1; memberID <= 2; memberID++ {
 		acceptor := establishedAcceptor(memberID, Position{4, 2}, config.ControlState{Revision: 2, ConfigurationRevision: 2})
 		acceptor.StaticSize, acceptor.Committed = 3, 2
-		acceptor.Members = map[int]MemberRecord{1: {Incarnation: 1, DiskID: 1}, 2: {Incarnation: 1, DiskID: 2}, 3: {Incarnation: 1, DiskID: 77}}
+		acceptor.MemberRecords = map[int]MemberRecord{1: {Incarnation: 1, DiskID: 1}, 2: {Incarnation: 1, DiskID: 2}, 3: {Incarnation: 1, DiskID: 77}}
 		acceptor.Self = Sender{MemberID: memberID, Incarnation: 1, DiskID: uint64(memberID)}
 		p := &slowPeer{acceptor: acceptor, late: 700 * time.Millisecond}
 		others = append(others, p)
--- a/internal/controlplane/consensus/replies.go
+++ b/internal/controlplane/consensus/replies.go
@@ -10,7 +10,7 @@
 	for id, reply := range replies {
 		ok := reply.Phase == PhaseEstablished || reply.Phase == PhaseJoining
 		for _, other := range replies {
-			ok = ok && reply.Sender.isCurrent(other.Members[reply.Sender.MemberID])
+			ok = ok && reply.Sender.isCurrent(other.MemberRecords[reply.Sender.MemberID])
 		}
 		if ok {
 			current[id] = reply
--- a/internal/controlplane/consensus/reply.go
+++ b/internal/controlplane/consensus/reply.go
@@ -17,8 +17,9 @@
 	State    config.ControlState `msgpack:"w"`
 	// Committed is the highest revision that it knows to be committed.
 	Committed uint64 `msgpack:"se"`
-	// Members has the highest incarnation that it knows of each member ID.
-	Members map[int]MemberRecord `msgpack:"st"`
+	// MemberRecords has the highest incarnation that it knows of each member ID, and the disk that
+	// has it.
+	MemberRecords map[int]MemberRecord `msgpack:"st"`
 	// MemberSets are those of its accepted state.
 	MemberSets MemberSets `msgpack:"sg"`
 }
--- a/internal/controlplane/consensus/state_encoding.go
+++ b/internal/controlplane/consensus/state_encoding.go
@@ -62,7 +62,7 @@
 	b = appendNumbers(b, uint64(a.StaticSize), a.Promised, a.Committed)
 	b = appendPosition(b, a.Position)
 	b = AppendControlState(b, a.State)
-	return appendMemberRecords(b, a.Members)
+	return appendMemberRecords(b, a.MemberRecords)
 }
 
 // AppendState appends an encoding of the reply.
@@ -74,7 +74,7 @@
 	b = appendNumbers(b, r.Term, r.Promised, r.Committed)
 	b = appendPosition(b, r.Position)
 	b = AppendControlState(b, r.State)
-	b = appendMemberRecords(b, r.Members)
+	b = appendMemberRecords(b, r.MemberRecords)
 	return appendMemberSets(b, r.MemberSets)
 }
 
--- a/internal/controlplane/consensus/state_encoding_test.go
+++ b/internal/controlplane/consensus/state_encoding_test.go
@@ -22,8 +22,8 @@
 		{stateSnapshot{}, []string{"position", "state"}},
 		{proposal{}, []string{"stateSnapshot", "forCommand"}},
 		{phaseExchange{}, []string{"recipients", "startedAt", "lastSent", "grants", "rejections"}},
-		{Acceptor{}, []string{"Self", "StaticSize", "InitialMembers", "Phase", "Promised", "Position", "State", "Members", "Committed", "PromiseDirty", "StateDirty"}},
-		{Reply{}, []string{"Sender", "Type", "Term", "Granted", "Phase", "Promised", "Position", "State", "Committed", "Members", "MemberSets"}},
+		{Acceptor{}, []string{"Self", "StaticSize", "InitialMembers", "Phase", "Promised", "Position", "State", "MemberRecords", "Committed", "PromiseDirty", "StateDirty"}},
+		{Reply{}, []string{"Sender", "Type", "Term", "Granted", "Phase", "Promised", "Position", "State", "Committed", "MemberRecords", "MemberSets"}},
 		{Message{}, []string{"Sender", "Type", "Term", "Position", "State"}},
 	} {
 		of := reflect.TypeOf(c.of)
--- a/internal/controlplane/consensus/state_files.go
+++ b/internal/controlplane/consensus/state_files.go
@@ -54,13 +54,13 @@
 	}
 	acceptor := Acceptor{
 		Self:       Sender{MemberID: bootstrap.MemberID, DiskID: file.DiskID, Incarnation: file.Incarnation},
-		StaticSize: bootstrap.StaticSize, Phase: file.Phase, Promised: file.Promised, Members: file.Members,
+		StaticSize: bootstrap.StaticSize, Phase: file.Phase, Promised: file.Promised, MemberRecords: file.Members,
 	}
 	if file.MemberID != nil {
 		acceptor.Self.MemberID, acceptor.StaticSize, acceptor.InitialMembers = *file.MemberID, file.StaticSize, file.InitialMembers
 	}
-	if acceptor.Members == nil {
-		acceptor.Members = map[int]MemberRecord{}
+	if acceptor.MemberRecords == nil {
+		acceptor.MemberRecords = map[int]MemberRecord{}
 	}
 	return acceptor, nil
 }
@@ -68,7 +68,7 @@
 // encodePromise makes the content of a file with promises.
 func (a Acceptor) encodePromise() ([]byte, error) {
 	return json.Marshal(promiseFile{
-		DiskID: a.Self.DiskID, Incarnation: a.Self.Incarnation, Phase: a.Phase, Promised: a.Promised, Members: a.Members,
+		DiskID: a.Self.DiskID, Incarnation: a.Self.Incarnation, Phase: a.Phase, Promised: a.Promised, Members: a.MemberRecords,
 		MemberID: &a.Self.MemberID, StaticSize: a.StaticSize, InitialMembers: a.InitialMembers,
 	})
 }
--- a/tests/messages/messages_test.go
+++ b/tests/messages/messages_test.go
@@ -67,7 +67,7 @@
 	newKind(watch.KindWatch, watch.Request{LogID: 1, Offset: 1, Wait: time.Second}, handleWatch),
 	newKind("updates", watch.Updates{LogID: 1, Offset: 2, Snapshot: true, Events: []watch.Event{{State: &controlState}, {Node: &node}, {RemovedNode: "x"}}, Age: time.Second}, handleUpdates),
 	newKind(consensus.KindMessage, consensus.Message{Sender: sender, Type: consensus.MsgAccept, Term: 65537, Position: position, State: controlState}, handleMessage),
-	newKind("reply", consensus.Reply{Sender: sender, Type: consensus.MsgPrepare, Granted: true, Position: position, State: controlState, Members: map[int]consensus.MemberRecord{1: {Incarnation: 1}}}, handleReply),
+	newKind("reply", consensus.Reply{Sender: sender, Type: consensus.MsgPrepare, Granted: true, Position: position, State: controlState, MemberRecords: map[int]consensus.MemberRecord{1: {Incarnation: 1}}}, handleReply),
 	newKind(consensus.KindCommand, consensus.Command{ID: 1, Kind: consensus.CommandEvacuate, Zone: "north"}, func(consensus.Command) {}),
 	newKind(consensus.KindDeltaCommand, config.Patch{Delta: []byte{8, 1, 2, 3, 4}}, handlePatch),
 	newKind("command result", consensus.CommandResult{ID: 1, Outcome: consensus.OutcomeCommitted}, func(consensus.CommandResult) {}),
@@ -175,7 +175,7 @@
 
 // acceptor is a member that has accepted a state.
 func acceptor() consensus.Acceptor {
-	return consensus.Acceptor{Self: sender, Position: position, State: controlState, Members: map[int]consensus.MemberRecord{}}
+	return consensus.Acceptor{Self: sender, Position: position, State: controlState, MemberRecords: map[int]consensus.MemberRecord{}}
 }
 
 // handleMessage does what a member does with a consensus message.
--- a/tests/modelcheck/step.go
+++ b/tests/modelcheck/step.go
@@ -90,7 +90,7 @@
 		n.disk.Position, n.disk.State = acceptor.Position, acceptor.State
 	}
 	if acceptor.PromiseDirty {
-		n.disk.Self, n.disk.Phase, n.disk.Promised, n.disk.Members = acceptor.Self, acceptor.Phase, acceptor.Promised, acceptor.Members
+		n.disk.Self, n.disk.Phase, n.disk.Promised, n.disk.MemberRecords = acceptor.Self, acceptor.Phase, acceptor.Promised, acceptor.MemberRecords
 	}
 	n.memory.StateDirty, n.memory.PromiseDirty = false, false
 	n.proposer.FollowAcceptor(n.memory, n.now)
--- a/tests/simulation/consensus.go
+++ b/tests/simulation/consensus.go
@@ -117,7 +117,7 @@
 
 // emptyAcceptor is the state of a static member with an empty disk.
 func (sim *Consensus) emptyAcceptor(memberID int) consensus.Acceptor {
-	return consensus.Acceptor{Self: consensus.Sender{MemberID: memberID, DiskID: sim.rng.Uint64() | 1}, StaticSize: sim.members, Phase: consensus.PhaseEmpty, Members: map[int]consensus.MemberRecord{}}
+	return consensus.Acceptor{Self: consensus.Sender{MemberID: memberID, DiskID: sim.rng.Uint64() | 1}, StaticSize: sim.members, Phase: consensus.PhaseEmpty, MemberRecords: map[int]consensus.MemberRecord{}}
 }
 
 // Run brings faults about for a while, then none, and checks that the control plane serves
