--- a/internal/controlplane/cluster.go
+++ b/internal/controlplane/cluster.go
@@ -70,8 +70,8 @@
 	return member.Addr, ok
 }
 
-// coordinator is the first live and eligible member, in the order that all replicas agree on. It
-// is the one that executes commands; consensus stays safe while replicas differ over who it is.
+// coordinator is the live and eligible member with the lowest member ID, as far as this replica
+// knows. It executes commands; consensus stays safe while replicas differ over who it is.
 func (c *cluster) coordinator() membership.Replica {
 	return c.discovery.Replicas().Coordinator(c.status(), c.memberIDs(), time.Now())
 }
--- a/internal/controlplane/consensus/replica.go
+++ b/internal/controlplane/consensus/replica.go
@@ -51,8 +51,8 @@
 type Peers interface {
 	// Addr finds the replica that has a member ID, or would get it.
 	Addr(memberID int) (string, bool)
-	// IsCoordinator reports whether this replica is the first live and healthy one in the order
-	// that all agree on.
+	// IsCoordinator reports whether this replica is the live and healthy member with the lowest
+	// member ID, as far as it knows.
 	IsCoordinator() bool
 }
 
--- a/internal/controlplane/doc.go
+++ b/internal/controlplane/doc.go
@@ -8,8 +8,8 @@
 //   - cluster knows the other replicas, and which of them is the coordinator: the live and healthy
 //     member that executes commands;
 //   - commandRouter takes a command to the coordinator, from whichever replica it was given to;
-//   - reconfigurer changes the members of the control plane while this replica is the coordinator,
-//     and joinRequester asks to become one while it is none;
+//   - reconfigurer executes the membership changes that consensus.MembershipPlanner decides on, while
+//     this replica is the coordinator, and joinRequester asks for membership while it is no member;
 //   - maintenanceScheduler evacuates and restores zones by the maintenance calendar;
 //   - watch.Server sends the control state and the table of sidecars to the sidecars;
 //   - tracestore.Store collects the events of finished spans.
