--- a/internal/config/validate_test.go
+++ b/internal/config/validate_test.go
@@ -69,7 +69,10 @@
 		"weights that are all 0":               {route(`"split":[{"service":"a","weight":0}]`), []string{"$.ways[0].split"}},
 		"service twice in a split":             {route(`"split":[{"service":"a","weight":1},{"service":"a","weight":1}]`), []string{"$.ways[0].split[1].service"}},
 		"weight and service name out of range": {route(`"split":[{"service":"a","weight":1000001},{"service":"A","weight":1}]`), []string{"$.ways[0].split[0].weight", "$.ways[0].split[1].service"}},
-		"negative and broken weight, unknown field": {route(`"split":[{"service":"a","weight":-1},{"service":"b","weight":0.5,"x":1}]`), []string{"$.ways[0].split[0].weight", "$.ways[0].split[1].weight", "$.ways[0].split[1].x", "$.ways[0].split"}},
+		"negative and broken weight, unknown field": {
+			route(`"split":[{"service":"a","weight":-1},{"service":"b","weight":0.5,"x":1}]`),
+			[]string{"$.ways[0].split[0].weight", "$.ways[0].split[1].weight", "$.ways[0].split[1].x", "$.ways[0].split"},
+		},
 		"services that are not listed": {head + `"services":[{"name":"a"},{"name":"b"}],"ways":[{"name":"w","prefix":"/","contract":"c","service":"s"},{"name":"v","prefix":"/v","contract":"c","split":[{"service":"a","weight":1},{"service":"x","weight":1}]}]}`, []string{
 			"$.ways[0].service", "$.ways[1].split[1].service",
 		}},
