--- a/tests/mutation/catalogue.go
+++ b/tests/mutation/catalogue.go
@@ -31,7 +31,7 @@
 	{duplicateRun, "internal/dataplane/proxy/attemptlog.go", "return !known", "return !known || true", "./tests/simulation", "TestRequests", nil},
 	{duplicateRun, "internal/dataplane/idempotency/table.go", "case reservation.completed:", "case reservation.completed && now < 0:", "./internal/dataplane/idempotency", "TestTable", nil},
 	{duplicateRun, "internal/dataplane/keyreplication/replicate.go", "want := min(ReplicationFactor, len(peers))", "want := 0", "./tests/e2e", "TestKeySurvivesItsSidecar", nil},
-	{duplicateRun, "internal/dataplane/keyreplication/replica_store.go", "case ok && old.Incarnation != record.Incarnation:", "case false:", "./tests/simulation", "TestRequests", []string{"-seeds", "400"}},
+	{duplicateRun, "internal/dataplane/keyreplication/replica_store.go", "case ok && old.Incarnation != record.Incarnation:", "case false:", "./internal/dataplane/keyreplication", "TestReplicaStore", nil},
 	{duplicateRun, "internal/dataplane/keyreplication/replica_store.go", "stored.Owner == request.Owner && stored.Incarnation != request.Incarnation", "stored.Owner == request.Owner && stored.Incarnation == request.Incarnation", "./tests/simulation", "TestRequests", []string{"-seeds", "400"}},
 	{duplicateRun, "internal/dataplane/keyreplication/tracker.go", "if count >= want || len(missing) >= limit {", "if true {", "./tests/e2e", "TestKeySurvivesRollingKills", nil},
 	{duplicateRun, "internal/transport/server_connection.go", "if call.ID <= lastID {", "if call.ID <= lastID && false {", "./internal/transport", "TestDuplicateCall", nil},
