--- a/tests/golden/live_test.go
+++ b/tests/golden/live_test.go
@@ -89,6 +89,9 @@
 	anyCalendar      = "BEGIN:VCALENDAR\r\nVERSION:2.0\r\nPRODID:-//x//x//EN\r\nEND:VCALENDAR\r\n"
 )
 
+// program is a running program: its name in the golden file, and its control address.
+type program struct{ name, control string }
+
 // served notes what running programs serve.
 type served struct {
 	t     *testing.T
@@ -96,10 +99,10 @@
 }
 
 // look notes the answer to a request: its status, the headers that are our own, and the keys.
-func (s *served) look(program, method, control, path, body string, status int, headers ...string) {
+func (s *served) look(p program, method, path, body string, status int, headers ...string) {
 	s.t.Helper()
-	header, answer := ask(s.t, method, "http://"+control+path, body, status, headers...)
-	at := fmt.Sprintf("%s %s %s %d", program, method, path, status)
+	header, answer := ask(s.t, method, "http://"+p.control+path, body, status, headers...)
+	at := fmt.Sprintf("%s %s %s %d", p.name, method, path, status)
 	if len(headers) > 0 {
 		at += " with " + headers[0]
 	}
@@ -119,9 +122,9 @@
 
 // scrape notes the types of the metrics, and the values of their labels where these are not
 // names of routes, services and messages, nor depend on what was asked so far.
-func (s *served) scrape(program, control string) {
+func (s *served) scrape(p program) {
 	s.t.Helper()
-	_, text := ask(s.t, "GET", "http://"+control+"/metrics", "", 200)
+	_, text := ask(s.t, "GET", "http://"+p.control+"/metrics", "", 200)
 	families, err := (&expfmt.TextParser{}).TextToMetricFamilies(bytes.NewReader(text))
 	if err != nil {
 		s.t.Fatal(err)
@@ -131,7 +134,7 @@
 			continue
 		}
 		for _, m := range family.GetMetric() {
-			line := fmt.Sprintf("%s metric %s %s", program, name, family.GetType())
+			line := fmt.Sprintf("%s metric %s %s", p.name, name, family.GetType())
 			for _, label := range m.GetLabel() {
 				line += fmt.Sprintf(" %s=%s", label.GetName(), label.GetValue())
 			}
@@ -160,13 +163,15 @@
 	dataplane.New(sidecarSettings, nil)
 
 	s := &served{t, map[string]bool{}}
+	replica := program{"core", replicaSettings.Control}
+	sidecar := program{"sidecar", sidecarSettings.Control}
 	onReplica := func(method, path, body string, status int, headers ...string) {
 		t.Helper()
-		s.look("core", method, replicaSettings.Control, path, body, status, headers...)
+		s.look(replica, method, path, body, status, headers...)
 	}
 	onSidecar := func(method, path, body string, status int) {
 		t.Helper()
-		s.look("sidecar", method, sidecarSettings.Control, path, body, status)
+		s.look(sidecar, method, path, body, status)
 	}
 	onReplica("GET", "/live", "", 200)
 	onReplica("GET", "/ready", "", 200)
@@ -204,8 +209,8 @@
 	onReplica("GET", "/v1/traces/0123456789abcdef", "", 404)
 	onReplica("GET", "/v1/traces/none", "", 400)
 
-	s.scrape("core", replicaSettings.Control)
-	s.scrape("sidecar", sidecarSettings.Control)
+	s.scrape(replica)
+	s.scrape(sidecar)
 
 	golden.Check(t, "documents/served.txt", []byte(strings.Join(slices.Sorted(maps.Keys(s.lines)), "\n")+"\n"))
 }
