--- a/internal/dataplane/routing/action.go
+++ b/internal/dataplane/routing/action.go
@@ -6,44 +6,43 @@
 	"curlewwalk/internal/membership"
 )
 
-// ActionKind is what the proxy must do next for a request.
+// ActionKind is the kind of step that the proxy takes next for a request.
 type ActionKind int
 
 const (
-	// Respond ends the request with the response of its last attempt.
+	// Respond ends the request with the response to its last attempt.
 	Respond ActionKind = iota
 	// Send sends an attempt to Target.
 	Send
-	// Wait asks the decision again after the time Wait.
+	// Wait calls Next again after Action.Wait has elapsed.
 	Wait
-	// Fail ends the request without a backend's response, as Failure says.
+	// Fail ends the request without a backend response, as described by Failure.
 	Fail
 )
 
 // Action is the next step of a request.
 type Action struct {
 	Kind ActionKind
-	// Target is where an attempt is to be sent.
+	// Target is the backend to which Send sends the attempt.
 	Target membership.Target
-	// QueuePastTarget says that the attempt may be queued at its backend beyond the request's
-	// latency target, rather than be rejected.
+	// QueuePastTarget allows the backend's sidecar to queue the attempt beyond the request's
+	// latency target instead of rejecting it.
 	QueuePastTarget bool
-	// Wait is how long to wait before the decision is asked again.
+	// Wait is the delay before Next is called again.
 	Wait time.Duration
-	// Failure tells how a failed request is answered; its zero value is that of all other
-	// actions.
+	// Failure describes the response to a failed request. It is the zero value unless Kind is Fail.
 	Failure Failure
 }
 
-// Failure is how a request ends without a response of its backend.
+// Failure describes how a request ends without a backend response.
 type Failure struct {
 	// Status is the HTTP status.
 	Status int
 	// Outcome reports whether the request may have run.
 	Outcome Outcome
-	// Reason tells people why it ended.
+	// Reason is a human-readable explanation.
 	Reason string
-	// RetryAfter is the least time after which the client should send it again; zero if that
-	// makes no sense.
+	// RetryAfter is the minimum time after which the client should resend the request. It is zero
+	// if resending is of no use.
 	RetryAfter time.Duration
 }
--- a/internal/dataplane/routing/attempt.go
+++ b/internal/dataplane/routing/attempt.go
@@ -6,33 +6,33 @@
 	"curlewwalk/internal/membership"
 )
 
-// Outcome is what is known of a request, or of one attempt of it. It is sent to clients and
+// Outcome states whether a request, or one attempt of it, has run. It is sent to clients and
 // between sidecars.
 type Outcome string
 
 const (
-	// Answered means that there is a complete response of the backend.
+	// Answered means that the backend has sent a complete response.
 	Answered Outcome = "answered"
-	// NotRun means that it is proven not to have run, and never will.
+	// NotRun means that the request provably has not run and never will.
 	NotRun Outcome = "not-run"
-	// Unknown means that it may have run.
+	// Unknown means that the request may have run.
 	Unknown Outcome = "unknown"
 )
 
-// AttemptResult is what became of one attempt.
+// AttemptResult is the result of one attempt.
 type AttemptResult struct {
 	Target  membership.Target
 	Outcome Outcome
-	// Reason tells people why there is no response.
+	// Reason is a human-readable explanation of why there is no response.
 	Reason string
-	// RetryAfter is the least time after which a rejected request should be sent again.
+	// RetryAfter is the minimum time after which a rejected request should be resent.
 	RetryAfter time.Duration
-	// ReachedBackend says that the attempt was written to a backend, or may have been, even if
+	// ReachedBackend means that the attempt was, or may have been, written to a backend, even if
 	// the backend has not run it.
 	ReachedBackend bool
-	// DeadlineExceeded says that the attempt ended because the request's deadline had passed.
+	// DeadlineExceeded means that the attempt ended because the request's deadline had passed.
 	DeadlineExceeded bool
-	// LeaseExpired says that the target's sidecar admitted nothing, as it could not confirm
-	// that its configuration is the newest. (DESIGN 7.2)
+	// LeaseExpired means that the target's sidecar admitted no requests because it could not
+	// confirm that its configuration is the newest. (DESIGN 7.2)
 	LeaseExpired bool
 }
--- a/internal/dataplane/routing/conditions.go
+++ b/internal/dataplane/routing/conditions.go
@@ -6,57 +6,63 @@
 	"curlewwalk/internal/membership"
 )
 
-// Conditions are the limits of one request, and what is known of the backends that it may go
-// to. (DESIGN 15.4)
+// Conditions are the limits of one request, and the measured state of the backends that may serve
+// it. (DESIGN 15.4)
 type Conditions struct {
-	// TargetTime is when the request is late.
+	// TargetTime is the time after which the request counts as late.
 	TargetTime time.Time
-	// MaxLateness is how late the request may be at all: from TargetTime to its deadline.
+	// MaxLateness is the maximum lateness of the request: the time from TargetTime to its deadline.
 	MaxLateness time.Duration
-	// LatenessBudget is how late the request may be planned to be, so that its contract's
-	// latency target is still met on average.
+	// LatenessBudget is the lateness that may be planned for the request while the average of its
+	// contract still meets the latency target.
 	LatenessBudget time.Duration
-	// Latency is what was learned of the route's latency at a backend.
+	// Latency returns the measured latency of the request's route at a backend.
 	Latency func(t membership.Target) LatencyHistogram
-	// CrossZoneCost is the cost of leaving the own zone, as a share of the value of an answer
-	// in time; zero: nearly none. It is weighed against the chance of being late.
+	// CrossZoneCost is the cost of sending the request to another zone, as a fraction of the value
+	// of an answer in time. It is weighed against the probability of a late answer. Zero means
+	// nearly no cost.
 	CrossZoneCost float64
-	// WaitUntil is until when the request may wait for a backend with capacity; zero: not at
-	// all.
+	// WaitUntil is the time until which the request may wait for a backend with free capacity. The
+	// request does not wait if it is zero.
 	WaitUntil time.Time
-	// AcceptLate says that an answer past TargetTime is better than none. Then the queue at the
-	// backend decides, which knows more of the present than was learned.
+	// AcceptLate means that an answer after TargetTime is better than none. The queue at the
+	// backend then decides whether to run the request, because its information is more recent than
+	// the measured latencies.
 	AcceptLate bool
-	// RetryAfter is the least time after which a rejected client should send again; zero:
-	// defaultRetryAfter.
+	// RetryAfter is the minimum time after which a rejected client should resend the request. Zero
+	// means defaultRetryAfter.
 	RetryAfter time.Duration
-	// SpendRetry takes a retry from the retry budget; false if that is used up. It is asked for
-	// each attempt after one that reached a backend.
+	// SpendRetry takes a retry from the retry budget. It returns false if the budget is exhausted.
+	// It is called before each attempt that follows an attempt that reached a backend.
 	SpendRetry func() bool
-	// AbandonReason, if set, tells why nothing more is to be done for the request: its client
-	// has left, or this node is being stopped. An empty reason means to go on.
+	// AbandonReason, if set, returns why no further attempt is to be made, for example because the
+	// client has disconnected or this node is stopping. It returns an empty string if the request
+	// continues.
 	AbandonReason func() string
-	// ConfigurationUnconfirmed, if set, tells that a newer configuration than this node's may
+	// ConfigurationUnconfirmed, if set, reports whether a configuration newer than this node's may
 	// be in force.
 	ConfigurationUnconfirmed func() bool
 }
 
 const (
-	// slowFactor is from which ratio of the medians on a backend counts as slower than another.
-	slowFactor = 1.5 // (ours)
-	// slowTargetDivisor is which part of the lateness budget may be spent on a slower backend.
-	slowTargetDivisor = 4 // (ours)
-	// crossZoneDivisor is which part of MaxLateness leaving the own zone must save, if
-	// CrossZoneCost is zero.
-	crossZoneDivisor = 100 // (ours)
-	// spillUtilization is the utilization of the own zone from which on other zones are used.
-	spillUtilization = 0.8 // (ours)
-	// minFinishProbability is the least chance of finishing in the time left with which an
-	// attempt is sent.
-	minFinishProbability = 0.1 // (ours)
-	// unlikelySampleRate is that one of so many attempts with less chance is sent all the same,
-	// so that what was learned wrongly is corrected.
-	unlikelySampleRate = 16 // (ours)
+	// slowMedianRatio is the ratio of median latencies from which a backend counts as slower than
+	// another.
+	slowMedianRatio = 1.5
+	// slowTargetDivisor is the divisor of the lateness budget that gives the lateness a request may
+	// accept from a slower backend.
+	slowTargetDivisor = 4
+	// crossZoneDivisor is the divisor of MaxLateness that gives the lateness that leaving the local
+	// zone must save if CrossZoneCost is zero.
+	crossZoneDivisor = 100
+	// spillUtilization is the utilization of the local zone from which requests are sent to other
+	// zones.
+	spillUtilization = 0.8
+	// minFinishProbability is the minimum probability of an answer before the deadline for an
+	// attempt to be sent.
+	minFinishProbability = 0.1
+	// unlikelySampleInterval is the mean number of attempts below minFinishProbability of which one
+	// is sent nevertheless, so that a wrong latency estimate is corrected.
+	unlikelySampleInterval = 16
 )
 
 func (c *Conditions) abandonReason() string {
@@ -66,14 +72,14 @@
 	return c.AbandonReason()
 }
 
-// expectedLateness returns how late the request would be on average at a target.
+// expectedLateness returns the mean lateness expected if the request is sent to a target.
 func (c *Conditions) expectedLateness(t membership.Target, now time.Time) time.Duration {
 	histogram := c.Latency(t)
 	return histogram.ExpectedLateness(c.TargetTime.Sub(now), c.MaxLateness)
 }
 
-// onTimeProbability returns the chance of an answer in time at a target; 1 where too little is
-// known.
+// onTimeProbability returns the probability of an answer in time from a target. It returns 1 if
+// there are too few observations.
 func (c *Conditions) onTimeProbability(t membership.Target, now time.Time) float64 {
 	histogram := c.Latency(t)
 	if !histogram.Reliable() {
@@ -82,19 +88,21 @@
 	return histogram.ShareWithin(c.TargetTime.Sub(now))
 }
 
-// withinLatenessBudget reports whether the request can afford a slower target.
+// withinLatenessBudget reports whether the lateness expected at a slower target fits the lateness
+// budget.
 func (c *Conditions) withinLatenessBudget(t membership.Target, now time.Time) bool {
 	return c.expectedLateness(t, now) <= c.LatenessBudget/slowTargetDivisor
 }
 
-// prefer chooses between two targets, of which the first is the less utilized. A request that
-// can afford a slower target takes it and leaves the faster one to others; one that can't takes
-// the faster one unless that is full.
+// prefer chooses between two targets, of which a is the less utilized. It returns a if the
+// latencies are unreliable or similar, or if a is the faster target. A request whose lateness
+// budget allows a slower target takes a, which leaves the faster target to other requests. A
+// request whose budget does not allow this takes the faster target unless that is full.
 func (c *Conditions) prefer(a, b membership.Target, now time.Time) membership.Target {
 	latencyA, latencyB := c.Latency(a), c.Latency(b)
 	medianA, okA := latencyA.Quantile(0.5)
 	medianB, okB := latencyB.Quantile(0.5)
-	if !latencyA.Reliable() || !latencyB.Reliable() || okA == okB && float64(max(medianA, medianB)) < slowFactor*float64(min(medianA, medianB)) {
+	if !latencyA.Reliable() || !latencyB.Reliable() || okA == okB && float64(max(medianA, medianB)) < slowMedianRatio*float64(min(medianA, medianB)) {
 		return a
 	}
 	switch slowerA := !okA || okB && medianA > medianB; {
@@ -106,10 +114,11 @@
 	return a
 }
 
-// shouldCrossZone reports whether to prefer a target in another zone to one in the own zone.
+// shouldCrossZone reports whether a target in another zone is preferred to a target in the local
+// zone.
 func (c *Conditions) shouldCrossZone(local, remote membership.Target, now time.Time) bool {
 	if c.CrossZoneCost > 0 {
-		// A full target rejects the attempt, and the next one leaves the zone all the same.
+		// A full target rejects the attempt, and the next attempt leaves the zone anyway.
 		return c.onTimeGain(local, remote, now) > c.CrossZoneCost
 	}
 	latency := c.Latency(local)
@@ -122,10 +131,10 @@
 	return c.expectedLateness(remote, now)+c.MaxLateness/crossZoneDivisor < c.expectedLateness(local, now)
 }
 
-// onTimeGain returns the difference that another zone's target makes to the chance of an answer in
-// time. Where the own zone's target is full and only the latency of the route at all backends is
-// known of the other, that says nothing of a target without a queue: it is tried, and then
-// judged by what is learned of it.
+// onTimeGain returns by how much a target in another zone increases the probability of an answer in
+// time. If the local target is full and the only estimate for the remote target is the route-wide
+// one, that estimate says nothing about a target without a queue. The probability at the remote
+// target is then taken as 1, so that the target is tried and its own latency is measured.
 func (c *Conditions) onTimeGain(local, remote membership.Target, now time.Time) float64 {
 	remoteProbability := c.onTimeProbability(remote, now)
 	if latency := c.Latency(remote); latency.routeWide && utilization(local) >= 1 && utilization(remote) < 1 {
@@ -134,8 +143,8 @@
 	return remoteProbability - c.onTimeProbability(local, now)
 }
 
-// unlikelyToFinish reports whether an attempt to a target would hardly be answered in the time
-// left to the deadline.
+// unlikelyToFinish reports whether an answer to an attempt at a target is improbable in the time
+// remaining to the deadline.
 func (c *Conditions) unlikelyToFinish(t membership.Target, remaining time.Duration) bool {
 	histogram := c.Latency(t)
 	return histogram.Reliable() && histogram.ShareWithin(remaining) < minFinishProbability
--- a/internal/dataplane/routing/decision.go
+++ b/internal/dataplane/routing/decision.go
@@ -11,64 +11,64 @@
 )
 
 const (
-	// defaultMaxAttempts bounds the attempts that reach a backend where the route sets no bound.
-	defaultMaxAttempts = 3 // (ours)
-	// maxAttemptsAtAll bounds all attempts, including those that reached no backend.
-	maxAttemptsAtAll = 8 // (ours)
-	// queueAfterRejections is after how many rejections a request may be queued beyond its
-	// latency target.
-	queueAfterRejections = 2 // (ours)
-	// maxExpiredLeases is after how many sidecars with an expired lease a request ends, if this
-	// sidecar's configuration is unconfirmed too: the others would reject it as well, and asking
-	// them is a load that delays their confirmation.
-	maxExpiredLeases = 2 // (ours)
-	// capacityPollInterval is how often a waiting request looks for a backend with capacity.
-	capacityPollInterval = 25 * time.Millisecond // (ours)
+	// defaultMaxAttempts bounds the attempts that reach a backend if the route sets no bound.
+	defaultMaxAttempts = 3
+	// maxTotalAttempts bounds all attempts, including those that reached no backend.
+	maxTotalAttempts = 8
+	// queueAfterRejections is the number of rejections after which a request may be queued beyond
+	// its latency target.
+	queueAfterRejections = 2
+	// maxExpiredLeases is the number of sidecars with an expired lease after which a request fails
+	// if this sidecar's configuration is unconfirmed too. The remaining sidecars would reject the
+	// request as well, and the load of further attempts delays their confirmation.
+	maxExpiredLeases = 2
+	// capacityPollInterval is the interval at which a waiting request looks for a backend with free
+	// capacity.
+	capacityPollInterval = 25 * time.Millisecond
 )
 
-// Decision decides how one request goes on. The proxy calls Next for the next action, carries
-// it out, and tells the result of each attempt with Record. All exported fields must be set
-// before the first call; it is for use by one goroutine. (DESIGN 4.2)
+// Decision decides the steps of one request. The proxy calls Next for the next action, carries it
+// out, and passes the result of each attempt to Record. All exported fields must be set before the
+// first call. A Decision is not safe for concurrent use. (DESIGN 4.2)
 type Decision struct {
-	// Route is the request's route; its Service is the one that was picked for the request, to
-	// which all attempts go.
+	// Route is the request's route. Its Service is the one picked for the request, and receives all
+	// attempts.
 	Route    config.Route
 	Deadline time.Time
-	// Zone is the zone of this node; its backends are preferred.
+	// Zone is the zone of this node. Backends in this zone are preferred.
 	Zone       string
 	Rand       *rand.Rand
 	Conditions Conditions
 
 	attempts []AttemptResult
-	// forgiven is how many of the attempts, from the first on, no longer exclude their targets
-	// if they were rejected before they reached the backend.
-	forgiven int
+	// nonExcluding is the number of attempts, counted from the first, that no longer exclude their
+	// targets if they were rejected before they reached the backend.
+	nonExcluding int
 }
 
-// Record takes the result of an attempt.
+// Record stores the result of an attempt.
 func (d *Decision) Record(result AttemptResult) { d.attempts = append(d.attempts, result) }
 
-// Service returns the one service that all attempts go to.
+// Service returns the service that receives all attempts.
 func (d *Decision) Service() string { return d.Route.Service }
 
-// Attempts lists the results of the attempts so far.
+// Attempts returns the results of the attempts so far.
 func (d *Decision) Attempts() []AttemptResult { return d.attempts }
 
-// Next decides on the next action, given the snapshots of the routes and members as they are
-// now.
+// Next returns the next action, given the current snapshots of the routes and members.
 func (d *Decision) Next(t *Table, v *membership.View, now time.Time) Action {
 	if d.answered() {
 		return Action{Kind: Respond}
 	}
 	past := d.history(now)
-	if action, over := d.failIfOver(past); over {
+	if action, terminal := d.failIfTerminal(past); terminal {
 		return action
 	}
 	target, queuePastTarget, ok := d.nextTarget(t, v, past, now)
 	if !ok {
 		return d.waitOrFail(past, now)
 	}
-	if !d.Conditions.AcceptLate && d.Conditions.unlikelyToFinish(target, d.Deadline.Sub(now)) && d.Rand.IntN(unlikelySampleRate) > 0 {
+	if !d.Conditions.AcceptLate && d.Conditions.unlikelyToFinish(target, d.Deadline.Sub(now)) && d.Rand.IntN(unlikelySampleInterval) > 0 {
 		return past.fail("the time left does not cover what it takes")
 	}
 	if past.reached > 0 && !d.Conditions.SpendRetry() {
@@ -83,8 +83,9 @@
 	return n > 0 && d.attempts[n-1].Outcome == Answered
 }
 
-// failIfOver ends the request if nothing more may be sent for it, whatever backends there are.
-func (d *Decision) failIfOver(past history) (action Action, over bool) {
+// failIfTerminal returns the failure of the request, and true, if no further attempt may be sent to
+// any backend.
+func (d *Decision) failIfTerminal(past history) (action Action, terminal bool) {
 	if past.deadlineExceeded {
 		return past.failWithStatus(http.StatusGatewayTimeout, past.reason), true
 	}
@@ -97,26 +98,27 @@
 	return Action{}, false
 }
 
-// waitOrFail waits for a backend with capacity, as long as the request may wait, else ends the
-// request. The rejections up to now do not exclude their backends after the wait.
+// waitOrFail waits for a backend with free capacity while the request may wait, and otherwise fails
+// the request. After the wait, the rejections so far no longer exclude their backends.
 func (d *Decision) waitOrFail(past history, now time.Time) Action {
 	if now.Add(capacityPollInterval).Before(d.Conditions.WaitUntil) {
-		d.forgiven = len(d.attempts)
+		d.nonExcluding = len(d.attempts)
 		return Action{Kind: Wait, Wait: capacityPollInterval}
 	}
 	return past.fail(past.reason)
 }
 
-// exhausted reports whether no further attempt may be made: one of a request that is not
-// idempotent may have run, or there were as many as are allowed.
+// exhausted reports whether no further attempt is allowed, because a request that is not idempotent
+// may have run or because the maximum number of attempts has been made.
 func (d *Decision) exhausted(past history) bool {
 	if past.outcome == Unknown && !d.Route.Idempotent {
 		return true
 	}
-	return past.reached >= cmp.Or(d.Route.MaxAttempts, defaultMaxAttempts) || len(d.attempts) >= maxAttemptsAtAll
+	return past.reached >= cmp.Or(d.Route.MaxAttempts, defaultMaxAttempts) || len(d.attempts) >= maxTotalAttempts
 }
 
-// leasesExpired reports whether no sidecar may be expected to admit the request now.
+// leasesExpired reports whether the remaining sidecars are expected to reject the request because
+// of expired leases.
 func (d *Decision) leasesExpired() bool {
 	expired := 0
 	for _, result := range d.attempts {
--- a/internal/dataplane/routing/decision_test.go
+++ b/internal/dataplane/routing/decision_test.go
@@ -11,8 +11,9 @@
 	"curlewwalk/internal/membership"
 )
 
-// A request has as many attempts as its route allows, three if it sets no bound.
-func TestAttempts(t *testing.T) {
+// TestMaxAttempts checks that a request has as many attempts as its route allows, or three if the
+// route sets no bound.
+func TestMaxAttempts(t *testing.T) {
 	nodes := map[string]membership.Node{}
 	for _, name := range []string{"a", "b", "c", "d", "e", "f"} {
 		nodes[name] = membership.Node{Addr: name, Backends: []membership.Backend{{Instance: name, Service: "s", Capacity: 1, CapacityShare: 1}}}
@@ -31,18 +32,20 @@
 				d.Record(AttemptResult{Target: action.Target, Outcome: NotRun, ReachedBackend: true})
 			}
 			if action.Failure.Status != http.StatusServiceUnavailable {
-				t.Errorf("ended with %+v", action.Failure)
+				t.Errorf("the request ended with %+v, want status 503", action.Failure)
 			}
 			if got := len(d.Attempts()); got != want {
-				t.Errorf("%d were sent, want %d", got, want)
+				t.Errorf("got %d attempts, want %d", got, want)
 			}
 		})
 	}
 }
 
-// Where no sidecar's configuration is confirmed, a request is rejected at once, after two have
-// said so, and told when to retry; where the own one is confirmed, or not all others are
-// unconfirmed, it goes on to those that may admit it.
+// TestRejectedWhileUnconfirmed checks that a request is rejected with a retry time after two
+// sidecars with expired leases if the configuration of this sidecar is unconfirmed too. Further
+// attempts would be rejected as well, and their load would delay the confirmation. If the
+// configuration of this sidecar is confirmed, or another sidecar still admits the request, the
+// attempts continue.
 func TestRejectedWhileUnconfirmed(t *testing.T) {
 	backends := backendSpecs{}
 	for _, name := range []string{"a", "b", "c", "d", "e", "f", "g", "h", "i", "j"} {
@@ -51,14 +54,14 @@
 	table, _ := NewTable(config.ControlState{})
 	for name, c := range map[string]struct {
 		unconfirmed bool
-		// admitting is the attempt that is admitted, counted from 1; 0 for none.
+		// admitting is the number of the attempt that is admitted, counted from 1, or 0 for none.
 		admitting int
 		attempts  int
 	}{
-		"no configuration is confirmed":      {true, 0, maxExpiredLeases},
-		"the own configuration is confirmed": {false, 0, maxAttemptsAtAll},
-		"the second attempt is admitted":     {true, 2, 2},
-		"the own one, and the sixth attempt": {false, 6, 6},
+		"no configuration is confirmed":                               {true, 0, maxExpiredLeases},
+		"local configuration is confirmed":                            {false, 0, maxTotalAttempts},
+		"second attempt is admitted":                                  {true, 2, 2},
+		"local configuration is confirmed, sixth attempt is admitted": {false, 6, 6},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s, now := newSite(backends), time.Now()
@@ -80,10 +83,10 @@
 				action = d.Next(table, s.view, now)
 			}
 			if len(d.Attempts()) != c.attempts || action.Kind == Wait {
-				t.Errorf("%d attempts, want %d, then waits %v", len(d.Attempts()), c.attempts, action.Wait)
+				t.Errorf("got %d attempts, want %d without a wait; got a wait of %v", len(d.Attempts()), c.attempts, action.Wait)
 			}
 			if c.admitting == 0 && (action.Failure.Status != http.StatusServiceUnavailable || action.Failure.Outcome != NotRun || action.Failure.RetryAfter <= 0) {
-				t.Errorf("%+v", action.Failure)
+				t.Errorf("got failure %+v, want status 503, not run, with a retry time", action.Failure)
 			}
 		})
 	}
--- a/internal/dataplane/routing/histogram.go
+++ b/internal/dataplane/routing/histogram.go
@@ -6,30 +6,30 @@
 )
 
 const (
-	// bucketCount is the number of buckets; each but the first ends at bucketGrowth times the
-	// end of the one before it.
+	// bucketCount is the number of buckets. The upper bound of each bucket but the first is
+	// bucketGrowth times that of the previous bucket.
 	bucketCount  = 64
 	bucketGrowth = 1.2
-	// firstBucketBound is where the first bucket ends, in nanoseconds.
+	// firstBucketBound is the upper bound of the first bucket in nanoseconds.
 	firstBucketBound = float64(500 * time.Microsecond)
-	// histogramHalfLife is the time after which an observation counts half.
-	histogramHalfLife = 5 * time.Second // (ours)
-	// decayInterval is the least time between two decays.
+	// histogramHalfLife is the time after which the weight of an observation has halved.
+	histogramHalfLife = 5 * time.Second
+	// decayInterval is the minimum time between two decays.
 	decayInterval = histogramHalfLife / 50
-	// minObservations is the least weight of observations that are relied on.
-	minObservations = 8 // (ours)
+	// minObservations is the minimum total weight of a reliable histogram.
+	minObservations = 8
 )
 
-// LatencyHistogram is what was learned of how long attempts of a route take, including their
-// wait in the backend's queue and the calls that they cause: a histogram whose observations
-// decay. The last bucket counts the attempts that were not answered in time.
+// LatencyHistogram is a decaying histogram of the durations of attempts of a route. A duration
+// includes the wait in the backend's queue and the calls that the attempt causes. The last bucket
+// counts the attempts that were not answered in time.
 type LatencyHistogram struct {
 	weights [bucketCount + 1]float64
 	total   float64
-	// decayedAt is when the weights were last decayed, since the start of the LatencyTable.
+	// decayedAt is the time of the last decay, measured from the start of the LatencyTable.
 	decayedAt time.Duration
-	// routeWide says that it is that of the route at all backends, as too little is known of
-	// the one that was asked for.
+	// routeWide means that the histogram covers the route at all backends, because there are too
+	// few observations of the requested backend.
 	routeWide bool
 }
 
@@ -40,12 +40,13 @@
 	return min(bucketCount-1, 1+int(math.Log(float64(d)/firstBucketBound)/math.Log(bucketGrowth)))
 }
 
-// bucketDuration returns the duration that stands for the attempts of a bucket.
+// bucketDuration returns the duration that represents the attempts in a bucket.
 func bucketDuration(bucket int) time.Duration {
 	return time.Duration(firstBucketBound * math.Pow(bucketGrowth, float64(bucket)-0.5))
 }
 
-// observe adds an attempt that took so long or, if missed, was not answered in time.
+// observe adds an attempt with the duration took or, if missed is set, an attempt that was not
+// answered in time.
 func (h *LatencyHistogram) observe(took time.Duration, missed bool, now time.Duration) {
 	h.decay(now)
 	bucket := bucketCount
@@ -68,10 +69,11 @@
 	h.decayedAt = now
 }
 
-// Reliable reports whether there are enough observations to rely on.
+// Reliable reports whether there are enough observations for an estimate.
 func (h *LatencyHistogram) Reliable() bool { return h.total >= minObservations }
 
-// ShareWithin returns the share of attempts that are answered within d; 1 if there are none.
+// ShareWithin returns the fraction of attempts that are answered within d. It returns 1 if there
+// are no observations.
 func (h *LatencyHistogram) ShareWithin(d time.Duration) float64 {
 	if h.total == 0 {
 		return 1
@@ -85,8 +87,8 @@
 	return within / h.total
 }
 
-// Quantile returns how long a share of the attempts takes at most; ok is false if it falls among
-// those that were not answered in time.
+// Quantile returns the duration within which the given share of the attempts is answered. ok is
+// false if the quantile falls among the attempts that were not answered in time.
 func (h *LatencyHistogram) Quantile(share float64) (d time.Duration, ok bool) {
 	remaining := share * h.total
 	for i, weight := range h.weights[:bucketCount] {
@@ -97,8 +99,9 @@
 	return bucketDuration(bucketCount), false
 }
 
-// ExpectedLateness returns how late an attempt that is sent now is answered on average, given the
-// time left to its target time and the most that it may be late; zero if nothing was observed.
+// ExpectedLateness returns the mean lateness of an attempt that is sent now, given the time
+// remaining to its target time and its maximum lateness. It returns zero if there are no
+// observations.
 func (h *LatencyHistogram) ExpectedLateness(timeToTarget, maxLateness time.Duration) time.Duration {
 	if h.total == 0 {
 		return 0
--- a/internal/dataplane/routing/history.go
+++ b/internal/dataplane/routing/history.go
@@ -6,25 +6,27 @@
 	"time"
 )
 
-// defaultRetryAfter is the least time after which a rejected request should be sent again, where
-// the conditions set none.
-const defaultRetryAfter = time.Second // (ours)
+// defaultRetryAfter is the minimum time after which a rejected request should be resent if the
+// conditions set none.
+const defaultRetryAfter = time.Second
 
-// history is what is known of a request from its attempts so far.
+// history summarizes the attempts of a request so far.
 type history struct {
 	// outcome is NotRun only if every attempt is proven not to have run.
 	outcome Outcome
-	// reason is that of the last attempt.
+	// reason is the reason of the last attempt.
 	reason string
-	// retryAfter is the least time after which the client should send the request again.
+	// retryAfter is the minimum time after which the client should resend the request.
 	retryAfter time.Duration
-	// deadlineExceeded tells that the deadline has passed here, or at the last attempt's backend.
+	// deadlineExceeded means that the deadline has passed on this node or at the last attempt's
+	// backend.
 	deadlineExceeded bool
-	// reached counts the attempts that reached a backend or may have; rejected counts the others.
+	// reached is the number of attempts that reached, or may have reached, a backend. rejected is
+	// the number of other attempts.
 	reached, rejected int
 }
 
-// history sums up the attempts so far.
+// history returns a summary of the attempts so far.
 func (d *Decision) history(now time.Time) history {
 	past := history{
 		outcome:          NotRun,
@@ -50,7 +52,7 @@
 	return past
 }
 
-// fail ends the request with the status of its outcome: 503 if it has not run, else 502.
+// fail ends the request with status 503 if it has not run, and 502 otherwise.
 func (h history) fail(reason string) Action {
 	if h.outcome == NotRun {
 		return h.failWithStatus(http.StatusServiceUnavailable, reason)
@@ -58,7 +60,7 @@
 	return h.failWithStatus(http.StatusBadGateway, reason)
 }
 
-// failWithStatus ends the request with what is known of it.
+// failWithStatus ends the request with a status and the outcome and retry time of its attempts.
 func (h history) failWithStatus(status int, reason string) Action {
 	return Action{Kind: Fail, Failure: Failure{Status: status, Outcome: h.outcome, Reason: reason, RetryAfter: h.retryAfter}}
 }
--- a/internal/dataplane/routing/index.go
+++ b/internal/dataplane/routing/index.go
@@ -11,27 +11,27 @@
 
 // index finds routes by host and longest prefix. (DESIGN 4.1)
 type index struct {
-	// hosts is by case-folded host; the routes of "" are for any host.
+	// hosts maps case-folded hosts to their routes. The key "" holds the routes for any host.
 	hosts map[string][]*hostRoutes
 }
 
-// hostRoutes is the routes of one host. Hosts that are equal when folded may be written with
-// different lengths; each length has its own.
+// hostRoutes holds the routes of one host. Hosts that are equal after case folding may have
+// different lengths; each length has a hostRoutes of its own.
 type hostRoutes struct {
 	hostLength int
-	// prefixLengths has the lengths of its prefixes, the longest first.
+	// prefixLengths holds the lengths of the prefixes in descending order.
 	prefixLengths []int
-	// routes is by prefix; of one prefix, those with methods stand first.
+	// routes maps each prefix to its routes. Routes with methods precede routes without.
 	routes map[string][]config.Route
 }
 
-// newIndex indexes routes that are in order of precedence.
+// newIndex returns an index of routes that are sorted by precedence.
 func newIndex(routes []config.Route) index {
 	x := index{hosts: map[string][]*hostRoutes{}}
 	for _, route := range routes {
 		key := foldCase(route.Host)
 		list := x.hosts[key]
-		// Longer hosts come first, and of each host the longer prefixes.
+		// Longer hosts come first. Within a host, longer prefixes come first.
 		if len(list) == 0 || list[len(list)-1].hostLength != len(route.Host) {
 			list = append(list, &hostRoutes{hostLength: len(route.Host), routes: map[string][]config.Route{}})
 			x.hosts[key] = list
@@ -45,8 +45,8 @@
 	return x
 }
 
-// match finds the route of a request; nil if there is none. Routes of its host go before those
-// for any host.
+// match returns the route of a request, or nil if no route matches. Routes of its host take
+// precedence over routes for any host.
 func (x *index) match(host, path, method string) *config.Route {
 	for _, key := range [2]string{foldCase(host), ""} {
 		for _, routesOfHost := range x.hosts[key] {
@@ -58,8 +58,8 @@
 	return nil
 }
 
-// match finds the route with the longest prefix of path that takes the method; nil if there is
-// none.
+// match returns the route that accepts the method and has the longest prefix of path, or nil if no
+// route matches.
 func (h *hostRoutes) match(path, method string) *config.Route {
 	for _, n := range h.prefixLengths {
 		if n > len(path) {
@@ -75,7 +75,8 @@
 	return nil
 }
 
-// foldCase maps two strings to the same one if and only if strings.EqualFold holds them equal.
+// foldCase returns equal strings for two arguments if and only if strings.EqualFold reports them as
+// equal.
 func foldCase(s string) string {
 	for i := range len(s) {
 		if s[i] >= utf8.RuneSelf {
@@ -85,8 +86,8 @@
 	return strings.ToLower(s)
 }
 
-// canonicalRune returns the rune that stands for a rune and all that fold to it: the lower-case one
-// for those of ASCII, else the one with the lowest code point.
+// canonicalRune returns the representative of all runes that fold to r: the lower-case letter for
+// ASCII letters, and otherwise the rune with the lowest code point.
 func canonicalRune(r rune) rune {
 	low := r
 	for next := unicode.SimpleFold(r); next != r; next = unicode.SimpleFold(next) {
--- a/internal/dataplane/routing/index_test.go
+++ b/internal/dataplane/routing/index_test.go
@@ -15,7 +15,7 @@
 	"curlewwalk/internal/config"
 )
 
-// matchLinearly looks through all routes, in order of precedence.
+// matchLinearly finds a route by checking all routes in order of precedence.
 func matchLinearly(t *Table, host, path, method string) (config.Route, bool) {
 	if h, _, err := net.SplitHostPort(host); err == nil {
 		host = h
@@ -29,13 +29,13 @@
 	return config.Route{}, false
 }
 
-// newRoutesTable builds a table of routes under one contract.
+// newRoutesTable returns a table of routes under one contract.
 func newRoutesTable(t testing.TB, routes []config.Route) *Table {
 	t.Helper()
 	return mustTable(t, newRoutesConfiguration(t, routes))
 }
 
-// newRoutesConfiguration encodes a configuration of routes under one contract.
+// newRoutesConfiguration returns the encoded configuration of routes under one contract.
 func newRoutesConfiguration(t testing.TB, routes []config.Route) []byte {
 	t.Helper()
 	configuration := config.Configuration{Routes: routes}
@@ -45,17 +45,17 @@
 	return configuration.Bytes()
 }
 
-// What random routes and requests are made of.
+// The hosts, path segments and methods of random routes and requests.
 var (
 	indexHosts   = []string{"", "", "a.example", "A.example", "b.example", "kelvin", "\u212aelvin", "straße", "STRAßE", "\u017fss", "SSS"}
 	indexParts   = []string{"", "/", "a", "b", "/a", "/a/", "/b/c", "ä"}
 	indexMethods = []string{"GET", "POST", "PUT"}
 )
 
-// pickString picks one of several strings.
+// pickString returns a random element.
 func pickString(rng *rand.Rand, from []string) string { return from[rng.IntN(len(from))] }
 
-// randomRoutes makes up to 40 routes of which no two have a host, prefix and method in common.
+// randomRoutes returns up to 40 routes, no two of which have the same host, prefix and method.
 func randomRoutes(rng *rand.Rand) (routes []config.Route) {
 	type key struct{ host, prefix, method string }
 	taken := map[key]bool{}
@@ -84,7 +84,7 @@
 	return routes
 }
 
-// randomRequest makes a request that may match random routes.
+// randomRequest returns a request that may match random routes.
 func randomRequest(rng *rand.Rand) (host, path, method string) {
 	host, path, method = pickString(rng, indexHosts), "/"+pickString(rng, indexParts)+pickString(rng, indexParts)+pickString(rng, indexParts), pickString(rng, indexMethods)
 	switch rng.IntN(4) {
@@ -98,8 +98,9 @@
 	return host, path, method
 }
 
-// The index finds what looking through all routes finds, whatever the routes.
-func TestIndex(t *testing.T) {
+// TestIndexAgreesWithLinearSearch checks, for random routes and requests, that the index finds the
+// same route as a linear search.
+func TestIndexAgreesWithLinearSearch(t *testing.T) {
 	found, missed := 0, 0
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 3))
@@ -109,7 +110,7 @@
 			want, wantOK := matchLinearly(table, host, path, method)
 			got, _, ok := table.Match(host, path, method)
 			if d := cmp.Diff(want, got, cmpopts.IgnoreUnexported(config.UnknownFields{})); ok != wantOK || d != "" {
-				t.Fatalf("seed %d: %s %q %q: %s", seed, method, host, path, d)
+				t.Fatalf("seed %d: %s %q %q: route differs from that of the linear search (-want +got): %s", seed, method, host, path, d)
 			}
 			if ok {
 				found++
@@ -118,25 +119,26 @@
 			}
 		}
 	}
-	t.Logf("%d found, %d not", found, missed)
+	t.Logf("%d requests matched, %d did not", found, missed)
 	if found < 1000 || missed < 1000 {
-		t.Error("too few requests matched, or too few did not")
+		t.Error("want at least 1000 requests that match and 1000 that do not")
 	}
 }
 
-// Folded strings are equal if and only if strings.EqualFold says so.
-func TestFold(t *testing.T) {
+// TestFoldCaseAgreesWithEqualFold checks that two strings are equal after folding if and only if
+// strings.EqualFold reports them as equal.
+func TestFoldCaseAgreesWithEqualFold(t *testing.T) {
 	texts := []string{"", "a", "A", "k", "K", "\u212a", "s", "S", "\u017f", "ß", "ẞ", "ss", "σ", "ς", "Σ", "\xff", "\xfe", "\ufffd", "é", "É", "e\u0301", "ǅ", "ǆ", "Ǆ"}
 	for _, a := range texts {
 		for _, b := range texts {
 			if got, want := foldCase("x"+a) == foldCase("x"+b), strings.EqualFold("x"+a, "x"+b); got != want {
-				t.Errorf("%q and %q: %v", a, b, got)
+				t.Errorf("%q and %q: got equal = %v, which differs from strings.EqualFold", a, b, got)
 			}
 		}
 	}
 }
 
-// benchmarkRoutes makes n routes, spread over hosts.
+// benchmarkRoutes returns n routes spread over the given number of hosts.
 func benchmarkRoutes(n, hosts int) (routes []config.Route) {
 	for i := range n {
 		routes = append(routes, config.Route{Name: fmt.Sprint("w", i), Host: fmt.Sprintf("host-%d.example", i%hosts), Prefix: fmt.Sprintf("/part-%d/of/it", i), Service: "s", Contract: "c"})
@@ -144,7 +146,7 @@
 	return routes
 }
 
-// BenchmarkMatch matches requests with one of many routes.
+// BenchmarkMatch measures the matching of requests against different numbers of routes and hosts.
 func BenchmarkMatch(b *testing.B) {
 	for _, n := range []int{30, 310, 3000} {
 		for _, hosts := range []int{1, 50} {
@@ -162,8 +164,7 @@
 	}
 }
 
-// BenchmarkNewTable builds the table of a control state, including the parsing of its
-// configuration.
+// BenchmarkNewTable measures NewTable, including the parsing of the configuration.
 func BenchmarkNewTable(b *testing.B) {
 	for _, n := range []int{310, 3000} {
 		configuration := newRoutesConfiguration(b, benchmarkRoutes(n, 50))
@@ -171,7 +172,7 @@
 		b.Run(fmt.Sprintf("%d routes", n), func(b *testing.B) {
 			for range b.N {
 				if _, ok := NewTable(state); !ok {
-					b.Fatal("no table")
+					b.Fatal("NewTable rejected the configuration")
 				}
 			}
 		})
--- a/internal/dataplane/routing/latencies.go
+++ b/internal/dataplane/routing/latencies.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	// maxHistograms is how many histograms there are before those without weight are dropped.
-	maxHistograms = 4096 // (ours)
-	// minReportedWeight is the least weight of a histogram that is shown to an operator.
-	minReportedWeight = 0.01 // (ours)
-	// reportResolution is what reported durations are rounded to.
+	// maxHistograms is the number of histograms at which unreliable histograms are evicted.
+	maxHistograms = 4096
+	// minReportedWeight is the minimum total weight of a histogram in Reports.
+	minReportedWeight = 0.01
+	// reportResolution is the unit to which reported durations are rounded.
 	reportResolution = 100 * time.Microsecond
 )
 
-// LatencyTable is what a sidecar has learned of its routes' latency, for each route at all
-// backends and at each single one. It is safe for concurrent use. (DESIGN 15.4)
+// LatencyTable holds the latencies that a sidecar has measured, for each route at all backends and
+// at each single backend. It is safe for concurrent use. (DESIGN 15.4)
 type LatencyTable struct {
 	start time.Time
 
@@ -27,20 +27,21 @@
 	histograms map[histogramKey]*LatencyHistogram
 }
 
-// histogramKey identifies a histogram; without node and instance, it is that of the route at
-// all backends.
+// histogramKey identifies a histogram. The histogram of a route at all backends has an empty node
+// and instance.
 type histogramKey struct{ route, node, instance string }
 
-// LatencyReport shows one histogram to an operator.
+// LatencyReport describes one histogram for operators.
 type LatencyReport struct {
 	Route        string `json:"way"`
 	Node         string `json:"node,omitempty"`
 	Instance     string `json:"instance,omitempty"`
 	Median       string `json:"half"`
 	Percentile95 string `json:"95%"`
-	// Missed is the share of attempts that were not answered in time.
+	// Missed is the fraction of attempts that were not answered in time.
 	Missed float64 `json:"missed"`
-	// Weight is how many observations there are, those that have decayed counted as less.
+	// Weight is the number of observations, with decayed observations counted by their remaining
+	// weight.
 	Weight float64 `json:"weight"`
 }
 
@@ -49,7 +50,8 @@
 	return &LatencyTable{histograms: map[histogramKey]*LatencyHistogram{}, start: time.Now()}
 }
 
-// Observe adds an attempt that took so long or, if missed, was not answered in time.
+// Observe adds an attempt with the duration took or, if missed is set, an attempt that was not
+// answered in time.
 func (t *LatencyTable) Observe(route string, target membership.Target, took time.Duration, missed bool) {
 	now := time.Since(t.start)
 	t.mu.Lock()
@@ -67,7 +69,7 @@
 	}
 }
 
-// evict drops the histograms that are not reliable any more.
+// evict removes the histograms that are no longer reliable.
 func (t *LatencyTable) evict(now time.Duration) {
 	for key, histogram := range t.histograms {
 		if histogram.decay(now); !histogram.Reliable() {
@@ -76,8 +78,9 @@
 	}
 }
 
-// Estimate returns what was learned of a route at a backend or, if that is too little, of the route
-// at all backends; a zero histogram if that is too little as well.
+// Estimate returns the histogram of a route at a backend. If that is not reliable, Estimate returns
+// the histogram of the route at all backends, and if that is not reliable either, an empty
+// histogram.
 func (t *LatencyTable) Estimate(route string, target membership.Target) LatencyHistogram {
 	now := time.Since(t.start)
 	t.mu.Lock()
@@ -94,7 +97,7 @@
 	return LatencyHistogram{}
 }
 
-// Reports shows all histograms, ordered by route, node and instance.
+// Reports returns a report of each histogram, sorted by route, node and instance.
 func (t *LatencyTable) Reports() []LatencyReport {
 	now := time.Since(t.start)
 	t.mu.Lock()
@@ -116,7 +119,7 @@
 	return reports
 }
 
-// reportQuantile shows a quantile of a histogram.
+// reportQuantile formats a quantile of a histogram.
 func reportQuantile(h *LatencyHistogram, share float64) string {
 	d, ok := h.Quantile(share)
 	if !ok {
--- a/internal/dataplane/routing/slowstart.go
+++ b/internal/dataplane/routing/slowstart.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// SlowStart is how the backends of a zone that takes traffic again after an evacuation come
-// back to their capacity: from a share of it, linearly, to all of it.
+// SlowStart describes how the usable capacity of the backends of a zone rises after an evacuation:
+// linearly from an initial share to the full capacity.
 type SlowStart struct {
-	// Duration is how long it takes until they have all of their capacity.
+	// Duration is the time until the full capacity is reached.
 	Duration time.Duration
-	// InitialShare is the share of their capacity that they begin with, from 0 to 1.
+	// InitialShare is the initial share of the capacity, from 0 to 1.
 	InitialShare float64
 }
 
-// DefaultSlowStart is used where the settings say nothing else. (ours)
+// DefaultSlowStart is the slow start if the settings define none.
 var DefaultSlowStart = SlowStart{Duration: 10 * time.Second, InitialShare: 0.2}
 
-// ShareAfter returns the share of capacity after some time of the slow start.
+// ShareAfter returns the share of the capacity when the given time of the slow start has elapsed.
 func (s SlowStart) ShareAfter(elapsed time.Duration) float64 {
 	if elapsed >= s.Duration {
 		return 1
--- a/internal/dataplane/routing/split.go
+++ b/internal/dataplane/routing/split.go
@@ -2,8 +2,9 @@
 
 import "curlewwalk/internal/config"
 
-// PickService chooses the service of a route for one request: at random by weight, where the
-// route is split between services. draw returns a random number from 0 to below n. (DESIGN 4.1)
+// PickService returns the service of a route for one request. If the route is split between
+// services, PickService chooses one at random by weight. draw returns a random number in [0, n).
+// (DESIGN 4.1)
 func PickService(route config.Route, draw func(n int) int) string {
 	if len(route.Split) == 0 {
 		return route.Service
--- a/internal/dataplane/routing/split_test.go
+++ b/internal/dataplane/routing/split_test.go
@@ -7,10 +7,11 @@
 	"curlewwalk/internal/config"
 )
 
-// A split's services get their shares; one without weight gets nothing.
+// TestPickService checks that the services of a split are picked in proportion to their weights,
+// and that services with zero weight are never picked.
 func TestPickService(t *testing.T) {
 	if got := PickService(config.Route{Service: "one"}, nil); got != "one" {
-		t.Errorf("without a split: %q", got)
+		t.Errorf("without a split: got %q, want \"one\"", got)
 	}
 	rng := rand.New(rand.NewPCG(1, 1))
 	route := config.Route{Split: []config.WeightedService{{Service: "none"}, {Service: "most", Weight: 95}, {Service: "few", Weight: 5}, {Service: "never"}}}
@@ -19,6 +20,6 @@
 		picked[PickService(route, rng.IntN)]++
 	}
 	if picked["most"] < 18800 || picked["most"] > 19200 || picked["most"]+picked["few"] != 20000 {
-		t.Errorf("%v", picked)
+		t.Errorf("got %v, want 18800 to 19200 of \"most\" and the rest \"few\"", picked)
 	}
 }
--- a/internal/dataplane/routing/table.go
+++ b/internal/dataplane/routing/table.go
@@ -12,19 +12,20 @@
 )
 
 const (
-	// minEarlierRun and maxEarlierRun bound how long a run that an earlier process of this node
-	// admitted is taken to go on: the longest deadline, but not less or more than this.
-	minEarlierRun = 2 * time.Second  // (ours)
-	maxEarlierRun = 10 * time.Second // (ours)
+	// minEarlierRun and maxEarlierRun bound the time for which requests admitted by an earlier
+	// process of this node are assumed to be running. That time is the longest deadline within
+	// these bounds.
+	minEarlierRun = 2 * time.Second
+	maxEarlierRun = 10 * time.Second
 )
 
-// Table is an immutable snapshot of the configured routes, contracts and services, under one
+// Table is an immutable snapshot of the configured routes, contracts and services under one
 // revision of the control state.
 type Table struct {
-	// Revision is that of the control state; zero if no state is known yet.
+	// Revision is the revision of the control state. It is zero if no state is known yet.
 	Revision uint64
-	// SlowStart is how evacuated zones come back. It may be set until ContinueSlowStart is
-	// called.
+	// SlowStart is the slow start of zones after their evacuation. It must not be set after
+	// ContinueSlowStart has been called.
 	SlowStart SlowStart
 
 	routes       []config.Route
@@ -33,11 +34,12 @@
 	services     map[string]config.Service
 	limits       config.Limits
 	drainedZones map[string]bool
-	// restoredZones tells since when zones that were evacuated take traffic again.
+	// restoredZones maps the zones in a slow start to the time at which their evacuation ended.
 	restoredZones map[string]time.Time
 }
 
-// NewTable builds the table of a control state; false if its configuration is not valid.
+// NewTable returns the table of a control state. It returns false if the configuration is not
+// valid.
 func NewTable(state config.ControlState) (*Table, bool) {
 	t := &Table{Revision: state.Revision, SlowStart: DefaultSlowStart, contracts: map[string]config.Contract{}, drainedZones: map[string]bool{}}
 	for _, zone := range state.EvacuatedZones() {
@@ -62,8 +64,8 @@
 	return t, true
 }
 
-// comparePrecedence orders routes by how closely they match, the closest first: by host, then
-// by the length of the prefix, then those with methods before those without.
+// comparePrecedence orders routes by specificity: longer hosts first, then longer prefixes, then
+// routes with methods.
 func comparePrecedence(a, b config.Route) int {
 	return cmp.Or(
 		cmp.Compare(len(b.Host), len(a.Host)),
@@ -72,9 +74,9 @@
 	)
 }
 
-// ContinueSlowStart takes over from the previous table which zones are in a slow start, and
-// begins that of the zones whose evacuation has ended with this table. It must be called before
-// the table is shared.
+// ContinueSlowStart copies the zones in a slow start from the previous table, and starts the slow
+// start of zones whose evacuation ended with this table. It must be called before the table is
+// shared.
 func (t *Table) ContinueSlowStart(previous *Table, now time.Time) {
 	t.restoredZones = map[string]time.Time{}
 	for zone, since := range previous.restoredZones {
@@ -89,8 +91,8 @@
 	}
 }
 
-// ZoneShare returns the share of their capacity that the backends of a zone are given now, from 0
-// to 1: less than 1 during the zone's slow start.
+// ZoneShare returns the share, from 0 to 1, of the capacity of the backends of a zone that may be
+// used now. It is less than 1 during the slow start of the zone.
 func (t *Table) ZoneShare(zone string, now time.Time) float64 {
 	since, ok := t.restoredZones[zone]
 	if !ok {
@@ -99,11 +101,11 @@
 	return t.SlowStart.ShareAfter(now.Sub(since))
 }
 
-// ZoneDrained reports whether a zone is evacuated: no request is sent to its backends.
+// ZoneDrained reports whether a zone is evacuated, so that no requests are sent to its backends.
 func (t *Table) ZoneDrained(zone string) bool { return t.drainedZones[zone] }
 
-// Match finds the route of a request and its contract; false if no route matches. host may
-// have a port, which is ignored.
+// Match returns the route of a request and its contract. It returns false if no route matches. A
+// port in host is ignored.
 func (t *Table) Match(host, path, method string) (config.Route, config.Contract, bool) {
 	if h, _, err := net.SplitHostPort(host); err == nil {
 		host = h
@@ -115,14 +117,14 @@
 	return *route, t.contracts[route.Contract], true
 }
 
-// Service returns the configuration of a service; false if it has none.
+// Service returns the configuration of a service. It returns false if the service has none.
 func (t *Table) Service(name string) (config.Service, bool) {
 	s, ok := t.services[name]
 	return s, ok
 }
 
-// WarmupRate returns how many requests a second a backend of a service bears while it is warming up;
-// zero if none is configured.
+// WarmupRate returns the number of requests per second that a backend of a service can handle
+// during its warm-up. It returns zero if no rate is configured.
 func (t *Table) WarmupRate(service string) float64 {
 	if s := t.services[service]; s.SlowStart != nil {
 		return s.SlowStart.RequestsPerSecond
@@ -130,11 +132,11 @@
 	return 0
 }
 
-// Limits returns the configured limits of what clients may send.
+// Limits returns the configured limits on client requests.
 func (t *Table) Limits() config.Limits { return t.limits }
 
-// Services lists the services that routes lead to or that have a configuration, in order of
-// their names.
+// Services returns the sorted names of all services that are the target of a route or have a
+// configuration.
 func (t *Table) Services() []string {
 	services := slices.Collect(maps.Keys(t.services))
 	for i := range t.routes {
@@ -144,18 +146,18 @@
 	return slices.Compact(services)
 }
 
-// EarlierRunsPossible reports whether runs that an earlier process of this node admitted may still
-// be going on, when this process has been up for that long.
-func (t *Table) EarlierRunsPossible(up time.Duration) bool {
+// EarlierRunsPossible reports whether requests admitted by an earlier process of this node may
+// still be running, given the uptime of this process.
+func (t *Table) EarlierRunsPossible(uptime time.Duration) bool {
 	longest := minEarlierRun
 	for _, c := range t.contracts {
 		longest = max(longest, min(maxEarlierRun, c.Deadline.Duration))
 	}
-	return up < longest
+	return uptime < longest
 }
 
-// BudgetReports shows the latency budget of each contract, given the counts of their requests,
-// in order of the names.
+// BudgetReports returns the status of the latency budget of each contract, given the counts of
+// their requests, sorted by contract name.
 func (t *Table) BudgetReports(counts map[string]retrybudget.Counts) []retrybudget.BudgetStatus {
 	reports := []retrybudget.BudgetStatus{}
 	for _, name := range slices.Sorted(maps.Keys(t.contracts)) {
--- a/internal/dataplane/routing/table_test.go
+++ b/internal/dataplane/routing/table_test.go
@@ -7,18 +7,18 @@
 	"curlewwalk/internal/config"
 )
 
-// mustTable builds the table of a configuration.
+// mustTable returns the table of a configuration, and fails the test if it is not valid.
 func mustTable(t testing.TB, configuration []byte) *Table {
 	t.Helper()
 	table, ok := NewTable(config.ControlState{Revision: 1, ConfigurationRevision: 1, Configuration: configuration})
 	if !ok {
-		t.Fatalf("no table of %s", configuration)
+		t.Fatalf("NewTable rejected the configuration %s", configuration)
 	}
 	return table
 }
 
-// A zone whose evacuation has ended gets its capacity back little by little, whatever states
-// come meanwhile; evacuated again, it begins anew.
+// TestZoneSlowStart checks that a zone regains its capacity gradually after its evacuation, also if
+// the control state changes meanwhile. A second evacuation restarts the slow start.
 func TestZoneSlowStart(t *testing.T) {
 	start := time.Now()
 	at := func(seconds float64) time.Time {
@@ -29,7 +29,7 @@
 		t.Helper()
 		next, ok := NewTable(config.ControlState{Revision: revision, EvacuatedByOperator: evacuated})
 		if !ok {
-			t.Fatal("no table")
+			t.Fatal("NewTable rejected the control state")
 		}
 		next.ContinueSlowStart(table, at(seconds))
 		table = next
@@ -37,7 +37,7 @@
 	expect := func(seconds, want float64) {
 		t.Helper()
 		if got := table.ZoneShare("west", at(seconds)); got < want-0.001 || got > want+0.001 {
-			t.Errorf("after %v s: %v, want %v", seconds, got, want)
+			t.Errorf("after %v s: got share %v, want %v", seconds, got, want)
 		}
 	}
 	expect(0, 1)
@@ -54,11 +54,12 @@
 	apply(6, 40)
 	expect(40, 1)
 	if table.ZoneShare("east", at(40)) != 1 {
-		t.Error("the slow start of east has not ended")
+		t.Error("zone east has less than its full share after the end of its slow start")
 	}
 }
 
-// The closest match wins: host, then longer prefix, then methods.
+// TestMatch checks the precedence of matching routes: the host first, then the longer prefix, then
+// the method.
 func TestMatch(t *testing.T) {
 	table := mustTable(t, []byte(`{"contracts": [{"name":"c","aim":"1s","expiry":"2s","rank":1}], "ways": [
 		{"name":"all","prefix":"/","service":"s","contract":"c"},
@@ -80,22 +81,23 @@
 	}
 }
 
-// A table has the services and limits of its configuration; an empty one has none.
+// TestServicesAndLimits checks that a table has the services and limits of its configuration, and
+// that a table without a configuration has none.
 func TestServicesAndLimits(t *testing.T) {
 	table := mustTable(t, []byte(`{"contracts": [{"name":"c","aim":"1s","expiry":"2s","rank":1}],
 		"services": [{"name":"b","connections":7},{"name":"a"},{"name":"z"}], "limits": {"body_bytes": 9},
 		"ways": [{"name":"w","prefix":"/","split":[{"service":"b","weight":1},{"service":"a","weight":1}],"contract":"c"}]}`))
 	if service, ok := table.Service("b"); !ok || service.MaxConnections != 7 {
-		t.Errorf("b: %+v", service)
+		t.Errorf("service b: got %+v, want 7 connections at most", service)
 	}
 	if got := table.Services(); len(got) != 3 || table.Limits().MaxBodyBytes != 9 {
-		t.Errorf("%v, %+v", got, table.Limits())
+		t.Errorf("got services %v, limits %+v, want 3 services and a body limit of 9 bytes", got, table.Limits())
 	}
 	empty, _ := NewTable(config.ControlState{})
 	if _, ok := empty.Service("b"); ok || empty.Limits().IsDefined() || len(empty.Services()) != 0 {
 		t.Error("an empty table has a service or a limit")
 	}
 	if _, _, ok := empty.Match("x", "/", "GET"); ok {
-		t.Error("an empty table matches")
+		t.Error("an empty table matches a request")
 	}
 }
--- a/internal/dataplane/routing/target.go
+++ b/internal/dataplane/routing/target.go
@@ -6,25 +6,25 @@
 	"curlewwalk/internal/membership"
 )
 
-// nextTarget chooses where the next attempt goes. Where late answers are accepted, a request
-// that was rejected often enough, or everywhere, may go to those that rejected it once more,
-// to be queued there beyond its latency target.
+// nextTarget returns the target of the next attempt. If late answers are accepted, a request that
+// was rejected queueAfterRejections times, or by all backends, may be sent again to backends that
+// rejected it, and be queued there beyond its latency target.
 func (d *Decision) nextTarget(t *Table, v *membership.View, past history, now time.Time) (target membership.Target, queuePastTarget, ok bool) {
 	queuePastTarget = d.Conditions.AcceptLate && past.rejected >= queueAfterRejections
 	if queuePastTarget {
-		d.forgiven = len(d.attempts)
+		d.nonExcluding = len(d.attempts)
 	}
 	target, ok = d.chooseTarget(t, v, now)
 	if ok || !d.Conditions.AcceptLate || past.rejected == 0 {
 		return target, queuePastTarget, ok
 	}
-	d.forgiven = len(d.attempts)
+	d.nonExcluding = len(d.attempts)
 	target, ok = d.chooseTarget(t, v, now)
 	return target, true, ok
 }
 
-// chooseTarget chooses between backends of the own zone and of the others, and takes an ejected
-// one only where there is no other.
+// chooseTarget chooses between backends of the local zone and of other zones. It returns an ejected
+// backend only if there is no other.
 func (d *Decision) chooseTarget(t *Table, v *membership.View, now time.Time) (membership.Target, bool) {
 	var local, remote, ejected []membership.Target
 	for _, target := range v.Service(d.Route.Service) {
@@ -48,7 +48,7 @@
 	return best, ok
 }
 
-// pickOfTwo draws two random targets and takes the better one.
+// pickOfTwo draws two random targets and returns the better one.
 func (d *Decision) pickOfTwo(targets []membership.Target, now time.Time) (membership.Target, bool) {
 	if len(targets) == 0 {
 		return membership.Target{}, false
@@ -65,16 +65,16 @@
 	return d.Conditions.prefer(a, b, now), true
 }
 
-// utilization returns the share of a backend's capacity that is in use.
+// utilization returns the fraction of the capacity of a backend that is in use.
 func utilization(t membership.Target) float64 {
 	return float64(t.Load.EstimateOpen()) / max(1, float64(t.Capacity)*t.CapacityShare)
 }
 
-// excluded reports whether a target is excluded, as an attempt has gone to this incarnation of it.
-// Of the first d.forgiven attempts, those that were rejected do not exclude their targets.
+// excluded reports whether an attempt has already been sent to this incarnation of a target. The
+// first d.nonExcluding attempts do not exclude a target that rejected them.
 func (d *Decision) excluded(t membership.Target) bool {
 	for i, result := range d.attempts {
-		if i < d.forgiven && !result.ReachedBackend && result.Outcome == NotRun {
+		if i < d.nonExcluding && !result.ReachedBackend && result.Outcome == NotRun {
 			continue
 		}
 		if result.Target.Node == t.Node && result.Target.Instance == t.Instance && result.Target.Incarnation == t.Incarnation {
