--- a/internal/dataplane/endpoints/admission.go
+++ b/internal/dataplane/endpoints/admission.go
@@ -2,16 +2,17 @@
 
 import "time"
 
-// AdmissionRequest names the backend that an attempt is for.
+// AdmissionRequest identifies the backend of an attempt.
 type AdmissionRequest struct {
 	Service, Instance string
 }
 
-// Rejection says why an attempt is not admitted; Admitted if it is. It goes out as the
-// reason of a response.
+// Rejection is the reason why an attempt is not admitted, or Admitted. It is sent as the reason of
+// a response.
 type Rejection string
 
-// The rejections. All but Canceled and DeadlineExpired precede the first byte to the backend.
+// The rejections. All except Canceled and DeadlineExpired occur before the first byte is sent to
+// the backend.
 const (
 	Admitted         Rejection = ""
 	UnknownBackend   Rejection = "no-such-backend"
@@ -23,13 +24,13 @@
 	DeadlineExpired  Rejection = "expired"
 	NodeDraining     Rejection = "node-draining"
 	LeaseExpired     Rejection = "claim-lapsed"
-	// Canceled is that of an attempt whose sender no longer wants it. It also ends a
-	// running attempt, if that may be stopped.
+	// Canceled rejects an attempt that its sender has canceled. It also ends a running attempt if
+	// that attempt may be stopped.
 	Canceled Rejection = "recalled"
 )
 
-// Admit returns the endpoint that an attempt is for, and whether it may go there at this
-// moment. zoneDrained reports whether a zone is to get no requests. (DESIGN 9.2)
+// Admit returns the endpoint of an attempt, and whether the attempt may be sent to it now.
+// zoneDrained reports whether a zone receives no requests. (DESIGN 9.2)
 func (r Registry) Admit(request AdmissionRequest, zoneDrained func(zone string) bool, now time.Time) (Endpoint, Rejection) {
 	endpoint, ok := r.endpoints[request.Instance]
 	switch {
@@ -45,7 +46,7 @@
 	return endpoint, Admitted
 }
 
-// IsActive reports whether an instance still has an address and is not draining.
+// IsActive reports whether an instance still has the given address and is not draining.
 func (r Registry) IsActive(instance, address string) bool {
 	endpoint, ok := r.endpoints[instance]
 	return ok && endpoint.Address == address && !endpoint.Draining
--- a/internal/dataplane/endpoints/announcement.go
+++ b/internal/dataplane/endpoints/announcement.go
@@ -10,60 +10,62 @@
 )
 
 const (
-	// maxInstanceLength is the length in bytes of the longest name of an instance.
+	// maxInstanceLength is the maximum length of an instance name in bytes.
 	maxInstanceLength = 128
-	// maxCapacity bounds the capacity that a backend may announce.
-	maxCapacity = 100000 // (ours)
-	// maxWarmup bounds the time for which a backend may announce that it is warming up.
-	maxWarmup = time.Hour // (ours)
+	// maxCapacity is the maximum capacity, in concurrent requests, that a backend may announce.
+	maxCapacity = 100000
+	// maxWarmup is the maximum remaining warm-up time that a backend may announce.
+	maxWarmup = time.Hour
 )
 
-// Announcement is what a backend reports about itself at each heartbeat.
+// Announcement is the state that a backend reports about itself at each heartbeat.
 type Announcement struct {
 	Instance string `json:"instance"`
 	Service  string `json:"service"`
 	// Address is the backend's IP address and port.
 	Address string `json:"address"`
-	// Zone is the backend's zone; empty for that of its sidecar.
+	// Zone is the backend's zone. If it is empty, the backend is in the zone of its sidecar.
 	Zone string `json:"locality"`
-	// Capacity is the number of requests that the warm backend can execute at a time.
+	// Capacity is the number of requests that the backend can run concurrently after its warm-up.
 	Capacity int `json:"capacity"`
 	// Warmup is nil if the backend is warm.
 	Warmup *Warmup `json:"warmup"`
-	// Draining says that the backend is about to stop and takes no more requests.
+	// Draining means that the backend is about to stop and accepts no more requests.
 	Draining bool `json:"leaving"`
-	// Sequence rises with each announcement of an instance, so that one which arrives out
-	// of order is recognized; zero if the backend does not number them.
+	// Sequence increases with each announcement of an instance, so that announcements that arrive
+	// out of order are detected. It is zero if the backend does not number its announcements.
 	Sequence uint64 `json:"count,omitempty"`
 }
 
-// Warmup is the state of a backend that is warming up: either its share of capacity rises,
-// or it bears only its service's rate of requests for a time.
+// Warmup is the state of a backend that is warming up. Either its share of the capacity rises, or
+// its request rate is limited to the warm-up rate of its service for a time.
 type Warmup struct {
-	// Share is the fraction of its capacity that the backend bears now: above 0, at most 1.
+	// Share is the fraction of its capacity that the backend can use now: greater than 0, at most
+	// 1.
 	Share float64 `json:"share"`
-	// Ramp is the time until it bears all of its capacity, as a Go duration.
+	// Ramp is the time until the backend can use its full capacity, as a Go duration.
 	Ramp string `json:"ramp"`
-	// Remaining is the time for which it bears only its service's rate, as a Go duration.
+	// Remaining is the time for which the backend is limited to the warm-up rate of its service, as
+	// a Go duration.
 	Remaining string `json:"left"`
 }
 
-// slowStart is the state of a backend's slow start, as its announcement tells it.
+// slowStart is the parsed warm-up state of an announcement.
 type slowStart struct {
-	// share is the fraction of its capacity that it bears now, ramp the time until that
-	// is 1.
+	// share is the fraction of the capacity that the backend can use now. ramp is the time until
+	// the share is 1.
 	share float64
 	ramp  time.Duration
-	// remaining is the time for which it bears only its service's rate.
+	// remaining is the time for which the backend is limited to the warm-up rate of its service.
 	remaining time.Duration
 }
 
-// violations are the faults of an announcement, worded for its sender.
+// violations are the errors in an announcement. Their texts are returned to its sender.
 type violations []string
 
 func (v *violations) add(format string, args ...any) { *v = append(*v, fmt.Sprintf(format, args...)) }
 
-// validate checks an announcement, and returns its slow start and its faults.
+// validate checks an announcement, and returns its slow start and its errors.
 func (a *Announcement) validate() (slowStart, violations) {
 	var faults violations
 	if a.Instance == "" || len(a.Instance) > maxInstanceLength {
@@ -88,7 +90,7 @@
 	return start, faults
 }
 
-// validate adds the faults of the slow start, and returns it.
+// validate returns the slow start, and adds its errors to faults.
 func (w *Warmup) validate(faults *violations) (start slowStart) {
 	start.share = w.Share
 	if start.share == 0 && w.Remaining != "" {
--- a/internal/dataplane/endpoints/controller.go
+++ b/internal/dataplane/endpoints/controller.go
@@ -6,13 +6,14 @@
 	"time"
 )
 
-// AdmissionController admits requests to one backend: it runs the backend's AdmissionQueue
-// and SlowStartLimiter for concurrent requests.
+// AdmissionController admits requests to one backend. It makes the backend's AdmissionQueue and
+// SlowStartLimiter safe for concurrent use.
 type AdmissionController struct {
 	mu      sync.Mutex
 	queue   AdmissionQueue
 	limiter SlowStartLimiter
-	// waiters get by their id whether they may start.
+	// waiters maps the ID of each waiting request to the channel that receives whether the request
+	// may start.
 	waiters map[uint64]chan bool
 	start   time.Time
 }
@@ -22,20 +23,20 @@
 	return &AdmissionController{waiters: map[uint64]chan bool{}, start: time.Now()}
 }
 
-// Outstanding returns the number of requests that run or wait.
+// Outstanding returns the number of requests that are running or waiting.
 func (c *AdmissionController) Outstanding() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.queue.Len()
 }
 
-// Acquire asks for a slot of the backend, and waits for one in the queue until ctx ends.
+// Acquire requests a slot of the backend and, if none is free, waits in the queue until ctx ends.
 // limit returns the number of slots; it is called at each change of the queue.
 //
-// With a slot, done is not nil. It must be called when the request has ended, with canceled
-// set if it was stopped before its end, so that its duration tells nothing. Without a slot,
-// done is nil, and retryAfter is the time after which another request is worth it; zero if
-// that is not known.
+// If the request gets a slot, done is not nil. It must be called when the request has ended, with
+// canceled set if the request was stopped early, so that its duration is not used for estimates.
+// Without a slot, done is nil, and retryAfter is the time after which a retry may succeed. It is
+// zero if that time is unknown.
 func (c *AdmissionController) Acquire(ctx context.Context, request QueueRequest, limit func() int64) (done func(canceled bool), retryAfter time.Duration) {
 	c.mu.Lock()
 	enqueued := c.queue.Enqueue(request, limit(), time.Since(c.start))
@@ -56,7 +57,8 @@
 	return func(canceled bool) { c.release(request.Route, startedAt, canceled, limit) }, 0
 }
 
-// wait waits for a slot; it reports false if the queue rejects the request or ctx ends.
+// wait blocks until the request gets a slot. It returns false if the queue rejects the request or
+// ctx ends.
 func (c *AdmissionController) wait(ctx context.Context, id uint64, granted chan bool) bool {
 	select {
 	case ok := <-granted:
@@ -69,10 +71,10 @@
 		delete(c.waiters, id)
 		return false
 	}
-	return <-granted // the queue has decided in the meantime
+	return <-granted // the queue has already decided on the request
 }
 
-// release ends a request that had a slot since startedAt.
+// release ends a request that has held a slot since startedAt.
 func (c *AdmissionController) release(route string, startedAt time.Time, canceled bool, limit func() int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -84,7 +86,7 @@
 	c.notify(c.queue.Finish(route, time.Since(startedAt), limit(), now))
 }
 
-// notify tells the waiters what a change of the queue decided for them; mu is held.
+// notify sends the decisions of a transition to the waiters. The caller must hold mu.
 func (c *AdmissionController) notify(transition Transition) {
 	for _, id := range transition.Started {
 		c.waiters[id] <- true
@@ -96,9 +98,9 @@
 	}
 }
 
-// AllowWarmup reports whether a backend that is warming up may get another request at a
-// rate, in requests a second; if not, retryAfter is when it may. uptime is how long the
-// sidecar has been running.
+// AllowWarmup reports whether a backend that is warming up may receive another request at the given
+// rate, in requests per second. If not, retryAfter is the time until it may. uptime is the time
+// since the sidecar started.
 func (c *AdmissionController) AllowWarmup(rate float64, uptime time.Duration) (ok bool, retryAfter time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/dataplane/endpoints/doc.go
+++ b/internal/dataplane/endpoints/doc.go
@@ -1,12 +1,13 @@
-// Package endpoints keeps the backends of a sidecar's own machine and decides, as the last
-// before a request reaches one of them, whether it may. (DESIGN 9)
+// Package endpoints keeps the backends on the machine of a sidecar, and makes the final decision on
+// whether a request may be sent to one of them. (DESIGN 9)
 //
-// Backends announce themselves to their sidecar at every heartbeat. Registry is the
-// immutable table of those that are there; announcements that are stale by what is known,
-// as of a backend that has left, change nothing. Each Endpoint of it has an
-// AdmissionController, which bounds the requests that run at the backend (AdmissionQueue)
-// and the rate at which one that is warming up gets them (SlowStartLimiter).
+// Backends announce themselves to their sidecar at every heartbeat. Registry is the immutable table
+// of the known backends. A stale announcement, for example of a backend that has left, does not
+// change the table. Each Endpoint has an AdmissionController, which bounds the number of requests
+// running at the backend (AdmissionQueue) and the request rate of a backend that is warming up
+// (SlowStartLimiter).
 //
-// A sidecar admits only while it holds a Lease. Right after its process was frozen it ignores
-// announcements, since they may have waited for long (WakeDetector).
+// A sidecar admits requests only while it holds a Lease. For a short time after its process was
+// suspended, the sidecar ignores announcements, since they may have been queued for a long time
+// (WakeDetector).
 package endpoints
--- a/internal/dataplane/endpoints/draining_test.go
+++ b/internal/dataplane/endpoints/draining_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// registryWithBackend returns a registry with the backend of an announcement of a sequence
-// number, and the announcement.
+// registryWithBackend returns a registry with one announced backend, and its announcement with the
+// given sequence number.
 func registryWithBackend(t *testing.T, sequence uint64, now time.Time) (Registry, Announcement) {
 	t.Helper()
 	a := Announcement{Instance: "a", Service: "s", Address: "10.0.0.1:80", Capacity: 9, Sequence: sequence}
@@ -24,16 +24,16 @@
 	return rejection == Admitted
 }
 
-// TestDrainingIsFinal checks that a backend that has announced that it leaves gets no more
-// requests, and takes no address from others, whatever arrives of it later.
+// TestDrainingIsFinal checks that a backend that has announced its departure receives no more
+// requests, and takes no address from another instance, whatever announcements of it arrive later.
 func TestDrainingIsFinal(t *testing.T) {
 	t.Run("stale announcement", testStaleAnnouncement)
 	t.Run("departure of an unknown instance", testDepartureOfUnknown)
 	t.Run("stale announcement of an address", testStaleAddress)
 }
 
-// testStaleAnnouncement lets an announcement arrive after the departure, however late, and
-// whether announcements are numbered or not.
+// testStaleAnnouncement checks announcements that arrive after the departure, with different
+// delays, with and without sequence numbers.
 func testStaleAnnouncement(t *testing.T) {
 	begin := time.Now()
 	departures := map[string]func(r Registry, a Announcement) Registry{
@@ -48,7 +48,7 @@
 		"by two departures": func(r Registry, a Announcement) Registry {
 			return r.MarkDeparted(a.Instance).MarkDeparted(a.Instance)
 		},
-		"by a departure, and removed as silent": func(r Registry, a Announcement) Registry {
+		"by a departure, then expired": func(r Registry, a Announcement) Registry {
 			return r.MarkDeparted(a.Instance).ExpireSilent(begin.Add(r.Heartbeats.RemoveAfter() + 1))
 		},
 	}
@@ -59,7 +59,7 @@
 					r, a := registryWithBackend(t, sequence, begin)
 					r = depart(r, a)
 					if sequence > 0 {
-						a.Sequence++ // the newest that was sent, and stale
+						a.Sequence++ // the newest announcement sent, but stale after the departure
 					}
 					now := begin.Add(after)
 					r, _ = r.Announce(a, "north", now)
@@ -72,8 +72,8 @@
 	}
 }
 
-// testDepartureOfUnknown lets the departure arrive before any announcement, since these are
-// late, or the process has restarted.
+// testDepartureOfUnknown checks a departure that arrives before any announcement, because the
+// announcements are late or the process has restarted.
 func testDepartureOfUnknown(t *testing.T) {
 	now := time.Now()
 	r := Registry{}.MarkDeparted("a")
@@ -83,8 +83,8 @@
 	}
 }
 
-// testStaleAddress lets a backend that has left announce its address, which another instance
-// has by now.
+// testStaleAddress checks that a departed backend does not regain its address by a stale
+// announcement when another instance has taken over the address.
 func testStaleAddress(t *testing.T) {
 	now := time.Now()
 	r, a := registryWithBackend(t, 1, now)
@@ -97,26 +97,26 @@
 	for _, stale := range []Announcement{a, draining} {
 		got, _ := r.Announce(stale, "north", now.Add(4*time.Second))
 		if !isAdmitted(got, "b", now.Add(4*time.Second)) {
-			t.Errorf("the instance that has the address now is not admitted after %+v", stale)
+			t.Errorf("the instance that took over the address is not admitted after the stale announcement %+v", stale)
 		}
 	}
-	// Nor does an instance that this process never heard from before.
+	// The same holds for a departed instance that was unknown to this process.
 	restarted, _ := Registry{}.Announce(successor, "north", now)
 	if restarted, _ = restarted.Announce(draining, "north", now); !isAdmitted(restarted, "b", now) || !restarted.HasDeparted("a") {
-		t.Error("a stale departure took the address")
+		t.Error("after the departure of an unknown instance: want its successor admitted and the departure recorded")
 	}
 }
 
-// TestStaleAnnouncementOfDisplaced checks that a backend whose address another instance has
-// taken over doesn't take it back with a stale announcement while the other is there. If
-// the other falls silent in its turn, that one's announcements were the stale ones.
+// TestStaleAnnouncementOfDisplaced checks that a stale announcement of a backend does not regain
+// its address from an instance that has taken over the address and is active. If the other instance
+// falls silent, its announcements were the stale ones, and the backend regains the address.
 func TestStaleAnnouncementOfDisplaced(t *testing.T) {
-	t.Run("numbered", func(t *testing.T) { testStaleAfterDisplacement(t, 5) })
-	t.Run("not numbered", func(t *testing.T) { testStaleAfterDisplacement(t, 0) })
+	t.Run("with sequence numbers", func(t *testing.T) { testStaleAfterDisplacement(t, 5) })
+	t.Run("without sequence numbers", func(t *testing.T) { testStaleAfterDisplacement(t, 0) })
 }
 
-// testStaleAfterDisplacement lets a backend whose announcements are numbered from sequence,
-// or not at all, lose its address and announce it afterwards.
+// testStaleAfterDisplacement checks a displaced backend that announces its address again. Its
+// announcements are numbered from sequence, or not numbered if sequence is 0.
 func testStaleAfterDisplacement(t *testing.T, sequence uint64) {
 	t.Helper()
 	begin := time.Now()
@@ -134,19 +134,19 @@
 	now = now.Add(r.Heartbeats.Freshness())
 	stale, _ := r.Announce(a, "north", now)
 	if _, known := stale.Lookup("b"); !known || isAdmitted(stale, "a", now) {
-		t.Error("a stale announcement took the address back")
+		t.Error("a stale announcement regained the address")
 	}
 	now = now.Add(1)
 	back, _ := r.Announce(a, "north", now)
 	if !isAdmitted(back, "a", now) {
-		t.Error("the instance that is there is not admitted, though the other is silent")
+		t.Error("the active instance is not admitted although the other instance is silent")
 	}
 }
 
-// TestFirstAnnouncementMayBeStale checks the first announcement of an instance in a process
-// that has been up for some heartbeats, and so has heard from all instances that are there:
-// if it is not the instance's first, it may have been sent before the process started, and
-// is taken once a later one has arrived.
+// TestFirstAnnouncementMayBeStale checks the first received announcement of an instance in a
+// process that has been running for several heartbeats, and so has discovered all running
+// instances. If it is not the instance's first announcement, it may have been sent before the
+// process started. It is then applied only once a later announcement has arrived.
 func TestFirstAnnouncementMayBeStale(t *testing.T) {
 	begin := time.Now()
 	for sequence, admitted := range map[uint64][2]bool{0: {true, true}, 1: {true, true}, 7: {false, true}} {
@@ -155,13 +155,13 @@
 			_, a := registryWithBackend(t, sequence, begin)
 			discovered := begin.Add(r.Heartbeats.DiscoveryDelay())
 			if got, _ := r.Announce(a, "north", discovered); !isAdmitted(got, "a", discovered) {
-				t.Error("not admitted at the start")
+				t.Error("not admitted within the discovery delay")
 			}
 			now := discovered.Add(1)
 			for i, want := range admitted {
-				for range 2 { // it may be duplicated on the way
+				for range 2 { // the network may duplicate an announcement
 					if r, _ = r.Announce(a, "north", now); isAdmitted(r, "a", now) != want {
-						t.Errorf("announcement %d: admitted %v", i+1, !want)
+						t.Errorf("announcement %d: got admitted = %v, want the opposite", i+1, !want)
 					}
 				}
 				if sequence > 0 {
@@ -172,37 +172,37 @@
 	}
 }
 
-// TestStaleAnnouncementAfterStart checks a process that has just started, to which a stale
-// announcement may be the first that announces an address, or come between the first two of
-// the instance that is there. That one has its address back with its next heartbeat, and
-// keeps it.
+// TestStaleAnnouncementAfterStart checks a process that has just started. A stale announcement may
+// be the first to claim an address, or may arrive between the first two announcements of the
+// instance that has the address. This instance must regain the address with its next heartbeat, and
+// keep it.
 func TestStaleAnnouncementAfterStart(t *testing.T) {
 	begin := time.Now()
 	for _, receivedBefore := range []int{0, 1, 2} {
-		t.Run(fmt.Sprintf("after %d heartbeats of the other", receivedBefore), func(t *testing.T) {
+		t.Run(fmt.Sprintf("after %d heartbeats of the current instance", receivedBefore), func(t *testing.T) {
 			r := Registry{Started: begin}
 			_, stale := registryWithBackend(t, 7, begin)
-			there := stale
-			there.Instance, there.Sequence = "there", 20
+			current := stale
+			current.Instance, current.Sequence = "current", 20
 			now := begin
 			heartbeat := func() {
 				now = now.Add(r.Heartbeats.interval() / 4)
-				r, _ = r.Announce(there, "north", now)
-				there.Sequence++
+				r, _ = r.Announce(current, "north", now)
+				current.Sequence++
 			}
 			for range receivedBefore {
 				heartbeat()
 			}
-			for range 2 { // it may be duplicated on the way
+			for range 2 { // the network may duplicate an announcement
 				r, _ = r.Announce(stale, "north", now)
 			}
 			if admitted := isAdmitted(r, "a", now); admitted == (receivedBefore == 2) {
-				t.Errorf("the stale instance is admitted: %v", admitted)
+				t.Errorf("got admitted = %v for the stale instance, want the opposite", admitted)
 			}
 			for heartbeats := 1; heartbeats <= 3; heartbeats++ {
 				heartbeat()
-				if !isAdmitted(r, "there", now) || isAdmitted(r, "a", now) {
-					t.Errorf("after %d more heartbeats the other does not have its address", heartbeats)
+				if !isAdmitted(r, "current", now) || isAdmitted(r, "a", now) {
+					t.Errorf("after %d more heartbeats, the current instance has not regained its address", heartbeats)
 				}
 				if heartbeats > 1 {
 					r, _ = r.Announce(stale, "north", now)
--- a/internal/dataplane/endpoints/endpoint.go
+++ b/internal/dataplane/endpoints/endpoint.go
@@ -7,32 +7,34 @@
 	"curlewwalk/internal/membership"
 )
 
-// Endpoint is a backend of the own machine, as a Registry has it. Its CapacityShare is the
-// share that other nodes are to route by; what it bears here is ShareAt.
+// Endpoint is a backend on the local machine, as stored in a Registry. CapacityShare is the share
+// of the capacity that other nodes use for routing. ShareAt returns the share that applies on this
+// node.
 type Endpoint struct {
 	membership.Backend
-	// LastHeartbeat is when the latest announcement arrived, by the monotonic clock.
+	// LastHeartbeat is the arrival time of the latest announcement, by the monotonic clock.
 	LastHeartbeat time.Time
-	// announcedShare is the fraction of its capacity that the backend bore at
-	// LastHeartbeat; it bears all of it warmupRamp later.
+	// announcedShare is the fraction of its capacity that the backend could use at LastHeartbeat.
+	// The fraction rises to 1 over warmupRamp.
 	announcedShare float64
 	warmupRamp     time.Duration
-	// warmAt is when the backend bears more than its service's rate.
+	// warmAt is the time at which the backend is no longer limited to the warm-up rate of its
+	// service.
 	warmAt time.Time
-	// sequence is that of the latest announcement.
+	// sequence is the sequence number of the latest announcement.
 	sequence uint64
-	// confirmed says that more than one announcement of the backend has arrived: a single
-	// one may be stale.
+	// confirmed means that more than one announcement of the backend has arrived. A single
+	// announcement may be stale.
 	confirmed bool
-	// Admission admits requests to the backend. All registries share it.
+	// Admission admits requests to the backend. It is shared by all registries.
 	Admission *AdmissionController
 }
 
 // Supersedes reports whether the backend's latest announcement was sent after the given one, which
-// is stale then. It is false of announcements without a number.
+// is then stale. It returns false for announcements without a sequence number.
 func (e Endpoint) Supersedes(a Announcement) bool { return a.Sequence != 0 && a.Sequence < e.sequence }
 
-// ShareAt returns the fraction of its capacity that the backend bears at a time.
+// ShareAt returns the fraction of its capacity that the backend can use at a time.
 func (e Endpoint) ShareAt(now time.Time) float64 {
 	share := cmp.Or(e.announcedShare, e.CapacityShare)
 	if e.warmupRamp <= 0 {
@@ -42,17 +44,17 @@
 	return share + (1-share)*progress
 }
 
-// WarmingUp reports whether the backend bears no more than its service's rate yet.
+// WarmingUp reports whether the backend is still limited to the warm-up rate of its service.
 func (e Endpoint) WarmingUp(now time.Time) bool { return now.Before(e.warmAt) }
 
 // ConcurrencyLimit returns the number of requests that may run at the backend, at least 1.
-// zoneShare is the fraction of its capacity that the zone is given. recentlyStarted says
-// that requests which an earlier incarnation of this sidecar admitted may still be running:
-// then the limit is half as high. (DESIGN 15.2)
+// zoneShare is the fraction of its capacity that the zone may use. recentlyStarted means that
+// requests admitted by an earlier incarnation of this sidecar may still be running; the limit is
+// then halved. (DESIGN 15.2)
 func (e Endpoint) ConcurrencyLimit(zoneShare float64, recentlyStarted bool, now time.Time) int64 {
-	bearable := float64(e.Capacity) * e.ShareAt(now) * zoneShare
+	usable := float64(e.Capacity) * e.ShareAt(now) * zoneShare
 	if recentlyStarted {
-		bearable /= 2
+		usable /= 2
 	}
-	return max(1, int64(bearable))
+	return max(1, int64(usable))
 }
--- a/internal/dataplane/endpoints/heartbeat.go
+++ b/internal/dataplane/endpoints/heartbeat.go
@@ -2,27 +2,25 @@
 
 import "time"
 
-// DefaultHeartbeatInterval is how often backends announce themselves if the settings don't
-// say otherwise.
-const DefaultHeartbeatInterval = 500 * time.Millisecond // (ours)
+// DefaultHeartbeatInterval is the interval of backend announcements if the settings define none.
+const DefaultHeartbeatInterval = 500 * time.Millisecond
 
-// HeartbeatPolicy derives the bounds on silent backends from the interval at which backends
-// announce themselves.
+// HeartbeatPolicy derives the timeouts for silent backends from the announcement interval.
 type HeartbeatPolicy struct {
-	// Interval is DefaultHeartbeatInterval if it is not positive.
+	// Interval is the announcement interval. If it is not positive, DefaultHeartbeatInterval
+	// applies.
 	Interval time.Duration
 }
 
-// Freshness is how old the latest announcement of a backend may be if it is to get
-// requests. The address of a backend that has ended passes to another service after about
-// 2 s.
+// Freshness returns the maximum age of the latest announcement of a backend that may receive
+// requests. The address of a stopped backend may be reassigned to another service after about 2 s.
 func (p HeartbeatPolicy) Freshness() time.Duration { return 3 * p.interval() }
 
-// DiscoveryDelay is how long after its start a sidecar has received an announcement of each
-// backend that is there.
+// DiscoveryDelay returns the time after the start of a sidecar by which it has received an
+// announcement from each running backend.
 func (p HeartbeatPolicy) DiscoveryDelay() time.Duration { return 2 * p.interval() }
 
-// RemoveAfter is how long a silent backend stays in the registry.
+// RemoveAfter returns the time after which a silent backend is removed from the registry.
 func (p HeartbeatPolicy) RemoveAfter() time.Duration { return 10 * p.interval() }
 
 func (p HeartbeatPolicy) interval() time.Duration {
--- a/internal/dataplane/endpoints/queue.go
+++ b/internal/dataplane/endpoints/queue.go
@@ -5,73 +5,72 @@
 	"time"
 )
 
-// maxWaitersPerSlot bounds the length of each of a queue's two lists, for each slot of the
-// backend.
-const maxWaitersPerSlot = 4 // (ours)
+// maxWaitersPerSlot bounds the length of each of a queue's two lists, per slot of the backend.
+const maxWaitersPerSlot = 4
 
-// QueueRequest is what a request tells the queue about itself.
+// QueueRequest holds the properties of a request that determine its position in the queue.
 type QueueRequest struct {
-	// Priority is that of the contract; the lowest number comes first.
+	// Priority is the priority of the contract. The lowest number is served first.
 	Priority int
 	Route    string
-	// Remaining is the time left for the response: until the latency target, or a little longer
-	// where the contract's latency budget allows that.
+	// Remaining is the time left for the response: until the latency target, or a little longer if
+	// the contract's latency budget allows that.
 	Remaining time.Duration
-	// LateRemaining is the time for which a response past the target is still worth
-	// something; zero if it is worth nothing.
+	// LateRemaining is the time within which a response after the target is still useful. It is
+	// zero if a late response is of no use.
 	LateRemaining time.Duration
 }
 
-// QueueDecision says what becomes of a request.
+// QueueDecision is the decision of the queue on a new request.
 type QueueDecision int
 
-// The decisions: the request runs at once, waits for a slot, or is rejected.
+// The decisions: the request runs immediately, waits for a slot, or is rejected.
 const (
 	Start QueueDecision = iota
 	Wait
 	Reject
 )
 
-// Enqueued is the result of a request to a queue.
+// Enqueued is the result of Enqueue.
 type Enqueued struct {
 	Decision QueueDecision
-	// ID names the waiter in later transitions, for Wait.
+	// ID identifies the waiter in later transitions. It is set if Decision is Wait.
 	ID uint64
-	// RetryAfter is the time that the backlog takes, for Reject.
+	// RetryAfter is the time in which the backlog is expected to clear. It is set if Decision is
+	// Reject.
 	RetryAfter time.Duration
 	Transition Transition
 }
 
-// Transition is what a change of the queue decides for waiters, by their IDs: some get a
-// slot, and some are rejected.
+// Transition holds the IDs of the waiters that a change of the queue starts and rejects.
 type Transition struct {
 	Started, Rejected []uint64
 }
 
-// AdmissionQueue bounds the requests that run at a backend and orders those that wait. It
-// is not safe for concurrent use, and takes the time from its caller: a monotonic clock of
+// AdmissionQueue bounds the number of requests that run at a backend, and orders the requests that
+// wait. It is not safe for concurrent use. The caller passes the time, from a monotonic clock of
 // any origin.
 //
-// The limit, the number of the backend's slots, comes with each call, since it changes.
-// Higher priorities go first, within a priority shorter requests, and then those that have
-// to start first; a request that can no longer be completed by its target does not wait.
-// If a late response is worth something to it, it is overdue instead: overdue requests get
-// the slots that no other request waits for. (DESIGN 15.2)
+// The limit is the number of slots of the backend. It is passed with each call, since it changes.
+// Requests with a higher priority go first; within a priority, shorter requests; and then the
+// requests with the earliest latest start. A request that can no longer be completed by its target
+// does not wait in the normal list. If a late response to it is still useful, it becomes overdue.
+// Overdue requests get the slots that no other request waits for. (DESIGN 15.2)
 type AdmissionQueue struct {
 	running int64
 	// waiting and overdue are sorted by waiter.compare.
 	waiting []waiter
 	overdue []waiter
 	lastID  uint64
-	// meanDuration is that of all requests, durations those of the routes.
+	// meanDuration is the average duration of all requests. durations holds the estimates by route.
 	meanDuration time.Duration
 	durations    map[string]durationEstimate
 }
 
-// Len returns the number of requests that run or wait.
+// Len returns the number of requests that are running or waiting.
 func (q *AdmissionQueue) Len() int64 { return q.running + int64(len(q.waiting)+len(q.overdue)) }
 
-// Enqueue decides on a request.
+// Enqueue starts, queues or rejects a request.
 func (q *AdmissionQueue) Enqueue(request QueueRequest, limit int64, now time.Duration) Enqueued {
 	if q.running < limit && len(q.waiting) == 0 {
 		q.running++
@@ -90,7 +89,7 @@
 	return Enqueued{Decision: Wait, ID: w.id, Transition: q.advance(limit, now)}
 }
 
-// Finish ends a running request of a route, and learns how long it took.
+// Finish ends a running request of a route, and updates the estimates with its duration.
 func (q *AdmissionQueue) Finish(route string, took time.Duration, limit int64, now time.Duration) Transition {
 	q.running--
 	if q.durations == nil {
@@ -101,13 +100,13 @@
 	return q.advance(limit, now)
 }
 
-// Cancel ends a running request that was stopped before its end; nothing is learned of it.
+// Cancel ends a running request that was stopped early. The estimates do not change.
 func (q *AdmissionQueue) Cancel(limit int64, now time.Duration) Transition {
 	q.running--
 	return q.advance(limit, now)
 }
 
-// Remove removes a waiter, and reports whether it was still waiting.
+// Remove removes a waiter, and reports whether the waiter was still in the queue.
 func (q *AdmissionQueue) Remove(id uint64) bool {
 	before := q.Len()
 	hasID := func(w waiter) bool { return w.id == id }
@@ -116,13 +115,13 @@
 	return q.Len() < before
 }
 
-// expectedWait is how long the waiter at a position is expected to wait.
+// expectedWait returns the expected wait of the waiter at a position.
 func (q *AdmissionQueue) expectedWait(position int, limit int64) time.Duration {
 	return time.Duration(int64(q.meanDuration) * int64(position+1) / limit)
 }
 
-// enqueueOverdue makes a waiter overdue. It reports false if there is no room, or if it is
-// expected to start too late to be worth anything.
+// enqueueOverdue adds a waiter to the overdue list. It returns false if the list is full, or if the
+// waiter is expected to start too late for a useful response.
 func (q *AdmissionQueue) enqueueOverdue(w waiter, limit int64, now time.Duration) bool {
 	position, _ := slices.BinarySearchFunc(q.overdue, w, waiter.compare)
 	if now+q.expectedWait(len(q.waiting)+position, limit) > w.lateStartBy || len(q.overdue) >= maxWaitersPerSlot*int(limit) {
@@ -132,34 +131,34 @@
 	return true
 }
 
-// advance gives the free slots to waiters, and rejects those that can't be served any more.
+// advance gives the free slots to waiters, and rejects the waiters that can no longer be served.
 func (q *AdmissionQueue) advance(limit int64, now time.Duration) (transition Transition) {
 	q.startWaiting(&transition, limit, now)
-	q.dropHopeless(&transition, limit, now)
+	q.demoteLate(&transition, limit, now)
 	q.startOverdue(&transition, limit, now)
 	return transition
 }
 
-// startWaiting gives the free slots to waiters in time.
+// startWaiting gives the free slots to waiters that can be completed by their targets.
 func (q *AdmissionQueue) startWaiting(transition *Transition, limit int64, now time.Duration) {
 	for len(q.waiting) > 0 && q.running < limit {
 		first := q.waiting[0]
 		q.waiting = q.waiting[1:]
 		if now > first.startBy {
-			q.postpone(first, transition, limit, now)
+			q.demote(first, transition, limit, now)
 			continue
 		}
 		q.start(first, transition)
 	}
 }
 
-// dropHopeless takes out the waiters that are not expected to start in time, and those
-// beyond the bound, which falls with the limit.
-func (q *AdmissionQueue) dropHopeless(transition *Transition, limit int64, now time.Duration) {
+// demoteLate demotes the waiters that are not expected to start in time, and the waiters beyond the
+// bound on the list, which falls with the limit.
+func (q *AdmissionQueue) demoteLate(transition *Transition, limit int64, now time.Duration) {
 	kept := q.waiting[:0]
 	for _, w := range q.waiting {
 		if len(kept) >= maxWaitersPerSlot*int(limit) || now+q.expectedWait(len(kept), limit) > w.startBy {
-			q.postpone(w, transition, limit, now)
+			q.demote(w, transition, limit, now)
 			continue
 		}
 		kept = append(kept, w)
@@ -167,7 +166,7 @@
 	q.waiting = kept
 }
 
-// startOverdue gives the slots that nobody in time waits for to overdue waiters.
+// startOverdue gives the slots that remain free to overdue waiters.
 func (q *AdmissionQueue) startOverdue(transition *Transition, limit int64, now time.Duration) {
 	for len(q.overdue) > 0 && q.running < limit {
 		first := q.overdue[0]
@@ -180,14 +179,14 @@
 	}
 }
 
-// start gives a slot to a waiter that is no longer in the queue.
+// start gives a slot to a waiter that has been taken from the queue.
 func (q *AdmissionQueue) start(w waiter, transition *Transition) {
 	q.running++
 	transition.Started = append(transition.Started, w.id)
 }
 
-// postpone makes a waiter overdue, or rejects it.
-func (q *AdmissionQueue) postpone(w waiter, transition *Transition, limit int64, now time.Duration) {
+// demote moves a waiter to the overdue list, or rejects it.
+func (q *AdmissionQueue) demote(w waiter, transition *Transition, limit int64, now time.Duration) {
 	if !q.enqueueOverdue(w, limit, now) {
 		transition.Rejected = append(transition.Rejected, w.id)
 	}
--- a/internal/dataplane/endpoints/registry.go
+++ b/internal/dataplane/endpoints/registry.go
@@ -9,31 +9,31 @@
 	"curlewwalk/internal/membership"
 )
 
-// Registry is the table of the own backends by instance. It is immutable: each change
-// returns another registry. The zero value is empty.
+// Registry is the table of the local backends by instance. It is immutable: each change returns a
+// new registry. The zero value is empty.
 type Registry struct {
-	// Version rises with each change that other nodes are to learn of.
+	// Version increases with each change that is reported to other nodes.
 	Version uint64
-	// Heartbeats tells how often backends announce themselves.
+	// Heartbeats is the heartbeat policy of the backends.
 	Heartbeats HeartbeatPolicy
-	// Started is when this process began to receive announcements.
+	// Started is the time at which this process began to receive announcements.
 	Started   time.Time
 	endpoints map[string]Endpoint
-	// departures are the instances that have announced that they leave, also ones that
+	// departures holds the instances that have announced their departure, including instances that
 	// were not known before.
 	departures membership.Departures
-	// displaced are the instances whose address another one has taken over.
+	// displaced holds the instances whose address has been taken over by another instance.
 	displaced membership.Departures
-	// unconfirmed are announcements that may be stale; see needsConfirmation.
+	// unconfirmed holds announcements that may be stale; see needsConfirmation.
 	unconfirmed []unconfirmedAnnouncement
-	// draining says that the sidecar is stopping, and all its backends are reported as
-	// draining.
+	// draining means that the sidecar is stopping and reports all its backends as draining.
 	draining bool
 }
 
-// Announce returns the registry after an announcement, or the announcement's faults, worded
-// for its sender. A stale announcement changes nothing. A draining backend that is not known
-// gets no endpoint, since another instance may have its address by now. (DESIGN 9.1)
+// Announce returns the registry after an announcement, or the errors in the announcement, worded
+// for its sender. A stale announcement does not change the registry. An announcement that needs
+// confirmation is only stored as unconfirmed. An unknown backend that announces that it is draining
+// gets no endpoint, since its address may already belong to another instance. (DESIGN 9.1)
 func (r Registry) Announce(a Announcement, defaultZone string, now time.Time) (Registry, []string) {
 	start, faults := a.validate()
 	if len(faults) > 0 {
@@ -75,9 +75,9 @@
 	}
 }
 
-// continueFrom takes over from the previous endpoint of the instance, or the zero value, what
-// an announcement does not change: the requests at the same address and service, and the
-// share that ScaleShares has set.
+// continueFrom copies the state that an announcement does not change from the previous endpoint of
+// the instance, which may be the zero value. This state is the AdmissionController, if the address
+// and service are the same, and the share set by ScaleShares.
 func (e *Endpoint) continueFrom(previous Endpoint) {
 	e.Admission = previous.Admission
 	if e.Admission == nil || previous.Address != e.Address || previous.Service != e.Service {
@@ -88,8 +88,8 @@
 	}
 }
 
-// withEndpoint returns the registry with an endpoint. Other endpoints with its address are
-// displaced.
+// withEndpoint returns the registry with an endpoint added or replaced. Other endpoints with the
+// same address are displaced.
 func (r Registry) withEndpoint(e Endpoint) Registry {
 	next := r.clone()
 	maps.DeleteFunc(next.endpoints, func(_ string, other Endpoint) bool {
@@ -104,7 +104,7 @@
 	return next
 }
 
-// clone returns the same registry with a table of endpoints that may be changed.
+// clone returns a copy of the registry whose endpoints map may be modified.
 func (r Registry) clone() Registry {
 	next := r
 	if next.endpoints = maps.Clone(r.endpoints); next.endpoints == nil {
@@ -113,7 +113,7 @@
 	return next
 }
 
-// MarkDeparted notes that instances have announced that they leave. They need not be known.
+// MarkDeparted records the departure of instances, which may be unknown.
 func (r Registry) MarkDeparted(instances ...string) Registry {
 	departures, changed := r.departures.Add(instances...)
 	if !changed {
@@ -131,7 +131,7 @@
 	return next
 }
 
-// HasDeparted reports whether an instance has announced that it leaves.
+// HasDeparted reports whether an instance has announced its departure.
 func (r Registry) HasDeparted(instance string) bool { return r.departures.Contains(instance) }
 
 // DepartedSince reports whether any instance has departed since an earlier registry.
@@ -139,14 +139,15 @@
 	return r.departures.Last() != earlier.departures.Last()
 }
 
-// RecentDepartures returns the newest departures, as many as are reported to the control
+// RecentDepartures returns the newest departures, up to the number that is reported to the control
 // plane.
 func (r Registry) RecentDepartures() []string {
 	return r.departures.Newest(membership.MaxReportedDepartures).List()
 }
 
-// Drain returns the registry of a sidecar that is stopping: all its backends are reported as
-// draining. They are not departures, since they may go on after the sidecar's restart.
+// Drain returns the registry of a sidecar that is stopping. All its backends are reported as
+// draining. They are not recorded as departures, since the backends may continue after the sidecar
+// restarts.
 func (r Registry) Drain() Registry {
 	next := r.clone()
 	next.draining = true
@@ -158,7 +159,7 @@
 	return next
 }
 
-// ExpireSilent removes the backends that have been silent for too long.
+// ExpireSilent removes the backends whose latest announcement is older than Heartbeats.RemoveAfter.
 func (r Registry) ExpireSilent(now time.Time) Registry {
 	next := r.clone()
 	maps.DeleteFunc(next.endpoints, func(_ string, e Endpoint) bool {
@@ -171,12 +172,12 @@
 	return next
 }
 
-// warmupSeconds converts the rate of a backend that is warming up to the number of requests
-// that are reported as its capacity: about as many as run there at a time. (ours)
+// warmupSeconds converts the rate of a backend that is warming up, in requests per second, to the
+// capacity that is reported for it. About that many requests run concurrently at this rate.
 const warmupSeconds = 0.3
 
-// ScaleShares sets the share of capacity that is reported of backends that are warming up,
-// by the rates of their services in requests a second; 0 is no rate.
+// ScaleShares sets the reported capacity shares of backends that are warming up from the rates of
+// their services, in requests per second. A rate of 0 means that the service has no rate.
 func (r Registry) ScaleShares(rate func(service string) float64, now time.Time) Registry {
 	next := r.clone()
 	for instance, e := range next.endpoints {
@@ -211,7 +212,7 @@
 	return endpoints
 }
 
-// Outstanding returns the numbers of requests that run or wait, by zone.
+// Outstanding returns the number of requests that are running or waiting in each zone.
 func (r Registry) Outstanding() map[string]int64 {
 	byZone := map[string]int64{}
 	for _, e := range r.endpoints {
@@ -220,7 +221,7 @@
 	return byZone
 }
 
-// Backends returns what is reported to other nodes, sorted by instance.
+// Backends returns the backends as reported to other nodes, sorted by instance.
 func (r Registry) Backends() []membership.Backend {
 	var backends []membership.Backend
 	for _, e := range r.Endpoints() {
--- a/internal/dataplane/endpoints/slow_start.go
+++ b/internal/dataplane/endpoints/slow_start.go
@@ -6,30 +6,30 @@
 )
 
 const (
-	// limiterWindow is the time over which a rate per second is held to. It is a little
-	// longer than a second, since requests may arrive closer together than they were
+	// limiterWindow is the window within which a rate per second is enforced. It is 20 ms longer
+	// than a second, since requests may arrive at the backend closer together than they were
 	// admitted.
-	limiterWindow = 1020 * time.Millisecond // (ours)
-	// minRate is the lowest rate that is distinguished from none, in requests a second.
+	limiterWindow = 1020 * time.Millisecond
+	// minRate is the lowest effective rate in requests per second. Lower rates are raised to it.
 	minRate = 1e-3
 )
 
-// SlowStartLimiter bounds the rate at which a backend that is warming up gets requests: no
-// more than the rate in any second. The first second after the sidecar's start counts as
-// used up, since an earlier incarnation may have admitted as many just before. It is not
-// safe for concurrent use, and takes the time from its caller: a monotonic clock of any
-// origin. (DESIGN 15.5)
+// SlowStartLimiter bounds the request rate of a backend that is warming up: in any second, no more
+// requests than the rate are admitted. No requests are admitted in the first second after the start
+// of the sidecar, since an earlier incarnation may have admitted the full rate just before. A
+// SlowStartLimiter is not safe for concurrent use. The caller passes the time, from a monotonic
+// clock of any origin. (DESIGN 15.5)
 type SlowStartLimiter struct {
-	// admitted are the times of the requests within the window, the oldest first.
+	// admitted holds the times of the requests within the window, oldest first.
 	admitted []time.Duration
 }
 
-// Allow admits a request at a rate, in requests a second, or returns when to retry. uptime
-// is how long the sidecar has been running.
+// Allow admits a request at a rate, in requests per second, or returns the time after which to
+// retry. uptime is the time since the sidecar started.
 func (l *SlowStartLimiter) Allow(rate float64, now, uptime time.Duration) (ok bool, retryAfter time.Duration) {
 	burst, window := int(rate), limiterWindow
 	if burst < 1 {
-		// Below one a second, one in a longer window.
+		// A rate below one per second admits one request in a longer window.
 		burst, window = 1, time.Duration(float64(window)/max(rate, minRate))
 	}
 	if uptime < window {
--- a/internal/dataplane/endpoints/slow_start_test.go
+++ b/internal/dataplane/endpoints/slow_start_test.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// TestSlowStartLimiter checks, for requests that arrive in bursts or evenly, that no more
-// than the rate are admitted in any second, and none in the first second after the
-// sidecar's start; that one which retries at the time it was given is admitted, if no other came
-// first; and that low rates are not wasted.
+// TestSlowStartLimiter checks, for requests that arrive in bursts or evenly, that no more requests
+// than the rate are admitted in any second, and none in the first second after the start of the
+// sidecar. A request that is retried at the returned time is admitted if no other request came
+// first. Low rates are used.
 func TestSlowStartLimiter(t *testing.T) {
 	for seed := range uint64(200) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -19,24 +19,25 @@
 			admitted := admitAtRandom(t, rng, rate)
 			burst, window := max(1, int(rate)), time.Duration(float64(time.Second)/min(1, rate))
 			if admitted[0] < window {
-				t.Fatalf("admitted %v after the start", admitted[0])
+				t.Fatalf("first request admitted %v after the start, want not before the end of the window", admitted[0])
 			}
 			for i := burst; i < len(admitted); i++ {
 				if admitted[i]-admitted[i-burst] <= window {
-					t.Fatalf("%d admitted in %v", burst+1, admitted[i]-admitted[i-burst])
+					t.Fatalf("%d requests admitted in %v, want one less", burst+1, admitted[i]-admitted[i-burst])
 				}
 			}
 			if want := int(12 * min(rate, float64(burst))); rate <= 3 && len(admitted) < want/2 {
-				t.Errorf("only %d admitted at %v a second", len(admitted), rate)
+				t.Errorf("got only %d requests admitted in 20 s at %v per second, want at least 6 s of the rate", len(admitted), rate)
 			}
 		})
 	}
 }
 
-// admitAtRandom asks a limiter at random times for 20 s, and returns when it admitted.
+// admitAtRandom calls a limiter at random times for 20 s, and returns the times at which it
+// admitted a request.
 func admitAtRandom(t *testing.T, rng *rand.Rand, rate float64) (admitted []time.Duration) {
 	t.Helper()
-	startedAt := time.Duration(rng.Int64N(int64(2 * time.Second))) // of the sidecar, by the limiter's clock
+	startedAt := time.Duration(rng.Int64N(int64(2 * time.Second))) // start of the sidecar, by the clock of the limiter
 	var limiter SlowStartLimiter
 	for now := time.Duration(0); now < 20*time.Second; {
 		switch rng.IntN(3) {
@@ -52,12 +53,12 @@
 			continue
 		}
 		if retryAfter <= 0 {
-			t.Fatal("rejected without a time to retry after")
+			t.Fatal("request rejected without a retry time")
 		}
 		if rng.IntN(4) == 0 {
 			now += retryAfter
 			if ok, _ := limiter.Allow(rate, startedAt+now, now); !ok {
-				t.Fatal("rejected when it retried at the time it was given")
+				t.Fatal("request rejected when retried at the returned time")
 			}
 			admitted = append(admitted, now)
 		}
@@ -66,11 +67,11 @@
 }
 
 // TestScaleShares checks that a backend that is warming up is reported with the share that
-// its service's rate comes to, until it is warm, and that a heartbeat that says the same changes
-// nothing.
+// corresponds to the rate of its service, until it is warm, and that a heartbeat with unchanged
+// content does not change the registry.
 func TestScaleShares(t *testing.T) {
 	begin := time.Now()
-	twentyASecond := func(string) float64 { return 20 }
+	twentyPerSecond := func(string) float64 { return 20 }
 	announce := func(r Registry, remaining string, at time.Duration) Registry {
 		t.Helper()
 		a := Announcement{Instance: "a", Service: "s", Address: "127.0.0.1:1", Capacity: 30}
@@ -81,29 +82,29 @@
 		if len(faults) > 0 {
 			t.Fatal(faults)
 		}
-		return r.ScaleShares(twentyASecond, begin.Add(at))
+		return r.ScaleShares(twentyPerSecond, begin.Add(at))
 	}
 	r := announce(Registry{}, "5s", 0)
 	if got := r.Backends()[0].CapacityShare; got != 0.2 {
-		t.Errorf("warming up: share %v", got)
+		t.Errorf("during the warm-up: got share %v, want 0.2", got)
 	}
 	version := r.Version
 	r = announce(r, "4.5s", 500*time.Millisecond)
 	if r.Version != version || r.Backends()[0].CapacityShare != 0.2 {
-		t.Errorf("a heartbeat changed it: %d versions, %v", r.Version-version, r.Backends())
+		t.Errorf("after a heartbeat without changes: got %d new versions and backends %v, want none and a share of 0.2", r.Version-version, r.Backends())
 	}
 	if e := r.Endpoints()[0]; !e.WarmingUp(begin.Add(4900*time.Millisecond)) || e.WarmingUp(begin.Add(5100*time.Millisecond)) {
-		t.Error("it warms up for another time than it announced")
+		t.Error("the warm-up does not end at the announced time")
 	}
-	r = r.ScaleShares(twentyASecond, begin.Add(6*time.Second))
+	r = r.ScaleShares(twentyPerSecond, begin.Add(6*time.Second))
 	if r.Backends()[0].CapacityShare != 1 || r.Version != version+1 {
-		t.Errorf("warm: %v", r.Backends())
+		t.Errorf("after the warm-up: got %v, want share 1 in one new version", r.Backends())
 	}
 	r = announce(r, "", 6500*time.Millisecond)
 	if r.Version != version+1 {
-		t.Error("a heartbeat of the warm backend changed it")
+		t.Error("a heartbeat of the warm backend changed the version")
 	}
 	if _, faults := r.Announce(Announcement{Instance: "a", Service: "s", Address: "127.0.0.1:1", Capacity: 1, Warmup: &Warmup{Remaining: "-1s"}}, "north", begin); len(faults) != 1 {
-		t.Errorf("faults: %v", faults)
+		t.Errorf("negative remaining warm-up: got errors %v, want one", faults)
 	}
 }
--- a/internal/dataplane/endpoints/superseded_test.go
+++ b/internal/dataplane/endpoints/superseded_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// TestSupersededAnnouncement checks that an announcement that was overtaken on its way,
-// however late, changes nothing, and neither does one without a sequence number of a backend
-// that has left.
+// TestSupersededAnnouncement checks that an announcement that was overtaken by a later one does not
+// change the registry, however late it arrives. The same holds for an announcement without a
+// sequence number from a departed backend.
 func TestSupersededAnnouncement(t *testing.T) {
 	now := time.Now()
 	a := Announcement{Instance: "a", Service: "s", Address: "10.0.0.1:80", Capacity: 9, Sequence: 7}
@@ -26,7 +26,7 @@
 				superseded.Sequence = sequence
 				next, _ := r.Announce(superseded, "north", now.Add(after))
 				if e := next.endpoints["a"]; !e.Draining || e.LastHeartbeat != now {
-					t.Errorf("it was taken: %+v", e)
+					t.Errorf("the superseded announcement was applied: %+v", e)
 				}
 			})
 		}
--- a/internal/dataplane/endpoints/wake_detector.go
+++ b/internal/dataplane/endpoints/wake_detector.go
@@ -3,21 +3,23 @@
 import "time"
 
 const (
-	// WakeCheckInterval is how often WakeDetector.Check is to be called.
-	WakeCheckInterval = 100 * time.Millisecond // (ours)
-	// sleepThreshold is the time between two checks from which on the process counts as
-	// having been frozen in between.
-	sleepThreshold = 400 * time.Millisecond // (ours)
-	// catchUpPeriod is how long after it what arrives may have been sent before.
-	catchUpPeriod = 500 * time.Millisecond // (ours)
+	// WakeCheckInterval is the interval at which WakeDetector.Check must be called.
+	WakeCheckInterval = 100 * time.Millisecond
+	// sleepThreshold is the time between two checks above which the process counts as having been
+	// suspended.
+	sleepThreshold = 400 * time.Millisecond
+	// catchUpPeriod is the time after a suspension during which arriving messages may have been
+	// sent before it ended.
+	catchUpPeriod = 500 * time.Millisecond
 )
 
-// WakeDetector notices that the process was frozen and runs again: what arrives then may
-// have waited for long. It is not safe for concurrent use. (DESIGN 9.5)
+// WakeDetector detects that the process was suspended and has resumed. Messages that arrive after
+// that may have been queued for a long time. A WakeDetector is not safe for concurrent use. (DESIGN
+// 9.5)
 type WakeDetector struct{ lastCheck, wokeAt time.Time }
 
-// Check notes that the process is running. It must be called before anything is processed
-// that may have waited.
+// Check records that the process is running. It must be called before any message that may have
+// been queued is processed.
 func (d *WakeDetector) Check(now time.Time) {
 	if !d.lastCheck.IsZero() && now.Sub(d.lastCheck) > sleepThreshold {
 		d.wokeAt = now
@@ -25,5 +27,6 @@
 	d.lastCheck = now
 }
 
-// CatchingUp reports whether what arrives now may have waited while the process was frozen.
+// CatchingUp reports whether messages that arrive now may have been queued while the process was
+// suspended.
 func (d *WakeDetector) CatchingUp(now time.Time) bool { return now.Sub(d.wokeAt) < catchUpPeriod }
--- a/tests/mutation/catalogue.go
+++ b/tests/mutation/catalogue.go
@@ -122,7 +122,7 @@
 	{staleRead, "internal/controlplane/consensus/proposer_phases.go", "if p.base.position.Compare(reply.Position) < 0 {", "if p.base.position.Compare(reply.Position) > 0 {", "./tests/simulation", "TestConsensus", nil},
 	{retryExcess, "internal/retrybudget/budget.go", "if balance < attemptCost {", "if balance < -1<<40 {", "./tests/e2e", "TestRetriesBounded", nil},
 	{retryExcess, "internal/retrybudget/budget.go", "earnedPerAttempt = 200", "earnedPerAttempt = 400", "./internal/retrybudget", "TestExtraAttemptsOverAnyWindow", nil},
-	{slowStartExceeded, "internal/dataplane/endpoints/endpoint.go", "bearable := float64(e.Capacity) * e.ShareAt(now) * zoneShare", "bearable := float64(e.Capacity) * zoneShare", "./tests/e2e", "TestSlowStartLimit", nil},
+	{slowStartExceeded, "internal/dataplane/endpoints/endpoint.go", "usable := float64(e.Capacity) * e.ShareAt(now) * zoneShare", "usable := float64(e.Capacity) * zoneShare", "./tests/e2e", "TestSlowStartLimit", nil},
 	{slowStartExceeded, "internal/dataplane/routing/table.go", "longest = max(longest, min(maxEarlierRun, c.Deadline.Duration))", "longest = max(longest, min(0, c.Deadline.Duration))", "./tests/simulation", "TestSlowStartThroughKills", nil},
 	{droppedInRestart, "internal/dataplane/shutdown.go", "s.awaitIdle(ctx, abandonAt)", "", "./tests/e2e", "TestDrain", nil},
 	{droppedInRestart, "internal/dataplane/shutdown.go", "s.requestServer.CloseIdle(ctx, closing)", "_ = closing", "./tests/e2e", "TestConnectionCloseAnnounced", nil},
