--- a/internal/retrybudget/budget.go
+++ b/internal/retrybudget/budget.go
@@ -5,17 +5,17 @@
 // Balances are in thousandths of an attempt.
 const (
 	attemptCost = 1000
-	// earnedPerAttempt is what each first attempt earns: a fifth of a retry.
+	// earnedPerAttempt is the deposit of each first attempt: a fifth of a retry.
 	earnedPerAttempt = 200
 )
 
-// Budget bounds one sidecar's retries to one service. Each first attempt deposits a fifth
-// of a retry, up to the limit, and the balance is zero at the start: so the retries in any
-// time are at most a fifth of the first attempts plus the limit. It is safe for concurrent
+// Budget bounds the retries of one sidecar to one service. Each first attempt deposits a fifth of a
+// retry, up to the limit. The balance is zero at the start. The number of retries in any period is
+// therefore at most a fifth of the first attempts plus the limit. A Budget is safe for concurrent
 // use. (DESIGN 15.1)
 type Budget struct{ balance, limit atomic.Int64 }
 
-// Deposit adds what a first attempt earns.
+// Deposit adds the deposit of a first attempt.
 func (b *Budget) Deposit() {
 	for {
 		old := b.balance.Load()
@@ -26,8 +26,8 @@
 	}
 }
 
-// TryWithdraw pays for a retry, and reports whether the balance was enough. What is above
-// the limit, because that has fallen, is lost.
+// TryWithdraw withdraws the cost of a retry, and reports whether the balance was sufficient. A
+// balance above the limit, which occurs when the limit falls, is cut to the limit.
 func (b *Budget) TryWithdraw() bool {
 	for {
 		old := b.balance.Load()
--- a/internal/retrybudget/doc.go
+++ b/internal/retrybudget/doc.go
@@ -1,10 +1,11 @@
-// Package retrybudget keeps the two budgets that bound what a sidecar may spend on a
+// Package retrybudget keeps the two budgets that bound the resources a sidecar may spend on a
 // request beyond its first attempt. (DESIGN 15)
 //
-// Budget bounds the retries to one service by the traffic to it, and ServiceBudgets shares
-// an allowance beyond that among all sidecars, so that retries can't multiply an overload.
+// Budget bounds the retries to one service in proportion to the traffic to it. ServiceBudgets
+// shares an additional allowance among all sidecars. Together they prevent retries from multiplying
+// an overload.
 //
-// LatencyBudgets count by contract how late requests were, here and on all nodes; what a
-// contract has left of its objective allows a request to be planned to end past its latency
-// target.
+// LatencyBudgets counts the lateness of the requests of each contract, on this node and on all
+// nodes. The remainder of a contract's objective determines by how much a request may be planned to
+// exceed its latency target.
 package retrybudget
--- a/internal/retrybudget/latency_budgets.go
+++ b/internal/retrybudget/latency_budgets.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	// globalTTL is how long the counts over all nodes are used: they are asked for every
-	// 2 s, and two requests in a row may be lost.
-	globalTTL = 6 * time.Second // (ours)
-	// spentPerRequest is the inverse of the fraction of the remaining budget that one
-	// request may be planned to spend, so that the last of it is spent slowly.
-	spentPerRequest = 100 // (ours)
+	// globalTTL is the time for which the counts over all nodes are valid. They are requested every
+	// 2 s, and two consecutive requests may be lost.
+	globalTTL = 6 * time.Second
+	// maxSpendDivisor is the divisor of the remaining budget that gives the maximum lateness
+	// planned for one request, so that the last of the budget is spent slowly.
+	maxSpendDivisor = 100
 )
 
-// LatencyBudgets are the latency budgets of a node by contract: from the counts of its own
-// requests, and from those over all nodes as the control plane last sent them. They are
-// safe for concurrent use. (DESIGN 15.3)
+// LatencyBudgets holds the latency budgets of a node by contract. They are computed from the counts
+// of its own requests, and from the counts over all nodes that the control plane last sent.
+// LatencyBudgets is safe for concurrent use. (DESIGN 15.3)
 type LatencyBudgets struct {
 	start  time.Time
 	global atomic.Pointer[globalCounts]
@@ -27,7 +27,7 @@
 	local map[string]*rollingWindow
 }
 
-// globalCounts are the counts over all nodes, by contract.
+// globalCounts holds the counts over all nodes, by contract.
 type globalCounts struct {
 	counts     map[string]Counts
 	receivedAt time.Time
@@ -40,9 +40,8 @@
 	return b
 }
 
-// Observe counts a request of a contract that has ended, by its duration and the contract's
-// latency target and deadline, all since the request's arrival. One that was not answered
-// counts as late as can be.
+// Observe counts a completed request of a contract. duration, target and deadline are measured from
+// the arrival of the request. A request that was not answered counts with the maximum lateness.
 func (b *LatencyBudgets) Observe(contract string, duration, target, deadline time.Duration, answered bool) {
 	lateness := min(max(0, duration-target), deadline-target)
 	if !answered {
@@ -59,7 +58,7 @@
 	*bucket = bucket.Add(Counts{Requests: 1, Lateness: lateness})
 }
 
-// Local returns this node's own counts by contract, for the control plane.
+// Local returns this node's counts by contract, for the control plane.
 func (b *LatencyBudgets) Local() map[string]Counts {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -72,13 +71,13 @@
 	return local
 }
 
-// SetGlobal sets the counts over all nodes, as the control plane sent them.
+// SetGlobal sets the counts over all nodes, as sent by the control plane.
 func (b *LatencyBudgets) SetGlobal(counts map[string]Counts) {
 	b.global.Store(&globalCounts{counts: counts, receivedAt: time.Now()})
 }
 
-// Totals returns the counts over all nodes by contract, or, if they are not known or too
-// old, the own ones; complete tells which.
+// Totals returns the counts over all nodes by contract, and true. If those are unknown or too old,
+// it returns the counts of this node, and false.
 func (b *LatencyBudgets) Totals() (totals map[string]Counts, complete bool) {
 	if global := b.global.Load(); time.Since(global.receivedAt) < globalTTL {
 		return global.counts, true
@@ -86,9 +85,9 @@
 	return b.Local(), false
 }
 
-// AllowedLateness returns by how much a request may be planned to end past its latency
-// target. maxLateness is the contract's deadline less the target.
+// AllowedLateness returns by how much a request may be planned to exceed its latency target.
+// maxLateness is the contract's deadline minus the target.
 func (b *LatencyBudgets) AllowedLateness(contract string, maxLateness time.Duration) time.Duration {
 	totals, _ := b.Totals()
-	return min(maxLateness, max(0, totals[contract].Remaining(maxLateness)/spentPerRequest))
+	return min(maxLateness, max(0, totals[contract].Remaining(maxLateness)/maxSpendDivisor))
 }
--- a/internal/retrybudget/rolling_window.go
+++ b/internal/retrybudget/rolling_window.go
@@ -4,21 +4,21 @@
 
 const (
 	bucketWidth = time.Second
-	// bucketCount makes the window a minute long.
-	bucketCount = 60 // (ours)
+	// bucketCount makes the window one minute long.
+	bucketCount = 60
 )
 
-// rollingWindow counts the requests of the latest bucketCount seconds, by second. Times are
-// those of a monotonic clock of any origin.
+// rollingWindow counts the requests of the latest bucketCount seconds in one bucket per second.
+// Times are readings of a monotonic clock of any origin.
 type rollingWindow struct {
-	// buckets has the bucket of second n at n modulo bucketCount.
+	// buckets holds the bucket of second n at index n modulo bucketCount.
 	buckets [bucketCount]Counts
 	// newest is the second of the newest bucket.
 	newest int64
 }
 
-// advance moves the window on to now, and returns the bucket of now. The buckets that it
-// passes are emptied.
+// advance moves the window forward to now, clears the buckets that it passes, and returns the
+// newest bucket.
 func (w *rollingWindow) advance(now time.Duration) *Counts {
 	second := int64(now / bucketWidth)
 	for n := min(second-w.newest, bucketCount); n > 0; n-- {
@@ -28,7 +28,7 @@
 	return &w.buckets[w.newest%bucketCount]
 }
 
-// total moves the window on to now, and returns the sum of its buckets.
+// total moves the window forward to now, and returns the sum of its buckets.
 func (w *rollingWindow) total(now time.Duration) (total Counts) {
 	w.advance(now)
 	for _, bucket := range w.buckets {
--- a/internal/retrybudget/service_budgets.go
+++ b/internal/retrybudget/service_budgets.go
@@ -8,29 +8,29 @@
 	"curlewwalk/internal/rendezvous"
 )
 
-// DefaultAllowance is the allowance where the settings give none.
-const DefaultAllowance = 20 // (ours)
+// DefaultAllowance is the allowance, in retries, if the settings define none.
+const DefaultAllowance = 20
 
-// shrinkDelay is how long a smaller number of nodes is not acted on: one that was lost may
-// have spent its share within the last 10 s, the time over which retries are bounded.
-const shrinkDelay = 12 * time.Second // (ours)
+// shrinkDelay is the time for which a smaller number of nodes is ignored. A lost node may have
+// spent its share within the last 10 s, the period over which retries are bounded.
+const shrinkDelay = 12 * time.Second
 
-// ServiceBudgets are a sidecar's retry budgets by service. All sidecars together may make
-// allowance retries to a service beyond a fifth of its traffic, and share them equally. All
-// methods but SetNodes are safe for concurrent use, also with it.
+// ServiceBudgets holds the retry budgets of a sidecar by service. All sidecars together may make
+// allowance retries to a service beyond a fifth of its traffic, and share this allowance equally.
+// All methods except SetNodes are safe for concurrent use, including concurrently with SetNodes.
 type ServiceBudgets struct {
 	ownAddr   string
 	allowance int
-	// budgets is replaced, never changed, to add a service.
+	// budgets is copied and replaced when a service is added. The map is never modified.
 	budgets atomic.Pointer[map[string]*Budget]
-	// nodes are the addresses of the sidecars that share the allowance.
+	// nodes holds the addresses of the sidecars that share the allowance.
 	nodes atomic.Pointer[[]string]
-	// largestCount is the largest number of nodes lately, as of largestAt.
+	// largestCount is the largest recent number of nodes, seen at largestAt.
 	largestCount int
 	largestAt    time.Time
 }
 
-// NewServiceBudgets returns the retry budgets of the sidecar at ownAddr, which has the whole
+// NewServiceBudgets returns the retry budgets of the sidecar at ownAddr. This sidecar has the whole
 // allowance until SetNodes is called.
 func NewServiceBudgets(ownAddr string, allowance int) *ServiceBudgets {
 	s := &ServiceBudgets{ownAddr: ownAddr, allowance: allowance}
@@ -39,8 +39,8 @@
 	return s
 }
 
-// SetNodes sets the addresses of the sidecars that share the allowance, the own one among
-// them. It is to be called at every heartbeat, by one goroutine.
+// SetNodes sets the addresses of the sidecars that share the allowance, including this one. It must
+// be called at every heartbeat, by a single goroutine.
 func (s *ServiceBudgets) SetNodes(nodes []string, now time.Time) {
 	if len(nodes) >= s.largestCount || now.Sub(s.largestAt) > shrinkDelay {
 		s.largestCount, s.largestAt = len(nodes), now
@@ -51,9 +51,9 @@
 	}
 }
 
-// limit returns the limit of a service's budget, in thousandths of an attempt: an equal
-// share of the allowance. If that is less than one attempt, as many nodes as the allowance
-// has attempts get one, chosen by rendezvous hashing, and the others none.
+// limit returns the limit of a service's budget, in thousandths of an attempt: an equal share of
+// the allowance. If the share is less than one attempt, rendezvous hashing chooses as many nodes as
+// the allowance has attempts. Each chosen node gets one attempt, and the others get none.
 func (s *ServiceBudgets) limit(service string) int64 {
 	nodes := *s.nodes.Load()
 	if len(nodes) <= s.allowance {
@@ -70,7 +70,7 @@
 	return 0
 }
 
-// budget returns the budget of a service, and adds it if there is none.
+// budget returns the budget of a service, and creates it if there is none.
 func (s *ServiceBudgets) budget(service string) *Budget {
 	for {
 		old := s.budgets.Load()
@@ -85,10 +85,11 @@
 	}
 }
 
-// Deposit adds what a first attempt to a service earns.
+// Deposit adds the deposit of a first attempt to a service.
 func (s *ServiceBudgets) Deposit(service string) { s.budget(service).Deposit() }
 
-// TryWithdraw pays for a retry to a service, and reports whether the balance was enough.
+// TryWithdraw withdraws the cost of a retry to a service, and reports whether the balance was
+// sufficient.
 func (s *ServiceBudgets) TryWithdraw(service string) bool { return s.budget(service).TryWithdraw() }
 
 // Balances returns the balance of each service's budget, in attempts.
--- a/internal/retrybudget/service_budgets_test.go
+++ b/internal/retrybudget/service_budgets_test.go
@@ -7,19 +7,18 @@
 	"time"
 )
 
-// retryWindow is the time over which the retries to a service are bounded.
+// retryWindow is the period over which the retries to a service are bounded.
 const retryWindow = 10 * time.Second
 
-// attempt is one that a test has made.
+// attempt is an attempt made by failingTraffic.
 type attempt struct {
 	at    time.Duration
 	retry bool
 }
 
-// TestExtraAttemptsOverAnyWindow checks that over any 10 s, whatever the traffic, all
-// sidecars together make no more retries than a fifth of the first attempts plus the
-// allowance: through bursts, a sudden drop, restarts of sidecars, and nodes that come into
-// their views and go.
+// TestExtraAttemptsOverAnyWindow checks that in any 10 s, all sidecars together make at most as
+// many retries as a fifth of the first attempts plus the allowance. The traffic includes bursts, a
+// sudden drop, restarts of sidecars, and sidecars that temporarily miss another node.
 func TestExtraAttemptsOverAnyWindow(t *testing.T) {
 	for _, size := range []int{1, 3, 13, 60} {
 		for seed := range uint64(6) {
@@ -31,8 +30,8 @@
 	}
 }
 
-// failingTraffic returns the attempts of a number of sidecars in a minute, in which all
-// attempts fail and are retried at once for as long as the budgets allow it.
+// failingTraffic returns the attempts of the given number of sidecars in one minute. All attempts
+// fail, and are retried immediately while the budgets allow it.
 func failingTraffic(rng *rand.Rand, size int) (attempts []attempt) {
 	var nodes []string
 	for i := range size {
@@ -59,7 +58,7 @@
 		if rng.IntN(300) == 0 {
 			start(i) // a restart
 		}
-		if rng.IntN(50) == 0 && size > 1 { // a node misses another for a while
+		if rng.IntN(50) == 0 && size > 1 { // a node temporarily misses another
 			budgets[i].SetNodes(nodes[:size-1], base.Add(now))
 		} else {
 			budgets[i].SetNodes(nodes, base.Add(now))
@@ -78,8 +77,8 @@
 	return attempts
 }
 
-// checkRetries checks the bound over each window that ends with an attempt, and that there
-// were retries at all where each node has a share.
+// checkRetries checks the bound in each window that ends with an attempt. It also checks that there
+// are retries if each node has a share of the allowance.
 func checkRetries(t *testing.T, attempts []attempt, size int) {
 	t.Helper()
 	total, first, retries, oldest := 0, 0, 0, 0
@@ -100,10 +99,10 @@
 			oldest++
 		}
 		if float64(retries) > 0.2*float64(first)+DefaultAllowance {
-			t.Fatalf("%d retries and %d first attempts in the %v up to %v", retries, first, retryWindow, a.at)
+			t.Fatalf("got %d retries for %d first attempts in the %v up to %v, want at most a fifth plus the allowance", retries, first, retryWindow, a.at)
 		}
 	}
 	if total == 0 && size <= DefaultAllowance {
-		t.Error("no retry at all")
+		t.Error("got no retries, want at least one")
 	}
 }
--- a/internal/retrybudget/status.go
+++ b/internal/retrybudget/status.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// BudgetStatus is the latency budget of a contract, as operators read it. Durations are in
-// Go's notation.
+// BudgetStatus is the latency budget of a contract, as reported to operators. Durations are
+// formatted as Go durations.
 type BudgetStatus struct {
 	Contract string `json:"contract"`
 	Priority int    `json:"rank"`
-	// Target and Deadline are the contract's.
+	// Target and Deadline are the latency target and deadline of the contract.
 	Target   string `json:"aim"`
 	Deadline string `json:"expiry"`
-	// Requests and Lateness are the counts over the rolling window, Remaining what is left
-	// of the budget, and Met says that the objective is met.
+	// Requests and Lateness are the counts over the rolling window. Remaining is the remaining
+	// budget. Met reports whether the objective is met.
 	Requests  int64  `json:"inquiries"`
 	Lateness  string `json:"lateness"`
 	Remaining string `json:"left"`
@@ -20,7 +20,7 @@
 
 // BudgetList is the response to GET /v1/budgets.
 type BudgetList struct {
-	// Complete says that the counts are those of all nodes.
+	// Complete reports whether the counts include all nodes.
 	Complete bool           `json:"whole"`
 	Budgets  []BudgetStatus `json:"budgets"`
 }
