--- a/internal/dataplane/endpoints/queue.go
+++ b/internal/dataplane/endpoints/queue.go
@@ -52,9 +52,9 @@
 // any origin.
 //
 // The limit is the number of slots of the backend. It is passed with each call, since it changes.
-// Requests with a higher priority go first; within a priority, shorter requests; and then the
-// requests with the earliest latest start. A request that can no longer be completed by its target
-// does not wait in the normal list. If a late response to it is still useful, it becomes overdue.
+// Requests with a higher priority go first. Within a priority, shorter requests go first, and then
+// requests that must start earlier. A request that can no longer be completed by its target is not
+// kept waiting with the others. If a late response to it is still useful, it becomes overdue.
 // Overdue requests get the slots that no other request waits for. (DESIGN 15.2)
 type AdmissionQueue struct {
 	running int64
@@ -139,7 +139,8 @@
 	return transition
 }
 
-// startWaiting gives the free slots to waiters that can be completed by their targets.
+// startWaiting gives the free slots to waiters that can be completed by their targets. It demotes
+// waiters whose latest start time has passed.
 func (q *AdmissionQueue) startWaiting(transition *Transition, limit int64, now time.Duration) {
 	for len(q.waiting) > 0 && q.running < limit {
 		first := q.waiting[0]
--- a/internal/dataplane/endpoints/queue_test.go
+++ b/internal/dataplane/endpoints/queue_test.go
@@ -117,7 +117,7 @@
 // TestOverdueWaiters checks that a request that can only be completed late is overdue: it is placed
 // behind all requests that can be in time, whatever their priority, and starts while its response
 // is still useful. A request whose late response is of no use is rejected immediately. Within a
-// priority, the request with the earliest latest start goes first.
+// priority, the request that must start earlier goes first.
 func TestOverdueWaiters(t *testing.T) {
 	var q AdmissionQueue
 	enqueue := func(priority int, remaining, lateRemaining, now time.Duration) (QueueDecision, uint64) {
@@ -162,7 +162,7 @@
 }
 
 // TestShortRequestsStartFirst checks that, within a priority, a short request starts before a long
-// one, even if the long one has an earlier latest start.
+// one, even if the long one must start earlier to be in time.
 func TestShortRequestsStartFirst(t *testing.T) {
 	var q AdmissionQueue
 	for _, observed := range []struct {
--- a/internal/dataplane/endpoints/slow_start_test.go
+++ b/internal/dataplane/endpoints/slow_start_test.go
@@ -10,7 +10,7 @@
 // TestSlowStartLimiter checks, for requests that arrive in bursts or evenly, that no more requests
 // than the rate are admitted in any second, and none in the first second after the start of the
 // sidecar. A request that is retried at the returned time is admitted if no other request came
-// first. Low rates are used.
+// first. Requests at low rates are not rejected needlessly.
 func TestSlowStartLimiter(t *testing.T) {
 	for seed := range uint64(200) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
--- a/internal/dataplane/endpoints/wake_detector.go
+++ b/internal/dataplane/endpoints/wake_detector.go
@@ -9,13 +9,12 @@
 	// suspended.
 	sleepThreshold = 400 * time.Millisecond
 	// catchUpPeriod is the time after a suspension during which arriving messages may have been
-	// sent before it ended.
+	// sent before the process resumed.
 	catchUpPeriod = 500 * time.Millisecond
 )
 
 // WakeDetector detects that the process was suspended and has resumed. Messages that arrive after
-// that may have been queued for a long time. A WakeDetector is not safe for concurrent use. (DESIGN
-// 9.5)
+// that may have been queued for a long time. It is not safe for concurrent use. (DESIGN 9.5)
 type WakeDetector struct{ lastCheck, wokeAt time.Time }
 
 // Check records that the process is running. It must be called before any message that may have
--- a/internal/dataplane/routing/action.go
+++ b/internal/dataplane/routing/action.go
@@ -40,7 +40,7 @@
 	Status int
 	// Outcome reports whether the request may have run.
 	Outcome Outcome
-	// Reason is a human-readable explanation.
+	// Reason is a human-readable explanation of the failure.
 	Reason string
 	// RetryAfter is the minimum time after which the client should resend the request. It is zero
 	// if resending is of no use.
--- a/internal/dataplane/routing/conditions.go
+++ b/internal/dataplane/routing/conditions.go
@@ -13,8 +13,8 @@
 	TargetTime time.Time
 	// MaxLateness is the maximum lateness of the request: the time from TargetTime to its deadline.
 	MaxLateness time.Duration
-	// LatenessBudget is the lateness that may be planned for the request while the average of its
-	// contract still meets the latency target.
+	// LatenessBudget is the lateness that may be planned for the request while its contract still
+	// meets the latency target on average.
 	LatenessBudget time.Duration
 	// Latency returns the measured latency of the request's route at a backend.
 	Latency func(t membership.Target) LatencyHistogram
