--- a/internal/config/bench_test.go
+++ b/internal/config/bench_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// BenchmarkParse parses configurations of the sizes that occur: a small site's and a large one's.
+// BenchmarkParse parses configurations of typical sizes: 310 routes of a small site and 3000 of a
+// large one.
 func BenchmarkParse(b *testing.B) {
 	for name, n := range map[string]int{"310": 310, "3000": 3000} {
 		text := sampleConfiguration(n).Bytes()
--- a/internal/config/closure.go
+++ b/internal/config/closure.go
@@ -1,6 +1,6 @@
 package config
 
-// ZoneClosure says that an ongoing maintenance window evacuates a zone.
+// ZoneClosure is the evacuation of a zone by an active maintenance window.
 type ZoneClosure struct {
 	Zone string `msgpack:"l" json:"locality"`
 	// Window is the name of the maintenance window.
--- a/internal/config/configuration.go
+++ b/internal/config/configuration.go
@@ -1,7 +1,7 @@
 package config
 
-// Configuration is what the operator submits. Routes may lead to any service unless Services lists
-// some; then they may lead to these only.
+// Configuration is the document that the operator submits. If Services is empty, routes may lead to
+// any service. Otherwise they may lead only to the listed services.
 //
 //easyjson:json
 type Configuration struct {
--- a/internal/config/contract.go
+++ b/internal/config/contract.go
@@ -1,16 +1,16 @@
 package config
 
-// Contract is the service level that requests of some routes get.
+// Contract is a service level that routes refer to by name.
 //
 //easyjson:json
 type Contract struct {
 	UnknownFields
 	Name string `json:"name"`
-	// LatencyTarget is the time within which responses should come (SLO).
+	// LatencyTarget is the time within which a response should arrive (SLO).
 	LatencyTarget Duration `json:"aim"`
-	// Deadline is the time after which a response is of no use to the client any more.
+	// Deadline is the time after which a response is useless to the client.
 	Deadline Duration `json:"expiry"`
-	// Priority decides which requests go first under load; 1 is the highest, LowestPriority
-	// the lowest.
+	// Priority decides which requests are served first under load. 1 is the highest priority,
+	// LowestPriority the lowest.
 	Priority int `json:"rank"`
 }
--- a/internal/config/control_state_test.go
+++ b/internal/config/control_state_test.go
@@ -7,8 +7,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// A zone is evacuated by the operator's order or for a maintenance window that was not waived, and
-// listed once.
+// A zone is evacuated by order of the operator or by a maintenance window that was not waived. Each
+// zone is listed once.
 func TestEvacuatedZones(t *testing.T) {
 	state := ControlState{
 		EvacuatedByOperator: []string{"west", "east"},
@@ -18,15 +18,15 @@
 		t.Error(d)
 	}
 	if !state.HasClosure("a") || !state.HasClosure("b") || state.HasClosure("d") {
-		t.Error("closures are not found by their windows")
+		t.Error("HasClosure must find the windows a and b, and not d")
 	}
 	if got := (ControlState{}).EvacuatedZones(); len(got) != 0 {
-		t.Errorf("evacuated without an order: %v", got)
+		t.Errorf("got evacuated zones %v of an empty state, want none", got)
 	}
 }
 
-// The newest order on a zone is remembered for a bounded number of zones; for others its revision is
-// bounded by that of the newest order that was dropped.
+// The state stores the newest order on a zone for at most MaxEvacuations zones. For other zones,
+// EvacuationRevision returns the revision of the newest dropped order as an upper bound.
 func TestEvacuationRevision(t *testing.T) {
 	var state ControlState
 	for i := range uint64(MaxEvacuations + 2) {
@@ -46,15 +46,15 @@
 		"elsewhere": {2, false},
 	} {
 		if revision, known := state.EvacuationRevision(zone); revision != want.revision || known != want.known {
-			t.Errorf("%s: %d, known %v", zone, revision, known)
+			t.Errorf("zone %s: got revision %d, known %v", zone, revision, known)
 		}
 	}
 	if len(state.Evacuations) != MaxEvacuations {
-		t.Errorf("%d orders are remembered", len(state.Evacuations))
+		t.Errorf("got %d stored orders, want MaxEvacuations", len(state.Evacuations))
 	}
 }
 
-// Sidecars do not get what only the replicas keep; the replicas' own state does not change.
+// ForSidecars removes the fields that stay on the replicas and does not modify the original state.
 func TestForSidecars(t *testing.T) {
 	state := ControlState{
 		Revision: 7, ConfigurationRevision: 6, Configuration: []byte("{}"), Submitted: []byte("sent"), Generation: 3,
--- a/internal/config/duration.go
+++ b/internal/config/duration.go
@@ -7,11 +7,11 @@
 	"github.com/mailru/easyjson/jwriter"
 )
 
-// Duration is a time.Duration that is written in JSON as time.ParseDuration reads it, as in
-// "250ms".
+// Duration is a time.Duration whose JSON form is a string in the syntax of time.ParseDuration, such
+// as "250ms".
 type Duration struct {
 	time.Duration
-	// Invalid is the text that was read if it is no duration; validation reports it.
+	// Invalid is the decoded text if it is not a valid duration. Validation reports it.
 	Invalid string
 }
 
@@ -29,5 +29,5 @@
 // MarshalEasyJSON implements easyjson.Marshaler.
 func (d Duration) MarshalEasyJSON(out *jwriter.Writer) { out.String(d.String()) }
 
-// IsDefined implements easyjson.Optional: a zero duration is left out where that is allowed.
+// IsDefined implements easyjson.Optional. A zero duration is omitted from fields with omitempty.
 func (d Duration) IsDefined() bool { return d.Duration != 0 || d.Invalid != "" }
--- a/internal/config/encoding_test.go
+++ b/internal/config/encoding_test.go
@@ -43,7 +43,7 @@
 	return configuration
 }
 
-// What a configuration is written as parses as the same one.
+// An encoded configuration parses to an equal configuration.
 func TestConfigurationRoundTrip(t *testing.T) {
 	for name, configuration := range map[string]Configuration{
 		"empty":     {},
@@ -54,7 +54,7 @@
 			text := configuration.Bytes()
 			got, violations, ok := Parse(text)
 			if !ok || len(violations) > 0 {
-				t.Errorf("%v in %s", violations, text)
+				t.Errorf("got violations %v in %s, want none", violations, text)
 			}
 			if d := cmp.Diff(configuration, got, cmpopts.IgnoreUnexported(UnknownFields{}), cmpopts.EquateEmpty()); d != "" {
 				t.Error(d)
--- a/internal/config/evacuation.go
+++ b/internal/config/evacuation.go
@@ -2,19 +2,19 @@
 
 import "slices"
 
-// MaxEvacuations is for how many zones a control state remembers the newest order.
-const MaxEvacuations = 64 // (ours)
+// MaxEvacuations is the number of zones for which a control state stores the newest order.
+const MaxEvacuations = 64
 
-// Evacuation is the newest order of the operator to evacuate a zone, or to revoke that.
-// (DESIGN 6.3)
+// Evacuation records the newest order of the operator on a zone: to evacuate it, or to revoke the
+// evacuation. (DESIGN 6.3)
 type Evacuation struct {
 	Zone string `msgpack:"l" json:"locality"`
-	// Revision is that of the control state that the order made.
+	// Revision is the revision of the control state that the order created.
 	Revision uint64 `msgpack:"s" json:"stamp"`
 }
 
-// EvacuationRevision returns the revision of the newest order on a zone. If none is remembered,
-// known is false and the revision is an upper bound.
+// EvacuationRevision returns the revision of the newest order on a zone. If the state stores no
+// order on the zone, known is false and the revision is an upper bound.
 func (s ControlState) EvacuationRevision(zone string) (revision uint64, known bool) {
 	for _, e := range s.Evacuations {
 		if e.Zone == zone {
@@ -24,8 +24,8 @@
 	return s.CompactedRevision, false
 }
 
-// WithEvacuation returns the state with an order on a zone at its revision. The oldest order is
-// dropped if there are too many.
+// WithEvacuation returns the state with an order on a zone, recorded at the revision of the state.
+// If there are more than MaxEvacuations orders, the oldest one is dropped.
 func (s ControlState) WithEvacuation(zone string) ControlState {
 	s.Evacuations = slices.DeleteFunc(slices.Clone(s.Evacuations), func(e Evacuation) bool { return e.Zone == zone })
 	s.Evacuations = append(s.Evacuations, Evacuation{Zone: zone, Revision: s.Revision})
--- a/internal/config/field_path.go
+++ b/internal/config/field_path.go
@@ -2,15 +2,16 @@
 
 import "strconv"
 
-// fieldPath is the path of a field in a configuration, as a list from the field upwards: each
-// element is a name, or else an index, within its parent. Its text is made only for a violation.
+// fieldPath is the path of a field in a configuration, as a linked list from the field to the root.
+// Each element is a name or, if the name is empty, an index within its parent. The text of a path
+// is built only for a violation.
 type fieldPath struct {
 	parent *fieldPath
 	name   string
 	index  int
 }
 
-// String returns the path as FieldViolation.Path has it.
+// String returns the path in the form of FieldViolation.Path.
 func (p *fieldPath) String() string {
 	switch {
 	case p.parent == nil:
--- a/internal/config/fuzz_test.go
+++ b/internal/config/fuzz_test.go
@@ -9,8 +9,9 @@
 	"curlewwalk/internal/dataplane/routing"
 )
 
-// FuzzParse: whatever is submitted as a configuration, it is either valid or its violations are
-// listed; a valid one can be put in force, and parses to the same after it is written.
+// FuzzParse checks that any input is either a valid configuration or is reported with its
+// violations. A valid configuration yields a routing table, and encodes to JSON that parses to an
+// equal one.
 func FuzzParse(f *testing.F) {
 	for _, s := range []string{
 		`{}`, `[]`, `null`, `{"ways": null}`, `{"ways": [{}], "ways": []}`, "{\"ways\": [{\"name\": \"\\ud800\"}]}",
@@ -26,20 +27,20 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		configuration, violations, ok := config.Parse(b)
 		if ok != json.Valid(b) {
-			t.Errorf("JSON: %v", ok)
+			t.Errorf("got ok %v, want the opposite", ok)
 		}
 		if !ok || len(violations) > 0 {
 			return
 		}
 		table, ok := routing.NewTable(config.ControlState{Revision: 1, ConfigurationRevision: 1, Configuration: b})
 		if !ok {
-			t.Fatal("a valid configuration can't be put in force")
+			t.Fatal("no routing table for a valid configuration")
 		}
 		table.Match("x", "/a/b", "GET")
 		out := configuration.Bytes()
 		again, violations, ok := config.Parse(out)
 		if !ok || len(violations) > 0 || !bytes.Equal(again.Bytes(), out) {
-			t.Errorf("%s is written back as %s: %v", b, out, violations)
+			t.Errorf("%s is encoded as %s, which parses differently: violations %v", b, out, violations)
 		}
 	})
 }
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -1,20 +1,20 @@
 package config
 
-// Limits bound what clients may send. A zero leaves the sidecar's default.
+// Limits bounds the requests of clients. A zero field selects the default of the sidecar.
 //
 //easyjson:json
 type Limits struct {
 	UnknownFields
-	// MaxHeaderBytes bounds the header of a request, MaxBodyBytes its body.
+	// MaxHeaderBytes bounds the header of a request. MaxBodyBytes bounds its body.
 	MaxHeaderBytes int   `json:"header_bytes,omitempty"`
 	MaxBodyBytes   int64 `json:"body_bytes,omitempty"`
 	// ReadHeaderTimeout is how long a client may take to send a header.
 	ReadHeaderTimeout Duration `json:"header_wait,omitempty"`
-	// IdleTimeout is how long a connection may be idle between requests.
+	// IdleTimeout is how long a connection may stay idle between requests.
 	IdleTimeout Duration `json:"idle,omitempty"`
 }
 
-// IsDefined implements easyjson.Optional: limits that are all zero are left out.
+// IsDefined implements easyjson.Optional. Limits whose fields are all zero are omitted.
 func (l Limits) IsDefined() bool {
 	return l.MaxHeaderBytes != 0 || l.MaxBodyBytes != 0 || l.ReadHeaderTimeout.IsDefined() || l.IdleTimeout.IsDefined()
 }
--- a/internal/config/names.go
+++ b/internal/config/names.go
@@ -1,6 +1,6 @@
 package config
 
-// NameRules says what a name may be, as the validation messages have it.
+// NameRules describes valid names in validation messages.
 const NameRules = "a name of lower-case letters, digits, '.', '_', '-', at most 63"
 
 const (
@@ -8,7 +8,7 @@
 	maxMethodLength = 20
 )
 
-// IsValidName reports whether s may be the name of a route, contract, service or zone.
+// IsValidName reports whether s is a valid name of a route, contract, service or zone.
 func IsValidName(s string) bool {
 	for i := range len(s) {
 		c := s[i]
@@ -20,7 +20,7 @@
 	return len(s) >= 1 && len(s) <= maxNameLength
 }
 
-// isValidMethod reports whether s may be an HTTP method.
+// isValidMethod reports whether s is a valid HTTP method.
 func isValidMethod(s string) bool {
 	for i := range len(s) {
 		if s[i] < 'A' || s[i] > 'Z' {
--- a/internal/config/names_test.go
+++ b/internal/config/names_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Names have lower-case letters, digits, dots, underscores and hyphens, and begin with a letter or
-// a digit.
+// A valid name consists of lower-case letters, digits, dots, underscores and hyphens, begins with a
+// letter or a digit, and has at most maxNameLength characters.
 func TestIsValidName(t *testing.T) {
 	for name, want := range map[string]bool{
 		"a": true, "7": true, "order-read": true, "v1.2_x": true, strings.Repeat("n", maxNameLength): true,
@@ -14,7 +14,7 @@
 		strings.Repeat("n", maxNameLength+1): false,
 	} {
 		if got := IsValidName(name); got != want {
-			t.Errorf("%q: %v", name, got)
+			t.Errorf("name %q: got valid %v, want the opposite", name, got)
 		}
 	}
 }
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -8,12 +8,12 @@
 	"github.com/mailru/easyjson/jwriter"
 )
 
-// MaxBytes bounds the JSON of a configuration.
+// MaxBytes bounds the JSON encoding of a configuration.
 const MaxBytes = 4 << 20
 
-// Parse reads and validates a configuration. ok is false if the bytes are no JSON; otherwise
-// violations lists everything that is wrong with it, and the configuration may be used if there
-// are none. (DESIGN 5.2)
+// Parse decodes and validates a configuration. ok is false if b is not valid JSON. Otherwise
+// violations lists all violations. The configuration may be used only if there are none.
+// (DESIGN 5.2)
 func Parse(b []byte) (configuration Configuration, violations []FieldViolation, ok bool) {
 	if !json.Valid(b) {
 		return configuration, nil, false
@@ -35,10 +35,10 @@
 	return configuration, v.violations, true
 }
 
-// Bytes writes a configuration as Parse reads it.
+// Bytes returns the JSON encoding of a configuration, which Parse accepts.
 func (c Configuration) Bytes() []byte {
 	out := jwriter.Writer{Flags: jwriter.NilSliceAsEmpty}
 	c.MarshalEasyJSON(&out)
-	b, _ := out.BuildBytes() // writing to memory never fails
+	b, _ := out.BuildBytes() // encoding to memory never fails
 	return b
 }
--- a/internal/config/route.go
+++ b/internal/config/route.go
@@ -1,30 +1,32 @@
 package config
 
-// Route says which requests go to which service, under which contract. Of the routes that match a
-// request one with a host counts first, then the longest prefix, then one with methods.
+// Route maps matching requests to a service and a contract. If several routes match a request, a
+// route with a host takes precedence, then the route with the longest prefix, then a route with
+// methods.
 //
 //easyjson:json
 type Route struct {
 	UnknownFields
 	Name string `json:"name"`
-	// Host is the host that requests must have; empty matches all.
+	// Host is the host of matching requests. An empty host matches all.
 	Host string `json:"host,omitempty"`
-	// Prefix is what the path of requests must begin with; it begins with a slash itself.
+	// Prefix is the path prefix of matching requests. It begins with a slash.
 	Prefix string `json:"prefix"`
-	// Methods are the HTTP methods of the requests; empty matches all.
+	// Methods lists the HTTP methods of matching requests. An empty list matches all.
 	Methods []string `json:"methods,omitempty"`
-	// Service gets the requests, or Split divides them among several services by weight.
+	// Service receives all requests. Alternatively, Split distributes them to several services by
+	// weight.
 	Service string            `json:"service,omitempty"`
 	Split   []WeightedService `json:"split,omitempty"`
-	// Contract is the name of the contract that the requests run under.
+	// Contract is the name of the contract that applies to the requests.
 	Contract string `json:"contract"`
-	// Idempotent says that a request may run more than once without harm.
+	// Idempotent is set if a request may safely be executed more than once.
 	Idempotent bool `json:"repeatable,omitempty"`
-	// MaxAttempts is how many attempts a request may have; 0 leaves it to the sidecar.
+	// MaxAttempts bounds the attempts of a request. Zero selects the default of the sidecar.
 	MaxAttempts int `json:"legs,omitempty"`
 }
 
-// Services lists the names of the services that the route leads to.
+// Services returns the names of the services that the route leads to.
 func (r *Route) Services() (out []string) {
 	if r.Service != "" {
 		out = append(out, r.Service)
--- a/internal/config/scanner.go
+++ b/internal/config/scanner.go
@@ -8,54 +8,56 @@
 	"strings"
 )
 
-// scanner walks the values of a configuration that is known to be valid JSON. A first pass finds
-// names that occur twice in one object; a second one, made only for an error of the decoder,
-// indexes where each value ends, so that an offset can be turned into a path.
+// scanner walks the values of a configuration that is known to be valid JSON. The first pass finds
+// names that occur twice in one object. A second pass runs only after an error of the decoder. It
+// indexes the end of each value, so that the offset of an error can be converted to a path.
 type scanner struct {
 	data   []byte
 	offset int
-	// steps lead to the value at offset.
+	// steps is the path from the root to the value at offset.
 	steps []pathStep
-	// openNames are the names of the objects that are open, of the outermost one first.
+	// openNames holds the names of all open objects, those of the outermost object first.
 	openNames  [][]byte
 	duplicates []FieldViolation
 
-	// indexing is set in the second pass, which fills positions.
+	// indexing is set during the second pass, which fills positions.
 	indexing  bool
 	positions []valuePosition
 }
 
-// pathStep leads from a value to one within it: by name, or else by index.
+// pathStep is one step of a path: a name in an object or, if name is nil, an index in an array.
 type pathStep struct {
 	name  []byte
 	index int
 }
 
-// valuePosition is where a value ends, and its path. An object or an array counts as ended after
-// its opening bracket.
+// valuePosition is the path of a value and the offset of its end. The end of an object or an array
+// is taken to be the offset after its opening bracket.
 type valuePosition struct {
 	end  int
 	path string
 }
 
-// linearSearchLimit is up to how many names of an object are compared one by one.
+// linearSearchLimit is the number of names of an object up to which the names are searched
+// linearly.
 const linearSearchLimit = 16
 
-// nameSet are the names of an open object: those of openNames from first on or, if there are many,
-// those of index.
+// nameSet is the set of names of an open object. It consists of the elements of openNames from
+// first on. For more than linearSearchLimit names, it consists of the keys of index instead.
 type nameSet struct {
 	first int
 	index map[string]bool
 }
 
-// newScanner makes a scanner and makes the first pass.
+// newScanner returns a scanner that has completed the first pass.
 func newScanner(b []byte) *scanner {
 	sc := &scanner{data: b}
 	sc.scanValue()
 	return sc
 }
 
-// skipToToken moves to the next byte that is neither white space nor a separator, and returns it.
+// skipToToken advances to the next byte that is neither white space nor a separator, and returns
+// it.
 func (sc *scanner) skipToToken() byte {
 	for {
 		switch c := sc.data[sc.offset]; c {
@@ -115,8 +117,8 @@
 	sc.offset++
 }
 
-// addName adds a name to those of the innermost open object; it reports whether the object had it
-// before.
+// addName adds a name to the names of the innermost open object. It reports whether the object
+// already had that name.
 func (sc *scanner) addName(names *nameSet, name []byte) (duplicate bool) {
 	if names.index != nil {
 		duplicate = names.index[string(name)]
@@ -138,7 +140,7 @@
 	return false
 }
 
-// skipString skips a string; unescaped reports whether it has no escape sequence.
+// skipString skips a string. unescaped reports whether the string has no escape sequences.
 func (sc *scanner) skipString() (unescaped bool) {
 	unescaped = true
 	for sc.offset++; sc.data[sc.offset] != '"'; sc.offset++ {
@@ -158,14 +160,14 @@
 	}
 }
 
-// readString returns a string's text and skips it.
+// readString skips a string and returns its decoded text.
 func (sc *scanner) readString() []byte {
 	begin := sc.offset
 	if sc.skipString() {
 		return sc.data[begin+1 : sc.offset-1]
 	}
 	var text string
-	json.Unmarshal(sc.data[begin:sc.offset], &text) // the whole document is valid
+	json.Unmarshal(sc.data[begin:sc.offset], &text) // the whole document is known to be valid JSON
 	return []byte(text)
 }
 
@@ -188,7 +190,7 @@
 	}
 }
 
-// pathAt returns the path of the value that an offset of the decoder points into.
+// pathAt returns the path of the value at an offset that the decoder reported.
 func (sc *scanner) pathAt(offset int) string {
 	if !sc.indexing {
 		sc.offset, sc.indexing = 0, true
--- a/internal/config/service.go
+++ b/internal/config/service.go
@@ -1,13 +1,13 @@
 package config
 
-// Service says what holds for a service, whichever route leads to it.
+// Service holds the settings of a service, which apply to requests of all routes.
 //
 //easyjson:json
 type Service struct {
 	UnknownFields
 	Name string `json:"name"`
-	// MaxConnections bounds the connections to one backend; 0 is no bound.
+	// MaxConnections bounds the connections to one backend. Zero means no bound.
 	MaxConnections int `json:"connections,omitempty"`
-	// SlowStart limits backends that have just started; nil does not.
+	// SlowStart limits the requests to backends that have just started. Nil means no limit.
 	SlowStart *SlowStart `json:"cold,omitempty"`
 }
--- a/internal/config/slow_start.go
+++ b/internal/config/slow_start.go
@@ -1,12 +1,12 @@
 package config
 
-// SlowStart says that a backend bears fewer requests for a while after its start.
+// SlowStart limits the request rate of a backend for a period after its start.
 //
 //easyjson:json
 type SlowStart struct {
 	UnknownFields
-	// Period is how long it warms up.
+	// Period is the duration of the warm-up.
 	Period Duration `json:"for"`
-	// RequestsPerSecond is how many requests it bears meanwhile.
+	// RequestsPerSecond bounds the request rate during the warm-up.
 	RequestsPerSecond float64 `json:"rate"`
 }
--- a/internal/config/unknown_fields.go
+++ b/internal/config/unknown_fields.go
@@ -7,8 +7,8 @@
 	"github.com/mailru/easyjson/jlexer"
 )
 
-// UnknownFields collects the names of the fields of an object that its type does not have. It is
-// embedded in each type of a configuration, so that unknown fields are violations.
+// UnknownFields collects the names of JSON fields that the type of an object does not define. Each
+// type of a configuration embeds it, so that validation reports unknown fields as violations.
 type UnknownFields struct {
 	names []string
 }
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// LowestPriority is the lowest priority of a contract; 1 is the highest.
+// LowestPriority is the lowest priority of a contract. The highest priority is 1.
 const LowestPriority = 9
 
-// MaxAttempts is how many attempts a route may allow for a request.
+// MaxAttempts is the highest number of attempts that a route may allow for a request.
 const MaxAttempts = 10
 
 const (
@@ -21,16 +21,16 @@
 	maxBodyBytes   = 1 << 40
 )
 
-// validator collects the violations of a configuration. Its methods check one kind of field each
-// and report at a path.
+// validator collects the violations of a configuration. Each method checks one kind of field and
+// reports violations at its path.
 type validator struct{ violations []FieldViolation }
 
-// add adds a violation at a path's text.
+// add adds a violation at a path that is given as text.
 func (v *validator) add(path, message string) {
 	v.violations = append(v.violations, FieldViolation{Path: path, Message: message})
 }
 
-// report adds a violation of a field of the object at p, or of p itself if field is empty.
+// report adds a violation of a field of the object at p. If field is empty, the violation is at p.
 func (v *validator) report(p *fieldPath, field, format string, args ...any) {
 	path := p.String()
 	if field != "" {
@@ -60,7 +60,7 @@
 	}
 }
 
-// optionalDuration is duration for a field that may be left out.
+// optionalDuration checks a duration that may be omitted.
 func (v *validator) optionalDuration(p *fieldPath, field string, d Duration) {
 	if d.IsDefined() {
 		v.duration(p, field, d)
@@ -73,8 +73,8 @@
 	}
 }
 
-// uniqueName checks that no earlier element of a list has the name; seen has the indexes of the
-// earlier ones by name.
+// uniqueName checks that no earlier element of a list has the same name. seen maps the names of the
+// earlier elements to their indexes.
 func (v *validator) uniqueName(p *fieldPath, name string, index int, seen map[string]int) {
 	if first, duplicate := seen[name]; duplicate {
 		other := fieldPath{parent: p.parent, index: first}
@@ -102,7 +102,7 @@
 	v.optionalDuration(&p, "idle", l.IdleTimeout)
 }
 
-// contracts checks all contracts and returns their indexes by name.
+// contracts checks all contracts and returns a map from their names to their indexes.
 func (v *validator) contracts(top *fieldPath, contracts []Contract) map[string]int {
 	list, seen := fieldPath{parent: top, name: "contracts"}, make(map[string]int, len(contracts))
 	for i := range contracts {
@@ -118,7 +118,7 @@
 	return seen
 }
 
-// latencies checks a contract's latency target and deadline.
+// latencies checks the latency target and the deadline of a contract.
 func (v *validator) latencies(p *fieldPath, c *Contract) {
 	v.duration(p, "aim", c.LatencyTarget)
 	v.duration(p, "expiry", c.Deadline)
@@ -127,7 +127,7 @@
 	}
 }
 
-// services checks all services and returns their indexes by name.
+// services checks all services and returns a map from their names to their indexes.
 func (v *validator) services(top *fieldPath, services []Service) map[string]int {
 	list, seen := fieldPath{parent: top, name: "services"}, make(map[string]int, len(services))
 	for i := range services {
@@ -152,14 +152,14 @@
 	}
 }
 
-// routeMatch is what requests a route takes with one of its methods; no two routes may have the
-// same. The method is anyMethod for a route that takes all.
+// routeMatch is the match condition of a route for one of its methods. No two routes may have the
+// same condition. The method is anyMethod for a route that matches all methods.
 type routeMatch struct{ host, method, prefix string }
 
 // anyMethod stands for all methods.
 const anyMethod = "*"
 
-// matches lists what the route takes.
+// matches returns the match conditions of the route, one per method.
 func (r *Route) matches() (out []routeMatch) {
 	if len(r.Methods) == 0 {
 		return []routeMatch{{r.Host, anyMethod, r.Prefix}}
@@ -199,8 +199,8 @@
 	}
 }
 
-// uniqueMatches checks that no earlier route takes the same requests; seen has the indexes of the
-// earlier ones.
+// uniqueMatches checks that no earlier route has a match condition of this route. seen maps the
+// conditions of the earlier routes to their indexes.
 func (v *validator) uniqueMatches(p *fieldPath, route *Route, index int, seen map[routeMatch]int) {
 	for _, match := range route.matches() {
 		if first, duplicate := seen[match]; duplicate {
@@ -211,7 +211,7 @@
 	}
 }
 
-// destination checks where a route leads: to one service, or to several by weight.
+// destination checks the destination of a route: either one service, or several services by weight.
 func (v *validator) destination(p *fieldPath, route *Route, services map[string]int) {
 	if len(route.Split) == 0 {
 		v.serviceName(p, route.Service, services)
@@ -238,7 +238,7 @@
 }
 
 // serviceName checks the name of a service that a route leads to. If the configuration lists
-// services, it must be one of them.
+// services, the service must be one of them.
 func (v *validator) serviceName(p *fieldPath, name string, services map[string]int) {
 	if !IsValidName(name) {
 		v.name(p, "service", name)
--- a/internal/config/validate_test.go
+++ b/internal/config/validate_test.go
@@ -7,11 +7,12 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Violations are listed by path, all at once, wherever the JSON has the wrong form.
+// Parse reports all violations of a document with fields of the wrong JSON type at once, each with
+// its path.
 func TestViolationsByPath(t *testing.T) {
 	for name, c := range map[string]struct {
 		body  string
-		paths []string // among the violations; nil for none at all
+		paths []string // a subset of the violations; nil if there must be none
 	}{
 		"empty": {`{}`, nil},
 		"fields of the wrong type": {`{"contracts":[{"name":5,"aim":true,"expiry":"1s","rank":"high"}],"ways":[{"name":["x"],"repeatable":"yes"}]}`, []string{
@@ -24,12 +25,12 @@
 		t.Run(name, func(t *testing.T) {
 			_, violations, ok := Parse([]byte(c.body))
 			if !ok {
-				t.Error("not read as JSON")
+				t.Error("got ok false for valid JSON, want true")
 			}
 			got := violationPaths(violations)
 			for _, path := range c.paths {
 				if !got[path] {
-					t.Errorf("no violation at %s: %v", path, violations)
+					t.Errorf("got no violation at %s among %v", path, violations)
 				}
 			}
 			if c.paths == nil && len(violations) > 0 {
@@ -39,7 +40,7 @@
 	}
 }
 
-// violationPaths returns the set of the violations' paths.
+// violationPaths returns the set of the paths of violations.
 func violationPaths(violations []FieldViolation) map[string]bool {
 	paths := map[string]bool{}
 	for _, violation := range violations {
@@ -48,7 +49,8 @@
 	return paths
 }
 
-// Each rule for routes, splits, services and limits has its violation.
+// Each validation rule for routes, splits, services and limits reports a violation at the right
+// path, and valid values report none.
 func TestValidationRules(t *testing.T) {
 	head := `{"contracts":[{"name":"c","aim":"1ms","expiry":"1ms","rank":1}],`
 	route := func(rest string) string {
@@ -56,7 +58,7 @@
 	}
 	for name, c := range map[string]struct {
 		body  string
-		paths []string // of all violations
+		paths []string // the paths of all violations
 	}{
 		"one service":                          {route(`"service":"s"`), nil},
 		"most attempts":                        {route(`"service":"s","legs":10`), nil},
@@ -65,11 +67,11 @@
 		"no service":                           {route(`"repeatable":true`), []string{"$.ways[0].service"}},
 		"empty split":                          {route(`"split":[]`), []string{"$.ways[0].service"}},
 		"split":                                {route(`"split":[{"service":"a","weight":0},{"service":"b","weight":1000000}]`), nil},
-		"split beside a service":               {route(`"service":"s","split":[{"service":"a","weight":1}]`), []string{"$.ways[0].service"}},
+		"both a split and a service":           {route(`"service":"s","split":[{"service":"a","weight":1}]`), []string{"$.ways[0].service"}},
 		"weights that are all 0":               {route(`"split":[{"service":"a","weight":0}]`), []string{"$.ways[0].split"}},
 		"service twice in a split":             {route(`"split":[{"service":"a","weight":1},{"service":"a","weight":1}]`), []string{"$.ways[0].split[1].service"}},
 		"weight and service name out of range": {route(`"split":[{"service":"a","weight":1000001},{"service":"A","weight":1}]`), []string{"$.ways[0].split[0].weight", "$.ways[0].split[1].service"}},
-		"negative and broken weight, unknown field": {
+		"negative and fractional weight, unknown field": {
 			route(`"split":[{"service":"a","weight":-1},{"service":"b","weight":0.5,"x":1}]`),
 			[]string{"$.ways[0].split[0].weight", "$.ways[0].split[1].weight", "$.ways[0].split[1].x", "$.ways[0].split"},
 		},
@@ -93,13 +95,14 @@
 				want[path] = true
 			}
 			if d := cmp.Diff(want, violationPaths(violations)); d != "" || !ok {
-				t.Errorf("%s %v", d, violations)
+				t.Errorf("unexpected violation paths: %s from %v", d, violations)
 			}
 		})
 	}
 }
 
-// Duplicate names are found in objects with many names too.
+// Duplicate names are also found in objects with more names than linearSearchLimit, which are
+// searched by a map.
 func TestDuplicateNamesInLargeObjects(t *testing.T) {
 	text := "{"
 	for i := range 3 * linearSearchLimit {
@@ -117,7 +120,7 @@
 			wantDeep, wantTop = 2, 1
 		}
 		if got[deep] != wantDeep || got[top] != wantTop {
-			t.Errorf("%s %d times, %s %d times", deep, got[deep], top, got[top])
+			t.Errorf("got %s reported %d times, %s reported %d times", deep, got[deep], top, got[top])
 		}
 	}
 }
--- a/internal/config/version_history.go
+++ b/internal/config/version_history.go
@@ -3,25 +3,26 @@
 import "slices"
 
 const (
-	// maxVersions is how many versions a history keeps.
-	maxVersions = 8 // (ours)
-	// maxHistoryBytes is how many bytes they may have together; minVersions are kept however
-	// large they are.
-	maxHistoryBytes = 1 << 20 // (ours)
+	// maxVersions is the number of versions that a history keeps.
+	maxVersions = 8
+	// maxHistoryBytes bounds the total size of the kept versions. The newest minVersions versions
+	// are kept regardless of their size.
+	maxHistoryBytes = 1 << 20
 	minVersions     = 2
 )
 
-// VersionHistory keeps the latest versions of a document to make patches from. The zero value is
-// empty. It is not safe for concurrent use.
+// VersionHistory keeps the latest versions of a document as bases of patches. The zero value is an
+// empty history. VersionHistory is not safe for concurrent use.
 type VersionHistory struct {
-	versions []Version // the newest last
-	// lastPatch is the last result of PatchFrom: it is often asked for again at once.
+	versions []Version // from oldest to newest
+	// lastPatch caches the last result of PatchFrom, which is often requested several times in a
+	// row.
 	lastPatch      Patch
 	lastWorthwhile bool
 }
 
-// Add keeps v as the newest version, unless it is there already, and drops the oldest ones that are
-// too many.
+// Add adds v as the newest version, unless the history already contains it, and drops the oldest
+// versions beyond the bounds.
 func (h *VersionHistory) Add(v Version) {
 	if _, ok := h.Find(v.Fingerprint); ok {
 		return
@@ -37,7 +38,7 @@
 	}
 }
 
-// Find returns the version with a fingerprint.
+// Find returns the version with the given fingerprint.
 func (h *VersionHistory) Find(f Fingerprint) (Version, bool) {
 	for _, v := range h.versions {
 		if v.Fingerprint == f {
@@ -47,8 +48,9 @@
 	return Version{}, false
 }
 
-// PatchFrom returns the patch that makes v from the version with the fingerprint base. worthwhile is
-// false if that version is not kept, or the patch is longer than half of v.
+// PatchFrom returns the patch that produces v from the version with the fingerprint base.
+// worthwhile is false if the history does not contain that version, or if the patch is longer than
+// half of v.
 func (h *VersionHistory) PatchFrom(v Version, base Fingerprint) (patch Patch, worthwhile bool) {
 	if h.lastPatch.Result == v.Fingerprint && h.lastPatch.Base == base {
 		return h.lastPatch, h.lastWorthwhile
@@ -61,8 +63,8 @@
 	return h.lastPatch, h.lastWorthwhile
 }
 
-// Apply returns the version that a patch makes from one of the history; ok is false as with
-// Version.Apply.
+// Apply returns the version that a patch produces from a version of the history. ok is false if the
+// history does not contain the base, or if Version.Apply fails.
 func (h *VersionHistory) Apply(p Patch) (result Version, ok bool) {
 	base, _ := h.Find(p.Base)
 	return base.Apply(p)
--- a/internal/config/violation.go
+++ b/internal/config/violation.go
@@ -1,8 +1,8 @@
 package config
 
-// FieldViolation is one thing that is wrong with a configuration.
+// FieldViolation describes an invalid field of a document.
 type FieldViolation struct {
-	// Path leads to the field from the top, as in $.ways[2].name.
+	// Path is the path of the field from the root, such as $.ways[2].name.
 	Path    string `json:"path"`
 	Message string `json:"message"`
 }
--- a/internal/delta/delta.go
+++ b/internal/delta/delta.go
@@ -1,10 +1,11 @@
-// Package delta encodes one version of a document as its difference from another: what is
-// copied from the base, and what is inserted. Versions of a configuration differ in a few bytes
-// of thousands.
+// Package delta encodes one version of a document as its difference from another version, the base.
+// The difference copies runs of the base and inserts new bytes. Versions of a configuration differ
+// in a few bytes out of thousands.
 //
-// A difference is a sequence of operations. Each begins with a varint: its lowest bit is the
-// operation, the rest the length in bytes. A copy is followed by a varint with the offset in the
-// base, an insertion by its bytes. (DESIGN 8.3)
+// A difference is a sequence of operations. Each operation begins with a varint. The lowest bit of
+// the varint is the kind of the operation, and the other bits are the length in bytes. A copy
+// continues with a varint that holds the offset in the base. An insertion continues with the
+// inserted bytes. (DESIGN 8.3)
 package delta
 
 import (
@@ -15,22 +16,24 @@
 )
 
 const (
-	// blockSize is the length of the runs of the base that are looked for, in bytes.
-	blockSize = 16 // (ours)
-	// maxOutput bounds the result of Apply, as a frame of the transport is bounded, in bytes.
+	// blockSize is the length in bytes of the blocks of the base that Diff indexes. Shorter matches
+	// between the common prefix and the common suffix are not found.
+	blockSize = 16
+	// maxOutput bounds the result of Apply in bytes, as frames of the transport are bounded.
 	maxOutput = 64 << 20
 )
 
-// ErrBaseMismatch is returned for a difference that is malformed or was made from another base.
-var ErrBaseMismatch = eris.New("the difference does not fit its base")
+// ErrBaseMismatch is returned by Apply for a difference that is malformed or was made from another
+// base.
+var ErrBaseMismatch = eris.New("apply delta: malformed, or made from another base")
 
-// The operations.
+// Kinds of operations.
 const (
 	opInsert = 0
 	opCopy   = 1
 )
 
-// Diff encodes target as its difference from base. It is never an error; if the two have little
+// Diff returns the encoded difference of target from base. It never fails. If the two have little
 // in common, the result may be longer than target.
 func Diff(base, target []byte) []byte {
 	var e encoder
@@ -44,8 +47,9 @@
 	return e.out
 }
 
-// Apply makes the target of a difference from its base. A difference that was made from another
-// base may give an ErrBaseMismatch or any bytes: whoever needs to know compares a digest.
+// Apply returns the target of a difference from base. If the difference was made from another base,
+// Apply returns either ErrBaseMismatch or arbitrary bytes. Callers that need to detect this must
+// compare a digest of the result.
 func Apply(base, difference []byte) ([]byte, error) {
 	out := make([]byte, 0, len(base))
 	for len(difference) > 0 {
@@ -76,14 +80,14 @@
 	return out, nil
 }
 
-// encoder writes a difference. Insertions that follow one another become one.
+// encoder builds a difference. It merges consecutive insertions into one.
 type encoder struct {
 	out []byte
-	// inserted are the bytes of the insertion that is not written yet.
+	// inserted holds the bytes of the pending insertion.
 	inserted []byte
 }
 
-// copy writes a copy of a run of the base.
+// copy writes a copy operation for a run of the base.
 func (e *encoder) copy(from, length int) {
 	if length == 0 {
 		return
@@ -103,8 +107,8 @@
 	e.inserted = e.inserted[:0]
 }
 
-// diffMiddle writes what lies between a common prefix and a common suffix; offset is where its
-// part of the base begins.
+// diffMiddle writes the difference between the common prefix and the common suffix. offset is the
+// position of this part in the whole base.
 func (e *encoder) diffMiddle(base, target []byte, offset int) {
 	blocks := indexBlocks(base, target)
 	for at := 0; at < len(target); {
@@ -114,7 +118,7 @@
 			at++
 			continue
 		}
-		// The last bytes that were taken for inserted may belong to the run already.
+		// The last bytes of the pending insertion may already belong to the matching run.
 		back := commonSuffix(base[:from], e.inserted)
 		e.inserted = e.inserted[:len(e.inserted)-back]
 		e.copy(offset+from-back, length+back)
@@ -122,7 +126,8 @@
 	}
 }
 
-// indexBlocks finds the blocks of the base by their bytes; nil if there is nothing to find.
+// indexBlocks returns a map from the blocks of the base to their offsets. It returns nil if base or
+// target is shorter than a block.
 func indexBlocks(base, target []byte) map[[blockSize]byte]int {
 	if len(base) < blockSize || len(target) < blockSize {
 		return nil
@@ -137,8 +142,8 @@
 	return blocks
 }
 
-// findMatch finds a run of the base that equals the target from an offset on; a length of zero
-// is none.
+// findMatch returns a run of the base that equals the bytes of the target from offset at on. A
+// length of zero means that there is no match.
 func findMatch(base, target []byte, at int, blocks map[[blockSize]byte]int) (from, length int) {
 	if at+blockSize > len(target) || blocks == nil {
 		return 0, 0
@@ -150,7 +155,7 @@
 	return from, commonPrefix(base[from:], target[at:])
 }
 
-// commonPrefix is how many bytes two texts begin with alike.
+// commonPrefix returns the length of the longest common prefix of a and b.
 func commonPrefix(a, b []byte) int {
 	n := min(len(a), len(b))
 	if bytes.Equal(a[:n], b[:n]) {
@@ -164,7 +169,7 @@
 	return n
 }
 
-// commonSuffix is how many bytes two texts end with alike.
+// commonSuffix returns the length of the longest common suffix of a and b.
 func commonSuffix(a, b []byte) int {
 	n := 0
 	for n < len(a) && n < len(b) && a[len(a)-n-1] == b[len(b)-n-1] {
--- a/internal/delta/delta_test.go
+++ b/internal/delta/delta_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// testDocument looks like a configuration with a number of routes.
+// testDocument returns a document that resembles a configuration with the given number of routes.
 func testDocument(routes int) []byte {
 	var b strings.Builder
 	for i := range routes {
@@ -17,7 +17,8 @@
 	return []byte(b.String())
 }
 
-// editDocument is a document with runs removed, inserted, changed and copied to the end.
+// editDocument returns a copy of doc in which random runs are removed, inserted, overwritten, or
+// copied to the end.
 func editDocument(rng *rand.Rand, doc []byte, edits int) []byte {
 	out := bytes.Clone(doc)
 	for range edits {
@@ -40,7 +41,7 @@
 	return out
 }
 
-// Apply makes the target of a base and its difference, whatever the two are.
+// For any base and target, applying their difference to the base yields the target.
 func TestRoundTrip(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 2000 {
@@ -55,26 +56,28 @@
 		d := Diff(base, target)
 		got, err := Apply(base, d)
 		if err != nil || !bytes.Equal(got, target) {
-			t.Fatalf("%v: got %q from %q by %q, want %q", err, got, base, d, target)
+			t.Fatalf("error %v: got %q from base %q and difference %q, want %q", err, got, base, d, target)
 		}
 	}
 }
 
-// A change of some routes takes about its own bytes, wherever they stand.
+// The difference for a change of a few routes is about as long as the changed bytes, wherever the
+// routes are in the document.
 func TestDiffIsSmall(t *testing.T) {
 	base := testDocument(60)
 	target := bytes.Replace(base, []byte("h3.example"), []byte("other.example"), 3)
 	target = append([]byte(`{"name":"added","host":"h","prefix":"/added/","service":"svc-9","legs":2},`), target...)
 	d := Diff(base, target)
 	if len(d) > 200 {
-		t.Errorf("%d bytes for a change of %d", len(d), len(target))
+		t.Errorf("got a difference of %d bytes for a small change in %d bytes, want at most 200", len(d), len(target))
 	}
 	if d := Diff(base, base); len(d) > 5 {
-		t.Errorf("%d bytes for no change", len(d))
+		t.Errorf("got a difference of %d bytes for equal documents, want at most 5", len(d))
 	}
 }
 
-// A difference that was truncated or altered gives other bytes or an error, and never panics.
+// FuzzApply checks that Apply of a truncated or altered difference returns bounded output or an
+// error and never panics, and that any target survives a round trip.
 func FuzzApply(f *testing.F) {
 	base := testDocument(20)
 	d := Diff(base, editDocument(rand.New(rand.NewPCG(3, 4)), base, 4))
@@ -86,10 +89,10 @@
 	}
 	f.Fuzz(func(t *testing.T, base, difference []byte) {
 		if got, err := Apply(base, difference); err == nil && len(got) > maxOutput {
-			t.Errorf("%d bytes of %d", len(got), len(difference))
+			t.Errorf("got %d bytes from a difference of %d bytes, want at most maxOutput", len(got), len(difference))
 		}
 		if got, err := Apply(base, Diff(base, difference)); err != nil || !bytes.Equal(got, difference) {
-			t.Errorf("%v: %q", err, got)
+			t.Errorf("round trip: error %v, got %q", err, got)
 		}
 	})
 }
