--- a/internal/maintenance/action.go
+++ b/internal/maintenance/action.go
@@ -6,18 +6,19 @@
 	"curlewwalk/internal/config"
 )
 
-// Action is a change of the control state that the calendar asks for: to begin a window, which
-// evacuates its zone, or to end one.
+// Action is a change of the control state that the calendar requires: to begin a window, which
+// evacuates its zone, or to end a window.
 type Action struct {
 	Zone string
-	// Window is the Occurrence's ID.
+	// Window is the ID of the Occurrence.
 	Window string
-	// Start tells whether the window begins; otherwise it ends.
+	// Start is true if the window begins, and false if it ends.
 	Start bool
 }
 
-// Decide compares the windows that are active now with those that the control state records as
-// begun. A window that is on record is not begun again, whichever replica decides. (DESIGN 17.1)
+// Decide compares the windows that are active at now with the windows that the control state
+// records as begun, and returns the required actions. A recorded window is not begun again,
+// regardless of which replica decides. (DESIGN 17.1)
 func Decide(calendar Calendar, begun []config.ZoneClosure, now time.Time) (actions []Action) {
 	recorded := map[string]bool{}
 	for _, closure := range begun {
--- a/internal/maintenance/calendar.go
+++ b/internal/maintenance/calendar.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	// MaxBytes bounds a calendar file.
+	// MaxBytes bounds the size of a calendar file.
 	MaxBytes = 256 << 10
-	// maxEvents bounds its events.
-	maxEvents = 200 // (ours)
-	// maxDuration bounds one window.
-	maxDuration = 31 * 24 * time.Hour // (ours)
+	// maxEvents bounds the number of events in a calendar.
+	maxEvents = 200
+	// maxDuration bounds the duration of one window.
+	maxDuration = 31 * 24 * time.Hour
 )
 
-// Calendar is a valid calendar file. The zero value has no windows.
+// Calendar is a parsed and valid calendar. The zero value has no windows.
 type Calendar struct{ events []event }
 
-// event is one event of a calendar, with all its occurrences.
+// event is one event of a calendar, which may recur.
 type event struct {
 	uid, zone, summary string
 	start              time.Time
@@ -30,7 +30,8 @@
 	recurrence         *rrule.Set // nil if it does not recur
 }
 
-// Between lists the occurrences that are active at some moment from from to to, by their start.
+// Between returns the occurrences that are active at some time between from and to, both included,
+// sorted by start.
 func (c Calendar) Between(from, to time.Time) (occurrences []Occurrence) {
 	for _, e := range c.events {
 		for _, start := range e.startsBetween(from.Add(-e.duration), to) {
@@ -46,7 +47,8 @@
 	return occurrences
 }
 
-// startsBetween lists the starts of a recurring event in a span, or the only start of another one.
+// startsBetween returns the starts of a recurring event between from and to. For an event that does
+// not recur, it returns the single start.
 func (e event) startsBetween(from, to time.Time) []time.Time {
 	if e.recurrence == nil {
 		return []time.Time{e.start}
@@ -64,7 +66,7 @@
 	}
 }
 
-// decode reads the first calendar of a file.
+// decode decodes the first calendar in a file.
 func decode(file []byte) (*ical.Calendar, error) {
 	return ical.NewDecoder(bytes.NewReader(file)).Decode()
 }
--- a/internal/maintenance/occurrence.go
+++ b/internal/maintenance/occurrence.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Occurrence is one maintenance window: a time during which a zone is evacuated. An event that
-// recurs has many.
+// Occurrence is one maintenance window: a period during which a zone is evacuated. A recurring
+// event has several occurrences.
 type Occurrence struct {
-	// ID is unique: the event's UID and the start, in UTC.
+	// ID is unique. It consists of the UID of the event and the start in UTC.
 	ID      string    `json:"id"`
 	Zone    string    `json:"locality"`
 	Start   time.Time `json:"begin"`
@@ -13,5 +13,5 @@
 	Summary string    `json:"summary,omitempty"`
 }
 
-// ActiveAt tells whether now is in the window.
+// ActiveAt reports whether the window is active at now.
 func (o Occurrence) ActiveAt(now time.Time) bool { return !now.Before(o.Start) && now.Before(o.End) }
--- a/internal/maintenance/parse.go
+++ b/internal/maintenance/parse.go
@@ -15,15 +15,15 @@
 	"curlewwalk/internal/config"
 )
 
-// A recurring event starts within these years: from a start far off, the library would count
-// through every occurrence.
+// Bounds on the year in which a recurring event starts. For a start in the distant past or future,
+// the library would iterate over every occurrence.
 const (
-	firstRecurrenceYear = 2000 // (ours)
-	lastRecurrenceYear  = 2100 // (ours)
+	firstRecurrenceYear = 2000
+	lastRecurrenceYear  = 2100
 )
 
-// Parse reads and validates a calendar file. Each violation's path is a line of the file, from 1;
-// with any violation, the calendar is empty.
+// Parse parses and validates a calendar file. The path of a violation is a line of the file,
+// counted from 1. If there are violations, the calendar is empty.
 func Parse(file []byte) (Calendar, []config.FieldViolation) {
 	p := &parser{lines: bytes.SplitAfter(file, []byte("\n"))}
 	calendar := p.parse(file)
@@ -33,7 +33,7 @@
 	return calendar, nil
 }
 
-// parser collects violations and finds their lines, which the library does not tell.
+// parser collects violations and determines their lines, which the library does not report.
 type parser struct {
 	lines      [][]byte
 	eventLine  int // the line on which the current event begins
@@ -44,7 +44,7 @@
 	p.violations = append(p.violations, config.FieldViolation{Path: fmt.Sprintf("line %d", line), Message: fmt.Sprintf(format, args...)})
 }
 
-// parse reads the file as far as it can be read.
+// parse parses the file up to the first error that prevents further parsing.
 func (p *parser) parse(file []byte) (calendar Calendar) {
 	if len(file) > MaxBytes {
 		p.addViolation(1, "the file is over %d bytes", MaxBytes)
@@ -76,8 +76,8 @@
 	return calendar
 }
 
-// firstBadLine is the first line that the library can't read: a file that is cut off before it
-// only ends too early.
+// firstBadLine returns the first line that the library cannot decode. It searches for the shortest
+// prefix of the file whose error is not an unexpected end of file.
 func (p *parser) firstBadLine() int {
 	i := sort.Search(len(p.lines), func(i int) bool {
 		_, err := decode(bytes.Join(p.lines[:i+1], nil))
@@ -86,7 +86,7 @@
 	return min(i+1, len(p.lines))
 }
 
-// startLine is the line on which the event of an index begins.
+// startLine returns the line on which the event with the given index begins.
 func (p *parser) startLine(index int) int {
 	for i, line := range p.lines {
 		if !strings.EqualFold(strings.TrimSpace(string(line)), "BEGIN:VEVENT") {
@@ -100,7 +100,8 @@
 	return 1
 }
 
-// propertyLine is the line of a property of the current event, or else the event's.
+// propertyLine returns the line of a property of the current event. If the event does not have the
+// property, it returns the first line of the event.
 func (p *parser) propertyLine(name string) int {
 	for i := p.eventLine; i < len(p.lines); i++ {
 		line := strings.ToUpper(strings.TrimSpace(string(p.lines[i])))
@@ -114,7 +115,7 @@
 	return p.eventLine
 }
 
-// parseEvent reads the current event; ok is false if it has a violation.
+// parseEvent parses the current event. ok is false if the event has a violation.
 func (p *parser) parseEvent(component ical.Event) (parsed event, ok bool) {
 	before := len(p.violations)
 	parsed.uid = p.text(component, ical.PropUID, true)
@@ -129,7 +130,8 @@
 	return parsed, len(p.violations) == before
 }
 
-// text reads a property of the current event.
+// text returns the text of a property of the current event. A missing required property is a
+// violation.
 func (p *parser) text(component ical.Event, name string, required bool) string {
 	property := component.Props.Get(name)
 	if property == nil {
@@ -145,7 +147,8 @@
 	return text
 }
 
-// parseTimes reads the current event's start and duration; false if they can't be read.
+// parseTimes parses the start and the duration of the current event. It returns false if they
+// cannot be parsed.
 func (p *parser) parseTimes(component ical.Event, parsed *event) bool {
 	if component.Props.Get(ical.PropDateTimeStart) == nil {
 		p.addViolation(p.eventLine, "the event has no DTSTART")
@@ -168,7 +171,7 @@
 	return true
 }
 
-// parseRecurrence reads the current event's recurrence rule, if it has one.
+// parseRecurrence parses the recurrence rule of the current event, if it has one.
 func (p *parser) parseRecurrence(component ical.Event, parsed *event) {
 	if component.Props.Get(ical.PropRecurrenceRule) == nil {
 		return
--- a/internal/plan/assess.go
+++ b/internal/plan/assess.go
@@ -2,8 +2,8 @@
 
 import "curlewwalk/internal/config"
 
-// Assess works out the impact of a change on a snapshot. If the snapshot or the change has
-// violations, they are returned and nothing was worked out.
+// Assess returns the impact of a change on a snapshot. If the snapshot or the change is invalid,
+// Assess returns the violations and an empty impact.
 func Assess(s Snapshot, c Change) (Impact, []config.FieldViolation) {
 	before, violations := newFleet(s)
 	if len(violations) > 0 {
--- a/internal/plan/assignment.go
+++ b/internal/plan/assignment.go
@@ -9,14 +9,15 @@
 )
 
 const (
-	// traceSamples is how many trace IDs the share of moved traces is estimated from.
+	// traceSamples is the number of trace IDs from which the share of moved traces is estimated.
 	traceSamples = 4096
-	// noReplica stands for a replica where there is none.
+	// noReplica is the name that stands for a missing replica.
 	noReplica = "none"
 )
 
-// compareCoordinator tells whether another replica becomes the coordinator: nil if not. The first
-// replica is taken for it, as if all were live and eligible.
+// compareCoordinator returns the reassignment of the coordinator, or nil if the coordinator does
+// not change. It assumes that all replicas are live and eligible, so the first replica is the
+// coordinator.
 func compareCoordinator(before, after fleet) *Reassignment {
 	from, to := before.coordinator(), after.coordinator()
 	if from == to {
@@ -25,6 +26,7 @@
 	return &Reassignment{Subject: "duty", From: from, To: to}
 }
 
+// coordinator returns the address of the first replica.
 func (f fleet) coordinator() string {
 	if len(f.replicas) == 0 {
 		return noReplica
@@ -32,7 +34,7 @@
 	return f.replicas[0].Addr
 }
 
-// compareWatchers lists the sidecars that watch another replica after the change.
+// compareWatchers returns the sidecars that watch another replica after the change.
 func compareWatchers(before, after fleet) (moved []Reassignment) {
 	for _, node := range after.nodes {
 		from := noReplica
@@ -46,12 +48,13 @@
 	return moved
 }
 
-// watchedReplica is the replica that a sidecar watches.
+// watchedReplica returns the address of the replica that a sidecar watches.
 func (f fleet) watchedReplica(sidecar string) string {
 	return f.highestRanked(sidecar, func(r membership.Replica) string { return r.Addr })
 }
 
-// compareTraces is the share of traces that are collected by another replica, from 0 to 1.
+// compareTraces returns the share of traces, from 0 to 1, that another replica collects after the
+// change.
 func compareTraces(before, after fleet) float64 {
 	moved := 0
 	for i := range traceSamples {
@@ -63,12 +66,13 @@
 	return float64(moved) / traceSamples
 }
 
-// collector is the replica that a trace is published to.
+// collector returns the address of the replica to which a trace is published.
 func (f fleet) collector(traceID string) string {
 	return f.highestRanked(traceID, func(r membership.Replica) string { return fmt.Sprint(r.MemberID) })
 }
 
-// highestRanked is the address of the replica that ranks first for a key by rendezvous hashing.
+// highestRanked returns the address of the replica that ranks first for a key by rendezvous
+// hashing.
 func (f fleet) highestRanked(key string, name func(membership.Replica) string) string {
 	if len(f.replicas) == 0 {
 		return noReplica
--- a/internal/plan/capacity.go
+++ b/internal/plan/capacity.go
@@ -8,10 +8,11 @@
 	"curlewwalk/internal/config"
 )
 
-// serviceZone is a service in one zone.
+// serviceZone identifies a service in one zone.
 type serviceZone struct{ service, zone string }
 
-// capacityByZone is how many requests may run at once, in all backends that are given new ones.
+// capacityByZone returns the number of requests that may run concurrently for each service and
+// zone, in all backends that receive new requests.
 func (f fleet) capacityByZone() map[serviceZone]int {
 	capacities := map[serviceZone]int{}
 	for _, node := range f.nodes {
@@ -24,7 +25,7 @@
 	return capacities
 }
 
-// capacityOf is a service's capacity in all zones.
+// capacityOf returns the total capacity of a service in all zones.
 func (f fleet) capacityOf(service string) (total int) {
 	for key, capacity := range f.capacityByZone() {
 		if key.service == service {
@@ -34,7 +35,7 @@
 	return total
 }
 
-// compareCapacity lists the services and zones whose capacity changes, sorted.
+// compareCapacity returns the changes of capacity, sorted by service and zone.
 func compareCapacity(before, after fleet) (changes []CapacityChange) {
 	old, current := before.capacityByZone(), after.capacityByZone()
 	for key := range old {
@@ -53,7 +54,7 @@
 	return changes
 }
 
-// findRisks lists the contracts of routes with a service that is left without backends, or with
+// findRisks returns the contracts of routes to a service that has no backends after the change, or
 // less than half of its capacity.
 func findRisks(before, after fleet) (risks []Risk) {
 	for _, route := range after.configuration.Routes {
@@ -66,7 +67,8 @@
 	return risks
 }
 
-// riskOf tells why a service's capacity puts a route at risk, or nothing.
+// riskOf returns the reason why the capacity of a service puts a route at risk, or the empty string
+// if it does not.
 func riskOf(route config.Route, service string, before, after int) string {
 	switch {
 	case after == 0:
--- a/internal/plan/change.go
+++ b/internal/plan/change.go
@@ -1,14 +1,14 @@
 package plan
 
-// Change is what an operator considers doing, or fears.
+// Change is a planned change or an expected failure whose impact is to be assessed.
 type Change struct {
-	// Configuration is a candidate configuration, a JSON document; nil leaves it as it is.
+	// Configuration is the JSON document of a candidate configuration. Nil means no change.
 	Configuration []byte
-	// Evacuate and Restore name zones; one that is in both is restored.
+	// Evacuate and Restore list zones. A zone in both lists is restored.
 	Evacuate []string
 	Restore  []string
-	// Remove has the transport addresses of sidecars and control plane nodes that are lost, Add
-	// those of new sidecars.
+	// Remove lists the transport addresses of sidecars and control plane nodes that are lost. Add
+	// lists the transport addresses of new sidecars.
 	Remove []string
 	Add    []string
 }
--- a/internal/plan/diff.go
+++ b/internal/plan/diff.go
@@ -5,7 +5,8 @@
 	"slices"
 )
 
-// diffByName tells which items of two lists are new, changed or gone, by name.
+// diffByName compares two lists of named items. It returns a sorted list of the items that are new,
+// changed or gone.
 func diffByName[T any](before, after []T, name func(T) string) (differences []string) {
 	old := map[string]string{}
 	for _, item := range before {
@@ -28,8 +29,8 @@
 	return differences
 }
 
-// canonicalJSON is the text by which parts of a configuration are compared.
+// canonicalJSON returns the JSON text by which parts of a configuration are compared.
 func canonicalJSON(part any) string {
-	b, _ := json.Marshal(part) // the configuration's types always marshal
+	b, _ := json.Marshal(part) // marshalling the types of a configuration never fails
 	return string(b)
 }
--- a/internal/plan/doc.go
+++ b/internal/plan/doc.go
@@ -1,4 +1,4 @@
-// Package plan works out what a change would affect before it is made, and changes nothing: the
-// capacity of services by zone, the contracts at risk, and which control plane node sidecars watch
-// and traces go to. (DESIGN 16)
+// Package plan computes the impact of a change before the change is made. It covers the capacity of
+// services by zone, the contracts at risk, the control plane nodes that sidecars watch, and the
+// control plane nodes that collect traces. Package plan itself changes nothing. (DESIGN 16)
 package plan
--- a/internal/plan/fleet.go
+++ b/internal/plan/fleet.go
@@ -7,7 +7,8 @@
 	"curlewwalk/internal/membership"
 )
 
-// fleet is the whole system before or after a change. It is a value: a change makes a new one.
+// fleet is the state of the whole system before or after a change. A fleet is never modified: a
+// change returns a new one.
 type fleet struct {
 	configuration  config.Configuration
 	evacuatedZones []string
@@ -15,7 +16,7 @@
 	replicas       []membership.Replica
 }
 
-// newFleet is the fleet of a snapshot. The violations are those of its configuration.
+// newFleet returns the fleet of a snapshot, or the violations of the configuration of the snapshot.
 func newFleet(s Snapshot) (f fleet, violations []config.FieldViolation) {
 	f = fleet{evacuatedZones: s.EvacuatedZones, nodes: s.Nodes, replicas: s.Replicas}
 	if s.Configuration != "" {
@@ -24,7 +25,7 @@
 	return f, violations
 }
 
-// with is the fleet after a change. The violations are those of the change.
+// with returns the fleet after a change, or the violations of the change.
 func (f fleet) with(c Change) (changed fleet, violations []config.FieldViolation) {
 	changed = f
 	if c.Configuration != nil {
@@ -47,7 +48,7 @@
 	return changed, violations
 }
 
-// withEvacuated is the fleet with one more zone evacuated.
+// withEvacuated returns the fleet with an additional evacuated zone.
 func (f fleet) withEvacuated(zone string) fleet {
 	f.evacuatedZones = append(slices.Clone(f.evacuatedZones), zone)
 	return f
@@ -61,7 +62,8 @@
 	return slices.ContainsFunc(f.replicas, func(r membership.Replica) bool { return r.Addr == addr })
 }
 
-// parseConfiguration parses and validates a document; source is where one that is no JSON came from.
+// parseConfiguration parses and validates a document. source is the path of the violation that
+// reports a document that is not JSON.
 func parseConfiguration(document []byte, source string) (config.Configuration, []config.FieldViolation) {
 	configuration, violations, ok := config.Parse(document)
 	if !ok {
--- a/internal/plan/impact.go
+++ b/internal/plan/impact.go
@@ -9,10 +9,10 @@
 	"curlewwalk/internal/maintenance"
 )
 
-// Impact is what a change would affect.
+// Impact is the impact of a change.
 type Impact struct {
-	// Routes, Contracts and Services list what is new, changed or gone in the configuration;
-	// Limits tells whether its limits change.
+	// Routes, Contracts and Services list the new, changed and gone items of the configuration.
+	// Limits reports whether the limits of the configuration change.
 	Routes    []string `json:"ways"`
 	Contracts []string `json:"contracts"`
 	Services  []string `json:"services,omitempty"`
@@ -27,19 +27,20 @@
 	MovedTraces float64 `json:"collectors"`
 	// AtRisk lists the contracts that may be violated.
 	AtRisk []Risk `json:"at_risk"`
-	// Windows are the upcoming maintenance windows, and what each affects after the change. They
-	// are shown for information, and are no impact of the change.
+	// Windows lists the upcoming maintenance windows and the impact of each window after the
+	// change. The windows are shown for information. They do not count as an impact of the change.
 	Windows []WindowImpact `json:"windows,omitempty"`
 }
 
-// WindowImpact is what a maintenance window affects.
+// WindowImpact is the impact of a maintenance window.
 type WindowImpact struct {
 	maintenance.Occurrence
 	Capacities []CapacityChange `json:"capacity"`
 	AtRisk     []Risk           `json:"at_risk"`
 }
 
-// CapacityChange is how many requests a service can run at once in a zone.
+// CapacityChange is the change of the number of requests that a service can run concurrently in a
+// zone.
 type CapacityChange struct {
 	Service string `json:"service"`
 	Zone    string `json:"locality"`
@@ -47,26 +48,27 @@
 	After   int    `json:"after"`
 }
 
-// Reassignment is something that goes from one control plane node to another, by their addresses.
+// Reassignment is a change of the control plane node that a subject is assigned to. From and To are
+// addresses.
 type Reassignment struct {
 	Subject string `json:"what"`
 	From    string `json:"from"`
 	To      string `json:"to"`
 }
 
-// Risk is a contract that may be violated, and why.
+// Risk is a contract that may be violated, with the reason.
 type Risk struct {
 	Contract string `json:"contract"`
 	Reason   string `json:"why"`
 }
 
-// HasChanges tells whether the change affects anything.
+// HasChanges reports whether the change has any impact.
 func (i Impact) HasChanges() bool {
 	lists := len(i.Routes) + len(i.Contracts) + len(i.Services) + len(i.Capacities) + len(i.Watchers) + len(i.AtRisk)
 	return lists > 0 || i.Limits || i.Coordinator != nil || i.MovedTraces > 0
 }
 
-// String is the impact as text, one line for each thing that is affected.
+// String returns the impact as text, with one line per item.
 func (i Impact) String() string {
 	var b strings.Builder
 	i.printConfiguration(&b)
--- a/internal/plan/snapshot.go
+++ b/internal/plan/snapshot.go
@@ -5,16 +5,17 @@
 	"curlewwalk/internal/membership"
 )
 
-// Snapshot is the state that a change is assessed against, from a live control plane node or from
-// a file.
+// Snapshot is the state of the system against which a change is assessed. It comes from a live
+// control plane node or from a file.
 type Snapshot struct {
-	// Configuration is the JSON document of a config.Configuration; empty: none was put.
+	// Configuration is the JSON document of a config.Configuration. It is empty if no configuration
+	// was submitted.
 	Configuration  string   `json:"desired"`
 	EvacuatedZones []string `json:"emptied"`
-	// Nodes are the sidecars, with their backends.
+	// Nodes lists the sidecars with their backends.
 	Nodes []membership.Node `json:"nodes"`
-	// Replicas are the control plane's, sorted by member ID.
+	// Replicas lists the replicas of the control plane, sorted by member ID.
 	Replicas []membership.Replica `json:"cores"`
-	// Windows are the upcoming maintenance windows.
+	// Windows lists the upcoming maintenance windows.
 	Windows []maintenance.Occurrence `json:"windows,omitempty"`
 }
--- a/internal/rendezvous/score.go
+++ b/internal/rendezvous/score.go
@@ -1,9 +1,9 @@
-// Package rendezvous ranks nodes for a key by rendezvous (highest random weight)
-// hashing: each key has its own order of the nodes, and a node that comes or goes
-// moves only the keys that rank it first.
+// Package rendezvous ranks nodes for a key by rendezvous (highest random weight) hashing. Each key
+// has its own order of the nodes. Adding or removing a node moves only the keys that rank the node
+// first.
 //
-// Scores are part of the protocol between nodes: two nodes that score differently
-// disagree on ports and on shares of retry budgets. (DESIGN 13)
+// Scores are part of the protocol between nodes. Two nodes that compute different scores disagree
+// on ports and on shares of retry budgets. (DESIGN 13)
 package rendezvous
 
 import (
@@ -12,7 +12,7 @@
 	"slices"
 )
 
-// Score is the weight of a node for a key; the highest is ranked first.
+// Score returns the weight of a node for a key. The node with the highest score ranks first.
 func Score(key, node string) uint64 {
 	hash := fnv.New64a()
 	hash.Write([]byte(key))
@@ -21,8 +21,8 @@
 	return mixBits(hash.Sum64())
 }
 
-// mixBits mixes the bits of an FNV sum, whose last bytes would otherwise hardly
-// reach the high bits: it is the finalizer of MurmurHash3.
+// mixBits mixes the bits of an FNV sum by the finalizer of MurmurHash3. Without it, the last bytes
+// of the input would hardly affect the high bits of the score.
 func mixBits(sum uint64) uint64 {
 	sum ^= sum >> 33
 	sum *= 0xff51afd7ed558ccd
@@ -32,8 +32,8 @@
 	return sum
 }
 
-// Rank returns the nodes sorted for a key, the first choice first. Nodes of equal
-// score are sorted by name.
+// Rank returns the nodes sorted by descending score for a key. Nodes of equal score are sorted by
+// name.
 func Rank[T any](key string, nodes []T, name func(T) string) []T {
 	ranked := slices.Clone(nodes)
 	slices.SortFunc(ranked, func(a, b T) int {
--- a/internal/rendezvous/score_test.go
+++ b/internal/rendezvous/score_test.go
@@ -8,9 +8,9 @@
 
 func name(node string) string { return node }
 
-// Scores are what they were in earlier versions: nodes of several versions must
-// agree on them while a system is restarted in turn.
-func TestScoresStay(t *testing.T) {
+// Scores are the same as in earlier versions. Nodes of different versions must agree on scores
+// during a rolling restart.
+func TestScoresAreStable(t *testing.T) {
 	for _, want := range []struct {
 		key, node string
 		score     uint64
@@ -20,14 +20,14 @@
 		{"10.0.0.1:7400", "10.0.0.2:7400", 0xa90e24636b72369},
 	} {
 		if got := Score(want.key, want.node); got != want.score {
-			t.Errorf("%q, %q scores %#x, not %#x", want.key, want.node, got, want.score)
+			t.Errorf("key %q, node %q: got score %#x, want %#x", want.key, want.node, got, want.score)
 		}
 	}
 }
 
-// A node that leaves moves only what ranked it first, and each node is first for
-// its share of the keys.
-func TestLossMovesOnlyItsOwn(t *testing.T) {
+// Removing a node leaves the order of the other nodes unchanged for every key, so only the keys
+// that ranked the node first move. Each node ranks first for about the same number of keys.
+func TestRemovalMovesOnlyKeysOfRemovedNode(t *testing.T) {
 	const keys, nodes = 3000, 6
 	var all []string
 	for i := range nodes {
@@ -42,12 +42,12 @@
 		after := Rank(key, rest, name)
 		first[before[0]]++
 		if !slices.Equal(after, slices.DeleteFunc(before, func(n string) bool { return n == removed })) {
-			t.Fatalf("%s: the others' order changed", key)
+			t.Fatalf("%s: the order of the remaining nodes changed", key)
 		}
 	}
 	for _, node := range all {
 		if got := first[node]; got < keys/nodes*4/5 || got > keys/nodes*6/5 {
-			t.Errorf("%s is first for %d of %d keys", node, got, keys)
+			t.Errorf("node %s ranks first for %d of %d keys, want about a sixth", node, got, keys)
 		}
 	}
 }
--- a/internal/tracestore/doc.go
+++ b/internal/tracestore/doc.go
@@ -1,6 +1,7 @@
-// Package tracestore collects the events of finished spans on a control plane node, and builds the
+// Package tracestore stores the events of finished spans on a control plane node and builds the
 // tree of a trace from them. (DESIGN 2.6)
 //
-// A sidecar publishes each trace to the live replica of its zone that ranks first for the trace ID,
-// so the events of one trace may be on several replicas; whoever reads a trace asks all of them.
+// A sidecar publishes each trace to the live replica of its zone that ranks first for the trace ID.
+// The events of one trace may therefore be on several replicas, and a reader of a trace must query
+// all of them.
 package tracestore
--- a/internal/tracestore/store.go
+++ b/internal/tracestore/store.go
@@ -9,47 +9,48 @@
 	"curlewwalk/internal/transport"
 )
 
-// The kinds of requests that a Store serves.
+// Kinds of requests that a Store handles.
 const (
 	KindPublish = "publish"
 	KindTrace   = "trace"
 )
 
-// Batch is a number of events: what a sidecar publishes at once, and the response to a Query.
+// Batch is a list of events. A sidecar publishes events in batches. A Batch is also the response to
+// a Query.
 type Batch struct {
 	Events []trace.Event `msgpack:"e"`
 }
 
 // PublishReply is the response to a published Batch.
 type PublishReply struct {
-	// Stored is how many events were received.
+	// Stored is the number of received events.
 	Stored int `msgpack:"n"`
 }
 
-// Query asks a replica for the events that it has of a trace.
+// Query requests the events of a trace that a replica stores.
 type Query struct {
 	Trace trace.TraceID `msgpack:"t"`
 }
 
-// Store holds the events of the newest traces, in bounded memory. Its table is owned by the
-// goroutine of Run; nothing is answered before Run is called.
+// Store holds the events of the newest traces in bounded memory. The goroutine of Run owns the
+// table of the store. Requests block until Run is called or their context ends.
 type Store struct {
 	batches chan []trace.Event
 	lookups chan lookup
 }
 
-// lookup asks Run's goroutine for the events of a trace.
+// lookup requests the events of a trace from the goroutine of Run.
 type lookup struct {
 	id       trace.TraceID
 	response chan []trace.Event
 }
 
-// NewStore makes an empty store.
+// NewStore returns an empty store.
 func NewStore() *Store {
 	return &Store{batches: make(chan []trace.Event), lookups: make(chan lookup)}
 }
 
-// Run serves the store until ctx ends.
+// Run processes the requests to the store until ctx ends.
 func (s *Store) Run(ctx context.Context) {
 	table := newTraceTable()
 	for {
@@ -64,14 +65,14 @@
 	}
 }
 
-// The errors that a Batch or a Query may be answered with. Their texts are part of the protocol.
+// Error replies to a Batch or a Query. Their texts are part of the protocol.
 var (
 	errNotBatch = errors.New("not a batch")
 	errNotQuery = errors.New("not a query")
 	errStopping = errors.New("stopping")
 )
 
-// HandlePublish handles a Batch with a PublishReply.
+// HandlePublish stores a Batch and replies with a PublishReply.
 func (s *Store) HandlePublish(ctx context.Context, request transport.Request) (any, error) {
 	var batch Batch
 	if !request.Decode(&batch) {
@@ -85,7 +86,7 @@
 	}
 }
 
-// HandleQuery handles a Query with a Batch.
+// HandleQuery replies to a Query with a Batch.
 func (s *Store) HandleQuery(ctx context.Context, request transport.Request) (any, error) {
 	var query Query
 	if !request.Decode(&query) {
--- a/internal/tracestore/table.go
+++ b/internal/tracestore/table.go
@@ -3,17 +3,17 @@
 import "curlewwalk/internal/trace"
 
 const (
-	// maxTraces bounds the traces that are kept.
-	maxTraces = 20000 // (ours)
-	// maxEvents bounds the events that are kept of one trace; later ones are dropped.
-	maxEvents = 2000 // (ours)
+	// maxTraces bounds the number of stored traces.
+	maxTraces = 20000
+	// maxEvents bounds the number of stored events of one trace. Later events are dropped.
+	maxEvents = 2000
 )
 
-// traceTable has the events of the newest traces. Beyond maxTraces, the trace whose first event
-// came first is evicted.
+// traceTable stores the events of the newest traces. If there are more than maxTraces traces, it
+// evicts the trace whose first event arrived earliest.
 type traceTable struct {
 	byID map[trace.TraceID][]trace.Event
-	// order has the traces in the order of their first events.
+	// order lists the traces in the order in which their first events arrived.
 	order []trace.TraceID
 }
 
@@ -21,7 +21,7 @@
 	return &traceTable{byID: map[trace.TraceID][]trace.Event{}}
 }
 
-// add stores a batch of events.
+// add stores a batch of events and evicts the oldest traces beyond maxTraces.
 func (t *traceTable) add(batch []trace.Event) {
 	for _, event := range batch {
 		t.addEvent(event)
--- a/internal/tracestore/table_test.go
+++ b/internal/tracestore/table_test.go
@@ -6,7 +6,7 @@
 	"curlewwalk/internal/trace"
 )
 
-// The table keeps the newest traces, and of each the first events.
+// The table keeps the newest maxTraces traces, and the first maxEvents events of each trace.
 func TestTableIsBounded(t *testing.T) {
 	event := func(traceID, span trace.ID) trace.Event {
 		return trace.Event{Trace: trace.TraceID{Lo: traceID}, Span: span}
@@ -18,11 +18,11 @@
 			table.add([]trace.Event{event(id, 1)})
 		}
 		if len(table.byID) != maxTraces || len(table.order) != maxTraces {
-			t.Errorf("%d traces, %d in order", len(table.byID), len(table.order))
+			t.Errorf("got %d traces by ID and %d in order, want maxTraces", len(table.byID), len(table.order))
 		}
 		for id := range trace.ID(maxTraces + extra) {
 			if _, kept := table.byID[trace.TraceID{Lo: id}]; kept != (id >= extra) {
-				t.Errorf("trace %d of %d: kept is %v", id, maxTraces+extra, kept)
+				t.Errorf("trace %d of %d: got kept %v, want the opposite", id, maxTraces+extra, kept)
 			}
 		}
 	})
@@ -33,7 +33,7 @@
 		}
 		events := table.byID[trace.TraceID{Lo: 1}]
 		if len(events) != maxEvents || events[len(events)-1].Span != maxEvents-1 {
-			t.Errorf("%d events", len(events))
+			t.Errorf("got %d events, want the first maxEvents", len(events))
 		}
 	})
 }
--- a/internal/tracestore/tree.go
+++ b/internal/tracestore/tree.go
@@ -7,22 +7,22 @@
 	"curlewwalk/internal/trace"
 )
 
-// Tree is a trace as GET /v1/traces/{id} shows it. A span whose parent is unknown is a root.
+// Tree is the JSON response to GET /v1/traces/{id}. A span whose parent is unknown is a root.
 type Tree struct {
 	Trace string `json:"trace"`
 	Spans int    `json:"spans"`
-	// Complete tells whether all spans have all their events, and their parents.
+	// Complete is true if all spans have all their events and parents, and all replicas answered.
 	Complete bool        `json:"whole"`
 	Roots    []*SpanNode `json:"roots"`
-	// Unreachable has the member IDs of the replicas that did not answer.
+	// Unreachable lists the member IDs of the replicas that did not answer.
 	Unreachable []int `json:"unasked,omitempty"`
 }
 
-// SpanNode is one span with its children, each list in the order of the logical counters.
+// SpanNode is one span with its events and children, both in the order of the logical counters.
 type SpanNode struct {
 	Span   string `json:"span"`
 	Parent string `json:"parent,omitempty"`
-	// ParentMissing is set when the parent is not among the spans.
+	// ParentMissing is set if the tree does not contain the parent.
 	ParentMissing bool        `json:"parent_missing,omitempty"`
 	Route         string      `json:"way,omitempty"`
 	Service       string      `json:"service,omitempty"`
@@ -30,7 +30,7 @@
 	Link          trace.Link  `json:"link,omitempty"`
 	Candidates    []string    `json:"candidates,omitempty"`
 	Events        []EventView `json:"events"`
-	// Missing has the kinds of the events that the span should have, and has not.
+	// Missing lists the kinds of the events that the span should have but does not.
 	Missing  []string    `json:"missing,omitempty"`
 	Children []*SpanNode `json:"children,omitempty"`
 }
@@ -41,18 +41,19 @@
 	Node string     `json:"node"`
 	// Counter is the logical clock at the event.
 	Counter uint64 `json:"counter"`
-	// SinceStart is the time since the node's start, by its own clock.
+	// SinceStart is the time since the start of the node, by the clock of the node.
 	SinceStart string `json:"since_start"`
 	Instance   string `json:"instance,omitempty"`
 	Status     int    `json:"status,omitempty"`
 	Outcome    string `json:"outcome,omitempty"`
 	Reason     string `json:"reason,omitempty"`
-	// Attempt is the number of the attempt, from 1; zero before any.
+	// Attempt is the number of the attempt, from 1. It is zero before the first attempt.
 	Attempt int `json:"leg,omitempty"`
 }
 
-// BuildTree puts a tree together from events in any order, which it sorts in place. The order of
-// the tree comes from the spans' parents and the logical counters, never from clocks.
+// BuildTree builds the tree of a trace from events in any order. It sorts the events in place. The
+// order of the tree depends on the parents of the spans and on the logical counters, never on
+// clocks.
 func BuildTree(id trace.TraceID, events []trace.Event) Tree {
 	slices.SortStableFunc(events, func(a, b trace.Event) int { return cmp.Compare(a.Counter, b.Counter) })
 	spans := groupSpans(events)
@@ -74,15 +75,15 @@
 	return tree
 }
 
-// spanTable has spans by their IDs.
+// spanTable holds spans and their parents by span ID.
 type spanTable struct {
 	nodes   map[trace.ID]*SpanNode
 	parents map[trace.ID]trace.ID
-	// order has the spans in the order of their first events.
+	// order lists the spans in the order of their first events.
 	order []trace.ID
 }
 
-// groupSpans groups sorted events by span.
+// groupSpans groups events by span. The events must be sorted by their logical counters.
 func groupSpans(events []trace.Event) spanTable {
 	spans := spanTable{nodes: map[trace.ID]*SpanNode{}, parents: map[trace.ID]trace.ID{}}
 	for _, event := range events {
@@ -98,7 +99,8 @@
 	return spans
 }
 
-// addEvent adds an event; what it says of the span counts unless an earlier one has said it.
+// addEvent adds an event to the span. A property of the span is taken from the first event that has
+// it.
 func (n *SpanNode) addEvent(e trace.Event) {
 	n.Route = cmp.Or(n.Route, e.Route)
 	n.Service = cmp.Or(n.Service, e.Service)
@@ -115,8 +117,8 @@
 	})
 }
 
-// findMissing lists the events that the span should have. A call that ended before any attempt
-// reached no server.
+// findMissing records the kinds of events that are missing in the span. A call that ended before
+// its first attempt has no server events.
 func (n *SpanNode) findMissing() {
 	has := map[trace.Kind]bool{}
 	attempted := true
@@ -127,8 +129,8 @@
 		}
 	}
 	for _, kind := range []trace.Kind{trace.ClientStart, trace.ServerReceive, trace.ServerSend, trace.ClientReceive} {
-		ofServer := kind == trace.ServerReceive || kind == trace.ServerSend
-		if !has[kind] && (attempted || !ofServer) {
+		isServerEvent := kind == trace.ServerReceive || kind == trace.ServerSend
+		if !has[kind] && (attempted || !isServerEvent) {
 			n.Missing = append(n.Missing, string(kind))
 		}
 	}
--- a/internal/tracestore/tree_test.go
+++ b/internal/tracestore/tree_test.go
@@ -8,8 +8,8 @@
 	"curlewwalk/internal/trace"
 )
 
-// testEvents are the events of a root with two children, each on its own node, in the order of the
-// logical counter.
+// testEvents returns the events of a root span with two child spans, each served by a node of its
+// own, in the order of the logical counters.
 func testEvents() []trace.Event {
 	t := trace.TraceID{Lo: 9}
 	at := func(span, parent trace.ID, kind trace.Kind, counter uint64, node string) trace.Event {
@@ -23,8 +23,8 @@
 	}
 }
 
-// Clocks that are skewed by hours either way, and events that come in any order, change nothing in
-// the tree.
+// The tree depends neither on the clocks of the nodes, which may be skewed by hours in either
+// direction, nor on the order in which events arrive.
 func TestSkewedClocks(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -39,31 +39,31 @@
 		rng.Shuffle(len(events), func(i, j int) { events[i], events[j] = events[j], events[i] })
 		tr := BuildTree(trace.TraceID{Lo: 9}, events)
 		if !tr.Complete || tr.Spans != 3 || len(tr.Roots) != 1 || len(tr.Roots[0].Children) != 2 {
-			t.Fatalf("seed %d: %+v", seed, tr)
+			t.Fatalf("seed %d: got %+v, want a complete tree with one root and two children", seed, tr)
 		}
 		root := tr.Roots[0]
 		for i, want := range []string{trace.ID(2).String(), trace.ID(3).String()} {
 			if root.Children[i].Span != want {
-				t.Errorf("seed %d: child %d is %s", seed, i, root.Children[i].Span)
+				t.Errorf("seed %d: child %d is span %s, in the wrong order", seed, i, root.Children[i].Span)
 			}
 		}
 		for _, n := range append(root.Children, root) {
 			for i, k := range []trace.Kind{trace.ClientStart, trace.ServerReceive, trace.ServerSend, trace.ClientReceive} {
 				if n.Events[i].Kind != k {
-					t.Errorf("seed %d: span %s has %+v", seed, n.Span, n.Events)
+					t.Errorf("seed %d: span %s has events in the wrong order: %+v", seed, n.Span, n.Events)
 				}
 			}
 		}
 	}
 }
 
-// A tree without any one event, or without a span, is not complete.
-func TestMissingIsMarked(t *testing.T) {
+// A tree that lacks a single event or a whole span is marked as incomplete.
+func TestIncompleteTrees(t *testing.T) {
 	all := testEvents()
 	for i := range all {
 		events := append(append([]trace.Event{}, all[:i]...), all[i+1:]...)
 		if tr := BuildTree(trace.TraceID{Lo: 9}, events); tr.Complete {
-			t.Errorf("without event %d the tree counts as complete", i)
+			t.Errorf("got a complete tree without event %d, want an incomplete one", i)
 		}
 	}
 	var events []trace.Event
@@ -74,6 +74,6 @@
 	}
 	tr := BuildTree(trace.TraceID{Lo: 9}, events)
 	if tr.Complete || len(tr.Roots) != 2 || !tr.Roots[0].ParentMissing {
-		t.Errorf("without the root: %+v", tr)
+		t.Errorf("without the root span: got %+v, want an incomplete tree with two roots", tr)
 	}
 }
