--- a/internal/controlplane/api.go
+++ b/internal/controlplane/api.go
@@ -6,7 +6,8 @@
 	"curlewwalk/internal/controlplane/consensus"
 )
 
-// apiHandler serves a node's /v1, /metrics, /live and /ready. docs/OPERATING.md describes each.
+// apiHandler returns the HTTP handler of the /v1 API, /metrics, /live and /ready.
+// docs/OPERATING.md describes each endpoint.
 func (n *Node) apiHandler() http.Handler {
 	mux := http.NewServeMux()
 	n.process.RegisterCommon(mux, n.live, n.Ready)
--- a/internal/controlplane/api_calendar.go
+++ b/internal/controlplane/api_calendar.go
@@ -11,20 +11,20 @@
 	"curlewwalk/internal/process"
 )
 
-// upcomingSpan is how far ahead upcoming maintenance windows are shown.
-const upcomingSpan = 7 * 24 * time.Hour // (ours)
+// upcomingSpan is how far ahead GET /v1/windows lists maintenance windows.
+const upcomingSpan = 7 * 24 * time.Hour
 
-// windowsResponse is what GET /v1/windows shows.
+// windowsResponse is the JSON response to GET /v1/windows.
 type windowsResponse struct {
 	Revision uint64    `json:"stamp"`
 	Now      time.Time `json:"now"`
-	// Begun are the windows that the control state records as begun and not ended.
+	// Begun lists the windows that the control state records as begun and not yet ended.
 	Begun []config.ZoneClosure `json:"noted"`
-	// Upcoming are the windows of the next week, and those that are active.
+	// Upcoming lists the windows that are active now or begin within upcomingSpan.
 	Upcoming []maintenance.Occurrence `json:"coming"`
 }
 
-// parseCalendar reads a stored calendar; an empty one has no windows.
+// parseCalendar parses a stored calendar. An empty document has no windows and no violations.
 func parseCalendar(calendar []byte) (maintenance.Calendar, []config.FieldViolation) {
 	if len(calendar) == 0 {
 		return maintenance.Calendar{}, nil
@@ -32,7 +32,7 @@
 	return maintenance.Parse(calendar)
 }
 
-// putCalendar serves PUT /v1/windows.
+// putCalendar handles PUT /v1/windows.
 func (n *Node) putCalendar(w http.ResponseWriter, r *http.Request) {
 	body, ok := readBody(w, r, "calendar", "line 1", maintenance.MaxBytes)
 	if !ok {
@@ -45,7 +45,7 @@
 	n.replaceCalendar(w, r, body)
 }
 
-// deleteCalendar serves DELETE /v1/windows.
+// deleteCalendar handles DELETE /v1/windows.
 func (n *Node) deleteCalendar(w http.ResponseWriter, r *http.Request) { n.replaceCalendar(w, r, nil) }
 
 func (n *Node) replaceCalendar(w http.ResponseWriter, r *http.Request, calendar []byte) {
@@ -55,8 +55,8 @@
 	}
 }
 
-// getCalendar serves GET /v1/windows: the calendar as it was sent if text/calendar is accepted, or
-// else its windows.
+// getCalendar handles GET /v1/windows. If the client accepts text/calendar, the response is the
+// calendar file as the operator submitted it. Otherwise the response lists its windows as JSON.
 func (n *Node) getCalendar(w http.ResponseWriter, r *http.Request) {
 	state, ok := n.readState(w, r)
 	if !ok {
@@ -68,9 +68,9 @@
 		w.Write(state.Calendar)
 		return
 	}
-	calendar, _ := parseCalendar(state.Calendar) // it was valid when it was put
+	calendar, _ := parseCalendar(state.Calendar) // the calendar was validated before it was committed
 	now := n.cluster.medianWallClock()
-	// Both lists are empty ones in JSON, not null.
+	// An empty list is encoded as [] instead of null.
 	process.JSON(w, http.StatusOK, windowsResponse{
 		Revision: state.CalendarRevision,
 		Now:      now,
--- a/internal/controlplane/api_configuration.go
+++ b/internal/controlplane/api_configuration.go
@@ -9,7 +9,7 @@
 	"curlewwalk/internal/process"
 )
 
-// putConfiguration serves PUT /v1/desired.
+// putConfiguration handles PUT /v1/desired.
 func (n *Node) putConfiguration(w http.ResponseWriter, r *http.Request) {
 	body, ok := readBody(w, r, "configuration", "$", config.MaxBytes)
 	if !ok {
@@ -34,8 +34,8 @@
 	n.writeResult(w, r, result)
 }
 
-// parseGeneration reads the operator's number of a configuration; zero if there is none. If the
-// header is malformed, it writes the response and returns false.
+// parseGeneration reads the generation header of a request. It returns zero if there is none. If
+// the header is malformed, parseGeneration writes an error response and returns false.
 func parseGeneration(w http.ResponseWriter, r *http.Request) (generation uint64, ok bool) {
 	header := r.Header.Get(headerGeneration)
 	if header == "" {
@@ -49,7 +49,7 @@
 	return generation, true
 }
 
-// getConfiguration serves GET /v1/desired.
+// getConfiguration handles GET /v1/desired.
 func (n *Node) getConfiguration(w http.ResponseWriter, r *http.Request) {
 	state, ok := n.readState(w, r)
 	if !ok {
--- a/internal/controlplane/api_response.go
+++ b/internal/controlplane/api_response.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// headerRevision carries the revision of what is read or written.
+	// headerRevision carries the revision of the document that is read or written.
 	headerRevision = "Curlewwalk-Stamp"
-	// headerGeneration carries the operator's own number of a configuration.
+	// headerGeneration carries the generation, the number that the operator gives a configuration.
 	headerGeneration = "Curlewwalk-Edition"
 )
 
@@ -21,32 +21,32 @@
 type writeResponse struct {
 	Revision uint64            `json:"stamp,omitempty"`
 	Result   consensus.Outcome `json:"taken"`
-	// Applied tells whether every sidecar that this replica knows of has applied the revision;
-	// Behind lists those that have not.
+	// Applied is true if every sidecar known to this replica has applied the revision. Behind lists
+	// the sidecars that have not applied it.
 	Applied *bool    `json:"in_force,omitempty"`
 	Behind  []string `json:"behind,omitempty"`
 	Error   string   `json:"error,omitempty"`
 }
 
-// validationError is the response to a document that is not valid.
+// validationError is the response to an invalid document.
 type validationError struct {
-	Error  string                  `json:"error"`
-	Faults []config.FieldViolation `json:"faults"`
+	Error      string                  `json:"error"`
+	Violations []config.FieldViolation `json:"faults"`
 }
 
-// writeViolations rejects a document that is not valid.
+// writeViolations rejects an invalid document with status 422.
 func writeViolations(w http.ResponseWriter, message string, violations ...config.FieldViolation) {
-	process.JSON(w, http.StatusUnprocessableEntity, validationError{Error: message, Faults: violations})
+	process.JSON(w, http.StatusUnprocessableEntity, validationError{Error: message, Violations: violations})
 }
 
-// writeUnavailable sends an operator to another replica.
+// writeUnavailable responds with status 503, so that the client retries at another replica.
 func writeUnavailable(w http.ResponseWriter, message string) {
 	w.Header().Set("Retry-After", "1")
 	process.Error(w, http.StatusServiceUnavailable, message)
 }
 
-// readBody reads a document of at most maxBytes. If it can't, it writes the response and returns
-// false; path is where a violation of the size is reported.
+// readBody reads a request body of at most maxBytes. On failure, it writes an error response and
+// returns false. path is the path of the violation that reports a body over the limit.
 func readBody(w http.ResponseWriter, r *http.Request, document, path string, maxBytes int64) ([]byte, bool) {
 	body, err := process.ReadDocument(w, r, maxBytes)
 	switch {
@@ -60,8 +60,8 @@
 	return nil, false
 }
 
-// parseIfMatch reads the revision that a command is bound to; nil if it is bound to none. If the
-// header is malformed, it writes the response and returns false.
+// parseIfMatch reads the revision that the If-Match header requires. It returns nil if there is no
+// header. If the header is malformed, parseIfMatch writes an error response and returns false.
 func parseIfMatch(w http.ResponseWriter, r *http.Request) (revision *uint64, ok bool) {
 	header := r.Header.Get("If-Match")
 	if header == "" {
@@ -75,8 +75,8 @@
 	return &parsed, true
 }
 
-// writeResult responds to a command that was submitted. One that was committed is waited for until
-// the sidecars have applied it, for a bounded time.
+// writeResult writes the response to a submitted command. If the command was committed, writeResult
+// first waits, for a bounded time, until the sidecars have applied its revision.
 func (n *Node) writeResult(w http.ResponseWriter, r *http.Request, result consensus.CommandResult) {
 	response := writeResponse{Result: result.Outcome, Revision: result.State.Revision}
 	status := http.StatusOK
@@ -103,14 +103,15 @@
 	process.JSON(w, status, response)
 }
 
+// setRevisionHeaders sets the revision header and the entity tag of a response.
 func setRevisionHeaders(w http.ResponseWriter, revision uint64) {
 	text := strconv.FormatUint(revision, 10)
 	w.Header().Set(headerRevision, text)
 	w.Header().Set("ETag", `"`+text+`"`)
 }
 
-// readState reads the newest committed control state. If no majority answers, it writes the
-// response and returns false.
+// readState reads the newest committed control state. If no majority answers, readState writes an
+// error response and returns false.
 func (n *Node) readState(w http.ResponseWriter, r *http.Request) (config.ControlState, bool) {
 	state, ok := n.QuorumRead(r.Context())
 	if !ok {
--- a/internal/controlplane/api_state.go
+++ b/internal/controlplane/api_state.go
@@ -12,24 +12,24 @@
 	"curlewwalk/internal/watch"
 )
 
-// stateResponse is what GET /v1/state shows.
+// stateResponse is the JSON response to GET /v1/state.
 type stateResponse struct {
 	Self     membership.Replica `json:"self"`
 	Phase    consensus.Phase    `json:"phase"`
 	Promised uint64             `json:"promised"`
-	// Position is that of the control state that this replica has accepted.
+	// Position is the position of the control state that this replica has accepted.
 	Position consensus.Position   `json:"mark"`
 	Members  consensus.MemberSets `json:"slots"`
-	// MemberRecords are the highest known incarnations, by member ID.
+	// MemberRecords holds the highest known incarnation of each member, by member ID.
 	MemberRecords map[int]consensus.MemberRecord `json:"incarnations"`
 	Coordinator   int                            `json:"duty"`
 	Replicas      []membership.Replica           `json:"cores"`
-	// Live has the member IDs of the other replicas that are live.
+	// Live lists the member IDs of the other replicas that are live.
 	Live  []int        `json:"live"`
 	Watch watch.Status `json:"directory"`
 }
 
-// getState serves GET /v1/state.
+// getState handles GET /v1/state.
 func (n *Node) getState(w http.ResponseWriter, r *http.Request) {
 	acceptor, replicas := n.replica.Acceptor(), n.discovery.Replicas()
 	state := stateResponse{
@@ -49,8 +49,8 @@
 	process.JSON(w, http.StatusOK, state)
 }
 
-// getBudgets serves GET /v1/budgets: the retry budgets, summed over the sidecars that this replica
-// knows of.
+// getBudgets handles GET /v1/budgets. The response holds the retry budgets, summed over the
+// sidecars known to this replica.
 func (n *Node) getBudgets(w http.ResponseWriter, r *http.Request) {
 	status, ok := n.watchServer.Status(r.Context())
 	table, valid := routing.NewTable(status.ControlState)
--- a/internal/controlplane/api_test.go
+++ b/internal/controlplane/api_test.go
@@ -13,7 +13,7 @@
 	"curlewwalk/internal/controlplane/consensus"
 )
 
-// A command may be bound to a revision, with or without quotation marks.
+// The If-Match header accepts a revision with or without quotation marks and rejects other values.
 func TestParseIfMatch(t *testing.T) {
 	seven := uint64(7)
 	for _, c := range []struct {
@@ -39,7 +39,7 @@
 	}
 }
 
-// An operator's own number of a configuration is from 1 up, if it is given.
+// The generation header is optional. A generation is a decimal number of at least 1.
 func TestParseGeneration(t *testing.T) {
 	for _, c := range []struct {
 		name, header string
@@ -47,10 +47,10 @@
 		status       int
 	}{
 		{"no header", "", 0, http.StatusOK},
-		{"a number", "7", 7, http.StatusOK},
+		{"number", "7", 7, http.StatusOK},
 		{"zero", "0", 0, http.StatusBadRequest},
 		{"negative", "-1", 0, http.StatusBadRequest},
-		{"no number", "seven", 0, http.StatusBadRequest},
+		{"not a number", "seven", 0, http.StatusBadRequest},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w, r := httptest.NewRecorder(), httptest.NewRequest(http.MethodPut, "/v1/desired", nil)
@@ -63,8 +63,8 @@
 	}
 }
 
-// A command that was not committed gets the status of what is known of it: final only if it can
-// never be committed as it is, and otherwise one after which to retry.
+// The status of a command that was not committed is final only if the same command can never be
+// committed. In all other cases the status is 503 with a Retry-After header.
 func TestWriteResult(t *testing.T) {
 	state := config.ControlState{Revision: 9, ConfigurationRevision: 4}
 	for _, c := range []struct {
@@ -78,7 +78,7 @@
 		{consensus.OutcomeSuperseded, http.StatusServiceUnavailable, 9, "1"},
 		{consensus.OutcomeRejected, http.StatusServiceUnavailable, 9, "1"},
 		{consensus.OutcomeUnknown, http.StatusServiceUnavailable, 9, "1"},
-		{"of a later version", http.StatusServiceUnavailable, 9, "1"},
+		{"outcome of a later version", http.StatusServiceUnavailable, 9, "1"},
 	} {
 		t.Run(string(c.outcome), func(t *testing.T) {
 			w, r := httptest.NewRecorder(), httptest.NewRequest(http.MethodPut, "/v1/desired", nil)
@@ -91,13 +91,13 @@
 				t.Errorf("status %d, Retry-After %q; want %d, %q", w.Code, w.Header().Get("Retry-After"), c.status, c.retryAfter)
 			}
 			if response.Result != c.outcome || response.Revision != c.revision || response.Error == "" || response.Applied != nil {
-				t.Errorf("%+v, want revision %d and an error", response, c.revision)
+				t.Errorf("got response %+v, want revision %d and an error", response, c.revision)
 			}
 		})
 	}
 }
 
-// A document that is not valid is rejected with its violations, and nothing is submitted.
+// An invalid document is rejected with its violations, and no command is submitted.
 func TestInvalidDocuments(t *testing.T) {
 	n := &Node{}
 	for _, c := range []struct {
@@ -106,12 +106,12 @@
 		body    string
 		status  int
 	}{
-		{"configuration that is no JSON", n.putConfiguration, "{", http.StatusBadRequest},
-		{"configuration that is no object", n.putConfiguration, "7", http.StatusUnprocessableEntity},
+		{"configuration that is not JSON", n.putConfiguration, "{", http.StatusBadRequest},
+		{"configuration that is not an object", n.putConfiguration, "7", http.StatusUnprocessableEntity},
 		{"configuration with an unknown contract", n.putConfiguration, `{"ways":[{"name":"a","prefix":"/","service":"s","contract":"none"}]}`, http.StatusUnprocessableEntity},
 		{"configuration over the size limit", n.putConfiguration, strings.Repeat(" ", config.MaxBytes+1), http.StatusUnprocessableEntity},
 		{"calendar without a calendar", n.putCalendar, "BEGIN:VEVENT", http.StatusUnprocessableEntity},
-		{"zone whose name is empty", n.zoneCommandHandler(consensus.CommandEvacuate), "", http.StatusUnprocessableEntity},
+		{"empty zone name", n.zoneCommandHandler(consensus.CommandEvacuate), "", http.StatusUnprocessableEntity},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := httptest.NewRecorder()
@@ -120,8 +120,8 @@
 				t.Errorf("status %d, want %d: %s", w.Code, c.status, w.Body)
 			}
 			if response := new(validationError); c.status == http.StatusUnprocessableEntity {
-				if err := json.Unmarshal(w.Body.Bytes(), response); err != nil || len(response.Faults) == 0 {
-					t.Errorf("no violations in %s: %v", w.Body, err)
+				if err := json.Unmarshal(w.Body.Bytes(), response); err != nil || len(response.Violations) == 0 {
+					t.Errorf("response %s lists no violations: %v", w.Body, err)
 				}
 			}
 		})
--- a/internal/controlplane/api_traces.go
+++ b/internal/controlplane/api_traces.go
@@ -11,10 +11,11 @@
 	"curlewwalk/internal/transport"
 )
 
-// traceTimeout bounds the query of a trace at all members.
-const traceTimeout = time.Second // (ours)
+// traceTimeout bounds the time in which all members are queried for a trace.
+const traceTimeout = time.Second
 
-// getTrace serves GET /v1/traces/{id}: the tree of a trace, from the spans that all members have.
+// getTrace handles GET /v1/traces/{id}. The response is the tree of a trace, built from the events
+// that the members store.
 func (n *Node) getTrace(w http.ResponseWriter, r *http.Request) {
 	id, ok := trace.ParseTraceID(r.PathValue("id"))
 	if !ok {
@@ -32,8 +33,8 @@
 	process.JSON(w, status, tree)
 }
 
-// queryTrace asks all members at once for their events of a trace, and lists the members that did
-// not answer.
+// queryTrace queries all members concurrently for their events of a trace. It returns the events
+// and the IDs of the members that did not answer.
 func (n *Node) queryTrace(ctx context.Context, id trace.TraceID) (events []trace.Event, unreachable []int) {
 	type memberEvents struct {
 		memberID int
@@ -60,7 +61,7 @@
 	return events, unreachable
 }
 
-// queryMemberTrace asks one member, which may be this replica itself.
+// queryMemberTrace queries one member for its events of a trace. The member may be this replica.
 func (n *Node) queryMemberTrace(ctx context.Context, memberID int, id trace.TraceID) (events []trace.Event, ok bool) {
 	addr, known := n.cfg.Advertise, true
 	if memberID != n.replica.Acceptor().Self.MemberID {
--- a/internal/controlplane/api_zones.go
+++ b/internal/controlplane/api_zones.go
@@ -8,14 +8,14 @@
 	"curlewwalk/internal/process"
 )
 
-// zonesResponse is what GET /v1/localities shows.
+// zonesResponse is the JSON response to GET /v1/localities.
 type zonesResponse struct {
 	Evacuated []string             `json:"emptied"`
 	Revision  uint64               `json:"stamp"`
 	Windows   []config.ZoneClosure `json:"windows"`
 }
 
-// getZones serves GET /v1/localities.
+// getZones handles GET /v1/localities.
 func (n *Node) getZones(w http.ResponseWriter, r *http.Request) {
 	state, ok := n.readState(w, r)
 	if !ok {
@@ -23,12 +23,13 @@
 	}
 	evacuated := state.EvacuatedZones()
 	if evacuated == nil {
-		evacuated = []string{} // an empty list in JSON, not null
+		evacuated = []string{} // encoded as [] instead of null
 	}
 	process.JSON(w, http.StatusOK, zonesResponse{Revision: state.Revision, Evacuated: evacuated, Windows: state.Closures})
 }
 
-// zoneCommandHandler serves PUT and DELETE /v1/localities/{name}/emptied.
+// zoneCommandHandler returns the handler of PUT or DELETE /v1/localities/{name}/emptied, which
+// submits a command of the given kind.
 func (n *Node) zoneCommandHandler(kind consensus.CommandKind) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		zone := r.PathValue("name")
@@ -42,9 +43,9 @@
 	}
 }
 
-// getZoneDrain serves GET /v1/localities/{name}: what still runs in a zone, and since when nothing
-// does. A replica that has no contact with a majority may not know of the newest evacuation, and
-// reports nothing.
+// getZoneDrain handles GET /v1/localities/{name}. The response shows the requests that still run in
+// a zone, or for how long the zone has been drained. A replica without contact to a majority may
+// not know the newest evacuation, so it responds with status 503.
 func (n *Node) getZoneDrain(w http.ResponseWriter, r *http.Request) {
 	newest, contact := n.replica.ReadIndex(r.Context())
 	drain, ok := n.watchServer.DrainStatus(r.Context(), r.PathValue("name"))
--- a/internal/controlplane/cluster.go
+++ b/internal/controlplane/cluster.go
@@ -10,17 +10,17 @@
 	"curlewwalk/internal/settings"
 )
 
-// cluster is this node's view of the control plane: which replicas are its members, which of them
-// is the coordinator, and what this node announces of itself. It implements consensus.Peers.
+// cluster is this node's view of the control plane: the members, the coordinator among them, and
+// the status that this node announces. It implements consensus.Peers.
 type cluster struct {
 	cfg settings.ControlPlane
-	// incarnation is that of this process.
+	// incarnation is the incarnation of this process.
 	incarnation uint64
 	replica     *consensus.Replica
 	discovery   *membership.Discovery
 }
 
-// status is what this replica announces of itself.
+// status returns the current status of this replica.
 func (c *cluster) status() membership.Replica {
 	acceptor := c.replica.Acceptor()
 	sets := acceptor.MemberSets()
@@ -44,8 +44,9 @@
 	return status.WithDigest()
 }
 
-// announcedStatus is the status that other processes are sent; nil while this replica has no
-// member ID that is surely its own.
+// announcedStatus returns the status that this replica sends to other processes. It returns nil
+// while the replica has no member ID, or has one that may belong to another replica because it is
+// neither established nor static.
 func (c *cluster) announcedStatus() *membership.Replica {
 	status := c.status()
 	if status.MemberID == 0 || !status.Established && !c.cfg.HasStaticMember() {
@@ -54,7 +55,7 @@
 	return &status
 }
 
-// storedMembers are the other members that this replica's disk names.
+// storedMembers returns the other members that are stored on this replica's disk.
 func storedMembers(acceptor consensus.Acceptor) (members []membership.Replica) {
 	for _, m := range acceptor.MemberSets().Union() {
 		if m.Addr != "" && m.DiskID != acceptor.Self.DiskID {
@@ -70,8 +71,9 @@
 	return member.Addr, ok
 }
 
-// coordinator is the live and eligible member with the lowest member ID, as far as this replica
-// knows. It executes commands; consensus stays safe while replicas differ over who it is.
+// coordinator returns the live and eligible member with the lowest member ID, as seen by this
+// replica. The coordinator executes commands. Consensus stays safe while replicas disagree about
+// which replica is the coordinator.
 func (c *cluster) coordinator() membership.Replica {
 	return c.discovery.Replicas().Coordinator(c.status(), c.memberIDs(), time.Now())
 }
@@ -79,11 +81,11 @@
 // IsCoordinator implements consensus.Peers.
 func (c *cluster) IsCoordinator() bool { return c.isSelf(c.coordinator()) }
 
-// isSelf tells whether a replica is this one.
+// isSelf reports whether a status belongs to this replica.
 func (c *cluster) isSelf(replica membership.Replica) bool { return replica.Addr == c.cfg.Advertise }
 
-// memberIDs are the members by the newest state that this replica knows of: its own, or one that
-// another replica has accepted.
+// memberIDs returns the member IDs of the newest known control state. That is either the state of
+// this replica or a newer one that another replica has announced.
 func (c *cluster) memberIDs() []int {
 	acceptor := c.replica.Acceptor()
 	own := acceptor.MemberSets().Current
@@ -94,8 +96,8 @@
 	return consensus.MemberIDs(own)
 }
 
-// memberStatuses has the replicas that were reported, by member ID, and whether they are live. This
-// replica itself is.
+// memberStatuses returns the address and the liveness of each known replica, by member ID. This
+// replica always counts as live.
 func (c *cluster) memberStatuses() map[int]consensus.MemberStatus {
 	statuses := reportedStatuses(c.discovery.Replicas(), time.Now())
 	if self := c.replica.Acceptor().Self; self.MemberID != 0 {
@@ -104,7 +106,7 @@
 	return statuses
 }
 
-// reportedStatuses is memberStatuses without this replica.
+// reportedStatuses returns the address and the liveness of the other replicas, by member ID.
 func reportedStatuses(replicas membership.ReplicaTable, now time.Time) map[int]consensus.MemberStatus {
 	live := replicas.Live(now)
 	statuses := map[int]consensus.MemberStatus{}
@@ -117,8 +119,8 @@
 	return statuses
 }
 
-// medianWallClock is the median of the replicas' wall clocks, so that one wrong clock does not
-// begin or end a maintenance window.
+// medianWallClock returns the median of the replicas' wall clocks. With the median, a single wrong
+// clock cannot begin or end a maintenance window.
 func (c *cluster) medianWallClock() time.Time {
 	return c.discovery.Replicas().MedianClock(clock.Wall(), c.replica.Acceptor().Self.MemberID, time.Now())
 }
--- a/internal/controlplane/heartbeat.go
+++ b/internal/controlplane/heartbeat.go
@@ -8,8 +8,8 @@
 	"curlewwalk/internal/transport"
 )
 
-// handleHeartbeat answers a membership.Heartbeat of another process: a replica's, or a sidecar's
-// whole state (Node) or the difference from it (NodeStatus).
+// handleHeartbeat handles a membership.Heartbeat from another replica or from a sidecar. A sidecar
+// sends either its full state (Node) or the changes to it (NodeStatus).
 func (n *Node) handleHeartbeat(ctx context.Context, request transport.Request) (any, error) {
 	var h membership.Heartbeat
 	if !request.Decode(&h) {
@@ -24,7 +24,7 @@
 		sidecar = h.NodeStatus.Addr
 		response.RequestFull = !n.watchServer.ObserveStatus(ctx, *h.NodeStatus)
 	}
-	if sidecar != "" && (h.WantBudgets || h.TableDigest == 0) { // an older version does not ask
+	if sidecar != "" && (h.WantBudgets || h.TableDigest == 0) { // older versions do not set WantBudgets
 		response.Budgets = n.watchServer.Budgets()
 	}
 	if incarnation, ok := n.watchServer.Suspected(sidecar); ok {
@@ -33,7 +33,7 @@
 	return response, nil
 }
 
-// catchUpFrom copies committed state from another replica if that one has a newer revision.
+// catchUpFrom copies the committed state from another replica if that replica has a newer revision.
 // (DESIGN 6.4)
 func (n *Node) catchUpFrom(ctx context.Context, replica membership.Replica) {
 	acceptor := n.replica.Acceptor()
--- a/internal/controlplane/join_request.go
+++ b/internal/controlplane/join_request.go
@@ -11,21 +11,21 @@
 )
 
 const (
-	// joinInterval is how often a replica that is no member asks to join.
-	joinInterval = 200 * time.Millisecond // (ours)
-	// joinTimeout is how long it waits for the reply.
-	joinTimeout = 2 * time.Second // (ours)
+	// joinInterval is the interval at which a replica that is not a member requests to join.
+	joinInterval = 200 * time.Millisecond
+	// joinTimeout bounds a join request, and its forwarding to the coordinator.
+	joinTimeout = 2 * time.Second
 )
 
-// joinRequester asks for membership while this replica has none. (DESIGN 6.5)
+// joinRequester requests membership while this replica is not a member. (DESIGN 6.5)
 type joinRequester struct {
 	cluster *cluster
 	client  *transport.Client
-	// stopping is set while the process is being stopped: then it asks no more.
+	// stopping is set when the process begins to stop. No requests are sent from then on.
 	stopping *atomic.Bool
 }
 
-// Run asks until ctx ends. A replica with a static member ID never does.
+// Run sends join requests until ctx ends. A replica with a static member ID sends none.
 func (j *joinRequester) Run(ctx context.Context) {
 	if j.cluster.cfg.HasStaticMember() {
 		return
@@ -47,8 +47,8 @@
 	}
 }
 
-// request asks the coordinator. If this replica takes itself for it, any live one is asked, which
-// forwards the request.
+// request sends a join request to the coordinator. If this replica considers itself the
+// coordinator, the request goes to another live replica, which forwards it.
 func (j *joinRequester) request(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
@@ -61,6 +61,6 @@
 		target = live[0]
 	}
 	join := consensus.JoinRequest{DiskID: j.cluster.replica.Acceptor().Self.DiskID, Addr: j.cluster.cfg.Advertise, Zone: j.cluster.cfg.Zone}
-	// The reply says no more than that the request arrived.
+	// The reply is ignored, because it only confirms that the request arrived.
 	j.client.Call(ctx, target.Addr, transport.ControlTraffic, consensus.KindJoin, join)
 }
--- a/internal/controlplane/leave.go
+++ b/internal/controlplane/leave.go
@@ -9,16 +9,18 @@
 
 const (
 	// leaveTimeout is how long a stopping replica tries to leave the membership.
-	leaveTimeout = 2 * time.Second // (ours)
-	// leavePollInterval is how often it checks whether it has left, or tries again.
-	leavePollInterval = 100 * time.Millisecond // (ours)
-	// closingGrace is how long, after that, clients that keep connecting get the closing response.
-	closingGrace = 2 * time.Second // (ours)
+	leaveTimeout = 2 * time.Second
+	// leavePollInterval is the interval at which a stopping replica checks whether it has left, or
+	// tries again to leave.
+	leavePollInterval = 100 * time.Millisecond
+	// closingGrace is how long clients that keep connecting receive the closing response after the
+	// replica has left.
+	closingGrace = 2 * time.Second
 )
 
-// leaveMembership has this replica, which is stopping, leave the members if they tolerate no fewer
-// failures without it. It returns once the change is in force: then no majority that is left after
-// the next failure needs this replica. (DESIGN 6.5)
+// leaveMembership removes this stopping replica from the membership, unless the remaining members
+// would tolerate fewer failures. It returns once the change is in force. From then on, no majority
+// that remains after the next failure needs this replica. (DESIGN 6.5)
 func (n *Node) leaveMembership(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
 	defer cancel()
@@ -30,7 +32,7 @@
 		command, ok := consensus.PlanLeave(acceptor)
 		switch {
 		case left && acceptor.Phase != consensus.PhaseEstablished:
-			return // it was notified that the members without it are in force
+			return // this replica was notified that the membership without it is in force
 		case !left && ok:
 			result := n.commands.submit(ctx, command)
 			left = result.Outcome == consensus.OutcomeCommitted
--- a/internal/controlplane/log_keys.go
+++ b/internal/controlplane/log_keys.go
@@ -1,6 +1,6 @@
 package controlplane
 
-// The keys of the attributes of log lines.
+// Attribute keys of log records.
 const (
 	logAddress    = "address"
 	logCommand    = "command"
--- a/internal/controlplane/maintenance.go
+++ b/internal/controlplane/maintenance.go
@@ -11,18 +11,18 @@
 	"curlewwalk/internal/watch"
 )
 
-// maintenanceInterval is how often the coordinator checks the maintenance calendar.
-const maintenanceInterval = time.Second // (ours)
+// maintenanceInterval is the interval at which the coordinator checks the maintenance calendar.
+const maintenanceInterval = time.Second
 
 // maintenanceScheduler begins and ends the maintenance windows of the calendar while this replica
-// is the coordinator, by commands like an operator's. (DESIGN 17)
+// is the coordinator. It does so by commands, as an operator does. (DESIGN 17)
 type maintenanceScheduler struct {
 	cluster     *cluster
 	commands    *commandRouter
 	watchServer *watch.Server
 	log         *slog.Logger
 
-	// calendar is the one of the control state's calendar revision.
+	// calendar is the parsed calendar of the control state whose calendar revision is revision.
 	calendar maintenance.Calendar
 	revision uint64
 }
@@ -36,7 +36,7 @@
 	})
 }
 
-// applyCalendar submits what the calendar asks for now.
+// applyCalendar executes the commands that the calendar requires now.
 func (m *maintenanceScheduler) applyCalendar(ctx context.Context) {
 	status, ok := m.watchServer.Status(ctx)
 	state := status.ControlState
@@ -44,7 +44,7 @@
 		return
 	}
 	if state.CalendarRevision != m.revision {
-		m.calendar, _ = parseCalendar(state.Calendar) // it was valid when it was put
+		m.calendar, _ = parseCalendar(state.Calendar) // the calendar was validated before it was committed
 		m.revision = state.CalendarRevision
 	}
 	for _, action := range maintenance.Decide(m.calendar, state.Closures, m.cluster.medianWallClock()) {
--- a/internal/controlplane/metrics.go
+++ b/internal/controlplane/metrics.go
@@ -10,27 +10,27 @@
 	"curlewwalk/internal/watch"
 )
 
-// statusTimeout is how long a scrape waits for the watch server's status.
-const statusTimeout = 500 * time.Millisecond // (ours)
+// statusTimeout is how long a scrape waits for the status of the watch server.
+const statusTimeout = 500 * time.Millisecond
 
-// counters count what no other part counts.
+// counters holds the metrics counters that belong to the node itself.
 type counters struct {
-	// commands are the commands that this replica executed, by kind and outcome.
+	// commands counts the commands that this replica has executed, by kind and outcome.
 	commands metrics.CounterVec
-	// reads are the quorum reads for operators, by outcome.
+	// reads counts the quorum reads for operators, by outcome.
 	reads metrics.CounterVec
-	// renewals are the quorum reads that renew the sidecars' leases.
+	// renewals counts the quorum reads that renewed the leases of the sidecars.
 	renewals atomic.Uint64
 }
 
-// renewLeases takes that at a moment a quorum knew of no newer control state: sidecars may use
-// theirs for as long as a lease lasts from then.
+// renewLeases records that a quorum knew of no newer control state at confirmedAt. Sidecars may use
+// their control state for the duration of a lease from that time on.
 func (n *Node) renewLeases(ctx context.Context, confirmedAt time.Time) {
 	n.counters.renewals.Add(1)
 	n.watchServer.ObserveConfirmed(ctx, confirmedAt)
 }
 
-// metricsHandler serves GET /metrics.
+// metricsHandler returns the handler of GET /metrics.
 func (n *Node) metricsHandler() http.Handler {
 	var all []*metrics.Metric
 	all = append(all, n.consensusMetrics()...)
@@ -94,7 +94,8 @@
 	}
 }
 
-// watchGauge reads a value of the watch server's status; none if that doesn't come in time.
+// watchGauge returns a function that emits a value from the status of the watch server. The function
+// emits no value if the status is not available within statusTimeout.
 func (n *Node) watchGauge(value func(s watch.Status) float64) metrics.ReadFunc {
 	return func(emit metrics.EmitFunc) {
 		ctx, cancel := context.WithTimeout(n.process.Context, statusTimeout)
@@ -105,7 +106,8 @@
 	}
 }
 
-// countBehind counts the sidecars that have applied an older revision than the newest one here.
+// countBehind returns the number of sidecars that have applied only an older revision than the
+// newest one of this replica.
 func countBehind(s watch.Status) float64 {
 	count := 0
 	for _, node := range s.Nodes {
--- a/internal/controlplane/node.go
+++ b/internal/controlplane/node.go
@@ -18,11 +18,11 @@
 	"curlewwalk/internal/watch"
 )
 
-// Adapter opens further listeners of a started node, for clients of another protocol than /v1.
-// (DESIGN 18)
+// Adapter opens additional listeners of a started node, for clients that use a protocol other than
+// /v1. (DESIGN 18)
 type Adapter func(n *Node)
 
-// Node is one replica of the control plane with all its parts.
+// Node is one replica of the control plane with all its components.
 type Node struct {
 	process     *process.Process
 	cfg         settings.ControlPlane
@@ -39,15 +39,16 @@
 
 	reloader  *process.Reloader
 	apiServer *process.HTTPServer
-	// stopping is set once the process was asked to stop.
+	// stopping is set when the process begins to stop.
 	stopping atomic.Bool
-	// wasMember is whether the replica counted as a member when readiness was last asked for.
+	// wasMember records whether the replica counted as a member at the last readiness check.
 	wasMember atomic.Bool
 	counters  counters
 }
 
 // New starts a node: it loads the control state from disk, opens the listeners and starts all
-// parts. It ends the process if the data directory or an address can't be had. adapter may be nil.
+// components. It ends the process if the data directory cannot be opened or an address cannot be
+// bound. adapter may be nil.
 func New(cfg settings.ControlPlane, adapter Adapter) *Node {
 	p := process.New("controlplane", cfg.Common)
 	n := &Node{
@@ -60,7 +61,8 @@
 	n.cluster = &cluster{cfg: cfg, incarnation: p.Incarnation, discovery: n.discovery}
 	n.replica = n.openReplica()
 	n.cluster.replica = n.replica
-	// The members that are stored on disk get the first heartbeats, whatever the seeds are now.
+	// The first heartbeats also go to the members that are stored on disk, because the configured
+	// seeds may have changed.
 	n.discovery.Receive(membership.Heartbeat{KnownReplicas: storedMembers(n.replica.Acceptor())})
 	n.commands = &commandRouter{cluster: n.cluster, replica: n.replica, actors: p.Actors, executed: &n.counters.commands}
 	n.reconfigurer = newReconfigurer(cfg, n.cluster, n.commands, p)
@@ -79,8 +81,8 @@
 	return n
 }
 
-// openReplica loads the replica's state from the data directory, or ends the process. The replica
-// passes on what it commits and confirms.
+// openReplica loads the state of the replica from the data directory. It ends the process if that
+// fails. The replica passes committed states and confirmed reads on to the watch server.
 func (n *Node) openReplica() *consensus.Replica {
 	directory, err := storage.Open(n.cfg.Data)
 	if err != nil {
@@ -104,8 +106,8 @@
 	return replica
 }
 
-// bootstrapOptions is what the settings say of how the cluster is founded, and of this replica's
-// place in it.
+// bootstrapOptions returns the settings for the bootstrap of the cluster and for the static member
+// ID of this replica.
 func bootstrapOptions(cfg settings.ControlPlane) consensus.Bootstrap {
 	options := consensus.Bootstrap{NewCluster: cfg.First, InitialMembers: cfg.Founders, AdvertiseAddr: cfg.Advertise}
 	if cfg.HasStaticMember() {
@@ -114,7 +116,7 @@
 	return options
 }
 
-// newDiscovery makes what announces this replica to the other processes.
+// newDiscovery returns the discovery that announces this replica to the other processes.
 func (n *Node) newDiscovery() *membership.Discovery {
 	return membership.NewDiscovery(n.cfg.Advertise, membership.DiscoveryDeps{
 		Client:    n.process.TransportClient,
@@ -124,7 +126,7 @@
 	})
 }
 
-// registerHandlers lists what this node answers to other processes.
+// registerHandlers registers the handlers for requests from other processes.
 func (n *Node) registerHandlers() {
 	handlers := n.process.TransportServer.Handlers
 	maps.Copy(handlers, n.replica.Handlers())
@@ -135,7 +137,7 @@
 	handlers[tracestore.KindTrace] = n.traces.HandleQuery
 }
 
-// startLoops starts what runs until the process ends.
+// startLoops starts the loops that run until the process ends.
 func (n *Node) startLoops() {
 	for name, run := range map[string]func(context.Context){
 		"transport-client": n.process.TransportClient.Run,
@@ -152,8 +154,8 @@
 	}
 }
 
-// Run prints the addresses that are served and returns once the process was asked to stop and has
-// stopped in order. Each SIGHUP reads the settings again by read.
+// Run prints the addresses that the node serves and blocks until the process has been asked to stop
+// and has shut down gracefully. Each SIGHUP reloads the settings by read.
 func (n *Node) Run(read func() (settings.ControlPlane, settings.Exit)) {
 	fmt.Fprintf(os.Stdout, "started wire=%s control=%s\n", n.process.TransportServer.Addr(), n.apiServer.Listener.Addr())
 	n.process.WaitForStop(func() {
@@ -163,11 +165,11 @@
 	n.stop()
 }
 
-// Process is the process that the node runs in.
+// Process returns the process that the node runs in.
 func (n *Node) Process() *process.Process { return n.process }
 
-// stop leaves the membership, lets requests finish for as long as the drain setting says, and ends
-// all parts.
+// stop leaves the membership, waits for running requests within the time limit of the drain
+// setting, and stops all components.
 func (n *Node) stop() {
 	n.stopping.Store(true)
 	ctx, cancel := context.WithTimeout(context.Background(), n.reloader.Drain())
--- a/internal/controlplane/operator.go
+++ b/internal/controlplane/operator.go
@@ -8,11 +8,11 @@
 	"curlewwalk/internal/controlplane/consensus"
 )
 
-// This file has what an operator may ask of a node, in whatever protocol. A command that has begun
-// goes on though its caller goes away. (DESIGN 18)
+// This file implements the operations of an operator on a node, independent of the protocol. A
+// command that has begun keeps running after its caller has disconnected. (DESIGN 18)
 
-// PutConfiguration replaces the configuration. If it is not valid, the violations are returned and
-// nothing is done.
+// PutConfiguration replaces the configuration. If the new configuration is invalid,
+// PutConfiguration returns its violations and changes nothing.
 func (n *Node) PutConfiguration(ctx context.Context, update ConfigurationUpdate) (consensus.CommandResult, []config.FieldViolation) {
 	if violations := update.validate(); len(violations) > 0 {
 		return consensus.CommandResult{Outcome: consensus.OutcomeRejected}, violations
@@ -25,7 +25,7 @@
 	return result, nil
 }
 
-// validate lists what is wrong with the update.
+// validate returns the violations of the update.
 func (u ConfigurationUpdate) validate() []config.FieldViolation {
 	if len(u.Configuration) > config.MaxBytes || len(u.Source) > config.MaxBytes {
 		return []config.FieldViolation{{Path: "$", Message: fmt.Sprintf("over %d bytes", config.MaxBytes)}}
@@ -37,7 +37,7 @@
 	return violations
 }
 
-// command is the command that commits the update.
+// command returns the command that commits the update.
 func (u ConfigurationUpdate) command() consensus.Command {
 	command := consensus.Command{
 		Kind: consensus.CommandPutConfiguration, Payload: u.Configuration,
@@ -49,21 +49,22 @@
 	return command
 }
 
-// EvacuateZone has no more requests sent to a zone.
+// EvacuateZone submits the order to send no more requests to a zone.
 func (n *Node) EvacuateZone(ctx context.Context, zone string) consensus.CommandResult {
 	return n.submitZoneCommand(ctx, consensus.Command{Kind: consensus.CommandEvacuate, Zone: zone})
 }
 
-// RestoreZone revokes EvacuateZone.
+// RestoreZone revokes the evacuation of a zone.
 func (n *Node) RestoreZone(ctx context.Context, zone string) consensus.CommandResult {
 	return n.submitZoneCommand(ctx, consensus.Command{Kind: consensus.CommandRevokeEvacuation, Zone: zone})
 }
 
-// submitZoneCommand submits a command on a zone. It is bound to the revision that was committed
-// when it arrived, so that it does not revert newer commands on the zone, however late it is
-// executed. It is not begun if its caller has gone away meanwhile: the caller then sent it to
-// another replica, and perhaps a newer one after it. A replica whose process was just resumed can't
-// know that yet, and rejects it. (DESIGN 6.3)
+// submitZoneCommand submits a command on a zone. The command is bound to the revision that was
+// committed when it arrived, so that a late execution does not revert newer commands on the zone.
+//
+// The command is not begun if the caller has disconnected in the meantime. Such a caller may have
+// sent the command to another replica, and a newer command after it. A replica whose process was
+// just resumed cannot detect a disconnected caller yet, so it rejects the command. (DESIGN 6.3)
 func (n *Node) submitZoneCommand(ctx context.Context, command consensus.Command) consensus.CommandResult {
 	if !n.replica.Connected() || n.replica.RecentlyResumed() {
 		return consensus.CommandResult{Outcome: consensus.OutcomeRejected}
@@ -76,7 +77,7 @@
 	return n.commands.submitDetached(ctx, command)
 }
 
-// QuorumRead reads the newest committed control state; ok is false if no majority answers.
+// QuorumRead returns the newest committed control state. ok is false if no majority answers.
 func (n *Node) QuorumRead(ctx context.Context) (state config.ControlState, ok bool) {
 	state, ok = n.replica.LinearizableRead(ctx, n.commands.confirmCommitted)
 	if ok {
@@ -87,8 +88,9 @@
 	return state, ok
 }
 
-// AwaitApplied waits until all sidecars have applied a revision, or for a bounded time, and lists
-// those that have not; known is false while this replica does not know all sidecars. (DESIGN 6.6)
+// AwaitApplied waits, for a bounded time, until all sidecars have applied a revision. It returns
+// the sidecars that have not applied it. known is false while this replica does not know all
+// sidecars. (DESIGN 6.6)
 func (n *Node) AwaitApplied(ctx context.Context, revision uint64) (behind []string, known bool) {
 	return n.watchServer.AwaitApplied(ctx, revision)
 }
--- a/internal/controlplane/readiness.go
+++ b/internal/controlplane/readiness.go
@@ -6,14 +6,15 @@
 	"curlewwalk/internal/controlplane/consensus"
 )
 
-// live tells whether the watch server's actor answers, and what /live calls it.
-func (n *Node) live(ctx context.Context) (ok bool, what string) {
+// live reports whether the actor of the watch server answers. component is its name in the /live
+// response.
+func (n *Node) live(ctx context.Context) (ok bool, component string) {
 	_, ok = n.watchServer.Status(ctx)
 	return ok, "control thread"
 }
 
-// Ready tells whether the node serves operators and sidecars, and why not.
-func (n *Node) Ready(ctx context.Context) (ok bool, why string) {
+// Ready reports whether the node serves operators and sidecars. If it does not, reason says why.
+func (n *Node) Ready(ctx context.Context) (ok bool, reason string) {
 	status, answered := n.watchServer.Status(ctx)
 	notMember := whyNotMember(n.replica.Acceptor(), n.wasMember.Load())
 	n.wasMember.Store(notMember == "")
@@ -30,10 +31,12 @@
 	return true, "serving"
 }
 
-// whyNotMember tells why a replica does not count as a member yet, or nothing; joined is whether
-// it did when this was last asked. The membership change that brought it in has to be finished:
-// until then a failure among the previous members may stop the control plane. Later changes leave
-// it a member.
+// whyNotMember returns the reason why a replica does not count as a member, or the empty string if
+// it does. joined says whether the replica counted as a member at the last check.
+//
+// A joining replica counts as a member only when the membership change that added it is finished.
+// Until then, a failure among the previous members may stop the control plane. During later
+// membership changes the replica remains a member.
 func whyNotMember(acceptor consensus.Acceptor, joined bool) string {
 	switch {
 	case acceptor.Phase != consensus.PhaseEstablished:
--- a/internal/controlplane/readiness_test.go
+++ b/internal/controlplane/readiness_test.go
@@ -7,8 +7,8 @@
 	"curlewwalk/internal/controlplane/consensus"
 )
 
-// A replica that joins is ready only once the membership change that names it is finished; a member
-// stays ready during later changes, and one that was removed is not ready.
+// A joining replica is ready only after the membership change that adds it is finished. A member
+// stays ready during later membership changes. A removed replica is not ready.
 func TestWhyNotMember(t *testing.T) {
 	previous := []config.Member{{MemberID: 1, DiskID: 1}, {MemberID: 2, DiskID: 2}, {MemberID: 3, DiskID: 3}}
 	current := append(previous[:2:2], config.Member{MemberID: 4, DiskID: 4})
@@ -22,14 +22,14 @@
 		ready    bool
 	}{
 		{"not admitted yet", consensus.Acceptor{Self: joining, Phase: consensus.PhaseJoining, State: changing}, false, false},
-		{"admitted by a change that is not finished", consensus.Acceptor{Self: joining, Phase: consensus.PhaseEstablished, State: changing}, false, false},
+		{"admitted by an unfinished change", consensus.Acceptor{Self: joining, Phase: consensus.PhaseEstablished, State: changing}, false, false},
 		{"admitted by a finished change", consensus.Acceptor{Self: joining, Phase: consensus.PhaseEstablished, State: changed}, false, true},
 		{"a member during a later change", consensus.Acceptor{Self: joining, Phase: consensus.PhaseEstablished, State: changing}, true, true},
 		{"removed", consensus.Acceptor{Self: removed, Phase: consensus.PhaseEstablished, State: changed}, true, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if why := whyNotMember(c.acceptor, c.joined); (why == "") != c.ready {
-				t.Errorf("not a member because %q; ready should be %v", why, c.ready)
+				t.Errorf("got reason %q, want ready %v", why, c.ready)
 			}
 		})
 	}
--- a/internal/controlplane/reconfigurer.go
+++ b/internal/controlplane/reconfigurer.go
@@ -14,13 +14,13 @@
 	"curlewwalk/internal/transport"
 )
 
-// changeBackoff is how long operators' commands have the proposer for themselves after a
-// membership change that was not committed.
-const changeBackoff = time.Second // (ours)
+// changeBackoff is the pause in membership changes after a change that was not committed. During
+// the pause the proposer is free for the commands of operators.
+const changeBackoff = time.Second
 
-// reconfigurer admits replicas that ask to join, and removes members that have failed for good,
-// while this replica is the coordinator: one change at a time. What to change is decided by
-// consensus.MembershipPlanner. (DESIGN 6.5)
+// reconfigurer admits replicas that request to join and removes members that have failed
+// permanently, while this replica is the coordinator. It executes one change at a time.
+// consensus.MembershipPlanner decides on the changes. (DESIGN 6.5)
 type reconfigurer struct {
 	cluster  *cluster
 	commands *commandRouter
@@ -29,30 +29,30 @@
 	log      *slog.Logger
 	mailbox  *actor.Mailbox
 
-	// The rest belongs to the actor. Times are since started.
+	// The actor owns the fields below. Durations count from started.
 	started     time.Time
 	planner     consensus.MembershipPlanner
 	changing    bool          // a change is being executed
-	pausedUntil time.Duration // no change begins before
+	pausedUntil time.Duration // no change begins before this time
 }
 
 type (
-	// msgJoinRequested is a join request that came in.
+	// msgJoinRequested reports a join request.
 	msgJoinRequested struct{ request consensus.JoinRequest }
-	// msgTick has the members checked.
+	// msgTick triggers a check of the members.
 	msgTick struct{}
-	// msgChangeFinished ends a change.
+	// msgChangeFinished reports the end of a change.
 	msgChangeFinished struct{ committed bool }
 )
 
-// joinReply answers a consensus.JoinRequest. Received does not tell whether the replica was
-// admitted: it learns that from the members' next messages.
+// joinReply is the reply to a consensus.JoinRequest. Received only confirms the request. The
+// replica learns from later messages of the members that it was admitted.
 type joinReply struct {
 	Received bool `msgpack:"h"`
 }
 
-// newReconfigurer starts the reconfigurer's actor. A replica counts as failed only after
-// membership.ReplicaTimeout; the removal delay is what is left of the setting after that.
+// newReconfigurer returns a reconfigurer and starts its actor. A replica counts as failed only
+// after membership.ReplicaTimeout, so the removal delay is the remainder of the GoneAfter setting.
 func newReconfigurer(cfg settings.ControlPlane, cluster *cluster, commands *commandRouter, p *process.Process) *reconfigurer {
 	r := &reconfigurer{
 		cluster: cluster, commands: commands, client: p.TransportClient, actors: p.Actors, log: p.Log,
@@ -63,20 +63,21 @@
 	return r
 }
 
-// Run has the members checked in each heartbeat interval until ctx ends.
+// Run triggers a check of the members once per heartbeat interval until ctx ends.
 func (r *reconfigurer) Run(ctx context.Context) {
 	actor.Every(ctx, membership.HeartbeatInterval, func(ctx context.Context) { r.mailbox.Send(ctx, msgTick{}) })
 }
 
-// The errors that a request to join may be answered with. Their texts are part of the protocol.
+// Error replies to a join request. Their texts are part of the protocol.
 var (
 	errNotJoinRequest         = errors.New("does not ask for a seat")
 	errNotCoordinator         = errors.New("not on duty")
 	errCoordinatorUnreachable = errors.New("the core on duty does not answer")
 )
 
-// handleJoin answers a consensus.JoinRequest of a replica that is no member. A replica that is not
-// the coordinator forwards the request to it, once.
+// handleJoin handles a consensus.JoinRequest of a replica that is not a member. If this replica is
+// not the coordinator, it forwards the request to the coordinator. A request is forwarded only
+// once.
 func (r *reconfigurer) handleJoin(ctx context.Context, request transport.Request) (any, error) {
 	var join consensus.JoinRequest
 	if !request.Decode(&join) {
@@ -91,7 +92,7 @@
 	return joinReply{Received: true}, nil
 }
 
-// forwardJoin takes a join request to the coordinator, and its reply back.
+// forwardJoin forwards a join request to the coordinator and returns the reply.
 func (r *reconfigurer) forwardJoin(ctx context.Context, coordinator membership.Replica, join consensus.JoinRequest) (any, error) {
 	if join.Forwarded {
 		return nil, errNotCoordinator
@@ -104,7 +105,7 @@
 	return reply, nil
 }
 
-// handle is the actor: it plans the next change and begins it.
+// handle processes the messages of the actor: it plans the next change and begins it.
 func (r *reconfigurer) handle(ctx context.Context, msg any) {
 	now, acceptor := time.Since(r.started), r.cluster.replica.Acceptor()
 	switch m := msg.(type) {
@@ -129,12 +130,12 @@
 	}
 }
 
-// mayChange tells whether membership changes are this replica's to make.
+// mayChange reports whether this replica is responsible for membership changes.
 func (r *reconfigurer) mayChange(acceptor consensus.Acceptor) bool {
 	return acceptor.IsMember() && r.cluster.IsCoordinator()
 }
 
-// beginChange has a change executed unless one is under way, or one has just failed.
+// beginChange starts a change, unless another change is running or one failed within changeBackoff.
 func (r *reconfigurer) beginChange(ctx context.Context, command consensus.Command) {
 	if r.changing || time.Since(r.started) < r.pausedUntil {
 		return
