--- a/internal/dataplane/proxy/admit.go
+++ b/internal/dataplane/proxy/admit.go
@@ -11,27 +11,28 @@
 	"curlewwalk/internal/trace"
 )
 
-// refusal is why an attempt is not run; its zero value admits it.
+// refusal is the reason why an attempt is not run. The zero value means that the attempt is
+// admitted.
 type refusal struct {
 	rejection endpoints.Rejection
-	// retryAfter is the least time after which the request should be sent again; zero if that
-	// is not known.
+	// retryAfter is the shortest time after which the request should be retried. It is zero if
+	// unknown.
 	retryAfter time.Duration
-	// inFlight is how many requests the backend runs or has in its queue; zero if the attempt
-	// did not come so far.
+	// inFlight is the number of requests that the backend is running or has in its queue. It is
+	// zero if the attempt was refused before its backend's queue.
 	inFlight int64
 }
 
-// admit takes an attempt through admission and its backend's queue to the backend. Once the
-// attempt log has let it begin, a cancellation can't prove any more that it has not run: only the
-// write guard or the backend itself can.
+// admit passes an attempt through admission and its backend's queue, and forwards it to the
+// backend. After the attempt log has let the attempt begin, a cancellation can no longer prove that
+// it has not run. Only the write guard or the backend itself can prove that.
 func (in *Inbound) admit(ctx context.Context, attempt *Attempt, span trace.Span) AttemptResponse {
 	if in.Draining() {
 		return in.refuse(ctx, attempt, refusal{rejection: endpoints.NodeDraining})
 	}
 	size := int64(len(attempt.Body))
 	if !in.Bodies.Reserve(size) {
-		return in.refuse(ctx, attempt, refusal{rejection: endpoints.BackendFull, retryAfter: briefly})
+		return in.refuse(ctx, attempt, refusal{rejection: endpoints.BackendFull, retryAfter: transientRetryAfter})
 	}
 	defer in.Bodies.Release(size)
 	endpoint, rejection := in.checkAdmission(ctx, attempt)
@@ -51,8 +52,8 @@
 	return in.forward(ctx, endpoint, attempt, span)
 }
 
-// checkAdmission reports whether an attempt may be sent to its backend now. It is asked at first,
-// and again immediately before the write.
+// checkAdmission reports whether an attempt may be sent to its backend now. It is called first at
+// admission, and again immediately before the write.
 func (in *Inbound) checkAdmission(ctx context.Context, attempt *Attempt) (endpoints.Endpoint, endpoints.Rejection) {
 	switch {
 	case attempt.Incarnation != in.Incarnation:
@@ -65,18 +66,18 @@
 	return in.Endpoints().Admit(endpoints.AdmissionRequest{Service: attempt.Service, Instance: attempt.Instance}, in.Table().ZoneDrained, time.Now())
 }
 
-// refuse replies to an attempt that is not to run. That proves it not to run, unless the attempt
-// came before and was begun.
+// refuse returns the reply to an attempt that must not run. The reply proves that the attempt does
+// not run, unless an earlier copy of the attempt has begun.
 func (in *Inbound) refuse(ctx context.Context, attempt *Attempt, r refusal) AttemptResponse {
 	response := AttemptResponse{ID: attempt.ID, Outcome: routing.NotRun, Reason: string(r.rejection), InFlight: int(r.inFlight), RetryAfter: r.retryAfter}
 	if !in.attemptLog.refuse(context.WithoutCancel(ctx), attempt.ID) {
-		response.Outcome = routing.Unknown // it came before, and was begun
+		response.Outcome = routing.Unknown // an earlier copy of the attempt has begun
 	}
 	return response
 }
 
-// notBegun replies to an attempt that the attempt log has not let begin: its time is over, or
-// it came before.
+// notBegun returns the reply to an attempt that the attempt log did not let begin, either because
+// its context has ended or because it is a duplicate.
 func (in *Inbound) notBegun(ctx context.Context, attempt *Attempt) AttemptResponse {
 	if ctx.Err() != nil {
 		return in.refuse(ctx, attempt, refusal{rejection: rejectionFor(ctx)})
@@ -84,9 +85,9 @@
 	return AttemptResponse{ID: attempt.ID, Outcome: routing.Unknown, Reason: "this leg came before"}
 }
 
-// queueRejection tells why an attempt has left the queue without being admitted. If it was
-// neither canceled nor ended by a shutdown, the queue was too long for it, whether the queue has
-// rejected it or its time has passed in there.
+// queueRejection returns the reason why an attempt left the queue without being admitted. If the
+// attempt was neither canceled nor ended by a shutdown, the reason is BackendFull, both when the
+// queue rejected the attempt and when its time ran out in the queue.
 func queueRejection(ctx context.Context) endpoints.Rejection {
 	if rejection := rejectionFor(ctx); rejection != endpoints.DeadlineExpired {
 		return rejection
@@ -94,9 +95,9 @@
 	return endpoints.BackendFull
 }
 
-// currentLimit returns a function that tells how many requests an attempt's backend may run at
-// the moment of the call. The capacity is that of the backend's newest heartbeat, or that of the
-// admission if the backend would not be admitted to any more.
+// currentLimit returns a function that returns the backend's concurrency limit at the time of the
+// call. The function uses the capacity of the backend's newest heartbeat. If the backend would no
+// longer be admitted, it uses the capacity at the time of the admission.
 func (in *Inbound) currentLimit(ctx context.Context, attempt *Attempt, admitted endpoints.Endpoint) func() int64 {
 	return func() int64 {
 		current, rejection := in.checkAdmission(ctx, attempt)
@@ -107,8 +108,8 @@
 	}
 }
 
-// forward puts an attempt that has begun to its backend, if it is still admitted when its first
-// byte is to be written. If no byte was written, it is proven not to have run.
+// forward sends an attempt that has begun to its backend, if the attempt is still admitted when its
+// first byte is about to be written. If no byte was written, the attempt is known not to have run.
 func (in *Inbound) forward(ctx context.Context, endpoint endpoints.Endpoint, attempt *Attempt, span trace.Span) AttemptResponse {
 	guard := &writeGuard{check: func() refusal { return in.checkBeforeWrite(ctx, endpoint, attempt) }}
 	response := in.exchange(ctx, endpoint, attempt, span, guard)
@@ -123,7 +124,7 @@
 }
 
 // checkBeforeWrite reports whether an attempt may still be written to the backend that it was
-// admitted to. A backend that is warming up also takes no more than its rate of requests.
+// admitted to. For a backend that is warming up, it also enforces the warm-up rate.
 func (in *Inbound) checkBeforeWrite(ctx context.Context, admitted endpoints.Endpoint, attempt *Attempt) refusal {
 	current, rejection := in.checkAdmission(ctx, attempt)
 	if rejection == endpoints.Admitted && current.Address != admitted.Address {
--- a/internal/dataplane/proxy/attemptlog.go
+++ b/internal/dataplane/proxy/attemptlog.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// attemptRetention is how long an attempt is remembered: longer than any deadline. (ours)
+// attemptRetention is how long the log keeps an attempt. It is longer than any deadline.
 const attemptRetention = 11 * time.Minute
 
-// AttemptLog remembers which attempts were begun and which were refused, so that none is begun
-// twice or after its refusal. It is for use by one goroutine, and given the time as the time
-// since a start of the caller's. (DESIGN 10.2)
+// AttemptLog records which attempts have begun and which were refused, so that no attempt begins
+// twice or after its refusal. It is not safe for concurrent use. The caller passes the current time
+// as the time since a fixed start. (DESIGN 10.2)
 type AttemptLog struct {
 	records map[string]attemptRecord
-	// order has the attempts' IDs in the order of their records.
+	// order holds the IDs of the attempts in the order in which they were recorded.
 	order []string
 }
 
@@ -25,19 +25,21 @@
 // NewAttemptLog returns an empty log.
 func NewAttemptLog() *AttemptLog { return &AttemptLog{records: map[string]attemptRecord{}} }
 
-// Begin lets an attempt begin if it is unknown; false for any other.
+// Begin records an unknown attempt as begun and returns true. It returns false if the attempt is
+// already recorded.
 func (l *AttemptLog) Begin(id string, now time.Duration) bool {
 	_, known := l.record(id, false, now)
 	return !known
 }
 
-// Refuse makes sure that an attempt never begins; false if it has begun.
+// Refuse ensures that an attempt never begins. It returns false if the attempt has begun.
 func (l *AttemptLog) Refuse(id string, now time.Duration) bool {
 	record, _ := l.record(id, true, now)
 	return record.refused
 }
 
-// record returns what is known of an attempt, or records it as refused or begun.
+// record returns the record of an attempt. If there is none, it records the attempt as refused or
+// begun. It also removes records older than attemptRetention.
 func (l *AttemptLog) record(id string, refused bool, now time.Duration) (record attemptRecord, known bool) {
 	for len(l.order) > 0 && now-l.records[l.order[0]].recordedAt > attemptRetention {
 		delete(l.records, l.order[0])
@@ -51,16 +53,16 @@
 	return record, known
 }
 
-// attemptLogActor owns an AttemptLog: its goroutine alone uses it.
+// attemptLogActor owns an AttemptLog. Only the goroutine of run uses the log.
 type attemptLogActor struct {
 	begins   chan attemptLogQuery
 	refusals chan attemptLogQuery
-	// done is closed when run has ended: from then on nothing begins, and nothing is known to
+	// done is closed when run has ended. After that, no attempt begins and no attempt is known to
 	// be refused.
 	done chan struct{}
 }
 
-// attemptLogQuery asks to begin or to refuse an attempt.
+// attemptLogQuery is a request to begin or to refuse an attempt.
 type attemptLogQuery struct {
 	id    string
 	reply chan bool
@@ -86,12 +88,12 @@
 	}
 }
 
-// begin is AttemptLog.Begin; false also if ctx or run has ended.
+// begin calls AttemptLog.Begin. It also returns false if ctx or run has ended.
 func (a *attemptLogActor) begin(ctx context.Context, id string) bool {
 	return a.query(ctx, a.begins, id)
 }
 
-// refuse is AttemptLog.Refuse; false also if ctx or run has ended.
+// refuse calls AttemptLog.Refuse. It also returns false if ctx or run has ended.
 func (a *attemptLogActor) refuse(ctx context.Context, id string) bool {
 	return a.query(ctx, a.refusals, id)
 }
--- a/internal/dataplane/proxy/backendconn.go
+++ b/internal/dataplane/proxy/backendconn.go
@@ -11,24 +11,24 @@
 )
 
 // errHeadTooLarge is the error of a read beyond the read limit.
-var errHeadTooLarge = eris.New("the answer's head is too large")
+var errHeadTooLarge = eris.New("response head exceeds the size limit")
 
-// backendConn is a connection to a backend. It carries one attempt at a time, and unlike those
-// of net/http's Transport it never sends a request again by itself. (DESIGN 10.6)
+// backendConn is a connection to a backend. It carries one attempt at a time. Unlike the
+// connections of net/http's Transport, it never resends a request automatically. (DESIGN 10.6)
 type backendConn struct {
 	net.Conn
 	address backendAddress
 	raw     syscall.RawConn
 	reader  *bufio.Reader
-	// readLimit is how many bytes may still be read until it is raised again.
+	// readLimit is how many more bytes may be read before it is raised again.
 	readLimit int64
-	// usedBefore tells that it has carried an attempt before.
+	// usedBefore reports whether the connection has carried an attempt before.
 	usedBefore bool
-	// carriedHead tells that it has carried a HEAD request, whose response has a length and no
-	// body.
+	// carriedHead reports whether the connection has carried a HEAD request, whose response may
+	// have a Content-Length but has no body.
 	carriedHead bool
-	// idleSince is when it was used last, and idleTimeout for how long it may then be idle; zero
-	// if it must be closed.
+	// idleSince is when the connection was last used. idleTimeout is how long it may be idle after
+	// that, or zero if it must be closed.
 	idleSince   time.Time
 	idleTimeout time.Duration
 }
@@ -56,9 +56,9 @@
 	return n, err
 }
 
-// isQuiet tells that the backend has neither closed the connection nor sent anything that was
-// not read.
-func (c *backendConn) isQuiet() bool {
+// hasNoPendingInput reports whether the backend has neither closed the connection nor sent data
+// that has not been read.
+func (c *backendConn) hasNoPendingInput() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
--- a/internal/dataplane/proxy/backendrequest.go
+++ b/internal/dataplane/proxy/backendrequest.go
@@ -7,8 +7,8 @@
 	"net/http"
 )
 
-// newBackendRequest rebuilds the caller's request for the backend at addr. net/http writes it
-// with the same request target, and with no header of its own.
+// newBackendRequest rebuilds the caller's request for the backend at addr. net/http writes it with
+// the same request target and adds no headers of its own.
 func newBackendRequest(ctx context.Context, addr string, attempt *Attempt) *http.Request {
 	req := &http.Request{
 		Method:     attempt.Method,
@@ -23,7 +23,7 @@
 		req.Header = http.Header{}
 	}
 	if _, ok := req.Header["User-Agent"]; !ok {
-		req.Header["User-Agent"] = nil // else net/http adds its own
+		req.Header["User-Agent"] = nil // otherwise net/http adds its own
 	}
 	if len(attempt.Body) > 0 {
 		req.Body = io.NopCloser(bytes.NewReader(attempt.Body))
@@ -31,7 +31,7 @@
 	}
 	if len(attempt.Trailer) > 0 {
 		req.Body = io.NopCloser(bytes.NewReader(attempt.Body))
-		req.ContentLength, req.Trailer = -1, attempt.Trailer // a trailer needs a chunked body
+		req.ContentLength, req.Trailer = -1, attempt.Trailer // a trailer requires a chunked body
 	}
 	return req.WithContext(ctx)
 }
--- a/internal/dataplane/proxy/body.go
+++ b/internal/dataplane/proxy/body.go
@@ -9,8 +9,9 @@
 	"curlewwalk/internal/dataplane/routing"
 )
 
-// reserveBody reserves memory for a request's body, which must be released, or tells why there
-// is none. A body of unknown length takes as much as the largest one.
+// reserveBody reserves memory for a request's body, which the caller must release. It returns a
+// rejection if there is not enough memory. For a body of unknown length it reserves the maximum
+// body size.
 func (o *Outbound) reserveBody(r *http.Request) (size int64, rejection *routing.Failure) {
 	size = r.ContentLength
 	if size < 0 {
@@ -25,7 +26,7 @@
 	return size, nil
 }
 
-// readBody reads a request's complete body, or tells why it can't be read.
+// readBody reads a request's complete body, or returns the reason why the body cannot be read.
 func (o *Outbound) readBody(r *http.Request) (body []byte, rejection *routing.Failure) {
 	body, err := io.ReadAll(http.MaxBytesReader(nil, r.Body, o.Bodies.MaxBody))
 	var tooLarge *http.MaxBytesError
@@ -35,7 +36,7 @@
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return nil, rejectBodyTimeout
 	case err != nil:
-		return nil, rejectBodyCutShort
+		return nil, rejectBodyIncomplete
 	}
 	return body, nil
 }
--- a/internal/dataplane/proxy/bodylimiter.go
+++ b/internal/dataplane/proxy/bodylimiter.go
@@ -2,18 +2,19 @@
 
 import "sync/atomic"
 
-// BodyLimiter bounds the memory for bodies on one side of the proxy. It is safe for concurrent
-// use. (DESIGN 10.5)
+// BodyLimiter limits the memory for bodies on one side of the proxy. It is safe for concurrent use.
+// (DESIGN 10.5)
 type BodyLimiter struct {
-	// MaxBody is the greatest size of a body, of a request or a response, in bytes.
+	// MaxBody is the maximum size of a request or response body, in bytes.
 	MaxBody int64
-	// MaxTotal bounds the bodies of all requests that are open, in bytes.
+	// MaxTotal is the maximum total size of the bodies of all open requests, in bytes.
 	MaxTotal int64
 
 	reserved atomic.Int64
 }
 
-// Reserve reserves n bytes, which must be released; false if there is no room for them.
+// Reserve reserves n bytes, which the caller must release. It returns false if fewer than n bytes
+// are available.
 func (b *BodyLimiter) Reserve(n int64) bool {
 	if b.reserved.Add(n) <= b.MaxTotal {
 		return true
@@ -22,8 +23,8 @@
 	return false
 }
 
-// Release gives reserved bytes back.
+// Release releases n reserved bytes.
 func (b *BodyLimiter) Release(n int64) { b.reserved.Add(-n) }
 
-// Reserved returns how many bytes are reserved now.
+// Reserved returns the number of reserved bytes.
 func (b *BodyLimiter) Reserved() int64 { return b.reserved.Load() }
--- a/internal/dataplane/proxy/cancel.go
+++ b/internal/dataplane/proxy/cancel.go
@@ -11,20 +11,21 @@
 	"curlewwalk/internal/transport"
 )
 
-// stoppingReason is why requests are rejected or ended while this node is being stopped.
+// stoppingReason is the reason for rejecting or ending requests while this node is shutting down.
 const stoppingReason = "this node is stopping"
 
-// ErrStopping is the cause with which the contexts of requests and attempts end that are still
+// ErrStopping is the cancellation cause of the contexts of requests and attempts that are still
 // open when the time for the shutdown is over.
 var ErrStopping = eris.New(stoppingReason)
 
-// errCanceled is the cause with which the context of an attempt ends that was canceled.
-var errCanceled = eris.New("the attempt was canceled")
+// errCanceled is the cancellation cause of the context of an attempt that was canceled.
+var errCanceled = eris.New("attempt canceled")
 
-// errNotCancel answers a call that is not a CancelRequest. Its text is part of the protocol.
+// errNotCancel is the reply to a call that is not a CancelRequest. Its text is part of the
+// protocol.
 var errNotCancel = errors.New("not a recall")
 
-// HandleCancel handles a cancellation: it is the transport.Handler of KindCancel.
+// HandleCancel handles a cancellation. It is the transport.Handler of KindCancel.
 func (in *Inbound) HandleCancel(_ context.Context, request transport.Request) (any, error) {
 	var cancel CancelRequest
 	if !request.Decode(&cancel) {
@@ -37,9 +38,10 @@
 	return response, nil
 }
 
-// cancel ends an attempt that nobody waits for any more, also one that has not arrived yet. One
-// that was not begun never is, and leaves the queue; one that the backend is running is stopped if
-// it is idempotent, else left to its end. It reports whether the attempt was not begun. (DESIGN 10.7)
+// cancel cancels an attempt whose reply is no longer needed. The attempt may not have arrived yet.
+// An attempt that has not begun leaves the queue and never begins. An attempt that the backend is
+// running is stopped if it is idempotent, and otherwise continues to its end. cancel reports
+// whether the attempt had not begun. (DESIGN 10.7)
 func (in *Inbound) cancel(id string) (notBegun bool) {
 	notBegun = in.attemptLog.refuse(context.Background(), id)
 	attempt, open := in.openAttempts.find(id)
@@ -58,8 +60,8 @@
 	return notBegun
 }
 
-// RefuseWaiting refuses all open attempts that were not begun, so that their requests can be
-// sent elsewhere: this node's time to stop is nearly over.
+// RefuseWaiting refuses all open attempts that have not begun, so that their requests can be sent
+// to other nodes. It is called shortly before the end of this node's shutdown.
 func (in *Inbound) RefuseWaiting() {
 	for _, id := range in.openAttempts.ids() {
 		if !in.attemptLog.refuse(context.Background(), id) {
@@ -71,8 +73,8 @@
 	}
 }
 
-// rejectionFor tells why an attempt whose context has ended does not go on. Of a context that has
-// not ended, the result is DeadlineExpired, too.
+// rejectionFor returns the rejection of an attempt whose context has ended. It also returns
+// DeadlineExpired if the context has not ended.
 func rejectionFor(ctx context.Context) endpoints.Rejection {
 	cause := context.Cause(ctx)
 	switch {
--- a/internal/dataplane/proxy/capacity.go
+++ b/internal/dataplane/proxy/capacity.go
@@ -6,7 +6,7 @@
 	"curlewwalk/internal/dataplane/endpoints"
 )
 
-// maxConnections returns how many connections a backend may have at a time.
+// maxConnections returns the maximum number of concurrent connections to a backend.
 func (in *Inbound) maxConnections(e endpoints.Endpoint) int {
 	if service, _ := in.Table().Service(e.Service); service.MaxConnections > 0 {
 		return min(service.MaxConnections, e.Capacity)
@@ -14,14 +14,14 @@
 	return e.Capacity
 }
 
-// warmupRate returns how many requests a second a backend bears now; ok is false if it is not
-// warming up, or its service has no such rate.
+// warmupRate returns the rate, in requests per second, that a backend can take now. ok is false if
+// the backend is not warming up, or if its service has no warm-up rate.
 func (in *Inbound) warmupRate(e endpoints.Endpoint, at time.Time) (rate float64, ok bool) {
 	rate = in.Table().WarmupRate(e.Service)
 	return rate, rate > 0 && e.WarmingUp(at)
 }
 
-// ConcurrencyLimit returns how many requests a backend may run at a time now.
+// ConcurrencyLimit returns how many requests a backend may run concurrently at the given time.
 func (in *Inbound) ConcurrencyLimit(e endpoints.Endpoint, at time.Time) int64 {
 	table := in.Table()
 	uptime := at.Sub(in.started)
--- a/internal/dataplane/proxy/clientwatch.go
+++ b/internal/dataplane/proxy/clientwatch.go
@@ -6,17 +6,16 @@
 	"time"
 )
 
-// clientWatch tells when the client of a request leaves: when it closes its connection, or the
-// connection is lost. net/http tells that through the request's context. The attempt that is
-// under way for the client is canceled then, once. (DESIGN 10.7)
+// clientWatch detects when the client of a request closes or loses its connection, through the
+// context of the net/http request. The attempt in progress is then canceled once. (DESIGN 10.7)
 type clientWatch struct {
-	// unregister ends the watch of the client's context.
+	// unregister stops watching the client's context.
 	unregister func() bool
 
 	mu sync.Mutex
-	// leftAt is when the client has left; zero while it is there.
+	// leftAt is when the client disconnected. It is zero while the client is connected.
 	leftAt time.Time
-	// cancelAttempt cancels the attempt that is under way; nil if there is none.
+	// cancelAttempt cancels the attempt in progress. It is nil if there is none.
 	cancelAttempt func()
 }
 
@@ -27,12 +26,12 @@
 	return w
 }
 
-// ignoreClient returns the watch of a request that goes on whether its client stays or not.
+// ignoreClient returns the watch of a request that continues even if its client disconnects.
 func ignoreClient() *clientWatch {
 	return &clientWatch{unregister: func() bool { return true }}
 }
 
-// clientLeft is called when the client has left.
+// clientLeft is called when the client has disconnected.
 func (w *clientWatch) clientLeft() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -42,15 +41,15 @@
 	}
 }
 
-// hasLeft reports whether the client has left.
+// hasLeft reports whether the client has disconnected.
 func (w *clientWatch) hasLeft() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return !w.leftAt.IsZero()
 }
 
-// cancelIfLeft calls cancel if the client leaves before stop is called, or has left already.
-// cancel must not block.
+// cancelIfLeft calls cancel if the client has already disconnected, or disconnects before stop is
+// called. cancel must not block.
 func (w *clientWatch) cancelIfLeft(cancel func()) (stop func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -65,8 +64,8 @@
 	}
 }
 
-// finish ends the watch. It reports whether the client has left, and for how long the request went
-// on after that.
+// finish stops the watch. It reports whether the client has disconnected, and for how long the
+// request continued afterwards.
 func (w *clientWatch) finish() (left bool, after time.Duration) {
 	w.unregister()
 	w.mu.Lock()
--- a/internal/dataplane/proxy/connpool.go
+++ b/internal/dataplane/proxy/connpool.go
@@ -12,16 +12,17 @@
 	"curlewwalk/internal/dataplane/endpoints"
 )
 
-// backendAddress is a backend instance at its address.
+// backendAddress identifies a backend instance at its address.
 type backendAddress struct{ instance, address string }
 
-// connPool keeps the connections to the backends of this node. A sweeper closes those that are
-// of no use any more; it is started with the first idle one. (DESIGN 10.6)
+// connPool is the pool of connections to the backends of this node. The sweeper closes idle
+// connections that can no longer be used. It starts when the first connection becomes idle. (DESIGN
+// 10.6)
 type connPool struct {
-	// lifetime is that of the sweeper: when it ends, all idle connections are closed.
+	// lifetime is the context of the sweeper. When it ends, all idle connections are closed.
 	lifetime context.Context
 	actors   *actor.System
-	// isCurrent reports whether a backend at its address may still be sent something.
+	// isCurrent reports whether requests may still be sent to a backend at its address.
 	isCurrent func(backendAddress) bool
 
 	mu       sync.Mutex
@@ -29,12 +30,13 @@
 	sweeping bool
 	closed   bool
 
-	// opened counts the connections that were opened, reused the attempts that were given one
-	// that was open already.
+	// opened counts the connections that were opened. reused counts the attempts that reused an
+	// open connection.
 	opened, reused atomic.Int64
 }
 
-// poolEntry is the connections to one backend. The idle one that was used last stands last.
+// poolEntry holds the connections to one backend. idle is ordered by the last use, most recent
+// last.
 type poolEntry struct {
 	idle  []*backendConn
 	inUse int
@@ -44,8 +46,9 @@
 	return &connPool{lifetime: lifetime, actors: actors, isCurrent: isCurrent, entries: map[backendAddress]*poolEntry{}}
 }
 
-// acquire returns a connection to a backend that was idle for less than maxIdle, or a new one.
-// Idle ones are closed so that at most maxConnections are open. It must be released.
+// acquire returns a connection to a backend that was idle for less than maxIdle, or a new one. It
+// closes idle connections to keep at most maxConnections open. The caller must release the
+// connection.
 func (p *connPool) acquire(ctx context.Context, e endpoints.Endpoint, maxConnections int, maxIdle time.Duration) (*backendConn, error) {
 	address := backendAddress{e.Instance, e.Address}
 	if idle := p.reserve(address, maxConnections, maxIdle); idle != nil {
@@ -62,7 +65,7 @@
 	return conn, nil
 }
 
-// reserve counts a connection as in use, and returns an idle one if there is a good one.
+// reserve counts a connection as in use, and returns a usable idle connection if there is one.
 func (p *connPool) reserve(address backendAddress, maxConnections int, maxIdle time.Duration) *backendConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -82,17 +85,17 @@
 	return nil
 }
 
-// takeIdle takes the connection that was used last, if it was idle for less than maxIdle. Those
-// that are of no use any more are closed on the way.
+// takeIdle removes and returns the most recently used idle connection, if it was idle for less than
+// maxIdle. It closes connections that can no longer be used.
 func (e *poolEntry) takeIdle(maxIdle time.Duration) *backendConn {
 	for now := time.Now(); len(e.idle) > 0; {
 		conn := e.idle[len(e.idle)-1]
 		idleTime := now.Sub(conn.idleSince)
 		if idleTime >= maxIdle {
-			break // it may do for another attempt
+			break // an attempt with a longer maxIdle may still use it
 		}
 		e.idle = e.idle[:len(e.idle)-1]
-		if idleTime < conn.idleTimeout && conn.isQuiet() {
+		if idleTime < conn.idleTimeout && conn.hasNoPendingInput() {
 			return conn
 		}
 		conn.Close()
@@ -100,7 +103,7 @@
 	return nil
 }
 
-// dial opens a connection, in the time until ctx ends.
+// dial opens a connection. It fails when ctx ends.
 func (p *connPool) dial(ctx context.Context, address backendAddress) (*backendConn, error) {
 	dialer := net.Dialer{Timeout: dialTimeout, KeepAlive: -1}
 	tcp, err := dialer.DialContext(ctx, "tcp", address.address)
@@ -115,10 +118,11 @@
 	return conn, err
 }
 
-// release takes a connection back, and keeps it if it may be idle and nothing is to be read on
-// it. One without a net.Conn stands for one that could not be opened.
+// release returns a connection to the pool. The pool keeps the connection if it may be idle and
+// there is nothing to read on it. A connection without a net.Conn represents one that could not be
+// opened.
 func (p *connPool) release(conn *backendConn, maxConnections int) {
-	keep := conn.Conn != nil && conn.idleTimeout > 0 && conn.isQuiet()
+	keep := conn.Conn != nil && conn.idleTimeout > 0 && conn.hasNoPendingInput()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	entry := p.entries[conn.address]
@@ -144,11 +148,12 @@
 	p.removeIdle(address, func(*backendConn) bool { return true })
 }
 
-// removeIdle closes the idle connections to a backend that are of no use; p.mu must be held.
-func (p *connPool) removeIdle(address backendAddress, useless func(*backendConn) bool) {
+// removeIdle closes the idle connections to a backend for which shouldClose returns true. The
+// caller must hold p.mu.
+func (p *connPool) removeIdle(address backendAddress, shouldClose func(*backendConn) bool) {
 	if entry := p.entries[address]; entry != nil {
 		entry.idle = slices.DeleteFunc(entry.idle, func(conn *backendConn) bool {
-			if !useless(conn) {
+			if !shouldClose(conn) {
 				return false
 			}
 			conn.Close()
@@ -158,14 +163,15 @@
 	}
 }
 
-// removeIfUnused forgets a backend without connections; p.mu must be held.
+// removeIfUnused removes the entry of a backend without connections. The caller must hold p.mu.
 func (p *connPool) removeIfUnused(address backendAddress) {
 	if entry := p.entries[address]; entry != nil && entry.inUse == 0 && len(entry.idle) == 0 {
 		delete(p.entries, address)
 	}
 }
 
-// sweep closes idle connections that are of no use any more, until ctx ends; then all of them.
+// sweep periodically closes idle connections that can no longer be used. When ctx ends, it closes
+// all of them.
 func (p *connPool) sweep(ctx context.Context) {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
@@ -180,20 +186,20 @@
 	}
 }
 
-// sweepOnce closes the connections that are idle for too long, that the backend has closed or
-// written to, or whose backend takes nothing more.
+// sweepOnce closes the idle connections that have exceeded their idle timeout, that the backend has
+// closed or written to, or whose backend accepts no more requests.
 func (p *connPool) sweepOnce(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for address := range p.entries {
 		current := p.isCurrent(address)
 		p.removeIdle(address, func(conn *backendConn) bool {
-			return !current || now.Sub(conn.idleSince) >= conn.idleTimeout || !conn.isQuiet()
+			return !current || now.Sub(conn.idleSince) >= conn.idleTimeout || !conn.hasNoPendingInput()
 		})
 	}
 }
 
-// close closes all idle connections; from now on none is kept.
+// close closes all idle connections. The pool keeps no connection after that.
 func (p *connPool) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -203,7 +209,7 @@
 	}
 }
 
-// idleCount counts the idle connections.
+// idleCount returns the number of idle connections.
 func (p *connPool) idleCount() (n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/dataplane/proxy/counters.go
+++ b/internal/dataplane/proxy/counters.go
@@ -7,36 +7,38 @@
 	"curlewwalk/internal/dataplane/routing"
 )
 
-// Counters count the requests of an outbound side, or the attempts of an inbound side, from the
-// start of the process on.
+// Counters counts the requests of an outbound side, or the attempts of an inbound side, since the
+// start of the process.
 type Counters struct {
-	// InFlight is how many are open now.
+	// InFlight is the number of requests or attempts that are open now.
 	InFlight atomic.Int64
-	// Requests counts those that have come, and the next three those that have ended, by
-	// outcome.
+	// Requests counts all requests or attempts received. Answered, NotRun and Unknown count the
+	// completed ones by outcome.
 	Requests                  atomic.Int64
 	Answered, NotRun, Unknown atomic.Int64
-	// ExtraAttempts counts the retries.
+	// ExtraAttempts counts retries.
 	ExtraAttempts atomic.Int64
-	// Joined counts the requests that got the response of an earlier one of their idempotency
-	// key.
+	// Joined counts the requests that got the response of an earlier request with the same
+	// idempotency key.
 	Joined atomic.Int64
-	// ClientDisconnects counts the requests whose clients left before they were answered, and
-	// AfterDisconnect sums up, in nanoseconds, for how long these went on after that.
+	// ClientDisconnects counts the requests whose clients disconnected before they were answered.
+	// AfterDisconnect is the total time, in nanoseconds, for which these requests continued
+	// afterwards.
 	ClientDisconnects, AfterDisconnect atomic.Int64
-	// CanceledBeforeStart counts the attempts that were canceled before they were begun,
-	// CanceledRunning those that were stopped, and LeftRunning those that must not be stopped,
-	// or are not known.
+	// CanceledBeforeStart counts the attempts that were canceled before they began. CanceledRunning
+	// counts the running attempts that were stopped. LeftRunning counts the canceled attempts that
+	// must not be stopped or are not known.
 	CanceledBeforeStart, CanceledRunning, LeftRunning atomic.Int64
 }
 
-// clientDisconnected counts a request whose client left, and which went on for some time after.
+// clientDisconnected counts a request whose client disconnected, and the time for which the request
+// continued afterwards.
 func (c *Counters) clientDisconnected(after time.Duration) {
 	c.ClientDisconnects.Add(1)
 	c.AfterDisconnect.Add(int64(after))
 }
 
-// completed counts one that has ended.
+// completed counts a completed request or attempt.
 func (c *Counters) completed(outcome routing.Outcome) {
 	switch outcome {
 	case routing.Answered:
@@ -48,7 +50,7 @@
 	}
 }
 
-// Totals is a reading of Counters, as the API shows it.
+// Totals is a snapshot of Counters for the API.
 type Totals struct {
 	InFlight          int64 `json:"open"`
 	Requests          int64 `json:"inquiries"`
@@ -65,7 +67,7 @@
 	LeftRunning         int64         `json:"left_running"`
 }
 
-// Snapshot reads the counters, one after another.
+// Snapshot reads each counter. The values are not read atomically as a set.
 func (c *Counters) Snapshot() Totals {
 	return Totals{
 		InFlight: c.InFlight.Load(), Requests: c.Requests.Load(), Answered: c.Answered.Load(), NotRun: c.NotRun.Load(),
--- a/internal/dataplane/proxy/dialect.go
+++ b/internal/dataplane/proxy/dialect.go
@@ -7,61 +7,65 @@
 	"curlewwalk/internal/dataplane/routing"
 )
 
-// Dialect is how HTTP messages say what concerns the proxy: it reads the requests of callers and
-// the responses of backends, and writes what is sent to them. The project's own is
-// DefaultDialect; an adapter brings another. A dialect decides nothing: what follows from what it
-// has read is up to the proxy. (DESIGN 18.2)
+// Dialect defines how HTTP messages carry the information that the proxy needs. It parses the
+// requests of callers and the responses of backends, and builds the messages sent to them.
+// DefaultDialect is the project's own dialect, and adapters provide others. A dialect only parses
+// and formats. The proxy makes all decisions. (DESIGN 18.2)
 type Dialect interface {
-	// ParseRequest reads what a request says of itself. h is the header that goes to the backend:
-	// ParseRequest takes out of it what only sidecars may set.
+	// ParseRequest reads the metadata of a request. h is the header for the backend. ParseRequest
+	// removes the fields from h that only sidecars may set.
 	ParseRequest(r *http.Request, h http.Header) RequestMetadata
-	// SetBackendHeaders puts into h, the header of a request to a backend, what the backend has
-	// to know of an attempt: its caller, the instance that is meant, the time remaining.
+	// SetBackendHeaders adds to h, the header of a request to a backend, the information that the
+	// backend needs about an attempt: its caller, the target instance and the remaining time.
 	SetBackendHeaders(h http.Header, attempt *Attempt, remaining time.Duration)
-	// ClassifyResponse tells from the head of a backend's response what it means for an attempt.
+	// ClassifyResponse returns the meaning of a backend's response for an attempt, derived from the
+	// head of the response.
 	ClassifyResponse(attempt *Attempt, status int, h http.Header) ResponseClass
-	// BuildReply makes the response of a request that a sidecar answers itself.
+	// BuildReply builds the response to a request that a sidecar answers itself.
 	BuildReply(reply LocalReply) Response
 }
 
-// RequestMetadata is what a request says of itself.
+// RequestMetadata holds the metadata that a request carries.
 type RequestMetadata struct {
-	// ClientTimeout is how long its client waits; zero if it does not say.
+	// ClientTimeout is how long the client waits. It is zero if the client sent no timeout.
 	ClientTimeout time.Duration
-	// IdempotencyKey is the key under which it must run only once; empty if it has none.
+	// IdempotencyKey is the key under which the request must run only once. It is empty if the
+	// request has none.
 	IdempotencyKey string
 }
 
-// ResponseClass is what a backend's response means for an attempt.
+// ResponseClass is the meaning of a backend's response for an attempt.
 type ResponseClass int
 
 const (
 	// ResponseValid is the attempt's own response.
 	ResponseValid ResponseClass = iota
-	// ResponseDeclined says that the backend has not run the attempt and never will.
+	// ResponseDeclined means that the backend has not run the attempt and never will.
 	ResponseDeclined
-	// ResponseMisrouted says the same, as another instance has the address.
+	// ResponseMisrouted means the same as ResponseDeclined, because another instance has the
+	// address.
 	ResponseMisrouted
 	// ResponseMismatched is the response to another request.
 	ResponseMismatched
-	// ResponseForged claims a success that can't be that of this backend.
+	// ResponseForged reports a success that this backend cannot have sent.
 	ResponseForged
 )
 
-// LocalReply is what a sidecar answers itself.
+// LocalReply describes a reply that a sidecar sends itself.
 type LocalReply struct {
 	Status  int
 	Outcome routing.Outcome
 	Reason  string
-	// TraceID is the request's trace; empty if it has none.
+	// TraceID is the trace ID of the request. It is empty if the request has none.
 	TraceID string
-	// RetryAfter is the least time after which to send the request again; zero if that makes no
-	// sense.
+	// RetryAfter is the shortest time after which the client should retry. It is zero if a retry
+	// would not help.
 	RetryAfter time.Duration
 }
 
-// DefaultDialect is the project's own dialect: Idempotency-Key on requests, Curlewwalk-Caller to
-// backends, and local replies as JSON documents with Curlewwalk-Outcome.
+// DefaultDialect is the project's own dialect. It reads Idempotency-Key from requests, sends
+// Curlewwalk-Caller to backends, and formats local replies as JSON documents with
+// Curlewwalk-Outcome.
 type DefaultDialect struct{}
 
 // ParseRequest implements Dialect.
--- a/internal/dataplane/proxy/exchange.go
+++ b/internal/dataplane/proxy/exchange.go
@@ -10,19 +10,19 @@
 	"curlewwalk/internal/trace"
 )
 
-// exchange puts an attempt to its backend and reads the complete response. Where an open
-// connection failed before a byte was written, the attempt goes on a new one, past the guard
-// again: only then is it known that the backend has seen nothing.
+// exchange sends an attempt to the backend and reads the complete response. If a reused connection
+// fails before a byte was written, exchange retries on a new connection and checks the guard again.
+// Only in this case is it known that the backend has received nothing.
 func (in *Inbound) exchange(ctx context.Context, endpoint endpoints.Endpoint, attempt *Attempt, span trace.Span, guard *writeGuard) AttemptResponse {
 	x := backendExchange{inbound: in, endpoint: endpoint, attempt: attempt, span: span, guard: guard, maxConnections: in.maxConnections(endpoint)}
 	response, retry := x.tryConnection(ctx, maxIdleTimeFor(attempt))
 	for retry {
-		response, retry = x.tryConnection(ctx, newConnection)
+		response, retry = x.tryConnection(ctx, forceNewConnection)
 	}
 	return response
 }
 
-// maxIdleTimeFor returns how long an open connection may have been idle to be used for an attempt.
+// maxIdleTimeFor returns how long a pooled connection may have been idle to be used for an attempt.
 func maxIdleTimeFor(attempt *Attempt) time.Duration {
 	if attempt.Idempotent {
 		return maxIdleTime
@@ -39,18 +39,18 @@
 	guard          *writeGuard
 	maxConnections int
 
-	// What follows is of the current connection.
+	// The fields below belong to the current connection.
 	conn *backendConn
 	req  *http.Request
-	// nothingWritten says that the connection failed before a byte was taken.
+	// nothingWritten reports whether the connection failed before a byte was written.
 	nothingWritten bool
-	// misrouted says that another instance has answered at the backend's address.
+	// misrouted reports whether another instance answered at the backend's address.
 	misrouted bool
 }
 
-// tryConnection puts the attempt to the backend on a connection that was idle for less than
-// maxIdle or is new. It asks for a retry if nothing was written, as an open connection had
-// failed before.
+// tryConnection sends the attempt to the backend on a connection that was idle for less than
+// maxIdle, or on a new one. retry is true if the connection was reused and failed before a byte was
+// written.
 func (x *backendExchange) tryConnection(ctx context.Context, maxIdle time.Duration) (response AttemptResponse, retry bool) {
 	pool := x.inbound.pool
 	conn, err := pool.acquire(ctx, x.endpoint, x.maxConnections, maxIdle)
@@ -58,14 +58,15 @@
 		return connectionLost(ctx, err), false
 	}
 	x.conn, x.req, x.nothingWritten, x.misrouted = conn, x.newRequest(ctx), false, false
-	// Reads and writes wait until the connection's deadline: this is how they end with ctx.
+	// Reads and writes block until the connection's deadline. Setting the deadline to the current
+	// time interrupts them when ctx ends.
 	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(time.Now()) })
 	reused := conn.usedBefore
 	conn.usedBefore = true
 	conn.carriedHead = conn.carriedHead || x.attempt.Method == http.MethodHead
 	response = x.run(ctx)
 	if !stop() {
-		conn.idleTimeout = 0 // its deadline may be changed at any moment from now on
+		conn.idleTimeout = 0 // the function above may still change the deadline at any time
 	}
 	if x.misrouted {
 		pool.closeIdle(conn.address)
@@ -74,7 +75,7 @@
 	return response, reused && x.nothingWritten
 }
 
-// newRequest makes the HTTP request of the attempt.
+// newRequest builds the HTTP request of the attempt.
 func (x *backendExchange) newRequest(ctx context.Context) *http.Request {
 	req := newBackendRequest(ctx, x.endpoint.Address, x.attempt)
 	trace.WriteB3(req.Header, x.span)
@@ -82,8 +83,8 @@
 	return req
 }
 
-// run writes the request and reads the response. The connection is kept only if it is known to
-// stand between two responses.
+// run writes the request and reads the response. The connection is kept only if the response was
+// read completely and no other response can follow.
 func (x *backendExchange) run(ctx context.Context) AttemptResponse {
 	idleTimeout := x.conn.idleTimeout
 	x.conn.idleTimeout = 0
@@ -95,7 +96,7 @@
 		x.conn.idleTimeout, x.conn.idleSince = idleTimeoutAfter, time.Now()
 	case x.guard.written():
 	case x.guard.refusal.Load() != nil:
-		x.conn.idleTimeout = idleTimeout // nothing has happened on the connection
+		x.conn.idleTimeout = idleTimeout // the connection was not used
 		response = connectionLost(ctx, err)
 	default:
 		x.nothingWritten = true
@@ -104,8 +105,9 @@
 	return response
 }
 
-// startWrite writes the request, and returns where the write's result arrives. A long request is
-// written while the response is read already, as it may be answered before its end.
+// startWrite writes the request, and returns the channel that receives the write's result. A long
+// request is written concurrently with reading the response, because the backend may respond before
+// the end of the request.
 func (x *backendExchange) startWrite(ctx context.Context) <-chan error {
 	written := make(chan error, 1)
 	write := func(context.Context) {
@@ -123,7 +125,7 @@
 	return written
 }
 
-// endWrite returns the write's result; a write that has not ended by now is given up.
+// endWrite returns the result of the write. It aborts a write that has not ended yet.
 func (x *backendExchange) endWrite(written <-chan error) error {
 	select {
 	case err := <-written:
@@ -134,7 +136,7 @@
 	}
 }
 
-// write writes the request, one that is not long in one piece.
+// write writes the request. A short request is written with a single call of Write.
 func (x *backendExchange) write() error {
 	out := bufio.NewWriterSize(guardedWriter{conn: x.conn.Conn, guard: x.guard}, headBufferSize+min(len(x.attempt.Body), inlineWriteLimit))
 	if err := x.req.Write(out); err != nil {
--- a/internal/dataplane/proxy/exchange_test.go
+++ b/internal/dataplane/proxy/exchange_test.go
@@ -172,7 +172,7 @@
 	b.mustAnswer(t, Attempt{})
 	conn := b.idleConn(t)
 	io.WriteString(<-late, responseText("x", "no"))
-	for end := conn.idleSince.Add(maxIdleTime / 2); conn.isQuiet(); {
+	for end := conn.idleSince.Add(maxIdleTime / 2); conn.hasNoPendingInput(); {
 		if time.Now().After(end) {
 			t.Fatal("unexpected bytes were not noticed")
 		}
--- a/internal/dataplane/proxy/header.go
+++ b/internal/dataplane/proxy/header.go
@@ -8,21 +8,21 @@
 
 // The headers that the proxy reads or sets. (DESIGN 10.1)
 const (
-	// HeaderCaller tells a backend which service has sent the request.
+	// HeaderCaller names the service that sent the request, in requests to backends.
 	HeaderCaller = "Curlewwalk-Caller"
-	// HeaderOutcome tells a client of a local reply whether the request has run.
+	// HeaderOutcome reports whether the request has run, in local replies to clients.
 	HeaderOutcome = "Curlewwalk-Outcome"
-	// HeaderKey is the key under which a request runs only once.
+	// HeaderKey is the idempotency key of a request. Requests with the same key run only once.
 	HeaderKey = "Idempotency-Key"
 )
 
-// hopByHop are the header fields that concern one connection only.
+// hopByHop lists the header fields that apply to a single connection.
 var hopByHop = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect",
 }
 
-// endToEnd copies a header without the fields that concern one connection only.
+// endToEnd returns a copy of a header without the fields that apply to a single connection.
 func endToEnd(h http.Header) http.Header {
 	out := h.Clone()
 	for _, line := range h["Connection"] {
@@ -36,7 +36,7 @@
 	return out
 }
 
-// isHopByHop reports whether a header field concerns one connection only.
+// isHopByHop reports whether a header field applies to a single connection.
 func isHopByHop(name string) bool {
 	return slices.Contains(hopByHop, http.CanonicalHeaderKey(name))
 }
--- a/internal/dataplane/proxy/idempotency.go
+++ b/internal/dataplane/proxy/idempotency.go
@@ -12,20 +12,22 @@
 	"curlewwalk/internal/dataplane/routing"
 )
 
-// requestKey is a request's idempotency key, with the fingerprint that a repeat must share.
+// requestKey is a request's idempotency key with the request's fingerprint. A repeat must have the
+// same fingerprint.
 type requestKey struct {
 	idempotency.Key
 	fingerprint idempotency.Fingerprint
 }
 
-// keyedOutcome is how the first request of a key has ended.
+// keyedOutcome is the outcome of the first request of a key.
 type keyedOutcome struct {
 	response Response
-	// keep says that repeats get the response; else the request has not run, and a repeat may.
+	// keep reports whether repeats get the response. If it is false, the request has not run, and a
+	// repeat may run.
 	keep bool
 }
 
-// runKeyed runs a request under its idempotency key; at once if it has none. The first request
+// runKeyed runs a request under its idempotency key, or directly if it has none. The first request
 // of a key runs, and each repeat gets its response. (DESIGN 10.3, 10.4)
 func (o *Outbound) runKeyed(ctx context.Context, req *request) Response {
 	if req.metadata.IdempotencyKey == "" {
@@ -52,28 +54,30 @@
 	return outcome.response
 }
 
-// newRequestKey returns the key of a request, or why the request can't run under it.
+// newRequestKey returns the key of a request, or the reason why the request cannot run under it.
 func (o *Outbound) newRequestKey(req *request) (key requestKey, rejection *routing.Failure) {
 	text := req.metadata.IdempotencyKey
 	if len(text) > maxKeyLength {
 		return requestKey{}, rejectKeyTooLong
 	}
 	if !o.KeyReplication.Recovered() {
-		// An earlier incarnation of this node may have run what this repeats.
+		// An earlier incarnation of this node may have run a request with the same key.
 		return requestKey{}, rejectKeysNotRecovered
 	}
 	return requestKey{idempotency.Key{Caller: req.caller, Text: text}, req.fingerprint()}, nil
 }
 
-// fingerprint returns a digest of what makes two requests the same one.
+// fingerprint returns a digest of the method, host, target and body, which are equal in all repeats
+// of a request.
 func (req *request) fingerprint() idempotency.Fingerprint {
 	attempt := &req.template
 	parts := [][]byte{[]byte(attempt.Method), []byte(attempt.Host), []byte(attempt.URI), attempt.Body}
 	return idempotency.Fingerprint(sha256.Sum256(bytes.Join(parts, []byte{0})))
 }
 
-// reserveKey reserves a key on this node. It reports whether the request is the key's first one,
-// which has to run. Else it waits for the first one, and returns its response or why there is none.
+// reserveKey reserves a key on this node. first reports whether the request is the first one of the
+// key, which must run. Otherwise reserveKey waits for the first request, and returns its response
+// or the reason why there is none.
 func (o *Outbound) reserveKey(ctx context.Context, key requestKey) (first bool, response Response, rejection *routing.Failure) {
 	decision, response, err := o.Reservations.Reserve(ctx, key.Key, key.fingerprint)
 	switch decision {
@@ -92,8 +96,8 @@
 	return true, Response{}, nil
 }
 
-// runFirst runs the first request of a key, once the reservation is replicated to other nodes:
-// one of them may know an earlier request of the key, which this node has forgotten.
+// runFirst runs the first request of a key after the reservation has been replicated to other
+// nodes. One of them may have the record of an earlier request of the key that this node has lost.
 func (o *Outbound) runFirst(ctx context.Context, req *request, key requestKey) keyedOutcome {
 	reservation, err := o.KeyReplication.Replicate(ctx, key.Key, key.fingerprint, time.Until(req.deadline))
 	var reserved *keyreplication.ReservedError
@@ -114,14 +118,14 @@
 	return keyedOutcome{response: response, keep: true}
 }
 
-// RestoreKey takes over the record of a key that an earlier incarnation of this node reserved.
+// RestoreKey restores the record of a key that an earlier incarnation of this node reserved.
 // (DESIGN 10.4)
 func (o *Outbound) RestoreKey(ctx context.Context, record keyreplication.Record) {
 	o.Reservations.Restore(ctx, record.Key, record.Fingerprint, o.storedResponse(record))
 }
 
-// storedResponse returns the response in a key's record. If there is none, nobody knows whether the
-// request has run.
+// storedResponse returns the response in a key's record. If the record has no response, it is
+// unknown whether the request has run.
 func (o *Outbound) storedResponse(record keyreplication.Record) Response {
 	response, ok := unmarshalResponse(record.Response)
 	if !ok {
--- a/internal/dataplane/proxy/inbound.go
+++ b/internal/dataplane/proxy/inbound.go
@@ -13,19 +13,21 @@
 	"curlewwalk/internal/transport"
 )
 
-// InboundConfig is how an Inbound treats attempts.
+// InboundConfig holds the settings of an Inbound.
 type InboundConfig struct {
-	// Incarnation is this process's; attempts that were meant for an earlier one are refused.
+	// Incarnation is the incarnation of this process. Attempts for an earlier incarnation are
+	// refused.
 	Incarnation uint64
-	// HalfCapacityTime is for how long after the start a backend gets half of its capacity at
-	// most, as runs admitted by an earlier process may still be going on.
+	// HalfCapacityTime is how long after the start of this process a backend gets at most half of
+	// its capacity, because requests that an earlier process admitted may still be running.
 	HalfCapacityTime time.Duration
 }
 
-// InboundDeps is what an Inbound works with. All must be set.
+// InboundDeps holds the dependencies of an Inbound. All fields are required.
 type InboundDeps struct {
 	Actors *actor.System
-	// Endpoints and Table return the newest snapshots of this node's backends and of the routes.
+	// Endpoints and Table return the newest snapshots of this node's backends and of the routing
+	// table.
 	Endpoints func() endpoints.Registry
 	Table     func() *routing.Table
 	Spans     *trace.Queue
@@ -38,8 +40,8 @@
 	Dialect  Dialect
 }
 
-// Inbound is the proxy's side of the backends of this node: it alone admits attempts to them.
-// (DESIGN 9)
+// Inbound is the backend's side of the proxy on this node. Only the Inbound admits attempts to the
+// backends of this node. (DESIGN 9)
 type Inbound struct {
 	InboundConfig
 	InboundDeps
@@ -59,30 +61,31 @@
 	return in
 }
 
-// ConnectionsOpened returns how many connections to backends were opened.
+// ConnectionsOpened returns the number of connections opened to backends.
 func (in *Inbound) ConnectionsOpened() int64 { return in.pool.opened.Load() }
 
-// ConnectionsReused returns how many attempts were given a connection that was open already.
+// ConnectionsReused returns the number of attempts that reused a pooled connection.
 func (in *Inbound) ConnectionsReused() int64 { return in.pool.reused.Load() }
 
-// errNotAttempt answers a call that is not a valid Attempt. Its text is part of the protocol.
+// errNotAttempt is the reply to a call that is not a valid Attempt. Its text is part of the
+// protocol.
 var errNotAttempt = errors.New("not a leg")
 
-// HandleAttempt handles an attempt: it is the transport.Handler of KindAttempt.
+// HandleAttempt handles an attempt. It is the transport.Handler of KindAttempt.
 func (in *Inbound) HandleAttempt(ctx context.Context, request transport.Request) (any, error) {
 	var attempt Attempt
 	if !request.Decode(&attempt) || !attempt.valid() {
-		return nil, errNotAttempt // and never begun, as the reply to a cancellation will tell
+		return nil, errNotAttempt // the attempt never begins, which the reply to a cancellation confirms
 	}
 	in.Counters.Requests.Add(1)
 	in.Counters.InFlight.Add(1)
 	defer in.Counters.InFlight.Add(-1)
 	span, traced := trace.SpanFromContext(ctx)
 	if !traced {
-		span = trace.Root() // a peer that does not trace is served all the same
+		span = trace.Root() // the peer does not trace
 	}
-	// The end of the peer's connection cancels the attempt only as the peer itself would: what
-	// has begun and is not idempotent goes on.
+	// When the peer's connection closes, the attempt is canceled as if the peer had sent a
+	// cancellation: an attempt that has begun and is not idempotent continues.
 	peerCtx := ctx
 	ctx, cancelWithCause := context.WithCancelCause(trace.ContextWithSpan(context.WithoutCancel(ctx), span))
 	ctx, cancel := context.WithTimeout(ctx, attempt.Timeout)
@@ -94,7 +97,7 @@
 	return response, nil
 }
 
-// withTrace traces the handling of an attempt.
+// withTrace records the trace events of an attempt around handle.
 func (in *Inbound) withTrace(span trace.Span, attempt *Attempt, handle func() AttemptResponse) AttemptResponse {
 	event := trace.Event{Route: attempt.Route, Service: attempt.Service, Caller: attempt.Caller, Instance: attempt.Instance, Attempt: attempt.Number}
 	in.Spans.Put(span, trace.ServerReceive, event)
@@ -104,7 +107,7 @@
 	return response
 }
 
-// deadline returns the deadline of ctx; zero if it has none.
+// deadline returns the deadline of ctx, or the zero time if it has none.
 func deadline(ctx context.Context) time.Time {
 	t, _ := ctx.Deadline()
 	return t
--- a/internal/dataplane/proxy/limits.go
+++ b/internal/dataplane/proxy/limits.go
@@ -4,47 +4,49 @@
 
 // Limits of the outbound side.
 const (
-	// maxKeyLength is the greatest length of an Idempotency-Key, in bytes.
-	maxKeyLength = 255 // (ours)
+	// maxKeyLength is the maximum length of an Idempotency-Key, in bytes.
+	maxKeyLength = 255
 	// bodyReadTimeout is how long a client may take to send a body.
-	bodyReadTimeout = time.Minute // (ours)
-	// cancelTimeout is how long the reply to a cancellation is waited for.
-	cancelTimeout = 300 * time.Millisecond // (ours)
-	// shutdownCancelTimeout is the same at the end of a shutdown, when little time is left.
-	shutdownCancelTimeout = 100 * time.Millisecond // (ours)
-	// responseMargin is by how much earlier than the request an attempt ends, so that its reply
-	// still arrives.
-	responseMargin = 20 * time.Millisecond // (ours)
-	// usualRequestSize is about how many bytes a request and its response have together.
-	usualRequestSize = 8 << 10 // (ours)
+	bodyReadTimeout = time.Minute
+	// cancelTimeout is how long the outbound side waits for the reply to a cancellation.
+	cancelTimeout = 300 * time.Millisecond
+	// shutdownCancelTimeout replaces cancelTimeout at the end of a shutdown, when little time is
+	// left.
+	shutdownCancelTimeout = 100 * time.Millisecond
+	// responseMargin is how much earlier than the request an attempt ends, so that its reply still
+	// arrives in time.
+	responseMargin = 20 * time.Millisecond
+	// typicalRequestSize is the approximate size of a request and its response together, in bytes.
+	typicalRequestSize = 8 << 10
 )
 
 // Limits of the inbound side.
 const (
-	// maxIdleTime is how long a connection to a backend is kept idle.
-	maxIdleTime = 4 * time.Second // (ours)
-	// maxIdleNonIdempotent is how long one may have been idle to be used for an attempt that is
-	// not idempotent: the backend may close it, or have forgotten it, as the attempt is written.
-	maxIdleNonIdempotent = time.Second // (ours)
-	// newConnection as the greatest idle time asks for a new connection.
-	newConnection = 0
-	// sweepInterval is how often idle connections are looked at.
-	sweepInterval = 250 * time.Millisecond // (ours)
-	// dialTimeout bounds the opening of a connection to a backend.
-	dialTimeout = 250 * time.Millisecond // (ours)
-	// declinedBodyTimeout is how long the rest of a response that declines is waited for.
-	declinedBodyTimeout = 20 * time.Millisecond // (ours)
-	// inlineWriteLimit is the size in bytes of the largest body that is written before the
-	// response is read, and headBufferSize is the space before it for the head.
-	inlineWriteLimit = 16 << 10 // (ours)
-	headBufferSize   = 2 << 10  // (ours)
-	// maxInitialBuffer is the greatest size in bytes of the buffer that a response's body is
-	// read into at first.
-	maxInitialBuffer = 1 << 20 // (ours)
-	// maxInformational bounds the informational responses before the final one.
-	maxInformational = 5 // (ours)
-	// maxMismatched bounds the responses to other requests before the attempt's own.
-	maxMismatched = 2 // (ours)
-	// maxHeadSize bounds the head of a response, in bytes.
-	maxHeadSize = 1 << 20 // (ours)
+	// maxIdleTime is how long an idle connection to a backend is kept.
+	maxIdleTime = 4 * time.Second
+	// maxIdleNonIdempotent is how long a connection may have been idle to be used for a
+	// non-idempotent attempt. The backend may close the connection, or have lost it, while the
+	// attempt is written.
+	maxIdleNonIdempotent = time.Second
+	// forceNewConnection, used as the maximum idle time, forces a new connection.
+	forceNewConnection = 0
+	// sweepInterval is the interval between checks of the idle connections.
+	sweepInterval = 250 * time.Millisecond
+	// dialTimeout is the timeout for opening a connection to a backend.
+	dialTimeout = 250 * time.Millisecond
+	// declinedBodyTimeout is how long the inbound side waits for the rest of a response that
+	// declines the attempt.
+	declinedBodyTimeout = 20 * time.Millisecond
+	// inlineWriteLimit is the size in bytes of the largest body that is written before the response
+	// is read. headBufferSize is the buffer space in bytes for the head before the body.
+	inlineWriteLimit = 16 << 10
+	headBufferSize   = 2 << 10
+	// maxInitialBuffer is the maximum initial size in bytes of the buffer for a response body.
+	maxInitialBuffer = 1 << 20
+	// maxInformational is the maximum number of informational (1xx) responses before the final one.
+	maxInformational = 5
+	// maxMismatched is the maximum number of responses to other requests before the attempt's own.
+	maxMismatched = 2
+	// maxHeadSize is the maximum size of the head of a response, in bytes.
+	maxHeadSize = 1 << 20
 )
--- a/internal/dataplane/proxy/openattempts.go
+++ b/internal/dataplane/proxy/openattempts.go
@@ -7,22 +7,22 @@
 	"sync"
 )
 
-// openAttempts are the attempts that are open at an inbound side, so that a cancellation finds
-// them. Its zero value is empty; it is safe for concurrent use.
+// openAttempts is the set of attempts that are open on an inbound side. Cancellations look attempts
+// up in it. Its zero value is empty, and it is safe for concurrent use.
 type openAttempts struct {
 	mu   sync.Mutex
 	byID map[string]openAttempt
 }
 
-// openAttempt is one of them.
+// openAttempt is one open attempt.
 type openAttempt struct {
 	idempotent bool
-	// cancel ends its context.
+	// cancel ends the attempt's context.
 	cancel context.CancelCauseFunc
 }
 
-// add adds an attempt until remove is called. A second one of the same ID is not added: it never
-// begins.
+// add adds an attempt to the set until remove is called. A second attempt with the same ID is not
+// added, because it never begins.
 func (o *openAttempts) add(attempt *Attempt, cancel context.CancelCauseFunc) (remove func()) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -40,7 +40,7 @@
 	}
 }
 
-// find returns an open attempt.
+// find returns the open attempt with the given ID.
 func (o *openAttempts) find(id string) (attempt openAttempt, ok bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -48,7 +48,7 @@
 	return attempt, ok
 }
 
-// ids lists the open attempts.
+// ids returns the IDs of the open attempts.
 func (o *openAttempts) ids() []string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/dataplane/proxy/outbound.go
+++ b/internal/dataplane/proxy/outbound.go
@@ -18,31 +18,31 @@
 	"curlewwalk/internal/transport"
 )
 
-// OutboundConfig is how an Outbound treats requests.
+// OutboundConfig holds the settings of an Outbound.
 type OutboundConfig struct {
-	// Zone is the zone of this node; its backends are preferred.
+	// Zone is the zone of this node. The proxy prefers backends in this zone.
 	Zone string
-	// LocalService is the service that all callers on this machine belong to; empty if they
-	// belong to several, or to none.
+	// LocalService is the service that all callers on this machine belong to. It is empty if they
+	// belong to several services or to none.
 	LocalService string
-	// EjectionTime is how long a backend that failed is avoided.
+	// EjectionTime is how long the proxy avoids a backend that failed.
 	EjectionTime time.Duration
-	// WaitShare is for how long a request may wait for a backend with capacity, as a share of
-	// its latency target.
+	// WaitShare is the longest time that a request may wait for a backend with capacity, as a share
+	// of its latency target.
 	WaitShare float64
-	// MinRetryAfter is the least time after which a rejected client may send again.
+	// MinRetryAfter is the shortest time after which a rejected client may retry.
 	MinRetryAfter time.Duration
-	// AcceptLate says that an answer past the latency target is better than none.
+	// AcceptLate reports whether a response after the latency target is preferred to a rejection.
 	AcceptLate bool
-	// CrossZoneCost is the cost of sending a request of usual size to another zone, as a share
-	// of the value of answering within the latency target.
+	// CrossZoneCost is the cost of sending a request of typical size to another zone, as a share of
+	// the value of answering within the latency target.
 	CrossZoneCost float64
 }
 
-// OutboundDeps is what an Outbound works with. All must be set, but for those that say
+// OutboundDeps holds the dependencies of an Outbound. All fields are required unless noted
 // otherwise.
 type OutboundDeps struct {
-	// Table and View return the newest snapshots of the routes and of the members.
+	// Table and View return the newest snapshots of the routing table and of the membership.
 	Table          func() *routing.Table
 	View           func() *membership.View
 	Transport      *transport.Client
@@ -56,50 +56,53 @@
 	LatencyBudgets *retrybudget.LatencyBudgets
 	Latencies      *routing.LatencyTable
 	Dialect        Dialect
-	// Lifetime ends when the node has to answer all requests that are still open; its cause is
-	// ErrStopping if the node is being stopped.
+	// Lifetime ends when the node must answer all requests that are still open. Its cause is
+	// ErrStopping if the node is shutting down.
 	Lifetime context.Context
-	// RefusesClients reports whether clients' requests are rejected.
+	// RefusesClients reports whether the node rejects requests of clients.
 	RefusesClients func() bool
-	// ShutdownTime, if set, reports whether this node is being stopped, and when another node may
-	// take its place: its requests must have ended by then. (DESIGN 11.3)
+	// ShutdownTime, if set, reports whether this node is shutting down, and when another node may
+	// take its place. The requests of this node must have ended by then. (DESIGN 11.3)
 	ShutdownTime func() (end time.Time, stopping bool)
-	// ConfigurationUnconfirmed, if set, tells that a newer configuration than this node's may
+	// ConfigurationUnconfirmed, if set, reports whether a newer configuration than this node's may
 	// be in force.
 	ConfigurationUnconfirmed func() bool
-	// ConfigurationOutdated, if set, tells that a newer configuration is known to be in force
-	// and has not arrived here for so long that this node's must not be used. (DESIGN 7.2)
+	// ConfigurationOutdated, if set, reports whether a newer configuration is known to be in force
+	// and has been missing on this node for so long that the node's configuration must not be used.
+	// (DESIGN 7.2)
 	ConfigurationOutdated func() bool
 }
 
-// Outbound is the proxy's side of the callers: it takes their requests, and sends each in one
-// or more attempts to the inbound sides of the sidecars beside the backends. (DESIGN 4, 10)
+// Outbound is the caller's side of the proxy. It accepts requests of callers and sends each in one
+// or more attempts to the inbound sides of the backends' sidecars. (DESIGN 4, 10)
 type Outbound struct {
 	OutboundConfig
 	OutboundDeps
-	// KeyReplication copies the reservations of idempotency keys to other nodes. It is set
-	// after NewOutbound, as its Restore callback is RestoreKey.
+	// KeyReplication replicates the reservations of idempotency keys to other nodes. It is set
+	// after NewOutbound because its Restore callback is RestoreKey.
 	KeyReplication *keyreplication.Owner
 	Counters       Counters
-	// RouteCounters counts the requests that have ended, by route and outcome.
+	// RouteCounters counts completed requests by route and outcome.
 	RouteCounters metrics.CounterVec
 }
 
-// NewOutbound returns an outbound side that serves requests through its Handler. It has no
-// goroutines of its own.
+// NewOutbound returns an outbound side that serves requests through its Handler. It starts no
+// goroutines.
 func NewOutbound(c OutboundConfig, deps OutboundDeps) *Outbound {
 	return &Outbound{OutboundConfig: c, OutboundDeps: deps}
 }
 
-// Handler serves the requests of one caller: a backend service, or "" for clients.
+// Handler returns the handler for the requests of one caller, which is a backend service, or "" for
+// clients.
 func (o *Outbound) Handler(caller string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if o.RefusesClients() {
 			w.Header().Set("Connection", "close")
 		}
 		if r.ContentLength != 0 {
-			// net/http takes the deadline off again at the end of the body. Where there is no
-			// body, it is reading for the end of the connection already.
+			// net/http clears the read deadline after the body has been read. For a request without
+			// a body, net/http already reads in the background to detect that the client has closed
+			// the connection, so no deadline is set.
 			http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyReadTimeout))
 		}
 		o.serve(caller, r).write(w, r)
@@ -116,14 +119,14 @@
 	return response
 }
 
-// handle takes a request through the steps of its way: its body is read, its route found, it is
-// tied to what caused it, and then it is sent, under its idempotency key if it has one.
+// handle reads the request's body, matches its route, links the request to its cause, and sends the
+// request, under its idempotency key if it has one.
 func (o *Outbound) handle(caller string, r *http.Request) Response {
 	startedAt := time.Now()
-	// Calls of this node's backends are still taken during a shutdown: they belong to requests
-	// that were admitted before it.
+	// Requests of this node's backends are still accepted during a shutdown, because they belong to
+	// requests that were admitted before it.
 	if caller == "" && o.RefusesClients() {
-		return o.reject(nodeStopping(briefly))
+		return o.reject(nodeStopping(transientRetryAfter))
 	}
 	size, rejection := o.reserveBody(r)
 	if rejection != nil {
@@ -134,8 +137,8 @@
 	if rejection != nil {
 		return o.reject(rejection)
 	}
-	if !isFaithfulTarget(r.RequestURI) {
-		return o.reject(rejectPathNotFaithful)
+	if !isPreservedTarget(r.RequestURI) {
+		return o.reject(rejectTargetNotPreserved)
 	}
 	match, rejection := o.matchRoute(r)
 	if rejection != nil {
@@ -149,7 +152,7 @@
 	return o.send(req)
 }
 
-// send sends a request, in the time until its deadline.
+// send runs a request with its deadline.
 func (o *Outbound) send(req *request) Response {
 	ctx, cancel := context.WithDeadline(trace.ContextWithSpan(o.Lifetime, req.span), req.deadline)
 	defer cancel()
@@ -162,14 +165,15 @@
 	return response
 }
 
-// stopWatching ends the watch of a request's client, and counts the client if it has left.
+// stopWatching stops watching a request's client, and counts the client if it has disconnected.
 func (o *Outbound) stopWatching(req *request) {
 	if left, after := req.client.finish(); left {
 		o.Counters.clientDisconnected(after)
 	}
 }
 
-// outlivesNode reports whether a request with a deadline may last longer than this node.
+// outlivesNode reports whether a request with the given deadline may still be running when the
+// shutdown of this node ends.
 func (o *Outbound) outlivesNode(deadline time.Time) bool {
 	if o.ShutdownTime == nil {
 		return false
--- a/internal/dataplane/proxy/readresponse.go
+++ b/internal/dataplane/proxy/readresponse.go
@@ -18,25 +18,26 @@
 	"curlewwalk/internal/dataplane/routing"
 )
 
-// Why a backend's response can't be passed on. Their texts go to clients, as reasons.
+// The reasons why a backend's response cannot be forwarded. The texts are sent to clients as
+// reasons.
 var (
-	errResponseMismatched = eris.New("backend answered another inquiry")
-	errResponseForged     = eris.New("backend's answer claims what it can't")
+	errResponseMismatched = eris.New("backend response belongs to another request")
+	errResponseForged     = eris.New("backend response failed verification")
 	errSwitchedProtocols  = eris.New("backend switched protocols")
-	errNoFinalResponse    = eris.New("backend does not come to its answer")
-	errNoResponseLength   = eris.New("backend's answer does not tell its length")
-	errResponseTooLarge   = eris.New("backend's answer is too large")
-	errResponseCutShort   = eris.New("backend's answer was cut short")
+	errNoFinalResponse    = eris.New("backend sent too many interim (1xx) responses")
+	errNoResponseLength   = eris.New("backend response has neither Content-Length nor chunked encoding")
+	errResponseTooLarge   = eris.New("backend response body exceeds the size limit")
+	errResponseIncomplete = eris.New("backend response body is incomplete")
 )
 
-// Why an attempt is known not to have run though it was written.
+// The reasons why an attempt is known not to have run although it was written.
 const (
 	misroutedReason = "another instance has the address"
 	declinedReason  = "declined by the backend"
 )
 
-// readResponse reads the attempt's response. idleTimeout is for how long the connection may be
-// idle after it; zero if it must be closed.
+// readResponse reads the attempt's response. idleTimeout is how long the connection may be idle
+// afterwards, or zero if the connection must be closed.
 func (x *backendExchange) readResponse(ctx context.Context) (response AttemptResponse, idleTimeout time.Duration) {
 	for mismatched := 0; ; {
 		resp, failed := x.nextResponse(ctx)
@@ -50,7 +51,7 @@
 			x.misrouted = true
 			return AttemptResponse{Outcome: routing.NotRun, Reason: misroutedReason, ReachedBackend: true}, 0
 		case ResponseMismatched:
-			// The late response to an earlier request may stand before the attempt's own.
+			// The late response to an earlier request may precede the attempt's own response.
 			if mismatched++; !x.skipResponse(resp, mismatched) {
 				return unknownOutcome(ctx, errResponseMismatched), 0
 			}
@@ -66,8 +67,8 @@
 	}
 }
 
-// nextResponse reads the head of the next response that is not an informational (1xx) one; resp
-// is nil if there is none, and failed what is known then.
+// nextResponse reads the head of the next response that is not informational (1xx). If there is
+// none, resp is nil, and failed is the reply to the attempt.
 func (x *backendExchange) nextResponse(ctx context.Context) (resp *http.Response, failed AttemptResponse) {
 	for informational := 0; informational <= maxInformational; informational++ {
 		x.conn.readLimit = maxHeadSize
@@ -94,16 +95,16 @@
 	return http.ReadResponse(x.conn.reader, x.req)
 }
 
-// readDeclined reads the rest of a response that declines the attempt. The head proves that the
-// attempt has not run; the rest only decides whether the connection is kept.
+// readDeclined reads the rest of a response that declines the attempt. The head alone proves that
+// the attempt has not run. The rest only determines whether the connection can be kept.
 func (x *backendExchange) readDeclined(ctx context.Context, resp *http.Response) (response AttemptResponse, idleTimeout time.Duration) {
 	x.conn.SetReadDeadline(earlier(deadline(ctx), time.Now().Add(declinedBodyTimeout)))
 	_, _, err := x.readBody(resp)
 	return AttemptResponse{Outcome: routing.NotRun, Reason: declinedReason, ReachedBackend: true}, idleTimeoutAfter(resp, err)
 }
 
-// skipResponse reads a response to another request to its end; false if the attempt's own can't
-// be told from what follows.
+// skipResponse reads a response to another request to its end. It returns false if the attempt's
+// own response cannot be identified in the data that follows.
 func (x *backendExchange) skipResponse(resp *http.Response, mismatched int) bool {
 	_, _, err := x.readBody(resp)
 	return !(err != nil || mismatched > maxMismatched || resp.Close || x.conn.carriedHead)
@@ -123,14 +124,15 @@
 	return AttemptResponse{Outcome: routing.Answered, Status: resp.StatusCode, Header: header, Trailer: endToEnd(trailer), Body: body}, idleTimeoutAfter(resp, nil)
 }
 
-// readBody reads a response's complete body and its trailer.
+// readBody reads the complete body of a response, and its trailer.
 func (x *backendExchange) readBody(resp *http.Response) (body []byte, trailer http.Header, err error) {
 	maxBody := x.inbound.Bodies.MaxBody
 	switch {
 	case x.attempt.Method == http.MethodHead:
 		return []byte{}, resp.Trailer, nil
 	case resp.ContentLength < 0 && len(resp.TransferEncoding) == 0:
-		// It ends with the connection, and so does one that a failing backend has cut short.
+		// Such a body ends when the connection closes, so it cannot be distinguished from one that
+		// a failing backend truncated.
 		return nil, nil, errNoResponseLength
 	case resp.ContentLength > maxBody:
 		return nil, nil, errResponseTooLarge
@@ -139,16 +141,16 @@
 	_, err = buffer.ReadFrom(io.LimitReader(resp.Body, maxBody+1))
 	switch {
 	case err != nil:
-		return nil, nil, errResponseCutShort
+		return nil, nil, errResponseIncomplete
 	case int64(buffer.Len()) > maxBody:
 		return nil, nil, errResponseTooLarge
 	}
 	return buffer.Bytes(), resp.Trailer, nil
 }
 
-// idleTimeoutAfter returns the time for which a connection may be idle after a response; zero if it
-// must be closed. err is the error of reading the response's body. The time is half of what the
-// backend's Keep-Alive says, and at most maxIdleTime.
+// idleTimeoutAfter returns how long a connection may be idle after a response, or zero if it must
+// be closed. err is the error of reading the response's body. The result is half of the timeout in
+// the backend's Keep-Alive header, and at most maxIdleTime.
 func idleTimeoutAfter(resp *http.Response, err error) time.Duration {
 	if err != nil || resp.Close || !resp.ProtoAtLeast(1, 1) {
 		return 0
@@ -169,7 +171,7 @@
 	return maxIdleTime
 }
 
-// unknownOutcome returns what is known of an attempt whose response can't be passed on.
+// unknownOutcome returns the reply to an attempt whose response cannot be forwarded.
 func unknownOutcome(ctx context.Context, err error) AttemptResponse {
 	reason := err.Error()
 	if ctx.Err() != nil {
@@ -178,7 +180,7 @@
 	return AttemptResponse{Outcome: routing.Unknown, Reason: reason}
 }
 
-// connectionLost returns what is known of an attempt whose connection failed.
+// connectionLost returns the reply to an attempt whose connection failed.
 func connectionLost(ctx context.Context, err error) AttemptResponse {
 	reason, end := "backend: "+rootCause(err), deadline(ctx)
 	switch {
@@ -198,7 +200,7 @@
 	return err.Error()
 }
 
-// earlier returns the earlier one of two times; a zero a counts as none.
+// earlier returns the earlier of two times. A zero a is ignored.
 func earlier(a, b time.Time) time.Time {
 	if a.IsZero() || b.Before(a) {
 		return b
--- a/internal/dataplane/proxy/request.go
+++ b/internal/dataplane/proxy/request.go
@@ -12,42 +12,42 @@
 	"curlewwalk/internal/trace"
 )
 
-// request is one request of a caller, from the match of its route on.
+// request is one request of a caller after its route has been matched.
 type request struct {
-	// caller is the backend service that sent it; empty for a client.
+	// caller is the backend service that sent the request. It is empty for a client.
 	caller string
-	// route has as its Service the one that was picked for this request.
+	// route is the matched route. Its Service is the service that was picked for this request.
 	route    config.Route
 	contract config.Contract
 	deadlines
 	metadata RequestMetadata
 	client   *clientWatch
-	// cause is what the request was tied to, if a backend sent it.
+	// cause is the request that caused this one, if a backend sent this one.
 	cause causality.Cause
 	span  trace.Span
-	// clientTraced says that the request came with trace headers of its own.
+	// clientTraced reports whether the caller sent trace headers.
 	clientTraced bool
-	// template is what the request's attempts have in common.
+	// template holds the fields that all attempts of the request share.
 	template Attempt
 }
 
-// routeMatch is the route of a request, and its contract.
+// routeMatch is the route of a request and its contract.
 type routeMatch struct {
 	route    config.Route
 	contract config.Contract
 }
 
-// deadlines are a request's points in time.
+// deadlines holds the points in time that bound a request.
 type deadlines struct {
 	startedAt time.Time
 	// targetTime is when the request misses its latency target.
 	targetTime time.Time
-	// deadline is when it must have been answered.
+	// deadline is the time by which the request must have been answered.
 	deadline time.Time
 }
 
-// newDeadlines returns the deadlines that a contract sets. A client that waits for a shorter time
-// brings the deadline forward; clientTimeout is zero if the client does not say.
+// newDeadlines returns the deadlines that a contract sets. A client timeout shorter than the
+// contract's deadline replaces that deadline. clientTimeout is zero if the client sent none.
 func newDeadlines(startedAt time.Time, contract config.Contract, clientTimeout time.Duration) deadlines {
 	d := deadlines{
 		startedAt:  startedAt,
@@ -60,7 +60,7 @@
 	return d
 }
 
-// matchRoute finds a request's route and contract, or tells why it can't be sent.
+// matchRoute returns a request's route and contract, or the reason why the request cannot be sent.
 func (o *Outbound) matchRoute(r *http.Request) (match routeMatch, rejection *routing.Failure) {
 	if o.ConfigurationOutdated != nil && o.ConfigurationOutdated() {
 		return routeMatch{}, configurationOutdated(o.retryAfter())
@@ -78,9 +78,9 @@
 	return routeMatch{}, rejectNoRoute
 }
 
-// newRequest makes the request that a caller's HTTP request asks for: it picks the service of a
-// split route, reads what the request says of itself, sets its deadlines, links it to its cause
-// and opens its span. The watch of its client must be ended with stopWatching.
+// newRequest builds a request from a caller's HTTP request. It picks the service of a split route,
+// reads the request's metadata, sets its deadlines, links it to its cause and starts its span. The
+// caller must stop the watch of the client with stopWatching.
 func (o *Outbound) newRequest(caller string, startedAt time.Time, match routeMatch, r *http.Request, body []byte) *request {
 	req := &request{caller: caller, route: match.route, contract: match.contract}
 	req.route.Service = routing.PickService(req.route, rand.IntN)
@@ -94,12 +94,12 @@
 	return req
 }
 
-// newTemplate makes what the attempts of a request have in common, and reads what the request
-// says of itself.
+// newTemplate builds the fields that all attempts of a request share, and reads the request's
+// metadata.
 func (o *Outbound) newTemplate(req *request, r *http.Request, body []byte) (RequestMetadata, Attempt) {
 	header := endToEnd(r.Header)
 	metadata := o.Dialect.ParseRequest(r, header)
-	// What must not be in a header must not be in a trailer either.
+	// Fields that only sidecars may set are removed from the trailer as they are from the header.
 	trailer := endToEnd(r.Trailer)
 	o.Dialect.ParseRequest(r, trailer)
 	return metadata, Attempt{
@@ -109,8 +109,8 @@
 	}
 }
 
-// watchUnlessKeyed watches a request's client. A request with an idempotency key goes on after
-// its client has left: its response is kept for a repeat.
+// watchUnlessKeyed watches a request's client. A request with an idempotency key continues after
+// its client has disconnected, because its response is kept for a repeat.
 func watchUnlessKeyed(r *http.Request, metadata RequestMetadata) *clientWatch {
 	if metadata.IdempotencyKey != "" {
 		return ignoreClient()
@@ -118,9 +118,9 @@
 	return watchConnection(r.Context())
 }
 
-// linkCause ties a backend's request to the request that caused it: it inherits that one's
-// priority, and its deadline if that is earlier. Where clients and the backends of LocalService
-// share an address, a request is only traced to its likely cause. (DESIGN 2.5)
+// linkCause links a backend's request to the request that caused it. The request inherits the
+// cause's priority, and the cause's deadline if that is earlier. If clients and the backends of
+// LocalService share an address, the likely cause is recorded in the trace only. (DESIGN 2.5)
 func (o *Outbound) linkCause(req *request, clientSpan trace.Span) {
 	if req.caller != "" {
 		req.cause = o.Causality.Link(o.Lifetime, req.caller, req.route.Name, clientSpan)
@@ -132,12 +132,14 @@
 		}
 	}
 	if req.caller == "" && o.LocalService != "" {
-		// Such a request tells how long its client waits: what is inferred decides nothing.
+		// The request states its client's timeout itself, so the inferred cause changes neither its
+		// priority nor its deadline.
 		req.cause = o.Causality.LinkMixed(o.Lifetime, o.LocalService, req.route.Name, clientSpan, time.Until(req.deadline))
 	}
 }
 
-// newSpan returns the request's span: a child of its cause's, else of its client's, else a new root.
+// newSpan returns the request's span: a child of the cause's span if there is one, else a child of
+// the client's span if the client sent one, else a new root span.
 func (req *request) newSpan(clientSpan trace.Span) trace.Span {
 	switch {
 	case !req.cause.Parent.IsZero():
@@ -148,7 +150,8 @@
 	return trace.Root()
 }
 
-// maxLateness returns how late the request may be at all.
+// maxLateness returns the longest time after its latency target at which the request may still be
+// answered.
 func (req *request) maxLateness() time.Duration {
 	return req.contract.Deadline.Duration - req.contract.LatencyTarget.Duration
 }
--- a/internal/dataplane/proxy/response.go
+++ b/internal/dataplane/proxy/response.go
@@ -12,22 +12,21 @@
 	"curlewwalk/internal/transport"
 )
 
-// Response is the response to a request as its client gets it. It is also stored with the record
+// Response is the response that the client of a request receives. It is also stored in the record
 // of an idempotency key.
 type Response struct {
 	Status int         `msgpack:"Status"`
 	Header http.Header `msgpack:"Header"`
-	// Trailer follows the body.
+	// Trailer is sent after the body.
 	Trailer http.Header     `msgpack:"Trailer"`
 	Body    []byte          `msgpack:"Body"`
 	Outcome routing.Outcome `msgpack:"Fate"`
 }
 
-// ShutdownResponse returns the response that a sidecar that is being stopped sends on an idle
-// connection of a client, in a dialect.
-// (DESIGN 11.3)
+// ShutdownResponse returns the response in dialect d that a sidecar sends on an idle client
+// connection while it is shutting down. (DESIGN 11.3)
 func ShutdownResponse(d Dialect) Response {
-	return d.BuildReply(LocalReply{Status: http.StatusRequestTimeout, Outcome: routing.NotRun, Reason: stoppingReason, RetryAfter: briefly})
+	return d.BuildReply(LocalReply{Status: http.StatusRequestTimeout, Outcome: routing.NotRun, Reason: stoppingReason, RetryAfter: transientRetryAfter})
 }
 
 // marshal encodes the response for the record of its idempotency key.
@@ -39,8 +38,8 @@
 	return b
 }
 
-// unmarshalResponse decodes a response from the record of an idempotency key; false if there is
-// none in it.
+// unmarshalResponse decodes a response from the record of an idempotency key. ok is false if the
+// record has no valid response.
 func unmarshalResponse(b []byte) (r Response, ok bool) {
 	ok = transport.Unmarshal(b, &r) == nil && r.Status >= 200 && r.Status <= 999
 	return r, ok
@@ -53,7 +52,7 @@
 	Trace   string          `json:"trace,omitempty"`
 }
 
-// newLocalReply makes the response of a local reply. Retry-After is in whole seconds, rounded up.
+// newLocalReply builds the response of a local reply. Retry-After is in whole seconds, rounded up.
 // (DESIGN 10.2)
 func newLocalReply(reply LocalReply) Response {
 	body, _ := json.Marshal(localReplyBody{Outcome: reply.Outcome, Reason: reply.Reason, Trace: reply.TraceID})
@@ -64,7 +63,7 @@
 	return Response{Status: reply.Status, Header: header, Body: body, Outcome: reply.Outcome}
 }
 
-// write writes the response to a request's client, and adds nothing to it.
+// write writes the response to the client. It adds nothing that the response does not contain.
 func (r Response) write(w http.ResponseWriter, request *http.Request) {
 	h := w.Header()
 	for k, v := range r.Header {
@@ -72,12 +71,12 @@
 	}
 	for _, k := range []string{"Date", "Content-Type"} {
 		if _, ok := h[k]; !ok {
-			h[k] = nil // else net/http adds its own
+			h[k] = nil // otherwise net/http adds its own
 		}
 	}
 	trailer := r.Trailer
 	if !request.ProtoAtLeast(1, 1) {
-		trailer = nil // it knows no chunks, and would not know where the response ends
+		trailer = nil // HTTP/1.0 has no chunked encoding, so the client could not find the end of the response
 	}
 	for k := range trailer {
 		h.Add("Trailer", k)
--- a/internal/dataplane/proxy/retry.go
+++ b/internal/dataplane/proxy/retry.go
@@ -10,8 +10,8 @@
 	"curlewwalk/internal/trace"
 )
 
-// runAttempts sends a request in attempts, one after another, as its decision says, and comes
-// to its response.
+// runAttempts sends a request in sequential attempts, as its decision says, and returns the
+// response for the client.
 func (o *Outbound) runAttempts(ctx context.Context, req *request) Response {
 	decision := o.newDecision(req)
 	o.Spans.Put(req.span, trace.ClientStart, req.traceEvent())
@@ -34,7 +34,7 @@
 	}
 }
 
-// newDecision returns the decision that tells a request's next action.
+// newDecision returns the decision that chooses each next action of a request.
 func (o *Outbound) newDecision(req *request) *routing.Decision {
 	return &routing.Decision{
 		Route:    req.route,
@@ -59,7 +59,7 @@
 	}
 }
 
-// conclude counts a request's response against its contract, and ends its span.
+// conclude records a request's latency against its contract, and ends its span.
 func (o *Outbound) conclude(req *request, response Response, failure routing.Failure, attempts int) Response {
 	contract := req.contract
 	o.LatencyBudgets.Observe(contract.Name, time.Since(req.startedAt), contract.LatencyTarget.Duration, contract.Deadline.Duration, response.Outcome == routing.Answered)
@@ -69,18 +69,19 @@
 	return response
 }
 
-// traceEvent returns the trace event of a request as a whole.
+// traceEvent returns the trace event of the whole request.
 func (req *request) traceEvent() trace.Event {
 	return trace.Event{Route: req.route.Name, Service: req.route.Service, Caller: req.caller, Link: req.cause.Link, Candidates: req.cause.Candidates}
 }
 
-// logFailure logs a request that ended without a response of its backend.
+// logFailure logs a request that ended without a backend's response.
 func (o *Outbound) logFailure(req *request, f routing.Failure, attempts int) {
 	o.Log.Info("request failed", "trace", req.span.Trace.String(), "route", req.route.Name, "caller", req.caller,
 		"status", f.Status, "outcome", f.Outcome, "reason", f.Reason, "attempts", attempts)
 }
 
-// abandonReason tells why nothing more is to be done for a request; empty if it is to go on.
+// abandonReason returns why the request must be abandoned. It returns an empty string if the
+// request must continue.
 func (o *Outbound) abandonReason(req *request) string {
 	switch {
 	case req.client.hasLeft():
@@ -91,7 +92,7 @@
 	return ""
 }
 
-// pause waits for a while, or until ctx ends.
+// pause blocks for d, or until ctx ends.
 func pause(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -101,24 +102,26 @@
 	}
 }
 
-// allowedLateness returns how late a request may be planned to be by its contract's budget.
+// allowedLateness returns how long after its latency target a request may be planned to end, within
+// its contract's lateness budget.
 func (o *Outbound) allowedLateness(req *request) time.Duration {
 	return o.LatencyBudgets.AllowedLateness(req.contract.Name, req.maxLateness())
 }
 
-// waitUntil returns the time until which a request may wait for a backend with capacity.
-// (DESIGN 15.4)
+// waitUntil returns the time until which a request may wait for a backend with capacity. (DESIGN
+// 15.4)
 func (o *Outbound) waitUntil(req *request) time.Time {
 	return req.startedAt.Add(time.Duration(o.WaitShare * float64(req.contract.LatencyTarget.Duration)))
 }
 
-// crossZoneCost returns the cost of leaving the own zone: it grows with the size of the request.
+// crossZoneCost returns the cost of sending the request to another zone. The cost grows with the
+// size of the request.
 func (o *Outbound) crossZoneCost(req *request) float64 {
-	return o.CrossZoneCost * (1 + float64(len(req.template.Body))/usualRequestSize)
+	return o.CrossZoneCost * (1 + float64(len(req.template.Body))/typicalRequestSize)
 }
 
-// retryAfter returns the time after which a rejected client should send again: it is random, so that
-// those rejected together do not come again together.
+// retryAfter returns the time after which a rejected client may retry. The time is random so that
+// clients rejected together do not retry together.
 func (o *Outbound) retryAfter() time.Duration {
 	return o.MinRetryAfter + time.Duration(rand.Int64N(int64(o.MinRetryAfter)/2+1))
 }
--- a/internal/dataplane/proxy/sendattempt.go
+++ b/internal/dataplane/proxy/sendattempt.go
@@ -11,28 +11,28 @@
 	"curlewwalk/internal/transport"
 )
 
-// outgoingAttempt is an attempt on its way to the inbound side of a sidecar.
+// outgoingAttempt is an attempt that the outbound side sends to the inbound side of a sidecar.
 type outgoingAttempt struct {
 	Attempt
 	target membership.Target
-	// span is the request's for its first attempt, and a child of that for each retry.
+	// span is the request's span for the first attempt, and a child of that span for each retry.
 	// (DESIGN 2.1)
 	span trace.Span
 	// sentAt is when the attempt was sent.
 	sentAt time.Time
 }
 
-// attemptOutcome is what became of an attempt: its result for the decision, and the response
-// for the client, if there is one.
+// attemptOutcome holds the result of an attempt for the routing decision, and the response for the
+// client if there is one.
 type attemptOutcome struct {
 	result   routing.AttemptResult
 	response AttemptResponse
 }
 
-// isRetry reports whether it is not the request's first attempt.
+// isRetry reports whether the attempt is not the request's first.
 func (a *outgoingAttempt) isRetry() bool { return a.Number > 1 }
 
-// sendAttempt sends one attempt of a request, and waits for what becomes of it.
+// sendAttempt sends one attempt of a request and returns its outcome.
 func (o *Outbound) sendAttempt(ctx context.Context, req *request, action routing.Action, number int) attemptOutcome {
 	attempt := o.newAttempt(req, action, number)
 	if attempt.isRetry() {
@@ -45,8 +45,8 @@
 	return outcome
 }
 
-// newAttempt makes the next attempt of a request. The first one deposits a part of a retry in the
-// service's retry budget; a retry gets a span of its own.
+// newAttempt builds the next attempt of a request. A first attempt makes a deposit in the service's
+// retry budget. A retry gets a span of its own.
 func (o *Outbound) newAttempt(req *request, action routing.Action, number int) *outgoingAttempt {
 	attempt := &outgoingAttempt{Attempt: req.template, target: action.Target, span: req.span}
 	attempt.Number = number
@@ -65,8 +65,8 @@
 	return attempt
 }
 
-// transmit sends an attempt and waits for the reply of the inbound side. If the client leaves
-// meanwhile, the attempt is canceled, and its reply is still waited for.
+// transmit sends an attempt and waits for the inbound side's reply. If the client disconnects in
+// the meantime, transmit cancels the attempt and still waits for the reply.
 func (o *Outbound) transmit(ctx context.Context, req *request, attempt *outgoingAttempt) transport.Response {
 	attempt.target.Load.Attempts.Add(1)
 	attempt.sentAt = time.Now()
@@ -80,9 +80,9 @@
 	return reply
 }
 
-// interpret tells what became of an attempt from the reply of the inbound side. An attempt that was
-// not delivered is proven not to have run; one without an intelligible reply is lost, and canceled. A
-// target that failed is ejected for a while.
+// interpret derives the outcome of an attempt from the inbound side's reply. An attempt that was
+// not delivered is known not to have run. An attempt without a valid reply is lost and is canceled.
+// A target that failed is ejected for EjectionTime.
 func (o *Outbound) interpret(ctx context.Context, attempt *outgoingAttempt, reply transport.Response) attemptOutcome {
 	var response AttemptResponse
 	switch {
@@ -91,7 +91,7 @@
 		return attemptOutcome{result: routing.AttemptResult{Target: attempt.target, Outcome: routing.NotRun, Reason: "node could not be reached"}}
 	case reply.Decode(&response) && response.answers(&attempt.Attempt):
 		attempt.target.Load.Report(response.InFlight)
-		if response.showsFault() {
+		if response.indicatesFault() {
 			attempt.target.Load.Eject(o.EjectionTime)
 		}
 		return attemptOutcome{result: response.result(attempt.target), response: response}
@@ -100,13 +100,13 @@
 	return attemptOutcome{result: o.cancelLost(ctx, attempt), response: response}
 }
 
-// showsFault reports whether the response speaks against its target. A full backend, or an attempt
-// that was canceled, does not.
-func (r *AttemptResponse) showsFault() bool {
+// indicatesFault reports whether the response indicates a fault of its target. A full backend or a
+// canceled attempt is not a fault.
+func (r *AttemptResponse) indicatesFault() bool {
 	return r.Outcome != routing.Answered && r.Reason != string(endpoints.BackendFull) && r.Reason != string(endpoints.Canceled)
 }
 
-// result returns the response as a result for the decision.
+// result converts the response to a result for the routing decision.
 func (r *AttemptResponse) result(target membership.Target) routing.AttemptResult {
 	return routing.AttemptResult{
 		Target:           target,
@@ -119,19 +119,20 @@
 	}
 }
 
-// forClient returns the response that is passed on to the client.
+// forClient converts the response to the one for the client.
 func (r *AttemptResponse) forClient() Response {
 	return Response{Status: r.Status, Header: r.Header, Trailer: r.Trailer, Body: r.Body, Outcome: routing.Answered}
 }
 
-// observeLatency learns how long an attempt took, if it was answered or ran into the deadline.
+// observeLatency records how long an attempt took, if it was answered or reached the deadline.
 func (o *Outbound) observeLatency(ctx context.Context, attempt *outgoingAttempt, result routing.AttemptResult) {
 	if missed := result.DeadlineExceeded || ctx.Err() != nil; missed || result.Outcome == routing.Answered {
 		o.Latencies.Observe(attempt.Route, attempt.target, time.Since(attempt.sentAt), missed)
 	}
 }
 
-// endAttemptSpan ends a retry's span; that of the first attempt is the request's.
+// endAttemptSpan ends the span of a retry. The span of a first attempt is the request's span, which
+// conclude ends.
 func (o *Outbound) endAttemptSpan(attempt *outgoingAttempt, outcome attemptOutcome) {
 	if !attempt.isRetry() {
 		return
--- a/internal/dataplane/proxy/sendcancel.go
+++ b/internal/dataplane/proxy/sendcancel.go
@@ -9,10 +9,10 @@
 	"curlewwalk/internal/transport"
 )
 
-// cancelLost cancels an attempt whose reply was lost. Only the inbound side's reply that it has
-// not run, and never will, proves that; else it may have run. Past the deadline nobody waits for
-// that reply; at the end of a shutdown it is waited for, but only for shutdownCancelTimeout.
-// (DESIGN 10.2)
+// cancelLost cancels an attempt whose reply was lost. The attempt is known not to have run only if
+// the inbound side replies that it has not run and never will. Otherwise it may have run. After the
+// request's deadline, cancelLost does not wait for the reply. At the end of a shutdown, it waits
+// for shutdownCancelTimeout only. (DESIGN 10.2)
 func (o *Outbound) cancelLost(ctx context.Context, attempt *outgoingAttempt) routing.AttemptResult {
 	lost := routing.AttemptResult{Target: attempt.target, Outcome: routing.Unknown, Reason: "lost on the way", ReachedBackend: true}
 	timeout := cancelTimeout
@@ -30,13 +30,13 @@
 	return lost
 }
 
-// cancelAsync cancels an attempt whose reply nobody waits for, without waiting.
+// cancelAsync cancels an attempt without waiting for the reply.
 func (o *Outbound) cancelAsync(ctx context.Context, attempt *outgoingAttempt) {
 	o.Actors.Go(context.WithoutCancel(ctx), "cancel-attempt", func(ctx context.Context) { o.sendCancel(ctx, attempt, cancelTimeout) })
 }
 
-// sendCancel asks the inbound side to cancel an attempt, and returns its answer; false if there
-// is none in time.
+// sendCancel asks the inbound side to cancel an attempt, and returns its reply. ok is false if
+// there is no valid reply within timeout.
 func (o *Outbound) sendCancel(ctx context.Context, attempt *outgoingAttempt, timeout time.Duration) (response AttemptResponse, ok bool) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
--- a/tests/mutation/soak_catalogue.go
+++ b/tests/mutation/soak_catalogue.go
@@ -7,7 +7,7 @@
 	soakMutation(alteredRequest, "UNASKED", "internal/dataplane/proxy/dialect.go", "h.Del(HeaderCaller)", ""),
 	soakMutation(duplicateRun, "TWICE", "internal/dataplane/routing/decision.go", "past.outcome == Unknown && !d.Route.Idempotent", "false"),
 	soakMutation(runAfterRefusal, "REFUSED", "internal/dataplane/proxy/attemptlog.go", "return record.refused", "return record.refused || true"),
-	soakMutation(wrongAnswer, "MIXED", "internal/dataplane/proxy/readresponse.go", "case err != nil:\n\t\treturn nil, nil, errResponseCutShort", "case err != nil && false:"),
+	soakMutation(wrongAnswer, "MIXED", "internal/dataplane/proxy/readresponse.go", "case err != nil:\n\t\treturn nil, nil, errResponseIncomplete", "case err != nil && false:"),
 	soakMutation(retryExcess, "BUDGET", "internal/retrybudget/budget.go", "if balance < attemptCost {", "if balance < -1<<40 {"),
 	soakMutation(sentAfterEvacuation, "EVAC", "internal/dataplane/routing/table.go", "return t.drainedZones[zone] }", "return t.drainedZones[zone] && false }"),
 	soakMutation(staleConfiguration, "CONFIG", "internal/watch/event_log.go", "\tl.state = &state\n\tl.appendEvent(Event{State: &state})", "\tl.state = &state"),
