--- a/internal/dataplane/proxy/attemptlog_test.go
+++ b/internal/dataplane/proxy/attemptlog_test.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// An attempt begins once; one that was refused or canceled before never begins; one that has
-// begun can't be refused any more.
+// TestAttemptLog checks that an attempt begins once, that a refused or canceled attempt never
+// begins, and that an attempt that has begun cannot be refused.
 func TestAttemptLog(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	log := newAttemptLogActor()
 	go log.run(ctx)
 	if !log.begin(ctx, "a") || log.begin(ctx, "a") {
-		t.Error("an attempt must begin once")
+		t.Error("the attempt did not begin exactly once")
 	}
 	if log.refuse(ctx, "a") {
 		t.Error("an attempt that has begun was refused")
 	}
 	for range 2 {
 		if !log.refuse(ctx, "b") {
-			t.Error("an attempt that was never seen could not be refused")
+			t.Error("an unknown attempt could not be refused")
 		}
 	}
 	if log.begin(ctx, "b") {
@@ -29,6 +29,6 @@
 	}
 	cancel()
 	if log.begin(ctx, "c") {
-		t.Error("an attempt began without a log")
+		t.Error("an attempt began after the log had stopped")
 	}
 }
--- a/internal/dataplane/proxy/bench_test.go
+++ b/internal/dataplane/proxy/bench_test.go
@@ -17,8 +17,9 @@
 	"curlewwalk/internal/dataplane/routing"
 )
 
-// fakeBackendVariable is the environment variable that makes the test binary a backend in a
-// process of its own, so that the CPU time that is measured is that of the inbound side alone.
+// fakeBackendVariable is the environment variable that makes the test binary run as a backend. The
+// backend runs in a separate process so that the measured CPU time is that of the inbound side
+// alone.
 const fakeBackendVariable = "CURLEWWALK_STAND_IN"
 
 func TestMain(m *testing.M) {
@@ -37,8 +38,8 @@
 	}))
 }
 
-// BenchmarkExchange measures the CPU time of an attempt at the inbound side, and the connections
-// that 100 attempts open.
+// BenchmarkExchange measures the CPU time of an attempt on the inbound side, and the number of
+// connections opened for 100 attempts.
 func BenchmarkExchange(b *testing.B) {
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(os.Environ(), fakeBackendVariable+"=1")
@@ -62,7 +63,7 @@
 	b.ResetTimer()
 	for range b.N {
 		if response := backend.send(attempt, admit); response.Outcome != routing.Answered {
-			b.Fatalf("%+v", response)
+			b.Fatalf("attempt was not answered: %+v", response)
 		}
 	}
 	b.StopTimer()
@@ -70,7 +71,7 @@
 	b.ReportMetric(100*float64(backend.inbound.ConnectionsOpened())/float64(b.N), "conns/100attempts")
 }
 
-// cpu returns the CPU time of this process so far.
+// cpu returns the CPU time that this process has used.
 func cpu() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
--- a/internal/dataplane/proxy/clientwatch_test.go
+++ b/internal/dataplane/proxy/clientwatch_test.go
@@ -14,11 +14,11 @@
 	"curlewwalk/internal/transport"
 )
 
-// promptTimeout bounds what must follow from a client's leaving. It is well below the 3 s that a
-// request of these tests may take.
+// promptTimeout is the time limit for effects of a client's disconnection. It is well below the 3 s
+// that a request of these tests may take.
 const promptTimeout = time.Second
 
-// waitFor waits until ok is true, and fails the test if that takes too long.
+// waitFor waits until ok returns true, and fails the test after promptTimeout.
 func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	tick := time.NewTicker(time.Millisecond)
@@ -43,70 +43,71 @@
 	}
 }
 
-// A client that leaves cancels what may be canceled: an idempotent run at its backend, and
-// whatever has not reached one yet. What is not idempotent and was begun goes on.
-func TestClientLeaves(t *testing.T) {
+// TestClientDisconnects checks that the proxy cancels what it may cancel when a client disconnects:
+// an idempotent run on its backend, and any attempt that has not reached a backend. A run that is
+// not idempotent and has begun must continue.
+func TestClientDisconnects(t *testing.T) {
 	t.Run("an idempotent run is stopped", testIdempotentRunStopped)
 	t.Run("an idempotent run with a body is stopped", testIdempotentRunWithBodyStopped)
-	t.Run("a run that is not idempotent goes on", testOtherRunGoesOn)
+	t.Run("a non-idempotent run continues", testNonIdempotentRunContinues)
 	for _, uri := range []string{"/look/waits", "/once/waits"} {
-		t.Run("what waits in the queue does not run: "+uri, func(t *testing.T) { testQueuedNotRun(t, uri) })
+		t.Run("a queued attempt does not run: "+uri, func(t *testing.T) { testQueuedNotRun(t, uri) })
 	}
-	t.Run("what waits for a backend is not sent", testWaitingNotSent)
-	// No attempt of such a peer can be answered any more. It cancels those that it still can, and
-	// the others end all the same.
+	t.Run("a request that waits for a backend is not sent", testWaitingNotSent)
+	// The peer can no longer receive replies to its attempts. It cancels the attempts that it still
+	// can, and the other attempts must end as well.
 	for _, cancels := range []bool{true, false} {
-		t.Run(fmt.Sprintf("a peer whose connection has broken, cancels %v", cancels), func(t *testing.T) { testPeerLeaves(t, cancels) })
+		t.Run(fmt.Sprintf("the connection to the peer breaks, peer cancels %v", cancels), func(t *testing.T) { testPeerDisconnects(t, cancels) })
 	}
 }
 
-// newStoppablePair returns a pair whose backend answers nothing. It tells of each request that has
-// come, and of each that was stopped.
-func newStoppablePair(t *testing.T) (p *proxyPair, came, stopped chan bool) {
+// newHangingPair returns a pair whose backend never responds. It signals each received request on
+// received, and each stopped request on stopped.
+func newHangingPair(t *testing.T) (p *proxyPair, received, stopped chan bool) {
 	t.Helper()
-	came, stopped = make(chan bool, 9), make(chan bool, 9)
+	received, stopped = make(chan bool, 9), make(chan bool, 9)
 	return newProxyPair(t, func(r receivedRequest) bool {
 		if r.ContentLength > 0 {
 			io.Copy(io.Discard, r.Body)
 		}
-		came <- true
+		received <- true
 		waitForClose(r)
 		stopped <- true
 		return false
-	}), came, stopped
+	}), received, stopped
 }
 
 func testIdempotentRunStopped(t *testing.T) {
-	p, came, stopped := newStoppablePair(t)
+	p, received, stopped := newHangingPair(t)
 	p.outbound.EjectionTime = time.Hour
 	c := p.client(t)
 	c.send("GET /look/x HTTP/1.1\r\nHost: x\r\n\r\n")
-	<-came
+	<-received
 	c.Close()
 	waitFor(t, "the backend's connection to be closed", func() bool { return len(stopped) > 0 })
 	waitFor(t, "the request to end", func() bool { return p.outbound.Counters.InFlight.Load() == 0 })
 	if n := p.receivedURIs()["/look/x"]; n != 1 {
-		t.Errorf("it was sent %d times", n)
+		t.Errorf("the request was sent %d times, want 1", n)
 	}
 	if p.outbound.View().Service("desk")[0].Load.Ejected() {
-		t.Error("its backend is ejected for what its client did")
+		t.Error("the backend was ejected because the client disconnected")
 	}
 }
 
 func testIdempotentRunWithBodyStopped(t *testing.T) {
-	p, came, stopped := newStoppablePair(t)
+	p, received, stopped := newHangingPair(t)
 	c := p.client(t)
 	c.send("POST /look/x HTTP/1.1\r\nHost: x\r\nContent-Length: 40000\r\n\r\n%040000d", 0)
-	<-came
+	<-received
 	c.Close()
 	waitFor(t, "the backend's connection to be closed", func() bool { return len(stopped) > 0 })
 }
 
-func testOtherRunGoesOn(t *testing.T) {
-	came, release, readErr := make(chan bool, 9), make(chan bool), make(chan error, 9)
+func testNonIdempotentRunContinues(t *testing.T) {
+	received, release, readErr := make(chan bool, 9), make(chan bool), make(chan error, 9)
 	p := newProxyPair(t, func(r receivedRequest) bool {
 		io.Copy(io.Discard, r.Body)
-		came <- true
+		received <- true
 		<-release
 		r.conn.SetReadDeadline(time.Now().Add(time.Millisecond))
 		_, err := r.conn.Read(make([]byte, 1))
@@ -116,9 +117,9 @@
 	})
 	c := p.client(t)
 	c.send("POST /once/x HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\n\r\nx")
-	<-came
+	<-received
 	c.Close()
-	waitFor(t, "the inbound side to be notified", func() bool { return p.inbound.Counters.LeftRunning.Load() == 1 })
+	waitFor(t, "the inbound side to handle the cancellation", func() bool { return p.inbound.Counters.LeftRunning.Load() == 1 })
 	close(release)
 	if err := <-readErr; err == io.EOF {
 		t.Error("the connection to the backend was closed")
@@ -127,10 +128,10 @@
 }
 
 func testQueuedNotRun(t *testing.T, uri string) {
-	came, release := make(chan bool, 9), make(chan bool)
+	received, release := make(chan bool, 9), make(chan bool)
 	p := newProxyPair(t, func(r receivedRequest) bool {
 		io.Copy(io.Discard, r.Body)
-		came <- true
+		received <- true
 		<-release
 		r.respond(r.id, "ok")
 		return true
@@ -142,21 +143,21 @@
 	}
 	first, second := p.client(t), p.client(t)
 	first.send("POST /once/first HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n")
-	<-came
+	<-received
 	second.send("POST %s HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n", uri)
-	waitFor(t, "the second to be queued", outstanding(2))
+	waitFor(t, "the second request to be queued", outstanding(2))
 	second.Close()
-	waitFor(t, "the second to leave the queue", outstanding(1))
+	waitFor(t, "the second request to leave the queue", outstanding(1))
 	close(release)
 	if resp, _ := first.receive(); resp == nil || resp.StatusCode != http.StatusOK {
-		t.Errorf("the first: %+v", resp)
+		t.Errorf("response to the first request: %+v", resp)
 	}
 	first.send("POST /once/third HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n")
 	if resp, _ := first.receive(); resp == nil || resp.StatusCode != http.StatusOK {
-		t.Errorf("the third: %+v", resp)
+		t.Errorf("response to the third request: %+v", resp)
 	}
 	if n := p.receivedURIs()[uri]; n != 0 {
-		t.Errorf("it came to the backend %d times", n)
+		t.Errorf("the request reached the backend %d times, want 0", n)
 	}
 }
 
@@ -173,27 +174,27 @@
 	waitFor(t, "the request to end", func() bool { return p.outbound.Counters.InFlight.Load() == 0 })
 	view.Store(full)
 	if resp, _ := p.get(t, "/look/other"); resp == nil || resp.StatusCode != http.StatusOK {
-		t.Errorf("another: %+v", resp)
+		t.Errorf("response to another request: %+v", resp)
 	}
 	if n := p.receivedURIs()["/look/waiting"]; n != 0 {
-		t.Errorf("it came to the backend %d times", n)
+		t.Errorf("the request reached the backend %d times, want 0", n)
 	}
 }
 
-func testPeerLeaves(t *testing.T, cancels bool) {
-	p, came, stopped := newStoppablePair(t)
+func testPeerDisconnects(t *testing.T, cancels bool) {
+	p, received, stopped := newHangingPair(t)
 	if cancels {
 		c := p.client(t)
 		c.send("GET /look/x HTTP/1.1\r\nHost: x\r\n\r\n")
 	} else {
 		p.attempt(Attempt{ID: "abandoned", Idempotent: true, Method: "GET", URI: "/look/x"})
 	}
-	<-came
+	<-received
 	p.closeConnections()
 	waitFor(t, "the backend's connection to be closed", func() bool { return len(stopped) > 0 })
 }
 
-// attempt sends an attempt, as a peer would that then neither waits nor cancels it.
+// attempt sends an attempt like a peer that neither waits for the reply nor cancels the attempt.
 func (p *proxyPair) attempt(attempt Attempt) {
 	attempt.Service, attempt.Instance, attempt.Incarnation = "desk", "a", 7
 	attempt.Timeout, attempt.TimeToTarget = 3*time.Second, 3*time.Second
--- a/internal/dataplane/proxy/connpool.go
+++ b/internal/dataplane/proxy/connpool.go
@@ -16,8 +16,8 @@
 type backendAddress struct{ instance, address string }
 
 // connPool is the pool of connections to the backends of this node. The sweeper closes idle
-// connections that can no longer be used. It starts when the first connection becomes idle. (DESIGN
-// 10.6)
+// connections that can no longer be used. It starts when the first connection becomes idle.
+// (DESIGN 10.6)
 type connPool struct {
 	// lifetime is the context of the sweeper. When it ends, all idle connections are closed.
 	lifetime context.Context
--- a/internal/dataplane/proxy/connpool_test.go
+++ b/internal/dataplane/proxy/connpool_test.go
@@ -9,7 +9,8 @@
 	"curlewwalk/internal/dataplane/routing"
 )
 
-// Where nobody listens, an attempt has not run, and leaves nothing in the pool.
+// TestBackendUnreachable checks that an attempt to an address without a listener is reported as not
+// run and leaves no entry in the pool.
 func TestBackendUnreachable(t *testing.T) {
 	b := newFakeBackend(t, respondOK)
 	address := b.endpoint.Address
@@ -20,7 +21,7 @@
 	b.endpoint.Address = listener.Addr().String()
 	listener.Close()
 	if response := b.send(Attempt{}, nil); response.Outcome != routing.NotRun || response.ReachedBackend {
-		t.Errorf("%+v", response)
+		t.Errorf("response %+v, want one that was not run and did not reach the backend", response)
 	}
 	if len(b.inbound.pool.entries) != 0 {
 		t.Error("an entry is left in the pool")
@@ -29,8 +30,8 @@
 	b.mustAnswer(t, Attempt{})
 }
 
-// The sweep closes connections that are idle for too long or whose backend takes nothing more; a
-// misrouted response closes the idle ones at its address.
+// TestSweep checks that the sweep closes connections that have been idle for too long or whose
+// backend is draining, and that a misrouted response closes the idle connections to its address.
 func TestSweep(t *testing.T) {
 	misrouted := false
 	b := newFakeBackend(t, func(r receivedRequest) bool {
@@ -47,7 +48,7 @@
 	expectIdle := func(want int, why string) {
 		t.Helper()
 		if n := b.inbound.pool.idleCount(); n != want {
-			t.Errorf("%s: %d are idle, want %d", why, n, want)
+			t.Errorf("%s: %d idle connections, want %d", why, n, want)
 		}
 	}
 	b.mustAnswer(t, Attempt{})
@@ -63,7 +64,7 @@
 	b.mustAnswer(t, Attempt{})
 	misrouted = true
 	if response := b.send(Attempt{}, nil); response.Outcome != routing.NotRun || !response.ReachedBackend {
-		t.Errorf("%+v", response)
+		t.Errorf("response %+v, want one that was not run and reached the backend", response)
 	}
 	expectIdle(0, "misrouted")
 }
--- a/internal/dataplane/proxy/exchange.go
+++ b/internal/dataplane/proxy/exchange.go
@@ -83,8 +83,8 @@
 	return req
 }
 
-// run writes the request and reads the response. The connection is kept only if the response was
-// read completely and no other response can follow.
+// run writes the request and reads the response. The connection is kept only if the last response
+// on it was read completely and no other response is due.
 func (x *backendExchange) run(ctx context.Context) AttemptResponse {
 	idleTimeout := x.conn.idleTimeout
 	x.conn.idleTimeout = 0
--- a/internal/dataplane/proxy/exchange_test.go
+++ b/internal/dataplane/proxy/exchange_test.go
@@ -15,7 +15,8 @@
 	"curlewwalk/internal/dataplane/routing"
 )
 
-// A connection that is known to stand between two responses is reused, whatever their form.
+// TestConnectionReused checks that a connection is reused after a complete response in any valid
+// format.
 func TestConnectionReused(t *testing.T) {
 	b := newFakeBackend(t, func(r receivedRequest) bool {
 		io.Copy(io.Discard, r.Body)
@@ -42,18 +43,19 @@
 			want = routing.NotRun
 		}
 		if response.Outcome != want || response.Outcome == routing.Answered && response.Header.Get("For") != attempt.ID || response.ReachedBackend != (n == 3) {
-			t.Fatalf("%d: %+v", i, response)
+			t.Fatalf("attempt %d: got response %+v", i, response)
 		}
 		if n == 2 && (string(response.Body) != "ok" || response.Trailer.Get("Sum") != "7") {
-			t.Fatalf("%q, trailer %v", response.Body, response.Trailer)
+			t.Fatalf("got body %q, trailer %v, want ok with Sum: 7", response.Body, response.Trailer)
 		}
 	}
 	if n := b.connections.Load(); n != 1 || b.inbound.ConnectionsOpened() != 1 || b.inbound.ConnectionsReused() != 99 {
-		t.Errorf("%d connections were opened for 100 attempts; counted %d and %d", n, b.inbound.ConnectionsOpened(), b.inbound.ConnectionsReused())
+		t.Errorf("%d connections for 100 attempts, want 1; counters: %d opened, %d reused, want 1 and 99", n, b.inbound.ConnectionsOpened(), b.inbound.ConnectionsReused())
 	}
 }
 
-// The response to HEAD has a length and no body.
+// TestConnectionAfterHead checks that a connection is reused after the response to HEAD, which has
+// a Content-Length and no body.
 func TestConnectionAfterHead(t *testing.T) {
 	b := newFakeBackend(t, func(r receivedRequest) bool {
 		io.WriteString(r.conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nFor: "+r.id+"\r\n\r\n")
@@ -66,22 +68,23 @@
 		b.mustAnswer(t, Attempt{Method: m})
 	}
 	if n := b.connections.Load(); n != 1 {
-		t.Errorf("%d connections", n)
+		t.Errorf("%d connections, want 1", n)
 	}
 }
 
-// A connection that the backend closes, or may close, is not reused.
+// TestConnectionNotReused checks that a connection that the backend closes, or may close, is not
+// reused.
 func TestConnectionNotReused(t *testing.T) {
 	for name, c := range map[string]struct {
 		response string
 		body     bool
 	}{
-		"close":         {"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\nFor: %s\r\n\r\nok", true},
-		"old version":   {"HTTP/1.0 200 OK\r\nConnection: keep-alive\r\nContent-Length: 2\r\nFor: %s\r\n\r\nok", true},
-		"no time":       {"HTTP/1.1 200 OK\r\nKeep-Alive: timeout=0, max=5\r\nContent-Length: 2\r\nFor: %s\r\n\r\nok", true},
-		"odd time":      {"HTTP/1.1 200 OK\r\nKeep-Alive: timeout=-x\r\nContent-Length: 2\r\nFor: %s\r\n\r\nok", true},
-		"more than it":  {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nFor: %s\r\n\r\nokay", true},
-		"other answers": {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nFor: %s\r\n\r\nokHTTP/1.1 200 OK\r\nContent-Length: 2\r\nFor: x\r\n\r\nno", true},
+		"close":                      {"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\nFor: %s\r\n\r\nok", true},
+		"HTTP/1.0":                   {"HTTP/1.0 200 OK\r\nConnection: keep-alive\r\nContent-Length: 2\r\nFor: %s\r\n\r\nok", true},
+		"zero Keep-Alive timeout":    {"HTTP/1.1 200 OK\r\nKeep-Alive: timeout=0, max=5\r\nContent-Length: 2\r\nFor: %s\r\n\r\nok", true},
+		"invalid Keep-Alive timeout": {"HTTP/1.1 200 OK\r\nKeep-Alive: timeout=-x\r\nContent-Length: 2\r\nFor: %s\r\n\r\nok", true},
+		"data after the body":        {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nFor: %s\r\n\r\nokay", true},
+		"extra response":             {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nFor: %s\r\n\r\nokHTTP/1.1 200 OK\r\nContent-Length: 2\r\nFor: x\r\n\r\nno", true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newFakeBackend(t, func(r receivedRequest) bool { fmt.Fprintf(r.conn, c.response, r.id); return true })
@@ -89,39 +92,40 @@
 				b.mustAnswer(t, Attempt{Idempotent: true})
 			}
 			if n := b.connections.Load(); n != 5 {
-				t.Errorf("%d connections were opened for 5 attempts", n)
+				t.Errorf("%d connections for 5 attempts, want 5", n)
 			}
 		})
 	}
 }
 
-// A connection is reused after an idle time of at most half of what the backend says, and of the
-// own maximum; for an attempt that is not idempotent, of less.
+// TestConnectionIdleTime checks that a connection is reused after at most half of the backend's
+// Keep-Alive timeout, at most maxIdleTime, and at most maxIdleNonIdempotent for an attempt that is
+// not idempotent.
 func TestConnectionIdleTime(t *testing.T) {
 	b := newFakeBackend(t, func(r receivedRequest) bool {
 		r.respond(r.id, "ok", "Keep-Alive: timeout=6, max=9")
 		return true
 	})
 	b.mustAnswer(t, Attempt{})
-	age := func(d time.Duration) { conn := b.idleConn(t); conn.idleSince = time.Now().Add(-d) }
-	age(900 * time.Millisecond)
+	setIdleTime := func(d time.Duration) { conn := b.idleConn(t); conn.idleSince = time.Now().Add(-d) }
+	setIdleTime(900 * time.Millisecond)
 	b.mustAnswer(t, Attempt{})
 	b.expectConnections(t, 1, "not idempotent, idle for a short time")
-	age(1100 * time.Millisecond)
+	setIdleTime(1100 * time.Millisecond)
 	b.mustAnswer(t, Attempt{Idempotent: true})
 	b.expectConnections(t, 1, "idempotent, idle for longer")
-	age(3100 * time.Millisecond)
+	setIdleTime(3100 * time.Millisecond)
 	b.mustAnswer(t, Attempt{Idempotent: true})
-	b.expectConnections(t, 2, "idempotent, idle for over half of what the backend said")
+	b.expectConnections(t, 2, "idempotent, idle for over half of the Keep-Alive timeout")
 	b.endpoint.Capacity = 1
-	age(1100 * time.Millisecond)
+	setIdleTime(1100 * time.Millisecond)
 	b.mustAnswer(t, Attempt{})
 	b.expectConnections(t, 3, "not idempotent, idle for longer")
-	b.idleConn(t) // only one: the older one was closed
+	b.idleConn(t) // the older connection was closed, so there is only one
 }
 
-// A response to another request, in the place of the one that is due, is skipped; after it, the
-// connection is not reused.
+// TestMismatchedResponses checks that responses to other requests that precede the attempt's own
+// response are skipped, and that the connection is not reused afterwards.
 func TestMismatchedResponses(t *testing.T) {
 	for mismatched, want := range []routing.Outcome{routing.Answered, routing.Answered, routing.Answered, routing.Unknown} {
 		b := newFakeBackend(t, func(r receivedRequest) bool {
@@ -137,17 +141,18 @@
 		attempt := Attempt{ID: "second"}
 		response := b.send(attempt, nil)
 		if response.Outcome != want || want == routing.Answered && (response.Header.Get("For") != attempt.ID || string(response.Body) != "ok") {
-			t.Errorf("%d mismatched: %v %q %q", mismatched, response.Outcome, response.Reason, response.Body)
+			t.Errorf("%d mismatched responses: got outcome %v, reason %q, body %q", mismatched, response.Outcome, response.Reason, response.Body)
 		}
 		b.mustAnswer(t, Attempt{})
 		if n := b.connections.Load(); n != int64(min(mismatched, 1)+1) {
-			t.Errorf("%d mismatched: %d connections", mismatched, n)
+			t.Errorf("%d mismatched responses: got %d connections", mismatched, n)
 		}
 	}
 }
 
-// Where a connection has carried a HEAD request, nobody knows whether a response to another
-// request has a body: what looks like the own one behind it may be bytes of a body.
+// TestMismatchedResponseAfterHead checks a mismatched response on a connection that has carried a
+// HEAD request. It is unknown whether that response has a body, so the bytes that look like the
+// attempt's own response may be part of a body. The outcome must be unknown.
 func TestMismatchedResponseAfterHead(t *testing.T) {
 	b := newFakeBackend(t, func(r receivedRequest) bool {
 		if r.Method == "HEAD" {
@@ -161,11 +166,11 @@
 	})
 	b.mustAnswer(t, Attempt{Method: "HEAD"})
 	if response := b.send(Attempt{}, nil); response.Outcome != routing.Unknown {
-		t.Errorf("%v %q", response.Outcome, response.Body)
+		t.Errorf("got outcome %v, body %q, want unknown", response.Outcome, response.Body)
 	}
 }
 
-// A connection on which something arrives while it is idle is not reused.
+// TestLateBytes checks that a connection that receives data while it is idle is not reused.
 func TestLateBytes(t *testing.T) {
 	late := make(chan net.Conn, 9)
 	b := newFakeBackend(t, func(r receivedRequest) bool { r.respond(r.id, "ok"); late <- r.conn; return true })
@@ -174,17 +179,17 @@
 	io.WriteString(<-late, responseText("x", "no"))
 	for end := conn.idleSince.Add(maxIdleTime / 2); conn.hasNoPendingInput(); {
 		if time.Now().After(end) {
-			t.Fatal("unexpected bytes were not noticed")
+			t.Fatal("unexpected data was not detected")
 		}
 	}
 	b.mustAnswer(t, Attempt{})
 	if n := b.connections.Load(); n != 2 {
-		t.Errorf("%d connections", n)
+		t.Errorf("%d connections, want 2", n)
 	}
 }
 
-// respondAndClose answers a request, and closes the connection at random: before the response,
-// after it, with a reset, or after a surplus response.
+// respondAndClose responds to a request, and closes the connection at random: before the response,
+// after it, or with a reset. It may also send an extra response.
 func respondAndClose(r receivedRequest) bool {
 	io.Copy(io.Discard, r.Body)
 	switch rand.IntN(8) {
@@ -206,7 +211,8 @@
 	return true
 }
 
-// randomAttempt returns one of a short, a middle or a long body, some with hardly any time.
+// randomAttempt returns an attempt with a short, medium or long body. Some attempts have a timeout
+// of at most 2 ms.
 func randomAttempt() Attempt {
 	attempt := Attempt{ID: fmt.Sprint("attempt-", attemptCount.Add(1)), Body: make([]byte, []int{1, 20 << 10, 300 << 10}[rand.IntN(3)])}
 	if rand.IntN(8) == 0 {
@@ -215,7 +221,7 @@
 	return attempt
 }
 
-// rejectSome rejects one of 16 attempts before the write.
+// rejectSome rejects one in 16 attempts before the write.
 func rejectSome() endpoints.Rejection {
 	if rand.IntN(16) == 0 {
 		return endpoints.BackendDraining
@@ -223,14 +229,15 @@
 	return endpoints.Admitted
 }
 
-// attemptResults is what became of many attempts.
+// attemptResults collects the results of many attempts.
 type attemptResults struct {
 	answered, others atomic.Int64
-	// notRun has the reasons of those that were said not to have run, by attempt.
+	// notRun holds the reasons of the attempts that were reported as not run, by attempt ID.
 	notRun sync.Map
 }
 
-// add checks what became of an attempt against what the backend has received by now.
+// add records the result of an attempt, and checks it against the requests that the backend has
+// received so far.
 func (r *attemptResults) add(t *testing.T, b *fakeBackend, id string, response AttemptResponse) {
 	t.Helper()
 	if response.Outcome == routing.NotRun {
@@ -245,11 +252,12 @@
 		r.others.Add(1)
 	}
 	if ran > 1 || response.Outcome == routing.NotRun && ran > 0 || response.Outcome == routing.Answered && response.Header.Get("For") != id {
-		t.Errorf("%s: %v %q, ran %d times, response to %q", id, response.Outcome, response.Reason, ran, response.Header.Get("For"))
+		t.Errorf("%s: got outcome %v, reason %q, ran %d times, response to %q", id, response.Outcome, response.Reason, ran, response.Header.Get("For"))
 	}
 }
 
-// checkNotRun checks that none of those said not to have run has run since, and counts them.
+// checkNotRun checks that no attempt that was reported as not run has run since, and returns the
+// number of such attempts.
 func (r *attemptResults) checkNotRun(t *testing.T, b *fakeBackend) (count int) {
 	t.Helper()
 	b.mu.Lock()
@@ -257,16 +265,16 @@
 	r.notRun.Range(func(id, reason any) bool {
 		count++
 		if n := b.runs[id.(string)]; n > 0 {
-			t.Errorf("%s was said not to have run (%s), and ran %d times", id, reason, n)
+			t.Errorf("%s was reported as not run (%s), but ran %d times", id, reason, n)
 		}
 		return true
 	})
 	return count
 }
 
-// With a backend that closes connections at any time, attempts with little time, and rejections
-// before the write, nothing runs twice or after it was said not to, and no attempt gets another
-// one's response.
+// TestBackendCloses checks that no attempt runs twice, runs after it was reported as not run, or
+// gets another attempt's response. The backend closes connections at random, some attempts have
+// little time, and some are rejected before the write.
 func TestBackendCloses(t *testing.T) {
 	b := newFakeBackend(t, respondAndClose)
 	var results attemptResults
@@ -286,33 +294,34 @@
 		}
 	}
 	for range b.inbound.ConnectionsOpened() {
-		<-b.closed // what was written has been read by then
+		<-b.closed // all written data has been read when the connection is closed
 	}
 	notRun, answered, connections := results.checkNotRun(t, b), results.answered.Load(), b.connections.Load()
-	t.Logf("%d answered, %d not, of which %d have not run, on %d connections", answered, results.others.Load(), notRun, connections)
+	t.Logf("%d attempts answered, %d not answered, %d of these not run, on %d connections", answered, results.others.Load(), notRun, connections)
 	if notRun == 0 || answered < 700 || connections > 1500 {
-		t.Error("few were answered, or few connections were reused")
+		t.Error("too few attempts were answered or not run, or too few connections were reused")
 	}
 }
 
-// An attempt that is rejected before the write writes no byte, and its connection can be reused.
+// TestRejectedBeforeWrite checks that an attempt that is rejected before the write writes no byte,
+// and that its connection can be reused.
 func TestRejectedBeforeWrite(t *testing.T) {
 	b := newFakeBackend(t, respondOK)
 	b.mustAnswer(t, Attempt{})
 	for _, body := range []int{1, 100 << 10} {
 		response := b.send(Attempt{ID: "rejected", Body: make([]byte, body)}, func() endpoints.Rejection { return endpoints.BackendDraining })
 		if response.Outcome != routing.NotRun || response.ReachedBackend {
-			t.Errorf("written although rejected: %+v", response)
+			t.Errorf("rejected attempt: got response %+v, want one that did not reach the backend", response)
 		}
 	}
 	b.mustAnswer(t, Attempt{})
 	if b.runs["rejected"] != 0 || b.connections.Load() != 1 {
-		t.Errorf("ran %d times; %d connections", b.runs["rejected"], b.connections.Load())
+		t.Errorf("ran %d times on %d connections, want 0 times on 1", b.runs["rejected"], b.connections.Load())
 	}
 }
 
-// A connection that takes no byte proves that nothing was sent: a new one is used, after another
-// check.
+// TestNothingWritten checks that if a reused connection fails before a byte was written, the
+// attempt is sent on a new connection after another admission check.
 func TestNothingWritten(t *testing.T) {
 	release := make(chan struct{})
 	b := newFakeBackend(t, func(r receivedRequest) bool {
@@ -330,31 +339,32 @@
 	checks := 0
 	response := b.send(Attempt{ID: "fresh"}, func() endpoints.Rejection { checks++; return endpoints.Admitted })
 	if response.Outcome != routing.Answered || b.runs["fresh"] != 1 || checks != 2 || b.connections.Load() != 2 {
-		t.Errorf("%+v, ran %d times, checked %d times, %d connections", response, b.runs["fresh"], checks, b.connections.Load())
+		t.Errorf("got response %+v, ran %d times, checked %d times, %d connections, want an answer, 1 run, 2 checks and 2 connections", response, b.runs["fresh"], checks, b.connections.Load())
 	}
 }
 
-// An attempt whose deadline passes closes its connection.
+// TestAttemptDeadline checks that the connection is closed when the attempt's deadline passes.
 func TestAttemptDeadline(t *testing.T) {
-	gone := make(chan error, 1)
+	readErr := make(chan error, 1)
 	b := newFakeBackend(t, func(r receivedRequest) bool {
 		_, err := r.conn.Read(make([]byte, 1))
-		gone <- err
+		readErr <- err
 		return false
 	})
 	response := b.send(Attempt{ID: "late", Timeout: 30 * time.Millisecond}, nil)
 	if response.Outcome != routing.Unknown || response.Reason != string(endpoints.DeadlineExpired) {
-		t.Errorf("%+v", response)
+		t.Errorf("got response %+v, want an unknown outcome because the deadline expired", response)
 	}
-	if err := <-gone; err == nil {
+	if err := <-readErr; err == nil {
 		t.Error("the connection was not closed")
 	}
 	if n := b.inbound.pool.idleCount(); n != 0 {
-		t.Errorf("%d are kept", n)
+		t.Errorf("%d idle connections, want 0", n)
 	}
 }
 
-// A long request may be answered before its end; its connection is not reused.
+// TestResponseBeforeRequestEnds checks that a long request may be answered before its end, and that
+// its connection is not reused.
 func TestResponseBeforeRequestEnds(t *testing.T) {
 	b := newFakeBackend(t, func(r receivedRequest) bool {
 		r.respond(r.id, "too long")
@@ -363,10 +373,10 @@
 	b.inbound.Bodies.MaxBody = 64 << 20
 	response := b.send(Attempt{ID: "long", Body: make([]byte, 32<<20)}, nil)
 	if response.Outcome != routing.Answered || string(response.Body) != "too long" {
-		t.Errorf("%v %q", response.Outcome, response.Reason)
+		t.Errorf("got outcome %v, reason %q, want an answer", response.Outcome, response.Reason)
 	}
 	b.mustAnswer(t, Attempt{})
 	if n := b.connections.Load(); n != 2 {
-		t.Errorf("%d connections", n)
+		t.Errorf("%d connections, want 2", n)
 	}
 }
--- a/internal/dataplane/proxy/fakebackend_test.go
+++ b/internal/dataplane/proxy/fakebackend_test.go
@@ -22,7 +22,7 @@
 	"curlewwalk/internal/trace"
 )
 
-// echoDialect is a dialect of backends whose responses name the attempt that they answer.
+// echoDialect is a dialect for backends whose responses name the attempt that they answer.
 type echoDialect struct{ DefaultDialect }
 
 func (echoDialect) SetBackendHeaders(h http.Header, attempt *Attempt, _ time.Duration) {
@@ -41,41 +41,41 @@
 	return ResponseValid
 }
 
-// receivedRequest is one request at a fake backend.
+// receivedRequest is a request received by a fake backend.
 type receivedRequest struct {
 	*http.Request
-	// id is the attempt's.
+	// id is the ID of the attempt.
 	id string
-	// connNumber counts the connections at the backend, and requestNumber the requests on this
-	// one, both from 1.
+	// connNumber is the number of the connection at the backend, and requestNumber the number of
+	// the request on this connection. Both start at 1.
 	connNumber, requestNumber int64
 	conn                      net.Conn
 }
 
-// respond answers the request, in the name of an attempt.
+// respond writes a response that names the given attempt.
 func (r receivedRequest) respond(id, body string, header ...string) {
 	io.WriteString(r.conn, responseText(id, body, header...))
 }
 
-// responseText returns a response in the name of an attempt, as it is on the wire.
+// responseText returns the bytes of a response that names the given attempt.
 func responseText(id, body string, header ...string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nFor: %s\r\n%sContent-Length: %d\r\n\r\n%s", id, strings.Join(append(header, ""), "\r\n"), len(body), body)
 }
 
-// respondOK reads the request and answers it with "ok".
+// respondOK reads the request and responds with "ok".
 func respondOK(r receivedRequest) bool {
 	io.Copy(io.Discard, r.Body)
 	r.respond(r.id, "ok")
 	return true
 }
 
-// fakeBackend is an inbound side with one backend.
+// fakeBackend is a backend with its inbound side.
 type fakeBackend struct {
 	inbound  *Inbound
 	endpoint endpoints.Endpoint
-	// connections counts those that were accepted.
+	// connections counts the accepted connections.
 	connections atomic.Int64
-	// closed gets a value for each connection that has ended.
+	// closed receives a value for each connection that has ended.
 	closed chan bool
 
 	mu sync.Mutex
@@ -84,8 +84,8 @@
 	targets map[string]int
 }
 
-// newFakeBackend starts a backend that answers each request by handle; if that returns false,
-// it closes the connection.
+// newFakeBackend starts a backend that handles each request with handle. If handle returns false,
+// the backend closes the connection.
 func newFakeBackend(t testing.TB, handle func(r receivedRequest) bool) *fakeBackend {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -128,7 +128,7 @@
 	}
 }
 
-// serve answers the requests on one connection.
+// serve handles the requests on one connection.
 func (b *fakeBackend) serve(conn net.Conn, number int64, handle func(r receivedRequest) bool) {
 	reader := bufio.NewReader(conn)
 	for n := int64(1); ; n++ {
@@ -148,11 +148,11 @@
 	}
 }
 
-// attemptCount makes the attempts' IDs unique.
+// attemptCount makes the IDs of attempts unique.
 var attemptCount atomic.Int64
 
-// send puts an attempt to the backend, as Inbound.forward does. check is asked before the write;
-// nil admits it.
+// send sends an attempt to the backend, as Inbound.forward does. check is called before the write.
+// A nil check admits the attempt.
 func (b *fakeBackend) send(attempt Attempt, check func() endpoints.Rejection) AttemptResponse {
 	if attempt.ID == "" {
 		attempt.ID = fmt.Sprint("attempt-", attemptCount.Add(1))
@@ -177,17 +177,18 @@
 	return response
 }
 
-// mustAnswer puts an attempt to the backend that must get its own response.
+// mustAnswer sends an attempt to the backend, and fails the test if the attempt does not get its
+// own response.
 func (b *fakeBackend) mustAnswer(t *testing.T, attempt Attempt) {
 	t.Helper()
 	attempt.ID = fmt.Sprint("attempt-", attemptCount.Add(1))
 	response := b.send(attempt, nil)
 	if response.Outcome != routing.Answered || response.Header.Get("For") != attempt.ID {
-		t.Fatalf("%s got %v %q, response to %q", attempt.ID, response.Outcome, response.Reason, response.Header.Get("For"))
+		t.Fatalf("%s: got outcome %v, reason %q, response to %q", attempt.ID, response.Outcome, response.Reason, response.Header.Get("For"))
 	}
 }
 
-// expectConnections fails the test if the backend has accepted another number of connections.
+// expectConnections fails the test if the backend has not accepted exactly want connections.
 func (b *fakeBackend) expectConnections(t *testing.T, want int64, why string) {
 	t.Helper()
 	if got := b.connections.Load(); got != want {
@@ -195,7 +196,7 @@
 	}
 }
 
-// idleConn returns the one idle connection.
+// idleConn returns the only idle connection.
 func (b *fakeBackend) idleConn(t *testing.T) *backendConn {
 	t.Helper()
 	b.inbound.pool.mu.Lock()
@@ -205,6 +206,6 @@
 			return entry.idle[0]
 		}
 	}
-	t.Fatal("there is not one idle connection")
+	t.Fatal("want exactly one idle connection")
 	return nil
 }
--- a/internal/dataplane/proxy/fuzz_test.go
+++ b/internal/dataplane/proxy/fuzz_test.go
@@ -12,9 +12,10 @@
 	"curlewwalk/internal/dataplane/routing"
 )
 
-// FuzzBackendAnswer checks that, whatever a backend writes as a response before it closes the
-// connection, only a response that names the attempt is passed on, an attempt is said not to have
-// run only if the backend says so, and the next attempt gets its own response.
+// FuzzBackendAnswer checks the handling of arbitrary bytes that a backend writes as a response
+// before it closes the connection. Only a response that names the attempt may be forwarded, an
+// attempt may be reported as not run only if the backend says so, and the next attempt must get its
+// own response.
 func FuzzBackendAnswer(f *testing.F) {
 	responses := make(chan []byte, 1)
 	b := newFakeBackend(f, func(r receivedRequest) bool {
@@ -41,35 +42,35 @@
 		switch response.Outcome {
 		case routing.Answered:
 			if response.Header.Get("For") != "own" || response.Status < 200 || response.Status > 999 {
-				t.Errorf("%d, response to %q", response.Status, response.Header.Get("For"))
+				t.Errorf("got status %d, response to %q", response.Status, response.Header.Get("For"))
 			}
 			for name := range response.Header {
 				if isHopByHop(name) && name != "Content-Length" {
-					t.Errorf("%s is passed on", name)
+					t.Errorf("hop-by-hop field %s is forwarded", name)
 				}
 			}
 		case routing.NotRun:
 			if !bytes.Contains(bytes.ToLower(text), []byte("declined")) && !bytes.Contains(bytes.ToLower(text), []byte("elsewhere")) {
-				t.Errorf("said not to have run: %+v", response)
+				t.Errorf("reported as not run although the backend did not decline: %+v", response)
 			}
 		case routing.Unknown:
 		default:
-			t.Errorf("%+v", response)
+			t.Errorf("invalid outcome: %+v", response)
 		}
-		// The backend may close just then a connection that looked good.
+		// The backend may just then be closing a connection that the pool still considers usable.
 		response = b.send(Attempt{ID: "next"}, nil)
 		for tries := 0; response.Outcome == routing.Unknown && tries < 3; tries++ {
 			response = b.send(Attempt{ID: "next"}, nil)
 		}
 		if response.Outcome != routing.Answered || response.Header.Get("For") != "next" || string(response.Body) != "ok" {
-			t.Errorf("the next: %+v", response)
+			t.Errorf("response to the next attempt: %+v", response)
 		}
 	})
 }
 
-// FuzzClientRequest checks that, whatever a client writes, the backend gets only the requests that
-// are in it, each as it was sent, and the client gets complete responses, at most one for each
-// request and one for what is none.
+// FuzzClientRequest checks the handling of arbitrary bytes that a client writes. The backend must
+// get only requests that the bytes contain, each unchanged. The client must get complete responses:
+// at most one for each request, and one for invalid input.
 func FuzzClientRequest(f *testing.F) {
 	got := make(chan plainRequest, 1<<10)
 	p := newProxyPair(f, func(r receivedRequest) bool {
@@ -111,15 +112,15 @@
 				sent = sent[1:] // it was rejected
 			}
 			if len(sent) == 0 {
-				t.Fatalf("the backend got %q, which nobody sent", r)
+				t.Fatalf("the backend got %q, which the client did not send", r)
 			}
 			sent = sent[1:]
 		}
 	})
 }
 
-// countResponses reads the final responses to the requests that were sent, until the connection
-// ends, and counts them. Each must be complete.
+// countResponses reads the final responses to the requests that were sent until the connection
+// ends, and returns their number. Each must be complete.
 func countResponses(t *testing.T, conn net.Conn, sent []plainRequest) (count int) {
 	t.Helper()
 	reader := bufio.NewReader(conn)
@@ -137,20 +138,20 @@
 		}
 		count++
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
-			t.Errorf("response %d was cut short: %v", count, err)
+			t.Errorf("response %d is incomplete: %v", count, err)
 		}
 	}
 }
 
-// plainRequest is what of a request must not be changed on the way.
+// plainRequest holds the parts of a request that must be forwarded unchanged.
 type plainRequest struct{ method, uri, body string }
 
-// requests parses the requests in a client's text, up to the first that is not valid.
+// requests parses the requests in a client's text, up to the first invalid one.
 func requests(text []byte) (parsed []plainRequest) {
 	reader := bufio.NewReader(bytes.NewReader(text))
 	for {
 		if n := len(parsed); n > 0 && parsed[n-1].method == http.MethodPost {
-			skipLineEnds(reader)
+			skipNewlines(reader)
 		}
 		r, err := http.ReadRequest(reader)
 		if err != nil {
@@ -158,15 +159,15 @@
 		}
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
-			return append(parsed, plainRequest{method: r.Method, uri: "cut short"})
+			return append(parsed, plainRequest{method: r.Method, uri: "incomplete body"})
 		}
 		parsed = append(parsed, plainRequest{r.Method, r.RequestURI, string(body)})
 	}
 }
 
-// skipLineEnds skips the line ends that some clients send after a POST's body, as net/http's
+// skipNewlines skips the newlines that some clients send after the body of a POST, as net/http's
 // server does.
-func skipLineEnds(reader *bufio.Reader) {
+func skipNewlines(reader *bufio.Reader) {
 	next, _ := reader.Peek(4)
 	for _, b := range next {
 		if b != '\r' && b != '\n' {
--- a/internal/dataplane/proxy/golden_test.go
+++ b/internal/dataplane/proxy/golden_test.go
@@ -11,15 +11,17 @@
 	"curlewwalk/tests/golden"
 )
 
-// The body that clients get for a request that has no response is the same as ever.
-func TestGoldenRefusal(t *testing.T) {
+// TestGoldenLocalReply checks that the body of a local reply stays compatible with earlier
+// versions.
+func TestGoldenLocalReply(t *testing.T) {
 	golden.Value(t, golden.JSON, "refusal.json", &localReplyBody{})
 	r := newLocalReply(LocalReply{Status: 503, Outcome: routing.NotRun, Reason: "a reason", TraceID: "0123456789abcdef", RetryAfter: time.Second})
 	golden.Check(t, "own-response.body", r.Body)
 }
 
-// A response that is stored for an Idempotency-Key decodes as it was, and is the same bytes.
-func TestGoldenKeptResponse(t *testing.T) {
+// TestGoldenStoredResponse checks that a response stored for an Idempotency-Key decodes unchanged
+// and encodes to the same bytes as in earlier versions.
+func TestGoldenStoredResponse(t *testing.T) {
 	var r Response
 	golden.Fill(&r, golden.Msgpack.Tag)
 	r.Status = 201
@@ -30,7 +32,7 @@
 	}
 	read, ok := unmarshalResponse(stored)
 	if !ok || !bytes.Equal(read.marshal(), stored) {
-		t.Errorf("%+v", read)
+		t.Errorf("stored response decodes to %+v, which encodes differently", read)
 	}
 
 	var record keyreplication.Record
--- a/internal/dataplane/proxy/nethttp_test.go
+++ b/internal/dataplane/proxy/nethttp_test.go
@@ -11,11 +11,12 @@
 	"testing"
 )
 
-// repeatingClients are what of net/http sends requests: it repeats some of them by itself.
-var repeatingClients = []string{"Client", "Transport", "DefaultClient", "DefaultTransport", "Get", "Head", "Post", "PostForm"}
+// retryingClients are the identifiers of net/http that send requests. They retry some requests
+// automatically.
+var retryingClients = []string{"Client", "Transport", "DefaultClient", "DefaultTransport", "Get", "Head", "Post", "PostForm"}
 
-// The product uses net/http's client only in the planner, which only reads: elsewhere, requests
-// that must not be repeated would be, unnoticed.
+// TestNoHiddenRetries checks that only the planner, which only reads, uses net/http's client.
+// Elsewhere net/http could silently retry requests that must not be retried.
 func TestNoHiddenRetries(t *testing.T) {
 	found := 0
 	err := filepath.WalkDir("../../..", func(path string, d fs.DirEntry, err error) error {
@@ -34,13 +35,13 @@
 		}
 		ast.Inspect(file, func(n ast.Node) bool {
 			s, ok := n.(*ast.SelectorExpr)
-			if !ok || !slices.Contains(repeatingClients, s.Sel.Name) {
+			if !ok || !slices.Contains(retryingClients, s.Sel.Name) {
 				return true
 			}
 			if x, ok := s.X.(*ast.Ident); ok && x.Name == "http" {
 				found++
 				if filepath.ToSlash(rel) != "cmd/planner/snapshot.go" {
-					t.Errorf("%s uses http.%s", rel, s.Sel.Name)
+					t.Errorf("%s uses http.%s, which may retry requests", rel, s.Sel.Name)
 				}
 			}
 			return true
@@ -51,6 +52,6 @@
 		t.Fatal(err)
 	}
 	if found == 0 {
-		t.Error("the planner's use was not found: the check sees nothing")
+		t.Error("the planner's use of net/http was not found, so the check finds nothing")
 	}
 }
--- a/internal/dataplane/proxy/outbound.go
+++ b/internal/dataplane/proxy/outbound.go
@@ -152,7 +152,7 @@
 	return o.send(req)
 }
 
-// send runs a request with its deadline.
+// send runs a request until its deadline, and returns the response for the client.
 func (o *Outbound) send(req *request) Response {
 	ctx, cancel := context.WithDeadline(trace.ContextWithSpan(o.Lifetime, req.span), req.deadline)
 	defer cancel()
--- a/internal/dataplane/proxy/proxypair_test.go
+++ b/internal/dataplane/proxy/proxypair_test.go
@@ -25,12 +25,12 @@
 	"curlewwalk/internal/transport"
 )
 
-// proxyPair is an outbound side, an inbound side and a fake backend, with a connection between
-// them. Requests of "/once/" are not idempotent, those of "/look/" are.
+// proxyPair is an outbound side and an inbound side connected to each other, with a fake backend.
+// Requests under "/once/" are not idempotent, and requests under "/look/" are.
 type proxyPair struct {
 	*fakeBackend
 	outbound *Outbound
-	// addr is where clients send.
+	// addr is the address for clients.
 	addr string
 	// closeConnections closes the open connections between the two sides.
 	closeConnections func()
@@ -41,13 +41,13 @@
 	{"name": "look", "prefix": "/look/", "service": "desk", "contract": "c", "repeatable": true}],
 	"contracts": [{"name": "c", "rank": 1, "aim": "1s", "expiry": "3s"}]}`
 
-// newProxyPair starts a pair whose backend answers by handle.
+// newProxyPair starts a pair whose backend handles requests with handle.
 func newProxyPair(t testing.TB, handle func(r receivedRequest) bool) *proxyPair {
 	t.Helper()
 	return newProxyPairWith(t, handle, func(map[string]transport.Handler) {})
 }
 
-// recordingListener is a listener that remembers the connections that it has accepted.
+// recordingListener is a listener that records the connections that it has accepted.
 type recordingListener struct {
 	net.Listener
 	mu   sync.Mutex
@@ -75,7 +75,7 @@
 	l.open = nil
 }
 
-// newProxyPairWith also lets intercept change the handlers of the inbound side.
+// newProxyPairWith starts a pair, and lets intercept change the handlers of the inbound side.
 func newProxyPairWith(t testing.TB, handle func(r receivedRequest) bool, intercept func(map[string]transport.Handler)) *proxyPair {
 	t.Helper()
 	p := &proxyPair{fakeBackend: newFakeBackend(t, handle)}
@@ -83,7 +83,7 @@
 	actors := actor.New(slog.New(slog.DiscardHandler), func(name string, cause any, stack []byte) { t.Errorf("%s: %v\n%s", name, cause, stack) })
 	table, ok := routing.NewTable(config.ControlState{Revision: 1, ConfigurationRevision: 1, Configuration: []byte(proxyPairConfiguration)})
 	if !ok {
-		t.Fatal("the configuration is not valid")
+		t.Fatal("invalid configuration")
 	}
 	spans, tracker := trace.NewQueue("outbound", 1, 16), causality.NewTracker()
 	actors.Go(ctx, "causality", tracker.Run)
@@ -102,7 +102,7 @@
 	return p
 }
 
-// setUpInbound makes the fake backend's inbound side admit attempts, as incarnation 7.
+// setUpInbound configures the fake backend's inbound side to admit attempts as incarnation 7.
 func (p *proxyPair) setUpInbound(table *routing.Table, spans *trace.Queue, tracker *causality.Tracker) {
 	in := p.inbound
 	in.Incarnation, in.Spans, in.Causality = 7, spans, tracker
@@ -114,7 +114,7 @@
 	}
 }
 
-// startServer lets the inbound side be reached, and returns its node.
+// startServer starts a transport server for the inbound side, and returns its node.
 func (p *proxyPair) startServer(ctx context.Context, t testing.TB, actors *actor.System, intercept func(map[string]transport.Handler)) membership.Node {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -132,7 +132,7 @@
 	}}
 }
 
-// setUpOutbound makes the outbound side, which sends to the members of a view.
+// setUpOutbound creates the outbound side, which sends to the members of a view.
 func (p *proxyPair) setUpOutbound(ctx context.Context, actors *actor.System, table *routing.Table, spans *trace.Queue, tracker *causality.Tracker, view *membership.View) {
 	p.outbound = NewOutbound(OutboundConfig{
 		Zone: "north", EjectionTime: time.Millisecond, MinRetryAfter: 100 * time.Millisecond,
@@ -165,10 +165,10 @@
 	return &testClient{t, conn.(*net.TCPConn), bufio.NewReader(conn)}
 }
 
-// send writes to the sidecar. It is no fault if the sidecar does not read it any more.
+// send writes to the sidecar. It ignores errors, because the sidecar may have stopped reading.
 func (c *testClient) send(format string, args ...any) { fmt.Fprintf(c, format, args...) }
 
-// receive reads the next response; nil if the connection has ended.
+// receive reads the next response. It returns nil if the connection has ended.
 func (c *testClient) receive() (resp *http.Response, body string) {
 	c.t.Helper()
 	resp, err := http.ReadResponse(c.reader, nil)
@@ -177,12 +177,12 @@
 	}
 	b, err := io.ReadAll(resp.Body)
 	if err != nil {
-		c.t.Fatalf("%d was cut short: %v", resp.StatusCode, err)
+		c.t.Fatalf("response with status %d is incomplete: %v", resp.StatusCode, err)
 	}
 	return resp, string(b)
 }
 
-// receivedURIs counts the requests that the backend has received, by request target.
+// receivedURIs returns how many requests the backend has received, by request target.
 func (p *proxyPair) receivedURIs() map[string]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/dataplane/proxy/rejection_test.go
+++ b/internal/dataplane/proxy/rejection_test.go
@@ -8,8 +8,8 @@
 	"curlewwalk/internal/dataplane/routing"
 )
 
-// What clients get for a rejected request is the same as ever: its status, whether the request may
-// have run, the reason, and when to retry.
+// TestRejections checks that clients get an unchanged status, outcome, reason and retry time for
+// each rejected request.
 func TestRejections(t *testing.T) {
 	for name, c := range map[string]struct {
 		rejection *routing.Failure
@@ -18,8 +18,8 @@
 		"too many bodies":    {rejectTooManyBodies, routing.Failure{Status: 503, Outcome: "not-run", Reason: "this node holds as many bodies as it can", RetryAfter: time.Second}},
 		"body too large":     {bodyTooLarge(7), routing.Failure{Status: 413, Outcome: "not-run", Reason: "body is over 7 bytes"}},
 		"body timeout":       {rejectBodyTimeout, routing.Failure{Status: 408, Outcome: "not-run", Reason: "body took too long", RetryAfter: time.Second}},
-		"body cut short":     {rejectBodyIncomplete, routing.Failure{Status: 400, Outcome: "not-run", Reason: "body was cut short"}},
-		"path not faithful":  {rejectTargetNotPreserved, routing.Failure{Status: 400, Outcome: "not-run", Reason: "this path can't be passed on as it is"}},
+		"body incomplete":    {rejectBodyIncomplete, routing.Failure{Status: 400, Outcome: "not-run", Reason: "body was cut short"}},
+		"target altered":     {rejectTargetNotPreserved, routing.Failure{Status: 400, Outcome: "not-run", Reason: "this path can't be passed on as it is"}},
 		"node stopping":      {nodeStopping(time.Minute), routing.Failure{Status: 503, Outcome: "not-run", Reason: "this node is stopping", RetryAfter: time.Minute}},
 		"outdated":           {configurationOutdated(time.Minute), routing.Failure{Status: 503, Outcome: "not-run", Reason: "a newer configuration is in force, and not known here yet", RetryAfter: time.Minute}},
 		"no configuration":   {rejectNoConfiguration, routing.Failure{Status: 503, Outcome: "not-run", Reason: "no configuration is known here yet", RetryAfter: time.Second}},
@@ -36,22 +36,23 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if *c.rejection != c.want {
-				t.Errorf("%+v, want %+v", *c.rejection, c.want)
+				t.Errorf("got %+v, want %+v", *c.rejection, c.want)
 			}
 		})
 	}
 }
 
-// A request that has a span tells its client the trace; one that has none does not.
+// TestRejectionResponse checks that the response to a rejected request includes the trace ID if the
+// request has a span, and no trace ID otherwise.
 func TestRejectionResponse(t *testing.T) {
 	o := NewOutbound(OutboundConfig{}, OutboundDeps{Dialect: DefaultDialect{}})
 	response := o.reject(rejectNoRoute)
 	if want := `{"outcome":"not-run","reason":"no way takes this inquiry"}`; response.Status != http.StatusNotFound || response.Outcome != routing.NotRun || string(response.Body) != want {
-		t.Errorf("%d %q %s, want %s", response.Status, response.Outcome, response.Body, want)
+		t.Errorf("got status %d, outcome %q, body %s, want body %s", response.Status, response.Outcome, response.Body, want)
 	}
 	req := &request{}
 	response = o.failRequest(req, rejectKeyReused)
 	if want := `{"outcome":"not-run","reason":"this key was used for another inquiry","trace":"` + req.span.Trace.String() + `"}`; response.Status != http.StatusUnprocessableEntity || string(response.Body) != want {
-		t.Errorf("%d %s, want %s", response.Status, response.Body, want)
+		t.Errorf("got status %d, body %s, want body %s", response.Status, response.Body, want)
 	}
 }
--- a/internal/dataplane/proxy/request_test.go
+++ b/internal/dataplane/proxy/request_test.go
@@ -11,12 +11,13 @@
 	"curlewwalk/internal/dataplane/routing"
 )
 
-// newRoutesOutbound returns an outbound side that rejects requests by its configuration.
+// newRoutesOutbound returns an outbound side with the given configuration, for tests of requests
+// that it rejects.
 func newRoutesOutbound(t *testing.T, configuration string, unconfirmed, outdated func() bool) *Outbound {
 	t.Helper()
 	table, ok := routing.NewTable(config.ControlState{Revision: 3, ConfigurationRevision: 3, Configuration: []byte(configuration)})
 	if !ok {
-		t.Fatal("the configuration is not valid")
+		t.Fatal("invalid configuration")
 	}
 	return NewOutbound(OutboundConfig{MinRetryAfter: 100 * time.Millisecond}, OutboundDeps{
 		Table: func() *routing.Table { return table }, Dialect: DefaultDialect{}, RefusesClients: func() bool { return false }, Bodies: &BodyLimiter{MaxBody: 1 << 20, MaxTotal: 1 << 20},
@@ -31,8 +32,9 @@
 	return response
 }
 
-// That there is no route for a request is said only if the configuration is confirmed as the
-// newest; else the request is rejected as not run, with when to retry.
+// TestNoRouteWhileUnconfirmed checks that a request without a route gets 404 only if the
+// configuration is confirmed as the newest. Otherwise the request is rejected as not run, with a
+// retry time.
 func TestNoRouteWhileUnconfirmed(t *testing.T) {
 	var unconfirmed bool
 	o := newRoutesOutbound(t, `{"ways":[],"contracts":[]}`, func() bool { return unconfirmed }, nil)
@@ -48,14 +50,15 @@
 			unconfirmed = c.unconfirmed
 			response := serve(o, http.MethodGet, "http://orders.example/new")
 			if retryAfter := response.Header().Get("Retry-After"); response.Code != c.status || (retryAfter != "") != c.unconfirmed {
-				t.Errorf("%d, retry after %q", response.Code, retryAfter)
+				t.Errorf("got status %d, Retry-After %q", response.Code, retryAfter)
 			}
 		})
 	}
 }
 
-// A sidecar whose configuration is known to be outdated uses no route of it, be it one that it
-// has: the request is rejected at once as not run, with when to retry.
+// TestNoRouteWhileOutdated checks that a sidecar whose configuration is known to be outdated uses
+// none of its routes, including one that matches. The request is rejected at once as not run, with
+// a retry time.
 func TestNoRouteWhileOutdated(t *testing.T) {
 	o := newRoutesOutbound(t,
 		`{"ways":[{"name":"old","prefix":"/old/","service":"orders","contract":"c"}],"contracts":[{"name":"c","aim":"1s","expiry":"2s","rank":1}]}`,
@@ -63,24 +66,25 @@
 	response := serve(o, http.MethodPost, "http://orders.example/old/1")
 	header := response.Header()
 	if response.Code != http.StatusServiceUnavailable || header.Get(HeaderOutcome) != string(routing.NotRun) || header.Get("Retry-After") == "" {
-		t.Errorf("%d, %q, retry after %q", response.Code, header.Get(HeaderOutcome), header.Get("Retry-After"))
+		t.Errorf("got status %d, outcome %q, Retry-After %q", response.Code, header.Get(HeaderOutcome), header.Get("Retry-After"))
 	}
 }
 
-// A request's deadline is its contract's, or that of a client that waits for a shorter time.
+// TestDeadlines checks that a request's deadline is its contract's, or the client's if the client
+// waits for a shorter time.
 func TestDeadlines(t *testing.T) {
 	var contract config.Contract
 	contract.LatencyTarget.Duration, contract.Deadline.Duration = time.Second, 3*time.Second
 	start := time.Now()
 	for name, c := range map[string]struct{ clientTimeout, want time.Duration }{
-		"the client does not say":  {0, 3 * time.Second},
-		"the client waits longer":  {time.Minute, 3 * time.Second},
-		"the client waits shorter": {time.Millisecond, time.Millisecond},
+		"no client timeout":      {0, 3 * time.Second},
+		"longer client timeout":  {time.Minute, 3 * time.Second},
+		"shorter client timeout": {time.Millisecond, time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
 			got := newDeadlines(start, contract, c.clientTimeout)
 			if want := (deadlines{start, start.Add(time.Second), start.Add(c.want)}); got != want {
-				t.Errorf("%+v, want %+v", got, want)
+				t.Errorf("got %+v, want %+v", got, want)
 			}
 		})
 	}
--- a/internal/dataplane/proxy/retry.go
+++ b/internal/dataplane/proxy/retry.go
@@ -108,8 +108,8 @@
 	return o.LatencyBudgets.AllowedLateness(req.contract.Name, req.maxLateness())
 }
 
-// waitUntil returns the time until which a request may wait for a backend with capacity. (DESIGN
-// 15.4)
+// waitUntil returns the time until which a request may wait for a backend with capacity.
+// (DESIGN 15.4)
 func (o *Outbound) waitUntil(req *request) time.Time {
 	return req.startedAt.Add(time.Duration(o.WaitShare * float64(req.contract.LatencyTarget.Duration)))
 }
--- a/internal/dataplane/proxy/warmup_test.go
+++ b/internal/dataplane/proxy/warmup_test.go
@@ -13,8 +13,8 @@
 	"curlewwalk/internal/trace"
 )
 
-// warmupFixture is an inbound side whose backend warms up with 4 requests a second, and takes 6
-// connections.
+// warmupFixture is an inbound side whose backend has a warm-up rate of 4 requests per second and at
+// most 6 connections.
 type warmupFixture struct {
 	*fakeBackend
 	t    *testing.T
@@ -28,7 +28,7 @@
 		"contracts": [{"name": "c", "rank": 1, "aim": "1s", "expiry": "2s"}],
 		"services": [{"name": "desk", "connections": 6, "cold": {"for": "5s", "rate": 4}}]}`)})
 	if !ok {
-		t.Fatal("the configuration is not valid")
+		t.Fatal("invalid configuration")
 	}
 	in := f.inbound
 	in.Table = func() *routing.Table { return table }
@@ -40,7 +40,7 @@
 	return f
 }
 
-// announce announces the backend with some of its warm-up remaining.
+// announce announces the backend with the given remaining warm-up time.
 func (f *warmupFixture) announce(remaining string) {
 	f.t.Helper()
 	registry, faults := endpoints.Registry{}.Announce(endpoints.Announcement{Instance: "a", Service: "desk", Address: f.endpoint.Address, Capacity: 20, Warmup: &endpoints.Warmup{Remaining: remaining}}, "north", time.Now())
@@ -50,7 +50,8 @@
 	f.inbound.Endpoints = func() endpoints.Registry { return registry }
 }
 
-// limit returns the backend's concurrency limit, with a capacity of its own if that is not zero.
+// limit returns the backend's concurrency limit. A nonzero capacity replaces the backend's
+// capacity.
 func (f *warmupFixture) limit(capacity int) int64 {
 	endpoint := f.inbound.Endpoints().Endpoints()[0]
 	if capacity > 0 {
@@ -59,7 +60,7 @@
 	return f.inbound.ConcurrencyLimit(endpoint, time.Now())
 }
 
-// send sends an attempt.
+// send sends an attempt through admission.
 func (f *warmupFixture) send() AttemptResponse {
 	f.sent++
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
@@ -67,8 +68,8 @@
 	return f.inbound.admit(ctx, &Attempt{ID: fmt.Sprint(f.sent), Service: "desk", Instance: "a", Route: "w", Method: "GET", URI: "/", Host: "x", Timeout: time.Second, TimeToTarget: time.Second}, trace.Root())
 }
 
-// countAnswered sends 20 attempts and counts those that are answered. The others must be rejected
-// as the backend is full, and told when to retry.
+// countAnswered sends 20 attempts and returns how many were answered. The others must be rejected
+// because the backend is full, with a retry time.
 func (f *warmupFixture) countAnswered() (count int) {
 	f.t.Helper()
 	for range 20 {
@@ -77,41 +78,42 @@
 		case response.Outcome == routing.Answered:
 			count++
 		case response.Outcome != routing.NotRun || response.Reason != string(endpoints.BackendFull) || response.RetryAfter <= 0 || response.ReachedBackend:
-			f.t.Fatalf("%+v", response)
+			f.t.Fatalf("response %+v, want an answer or a rejection with a retry time", response)
 		}
 	}
 	return count
 }
 
-// A backend that is warming up gets its service's rate of requests over any second, from the
-// sidecar's start on, and no more than that at a time; what is rejected has not run, and is told
-// when to retry.
+// TestWarmupRate checks that a backend that is warming up gets at most its service's warm-up rate
+// of requests in any second from the sidecar's start, and at most that many concurrently. Rejected
+// attempts must be reported as not run, with a retry time.
 func TestWarmupRate(t *testing.T) {
 	f := newWarmupFixture(t)
 	f.announce("5s")
 	if got := f.countAnswered(); got != 0 {
-		t.Errorf("%d were answered just after the start", got)
+		t.Errorf("%d attempts were answered just after the start, want 0", got)
 	}
 	f.inbound.started = time.Now().Add(-time.Minute)
 	if got := f.countAnswered(); got != 4 {
-		t.Errorf("%d were answered within a second", got)
+		t.Errorf("%d attempts were answered within a second, want 4", got)
 	}
 	if got := len(f.runs); got != 4 {
-		t.Errorf("the backend received %d", got)
+		t.Errorf("the backend received %d requests, want 4", got)
 	}
 	warmingUp := f.limit(0)
 	f.announce("0s")
 	if warm := f.limit(0); warmingUp != 4 || warm != 6 {
-		t.Errorf("warming up it runs %d at a time, warm %d", warmingUp, warm)
+		t.Errorf("concurrency limit is %d during the warm-up and %d after it, want 4 and 6", warmingUp, warm)
 	}
 	for halfCapacityTime, want := range map[time.Duration]int64{0: 6, 10 * time.Second: 5} {
-		// Half of a capacity of ten, or as many as it takes connections.
+		// The limit is the maximum number of connections, or half of a capacity of ten if the
+		// capacity is halved.
 		f.inbound.HalfCapacityTime, f.inbound.started = halfCapacityTime, time.Now()
 		if got := f.limit(10); got != want {
-			t.Errorf("at the start, half capacity for %v: %d, want %d", halfCapacityTime, got, want)
+			t.Errorf("concurrency limit at the start, with half capacity for %v: %d, want %d", halfCapacityTime, got, want)
 		}
 	}
 	if got := f.countAnswered(); got != 20 {
-		t.Errorf("warm: %d of 20", got)
+		t.Errorf("after the warm-up, %d of 20 attempts were answered", got)
 	}
 }
--- a/internal/dataplane/proxy/writeguard_test.go
+++ b/internal/dataplane/proxy/writeguard_test.go
@@ -7,43 +7,43 @@
 	"curlewwalk/internal/dataplane/endpoints"
 )
 
-// Either the write goes first or the guard is closed first, never both, however the two meet; and
-// an attempt whose guard is closed while its admission is still being checked is not written,
-// whatever the check says.
+// TestWriteGuard checks that exactly one of a concurrent write and close succeeds, in any
+// interleaving. It also checks that an attempt is not written if its guard is closed during the
+// admission check, whatever the check returns.
 func TestWriteGuard(t *testing.T) {
 	admitted := func() refusal { return refusal{} }
 	written, closed := 0, 0
 	for range 20000 {
 		g := &writeGuard{check: admitted}
-		var wrote, shut bool
-		var both sync.WaitGroup
-		both.Go(func() { wrote = g.allowWrite() })
-		both.Go(func() { shut = g.close() })
-		both.Wait()
-		if wrote == shut {
-			t.Fatalf("written %v, closed %v", wrote, shut)
+		var wroteFirst, closedFirst bool
+		var racers sync.WaitGroup
+		racers.Go(func() { wroteFirst = g.allowWrite() })
+		racers.Go(func() { closedFirst = g.close() })
+		racers.Wait()
+		if wroteFirst == closedFirst {
+			t.Fatalf("write allowed: %v, close succeeded: %v, want exactly one", wroteFirst, closedFirst)
 		}
-		if wrote {
+		if wroteFirst {
 			written++
 		} else {
 			closed++
 		}
 	}
-	t.Logf("written first %d times, closed first %d", written, closed)
+	t.Logf("%d times the write was first, %d times the close", written, closed)
 
 	g := &writeGuard{}
 	g.check = func() refusal {
 		if !g.close() {
-			t.Error("it could not be closed before the write")
+			t.Error("guard could not be closed before the write")
 		}
 		return refusal{}
 	}
 	if g.allowWrite() {
-		t.Error("it was written after it was closed")
+		t.Error("write was allowed after the guard was closed")
 	}
 
 	g = &writeGuard{check: func() refusal { return refusal{rejection: endpoints.BackendDraining} }}
 	if g.allowWrite() || g.refusal.Load().rejection != endpoints.BackendDraining || !g.close() || g.allowWrite() {
-		t.Error("an attempt that is not admitted was written")
+		t.Error("guard did not refuse an attempt that is not admitted")
 	}
 }
