--- a/internal/controlplane/consensus/acceptor.go
+++ b/internal/controlplane/consensus/acceptor.go
@@ -6,32 +6,34 @@
 	"curlewwalk/internal/config"
 )
 
-// Acceptor is one replica's share of the register that the control planes hold together. It
-// is a value without clock, goroutines or I/O: each method returns the next state. Of one
-// with PromiseDirty or StateDirty set, what is dirty must be on disk before anything that
-// follows from it is sent. (DESIGN 6.2)
+// Acceptor is one replica's acceptor of the register that the control planes replicate. It is a
+// value without clock, goroutines, or I/O. Each method returns the next state. If PromiseDirty
+// or StateDirty is set in a returned state, that part must be on disk before any reply or
+// message that depends on it is sent. (DESIGN 6.2)
 type Acceptor struct {
 	Self Sender
-	// StaticSize is how many static members there are; zero where members come and go.
+	// StaticSize is the number of static members. It is zero if the membership is dynamic.
 	StaticSize int
-	// InitialMembers are those that a cluster whose members come and go was started with, on
-	// the disk of one of them.
+	// InitialMembers is the member set with which a cluster of dynamic membership was started.
+	// It is set only on the disks of those members.
 	InitialMembers []config.Member
 	Phase          Phase
-	// Promised is the highest term promised: messages of lower ones are refused.
+	// Promised is the highest promised term. Messages of lower terms are rejected.
 	Promised uint64
-	// Position and State are what was accepted last.
+	// Position and State are the position and the control state that were accepted last.
 	Position Position
 	State    config.ControlState
-	// MemberRecords has the highest known incarnation of each member ID, and the disk that has it.
+	// MemberRecords maps each member ID to its highest known incarnation and the disk of that
+	// incarnation.
 	MemberRecords map[int]MemberRecord
-	// Committed is the highest revision known to be held by a majority; not on disk.
+	// Committed is the highest revision known to be held by a majority. It is not saved to
+	// disk.
 	Committed uint64
-	// PromiseDirty and StateDirty say what must be saved.
+	// PromiseDirty and StateDirty report which parts differ from the disk and must be saved.
 	PromiseDirty, StateDirty bool
 }
 
-// Step takes a message and answers it.
+// Step processes a message and returns the next state and the reply.
 func (a Acceptor) Step(message Message) (Acceptor, Reply) {
 	a.PromiseDirty, a.StateDirty = false, false
 	granted := a.admits(message)
@@ -41,8 +43,10 @@
 	return a, a.reply(message, granted)
 }
 
-// admits refuses all but reads while the acceptor is not established, and senders that
-// another disk has replaced.
+// admits reports whether the acceptor may process a message. An acceptor that is not
+// established answers only reads, except that a joining one also accepts all messages other
+// than MsgJoin. An established acceptor rejects senders whose disk has been replaced by another
+// one.
 func (a Acceptor) admits(message Message) bool {
 	if message.Type == MsgRead || message.Type == MsgReadIndex {
 		return true
@@ -51,12 +55,12 @@
 		return message.Type != MsgJoin
 	}
 	if message.Type == MsgJoin && a.StaticSize == 0 {
-		return false // where members come and go, the control state names them
+		return false // with dynamic membership, the control state lists the members
 	}
 	return a.Phase == PhaseEstablished && (message.Type == MsgJoin || message.Sender.isCurrent(a.MemberRecords[message.Sender.MemberID]))
 }
 
-// handle takes a message that was admitted.
+// handle processes an admitted message.
 func (a Acceptor) handle(message Message) (next Acceptor, granted bool) {
 	switch message.Type {
 	case MsgPrepare:
@@ -71,8 +75,8 @@
 	return a, true // reads change nothing
 }
 
-// handlePrepare promises a term. A term belongs to one member, so the same one may be
-// promised again.
+// handlePrepare promises a term. A term belongs to one member, so the same term may be promised
+// repeatedly.
 func (a Acceptor) handlePrepare(message Message) (next Acceptor, granted bool) {
 	if message.Term < a.Promised {
 		return a, false
@@ -82,9 +86,9 @@
 	return a, true
 }
 
-// handleAccept accepts a proposal. One that a later proposal of the same term has superseded
-// must not undo that one. One that comes again is on disk already: a position has one state
-// only.
+// handleAccept accepts a proposal. A delayed proposal must not overwrite a later proposal of
+// the same term. A repeated proposal is granted without a write, since a position identifies
+// one state and that state is already on disk.
 func (a Acceptor) handleAccept(message Message) (next Acceptor, granted bool) {
 	granted = message.Term >= a.Promised && message.Position.Term == message.Term && message.Position.Compare(a.Position) >= 0
 	if granted && message.Position != a.Position {
@@ -93,8 +97,8 @@
 	return a, granted
 }
 
-// handleCommit takes a committed state. It may be copied whatever was promised since: each
-// later term has seen it. (DESIGN 6.4)
+// handleCommit accepts a committed state. The state may be copied even if a higher term has
+// been promised since, because every later term has read that state. (DESIGN 6.4)
 func (a Acceptor) handleCommit(message Message) Acceptor {
 	if a.Position.Compare(message.Position) < 0 {
 		a = a.accept(message.Position, message.State)
@@ -102,7 +106,7 @@
 	return a.commit(message.Position.Revision)
 }
 
-// handleJoin records that another disk takes over a static member.
+// handleJoin records that another disk replaces the disk of a static member.
 func (a Acceptor) handleJoin(message Message) (next Acceptor, granted bool) {
 	sender := message.Sender
 	if sender.Incarnation <= a.MemberRecords[sender.MemberID].Incarnation {
@@ -111,7 +115,8 @@
 	return a.recordMembers(map[int]MemberRecord{sender.MemberID: {Incarnation: sender.Incarnation, DiskID: sender.DiskID}}), true
 }
 
-// reply is the answer to a message. It holds the control state only where the sender needs it.
+// reply returns the answer to a message. The control state is included only if the sender needs
+// it.
 func (a Acceptor) reply(message Message, granted bool) Reply {
 	reply := Reply{
 		Sender: a.Self, Type: message.Type, Term: message.Term, Granted: granted, Phase: a.Phase, Promised: a.Promised,
@@ -123,16 +128,17 @@
 	return reply
 }
 
-// accept takes a state as the newest one.
+// accept replaces the accepted state.
 func (a Acceptor) accept(position Position, state config.ControlState) Acceptor {
 	a.Position, a.State, a.StateDirty = position, state, true
 	a.Promised = max(a.Promised, position.Term)
 	return a.adoptMemberID()
 }
 
-// commit notes that the accepted state is committed up to a revision. A joining acceptor that
-// the state names is a member by that. The state may have been read from a disk that lost
-// power before it had the member ID, so that is adopted here as well.
+// commit records that the accepted state is committed up to a revision. A joining acceptor that
+// is listed in the committed state becomes an established member. The member ID is adopted here
+// as well, because the state may have been loaded from a disk that lost power before the member
+// ID was saved.
 func (a Acceptor) commit(revision uint64) Acceptor {
 	a.Committed = max(a.Committed, revision)
 	a = a.adoptMemberID()
@@ -142,8 +148,8 @@
 	return a
 }
 
-// adoptMemberID gives a joining acceptor the member ID under which the accepted state has its
-// disk.
+// adoptMemberID sets the member ID of a joining acceptor to the one that the accepted state
+// assigns to its disk.
 func (a Acceptor) adoptMemberID() Acceptor {
 	if a.Phase != PhaseJoining {
 		return a
@@ -156,7 +162,7 @@
 	return a
 }
 
-// recordMembers takes over the records of incarnations that are higher than the known ones.
+// recordMembers merges the records whose incarnation is higher than the known one.
 func (a Acceptor) recordMembers(records map[int]MemberRecord) Acceptor {
 	next := maps.Clone(a.MemberRecords)
 	if next == nil {
@@ -171,7 +177,7 @@
 	return a
 }
 
-// MemberSets are the member sets that this acceptor knows.
+// MemberSets returns the member sets known to this acceptor.
 func (a Acceptor) MemberSets() MemberSets {
 	switch {
 	case len(a.State.Members) > 0:
@@ -182,13 +188,14 @@
 	return MemberSets{Current: a.InitialMembers}
 }
 
-// IsMember reports whether the current member set names this acceptor, as far as it knows.
+// IsMember reports whether the current member set, as known to this acceptor, includes it.
 func (a Acceptor) IsMember() bool {
 	return a.Phase == PhaseEstablished && containsSender(a.MemberSets().Current, a.Self)
 }
 
-// Removed reports whether a committed state has removed this acceptor. While a majority of the
-// previous member set is still needed, so is its vote.
+// Removed reports whether a committed state has removed this acceptor. An acceptor in the
+// previous member set does not count as removed, since its vote is needed until the
+// reconfiguration is finalized.
 func (a Acceptor) Removed() bool {
 	return a.StaticSize == 0 && a.Phase == PhaseEstablished && a.Committed == a.Position.Revision && !containsSender(a.MemberSets().Union(), a.Self)
 }
--- a/internal/controlplane/consensus/acceptor_join.go
+++ b/internal/controlplane/consensus/acceptor_join.go
@@ -8,11 +8,11 @@
 	"curlewwalk/internal/config"
 )
 
-// Establish decides whether the acceptor of an empty disk may be established, from the
-// replies that the other static members gave to a MsgRead. All must have answered, and none
-// may hold a state or have lost one. Those that are established must have seen this very disk
-// when they were: else it replaces another one, and has to ask for its membership by MsgJoin.
-// (DESIGN 6.5)
+// Establish decides whether the acceptor of an empty disk may be established, based on the
+// replies of the other static members to a MsgRead. All of them must have answered, and none
+// may hold a state or have lost one. Members that are already established must have recorded
+// this disk when they were established. Otherwise this disk replaces another one and must
+// request the membership by MsgJoin. (DESIGN 6.5)
 func (a Acceptor) Establish(replies map[int]Reply) (next Acceptor, established bool) {
 	if a.Phase != PhaseEmpty || len(replies) < a.StaticSize-1 {
 		return a, false
@@ -33,9 +33,9 @@
 	return a, true
 }
 
-// NextIncarnation is the sender under which the acceptor of an empty disk asks for its static
-// membership: its incarnation is one more than any that the others know. It may ask once a
-// majority of the established ones has answered.
+// NextIncarnation returns the sender identity with which the acceptor of an empty disk requests
+// its static membership. The incarnation is one higher than any that the other members know. It
+// is ready for use once a majority of established acceptors has answered.
 func (a Acceptor) NextIncarnation(replies map[int]Reply) (self Sender, ready bool) {
 	incarnation := a.Self.Incarnation
 	for _, reply := range replies {
@@ -45,11 +45,12 @@
 	return self, len(CurrentReplies(replies)) >= Majority(a.StaticSize)
 }
 
-// CompleteJoin decides whether the acceptor of an empty disk has copied from a majority of the
-// established ones, from the replies that they gave to its MsgJoin, sent as self.
-// (DESIGN 6.5)
+// CompleteJoin decides whether the acceptor of an empty disk has joined, based on the replies
+// to its MsgJoin, which was sent as self. A majority of the established acceptors must have
+// granted the request; the acceptor then copies the highest state and promise from their
+// replies. (DESIGN 6.5)
 func (a Acceptor) CompleteJoin(self Sender, replies map[int]Reply) (next Acceptor, joined bool) {
-	// An acceptor that was replaced itself may not know it: it does not count.
+	// An acceptor whose own disk has been replaced may not know that. Its reply does not count.
 	granted := CurrentReplies(replies)
 	maps.DeleteFunc(granted, func(_ int, reply Reply) bool { return !reply.Granted })
 	if a.Phase == PhaseEstablished || len(granted) < Majority(a.StaticSize) {
@@ -69,9 +70,9 @@
 	return a, true
 }
 
-// asInitialMember is the first state on an empty disk of one of the initial members, at the
-// first start of a whole cluster. All members know the disk IDs of all, so they need no
-// control state to agree on them. Member IDs count from 1 in the order of the addresses.
+// asInitialMember returns the first state of an initial member on an empty disk at the first
+// start of a whole cluster. Every member can derive the disk IDs of all members, so no control
+// state is needed to agree on them. Member IDs count from 1 in the order of the addresses.
 // (DESIGN 6.5)
 func (a Acceptor) asInitialMember(memberID int, addresses []string) Acceptor {
 	for i, addr := range addresses {
@@ -82,14 +83,15 @@
 	return a
 }
 
-// initialDiskID is the disk ID of the initial member at an address.
+// initialDiskID returns the disk ID of the initial member at an address.
 func initialDiskID(addr string) uint64 {
 	sum := sha256.Sum256([]byte("curlewwalk founder " + addr))
 	return binary.BigEndian.Uint64(sum[:]) | 1
 }
 
-// Rejoining is the state of an acceptor that was removed: it asks for membership under a new
-// disk ID. It may keep the state that it holds: no member set yet counts what that ID says.
+// Rejoining returns the state of a removed acceptor that requests membership again under a new
+// disk ID. The acceptor may keep its accepted state, since no member set counts the votes of
+// the new disk ID yet.
 func (a Acceptor) Rejoining(diskID uint64) Acceptor {
 	a.Phase, a.Self, a.PromiseDirty = PhaseJoining, Sender{DiskID: diskID}, true
 	return a
--- a/internal/controlplane/consensus/bootstrap.go
+++ b/internal/controlplane/consensus/bootstrap.go
@@ -2,20 +2,21 @@
 
 import "slices"
 
-// Bootstrap is what the settings say of a replica's membership. It matters only while its disk
-// is empty. (DESIGN 6.5)
+// Bootstrap holds the settings of a replica's membership. They are used only while its disk is
+// empty. (DESIGN 6.5)
 type Bootstrap struct {
-	// MemberID and StaticSize are its own member ID, from 1, and the number of members where
-	// these are static; zero where members come and go.
+	// MemberID and StaticSize are the replica's member ID, from 1, and the number of static
+	// members. Both are zero if the membership is dynamic.
 	MemberID, StaticSize int
-	// NewCluster says that the whole cluster starts on empty disks for the first time, with
-	// the InitialMembers, by address; AdvertiseAddr is this replica's own.
+	// NewCluster is set if the whole cluster starts for the first time, on empty disks.
+	// InitialMembers then lists the addresses of its members, and AdvertiseAddr is the address
+	// of this replica.
 	NewCluster     bool
 	InitialMembers []string
 	AdvertiseAddr  string
 }
 
-// InitialState is the first state of an acceptor on an empty disk with an ID.
+// InitialState returns the first state of an acceptor on an empty disk with a disk ID.
 func (b Bootstrap) InitialState(diskID uint64) Acceptor {
 	acceptor := Acceptor{
 		Self: Sender{MemberID: b.MemberID, DiskID: diskID}, Phase: PhaseEmpty, StaticSize: b.StaticSize,
@@ -24,7 +25,7 @@
 	if b.MemberID != 0 {
 		return acceptor
 	}
-	// It is never established by itself: it asks for membership.
+	// With dynamic membership, the acceptor is not established locally: it requests membership.
 	acceptor.Phase, acceptor.StaticSize = PhaseJoining, 0
 	if i := slices.Index(b.InitialMembers, b.AdvertiseAddr); b.NewCluster && i >= 0 {
 		return acceptor.asInitialMember(i+1, b.InitialMembers)
--- a/internal/controlplane/consensus/command.go
+++ b/internal/controlplane/consensus/command.go
@@ -6,62 +6,70 @@
 	"curlewwalk/internal/config"
 )
 
-// CommandKind is what a command does to the control state. The strings go over the wire.
+// CommandKind identifies the change that a command makes to the control state. The strings are
+// sent over the wire.
 type CommandKind string
 
 const (
 	// CommandPutConfiguration replaces the configuration.
 	CommandPutConfiguration CommandKind = "put"
-	// CommandEvacuate has a zone evacuated.
+	// CommandEvacuate evacuates a zone.
 	CommandEvacuate CommandKind = "empty"
-	// CommandRevokeEvacuation ends that, and waives a maintenance window of the zone.
+	// CommandRevokeEvacuation revokes the evacuation of a zone and waives the zone's
+	// maintenance windows in progress.
 	CommandRevokeEvacuation CommandKind = "take-back"
-	// CommandRefresh changes nothing: it makes sure that a majority holds the newest state.
+	// CommandRefresh changes nothing. It ensures that a majority holds the newest state.
 	CommandRefresh CommandKind = "refresh"
 	// CommandPutCalendar replaces the calendar of maintenance windows.
 	CommandPutCalendar CommandKind = "calendar"
-	// CommandBeginWindow notes that a maintenance window begins.
+	// CommandBeginWindow records that a maintenance window has begun.
 	CommandBeginWindow CommandKind = "begin"
-	// CommandEndWindow notes that it is over.
+	// CommandEndWindow records that a maintenance window has ended.
 	CommandEndWindow CommandKind = "end"
 	// CommandReconfigure changes the member set: a member joins, leaves or replaces another.
 	CommandReconfigure CommandKind = "reseat"
 )
 
-// Command is a write to the control state, for the proposer.
+// Command is a write to the control state that the proposer executes.
 type Command struct {
-	// ID tells the commands of one replica apart.
+	// ID is unique among the commands of one replica.
 	ID   uint64      `msgpack:"i"`
 	Kind CommandKind `msgpack:"k"`
 	// Payload is the configuration or the calendar.
 	Payload []byte `msgpack:"b"`
-	// Generation is the operator's own number of a configuration, from 1; zero: none.
+	// Generation is the number that the operator assigned to a configuration, from 1, or zero
+	// if there is none.
 	Generation uint64 `msgpack:"ed,omitempty"`
-	// Submitted is what the operator sent of a generation, if in another form.
+	// Submitted is the operator's original submission of a generation, if it has another form
+	// than Payload.
 	Submitted []byte `msgpack:"st,omitempty"`
-	// Digest identifies a numbered configuration as it was sent.
+	// Digest identifies the submitted form of a numbered configuration.
 	Digest []byte `msgpack:"dg,omitempty"`
-	// Zone is that of an evacuation or a maintenance window.
+	// Zone is the zone of an evacuation or a maintenance window.
 	Zone string `msgpack:"l"`
-	// SinceRevision, of a command on a zone, is the newest committed revision when it came: it
-	// is not to undo what was committed for that zone after that. Nil: not known.
+	// SinceRevision is the newest committed revision at the time when a command on a zone was
+	// received. The command must not override changes to that zone that were committed later.
+	// It is nil if the revision is not known.
 	SinceRevision *uint64 `msgpack:"si,omitempty"`
-	// Window names a maintenance window.
+	// Window identifies a maintenance window.
 	Window string `msgpack:"w,omitempty"`
-	// IfMatch binds the command to the newest revision of the calendar, for one that replaces
-	// it, and of the configuration for all others. Nil: not bound.
+	// IfMatch makes the command conditional on the newest revision: that of the calendar for a
+	// command that replaces the calendar, and that of the configuration for all others. Nil
+	// means unconditional.
 	IfMatch *uint64 `msgpack:"m"`
-	// Joining is the member that a reconfiguration adds, Leaving the ID of the one that it
-	// removes; zero for none. ExpectedMembers is the set that it was decided on.
+	// Joining is the member that a reconfiguration adds, and Leaving is the ID of the member
+	// that it removes; zero means none. ExpectedMembers is the member set on which the
+	// reconfiguration was planned.
 	Joining         config.Member   `msgpack:"sm"`
 	Leaving         int             `msgpack:"ou,omitempty"`
 	ExpectedMembers []config.Member `msgpack:"of,omitempty"`
-	// RevisionsOnly says that the sender needs only the revisions of the resulting state.
+	// RevisionsOnly is set if the sender needs only the revisions of the resulting state.
 	RevisionsOnly bool `msgpack:"br,omitempty"`
-	// Deadline is when nobody waits for the command any more, after the replica's start.
+	// Deadline is the time, since the replica's start, at which the submitter stops waiting.
 	Deadline time.Duration `msgpack:"-"`
-	// enqueuedAt is when the proposer took it.
+	// enqueuedAt is the time at which the proposer queued the command.
 	enqueuedAt time.Duration
-	// proposedAt is the position under which it was proposed last, if it was.
+	// proposedAt is the position of the command's last proposal, or zero if it was not
+	// proposed.
 	proposedAt Position
 }
--- a/internal/controlplane/consensus/command_apply.go
+++ b/internal/controlplane/consensus/command_apply.go
@@ -6,8 +6,8 @@
 	"curlewwalk/internal/config"
 )
 
-// applyCommand is the state that a command makes of the one before, but for the member sets.
-// The one before stays as it is.
+// applyCommand returns the state that results from applying a command, except for the member
+// sets. The given state is not modified.
 func applyCommand(state config.ControlState, command Command) config.ControlState {
 	state.Revision++
 	state.EvacuatedByOperator, state.Closures = slices.Clone(state.EvacuatedByOperator), slices.Clone(state.Closures)
@@ -24,7 +24,7 @@
 	case CommandRevokeEvacuation:
 		state = revokeEvacuation(state, command.Zone)
 		for i := range state.Closures {
-			// The closure stays on record, so that its window is not begun again.
+			// The closure stays on record so that its window is not begun again.
 			state.Closures[i].Waived = state.Closures[i].Waived || state.Closures[i].Zone == command.Zone
 		}
 		state = state.WithEvacuation(command.Zone)
@@ -36,7 +36,8 @@
 	return state
 }
 
-// putConfiguration replaces the configuration, and the generation if the new one has any.
+// putConfiguration replaces the configuration, and also the generation if the new one has a
+// number.
 func putConfiguration(state config.ControlState, command Command) config.ControlState {
 	state.Configuration, state.ConfigurationRevision, state.Submitted = command.Payload, state.Revision, nil
 	if command.Generation != 0 {
@@ -45,7 +46,7 @@
 	return state
 }
 
-// revokeEvacuation takes a zone out of those that the operator has evacuated.
+// revokeEvacuation removes a zone from the zones that the operator has evacuated.
 func revokeEvacuation(state config.ControlState, zone string) config.ControlState {
 	state.EvacuatedByOperator = slices.DeleteFunc(state.EvacuatedByOperator, func(z string) bool { return z == zone })
 	return state
--- a/internal/controlplane/consensus/command_queue.go
+++ b/internal/controlplane/consensus/command_queue.go
@@ -1,18 +1,19 @@
 package consensus
 
-// commandQueue holds the commands that a proposer has not ended, the one it works on first.
+// commandQueue holds the unfinished commands of a proposer. The first one is being processed.
 type commandQueue []Command
 
-// pop takes the first command out of the queue, which must not be empty.
+// pop removes and returns the first command. The queue must not be empty.
 func (q *commandQueue) pop() Command {
 	first := (*q)[0]
 	*q = (*q)[1:]
 	return first
 }
 
-// prioritizeHighestGeneration moves the highest of the queued generations to the front, if a
-// generation is first: once it is committed, the others need no write. Whoever submitted them
-// has no response yet, so any order among them is as good. The queue must not be empty.
+// prioritizeHighestGeneration moves the command with the highest generation to the front if the
+// first command is reorderable. Once that generation is committed, the lower ones need no
+// write. The reordering is safe because none of these commands has been answered. The queue
+// must not be empty.
 func (q commandQueue) prioritizeHighestGeneration() {
 	if !q[0].reorderable() {
 		return
@@ -29,15 +30,16 @@
 	}
 }
 
-// reorderable reports whether the command may go before those that were queued earlier.
+// reorderable reports whether the command may be executed before commands queued earlier.
 func (c Command) reorderable() bool {
 	return c.isNumbered() && c.IfMatch == nil
 }
 
-// wasProposed reports whether an acceptor may hold what the command asks for.
+// wasProposed reports whether an acceptor may hold the result of the command.
 func (c Command) wasProposed() bool { return c.proposedAt != Position{} }
 
-// endWith answers the command, without a state: it was not committed, or may not have been.
+// endWith returns the result of a command that was not committed, or may not have been. The
+// result has no state.
 func (c Command) endWith(outcome Outcome) Ready {
 	return Ready{Result: &CommandResult{ID: c.ID, Outcome: outcome}}
 }
--- a/internal/controlplane/consensus/command_resolution.go
+++ b/internal/controlplane/consensus/command_resolution.go
@@ -7,8 +7,8 @@
 	"curlewwalk/internal/config"
 )
 
-// resolveWithoutWrite ends a command that needs no write to the newest state, which is
-// committed; false if it has to be proposed.
+// resolveWithoutWrite returns the result of a command that needs no write to base, the newest
+// state, which is committed. It returns false if the command has to be proposed.
 func resolveWithoutWrite(base config.ControlState, command Command) (result CommandResult, resolved bool) {
 	result = CommandResult{ID: command.ID, Outcome: OutcomeCommitted, State: base}
 	if outcome, superseded := supersededEvacuation(base, command); superseded {
@@ -20,16 +20,17 @@
 	case command.Kind == CommandRefresh:
 		return result, true
 	case command.Kind == CommandBeginWindow && base.HasClosure(command.Window), command.Kind == CommandEndWindow && !base.HasClosure(command.Window):
-		return result, true // an earlier coordinator has done it
+		return result, true // an earlier coordinator has committed it
 	case command.isNumbered() && command.Generation <= base.Generation:
 		result.Outcome = repeatedGeneration(base, command)
 		return result, true
 	case command.isNumbered() && proposed && command.IfMatch == nil:
-		// Generations never fall, so it was not committed, and a state under a later term
-		// stands in its way for good: it is proposed once more.
+		// Generations never decrease, so the command was not committed. A state under a later
+		// term prevents the earlier proposal from being committed. The command is proposed
+		// again.
 		return result, false
 	case command.SinceRevision != nil && proposed && command.IfMatch == nil:
-		return result, false // it is not on record, so it was not committed, as above
+		return result, false // the zone's record does not show it, so it was not committed; proposed again, as above
 	case proposed && base.Revision > command.proposedAt.Revision:
 		result.Outcome = OutcomeUnknown
 		return result, true
@@ -42,12 +43,13 @@
 	return result, false
 }
 
-// isNumbered reports whether the command puts a configuration under an operator's generation.
+// isNumbered reports whether the command stores a configuration under an operator's generation.
 func (c Command) isNumbered() bool {
 	return c.Kind == CommandPutConfiguration && c.Generation != 0
 }
 
-// conditionHolds reports whether the revision that the command is bound to is the newest one.
+// conditionHolds reports whether the command is unconditional or its IfMatch is the newest
+// revision.
 func (c Command) conditionHolds(base config.ControlState) bool {
 	switch {
 	case c.IfMatch == nil:
@@ -58,11 +60,11 @@
 	return *c.IfMatch == base.ConfigurationRevision
 }
 
-// repeatedGeneration is the outcome of a configuration whose generation is not above the
-// newest one: the bytes that were committed under it are acknowledged again, others are
-// refused, and a generation that was skipped, or committed too long ago to be on record, is
-// acknowledged and changes nothing. The base is committed, so no later state can say
-// otherwise. (DESIGN 6.3)
+// repeatedGeneration returns the outcome of a configuration whose generation is not above the
+// newest one. The bytes that were committed under that generation are acknowledged again, and
+// other bytes are rejected as a conflict. A generation that was skipped, or was committed too
+// long ago to be on record, is acknowledged without a change. The outcome is final because base
+// is committed, so no later state can contradict it. (DESIGN 6.3)
 func repeatedGeneration(base config.ControlState, command Command) Outcome {
 	if same, known := base.LookupGeneration(command.Generation, command.Digest); known && !same {
 		return OutcomeConflict
@@ -70,9 +72,10 @@
 	return OutcomeCommitted
 }
 
-// supersededEvacuation ends a command on a zone if another one, or this one, was committed
-// for that zone since it came. One that asked for the same makes it good as well; one that
-// asked for the opposite is newer, and stays. (DESIGN 6.3)
+// supersededEvacuation returns the outcome of a command on a zone if that command or another
+// one on the zone was committed since it was received. A later command with the same effect
+// makes it count as committed. A later command with the opposite effect is newer and remains in
+// effect. (DESIGN 6.3)
 func supersededEvacuation(base config.ControlState, command Command) (outcome Outcome, superseded bool) {
 	onZone := command.Kind == CommandEvacuate || command.Kind == CommandRevokeEvacuation
 	if command.SinceRevision == nil || !onZone || !command.conditionHolds(base) {
@@ -88,7 +91,7 @@
 	return OutcomeSuperseded, true
 }
 
-// satisfies reports whether a state is what the command asked for.
+// satisfies reports whether a state is the result that the command requests.
 func satisfies(state config.ControlState, command Command) bool {
 	switch command.Kind {
 	case CommandPutConfiguration:
@@ -102,7 +105,7 @@
 	case CommandEndWindow:
 		return !state.HasClosure(command.Window)
 	case CommandReconfigure:
-		return false // resolveReconfiguration decides that
+		return false // reconfigurations are resolved by resolveReconfiguration
 	}
 	return !slices.Contains(state.EvacuatedZones(), command.Zone)
 }
--- a/internal/controlplane/consensus/command_result.go
+++ b/internal/controlplane/consensus/command_result.go
@@ -2,37 +2,37 @@
 
 import "curlewwalk/internal/config"
 
-// Outcome is what became of a command. The strings go over the wire. (DESIGN 6.3)
+// Outcome is the result of a command. The strings are sent over the wire. (DESIGN 6.3)
 type Outcome string
 
 const (
-	// OutcomeCommitted says that a majority holds what the command asked for, or held it before
-	// something newer.
+	// OutcomeCommitted means that a majority holds the result of the command, or held it before
+	// a newer state.
 	OutcomeCommitted Outcome = "taken"
-	// OutcomeMismatch says that the revision that the command was bound to was not the newest.
+	// OutcomeMismatch means that the revision in IfMatch was not the newest one.
 	OutcomeMismatch Outcome = "mismatch"
-	// OutcomeConflict says that another configuration was committed under its generation, and
-	// this one never will be.
+	// OutcomeConflict means that another configuration was committed under the command's
+	// generation, so this one will never be committed.
 	OutcomeConflict Outcome = "conflict"
-	// OutcomeSuperseded says that another command on its zone was committed after it came, and
-	// that it has no effect of its own any more.
+	// OutcomeSuperseded means that another command on the same zone was committed after this
+	// one was received, so this one no longer has an effect.
 	OutcomeSuperseded Outcome = "overtaken"
-	// OutcomeRejected says that it surely never will be committed.
+	// OutcomeRejected means that the command was not committed and never will be.
 	OutcomeRejected Outcome = "not-taken"
-	// OutcomeUnknown says that it may still be found and committed.
+	// OutcomeUnknown means that the command may have been committed or may still be.
 	OutcomeUnknown Outcome = "unknown"
 )
 
-// CommandResult answers a command.
+// CommandResult is the response to a command.
 type CommandResult struct {
 	ID      uint64  `msgpack:"i"`
 	Outcome Outcome `msgpack:"r"`
-	// State is the newest control state of a committed command.
+	// State is the newest control state if the command was committed.
 	State config.ControlState `msgpack:"w"`
 }
 
-// forSender is the result as another replica needs it: without all but the revisions and the
-// generation of its state, if the command asked for no more.
+// forSender returns the result to send to another replica. If the command requests revisions
+// only, the state is reduced to its revisions and its generation.
 func (r CommandResult) forSender(command Command) CommandResult {
 	if state := r.State; command.RevisionsOnly {
 		r.State = config.ControlState{
--- a/internal/controlplane/consensus/commit_tracker.go
+++ b/internal/controlplane/consensus/commit_tracker.go
@@ -2,26 +2,28 @@
 
 import "time"
 
-// commitTracker knows which committed state was delivered last, and what majorities showed
-// since. It is pure.
+// commitTracker records the last delivered committed state and the results of later quorum
+// reads. It has no side effects.
 type commitTracker struct {
-	// delivered is the revision of the newest committed state that was delivered.
+	// delivered is the revision of the newest delivered state.
 	delivered uint64
-	// observed is the newest position that a majority showed last.
+	// observed is the newest position in the last quorum read.
 	observed Position
-	// uncommitted is whether that is still not delivered and not known to be committed.
+	// uncommitted is set if the state at observed has not been delivered and is not known to be
+	// committed.
 	uncommitted  bool
 	confirmation readConfirmation
 }
 
-// readConfirmation is a quorum read that waits for its revision to be delivered.
+// readConfirmation is a quorum read that is confirmed once its revision has been delivered.
 type readConfirmation struct {
 	startedAt time.Time
 	revision  uint64
 	pending   bool
 }
 
-// deliver notes that a revision is delivered; false if it is not newer than the last one.
+// deliver records the delivery of a revision. It returns false if the revision is not newer
+// than the last delivered one.
 func (t *commitTracker) deliver(revision uint64) bool {
 	if revision <= t.delivered {
 		return false
@@ -30,9 +32,10 @@
 	return true
 }
 
-// observe takes what a majority showed; it reports whether the newest state was shown twice and
-// is still not delivered. Of two reads that wait for confirmation the later one counts, unless it
-// waits for a newer revision: that may take longer to be delivered.
+// observe records the result of a quorum read. It reports whether two successive reads returned
+// the same newest state and that state has not been delivered. Only one read is kept for
+// confirmation. A later read replaces the pending one unless its revision is newer, since a
+// newer revision may take longer to be delivered.
 func (t *commitTracker) observe(e readIndexEvent) (behind bool) {
 	position := e.read.highest.Position
 	if !t.confirmation.pending || e.startedAt.After(t.confirmation.startedAt) && position.Revision <= t.confirmation.revision {
@@ -44,8 +47,8 @@
 	return behind
 }
 
-// takeConfirmation is the moment as of which no newer state than the delivered one had been
-// acknowledged; false if there is none that was not taken before.
+// takeConfirmation returns a time at which no state newer than the delivered one had been
+// acknowledged. It returns each confirmation once, and false if there is none.
 func (t *commitTracker) takeConfirmation() (at time.Time, ok bool) {
 	if !t.confirmation.pending || t.delivered < t.confirmation.revision {
 		return time.Time{}, false
--- a/internal/controlplane/consensus/delta_codec.go
+++ b/internal/controlplane/consensus/delta_codec.go
@@ -6,19 +6,20 @@
 	"curlewwalk/internal/config"
 )
 
-// maxFingerprints bounds how many positions the codec remembers.
-const maxFingerprints = 32 // (ours)
+// maxFingerprints bounds the number of positions whose fingerprints the codec stores.
+const maxFingerprints = 32
 
-// deltaMessage is a message without its control state, which is a patch to a base.
+// deltaMessage is a message whose control state is replaced by a patch to a base state.
 type deltaMessage struct {
 	Message Message      `msgpack:"b"`
 	Patch   config.Patch `msgpack:"p"`
 }
 
-// deltaCodec encodes what holds a control state as a difference from one that the other side
-// has. It remembers recent states, and which of them the other replicas said to hold. It only
-// saves bytes: what it has wrong is found out by the fingerprint of the base, and sent as a
-// whole. The zero value is ready; it is safe for concurrent use.
+// deltaCodec encodes control states and commands as patches to a state that the receiver has.
+// It stores recent states and the positions that the other replicas reported. It only saves
+// bandwidth: the fingerprint of the base reveals a wrong assumption about the receiver, which
+// is then sent the whole content. The zero value is ready for use, and the codec is safe for
+// concurrent use.
 type deltaCodec struct {
 	mu            sync.Mutex
 	versions      config.VersionHistory
@@ -26,7 +27,7 @@
 	peerPositions map[string]Position // by address
 }
 
-// recordPeer remembers which state another replica holds.
+// recordPeer records the position of the state that another replica holds.
 func (c *deltaCodec) recordPeer(addr string, position Position) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -36,14 +37,15 @@
 	c.peerPositions[addr] = position
 }
 
-// forgetPeer has the next state sent to a replica as a whole.
+// forgetPeer discards the recorded position of a replica, so that the next state is sent to it
+// in full.
 func (c *deltaCodec) forgetPeer(addr string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.peerPositions, addr)
 }
 
-// add remembers a state under its position.
+// add stores a state and its position.
 func (c *deltaCodec) add(position Position, state config.ControlState) (version config.Version, ok bool) {
 	version, err := config.NewVersion(state)
 	if err != nil {
@@ -59,8 +61,8 @@
 	return version, true
 }
 
-// encodeMessage encodes a message for a replica that is known to have a base; false if it has
-// none, or if that does not make it shorter.
+// encodeMessage encodes a message as a patch for a replica that is known to have a base. It
+// returns false if the replica has none or if the patch is not shorter.
 func (c *deltaCodec) encodeMessage(addr string, message Message) (deltaMessage, bool) {
 	if message.Type != MsgAccept && message.Type != MsgCommit {
 		return deltaMessage{}, false
@@ -80,7 +82,7 @@
 	return deltaMessage{Message: message, Patch: patch}, shorter
 }
 
-// encodeCommand encodes a command as a difference from the local state.
+// encodeCommand encodes a command as a patch to the local state.
 func (c *deltaCodec) encodeCommand(command Command, position Position, state config.ControlState) (config.Patch, bool) {
 	target, err := config.NewVersion(command)
 	base, ok := c.add(position, state)
@@ -90,7 +92,7 @@
 	return target.DiffFrom(base)
 }
 
-// apply decodes a patch to one of the recent states, or to the local acceptor's.
+// apply applies a patch to one of the stored states or to the state of the local acceptor.
 func (c *deltaCodec) apply(patch config.Patch, own Acceptor) (config.Version, bool) {
 	if version, ok := c.applyKnown(patch); ok {
 		return version, true
--- a/internal/controlplane/consensus/events.go
+++ b/internal/controlplane/consensus/events.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// The events that a replica's mailbox takes.
+// The events that a replica's mailbox receives.
 type (
-	// messageEvent is a message to the local acceptor; nil answers one that was not handled.
+	// messageEvent is a message to the local acceptor. The reply is nil if the message was not
+	// processed.
 	messageEvent struct {
 		message Message
 		reply   chan<- *Reply
@@ -19,24 +20,25 @@
 	}
 	// replyEvent is an acceptor's reply to the local proposer.
 	replyEvent struct{ reply Reply }
-	// savedEvent is the end of a write to disk.
+	// savedEvent is the completion of a write to disk.
 	savedEvent struct {
 		next Acceptor
 		err  error
 		done func(ctx context.Context, ok bool)
 	}
-	// bootstrapEvent has what the other static members answered to the MsgRead of an empty disk.
+	// bootstrapEvent holds the replies of the other static members to the MsgRead of an empty
+	// disk.
 	bootstrapEvent struct{ replies map[int]Reply }
-	// joinEvent has what they answered to its MsgJoin, sent as self.
+	// joinEvent holds their replies to a MsgJoin, which was sent as self.
 	joinEvent struct {
 		self    Sender
 		replies map[int]Reply
 	}
-	// readIndexEvent is the end of a quorum read that began at a moment.
+	// readIndexEvent is the result of a quorum read that began at startedAt.
 	readIndexEvent struct {
 		startedAt time.Time
 		read      quorumRead
 	}
-	// tickEvent lets time pass.
+	// tickEvent is a tick of the replica's timer.
 	tickEvent struct{}
 )
--- a/internal/controlplane/consensus/handlers.go
+++ b/internal/controlplane/consensus/handlers.go
@@ -9,10 +9,10 @@
 	"curlewwalk/internal/transport"
 )
 
-// The kinds of request on the wire. Those with a delta hold the control state, or the command,
-// as a difference from one that the other replica has. A replica of an earlier version answers
-// that it does not know the kind, one that lacks the base answers errMissingBase; either is sent
-// the whole at once. (DESIGN 8.3)
+// The kinds of request on the wire. The delta kinds carry the control state, or the command, as
+// a difference from a state that the receiver has. A replica of an earlier version answers that
+// the kind is unknown, and a replica without the base answers errMissingBase. In both cases the
+// sender sends the whole content immediately. (DESIGN 8.3)
 const (
 	KindMessage      = "ballot"
 	KindCommand      = "order"
@@ -21,7 +21,7 @@
 	KindDeltaCommand = "patched-order"
 )
 
-// The errors that a request may be answered with. Their texts are part of the protocol.
+// The errors in responses to requests. Their texts are part of the protocol.
 var (
 	errMissingBase = errors.New("the base of the difference is not here")
 	errNotCommand  = errors.New("not an order")
@@ -29,7 +29,7 @@
 	errNotMessage  = errors.New("not a ballot")
 )
 
-// Handlers are the requests that a replica answers, by kind.
+// Handlers returns the replica's request handlers by kind.
 func (r *Replica) Handlers() map[string]transport.Handler {
 	return map[string]transport.Handler{
 		KindMessage: r.handleMessage, KindCommand: r.handleCommand,
@@ -37,7 +37,7 @@
 	}
 }
 
-// handleMessage takes a message to the local acceptor.
+// handleMessage processes a message to the local acceptor.
 func (r *Replica) handleMessage(ctx context.Context, request transport.Request) (any, error) {
 	var message Message
 	if !request.Decode(&message) {
@@ -49,7 +49,7 @@
 	return nil, errDisk
 }
 
-// handleDeltaMessage takes a message whose control state is a delta.
+// handleDeltaMessage processes a message whose control state is a delta.
 func (r *Replica) handleDeltaMessage(ctx context.Context, request transport.Request) (any, error) {
 	var delta deltaMessage
 	if !request.Decode(&delta) {
@@ -63,13 +63,13 @@
 		return nil, errMissingBase
 	}
 	if reply := r.stepAcceptor(ctx, delta.Message); reply != nil {
-		reply.MemberSets = MemberSets{} // whoever proposes or commits knows them
+		reply.MemberSets = MemberSets{} // the sender of a proposal or commit knows the member sets
 		return reply, nil
 	}
 	return nil, errDisk
 }
 
-// handleCommand carries out a command that another replica has forwarded.
+// handleCommand executes a command that another replica has forwarded.
 func (r *Replica) handleCommand(ctx context.Context, request transport.Request) (any, error) {
 	var command Command
 	if !request.Decode(&command) {
@@ -78,7 +78,7 @@
 	return r.Submit(ctx, command).forSender(command), nil
 }
 
-// handleDeltaCommand carries out a forwarded command that is a delta.
+// handleDeltaCommand executes a forwarded command that is encoded as a delta.
 func (r *Replica) handleDeltaCommand(ctx context.Context, request transport.Request) (any, error) {
 	var patch config.Patch
 	if !request.Decode(&patch) {
@@ -95,8 +95,8 @@
 	return r.Submit(ctx, command).forSender(command), nil
 }
 
-// stepAcceptor has the local acceptor take a message; nil if it did not in time, or if the
-// disk did not take what follows from it.
+// stepAcceptor passes a message to the local acceptor and returns its reply. It returns nil if
+// the acceptor did not reply in time or if the resulting state could not be saved.
 func (r *Replica) stepAcceptor(ctx context.Context, message Message) *Reply {
 	ctx, cancel := context.WithTimeout(ctx, messageTimeout)
 	defer cancel()
@@ -104,8 +104,9 @@
 	return reply
 }
 
-// handleMessageEvent has the local acceptor take a message. A read shows what is on disk, and is
-// answered at once. Any other reply is sent when what it stands for is on disk.
+// handleMessageEvent passes a message to the local acceptor. A read returns the state on disk
+// and is answered immediately. Any other reply is sent once the state that it depends on is on
+// disk.
 func (r *Replica) handleMessageEvent(ctx context.Context, e messageEvent) {
 	if e.message.Type == MsgReadIndex || e.message.Type == MsgRead {
 		_, reply := r.acceptor.Step(e.message)
@@ -113,7 +114,7 @@
 		return
 	}
 	if e.message.Type == MsgCommit && r.acceptor.admits(e.message) {
-		// Majorities hold it: whether the local disk takes it too changes nothing about that.
+		// The state is committed, whether or not the local write succeeds.
 		r.deliver(ctx, e.message.State)
 	}
 	var reply Reply
--- a/internal/controlplane/consensus/health.go
+++ b/internal/controlplane/consensus/health.go
@@ -3,61 +3,63 @@
 import "time"
 
 const (
-	// maxWriteDuration is how long a write to disk may take before the disk counts as unhealthy.
-	maxWriteDuration = 750 * time.Millisecond // (ours)
-	// maxContactAge is how old the last contact with a majority may be.
-	maxContactAge = 1500 * time.Millisecond // (ours)
-	// suspensionGap is how long a replica, which ticks every tickInterval, may be still before
-	// it counts as having been suspended.
-	suspensionGap = 400 * time.Millisecond // (ours)
-	// resumeGracePeriod is how long after that what arrives may have piled up meanwhile.
-	resumeGracePeriod = 500 * time.Millisecond // (ours)
+	// maxWriteDuration is the duration of a write after which the disk counts as unhealthy.
+	maxWriteDuration = 750 * time.Millisecond
+	// maxContactAge is the maximum age of the last quorum contact for a replica that counts as
+	// connected.
+	maxContactAge = 1500 * time.Millisecond
+	// suspensionGap is the time without a tick after which a replica, which normally ticks
+	// every tickInterval, counts as having been suspended.
+	suspensionGap = 400 * time.Millisecond
+	// resumeGracePeriod is the time after a suspension in which incoming messages may have been
+	// queued during the suspension.
+	resumeGracePeriod = 500 * time.Millisecond
 )
 
-// Health is what a replica can do, judged by what it did last: whether its disk takes writes,
-// and whether it reaches a majority. It is a pure value; times count from the replica's start.
-// A replica whose heartbeats arrive, but that can't do both, must not stay the coordinator.
-// (DESIGN 6.3)
+// Health describes whether a replica's disk accepts writes and whether the replica reaches a
+// majority, based on its most recent operations. It is a pure value, and its times are relative
+// to the replica's start. A replica that fails either condition must not remain the
+// coordinator, even if its heartbeats arrive. (DESIGN 6.3)
 type Health struct {
 	writing           bool
-	writeStarted      time.Duration // of the write under way, or the last one
+	writeStarted      time.Duration // start of the current or the last write
 	writeFailed       bool          // the last write failed, or took too long
-	lastQuorumContact time.Duration // when the last contact with a majority began
+	lastQuorumContact time.Duration // when the last successful quorum contact began
 	lastTick          time.Duration
 	resumed           time.Duration // the first tick after a suspension; zero if there was none
 }
 
-// WriteStarted notes that a write to disk has begun.
+// WriteStarted records the start of a write to disk.
 func (h Health) WriteStarted(now time.Duration) Health {
 	h.writing, h.writeStarted = true, now
 	return h
 }
 
-// WriteEnded notes that it has ended. One that took too long counts as failed: the disk is
-// healthy again once a write has ended in time.
+// WriteEnded records the end of a write. A write that took longer than maxWriteDuration counts
+// as failed. The disk is healthy again after a write that succeeds in time.
 func (h Health) WriteEnded(ok bool, now time.Duration) Health {
 	h.writing, h.writeFailed = false, !ok || now-h.writeStarted > maxWriteDuration
 	return h
 }
 
-// QuorumContacted notes that a majority has answered what was asked at a moment.
+// QuorumContacted records that a majority has answered a request that was sent at a given time.
 func (h Health) QuorumContacted(at time.Duration) Health {
 	h.lastQuorumContact = max(h.lastQuorumContact, at)
 	return h
 }
 
-// DiskHealthy reports whether the disk takes writes, as far as is known.
+// DiskHealthy reports whether the disk is known to accept writes.
 func (h Health) DiskHealthy(now time.Duration) bool {
 	return !h.writeFailed && !(h.writing && now-h.writeStarted > maxWriteDuration)
 }
 
-// Connected reports whether a majority has answered lately.
+// Connected reports whether a majority has answered recently.
 func (h Health) Connected(now time.Duration) bool { return now-h.lastQuorumContact <= maxContactAge }
 
-// Healthy reports whether the replica can do what a coordinator has to.
+// Healthy reports whether the replica meets the requirements for a coordinator.
 func (h Health) Healthy(now time.Duration) bool { return h.DiskHealthy(now) && h.Connected(now) }
 
-// Ticked notes that the replica runs.
+// Ticked records a tick. It detects a suspension by the time since the last tick.
 func (h Health) Ticked(now time.Duration) Health {
 	if now-h.lastTick > suspensionGap {
 		h.resumed = now
@@ -66,8 +68,9 @@
 	return h
 }
 
-// RecentlyResumed reports whether the process was suspended just now, so that what arrives may
-// be old: its sender may have gone away, which is not known here yet.
+// RecentlyResumed reports whether the process has recently been suspended. Incoming requests
+// may then be old, and their senders may have given up without the replica having learned of
+// it.
 func (h Health) RecentlyResumed(now time.Duration) bool {
 	return now-h.lastTick > suspensionGap || h.resumed > 0 && now-h.resumed < resumeGracePeriod
 }
--- a/internal/controlplane/consensus/joining.go
+++ b/internal/controlplane/consensus/joining.go
@@ -5,27 +5,29 @@
 	"time"
 )
 
-// attemptInterval is how often an empty disk tries to become that of a static member, and how
-// often the coordinator tries to have an uncommitted state committed.
-const attemptInterval = 300 * time.Millisecond // (ours)
+// attemptInterval is the minimum interval between a replica's attempts to join with an empty
+// disk as a static member, and between the coordinator's attempts to commit an uncommitted
+// state.
+const attemptInterval = 300 * time.Millisecond
 
-// joinAttempts are the attempts of an empty disk to become that of a static member. One that
-// took its membership under a lower incarnation than a later attempt was granted would not be
-// counted: there is one attempt at a time, and each asks for a higher one.
+// joinAttempts tracks the attempts to join with an empty disk as a static member. A replica
+// that joined under a lower incarnation than was granted to a later attempt would not be
+// counted. Therefore only one attempt is in progress at a time, and each attempt requests a
+// higher incarnation.
 type joinAttempts struct {
 	inProgress bool
-	// incarnation is the highest one asked for so far.
+	// incarnation is the highest incarnation requested so far.
 	incarnation uint64
 }
 
-// nextIncarnation is the incarnation to ask for, which is at least a given one.
-func (j *joinAttempts) nextIncarnation(least uint64) uint64 {
-	j.incarnation = max(j.incarnation+1, least)
+// nextIncarnation returns the next incarnation to request, which is at least the given one.
+func (j *joinAttempts) nextIncarnation(minimum uint64) uint64 {
+	j.incarnation = max(j.incarnation+1, minimum)
 	return j.incarnation
 }
 
-// startJoin begins an attempt, unless one is in progress or was just made: it asks the other
-// members what they know.
+// startJoin starts an attempt by reading from the other members, unless an attempt is in
+// progress or the last one was too recent.
 func (r *Replica) startJoin(ctx context.Context, now time.Duration) {
 	if !r.joining.inProgress && (now-r.lastAttempt >= attemptInterval || r.lastAttempt == 0) {
 		r.lastAttempt, r.joining.inProgress = now, true
@@ -35,7 +37,7 @@
 	}
 }
 
-// collectFromPeers sends a message to all other members and returns the replies that came in
+// collectFromPeers sends a message to all other members and returns the replies received in
 // time.
 func (r *Replica) collectFromPeers(ctx context.Context, message Message) map[int]Reply {
 	replies := r.members.collectReplies(ctx, message, nil)
@@ -43,8 +45,8 @@
 	return replies
 }
 
-// tryEstablish goes on with an attempt: the acceptor is established, or asks the others for the
-// membership of another disk.
+// tryEstablish continues an attempt. It establishes the acceptor, or else requests the
+// membership of a replaced disk from the other members.
 func (r *Replica) tryEstablish(ctx context.Context, replies map[int]Reply) {
 	decide := func(acceptor Acceptor) (Acceptor, bool) {
 		if acceptor.Phase == PhaseEstablished {
@@ -61,7 +63,8 @@
 	r.enqueueTransition(ctx, transition{decide: decide, done: done, deadline: r.now() + messageTimeout})
 }
 
-// requestJoin asks the others for the membership; false if it may not be asked for yet.
+// requestJoin requests the static membership from the other members. It returns false if the
+// request is not allowed yet.
 func (r *Replica) requestJoin(ctx context.Context, replies map[int]Reply) bool {
 	if _, established := r.acceptor.Establish(replies); established || r.acceptor.Phase == PhaseEstablished {
 		return false
@@ -77,7 +80,7 @@
 	return true
 }
 
-// completeJoin ends an attempt: the disk has the membership if a majority has granted it.
+// completeJoin finishes an attempt. The acceptor joins if a majority has granted the request.
 func (r *Replica) completeJoin(ctx context.Context, e joinEvent) {
 	decide := func(acceptor Acceptor) (Acceptor, bool) { return acceptor.CompleteJoin(e.self, e.replies) }
 	done := func(_ context.Context, ok bool) {
@@ -89,7 +92,7 @@
 	r.enqueueTransition(ctx, transition{decide: decide, done: done, deadline: r.now() + messageTimeout})
 }
 
-// rejoin begins anew under another disk ID once the member was removed.
+// rejoin gives a removed member a new disk ID, under which it requests membership again.
 func (r *Replica) rejoin(ctx context.Context, now time.Duration) {
 	diskID := newDiskID()
 	decide := func(acceptor Acceptor) (Acceptor, bool) {
--- a/internal/controlplane/consensus/member_client.go
+++ b/internal/controlplane/consensus/member_client.go
@@ -8,15 +8,16 @@
 	"curlewwalk/internal/transport"
 )
 
-// localAcceptor is the acceptor of the same process.
+// localAcceptor is the interface of the acceptor in the same process.
 type localAcceptor interface {
-	// Acceptor is the acceptor as it is on disk.
+	// Acceptor returns the acceptor's state that is on disk.
 	Acceptor() Acceptor
-	// stepAcceptor has it take a message; nil if it could not in time.
+	// stepAcceptor passes a message to the acceptor. It returns nil if the acceptor did not
+	// reply in time or if the resulting state could not be saved.
 	stepAcceptor(ctx context.Context, message Message) *Reply
 }
 
-// memberClient brings messages to members.
+// memberClient sends messages to members.
 type memberClient struct {
 	actors *actor.System
 	client *transport.Client
@@ -25,7 +26,8 @@
 	deltas deltaCodec
 }
 
-// send brings a message to one member; nil if that did not answer.
+// send sends a message to one member and returns its reply, or nil if the member did not
+// answer.
 func (c *memberClient) send(ctx context.Context, member config.Member, message Message) *Reply {
 	self := c.local.Acceptor().Self
 	if member.MemberID == self.MemberID && (member.DiskID == 0 || member.DiskID == self.DiskID) {
@@ -47,8 +49,9 @@
 	return reply.FromMember(member)
 }
 
-// call brings a message to another replica: its control state as a delta if the other one is
-// known to have a base for it, and as a whole if it is not, or turns out not to have it.
+// call sends a message to another replica. The control state is sent as a delta if the replica
+// is known to have a base. It is sent in full if there is no known base or if the replica does
+// not accept the delta.
 func (c *memberClient) call(ctx context.Context, addr string, message Message) (reply Reply, ok bool) {
 	if delta, encoded := c.deltas.encodeMessage(addr, message); encoded {
 		response := c.client.Call(ctx, addr, transport.ControlTraffic, KindDeltaMessage, delta)
@@ -67,15 +70,15 @@
 	return reply, ok
 }
 
-// forward has another replica carry a command out, which it gets as a delta to the local state
-// if that helps.
+// forward sends a command to another replica for execution. The command is encoded as a delta
+// to the local state if that makes it shorter.
 func (c *memberClient) forward(ctx context.Context, addr string, command Command) transport.Response {
 	command.RevisionsOnly = command.Kind != CommandRefresh
 	own := c.local.Acceptor()
 	if patch, encoded := c.deltas.encodeCommand(command, own.Position, own.State); encoded {
 		response := c.client.Call(ctx, addr, transport.ControlTraffic, KindDeltaCommand, patch)
 		if response.Delivery != transport.Answered || !response.FaultIs(errMissingBase) && !response.UnknownKind() {
-			return response // it may have been carried out
+			return response // the command may have been executed
 		}
 	}
 	return c.client.Call(ctx, addr, transport.ControlTraffic, KindCommand, command)
--- a/internal/controlplane/consensus/membership_planner.go
+++ b/internal/controlplane/consensus/membership_planner.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	// maxObservationGap is how long after its last observation a planner counts as having
-	// been suspended.
-	maxObservationGap = 2 * time.Second // (ours)
-	// minMembers is the smallest member set that a removal leaves.
+	// maxObservationGap is the time since the last observation after which a planner counts as
+	// having been suspended.
+	maxObservationGap = 2 * time.Second
+	// minMembers is the minimum size of a member set after a removal.
 	minMembers = 3
 )
 
-// JoinRequest asks the coordinator for membership.
+// JoinRequest is a replica's request to the coordinator for membership.
 type JoinRequest struct {
 	DiskID uint64 `msgpack:"d"`
 	Addr   string `msgpack:"a"`
@@ -24,24 +24,24 @@
 	Forwarded bool `msgpack:"p,omitempty"`
 }
 
-// MemberStatus is what the coordinator knows of a member ID: where its replica was seen last,
-// and whether that is live.
+// MemberStatus is the coordinator's view of a member ID: the last known address of its replica
+// and whether that replica is live.
 type MemberStatus struct {
 	Addr string
 	Live bool
 }
 
-// MembershipPlanner decides for the coordinator which members join and which are removed. It is a
-// pure value; times count from any fixed moment. (DESIGN 6.5)
+// MembershipPlanner decides for the coordinator which members join and which are removed. It is
+// a pure value. Its times are relative to any fixed reference time. (DESIGN 6.5)
 type MembershipPlanner struct {
-	// RemovalDelay is how long a member may be absent before it may be removed.
+	// RemovalDelay is the duration of absence after which a member may be removed.
 	RemovalDelay time.Duration
-	absentSince  map[int]time.Duration // by the ID of a member whose replica is not live
+	absentSince  map[int]time.Duration // by member ID, for members whose replica is not live
 	lastObserved time.Duration
 }
 
-// Observe takes which members are live. A planner that was suspended does not know of any
-// how long it was absent.
+// Observe records which members are live. A planner that was suspended discards the absences
+// recorded before, since it does not know whether they lasted.
 func (p MembershipPlanner) Observe(members []config.Member, statuses map[int]MemberStatus, now time.Duration) MembershipPlanner {
 	previous := p.absentSince
 	if p.lastObserved == 0 || now-p.lastObserved > maxObservationGap {
@@ -60,19 +60,20 @@
 	return p
 }
 
-// isGone reports whether a member has been absent for long.
+// isGone reports whether a member has been absent for at least RemovalDelay.
 func (p MembershipPlanner) isGone(memberID int, now time.Duration) bool {
 	since, ok := p.absentSince[memberID]
 	return ok && now-p.lastObserved <= maxObservationGap && now-since >= p.RemovalDelay
 }
 
-// PlanJoin finds the reconfiguration that makes a disk a member; false if there is none now.
-// Each disk gets a member ID never used before. It replaces the member that had its address
-// before its disk was lost, else one that is gone, else it joins beside all others.
+// PlanJoin returns the reconfiguration that makes a disk a member. It returns false if there is
+// none at present. Each disk gets a member ID that was never used before. The disk replaces the
+// member that had its address before that member's disk was lost, or else a member that is
+// gone. If there is neither, it is added to the set.
 func (p MembershipPlanner) PlanJoin(request JoinRequest, acceptor Acceptor, statuses map[int]MemberStatus, now time.Duration) (Command, bool) {
 	members := acceptor.MemberSets().Current
 	if acceptor.StaticSize > 0 || len(members) == 0 {
-		return Command{}, false // static members don't come and go
+		return Command{}, false // the set of static members is fixed
 	}
 	joining := config.Member{MemberID: max(acceptor.State.HighestMemberID, members[len(members)-1].MemberID) + 1, DiskID: request.DiskID, Addr: request.Addr}
 	command := Command{Kind: CommandReconfigure, ExpectedMembers: members, Joining: joining}
@@ -81,16 +82,17 @@
 	}
 	leaving, live := p.replacedBy(request, members, statuses, now)
 	if leaving == 0 {
-		// A member that is silent may be back, or gone, in a moment.
+		// All members must be live for an addition: an absent member may soon return or count
+		// as gone, in which case the disk replaces it.
 		return command, live == len(members)
 	}
 	command.Leaving = leaving
-	// What can't be committed is not begun.
+	// The reconfiguration is not started if it could not be committed.
 	return command, live >= Majority(len(members))
 }
 
-// replacedBy is the ID of the member that a joining disk replaces, zero for none, and the
-// number of live members apart from one at the disk's own address.
+// replacedBy returns the ID of the member that a joining disk replaces, or zero for none, and
+// the number of live members other than one at the disk's own address.
 func (p MembershipPlanner) replacedBy(request JoinRequest, members []config.Member, statuses map[int]MemberStatus, now time.Duration) (leaving, live int) {
 	gone := 0
 	for _, m := range members {
@@ -109,9 +111,9 @@
 	return leaving, live
 }
 
-// PlanRemoval finds the reconfiguration that removes a member that is gone; false if there is
-// none now. The set must be of even size or two of its members gone, and the live ones a
-// majority of what is left.
+// PlanRemoval returns the reconfiguration that removes a member that is gone. It returns false
+// if there is none at present. A member is removed only if the set has an even size or at least
+// two of its members are gone, and if the live members are a majority of the set.
 func (p MembershipPlanner) PlanRemoval(acceptor Acceptor, now time.Duration) (Command, bool) {
 	members := acceptor.MemberSets().Current
 	if acceptor.StaticSize > 0 || len(members) <= smallestSize(acceptor) {
@@ -131,10 +133,10 @@
 	return Command{Kind: CommandReconfigure, ExpectedMembers: members, Leaving: leaving}, true
 }
 
-// PlanLeave finds the reconfiguration by which a member that is being stopped leaves a set of
-// even size; false if it stays. Such a set bears no more losses than the odd one without that
-// member, and one fewer while the member is away. A set of odd size stays as it is: the member
-// may be back with its disk.
+// PlanLeave returns the reconfiguration by which a member that is being stopped leaves a set of
+// even size. It returns false if the member stays. A set of even size tolerates no more
+// failures than the odd set without that member, and one fewer while the member is down. A
+// member of a set of odd size stays, since it may return with its disk.
 func PlanLeave(acceptor Acceptor) (Command, bool) {
 	members := acceptor.MemberSets().Current
 	even := len(members)%2 == 0 && len(members) > smallestSize(acceptor)
@@ -144,5 +146,5 @@
 	return Command{Kind: CommandReconfigure, ExpectedMembers: members, Leaving: acceptor.Self.MemberID}, true
 }
 
-// smallestSize is the size below which no member set is reduced.
+// smallestSize returns the size below which the member set is not reduced.
 func smallestSize(acceptor Acceptor) int { return max(minMembers, len(acceptor.InitialMembers)) }
--- a/internal/controlplane/consensus/message.go
+++ b/internal/controlplane/consensus/message.go
@@ -2,21 +2,21 @@
 
 import "curlewwalk/internal/config"
 
-// MessageType is what a message asks of an acceptor. The strings go over the wire.
+// MessageType identifies the request in a message. The strings are sent over the wire.
 type MessageType string
 
 const (
-	// MsgPrepare asks for the promise to refuse all lower terms.
+	// MsgPrepare requests the promise to reject all lower terms.
 	MsgPrepare MessageType = "prepare"
-	// MsgAccept asks to accept a control state under a promised term.
+	// MsgAccept requests the acceptance of a control state under a promised term.
 	MsgAccept MessageType = "propose"
-	// MsgCommit tells that a majority has accepted a control state.
+	// MsgCommit announces that a majority has accepted a control state.
 	MsgCommit MessageType = "settle"
-	// MsgRead asks what is accepted, and changes nothing.
+	// MsgRead requests the accepted state. It changes nothing.
 	MsgRead MessageType = "read"
-	// MsgReadIndex is a MsgRead whose reply leaves the control state out.
+	// MsgReadIndex is a MsgRead whose reply omits the control state.
 	MsgReadIndex MessageType = "look"
-	// MsgJoin asks to record the sender's disk as the one of a static member.
+	// MsgJoin requests that the sender's disk be recorded as the disk of a static member.
 	MsgJoin MessageType = "sit"
 )
 
--- a/internal/controlplane/consensus/phase.go
+++ b/internal/controlplane/consensus/phase.go
@@ -1,16 +1,19 @@
 package consensus
 
-// Phase is how far an acceptor's disk has come. The strings go over the wire and to disk.
+// Phase is the membership phase of an acceptor's disk. The strings are sent over the wire and
+// written to disk.
 type Phase string
 
 const (
-	// PhaseEmpty is a disk that never held anything.
+	// PhaseEmpty is the phase of a disk that never held any state.
 	PhaseEmpty Phase = "virgin"
-	// PhaseLost is a disk that is known to have held more than can be read.
+	// PhaseLost is the phase of a disk that is known to have held state that cannot be read any
+	// more.
 	PhaseLost Phase = "lost"
-	// PhaseEstablished is a member's disk: it votes.
+	// PhaseEstablished is the phase of a member's disk, which votes.
 	PhaseEstablished Phase = "established"
-	// PhaseJoining is the disk of a replica that does not know to be a member. It votes all
-	// the same, since it never lost anything; only member sets that name it count that.
+	// PhaseJoining is the phase of a replica that does not know itself to be a member. It votes
+	// as well, since it never lost any state. Its vote counts only in member sets that include
+	// it.
 	PhaseJoining Phase = "seeking"
 )
--- a/internal/controlplane/consensus/position.go
+++ b/internal/controlplane/consensus/position.go
@@ -2,14 +2,15 @@
 
 import "cmp"
 
-// Position orders accepted control states: by the term that wrote them, then by revision. The
-// JSON keys are those of stored files.
+// Position orders accepted control states, first by the term that wrote them, then by revision.
+// The JSON keys are those of stored files.
 type Position struct {
 	Term     uint64 `msgpack:"e" json:"Epoch"`
 	Revision uint64 `msgpack:"s" json:"Stamp"`
 }
 
-// Compare is negative if the position is before another one, and positive if it is after it.
+// Compare returns a negative number if p is before other, zero if they are equal, and a
+// positive number if p is after other.
 func (p Position) Compare(other Position) int {
 	return cmp.Or(cmp.Compare(p.Term, other.Term), cmp.Compare(p.Revision, other.Revision))
 }
--- a/internal/controlplane/consensus/proposer.go
+++ b/internal/controlplane/consensus/proposer.go
@@ -7,20 +7,22 @@
 )
 
 const (
-	// resendAfter is how long the proposer waits for replies before it sends a message again.
-	resendAfter = 250 * time.Millisecond // (ours)
-	// termBackoff is how long a proposer waits after it has lost a term, for each member with
-	// a lower ID and itself: two of them that compete don't start again at the same time.
-	termBackoff = 100 * time.Millisecond // (ours)
-	// probeTimeout is how long the members that a reconfiguration needs may take to answer;
-	// other commands wait meanwhile.
-	probeTimeout = 500 * time.Millisecond // (ours)
-	// finishTimeout is how long a proposal that no command waits for may take, such as the
-	// one that finalizes a reconfiguration.
-	finishTimeout = time.Second // (ours)
+	// resendAfter is the time without a quorum of replies after which the proposer sends a
+	// message again.
+	resendAfter = 250 * time.Millisecond
+	// termBackoff is the delay before a new term after the proposer has lost one. It is
+	// multiplied by the proposer's rank among the member IDs, so that two competing proposers
+	// do not start again at the same time.
+	termBackoff = 100 * time.Millisecond
+	// probeTimeout bounds the wait for the members that a reconfiguration needs. Other commands
+	// are delayed during that wait.
+	probeTimeout = 500 * time.Millisecond
+	// finishTimeout bounds a proposal that no command is waiting for, such as the one that
+	// finalizes a reconfiguration.
+	finishTimeout = time.Second
 )
 
-// proposerPhase is what the proposer waits for.
+// proposerPhase identifies the replies that the proposer is waiting for.
 type proposerPhase int
 
 const (
@@ -30,54 +32,54 @@
 	proposerPreparing
 	// proposerAccepting waits for a majority to accept the proposal.
 	proposerAccepting
-	// proposerProbing waits for the members that a reconfiguration needs to answer, before it
-	// is proposed.
+	// proposerProbing waits for replies of the members that a reconfiguration needs, before the
+	// reconfiguration is proposed.
 	proposerProbing
 )
 
-// Proposer writes the control state for the coordinator: one command at a time, under a
-// term that a majority of the acceptors has promised to. It is a pure state machine without
-// clock, goroutines or I/O: each method takes the time since the replica's start and returns
-// what is to be sent and answered. The zero value is ready once FollowAcceptor was called.
-// (DESIGN 6.3)
+// Proposer writes the control state for the coordinator, one command at a time, under a term
+// that a majority of the acceptors has promised. It is a pure state machine without clock,
+// goroutines, or I/O. Each method takes the time since the replica's start and returns the
+// messages to send and the results to deliver. The zero value is ready for use once
+// FollowAcceptor has been called. (DESIGN 6.3)
 type Proposer struct {
-	// self, staticSize and initialMembers are those of the local acceptor.
+	// self, staticSize, and initialMembers are copied from the local acceptor.
 	self           Sender
 	staticSize     int
 	initialMembers []config.Member
-	memberSets     MemberSets // those that the local acceptor knows
+	memberSets     MemberSets // the member sets known to the local acceptor
 	phase          proposerPhase
-	term           uint64        // the term held or being prepared; zero: none
-	termStarted    time.Duration // when the term was asked for
+	term           uint64        // the term held or being prepared; zero if there is none
+	termStarted    time.Duration // when the prepare phase of the term began
 	highestTerm    uint64        // the highest term seen in any reply
-	backoffUntil   time.Duration // no new term before this
-	base           stateSnapshot // the newest state that is known under this term
+	backoffUntil   time.Duration // no new term is prepared before this time
+	base           stateSnapshot // the newest state known under this term
 	proposal       proposal
 	commands       commandQueue
 	exchange       phaseExchange
 }
 
-// stateSnapshot is a control state and the position under which it was accepted.
+// stateSnapshot is a control state and the position at which it was accepted.
 type stateSnapshot struct {
 	position Position
 	state    config.ControlState
 }
 
-// proposal is what the acceptors are asked to accept.
+// proposal is the state that the acceptors are asked to accept.
 type proposal struct {
 	stateSnapshot
-	// forCommand is set if the proposal is the first queued command's, and not one that was
-	// left unfinished or that finalizes a reconfiguration.
+	// forCommand is set if the proposal executes the first queued command. It is not set for a
+	// proposal that completes an earlier unfinished one or finalizes a reconfiguration.
 	forCommand bool
 }
 
-// phaseExchange is the exchange of messages of the current phase.
+// phaseExchange tracks the messages of the current phase and the replies to them.
 type phaseExchange struct {
 	recipients []config.Member
 	startedAt  time.Duration
 	lastSent   time.Duration
 	grants     map[int]Reply // by member ID
-	rejections map[int]Reply // those for a higher term, by member ID
+	rejections map[int]Reply // replies that promise a higher term, by member ID
 }
 
 // Enqueue queues a command.
@@ -90,8 +92,8 @@
 	return p.advance(now)
 }
 
-// HandleReply takes the reply of an acceptor. One that does not belong to the current phase
-// changes nothing but the highest known term.
+// HandleReply processes the reply of an acceptor. A reply that does not belong to the current
+// phase updates only the highest known term.
 func (p *Proposer) HandleReply(reply Reply, now time.Duration) []Ready {
 	p.highestTerm = max(p.highestTerm, reply.Promised)
 	if !p.expects(reply) {
@@ -117,7 +119,7 @@
 	return p.handleCommitted(now)
 }
 
-// Tick lets time pass: commands expire, and messages without a reply are sent again.
+// Tick performs time-dependent work: it expires commands and resends messages without a reply.
 func (p *Proposer) Tick(now time.Duration) []Ready {
 	ready := p.expireCommands(now)
 	ready = append(ready, p.expireProbe(now)...)
@@ -129,8 +131,8 @@
 	return append(ready, p.advance(now)...)
 }
 
-// RejectUnproposed ends the commands that were not proposed: this proposer will surely never
-// propose them, and another replica may take them.
+// RejectUnproposed rejects the commands that have not been proposed. This proposer will never
+// propose them, so another replica may execute them.
 func (p *Proposer) RejectUnproposed() (ready []Ready) {
 	var kept commandQueue
 	for i, command := range p.commands {
@@ -139,7 +141,7 @@
 			continue
 		}
 		if i == 0 && p.phase == proposerProbing {
-			p.phase = proposerIdle // no acceptor has its state
+			p.phase = proposerIdle // no acceptor holds the proposal
 		}
 		ready = append(ready, command.endWith(OutcomeRejected))
 	}
@@ -147,8 +149,8 @@
 	return ready
 }
 
-// FollowAcceptor takes the state of the local acceptor. A proposer whose acceptor is no
-// longer established gives its term up.
+// FollowAcceptor copies the state of the local acceptor. The proposer abandons its term if the
+// acceptor is no longer established.
 func (p *Proposer) FollowAcceptor(acceptor Acceptor, now time.Duration) {
 	if acceptor.Phase != PhaseEstablished && p.phase != proposerIdle {
 		p.abandonTerm(now)
@@ -158,7 +160,7 @@
 	p.highestTerm = max(p.highestTerm, acceptor.Promised)
 }
 
-// expireCommands ends the commands whose deadline is over.
+// expireCommands ends the commands whose deadline has passed.
 func (p *Proposer) expireCommands(now time.Duration) (ready []Ready) {
 	var kept commandQueue
 	for _, command := range p.commands {
@@ -171,11 +173,11 @@
 		if command.wasProposed() {
 			outcome = OutcomeUnknown
 			if first && p.phase == proposerAccepting && p.proposal.forCommand {
-				p.abandonTerm(now) // the next term finds the unfinished proposal or supersedes it
+				p.abandonTerm(now) // the next term completes the unfinished proposal or supersedes it
 			}
 		}
 		if first && p.phase == proposerProbing {
-			p.phase = proposerIdle // no acceptor has its state
+			p.phase = proposerIdle // no acceptor holds the proposal
 		}
 		ready = append(ready, command.endWith(outcome))
 	}
@@ -183,7 +185,7 @@
 	return ready
 }
 
-// expireProbe ends a reconfiguration whose members did not answer in time.
+// expireProbe rejects a reconfiguration whose required members did not answer in time.
 func (p *Proposer) expireProbe(now time.Duration) []Ready {
 	if p.phase != proposerProbing || now-p.exchange.startedAt < probeTimeout {
 		return nil
@@ -193,13 +195,13 @@
 	return []Ready{first.endWith(OutcomeRejected)}
 }
 
-// resend sends the message of the phase again to those who have not granted it.
+// resend sends the message of the phase again to the members that have not granted it.
 func (p *Proposer) resend(now time.Duration) []Ready {
 	if p.phase == proposerIdle || now-p.exchange.lastSent < resendAfter {
 		return nil
 	}
 	if len(p.exchange.rejections) > 0 {
-		p.abandonTerm(now) // it takes majorities without those who refused, and they don't answer
+		p.abandonTerm(now) // no quorum of the members that did not reject has answered
 		return nil
 	}
 	return p.broadcast(now)
--- a/internal/controlplane/consensus/proposer_phases.go
+++ b/internal/controlplane/consensus/proposer_phases.go
@@ -7,7 +7,8 @@
 	"curlewwalk/internal/config"
 )
 
-// advance goes on with the queued commands until one of them needs replies of the acceptors.
+// advance processes the queued commands until one of them has to wait for replies of the
+// acceptors.
 func (p *Proposer) advance(now time.Duration) (ready []Ready) {
 	for p.phase == proposerIdle && len(p.commands) > 0 {
 		if p.term == 0 {
@@ -18,7 +19,7 @@
 		result, resolved := p.resolve(*command)
 		switch {
 		case resolved && p.mayBeStale(*command, result.Outcome):
-			p.term = 0 // the next round of the loop prepares a new one
+			p.term = 0 // the next iteration prepares a new term
 		case resolved:
 			p.commands.pop()
 			ready = append(ready, Ready{Result: &result})
@@ -29,7 +30,7 @@
 	return ready
 }
 
-// prepare asks for a new term, once the backoff is over.
+// prepare starts the prepare phase of a new term if the backoff has elapsed.
 func (p *Proposer) prepare(now time.Duration) []Ready {
 	if now < p.backoffUntil {
 		return nil
@@ -39,7 +40,8 @@
 	return p.startPhase(proposerPreparing, now)
 }
 
-// resolve ends a command that needs no write.
+// resolve returns the result of a command that needs no write, and reports whether the command
+// is such.
 func (p *Proposer) resolve(command Command) (result CommandResult, resolved bool) {
 	result, resolved = resolveReconfiguration(p.base.state, p.memberSetsOf(p.base.state).Current, command)
 	if resolved {
@@ -48,21 +50,22 @@
 	return resolveWithoutWrite(p.base.state, command)
 }
 
-// mayBeStale reports whether an outcome can't be given yet, since the base may have been
-// superseded under a later term: only a term that was started after the command came proves
-// the base to be the newest state.
+// mayBeStale reports whether an outcome cannot be returned yet because the base may have been
+// superseded under a later term. Only a term that was started after the command was enqueued
+// proves that the base is the newest state.
 func (p *Proposer) mayBeStale(command Command, outcome Outcome) bool {
 	needsNewest := command.Kind == CommandRefresh || outcome == OutcomeMismatch || outcome == OutcomeRejected
 	return needsNewest && p.termStarted < command.enqueuedAt
 }
 
-// propose asks the acceptors for what the first command makes of the base.
+// propose sends the state that results from applying the first command to the base.
 func (p *Proposer) propose(command *Command, now time.Duration) []Ready {
 	next := applyReconfiguration(applyCommand(p.base.state, *command), p.memberSetsOf(p.base.state).Current, *command)
 	p.proposal = proposal{stateSnapshot{Position{Term: p.term, Revision: p.base.state.Revision + 1}, next}, true}
 	if command.Kind == CommandReconfigure {
-		// A reconfiguration that its member sets can't commit would hold up all commands
-		// after it: the members needed for it must answer first, the joining one above all.
+		// A reconfiguration that its member sets cannot commit would block all later commands.
+		// The members that it needs, in particular the joining one, must therefore answer a
+		// probe first.
 		return p.startPhase(proposerProbing, now)
 	}
 	command.proposedAt = p.proposal.position
@@ -78,24 +81,24 @@
 	case proposerPreparing, proposerProbing:
 		return reply.Type == MsgPrepare
 	case proposerAccepting:
-		// A late grant may be for an earlier proposal of this term.
+		// A late grant may belong to an earlier proposal of this term.
 		return reply.Type == MsgAccept && (!reply.Granted || reply.Position == p.proposal.position)
 	}
 	return false
 }
 
-// hasQuorum reports whether replies are enough to end the current phase.
+// hasQuorum reports whether replies suffice to end the current phase.
 func (p *Proposer) hasQuorum(replies map[int]Reply) bool {
-	// The local promise must be on disk first: it keeps a restarted proposer from
-	// taking the same term again. (DESIGN 6.3)
+	// The promise must be on the local disk first. Otherwise a restarted proposer could use the
+	// same term again. (DESIGN 6.3)
 	if _, self := replies[p.self.MemberID]; !self {
 		return false
 	}
 	return p.decidingSets(replies).HasQuorum(replies)
 }
 
-// decidingSets are the member sets whose majorities end the current phase: while a term is being
-// prepared those of the highest state among the replies, after that those of the proposal.
+// decidingSets returns the member sets whose majorities end the current phase. In the prepare
+// phase these are the sets of the highest state among the replies, later those of the proposal.
 func (p *Proposer) decidingSets(replies map[int]Reply) MemberSets {
 	if p.phase == proposerPreparing {
 		_, sets := HighestReply(replies, p.memberSets)
@@ -104,10 +107,10 @@
 	return p.memberSetsOf(p.proposal.state)
 }
 
-// handleRejection takes a reply that has promised a higher term. While the proposal can still
-// be committed without that acceptor, the proposer goes on under its own term: a replica that
-// was partitioned off with a promise that no other acceptor gave does not force a new term
-// when it comes back. (DESIGN 6.3)
+// handleRejection processes a reply from an acceptor that has promised a higher term. The
+// proposer keeps its term as long as the proposal can be committed without the rejecting
+// acceptors. A replica that returns from a partition with a promise that no other acceptor gave
+// therefore does not force a new term. (DESIGN 6.3)
 func (p *Proposer) handleRejection(reply Reply, now time.Duration) {
 	rejections := p.exchange.rejections
 	rejections[reply.Sender.MemberID] = reply
@@ -117,8 +120,8 @@
 	}
 }
 
-// handleProbed begins to propose a reconfiguration once the members that it needs have answered,
-// the joining one among them.
+// handleProbed proposes a reconfiguration once the members that it needs, including the joining
+// one, have answered the probe.
 func (p *Proposer) handleProbed(replies map[int]Reply, now time.Duration) []Ready {
 	command := &p.commands[0]
 	joining := command.Joining
@@ -129,8 +132,8 @@
 	return p.startPhase(proposerAccepting, now)
 }
 
-// handlePrepared goes on once a majority has promised the term: the highest state among the
-// replies is proposed again under this term, which finishes whatever was left unfinished.
+// handlePrepared proposes the highest state among the replies again under the new term, which a
+// majority has promised. This completes any proposal that an earlier term left unfinished.
 func (p *Proposer) handlePrepared(replies map[int]Reply, now time.Duration) []Ready {
 	p.base = stateSnapshot{}
 	for _, reply := range replies {
@@ -147,7 +150,7 @@
 	return p.startPhase(proposerAccepting, now)
 }
 
-// handleCommitted goes on once a majority has accepted the proposal.
+// handleCommitted commits the proposal that a majority has accepted, and starts the next one.
 func (p *Proposer) handleCommitted(now time.Duration) []Ready {
 	p.base = p.proposal.stateSnapshot
 	p.phase = proposerIdle
@@ -158,8 +161,8 @@
 		ready = append(ready, Ready{Result: &CommandResult{ID: first.ID, Outcome: OutcomeCommitted, State: p.base.state}})
 	}
 	if len(p.proposal.state.PreviousMembers) > 0 {
-		// Until the next state is committed, majorities of both sets are needed: it is
-		// written at once.
+		// Majorities of both member sets are needed until the next state is committed, so that
+		// state is proposed immediately.
 		p.proposal.position.Revision++
 		p.proposal.state, p.proposal.forCommand = finalizeReconfiguration(p.proposal.state), false
 		return append(ready, p.startPhase(proposerAccepting, now)...)
@@ -167,8 +170,8 @@
 	return append(ready, p.advance(now)...)
 }
 
-// abandonTerm gives the term up, and asks for no other one until a backoff is over that
-// differs from one member to the next.
+// abandonTerm abandons the current term. No new term is prepared until a backoff has elapsed,
+// which differs between the members.
 func (p *Proposer) abandonTerm(now time.Duration) {
 	p.phase, p.term = proposerIdle, 0
 	rank := 1
@@ -180,7 +183,7 @@
 	p.backoffUntil = now + termBackoff*time.Duration(rank)
 }
 
-// startPhase begins a phase and sends its message to all members that it needs.
+// startPhase starts a phase and sends its message to all members that it needs.
 func (p *Proposer) startPhase(phase proposerPhase, now time.Duration) []Ready {
 	members := p.memberSets
 	if phase != proposerPreparing {
@@ -194,7 +197,7 @@
 	return p.broadcast(now)
 }
 
-// unlistedSelf is the local acceptor as a member, if no member set names it.
+// unlistedSelf returns the local acceptor as a member if no member set includes it.
 func (p *Proposer) unlistedSelf() []config.Member {
 	if containsSender(p.memberSets.Union(), p.self) {
 		return nil
@@ -202,12 +205,13 @@
 	return []config.Member{{MemberID: p.self.MemberID, DiskID: p.self.DiskID}}
 }
 
-// memberSetsOf are the member sets that a state puts in force.
+// memberSetsOf returns the member sets that a state puts into effect.
 func (p *Proposer) memberSetsOf(state config.ControlState) MemberSets {
 	return Acceptor{State: state, StaticSize: p.staticSize, InitialMembers: p.initialMembers}.MemberSets()
 }
 
-// extendRecipients sends the message of the phase to members that a reply has named as well.
+// extendRecipients sends the message of the prepare phase to members of a reply's member sets
+// that have not been sent it.
 func (p *Proposer) extendRecipients(learned []config.Member) []Ready {
 	more := slices.DeleteFunc(learned, func(m config.Member) bool { return containsMember(p.exchange.recipients, m) })
 	if p.phase != proposerPreparing || len(more) == 0 {
@@ -217,7 +221,7 @@
 	return []Ready{{Message: p.message(), To: more}}
 }
 
-// broadcast sends the message of the phase to every recipient that has not granted it.
+// broadcast sends the message of the phase to all recipients that have not granted it.
 func (p *Proposer) broadcast(now time.Duration) []Ready {
 	p.exchange.lastSent = now
 	to := slices.DeleteFunc(slices.Clone(p.exchange.recipients), func(m config.Member) bool {
@@ -227,14 +231,15 @@
 	return []Ready{{Message: p.message(), To: to}}
 }
 
-// message is the message of the current phase.
+// message returns the message of the current phase.
 func (p *Proposer) message() *Message {
 	message := &Message{Sender: p.self, Type: MsgPrepare, Term: p.term}
 	switch p.phase {
 	case proposerAccepting:
 		message.Type, message.Position, message.State = MsgAccept, p.proposal.position, p.proposal.state
 	case proposerProbing:
-		// A promise again, which names the reconfiguration that it is for.
+		// The probe is a repeated prepare message that carries the member sets of the
+		// reconfiguration.
 		message.Position = p.proposal.position
 		message.State.Members, message.State.PreviousMembers = p.proposal.state.Members, p.proposal.state.PreviousMembers
 	}
--- a/internal/controlplane/consensus/quorum.go
+++ b/internal/controlplane/consensus/quorum.go
@@ -7,17 +7,17 @@
 	"curlewwalk/internal/config"
 )
 
-// Majority is how many of n members decide.
+// Majority returns the smallest number of members that is a majority of n.
 func Majority(n int) int { return n/2 + 1 }
 
-// MemberSets are the member sets whose majorities decide: the current one and, while a
-// reconfiguration is the newest change, the previous one as well. (DESIGN 6.5)
+// MemberSets holds the member sets whose majorities decide. While a reconfiguration is the
+// newest change, majorities of both the current and the previous set are needed. (DESIGN 6.5)
 type MemberSets struct {
 	Current  []config.Member `msgpack:"n,omitempty" json:"now"`
 	Previous []config.Member `msgpack:"b,omitempty" json:"before,omitempty"`
 }
 
-// inForce lists the sets that there are.
+// inForce returns the sets whose majorities are needed.
 func (s MemberSets) inForce() [][]config.Member {
 	if len(s.Previous) > 0 {
 		return [][]config.Member{s.Current, s.Previous}
@@ -25,10 +25,10 @@
 	return [][]config.Member{s.Current}
 }
 
-// Union lists the members of all sets, sorted by ID.
+// Union returns the members of all sets, sorted by member ID.
 func (s MemberSets) Union() []config.Member { return unionMembers(s.Current, s.Previous) }
 
-// HasQuorum reports whether replies came from a majority of each set.
+// HasQuorum reports whether replies include a majority of each set.
 func (s MemberSets) HasQuorum(replies map[int]Reply) bool {
 	for _, members := range s.inForce() {
 		if len(members) == 0 || countMembers(members, replies) < Majority(len(members)) {
@@ -38,7 +38,8 @@
 	return true
 }
 
-// quorumReachable reports whether a majority of each set is left without some acceptors.
+// quorumReachable reports whether each set still has a majority when the senders of the given
+// replies are excluded.
 func (s MemberSets) quorumReachable(without map[int]Reply) bool {
 	for _, members := range s.inForce() {
 		if len(members)-countMembers(members, without) < Majority(len(members)) {
@@ -48,7 +49,7 @@
 	return true
 }
 
-// countMembers counts the replies that came from members of a set.
+// countMembers returns the number of replies whose senders are in a set.
 func countMembers(members []config.Member, replies map[int]Reply) int {
 	count := 0
 	for _, reply := range replies {
@@ -59,7 +60,8 @@
 	return count
 }
 
-// staticMembers is the set of n static members, whose disks are told apart by incarnation.
+// staticMembers returns the set of n static members. Their disks are distinguished by
+// incarnation.
 func staticMembers(n int) []config.Member {
 	var members []config.Member
 	for id := 1; id <= n; id++ {
@@ -68,7 +70,7 @@
 	return members
 }
 
-// unionMembers lists the members of some sets, sorted and each of them once.
+// unionMembers returns the members of several sets, sorted and without duplicates.
 func unionMembers(sets ...[]config.Member) []config.Member {
 	members := slices.Concat(sets...)
 	slices.SortFunc(members, func(a, b config.Member) int {
@@ -77,23 +79,23 @@
 	return slices.CompactFunc(members, sameMember)
 }
 
-// sameMember reports whether two are one disk under one member ID.
+// sameMember reports whether two members have the same member ID and disk ID.
 func sameMember(a, b config.Member) bool { return a.MemberID == b.MemberID && a.DiskID == b.DiskID }
 
-// containsMember reports whether a set has a member with the same ID and disk.
+// containsMember reports whether a set has a member with the same member ID and disk ID.
 func containsMember(members []config.Member, member config.Member) bool {
 	return slices.ContainsFunc(members, func(m config.Member) bool { return sameMember(m, member) })
 }
 
-// containsSender reports whether a set has a sender among its members. A static member has no
-// disk ID: any disk under its member ID will do.
+// containsSender reports whether a sender belongs to a set. A static member has no disk ID, so
+// any disk with its member ID matches.
 func containsSender(members []config.Member, sender Sender) bool {
 	return slices.ContainsFunc(members, func(m config.Member) bool {
 		return m.MemberID == sender.MemberID && (m.DiskID == 0 || m.DiskID == sender.DiskID)
 	})
 }
 
-// MemberIDs lists the member IDs of a set.
+// MemberIDs returns the member IDs of a set.
 func MemberIDs(members []config.Member) []int {
 	var ids []int
 	for _, m := range members {
--- a/internal/controlplane/consensus/quorum_reader.go
+++ b/internal/controlplane/consensus/quorum_reader.go
@@ -6,22 +6,23 @@
 	"curlewwalk/internal/config"
 )
 
-// quorumRead is what a majority showed: the reply with the newest state, and whether majorities
-// are known to hold that.
+// quorumRead is the result of a quorum read: the reply with the newest state, and whether that
+// state is known to be committed.
 type quorumRead struct {
 	highest   Reply
 	committed bool
 }
 
-// quorumReader reads from a majority of the acceptors. It keeps no state of its own.
+// quorumReader reads from a majority of the acceptors. It is stateless.
 type quorumReader struct {
 	members *memberClient
 	local   localAcceptor
 }
 
-// read asks a majority for its newest state, by MsgReadIndex or MsgRead; false if none answers.
-// More than a majority are asked to find out whether the state is committed. What was
-// acknowledged before the read began is among the answers. (DESIGN 7.2)
+// read asks a majority for its newest state, with a MsgReadIndex or a MsgRead. It returns false
+// if no majority answers. It waits for more replies than a majority to find out whether the
+// state is committed. Every write that was acknowledged before the read began is included in
+// the replies. (DESIGN 7.2)
 func (q *quorumReader) read(ctx context.Context, messageType MessageType) (quorumRead, bool) {
 	self := q.local.Acceptor()
 	if self.Phase != PhaseEstablished {
@@ -37,8 +38,8 @@
 	return quorumRead{highest: highest, committed: committed}, true
 }
 
-// readProgress judges the replies to a quorum read; own are the member sets that the reader
-// knows.
+// readProgress evaluates the replies to a quorum read. The parameter own holds the member sets
+// known to the reader.
 func readProgress(replies map[int]Reply, own MemberSets) quorumProgress {
 	current := CurrentReplies(replies)
 	if !HasReadQuorum(current, own) {
@@ -50,8 +51,9 @@
 	return quorumConclusive
 }
 
-// fetch is the whole state of a reply without it, from the acceptor that gave the reply; false
-// if that has gone on since.
+// fetch returns the control state that belongs to a reply without one. It requests the state
+// from the acceptor that sent the reply, and returns false if that acceptor has accepted
+// another state since.
 func (q *quorumReader) fetch(ctx context.Context, holder Reply) (config.ControlState, bool) {
 	self := q.local.Acceptor()
 	if self.Position == holder.Position {
--- a/internal/controlplane/consensus/ready.go
+++ b/internal/controlplane/consensus/ready.go
@@ -2,11 +2,11 @@
 
 import "curlewwalk/internal/config"
 
-// Ready is what the proposer wants done: a message to be sent, or a command to be answered.
+// Ready is an output of the proposer: a message to send or the result of a command.
 type Ready struct {
-	// Message, if set, goes to every member in To.
+	// Message, if set, is sent to every member in To.
 	Message *Message
 	To      []config.Member
-	// Result, if set, answers the command with its ID.
+	// Result, if set, is the response to the command with its ID.
 	Result *CommandResult
 }
--- a/internal/controlplane/consensus/reconfiguration.go
+++ b/internal/controlplane/consensus/reconfiguration.go
@@ -6,9 +6,9 @@
 	"curlewwalk/internal/config"
 )
 
-// applyReconfiguration makes the member sets of the next state, as a command asks for; what it
-// does not change stays. Only one member joins or leaves at a time, or one replaces another.
-// (DESIGN 6.5)
+// applyReconfiguration sets the member sets of the next state according to a command. A command
+// of another kind leaves the current set unchanged. At most one member joins and one leaves at
+// a time. (DESIGN 6.5)
 func applyReconfiguration(next config.ControlState, current []config.Member, command Command) config.ControlState {
 	next.PreviousMembers = nil
 	if command.Kind != CommandReconfigure {
@@ -23,17 +23,18 @@
 	return next
 }
 
-// finalizeReconfiguration is the state after one that changes the member set, without the
-// previous set: once a majority of both holds the change, that of the previous one is not
-// needed any more.
+// finalizeReconfiguration returns the state that follows a committed reconfiguration and no
+// longer has the previous member set. Once majorities of both sets hold the reconfiguration, a
+// majority of the previous set is not needed any more.
 func finalizeReconfiguration(state config.ControlState) config.ControlState {
 	state.Revision++
 	state.PreviousMembers = nil
 	return state
 }
 
-// resolveReconfiguration ends a reconfiguration that is done already, or that was decided on
-// another member set than the current one; false if it has to be proposed.
+// resolveReconfiguration returns the result of a reconfiguration that is already in effect, or
+// that must be rejected, for example because it was planned on another member set than the
+// current one. It returns false if the reconfiguration has to be proposed.
 func resolveReconfiguration(base config.ControlState, current []config.Member, command Command) (result CommandResult, resolved bool) {
 	if command.Kind != CommandReconfigure {
 		return CommandResult{}, false
@@ -54,7 +55,7 @@
 	return result, false
 }
 
-// reusesMemberID reports whether a joining member has an ID that another one may have had.
+// reusesMemberID reports whether the ID of a joining member may have been used before.
 func reusesMemberID(base config.ControlState, current []config.Member, joining config.Member) bool {
 	return joining.MemberID != 0 && joining.MemberID <= max(base.HighestMemberID, current[len(current)-1].MemberID)
 }
--- a/internal/controlplane/consensus/replica.go
+++ b/internal/controlplane/consensus/replica.go
@@ -15,50 +15,54 @@
 )
 
 const (
-	// tickInterval is how often the state machines are told the time.
-	tickInterval = 50 * time.Millisecond // (ours)
-	// readIndexInterval is how often a majority is asked for a newer state.
-	readIndexInterval = 300 * time.Millisecond // (ours)
-	// messageTimeout is how long a message to an acceptor may take, its write to disk included.
-	messageTimeout = 2 * time.Second // (ours)
+	// tickInterval is the period at which the replica passes the current time to its state
+	// machines.
+	tickInterval = 50 * time.Millisecond
+	// readIndexInterval is the period at which the replica asks a majority for a newer state.
+	readIndexInterval = 300 * time.Millisecond
+	// messageTimeout bounds the handling of one message by an acceptor, including its write to
+	// disk.
+	messageTimeout = 2 * time.Second
 )
 
-// Config is what a replica is made of.
+// Config holds the storage and the bootstrap settings of a replica.
 type Config struct {
-	// Store keeps the acceptor. It is the replica's alone.
+	// Store holds the acceptor's files. No other component may use it.
 	Store *storage.Store
-	// Bootstrap is what the settings say; it matters while the disk is empty.
+	// Bootstrap holds the membership settings, which are used only while the disk is empty.
 	Bootstrap Bootstrap
 }
 
-// Deps is what a replica needs of its process. All but OnHealthChange must be set.
+// Deps holds the services that a replica uses. All fields except OnHealthChange must be set.
 type Deps struct {
 	Actors *actor.System
 	Client *transport.Client
 	Log    *slog.Logger
 	Peers  Peers
-	// OnCommit is called with each newly committed state, in the order of their revisions.
-	// Some may be left out: a state has all that those before it had.
+	// OnCommit is called with newly committed states, in the order of their revisions.
+	// Revisions may be skipped: each state includes the effects of all earlier ones.
 	OnCommit func(ctx context.Context, state config.ControlState)
-	// OnReadConfirmed is called when no state newer than the last one passed to OnCommit had
-	// been acknowledged at a moment.
+	// OnReadConfirmed is called with a time at which no state newer than the last one passed to
+	// OnCommit had been acknowledged.
 	OnReadConfirmed func(ctx context.Context, at time.Time)
-	// OnHealthChange is called when Healthy has changed; it must not wait. Nil: nobody is.
+	// OnHealthChange, if not nil, is called when the result of Healthy has changed. It must not
+	// block.
 	OnHealthChange func()
 }
 
-// Peers tells where the other replicas are.
+// Peers locates the other replicas.
 type Peers interface {
-	// Addr finds the replica that has a member ID, or would get it.
+	// Addr returns the address of the replica that has a member ID, or that would be assigned
+	// it.
 	Addr(memberID int) (string, bool)
 	// IsCoordinator reports whether this replica is the live and healthy member with the lowest
-	// member ID, as far as it knows.
+	// member ID, according to its local view of the membership.
 	IsCoordinator() bool
 }
 
-// Replica runs the acceptor and the proposer of one control plane. What it holds belongs to
-// the goroutine of its mailbox, which waits neither for the disk nor for the network; other
-// goroutines read the published acceptor and health. (DESIGN 6)
+// Replica runs the acceptor and the proposer of one control plane. Its state is owned by the
+// goroutine of its mailbox, which never blocks on the disk or the network. Other goroutines
+// read only the published acceptor and health. (DESIGN 6)
 type Replica struct {
 	deps    Deps
 	started time.Time
@@ -71,22 +75,22 @@
 	members *memberClient
 	reader  *quorumReader
 
-	acceptor    Acceptor // as it is on disk
+	acceptor    Acceptor // the state that is on disk
 	proposer    *Proposer
 	transitions transitionQueue
 	commands    pendingCommands
 	commits     commitTracker
 	joining     joinAttempts
-	// reportedHealthy is what OnHealthChange was called for last.
+	// reportedHealthy is the health at the last call of OnHealthChange.
 	reportedHealthy bool
-	// lastProbe is when a disk with a fault was tried last.
+	// lastProbe is the time of the last probe write to a faulty disk.
 	lastProbe time.Duration
-	// lastAttempt is when the replica last tried to join, or, once established, to have an
-	// uncommitted state committed.
+	// lastAttempt is the time of the last attempt to join. Once the replica is established, it
+	// is the time of the last attempt to commit an uncommitted state.
 	lastAttempt time.Duration
 }
 
-// New loads the acceptor from disk and starts the replica's mailbox; Run starts its timers.
+// New loads the acceptor from disk and starts the replica's mailbox. Run starts its timers.
 func New(cfg Config, deps Deps) (*Replica, error) {
 	store := newStateStore(cfg.Store)
 	acceptor, err := store.load(cfg.Bootstrap)
@@ -106,7 +110,7 @@
 	return r, nil
 }
 
-// Run keeps time until ctx ends.
+// Run drives the replica's periodic work until ctx is done.
 func (r *Replica) Run(ctx context.Context) {
 	tick, readIndex := time.NewTicker(tickInterval), time.NewTicker(readIndexInterval)
 	defer tick.Stop()
@@ -123,13 +127,13 @@
 	}
 }
 
-// Acceptor is the acceptor as it is on disk.
+// Acceptor returns the acceptor's state that is on disk.
 func (r *Replica) Acceptor() Acceptor { return *r.published.Load() }
 
-// now is the time since the replica's start.
+// now returns the time since the replica's start.
 func (r *Replica) now() time.Duration { return time.Since(r.started) }
 
-// handle takes one event after the other.
+// handle processes one event of the mailbox.
 func (r *Replica) handle(ctx context.Context, event any) {
 	now := r.now()
 	switch e := event.(type) {
@@ -156,8 +160,9 @@
 	}
 }
 
-// tick lets time pass. Only an established acceptor has a proposer beside it that is ticked. That
-// of a static member whose disk is empty, or was lost, tries to become the member instead.
+// tick performs the periodic work of the replica. Only the proposer of an established acceptor
+// is ticked. A replica whose disk is empty, or has lost its state, tries to join as the static
+// member instead.
 func (r *Replica) tick(ctx context.Context, now time.Duration) {
 	r.rejectUnproposed(ctx, now)
 	r.reportHealth(now)
@@ -180,7 +185,7 @@
 	r.handleReady(ctx, r.proposer.Tick(now))
 }
 
-// handleReady does what the proposer wants.
+// handleReady sends the messages and answers the commands that the proposer returned.
 func (r *Replica) handleReady(ctx context.Context, items []Ready) {
 	for _, item := range items {
 		if item.Result != nil {
@@ -196,13 +201,13 @@
 	}
 }
 
-// publishAcceptor shows the acceptor to other goroutines.
+// publishAcceptor makes the acceptor's state visible to other goroutines.
 func (r *Replica) publishAcceptor() {
 	acceptor := r.acceptor
 	r.published.Store(&acceptor)
 }
 
-// deliver passes a committed state on, if it is newer than the last one.
+// deliver passes a committed state to OnCommit if it is newer than the last delivered one.
 func (r *Replica) deliver(ctx context.Context, state config.ControlState) {
 	if r.commits.deliver(state.Revision) {
 		r.deps.OnCommit(ctx, state)
--- a/internal/controlplane/consensus/replica_commands.go
+++ b/internal/controlplane/consensus/replica_commands.go
@@ -10,19 +10,22 @@
 )
 
 const (
-	// commandTimeout is how long a command may take.
-	commandTimeout = 3 * time.Second // (ours)
-	// reconfigurationTimeout is how long a reconfiguration may hold up other commands.
-	reconfigurationTimeout = 2 * time.Second // (ours)
-	// regainTimeout is how long a command waits for a contact with a majority that was missed.
-	// Its sender takes a second without an answer for a failure.
-	regainTimeout = 700 * time.Millisecond // (ours)
+	// commandTimeout bounds the execution of a command.
+	commandTimeout = 3 * time.Second
+	// reconfigurationTimeout bounds the time for which a reconfiguration may delay other
+	// commands.
+	reconfigurationTimeout = 2 * time.Second
+	// regainTimeout bounds the time for which a command waits for the replica to contact a
+	// majority again. The sender of a command treats one second without a response as a
+	// failure.
+	regainTimeout = 700 * time.Millisecond
 )
 
-// pendingCommands are the commands that wait for their results, by ID.
+// pendingCommands maps the IDs of commands in progress to the channels that receive their
+// results.
 type pendingCommands map[uint64]chan<- CommandResult
 
-// answer ends a command.
+// answer delivers the result of a command and removes the command.
 func (p pendingCommands) answer(result CommandResult) {
 	if reply, ok := p[result.ID]; ok {
 		reply <- result
@@ -30,8 +33,9 @@
 	}
 }
 
-// Submit carries a command out on this replica. One that has missed the others asks them
-// first: on a processor that is late, or has just resumed, the contact is only not known yet.
+// Submit executes a command on this replica. A replica without a recent quorum contact contacts
+// a majority first: after a scheduling delay or a suspension, the majority may be reachable
+// although no recent contact is recorded.
 func (r *Replica) Submit(ctx context.Context, command Command) CommandResult {
 	if !r.Connected() && !r.regainContact(ctx) {
 		return CommandResult{Outcome: OutcomeRejected}
@@ -50,22 +54,22 @@
 	return result
 }
 
-// Forward has another replica carry a command out; its response is a CommandResult.
+// Forward sends a command to another replica for execution. The response holds a CommandResult.
 func (r *Replica) Forward(ctx context.Context, addr string, command Command) transport.Response {
 	return r.members.forward(ctx, addr, command)
 }
 
-// regainContact asks a majority at once; false if none answers.
+// regainContact contacts a majority immediately and reports whether one answered.
 func (r *Replica) regainContact(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, regainTimeout)
 	defer cancel()
 	return r.observeQuorum(ctx)
 }
 
-// handleCommandEvent hands a command to the proposer. A replica without contact to a majority
-// takes none: the command could only run out of time here, and its sender may go to another
-// replica at once. Nor does the proposer raise terms that would disturb the others once the
-// contact is back. (DESIGN 6.3)
+// handleCommandEvent passes a command to the proposer. A replica without contact to a majority
+// rejects commands: a command could only time out here, whereas its sender can retry at another
+// replica immediately. Rejecting them also keeps the proposer from raising terms that would
+// disturb the other replicas once contact is restored. (DESIGN 6.3)
 func (r *Replica) handleCommandEvent(ctx context.Context, e commandEvent, now time.Duration) {
 	if r.acceptor.Phase != PhaseEstablished || !r.Health().Connected(now) {
 		e.reply <- CommandResult{Outcome: OutcomeRejected}
@@ -75,15 +79,16 @@
 	r.handleReady(ctx, r.proposer.Enqueue(e.command, now))
 }
 
-// refreshDue reports whether this replica has to make sure of the newest state: one that no
-// majority is known to hold, here or elsewhere, as after a cold start or when a proposer has
-// stopped half way. That is for the coordinator.
+// refreshDue reports whether this replica has to commit the newest state. That is the case if
+// it is the coordinator and no majority is known to hold a state that it or another replica has
+// accepted, as after a cold start or after a proposer stopped between accept and commit.
 func (r *Replica) refreshDue(now time.Duration) bool {
 	uncommitted := r.acceptor.Position.Revision > r.acceptor.Committed || len(r.acceptor.State.PreviousMembers) > 0 || r.commits.uncommitted
 	return uncommitted && len(r.commands) == 0 && now-r.lastAttempt >= attemptInterval && r.Health().Connected(now) && r.deps.Peers.IsCoordinator()
 }
 
-// refresh has the newest state committed, for nobody.
+// refresh submits a CommandRefresh, whose result is discarded, to have the newest state
+// committed.
 func (r *Replica) refresh(ctx context.Context, now time.Duration) {
 	r.lastAttempt = now
 	command := Command{ID: rand.Uint64(), Kind: CommandRefresh, Deadline: now + commandTimeout}
--- a/internal/controlplane/consensus/replica_health.go
+++ b/internal/controlplane/consensus/replica_health.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// Health is what the replica can do.
+// Health returns the last published health of the replica.
 func (r *Replica) Health() Health { return *r.health.Load() }
 
-// Healthy reports whether the replica can do what a coordinator has to. (DESIGN 6.3)
+// Healthy reports whether the replica meets the requirements for a coordinator. (DESIGN 6.3)
 func (r *Replica) Healthy() bool { return r.Health().Healthy(r.now()) }
 
-// Connected reports whether a majority has answered this replica lately.
+// Connected reports whether a majority has answered this replica recently.
 func (r *Replica) Connected() bool { return r.Health().Connected(r.now()) }
 
-// RecentlyResumed reports whether the process was suspended just now.
+// RecentlyResumed reports whether the process has recently resumed from a suspension.
 func (r *Replica) RecentlyResumed() bool { return r.Health().RecentlyResumed(r.now()) }
 
 func (r *Replica) setHealth(h Health) { r.health.Store(&h) }
 
-// rejectUnproposed gives back the commands that were not proposed yet while another replica can
-// take them: this one reaches no majority, or its disk takes no writes and another replica is the
-// coordinator by now.
+// rejectUnproposed rejects the commands that have not been proposed if another replica can
+// execute them. That is the case if this replica reaches no majority, or if its disk does not
+// accept writes and another replica has become the coordinator.
 func (r *Replica) rejectUnproposed(ctx context.Context, now time.Duration) {
 	healthy, connected := r.Health().Healthy(now), r.Health().Connected(now)
 	if !connected || !healthy && !r.deps.Peers.IsCoordinator() {
@@ -29,7 +29,7 @@
 	}
 }
 
-// reportHealth logs and reports when the replica has become healthy or unhealthy.
+// reportHealth logs each change between healthy and unhealthy and calls OnHealthChange.
 func (r *Replica) reportHealth(now time.Duration) {
 	healthy := r.Health().Healthy(now)
 	if healthy == r.reportedHealthy {
--- a/internal/controlplane/consensus/replica_reads.go
+++ b/internal/controlplane/consensus/replica_reads.go
@@ -8,19 +8,20 @@
 	"curlewwalk/internal/transport"
 )
 
-// readIndexAttempts is how often a majority is asked for the newest committed revision, since
-// what is being written is mostly committed a moment later.
-const readIndexAttempts = 3 // (ours)
+// readIndexAttempts is the number of quorum reads that try to find the newest state committed
+// before a refresh is requested. A write in progress is usually committed by the next read.
+const readIndexAttempts = 3
 
-// ReadIndex is the newest revision that a majority holds now; false if no majority answers.
+// ReadIndex returns the newest revision that a majority holds now. It returns false if no
+// majority answers.
 func (r *Replica) ReadIndex(ctx context.Context) (revision uint64, ok bool) {
 	read, ok := r.reader.read(ctx, MsgReadIndex)
 	return read.highest.Position.Revision, ok
 }
 
-// LinearizableRead reads the newest state from a majority: all that was acknowledged before it
-// began is in it. If no majority is known to hold that state, refresh has it committed first.
-// (DESIGN 6.4)
+// LinearizableRead reads the newest state from a majority. The state includes every write that
+// was acknowledged before the read began. If no majority is known to hold that state,
+// LinearizableRead calls refresh to have it committed first. (DESIGN 6.4)
 func (r *Replica) LinearizableRead(ctx context.Context, refresh func(ctx context.Context) CommandResult) (config.ControlState, bool) {
 	read, ok := r.reader.read(ctx, MsgRead)
 	if !ok {
@@ -33,9 +34,9 @@
 	return result.State, result.Outcome == OutcomeCommitted
 }
 
-// CommittedRevision is the newest committed revision: all that was acknowledged before it was
-// asked for is at or below it. If no majority is known to hold the newest state, refresh has it
-// committed first.
+// CommittedRevision returns the newest committed revision. Every write that was acknowledged
+// before the call is at or below that revision. If no majority is known to hold the newest
+// state, CommittedRevision calls refresh to have it committed first.
 func (r *Replica) CommittedRevision(ctx context.Context, refresh func(ctx context.Context) CommandResult) (uint64, bool) {
 	for range readIndexAttempts {
 		read, ok := r.reader.read(ctx, MsgReadIndex)
@@ -50,7 +51,7 @@
 	return result.State.Revision, result.Outcome == OutcomeCommitted
 }
 
-// CatchUp copies the committed state of another replica, which is known to have a newer one.
+// CatchUp copies the committed state of another replica that is known to have a newer one.
 func (r *Replica) CatchUp(ctx context.Context, addr string) {
 	ctx, cancel := context.WithTimeout(ctx, messageTimeout)
 	defer cancel()
@@ -62,7 +63,8 @@
 	}
 }
 
-// observeQuorum asks a majority whether there is a newer state; false if none answers.
+// observeQuorum asks a majority whether there is a newer state and reports whether one
+// answered.
 func (r *Replica) observeQuorum(ctx context.Context) bool {
 	startedAt := time.Now()
 	read, ok := r.reader.read(ctx, MsgReadIndex)
@@ -72,9 +74,10 @@
 	return ok
 }
 
-// handleReadIndexEvent takes what a majority showed. A newest state that was not delivered by
-// the time that it is seen again is copied if majorities hold it; if not, the coordinator has
-// it committed, whoever holds it.
+// handleReadIndexEvent processes the result of a quorum read. If two successive reads return
+// the same state as the newest one and it has still not been delivered, the replica copies it
+// if it is committed. If it is not committed, the coordinator commits it, no matter which
+// acceptors hold it.
 func (r *Replica) handleReadIndexEvent(ctx context.Context, e readIndexEvent) {
 	r.setHealth(r.Health().QuorumContacted(e.startedAt.Sub(r.started)))
 	if r.commits.observe(e) && e.read.committed {
@@ -82,7 +85,7 @@
 	}
 }
 
-// copyState takes a state that majorities hold from an acceptor that holds it.
+// copyState fetches a committed state from an acceptor that holds it and commits it locally.
 func (r *Replica) copyState(ctx context.Context, holder Reply) {
 	self := r.Acceptor().Self
 	if state, ok := r.reader.fetch(ctx, holder); ok {
@@ -90,7 +93,7 @@
 	}
 }
 
-// commitLocally tells the local acceptor that a state is committed.
+// commitLocally informs the local acceptor that a state is committed.
 func (r *Replica) commitLocally(ctx context.Context, self Sender, position Position, state config.ControlState) {
 	r.stepAcceptor(ctx, Message{Sender: self, Type: MsgCommit, Term: position.Term, Position: position, State: state})
 }
--- a/internal/controlplane/consensus/replies.go
+++ b/internal/controlplane/consensus/replies.go
@@ -1,10 +1,10 @@
 package consensus
 
-// What follows reads the newest state out of the replies of several acceptors. Replies are
-// kept by member ID.
+// The functions in this file determine the newest state from the replies of several acceptors.
+// The replies are keyed by member ID.
 
-// CurrentReplies leaves the replies that may be counted: those of acceptors that no other disk
-// has replaced, as far as any of the replies says.
+// CurrentReplies returns the replies that may be counted: those of voting acceptors whose disk
+// has not been replaced according to any of the replies.
 func CurrentReplies(replies map[int]Reply) map[int]Reply {
 	current := map[int]Reply{}
 	for id, reply := range replies {
@@ -19,8 +19,8 @@
 	return current
 }
 
-// HighestReply finds the reply with the highest position, and the member sets of its state;
-// own are those that the reader knows, for replies that name none.
+// HighestReply returns the reply with the highest position and the member sets of its state. If
+// that reply has no member sets, it returns own, the member sets known to the reader.
 func HighestReply(replies map[int]Reply, own MemberSets) (highest Reply, sets MemberSets) {
 	for _, reply := range replies {
 		if c := highest.Position.Compare(reply.Position); c < 0 || c == 0 && len(highest.MemberSets.Current) == 0 {
@@ -33,16 +33,16 @@
 	return highest, highest.MemberSets
 }
 
-// HasReadQuorum reports whether current replies are a majority of each member set of the highest
-// state among them: then no state that was acknowledged before they were asked for is higher.
-// (DESIGN 6.5)
+// HasReadQuorum reports whether current replies include a majority of each member set of the
+// highest state among them. If so, no higher state was acknowledged before the replies were
+// requested. (DESIGN 6.5)
 func HasReadQuorum(current map[int]Reply, own MemberSets) bool {
 	_, sets := HighestReply(current, own)
 	return sets.HasQuorum(current)
 }
 
-// NewestState finds the newest state among current replies that are a read quorum; committed
-// reports whether majorities are known to hold it.
+// NewestState returns the newest state among current replies that form a read quorum, and
+// whether that state is known to be committed.
 func NewestState(current map[int]Reply, own MemberSets) (highest Reply, committed bool) {
 	highest, sets := HighestReply(current, own)
 	matching, known := map[int]Reply{}, false
--- a/internal/controlplane/consensus/reply.go
+++ b/internal/controlplane/consensus/reply.go
@@ -2,29 +2,30 @@
 
 import "curlewwalk/internal/config"
 
-// Reply is an acceptor's answer to a message of the same type and term.
+// Reply is an acceptor's response to a message of the same type and term.
 type Reply struct {
 	Sender Sender      `msgpack:"f"`
 	Type   MessageType `msgpack:"a"`
 	Term   uint64      `msgpack:"e"`
-	// Granted reports whether the acceptor did what the message asks for.
+	// Granted reports whether the acceptor granted the request in the message.
 	Granted bool  `msgpack:"ok"`
 	Phase   Phase `msgpack:"ph"`
 	// Promised is the highest term that the acceptor has promised.
 	Promised uint64 `msgpack:"p"`
-	// Position and State are what it accepted last; the state only where the message needs it.
+	// Position and State are the position and the control state that the acceptor accepted
+	// last. The state is included only if the message type requires it.
 	Position Position            `msgpack:"m"`
 	State    config.ControlState `msgpack:"w"`
-	// Committed is the highest revision that it knows to be committed.
+	// Committed is the highest revision that the acceptor knows to be committed.
 	Committed uint64 `msgpack:"se"`
-	// MemberRecords has the highest incarnation that it knows of each member ID, and the disk that
-	// has it.
+	// MemberRecords maps each member ID to the highest incarnation known to the acceptor and
+	// the disk of that incarnation.
 	MemberRecords map[int]MemberRecord `msgpack:"st"`
-	// MemberSets are those of its accepted state.
+	// MemberSets holds the member sets of the accepted state.
 	MemberSets MemberSets `msgpack:"sg"`
 }
 
-// sendingMember is the acceptor as a member of its own member sets, which tell its address.
+// sendingMember returns the sender as listed in its own member sets, which include its address.
 func (r Reply) sendingMember() config.Member {
 	for _, m := range r.MemberSets.Union() {
 		if containsSender([]config.Member{m}, r.Sender) {
@@ -34,9 +35,9 @@
 	return config.Member{MemberID: r.Sender.MemberID, DiskID: r.Sender.DiskID}
 }
 
-// FromMember is the reply, if it came from a member, and nil if not. A joining acceptor is
-// known by its disk ID: it may not know its member ID yet, or have one that it was not given
-// after all.
+// FromMember returns the reply if it came from member m, and nil otherwise. A joining acceptor
+// is identified by its disk ID, because it may not know its member ID yet, or may hold one
+// whose assignment was never committed.
 func (r Reply) FromMember(m config.Member) *Reply {
 	if r.Phase == PhaseJoining && m.DiskID != 0 && r.Sender.DiskID == m.DiskID {
 		r.Sender.MemberID = m.MemberID
--- a/internal/controlplane/consensus/reply_collector.go
+++ b/internal/controlplane/consensus/reply_collector.go
@@ -7,27 +7,27 @@
 	"curlewwalk/internal/config"
 )
 
-// collectTimeout bounds the collection of replies. It is shorter than messageTimeout: an operator's
-// read, or an attempt to join, is to go on without the members that don't answer.
-const collectTimeout = messageTimeout / 2 // (ours)
+// collectTimeout bounds the collection of replies. It is shorter than messageTimeout so that an
+// operator's read, or an attempt to join, continues without the members that do not answer.
+const collectTimeout = messageTimeout / 2
 
-// quorumGracePeriod is how long more replies are waited for once they are a quorum, since they
-// may show that the state is committed.
-const quorumGracePeriod = 100 * time.Millisecond // (ours)
+// quorumGracePeriod is the time to wait for more replies once a quorum has answered, since
+// further replies may show that the state is committed.
+const quorumGracePeriod = 100 * time.Millisecond
 
-// quorumProgress is how far replies have come.
+// quorumProgress describes what the replies received so far determine.
 type quorumProgress int
 
 const (
-	// quorumPending: the replies decide nothing yet.
+	// quorumPending means that the replies are not a quorum yet.
 	quorumPending quorumProgress = iota
-	// quorumReached: they are a quorum, but a few more may tell more.
+	// quorumReached means that the replies are a quorum, but more replies may add information.
 	quorumReached
-	// quorumConclusive: no more are needed.
+	// quorumConclusive means that no more replies are needed.
 	quorumConclusive
 )
 
-// replyCollector sends one message to members and collects their replies, by member ID.
+// replyCollector sends one message to members and collects their replies by member ID.
 type replyCollector struct {
 	client     *memberClient
 	message    Message
@@ -37,15 +37,15 @@
 	replies    map[int]Reply
 }
 
-// collectReplies sends a message to all known members, and to those that replies name. It
-// returns the replies that came in time, or the first that judge finds conclusive. Without a
-// judge all members are waited for.
+// collectReplies sends a message to all known members and to the members that replies list. It
+// returns the replies received in time, or earlier those that judge finds conclusive. If judge
+// is nil, it waits for all members.
 func (c *memberClient) collectReplies(ctx context.Context, message Message, judge func(replies map[int]Reply) quorumProgress) map[int]Reply {
 	ctx, cancel := context.WithTimeout(ctx, collectTimeout)
 	defer cancel()
 	collector := &replyCollector{client: c, message: message, received: make(chan *Reply), replies: map[int]Reply{}}
 	collector.send(ctx, c.local.Acceptor().MemberSets().Union())
-	grace := time.NewTimer(messageTimeout) // longer than ctx lives: it matters only once it is reset
+	grace := time.NewTimer(messageTimeout) // expires after ctx unless it is reset
 	defer grace.Stop()
 	progress := quorumPending
 	for collector.pending > 0 && collector.receive(ctx, grace.C) {
@@ -64,7 +64,7 @@
 	return collector.replies
 }
 
-// send sends the message to members that have not been sent it.
+// send sends the message to the members that have not been sent it.
 func (c *replyCollector) send(ctx context.Context, members []config.Member) {
 	for _, member := range members {
 		if containsMember(c.recipients, member) {
@@ -82,7 +82,8 @@
 	}
 }
 
-// receive waits for the next reply; false if the time is over.
+// receive waits for the next reply. It returns false if the timeout or the grace period has
+// expired.
 func (c *replyCollector) receive(ctx context.Context, grace <-chan time.Time) bool {
 	select {
 	case reply := <-c.received:
--- a/internal/controlplane/consensus/state_encoding.go
+++ b/internal/controlplane/consensus/state_encoding.go
@@ -9,10 +9,11 @@
 	"curlewwalk/internal/config"
 )
 
-// What follows lets tests/modelcheck tell states apart: copies that share nothing, and canonical
-// encodings. Two states with the same encoding behave alike from there on. (DESIGN 14.9)
+// The methods in this file let tests/modelcheck compare states. They provide deep copies and
+// canonical encodings. Two states with the same encoding have the same future behavior. (DESIGN
+// 14.9)
 
-// Clone is a copy of the proposer; the two share nothing that changes.
+// Clone returns a copy of the proposer that shares no mutable state with it.
 func (p *Proposer) Clone() *Proposer {
 	out := *p
 	out.commands = slices.Clone(p.commands)
@@ -20,8 +21,8 @@
 	return &out
 }
 
-// AppendState appends an encoding of the proposer. Times are encoded as far as they matter if
-// the next time that the proposer is given is far later than any of its limits.
+// AppendState appends an encoding of the proposer. Times are encoded only as far as they matter
+// if the next time passed to the proposer is far beyond all of its timeouts.
 func (p *Proposer) AppendState(b []byte, now time.Duration) []byte {
 	b = appendSender(b, p.self)
 	b = appendMembers(b, p.initialMembers)
@@ -40,7 +41,7 @@
 		b = appendFlags(b, p.termStarted < command.enqueuedAt)
 	}
 	if p.phase == proposerIdle {
-		return b // the replies of a phase that is over count for nothing
+		return b // replies of a finished phase have no effect
 	}
 	return appendReplies(appendReplies(b, p.exchange.grants), p.exchange.rejections)
 }
@@ -87,8 +88,8 @@
 	return AppendControlState(b, m.State)
 }
 
-// AppendControlState appends an encoding of what commands on configurations and member sets make
-// of a state.
+// AppendControlState appends an encoding of the parts of a state that commands on
+// configurations and member sets change.
 func AppendControlState(b []byte, state config.ControlState) []byte {
 	b = appendNumbers(b, state.Revision, state.ConfigurationRevision, state.Generation, uint64(state.HighestMemberID), uint64(len(state.Configuration)), uint64(len(state.AcceptedGenerations)))
 	b = append(b, state.Configuration...)
@@ -138,20 +139,20 @@
 	return appendMembers(appendMembers(b, s.Current), s.Previous)
 }
 
-func appendMemberRecords(b []byte, members map[int]MemberRecord) []byte {
-	b = appendNumbers(b, uint64(len(members)))
-	for _, memberID := range slices.Sorted(maps.Keys(members)) {
-		b = appendNumbers(b, uint64(memberID), members[memberID].Incarnation, members[memberID].DiskID)
+func appendMemberRecords(b []byte, records map[int]MemberRecord) []byte {
+	b = appendNumbers(b, uint64(len(records)))
+	for _, memberID := range slices.Sorted(maps.Keys(records)) {
+		b = appendNumbers(b, uint64(memberID), records[memberID].Incarnation, records[memberID].DiskID)
 	}
 	return b
 }
 
-// HoldsTerm reports whether the proposer goes on under a term.
+// HoldsTerm reports whether the proposer is active under a term.
 func (p *Proposer) HoldsTerm(term uint64) bool { return p.phase != proposerIdle && p.term == term }
 
-// CanAffect reports whether a reply can still change what the proposer does: it has a higher term,
-// or belongs to the current phase, or to one that a reconfiguration may start again under the
-// same term.
+// CanAffect reports whether a reply can still change the behavior of the proposer. That is the
+// case if the reply has a higher term, belongs to the current phase, or belongs to a phase that
+// a reconfiguration may start again under the same term.
 func (p *Proposer) CanAffect(reply Reply) bool {
 	if len(p.commands) == 0 && (p.phase == proposerIdle || p.proposal.forCommand) {
 		return false
--- a/internal/controlplane/consensus/state_files.go
+++ b/internal/controlplane/consensus/state_files.go
@@ -7,23 +7,23 @@
 	"curlewwalk/internal/config"
 )
 
-// promiseFile is the content of a file with promises: what the acceptor promised, and which
-// disks it knows under the member IDs.
+// promiseFile is the content of a promise file: the promises of the acceptor and the known disk
+// of each member ID.
 type promiseFile struct {
 	DiskID      uint64               `json:"id"`
 	Incarnation uint64               `json:"incarnation"`
 	Phase       Phase                `json:"phase"`
 	Promised    uint64               `json:"promised"`
 	Members     map[int]MemberRecord `json:"seats"`
-	// MemberID, StaticSize and InitialMembers are not in the files of earlier versions: their
-	// settings say them.
+	// MemberID, StaticSize, and InitialMembers are missing in the files of earlier versions,
+	// which take them from the settings.
 	MemberID       *int            `json:"slot,omitempty"`
 	StaticSize     int             `json:"founded,omitempty"`
 	InitialMembers []config.Member `json:"founders,omitempty"`
 }
 
-// stateHeader is the first line of a file with a control state; the configuration follows,
-// byte for byte as the operator's client sent it.
+// stateHeader is the first line of a control state file. The configuration follows, byte for
+// byte as the operator's client sent it.
 type stateHeader struct {
 	Position
 	ConfigurationRevision uint64   `json:"desired_stamp"`
@@ -45,8 +45,8 @@
 	HighestMemberID int             `json:"top,omitempty"`
 }
 
-// decodePromise reads a file with promises. What the file of an earlier version does not say
-// is taken from the settings.
+// decodePromise decodes a promise file. Fields that are missing in the file of an earlier
+// version are taken from the settings.
 func decodePromise(data []byte, bootstrap Bootstrap) (Acceptor, error) {
 	var file promiseFile
 	if err := json.Unmarshal(data, &file); err != nil {
@@ -65,7 +65,7 @@
 	return acceptor, nil
 }
 
-// encodePromise makes the content of a file with promises.
+// encodePromise returns the content of a promise file.
 func (a Acceptor) encodePromise() ([]byte, error) {
 	return json.Marshal(promiseFile{
 		DiskID: a.Self.DiskID, Incarnation: a.Self.Incarnation, Phase: a.Phase, Promised: a.Promised, Members: a.MemberRecords,
@@ -73,7 +73,7 @@
 	})
 }
 
-// withEncodedState is the acceptor with the control state of a file.
+// withEncodedState returns the acceptor with the control state decoded from a file.
 func (a Acceptor) withEncodedState(data []byte) (Acceptor, error) {
 	head, body, _ := bytes.Cut(data, []byte("\n"))
 	var header stateHeader
@@ -92,7 +92,7 @@
 	return a, nil
 }
 
-// encodeState makes the content of a file with the control state.
+// encodeState returns the content of a control state file.
 func (a Acceptor) encodeState() ([]byte, error) {
 	state := a.State
 	head, err := json.Marshal(stateHeader{
--- a/internal/controlplane/consensus/state_store.go
+++ b/internal/controlplane/consensus/state_store.go
@@ -9,7 +9,7 @@
 	"curlewwalk/internal/storage"
 )
 
-// The kinds of file in the data directory. (DESIGN 6.1)
+// The kinds of files in the data directory. (DESIGN 6.1)
 const (
 	kindPromise = "oath"
 	kindState   = "word"
@@ -17,23 +17,23 @@
 
 const (
 	keepPromises = 3
-	keepStates   = 16 // earlier states stay for operators to look at (ours)
+	keepStates   = 16 // earlier states are kept for inspection by operators
 )
 
-// stateStore keeps an acceptor on disk: its promises in files of one kind, and the control
-// state that it accepted in files of another.
+// stateStore saves an acceptor on disk. The promises and the accepted control state are in
+// files of different kinds.
 type stateStore struct {
 	store *storage.Store
-	// promiseSequence numbers the files with promises.
+	// promiseSequence is the number of the latest promise file.
 	promiseSequence uint64
 }
 
-// newStateStore makes a store of one acceptor, which has the directory for itself.
+// newStateStore returns a store for one acceptor, which must be the only user of the directory.
 func newStateStore(store *storage.Store) *stateStore { return &stateStore{store: store} }
 
-// load reads the acceptor. An empty disk gets the first state that the settings ask for. If the
-// latest files can't be read, the acceptor has lost what it promised: the files are quarantined
-// and it must join anew under another disk ID.
+// load loads the acceptor. An empty disk gets the initial state that the settings specify. If
+// the latest files cannot be read, the acceptor has lost its promises: the files are
+// quarantined, and the acceptor must join again under a new disk ID.
 func (s *stateStore) load(bootstrap Bootstrap) (Acceptor, error) {
 	empty := bootstrap.InitialState(newDiskID())
 	promise, err := s.store.Latest(kindPromise)
@@ -45,7 +45,8 @@
 		return empty, eris.Wrap(err, "load control state")
 	}
 	if promise.Name == "" && state.Name == "" {
-		// The disk ID, or an initial member's, is on disk before the replica sends anything.
+		// The disk ID, or the identity of an initial member, must be on disk before the replica
+		// sends anything.
 		return empty, s.save(empty)
 	}
 	if promise.Name == "" || promise.Corrupt || state.Corrupt {
@@ -61,7 +62,7 @@
 	}
 	switch acceptor.Phase {
 	case PhaseLost:
-		return acceptor, s.store.Quarantine(kindState, 0) // resetIdentity ended before that
+		return acceptor, s.store.Quarantine(kindState, 0) // resetIdentity was interrupted before this step
 	case PhaseEstablished, PhaseJoining:
 		loaded, err := acceptor.withEncodedState(state.Data)
 		if err != nil {
@@ -72,9 +73,10 @@
 	return acceptor, nil
 }
 
-// resetIdentity takes a new disk ID, and quarantines what was there. The ID is on disk before
-// anything else changes: wherever this is interrupted, the disk is as it was or has the new ID.
-// It never looks empty, which would make an initial member of it once more.
+// resetIdentity assigns a new disk ID and quarantines the existing files. The new ID is saved
+// before anything else changes, so an interruption leaves the disk either unchanged or with the
+// new ID. The disk never appears empty, since it could then be bootstrapped as an initial
+// member again.
 func (s *stateStore) resetIdentity(bootstrap Bootstrap, latestPromise string) (Acceptor, error) {
 	s.continueSequence(latestPromise)
 	bootstrap.NewCluster = false
@@ -91,16 +93,17 @@
 	return acceptor, s.store.Quarantine(kindState, 0)
 }
 
-// continueSequence numbers the next file with promises after the latest one.
+// continueSequence sets the sequence number so that the next promise file follows the latest
+// one.
 func (s *stateStore) continueSequence(latestPromise string) {
 	fmt.Sscanf(latestPromise, "%d", &s.promiseSequence)
 }
 
-// newDiskID draws the ID of a disk, which is never zero.
+// newDiskID returns a random disk ID, which is never zero.
 func newDiskID() uint64 { return rand.Uint64() | 1 }
 
-// save writes the dirty parts of an acceptor: the control state first, since a promise says
-// that the state that it stands for is there.
+// save writes the dirty parts of an acceptor. The control state is written first, since a
+// promise on disk implies that the state it refers to is on disk as well.
 func (s *stateStore) save(acceptor Acceptor) error {
 	if acceptor.StateDirty {
 		if err := s.saveState(acceptor); err != nil {
--- a/internal/controlplane/consensus/term.go
+++ b/internal/controlplane/consensus/term.go
@@ -1,18 +1,19 @@
 package consensus
 
 const (
-	// termStride is how far the terms of a member lie apart where members come and go: 29 bits
-	// for member IDs and 35 for terms last for decades with a replacement every ten seconds, or
-	// ten terms a second. It is a multiple of the stride of earlier versions, 1 << 16, so that
-	// the terms of members with an ID below that differ from those of such a version.
+	// termStride is the distance between successive terms of a member in a cluster of dynamic
+	// membership. It leaves 29 bits for member IDs, which last for decades at one replacement
+	// every ten seconds, and 35 bits for terms, which last for decades at ten terms per second.
+	// It is a multiple of 1 << 16, the stride of earlier versions, so that the terms of members
+	// with IDs below 1 << 16 differ from those of members that run such a version.
 	termStride = 1 << 29
-	// maxMemberID bounds member IDs, of which each disk gets a new one.
+	// maxMemberID is the highest member ID. Each disk gets a new member ID.
 	maxMemberID = termStride - 1
 )
 
-// nextTerm is the next term of a member after the highest known one. No two members ever get
-// the same: static members count by their number, as earlier versions do, all others by the
-// stride. (DESIGN 6.5)
+// nextTerm returns the next term of a member that is higher than the highest known term. Two
+// members never get the same term. The stride is the number of static members, as in earlier
+// versions, or termStride if the membership is dynamic. (DESIGN 6.5)
 func nextTerm(highest uint64, memberID, staticSize int) uint64 {
 	stride := uint64(termStride)
 	if staticSize > 0 {
--- a/internal/controlplane/consensus/transition.go
+++ b/internal/controlplane/consensus/transition.go
@@ -7,32 +7,33 @@
 )
 
 const (
-	// maxTransitions bounds how many transitions wait for the disk. What is turned away is sent
-	// again by whoever needs it.
-	maxTransitions = 64 // (ours)
-	// probeInterval is how often a disk with a fault is tried.
-	probeInterval = 500 * time.Millisecond // (ours)
+	// maxTransitions bounds the number of transitions that wait for the disk. The sender of a
+	// rejected message sends it again if necessary.
+	maxTransitions = 64
+	// probeInterval is the interval between probe writes to a faulty disk.
+	probeInterval = 500 * time.Millisecond
 )
 
-// transition is one change of the acceptor. It is decided on the state that is on disk, once
-// the disk is free: at most one write is under way, and their order is kept.
+// transition is a change of the acceptor. It is computed from the state on disk once the disk
+// is idle. At most one write is in progress, and transitions are applied in order.
 type transition struct {
-	// decide makes the next state; false if there is nothing to change.
+	// decide returns the next state, or false if there is nothing to change.
 	decide func(acceptor Acceptor) (next Acceptor, ok bool)
-	// done is called once the next state is on disk, or when it will not be.
+	// done is called once the next state is on disk, or with false if the transition was not
+	// applied.
 	done func(ctx context.Context, ok bool)
-	// deadline is when nobody waits for it any more, after the replica's start.
+	// deadline is the time, since the replica's start, after which the transition is discarded.
 	deadline time.Duration
 }
 
 // transitionQueue holds the transitions that wait for the disk.
 type transitionQueue struct {
 	waiting []transition
-	// saving is whether a write to disk is under way.
+	// saving is set while a write to disk is in progress.
 	saving bool
 }
 
-// expire takes out the transitions that nobody waits for any more.
+// expire removes and returns the transitions whose deadline has passed.
 func (q *transitionQueue) expire(now time.Duration) (expired []transition) {
 	q.waiting = slices.DeleteFunc(q.waiting, func(t transition) bool {
 		if now <= t.deadline {
@@ -44,7 +45,8 @@
 	return expired
 }
 
-// next takes out the first transition; false if there is none or the disk is busy.
+// next removes and returns the first transition. It returns false if there is none or if a
+// write is in progress.
 func (q *transitionQueue) next() (t transition, ok bool) {
 	if q.saving || len(q.waiting) == 0 {
 		return transition{}, false
@@ -54,8 +56,8 @@
 	return t, true
 }
 
-// enqueueTransition queues a change of the acceptor. Nothing of it may be sent before it is
-// done.
+// enqueueTransition queues a change of the acceptor. Nothing that depends on the change may be
+// sent before done is called.
 func (r *Replica) enqueueTransition(ctx context.Context, t transition) {
 	r.expireTransitions(ctx)
 	if len(r.transitions.waiting) >= maxTransitions {
@@ -66,14 +68,15 @@
 	r.advanceTransitions(ctx)
 }
 
-// expireTransitions ends the transitions that nobody waits for any more.
+// expireTransitions cancels the transitions whose deadline has passed.
 func (r *Replica) expireTransitions(ctx context.Context) {
 	for _, t := range r.transitions.expire(r.now()) {
 		t.done(ctx, false)
 	}
 }
 
-// advanceTransitions goes on with the transitions until one of them has to be written.
+// advanceTransitions applies the queued transitions until one of them has to be written to
+// disk.
 func (r *Replica) advanceTransitions(ctx context.Context) {
 	r.expireTransitions(ctx)
 	for t, ok := r.transitions.next(); ok; t, ok = r.transitions.next() {
@@ -91,8 +94,8 @@
 	}
 }
 
-// save writes a state on another goroutine: a stalled disk must not keep the replica from
-// answering reads and from reporting its health.
+// save writes a state on another goroutine, so that a stalled disk does not keep the replica
+// from answering reads and reporting its health.
 func (r *Replica) save(ctx context.Context, next Acceptor, done func(ctx context.Context, ok bool)) {
 	r.transitions.saving = true
 	r.setHealth(r.Health().WriteStarted(r.now()))
@@ -102,7 +105,7 @@
 	})
 }
 
-// handleSavedEvent takes the end of a write.
+// handleSavedEvent processes the completion of a write.
 func (r *Replica) handleSavedEvent(ctx context.Context, e savedEvent) {
 	r.transitions.saving = false
 	r.setHealth(r.Health().WriteEnded(e.err == nil, r.now()))
@@ -115,7 +118,7 @@
 	r.advanceTransitions(ctx)
 }
 
-// install takes a state that is on disk as the acceptor's.
+// install makes a state that is on disk the current state of the acceptor.
 func (r *Replica) install(ctx context.Context, next Acceptor) {
 	next.PromiseDirty, next.StateDirty = false, false
 	r.acceptor = next
@@ -126,8 +129,8 @@
 	}
 }
 
-// probeDisk writes the promise once more while the last write failed or took too long, to find
-// out when the disk takes writes again.
+// probeDisk writes the promise again if the last write failed or took too long, to detect when
+// the disk accepts writes again.
 func (r *Replica) probeDisk(ctx context.Context, now time.Duration) {
 	if r.transitions.saving || r.Health().DiskHealthy(now) || now-r.lastProbe < probeInterval {
 		return
