--- a/internal/controlplane/consensus/command_queue.go
+++ b/internal/controlplane/consensus/command_queue.go
@@ -12,8 +12,8 @@
 
 // prioritizeHighestGeneration moves the command with the highest generation to the front if the
 // first command is reorderable. Once that generation is committed, the lower ones need no
-// write. The reordering is safe because none of these commands has been answered. The queue
-// must not be empty.
+// write. None of these commands has been answered yet, so any order among them is valid. The
+// queue must not be empty.
 func (q commandQueue) prioritizeHighestGeneration() {
 	if !q[0].reorderable() {
 		return
--- a/internal/controlplane/consensus/conflict_test.go
+++ b/internal/controlplane/consensus/conflict_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A generation stands for one configuration: the same bytes are acknowledged again at any
-// replica, also after later generations; other bytes are refused, whoever submits them.
+// A generation identifies one configuration. Every replica acknowledges the same bytes again,
+// even after later generations, and rejects other bytes as a conflict.
 func TestOneGenerationOneConfiguration(t *testing.T) {
 	network := newProposerNetwork(t, 3)
 	put := func(memberID int, command Command, want Outcome) {
@@ -33,12 +33,12 @@
 		put(memberID, putGeneration(6, "nor this"), OutcomeCommitted)
 	}
 	if state := network.newestState(); string(state.Configuration) != "plain" || state.Generation != 8 {
-		t.Errorf("%+v", state)
+		t.Errorf("newest state = %+v, want configuration \"plain\" and generation 8", state)
 	}
 }
 
-// Conflicts are found by the bytes that the operator submitted, not by the form that an adapter
-// made of them.
+// Conflicts are detected by the bytes that the operator submitted, not by the form into which
+// an adapter converted them.
 func TestConflictComparesSubmittedBytes(t *testing.T) {
 	network := newProposerNetwork(t, 3)
 	put := func(payload, submitted string, want Outcome) {
@@ -53,9 +53,9 @@
 	put("a", "", OutcomeConflict)
 }
 
-// Two operators race under one generation, at one replica or at two, whichever way the messages
-// interleave: one configuration is committed and the other operator learns it, whichever
-// replica it asks.
+// Two operators submit different configurations under one generation, at one replica or at two,
+// in all interleavings of the first message deliveries. One configuration is committed, and the
+// other operator gets a conflict from every replica.
 func TestEqualGenerationsRace(t *testing.T) {
 	for steps := range 128 {
 		network := newProposerNetwork(t, 3)
@@ -80,13 +80,13 @@
 			}
 		}
 		if t.Failed() {
-			t.Fatalf("steps %b", steps)
+			t.Fatalf("failed with delivery order %b", steps)
 		}
 	}
 }
 
-// Among the commands that wait for a higher generation, two have that generation: the one with
-// other bytes is refused; those of lower generations, which were never committed, are
+// Two of the commands that wait for a higher generation have that generation. The one with
+// other bytes gets a conflict. Those of lower generations, which were never committed, are
 // acknowledged.
 func TestEqualGenerationsQueueUp(t *testing.T) {
 	network := newProposerNetwork(t, 3)
@@ -103,12 +103,12 @@
 	network.expect(same, OutcomeCommitted)
 	network.expect(late, OutcomeConflict)
 	if network.proposed != 2 {
-		t.Errorf("%d states were proposed", network.proposed)
+		t.Errorf("%d states were proposed, want 2", network.proposed)
 	}
 }
 
-// A proposal that was left unfinished is found and finished under a later term, or it is not;
-// either way its own bytes are distinguished from others under the same generation.
+// A proposal that one acceptor has accepted is either found and completed under a later term or
+// not found. In both cases its bytes are distinguished from other bytes of the same generation.
 func TestUncommittedGeneration(t *testing.T) {
 	for _, found := range []bool{true, false} {
 		t.Run(fmt.Sprint(found), func(t *testing.T) {
@@ -122,8 +122,8 @@
 			if found {
 				other = 1
 			}
-			// The coordinator changes. The next term asks member 3 and the one that has the
-			// proposal, or member 3 and the one that has not.
+			// Another replica becomes the coordinator. Its term is promised by member 3 and
+			// either the acceptor that holds the proposal or one that does not.
 			two := network.submit(3, putGeneration(4, "two"))
 			for range 8 {
 				sent := network.sent[3]
@@ -146,14 +146,15 @@
 			}
 			network.expect(one, wantOne)
 			if state := network.newestState(); string(state.Configuration) != newest {
-				t.Errorf("%+v", state)
+				t.Errorf("newest state = %+v, which has the wrong configuration", state)
 			}
 		})
 	}
 }
 
-// A generation that was committed long ago is acknowledged whatever comes under it: no repeat
-// of a committed one is ever refused, and the record is bounded.
+// The record of generations is bounded. A generation that was committed too long ago to be on
+// record is acknowledged with any bytes, so that no repeated submission of a committed one is
+// ever rejected.
 func TestAcceptedGenerationsAreBounded(t *testing.T) {
 	network := newProposerNetwork(t, 1)
 	put := func(command Command, want Outcome) {
@@ -164,27 +165,27 @@
 		network.expect(id, want)
 	}
 	text := func(n uint64) string { return fmt.Sprint("configuration ", n) }
-	const most = 300
-	for n := uint64(1); n <= most; n++ {
+	const generations = 300
+	for n := uint64(1); n <= generations; n++ {
 		put(putGeneration(n, text(n)), OutcomeCommitted)
 	}
 	known := 0
-	for n := uint64(1); n <= most; n++ {
+	for n := uint64(1); n <= generations; n++ {
 		put(putGeneration(n, text(n)), OutcomeCommitted)
 		id := network.submit(1, putGeneration(n, "other"))
 		if network.results[id].Outcome == OutcomeConflict {
 			known++
 		} else if known > 0 {
-			t.Fatalf("%d is not known any more, and an earlier one is", n)
+			t.Fatalf("generation %d is not on record although an earlier one is", n)
 		}
 	}
-	if known < 8 || known > most/2 {
-		t.Errorf("%d are known", known)
+	if known < 8 || known > generations/2 {
+		t.Errorf("%d generations are on record, want at least 8 and at most half of them", known)
 	}
 }
 
-// The record of generations survives a restart; for a state of a version that kept no record,
-// what the operator submitted takes its place.
+// The record of generations survives a restart. For a state of a version without that record,
+// the submission stored in the state is used instead.
 func TestAcceptedGenerationsOnDisk(t *testing.T) {
 	disk := openTestStore(t)
 	network := newProposerNetwork(t, 1)
@@ -231,5 +232,5 @@
 		t.Fatal(err)
 	}
 	restart()
-	put(putGeneration(7, "seven"), OutcomeCommitted) // what was committed under it is not known any more
+	put(putGeneration(7, "seven"), OutcomeCommitted) // the bytes committed under this generation are unknown
 }
--- a/internal/controlplane/consensus/crash_directory_test.go
+++ b/internal/controlplane/consensus/crash_directory_test.go
@@ -10,31 +10,31 @@
 	"curlewwalk/internal/storage"
 )
 
-// errCrashed is returned by each step once the process has crashed.
-var errCrashed = errors.New("the process ended here")
+// errCrashed is returned by each step after the simulated crash of the process.
+var errCrashed = errors.New("simulated crash of the process")
 
-// errDiskFull is returned by each write to a full disk.
-var errDiskFull = errors.New("no space left")
+// errDiskFull is returned by each step while the disk is full.
+var errDiskFull = errors.New("simulated disk is full")
 
-// inode is a file: what of it is durable, and what it holds now.
+// inode is a file with its current content and the content that is durable.
 type inode struct {
 	current, durable []byte
 	dirty            bool
 }
 
-// nameChange is a change of names that no sync of the directory has made durable.
+// nameChange is a change of the directory that no sync of the directory has made durable.
 type nameChange struct {
-	from, to string // from is empty for a file that was made, to for one that was removed
+	from, to string // from is empty for a created file, and to for a removed one
 	file     *inode
 }
 
-// crashDirectory is a directory with exactly the guarantees of storage.Directory. It crashes
-// after a number of steps, a step being a write of one byte or any other call.
+// crashDirectory is an in-memory directory with exactly the guarantees of storage.Directory. It
+// crashes after a number of steps. A step is the write of one byte or any other call.
 type crashDirectory struct {
 	current, durable map[string]*inode
 	pending          []nameChange
 	steps, crashAt   int
-	// full makes the steps from crashAt on fail instead.
+	// full makes all steps from crashAt on fail with errDiskFull instead of a crash.
 	full bool
 }
 
@@ -42,7 +42,7 @@
 	return &crashDirectory{current: map[string]*inode{}, durable: map[string]*inode{}, crashAt: -1}
 }
 
-// step counts a step, and fails after the crash.
+// step counts a step. It returns an error once crashAt is reached.
 func (d *crashDirectory) step() error {
 	if d.crashAt >= 0 && d.steps >= d.crashAt {
 		if d.full {
@@ -131,8 +131,8 @@
 	return nil
 }
 
-// afterRestart is the directory of the next process, with the names and the contents that were
-// kept.
+// afterRestart returns the directory of the next process, with the given names and the content
+// that was kept of each file.
 func afterRestart(names map[string]*inode, content func(file *inode) []byte) *crashDirectory {
 	next := newCrashDirectory()
 	for name, file := range names {
@@ -143,14 +143,14 @@
 	return next
 }
 
-// outcomes visits all directories that the next process may find: after a kill the files as
-// they are; after a loss of power each change of names that was not synced is kept or lost by
-// itself, and what was not synced of a file is there, missing, or torn in the middle. (The
-// crash at each byte of each write is up to the run.)
-func (d *crashDirectory) outcomes(t *testing.T, visit func(next *crashDirectory)) {
+// visitRestarts visits every directory that the next process may find. After a kill, the files are
+// as they were. After a power loss, each unsynced change of a name is independently kept or
+// lost, and the unsynced content of a file is present, missing, or truncated in the middle. The
+// caller varies the byte at which the crash occurs.
+func (d *crashDirectory) visitRestarts(t *testing.T, visit func(next *crashDirectory)) {
 	visit(afterRestart(d.current, func(file *inode) []byte { return file.current }))
 	if len(d.pending) > 12 {
-		t.Fatalf("%d changes of names are not synced", len(d.pending))
+		t.Fatalf("%d changes of names are not synced, which is too many to enumerate", len(d.pending))
 	}
 	contents := []func(file *inode) []byte{
 		func(file *inode) []byte { return file.current },
--- a/internal/controlplane/consensus/delta_codec.go
+++ b/internal/controlplane/consensus/delta_codec.go
@@ -17,9 +17,9 @@
 
 // deltaCodec encodes control states and commands as patches to a state that the receiver has.
 // It stores recent states and the positions that the other replicas reported. It only saves
-// bandwidth: the fingerprint of the base reveals a wrong assumption about the receiver, which
-// is then sent the whole content. The zero value is ready for use, and the codec is safe for
-// concurrent use.
+// bandwidth: a receiver without the assumed base detects that by the fingerprint of the base,
+// and is then sent the whole content. The zero value is ready for use, and the codec is safe
+// for concurrent use.
 type deltaCodec struct {
 	mu            sync.Mutex
 	versions      config.VersionHistory
--- a/internal/controlplane/consensus/delta_codec_test.go
+++ b/internal/controlplane/consensus/delta_codec_test.go
@@ -9,7 +9,8 @@
 	"curlewwalk/internal/transport"
 )
 
-// configuration is one of so many routes, of which one depends on its number.
+// configuration returns a configuration with a number of routes. One of the routes depends on
+// number.
 func configuration(number, routes int) []byte {
 	var b strings.Builder
 	for i := range routes {
@@ -22,7 +23,8 @@
 	return []byte(b.String())
 }
 
-// submit has a member bring a command to the coordinator.
+// submit submits a command at a member, which forwards it to the coordinator if it is not the
+// coordinator.
 func (c *testCluster) submit(from int, command Command) (result CommandResult) {
 	if from == 1 {
 		return c.members[1].Submit(c.ctx, command)
@@ -30,46 +32,47 @@
 	if got := c.members[from].Forward(c.ctx, c.peers[1], command); !got.Decode(&result) {
 		result.Outcome = OutcomeUnknown
 		if got.Delivery == transport.Answered {
-			c.t.Fatalf("fault %q", got.Fault)
+			c.t.Fatalf("forwarded command was answered with fault %q", got.Fault)
 		}
 	}
 	return result
 }
 
-// put has a member bring a configuration to the coordinator, and checks that all hold it.
+// put submits a configuration at a member and checks that all members hold it.
 func (c *testCluster) put(from, number int) {
 	c.t.Helper()
 	command := Command{Kind: CommandPutConfiguration, Generation: uint64(number), Payload: configuration(number, 60), Submitted: configuration(number, 30)}
 	result := c.submit(from, command)
-	// As an operator does, it is submitted again under its generation while no clear answer came:
-	// a connection to a member that was just restarted may have been broken.
+	// Like an operator, the test submits the command again under the same generation until it
+	// is committed: the connection to a member that was just restarted may break.
 	for ; result.Outcome != OutcomeCommitted; result = c.submit(from, command) {
 		if c.ctx.Err() != nil {
-			c.t.Fatalf("command %d was never committed: %v", number, result.Outcome)
+			c.t.Fatalf("command %d was not committed in time; last outcome %v", number, result.Outcome)
 		}
 	}
 	if result.State.Revision == 0 || result.State.Generation != uint64(number) {
-		c.t.Fatalf("command %d: %+v", number, result.State)
+		c.t.Fatalf("result state of command %d = %+v, want its generation and a revision", number, result.State)
 	}
 	for memberID, m := range c.members {
 		for m.Acceptor().Committed < result.State.Revision {
 			select {
 			case <-c.ctx.Done():
-				c.t.Fatalf("member %d has not revision %d", memberID, result.State.Revision)
+				c.t.Fatalf("member %d did not commit revision %d in time", memberID, result.State.Revision)
 			case <-time.After(time.Millisecond):
 			}
 		}
 		if state := m.Acceptor().State; string(state.Configuration) != string(command.Payload) || string(state.Submitted) != string(command.Submitted) || state.Revision != result.State.Revision {
-			c.t.Fatalf("member %d holds something else at revision %d", memberID, state.Revision)
+			c.t.Fatalf("member %d holds another state than the committed one, at revision %d", memberID, state.Revision)
 		}
 	}
 }
 
-// readIndexSize is how many bytes a MsgReadIndex has at most. They come by time and not by change.
+// readIndexSize is the maximum size of a MsgReadIndex in bytes. These messages are sent
+// periodically, independently of changes.
 const readIndexSize = 150
 
-// bytesSent is how many bytes of messages and commands the replicas have sent, and been
-// answered where these were deltas. Each MsgReadIndex is left out.
+// bytesSent returns the number of bytes of the messages and commands that the replicas have
+// sent, plus the responses to deltas. MsgReadIndex messages are not counted.
 func (c *testCluster) bytesSent() (total uint64) {
 	for _, m := range c.members {
 		counts := m.client.Counters.Snapshot()
@@ -82,8 +85,9 @@
 	return total
 }
 
-// A change of one route costs the replicas a small part of its configuration, whichever it is
-// submitted to; the first after a restart costs all of it once.
+// A change of one route costs the replicas only a fraction of the size of the configuration, at
+// whichever replica it is submitted. Only the first change after a restart costs the whole
+// size.
 func TestConfigurationChangeIsSentAsDelta(t *testing.T) {
 	c := newTestCluster(t)
 	for memberID := 1; memberID <= 3; memberID++ {
@@ -98,15 +102,15 @@
 		c.put(1+n%3, n)
 	}
 	each := (c.bytesSent() - before) / uint64(changes)
-	t.Logf("%d bytes a change of a configuration of %d", each, whole)
+	t.Logf("%d bytes per change of a configuration of %d bytes", each, whole)
 	if each > whole/2 {
-		t.Errorf("%d bytes a change of a configuration of %d", each, whole)
+		t.Errorf("%d bytes per change of a configuration of %d bytes, want at most half", each, whole)
 	}
 }
 
-// Members of an earlier version, which know no deltas, are sent whole states, also while
-// versions mix and change from one restart to the next; no member ever holds anything else
-// than was put.
+// Members of an earlier version do not support deltas and are sent whole states. No member may
+// ever hold a state other than the submitted one, also while versions are mixed and change with
+// restarts.
 func TestMixedReplicaVersions(t *testing.T) {
 	c := newTestCluster(t)
 	c.start(1, false)
--- a/internal/controlplane/consensus/events.go
+++ b/internal/controlplane/consensus/events.go
@@ -29,7 +29,8 @@
 	// bootstrapEvent holds the replies of the other static members to the MsgRead of an empty
 	// disk.
 	bootstrapEvent struct{ replies map[int]Reply }
-	// joinEvent holds their replies to a MsgJoin, which was sent as self.
+	// joinEvent holds the replies of the other static members to a MsgJoin, which was sent as
+	// self.
 	joinEvent struct {
 		self    Sender
 		replies map[int]Reply
--- a/internal/controlplane/consensus/generation_test.go
+++ b/internal/controlplane/consensus/generation_test.go
@@ -10,8 +10,8 @@
 	"curlewwalk/internal/config"
 )
 
-// A generation is committed once; one that is no higher changes nothing; a configuration
-// without a generation keeps the generation and clears what was submitted.
+// A generation is committed once, and one that is not higher than the newest changes nothing. A
+// configuration without a generation keeps the generation and clears the stored submission.
 func TestGenerations(t *testing.T) {
 	network := newProposerNetwork(t, 3)
 	put := func(memberID int, command Command) config.ControlState {
@@ -22,11 +22,11 @@
 	}
 	state := put(1, putGeneration(5, "five"))
 	if state.Generation != 5 || string(state.Configuration) != "five" || string(state.Submitted) != "sent five" || state.ConfigurationRevision != state.Revision {
-		t.Errorf("%+v", state)
+		t.Errorf("state after the first put = %+v, want generation 5", state)
 	}
 	for n, text := range map[uint64]string{5: "five", 4: "other", 1: "other"} {
 		if again := put(1, putGeneration(n, text)); again.Revision != state.Revision || string(again.Configuration) != "five" {
-			t.Errorf("generation %d after 5: %+v", n, again)
+			t.Errorf("state after a put of generation %d after 5 = %+v, want no change", n, again)
 		}
 	}
 	other := network.submit(1, putGeneration(5, "other"))
@@ -35,7 +35,7 @@
 	revision := state.ConfigurationRevision + 7
 	command := putGeneration(5, "five")
 	command.IfMatch = &revision
-	put(2, command) // repeated at another replica, whatever it is bound to
+	put(2, command) // repeated at another replica; the condition is ignored
 	command = putGeneration(6, "six")
 	command.IfMatch = &revision
 	id := network.submit(2, command)
@@ -43,24 +43,24 @@
 	network.expect(id, OutcomeMismatch)
 	put(2, Command{Kind: CommandEvacuate, Zone: "west"})
 	if state = network.newestState(); state.Generation != 5 || string(state.Submitted) != "sent five" {
-		t.Errorf("after another command: %+v", state)
+		t.Errorf("state after a command of another kind = %+v, want generation 5 and its submission", state)
 	}
 	put(3, Command{Kind: CommandPutConfiguration, Payload: []byte("plain"), Submitted: []byte("no")})
 	if state = network.newestState(); state.Generation != 5 || state.Submitted != nil || string(state.Configuration) != "plain" {
-		t.Errorf("after one without a generation: %+v", state)
+		t.Errorf("state after a put without a generation = %+v, want generation 5 without a submission", state)
 	}
 	put(1, putGeneration(5, "five"))
 	if state = network.newestState(); string(state.Configuration) != "plain" {
-		t.Errorf("an old generation came back: %+v", state)
+		t.Errorf("state after an old generation was put again = %+v, want the plain configuration", state)
 	}
 	put(1, putGeneration(6, "six"))
 	if state = network.newestState(); state.Generation != 6 || string(state.Configuration) != "six" {
-		t.Errorf("%+v", state)
+		t.Errorf("state after generation 6 = %+v, want its configuration", state)
 	}
 }
 
-// Two proposers race: whichever way their messages interleave, both generations are
-// acknowledged, and the higher one is the newest.
+// Two proposers write different generations in all interleavings of the first message
+// deliveries. Both generations are acknowledged, and the higher one is the newest.
 func TestGenerationsRace(t *testing.T) {
 	for steps := range 64 {
 		network := newProposerNetwork(t, 3)
@@ -74,13 +74,13 @@
 		network.expect(low, OutcomeCommitted)
 		network.expect(high, OutcomeCommitted)
 		if state := network.newestState(); state.Generation != 2 || string(state.Configuration) != "high" {
-			t.Errorf("steps %b: %+v", steps, state)
+			t.Errorf("delivery order %b: newest state = %+v, want generation 2", steps, state)
 		}
 	}
 }
 
-// A generation whose messages were lost, and which another proposer's state has superseded, is
-// proposed again and not left unknown.
+// A generation whose messages were lost, and whose position another proposer's state has taken,
+// is proposed again. Its outcome is not unknown.
 func TestGenerationSupersededInFlight(t *testing.T) {
 	network := newProposerNetwork(t, 3)
 	first := network.submit(1, Command{Kind: CommandEvacuate, Zone: "west"})
@@ -94,24 +94,24 @@
 	}
 	network.expect(other, OutcomeCommitted)
 	if state := network.newestState(); state.Generation != 0 || state.Revision != 2 {
-		t.Errorf("%+v", state)
+		t.Errorf("newest state = %+v, want revision 2 without a generation", state)
 	}
 	network.deliverAll()
 	network.expect(superseded, OutcomeCommitted)
 	if state := network.newestState(); state.Generation != 1 || len(state.EvacuatedByOperator) != 2 {
-		t.Errorf("%+v", state)
+		t.Errorf("newest state = %+v, want generation 1 and two evacuated zones", state)
 	}
 }
 
-// Of generations that queue up while one is being written, the highest only is written; all are
-// acknowledged, the others once that is committed.
+// Several generations are queued while one is being written. Only the highest of them is
+// written. All are acknowledged, the lower ones once the highest is committed.
 func TestGenerationsQueueUp(t *testing.T) {
 	network := newProposerNetwork(t, 3)
 	first := network.submit(1, putGeneration(1, "1"))
 	for network.step(1) && network.proposed == 0 {
 	}
 	var ids []uint64
-	for _, n := range []uint64{3, 2, 30, 4, 29} { // while the first is proposed
+	for _, n := range []uint64{3, 2, 30, 4, 29} { // while the first one is being proposed
 		ids = append(ids, network.submit(1, putGeneration(n, "later")))
 	}
 	evacuate := network.submit(1, Command{Kind: CommandEvacuate, Zone: "west"})
@@ -123,7 +123,7 @@
 	}
 	network.expect(first, OutcomeCommitted)
 	if state := network.expect(ids[2], OutcomeCommitted); state.Generation != 30 || state.Revision != 2 {
-		t.Errorf("%+v", state)
+		t.Errorf("state of the highest generation = %+v, want generation 30 at revision 2", state)
 	}
 	network.deliverAll()
 	for _, id := range append(ids, evacuate) {
@@ -131,12 +131,12 @@
 	}
 	network.expect(mismatch, OutcomeMismatch)
 	if state := network.newestState(); state.Generation != 30 || state.Revision != 3 || network.proposed != 3 {
-		t.Errorf("%d states were proposed, %+v", network.proposed, state)
+		t.Errorf("%d states were proposed, newest %+v; want 3 states and generation 30 at revision 3", network.proposed, state)
 	}
 }
 
-// A generation that waits for a higher one is not acknowledged if that is not committed in
-// time: it was never proposed, so it surely was not committed.
+// A generation that waits for a higher one is rejected, not acknowledged, if the higher one is
+// not committed in time. It was never proposed, so it was certainly not committed.
 func TestGenerationsUncommitted(t *testing.T) {
 	network := newProposerNetwork(t, 3)
 	first := network.submit(1, putGeneration(1, "1"))
@@ -148,7 +148,7 @@
 	for !network.hasResult(first) {
 		network.step(1)
 	}
-	network.sent[1] = nil // the messages for 3 are lost, and all later ones
+	network.sent[1] = nil // the messages for generation 3 and all later ones are lost
 	for range 40 {
 		network.now += 50 * time.Millisecond
 		network.handleReady(1, network.proposers[1].Tick(network.now))
@@ -161,12 +161,12 @@
 	network.deliverAll()
 	network.expect(low, OutcomeRejected)
 	if !network.hasResult(high) {
-		t.Error("the higher one has no result")
+		t.Error("the higher generation has no result")
 	}
 }
 
-// The generation of a state, and what was submitted, are read back from disk; a file of a
-// version without generations is read.
+// The generation and the submission of a state are loaded from disk. A file of a version
+// without generations can be loaded.
 func TestGenerationOnDisk(t *testing.T) {
 	disk := openTestStore(t)
 	store := newStateStore(disk)
@@ -190,6 +190,6 @@
 		t.Fatal(err)
 	}
 	if got, err = newStateStore(disk).load(Bootstrap{MemberID: 1, StaticSize: 1}); err != nil || got.State.Generation != 0 || string(got.State.Configuration) != "{}" || got.State.ConfigurationRevision != 4 {
-		t.Errorf("%+v %v", got.State, err)
+		t.Errorf("state of the earlier version = %+v, error %v; want configuration {} at revision 4", got.State, err)
 	}
 }
--- a/internal/controlplane/consensus/golden_disk_test.go
+++ b/internal/controlplane/consensus/golden_disk_test.go
@@ -14,14 +14,14 @@
 	"curlewwalk/tests/golden"
 )
 
-// goldenData is the directory with the golden data of a replica.
+// goldenData is the directory of the golden data of a replica.
 const goldenData = "data"
 
-// replacement is the member that replaces the third initial one.
+// replacement is the member that replaces the third initial member.
 var replacement = config.Member{MemberID: 4, DiskID: 44, Addr: "10.0.0.4:7000"}
 
-// history is a cluster of three initial members, the first of which proposes all commands and
-// has a disk. A fourth one joins later.
+// history simulates a cluster of three initial members. The first member proposes all commands
+// and has a disk. A fourth member joins later.
 type history struct {
 	t         *testing.T
 	store     *stateStore
@@ -53,10 +53,10 @@
 	return h
 }
 
-// own is the acceptor with the disk.
+// own returns the acceptor that has the disk.
 func (h *history) own() Acceptor { return h.acceptors[h.proposer.self.DiskID] }
 
-// write has a command carried out by all members.
+// write executes a command with all members.
 func (h *history) write(command Command) {
 	h.t.Helper()
 	h.lastID++
@@ -65,16 +65,16 @@
 	h.answered = false
 	h.deliver(h.proposer.Enqueue(command, h.now))
 	if !h.answered {
-		h.t.Fatalf("command %d, %s, has no result", command.ID, command.Kind)
+		h.t.Fatalf("command %d of kind %s has no result", command.ID, command.Kind)
 	}
 }
 
-// deliver brings messages to their members, and the replies back.
+// deliver sends messages to their members and passes the replies to the proposer.
 func (h *history) deliver(items []Ready) {
 	for _, item := range items {
 		if item.Result != nil {
 			if item.Result.Outcome != OutcomeCommitted {
-				h.t.Fatalf("command %d: %s", item.Result.ID, item.Result.Outcome)
+				h.t.Fatalf("outcome of command %d = %s, want committed", item.Result.ID, item.Result.Outcome)
 			}
 			h.answered = true
 		}
@@ -94,9 +94,9 @@
 	}
 }
 
-// replay carries out the commands that the golden data comes from: many configurations, with a
-// generation and without, zones evacuated and revoked, a calendar with a window that was
-// waived, and a reconfiguration, which is finalized.
+// replay executes the commands that produce the golden data: several configurations with and
+// without a generation, zones evacuated and revoked, a calendar with a waived window, and a
+// reconfiguration, which is finalized.
 func (h *history) replay() {
 	since := func() *uint64 { committed := h.own().Committed; return &committed }
 	for n := range uint64(12) {
@@ -117,7 +117,7 @@
 	h.write(Command{Kind: CommandEvacuate, Zone: "east", SinceRevision: since()})
 }
 
-// readDirectory reads all files of a directory, by name.
+// readDirectory returns the contents of all files of a directory by name.
 func readDirectory(t *testing.T, dir string) map[string]string {
 	t.Helper()
 	entries, err := os.ReadDir(dir)
@@ -135,7 +135,7 @@
 	return out
 }
 
-// The same commands leave the same files: names, headers, bodies and checksums.
+// The same commands produce the same files: names, headers, bodies, and checksums.
 func TestGoldenDataIsWritten(t *testing.T) {
 	dir := t.TempDir()
 	h := newHistory(t, dir)
@@ -149,12 +149,12 @@
 	}
 	state := h.own().State
 	if len(state.Members) != 3 || len(state.PreviousMembers) != 0 || state.HighestMemberID != 4 || len(state.AcceptedGenerations) < 10 || len(state.EvacuatedByOperator) != 3 || len(state.Closures) != 2 || len(state.Evacuations) < 5 || state.Generation != 30 {
-		t.Errorf("the files hold less than they should: %+v", state)
+		t.Errorf("final state = %+v, which lacks parts that the golden data must cover", state)
 	}
 }
 
-// A data directory of an earlier version is loaded as the state that was written, and what is
-// saved of that state is the same bytes.
+// A data directory of an earlier version is loaded as the state that was written, and saving
+// that state again produces the same bytes.
 func TestGoldenDataIsRead(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.CopyFS(dir, os.DirFS(golden.Path(goldenData))); err != nil {
@@ -174,12 +174,12 @@
 		t.Fatal(err)
 	}
 	want := replayed.own()
-	want.Committed, want.PromiseDirty, want.StateDirty = 0, false, false // these are not on disk
+	want.Committed, want.PromiseDirty, want.StateDirty = 0, false, false // not stored on disk
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
 	if after := readDirectory(t, dir); !cmp.Equal(before, after) {
-		t.Error("loading changed the directory: ", cmp.Diff(before, after))
+		t.Error("loading changed the directory (-before +after): ", cmp.Diff(before, after))
 	}
 
 	newestState := newest(before, kindState)
@@ -190,14 +190,14 @@
 	}
 	after := readDirectory(t, dir)
 	if name := newest(after, kindState); name != newestState || after[name] != before[name] {
-		t.Errorf("the configuration is written as %s, %q, not as %s, %q", name, after[name], newestState, before[newestState])
+		t.Errorf("control state saved as %s with %q, want %s with %q", name, after[name], newestState, before[newestState])
 	}
 	if name := newest(after, kindPromise); name <= newestPromise || after[name] != before[newestPromise] {
-		t.Errorf("the promise is written as %s, %q, not as after %s, %q", name, after[name], newestPromise, before[newestPromise])
+		t.Errorf("promise saved as %s with %q, want a name after %s and %q", name, after[name], newestPromise, before[newestPromise])
 	}
 }
 
-// newest is the name of the latest file of a kind.
+// newest returns the name of the latest file of a kind.
 func newest(files map[string]string, kind string) string {
 	var names []string
 	for name := range files {
--- a/internal/controlplane/consensus/golden_test.go
+++ b/internal/controlplane/consensus/golden_test.go
@@ -6,12 +6,12 @@
 	"curlewwalk/tests/golden"
 )
 
-// A message with its control state as a delta has the same bytes as ever.
+// The encoding of a message with a delta is unchanged.
 func TestGoldenDeltaMessage(t *testing.T) {
 	golden.Value(t, golden.Msgpack, "patched-ballot.msgpack", &deltaMessage{})
 }
 
-// The two kinds of file have the same keys as ever.
+// The keys in both kinds of files are unchanged.
 func TestGoldenFileKeys(t *testing.T) {
 	golden.Value(t, golden.JSON, "oath.json", &promiseFile{})
 	golden.Value(t, golden.JSON, "word-head.json", &stateHeader{})
--- a/internal/controlplane/consensus/member_id_test.go
+++ b/internal/controlplane/consensus/member_id_test.go
@@ -7,8 +7,9 @@
 	"curlewwalk/internal/storage"
 )
 
-// A joining replica lost power between the sync of the state that names it and the sync of its
-// promise. It is a member all the same, once it learns that the state is committed.
+// A joining replica loses power after the sync of the state that lists it and before the sync
+// of its promise, which holds its member ID. It must still become a member once it learns that
+// the state is committed.
 func TestMemberIDAdoptedAfterPowerLoss(t *testing.T) {
 	dir := t.TempDir()
 	open := func() (*stateStore, Acceptor) {
@@ -28,23 +29,23 @@
 	accept := Message{Sender: Sender{MemberID: 1, Incarnation: 1, DiskID: 101}, Type: MsgAccept, Term: 9, Position: Position{9, 5}, State: state}
 	accepted, reply := joining.Step(accept)
 	if !reply.Granted || accepted.Self.MemberID != 4 {
-		t.Fatalf("does not adopt its member ID: %+v", accepted.Self)
+		t.Fatalf("sender identity after the accept = %+v, want member 4", accepted.Self)
 	}
-	accepted.PromiseDirty = false // power is lost before the promise is synced
+	accepted.PromiseDirty = false // simulates the power loss before the promise is synced
 	if err := store.save(accepted); err != nil {
 		t.Fatal(err)
 	}
 	_, reloaded := open()
 	if reloaded.Position != accept.Position {
-		t.Fatalf("the state was not kept: %v", reloaded.Position)
+		t.Fatalf("position after the reload = %v, want the accepted one", reloaded.Position)
 	}
 	commit := accept
 	commit.Type = MsgCommit
 	committed, _ := reloaded.Step(commit)
 	if !committed.IsMember() || committed.Self.MemberID != 4 {
-		t.Errorf("it is no member after the state that names it was committed: %s %+v", committed.Phase, committed.Self)
+		t.Errorf("acceptor after the commit is %s as %+v, want established as member 4", committed.Phase, committed.Self)
 	}
 	if !committed.PromiseDirty {
-		t.Error("its membership would not be saved")
+		t.Error("the membership is not marked to be saved")
 	}
 }
--- a/internal/controlplane/consensus/membership_planner_test.go
+++ b/internal/controlplane/consensus/membership_planner_test.go
@@ -7,8 +7,8 @@
 	"curlewwalk/internal/config"
 )
 
-// liveMembers is an acceptor of n members, and what the coordinator knows of them: all are
-// live.
+// liveMembers returns an acceptor with size initial members, and statuses that report all of them
+// as live.
 func liveMembers(size int) (Acceptor, map[int]MemberStatus) {
 	acceptor := Acceptor{Phase: PhaseEstablished}
 	statuses := map[int]MemberStatus{}
@@ -21,7 +21,8 @@
 	return acceptor, statuses
 }
 
-// observed is a planner that has observed the same statuses for a time.
+// observed returns a planner that has observed the same statuses for a time span, and the time
+// of its last observation.
 func observed(acceptor Acceptor, statuses map[int]MemberStatus, span time.Duration) (MembershipPlanner, time.Duration) {
 	planner := MembershipPlanner{RemovalDelay: time.Second}
 	now := time.Second
@@ -37,10 +38,10 @@
 	}
 }
 
-// A replica that asks joins beside all others while they are live; replaces one that is gone;
-// and replaces the one with its own address, at once.
+// A joining replica is added to the set while all members are live, replaces a member that is
+// gone, and immediately replaces the member with its own address.
 func TestMembershipPlannerPlansJoin(t *testing.T) {
-	stranger, sameAddr := JoinRequest{DiskID: 99, Addr: "z"}, JoinRequest{DiskID: 99, Addr: "b"}
+	newAddr, sameAddr := JoinRequest{DiskID: 99, Addr: "z"}, JoinRequest{DiskID: 99, Addr: "b"}
 	for _, c := range []struct {
 		name       string
 		size       int
@@ -52,18 +53,18 @@
 		leaving    int
 		ok         bool
 	}{
-		{name: "beside all", size: 3, observed: 3 * time.Second, request: stranger, ok: true},
-		{name: "beside one", size: 1, observed: 3 * time.Second, request: stranger, ok: true},
-		{name: "one is silent, not yet gone", size: 3, dead: []int{2}, observed: 400 * time.Millisecond, request: stranger},
-		{name: "instead of the gone one", size: 3, dead: []int{2}, observed: 3 * time.Second, request: stranger, leaving: 2, ok: true},
-		{name: "at the lost disk's address", size: 3, dead: []int{2}, request: sameAddr, leaving: 2, ok: true},
-		{name: "at the lost disk's address, which seems live", size: 3, request: sameAddr, leaving: 2, ok: true},
-		{name: "no majority lives", size: 3, dead: []int{2, 3}, observed: 3 * time.Second, request: stranger, leaving: 2},
-		{name: "two of five are gone", size: 5, dead: []int{2, 4}, observed: 3 * time.Second, request: stranger, leaving: 2, ok: true},
-		{name: "two of four are gone", size: 4, dead: []int{2, 4}, observed: 3 * time.Second, request: stranger, leaving: 2},
+		{name: "added to three", size: 3, observed: 3 * time.Second, request: newAddr, ok: true},
+		{name: "added to one", size: 1, observed: 3 * time.Second, request: newAddr, ok: true},
+		{name: "one absent, not yet gone", size: 3, dead: []int{2}, observed: 400 * time.Millisecond, request: newAddr},
+		{name: "replaces the gone member", size: 3, dead: []int{2}, observed: 3 * time.Second, request: newAddr, leaving: 2, ok: true},
+		{name: "replaces the member at its address", size: 3, dead: []int{2}, request: sameAddr, leaving: 2, ok: true},
+		{name: "replaces the member at its address, reported live", size: 3, request: sameAddr, leaving: 2, ok: true},
+		{name: "no live majority", size: 3, dead: []int{2, 3}, observed: 3 * time.Second, request: newAddr, leaving: 2},
+		{name: "two of five gone", size: 5, dead: []int{2, 4}, observed: 3 * time.Second, request: newAddr, leaving: 2, ok: true},
+		{name: "two of four gone", size: 4, dead: []int{2, 4}, observed: 3 * time.Second, request: newAddr, leaving: 2},
 		{name: "already a member", size: 3, observed: 3 * time.Second, request: JoinRequest{DiskID: 3, Addr: "c"}},
-		{name: "a member ID is used once", size: 3, observed: 3 * time.Second, request: stranger, highestID: 8, ok: true},
-		{name: "static members", size: 3, observed: 3 * time.Second, request: stranger, staticSize: 3},
+		{name: "member IDs are not reused", size: 3, observed: 3 * time.Second, request: newAddr, highestID: 8, ok: true},
+		{name: "static members", size: 3, observed: 3 * time.Second, request: newAddr, staticSize: 3},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			acceptor, statuses := liveMembers(c.size)
@@ -72,18 +73,19 @@
 			planner, now := observed(acceptor, statuses, c.observed)
 			command, ok := planner.PlanJoin(c.request, acceptor, statuses, now)
 			if ok != c.ok {
-				t.Fatalf("%+v %v", command, ok)
+				t.Fatalf("PlanJoin() = %+v with unexpected ok %v", command, ok)
 			}
 			joining := config.Member{MemberID: max(c.size, c.highestID) + 1, DiskID: c.request.DiskID, Addr: c.request.Addr}
 			if ok && (command.Leaving != c.leaving || command.Joining != joining || len(command.ExpectedMembers) != c.size) {
-				t.Errorf("%+v", command)
+				t.Errorf("PlanJoin() = %+v, which has the wrong members", command)
 			}
 		})
 	}
 }
 
-// A set of even size removes a member that is gone, one of odd size only if two are; never
-// without a majority, nor below three or the number of initial members.
+// A member that is gone is removed from a set of even size. From a set of odd size it is
+// removed only if two members are gone. No removal is planned without a live majority, nor
+// below three members or the number of initial members.
 func TestMembershipPlannerPlansRemoval(t *testing.T) {
 	for _, c := range []struct {
 		name          string
@@ -93,7 +95,7 @@
 		leaving       int
 	}{
 		{name: "one of four gone", size: 4, initial: 3, dead: []int{2}, observed: 3 * time.Second, leaving: 2},
-		{name: "one of four silent, not yet gone", size: 4, initial: 3, dead: []int{2}, observed: 400 * time.Millisecond},
+		{name: "one of four absent, not yet gone", size: 4, initial: 3, dead: []int{2}, observed: 400 * time.Millisecond},
 		{name: "all of four live", size: 4, initial: 3, observed: 3 * time.Second},
 		{name: "four initial members", size: 4, initial: 4, dead: []int{2}, observed: 3 * time.Second},
 		{name: "two of four gone", size: 4, initial: 3, dead: []int{2, 3}, observed: 3 * time.Second},
@@ -110,14 +112,14 @@
 			markDead(statuses, c.dead...)
 			planner, now := observed(acceptor, statuses, c.observed)
 			if command, ok := planner.PlanRemoval(acceptor, now); ok != (c.leaving != 0) || command.Leaving != c.leaving {
-				t.Errorf("%+v %v", command, ok)
+				t.Errorf("PlanRemoval() = %+v, %v, which does not match the case", command, ok)
 			}
 		})
 	}
 }
 
-// A planner that was suspended takes no member for gone until it has observed for long
-// enough.
+// A planner that was suspended treats no member as gone until it has observed the absence for
+// RemovalDelay again.
 func TestMembershipPlannerAfterSuspension(t *testing.T) {
 	acceptor, statuses := liveMembers(4)
 	acceptor.State.Members, acceptor.InitialMembers = acceptor.InitialMembers, acceptor.InitialMembers[:3]
@@ -125,21 +127,22 @@
 	planner, now := observed(acceptor, statuses, 500*time.Millisecond)
 	now += 10 * time.Second
 	if _, ok := planner.PlanRemoval(acceptor, now); ok {
-		t.Error("removed by what it knew before it was suspended")
+		t.Error("removal planned from observations before the suspension")
 	}
 	planner = planner.Observe(acceptor.MemberSets().Current, statuses, now)
 	if _, ok := planner.PlanRemoval(acceptor, now); ok {
-		t.Error("removed right after it resumed")
+		t.Error("removal planned immediately after the resumption")
 	}
 	now += time.Second
 	planner = planner.Observe(acceptor.MemberSets().Current, statuses, now)
 	if _, ok := planner.PlanRemoval(acceptor, now); !ok {
-		t.Error("does not remove after it has observed")
+		t.Error("no removal planned after RemovalDelay")
 	}
 }
 
-// A member that stops leaves a set of even size, which bears no more losses than the odd one
-// without it; a set of odd size, the initial one and the smallest stay as they are.
+// A member that is being stopped leaves a set of even size, since that set tolerates no more
+// failures than the odd set without it. It does not leave a set of odd size, the initial set,
+// or a set of the minimum size.
 func TestPlanLeave(t *testing.T) {
 	for _, c := range []struct {
 		name                string
@@ -155,7 +158,7 @@
 		{name: "four initial members", size: 4, initial: 4, self: 1},
 		{name: "of two", size: 2, initial: 1, self: 1},
 		{name: "not a member", size: 4, initial: 3, self: 9},
-		{name: "while a reconfiguration is under way", size: 4, initial: 3, self: 1, reconfiguring: true},
+		{name: "during a reconfiguration", size: 4, initial: 3, self: 1, reconfiguring: true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			acceptor, _ := liveMembers(c.size)
@@ -166,12 +169,12 @@
 			}
 			command, ok := PlanLeave(acceptor)
 			if ok != c.leaves || ok && (command.Kind != CommandReconfigure || command.Leaving != c.self || command.Joining.MemberID != 0 || len(command.ExpectedMembers) != c.size) {
-				t.Errorf("%+v %v", command, ok)
+				t.Errorf("PlanLeave() = %+v, %v, which does not match the case", command, ok)
 			}
 		})
 	}
 	static := Acceptor{StaticSize: 3, Phase: PhaseEstablished, Self: Sender{MemberID: 1, Incarnation: 1, DiskID: 1}}
 	if _, ok := PlanLeave(static); ok {
-		t.Error("a static member leaves")
+		t.Error("PlanLeave() plans the leave of a static member")
 	}
 }
--- a/internal/controlplane/consensus/phase.go
+++ b/internal/controlplane/consensus/phase.go
@@ -12,8 +12,8 @@
 	PhaseLost Phase = "lost"
 	// PhaseEstablished is the phase of a member's disk, which votes.
 	PhaseEstablished Phase = "established"
-	// PhaseJoining is the phase of a replica that does not know itself to be a member. It votes
-	// as well, since it never lost any state. Its vote counts only in member sets that include
-	// it.
+	// PhaseJoining is the phase of a replica that does not know whether it is a member. It
+	// votes as well, since it never lost any state. Its vote counts only in member sets that
+	// include it.
 	PhaseJoining Phase = "seeking"
 )
--- a/internal/controlplane/consensus/proposer_network_test.go
+++ b/internal/controlplane/consensus/proposer_network_test.go
@@ -15,9 +15,9 @@
 	proposers map[int]*Proposer
 	results   map[uint64]CommandResult
 	lastID    uint64
-	// sent are the messages of each proposer that are in flight.
+	// sent holds the undelivered messages of each proposer.
 	sent map[int][]Ready
-	// proposed counts the proposals.
+	// proposed is the number of accept messages that were broadcast.
 	proposed int
 }
 
@@ -36,7 +36,7 @@
 	return network
 }
 
-// submit enqueues a command at a proposer, and returns its ID.
+// submit enqueues a command at a proposer and returns the ID of the command.
 func (network *proposerNetwork) submit(memberID int, command Command) uint64 {
 	network.lastID++
 	command.ID, command.Deadline = network.lastID, network.now+3*time.Second
@@ -58,8 +58,8 @@
 	}
 }
 
-// step delivers the messages of a proposer that are in flight, and the replies to it; false if
-// there were none.
+// step delivers the undelivered messages of a proposer and the replies to them. It returns
+// false if there were none.
 func (network *proposerNetwork) step(memberID int) bool {
 	sent := network.sent[memberID]
 	network.sent[memberID] = nil
@@ -74,7 +74,7 @@
 	return len(sent) > 0
 }
 
-// deliverAll delivers all that is in flight, and lets a second pass.
+// deliverAll delivers all messages and advances the time by one second.
 func (network *proposerNetwork) deliverAll() {
 	for range 10 {
 		for memberID := range network.proposers {
@@ -89,7 +89,7 @@
 	}
 }
 
-// newestState is the state that a majority holds.
+// newestState returns the newest state, which a majority must hold.
 func (network *proposerNetwork) newestState() config.ControlState {
 	replies := map[int]Reply{}
 	for i := range network.acceptors {
@@ -111,7 +111,7 @@
 	network.t.Helper()
 	result, ok := network.results[id]
 	if !ok || result.Outcome != want {
-		network.t.Errorf("command %d: %q, want %q", id, result.Outcome, want)
+		network.t.Errorf("outcome of command %d = %q, want %q", id, result.Outcome, want)
 	}
 	return result.State
 }
@@ -120,20 +120,21 @@
 	return Command{Kind: CommandPutConfiguration, Generation: n, Payload: []byte(text), Submitted: []byte("sent " + text)}
 }
 
-// acceptWithoutCommit delivers a proposal to one acceptor only, and drops the other messages of
-// the proposer: the proposal is left unfinished.
+// acceptWithoutCommit delivers a proposal to one acceptor and drops all other messages of the
+// proposer, so that the proposal remains unfinished.
 func (network *proposerNetwork) acceptWithoutCommit(memberID, acceptor int) {
 	network.t.Helper()
 	for _, item := range network.sent[memberID] {
 		if item.Message.Type != MsgAccept {
-			network.t.Fatalf("%s is under way", item.Message.Type)
+			network.t.Fatalf("undelivered message is a %s, want an accept message", item.Message.Type)
 		}
 		network.acceptors[acceptor-1], _ = network.acceptors[acceptor-1].Step(*item.Message)
 	}
 	network.sent[memberID] = nil
 }
 
-// zoneCommand is a command on a zone that came while a revision was the newest.
+// zoneCommand returns a command on a zone that was received when sinceRevision was the newest
+// revision.
 func zoneCommand(kind CommandKind, zone string, sinceRevision uint64) Command {
 	return Command{Kind: kind, Zone: zone, SinceRevision: &sinceRevision}
 }
--- a/internal/controlplane/consensus/proposer_phases.go
+++ b/internal/controlplane/consensus/proposer_phases.go
@@ -150,7 +150,8 @@
 	return p.startPhase(proposerAccepting, now)
 }
 
-// handleCommitted commits the proposal that a majority has accepted, and starts the next one.
+// handleCommitted announces the commit of the proposal that a majority has accepted, and
+// continues with the next proposal.
 func (p *Proposer) handleCommitted(now time.Duration) []Ready {
 	p.base = p.proposal.stateSnapshot
 	p.phase = proposerIdle
--- a/internal/controlplane/consensus/quorum_test.go
+++ b/internal/controlplane/consensus/quorum_test.go
@@ -13,7 +13,7 @@
 	return out
 }
 
-// addReplies adds the replies of members that hold a state under a position, with its member
+// addReplies adds replies of members that hold a state at a position and with the given member
 // sets.
 func addReplies(replies map[int]Reply, position Position, sets MemberSets, memberIDs ...int) map[int]Reply {
 	for _, id := range memberIDs {
@@ -22,8 +22,8 @@
 	return replies
 }
 
-// Replies are a read quorum once they are majorities of both member sets of the highest state
-// among them, whatever set was asked.
+// Replies are a read quorum if they include majorities of both member sets of the highest state
+// among them, even if another member set was asked.
 func TestHasReadQuorum(t *testing.T) {
 	old, grown := MemberSets{Current: memberSet(1, 2, 3)}, MemberSets{Current: memberSet(1, 2, 3, 4), Previous: memberSet(1, 2, 3)}
 	moved := MemberSets{Current: memberSet(3, 4, 5), Previous: memberSet(3, 4, 2)}
@@ -33,13 +33,13 @@
 		replies map[int]Reply
 		want    bool
 	}{
-		{"a majority of the old", addReplies(map[int]Reply{}, low, old, 1, 2), true},
-		{"a minority", addReplies(map[int]Reply{}, low, old, 1), false},
-		{"one knows the grown set", addReplies(addReplies(map[int]Reply{}, low, old, 1), high, grown, 2), false},
-		{"majorities of both", addReplies(addReplies(map[int]Reply{}, low, old, 1), high, grown, 2, 4), true},
-		{"of the new only", addReplies(map[int]Reply{}, high, moved, 4, 5), false},
-		{"of both moved", addReplies(map[int]Reply{}, high, moved, 3, 4), true},
-		{"none", map[int]Reply{}, false},
+		{"majority of the old set", addReplies(map[int]Reply{}, low, old, 1, 2), true},
+		{"minority", addReplies(map[int]Reply{}, low, old, 1), false},
+		{"one reply has the grown set", addReplies(addReplies(map[int]Reply{}, low, old, 1), high, grown, 2), false},
+		{"majorities of both sets", addReplies(addReplies(map[int]Reply{}, low, old, 1), high, grown, 2, 4), true},
+		{"majority of the new set only", addReplies(map[int]Reply{}, high, moved, 4, 5), false},
+		{"majorities of both sets, replaced members", addReplies(map[int]Reply{}, high, moved, 3, 4), true},
+		{"no replies", map[int]Reply{}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := HasReadQuorum(CurrentReplies(c.replies), old); got != c.want {
@@ -47,12 +47,12 @@
 			}
 		})
 	}
-	// Another disk under a member's ID is no member.
+	// A reply from another disk with a member's ID does not count.
 	replies := addReplies(map[int]Reply{}, low, old, 1, 2)
 	reply := replies[2]
 	reply.Sender.DiskID = 7
 	replies[2] = reply
 	if HasReadQuorum(replies, old) {
-		t.Error("a stranger was counted")
+		t.Error("a reply from another disk was counted")
 	}
 }
--- a/internal/controlplane/consensus/reconfiguration_test.go
+++ b/internal/controlplane/consensus/reconfiguration_test.go
@@ -8,13 +8,15 @@
 	"curlewwalk/internal/config"
 )
 
-// establishedAcceptor is an acceptor of three initial members that holds a state.
+// establishedAcceptor returns an acceptor of a cluster of three initial members that holds a
+// state.
 func establishedAcceptor(memberID int, position Position, state config.ControlState) Acceptor {
 	return Acceptor{Self: Sender{MemberID: memberID, Incarnation: 1, DiskID: uint64(100 + memberID)}, Phase: PhaseEstablished, Promised: position.Term, Position: position, State: state, Committed: position.Revision, InitialMembers: memberSet(1, 2, 3)}
 }
 
-// A proposer that was left behind asks the members of each set that it learns of, and proposes
-// nothing before majorities of the newest have promised.
+// A proposer whose member set is outdated sends its prepare messages to the members of each set
+// that the replies list. It proposes nothing before majorities of the newest sets have
+// promised.
 func TestPrepareExtendsToPreviousMembers(t *testing.T) {
 	first := config.ControlState{Revision: 1, Configuration: []byte("old")}
 	second := config.ControlState{Revision: 3, Configuration: []byte("old"), Members: memberSet(2, 3, 4), HighestMemberID: 4}
@@ -38,26 +40,26 @@
 		for _, item := range items {
 			recipients = append(recipients, MemberIDs(item.To)...)
 			if item.Message.Type == MsgAccept && !slices.Contains(recipients, 5) {
-				t.Fatalf("proposes %q before it knows the newest set", item.Message.State.Configuration)
+				t.Fatalf("proposes %q before it has asked the newest set", item.Message.State.Configuration)
 			}
 		}
 	}
-	deliver(1, 2) // a majority of the set that it knows
+	deliver(1, 2) // a majority of the set known to the proposer
 	if p.phase != proposerPreparing || !slices.Equal(recipients, []int{4}) {
-		t.Fatalf("phase %d, asked %v", p.phase, recipients)
+		t.Fatalf("phase %d, additional recipients %v; want preparing and member 4", p.phase, recipients)
 	}
 	deliver(4)
 	if p.phase != proposerPreparing || !slices.Contains(recipients, 5) {
-		t.Fatalf("phase %d, asked %v", p.phase, recipients)
+		t.Fatalf("phase %d, additional recipients %v; want preparing and member 5 included", p.phase, recipients)
 	}
 	deliver(5)
 	if p.phase != proposerAccepting || string(p.proposal.state.Configuration) != "new" {
-		t.Fatalf("phase %d, proposes %q", p.phase, p.proposal.state.Configuration)
+		t.Fatalf("phase %d, proposal %q; want accepting and the new configuration", p.phase, p.proposal.state.Configuration)
 	}
 }
 
-// A committed reconfiguration is finalized by the next state at once, and nothing is proposed
-// before the members that it needs have answered.
+// A committed reconfiguration is finalized by the next state immediately. The reconfiguration
+// is not proposed before the members that it needs have answered.
 func TestReconfigurationIsFinalized(t *testing.T) {
 	acceptors := map[int]Acceptor{}
 	for id := 1; id <= 3; id++ {
@@ -93,24 +95,24 @@
 				}
 			}
 		}
-		t.Fatal("it does not come to an end")
+		t.Fatal("the reconfiguration does not end")
 		return result
 	}
 	if result := run(1, 2, 3); result.Outcome != OutcomeRejected || acceptors[1].Position != (Position{}) {
-		t.Errorf("without the joining member: %s, %+v", result.Outcome, acceptors[1].Position)
+		t.Errorf("without the joining member: outcome %s, position %+v; want rejected and no proposal", result.Outcome, acceptors[1].Position)
 	}
 	if result := run(1, 2, 3, 4); result.Outcome != OutcomeCommitted {
-		t.Errorf("with it: %s", result.Outcome)
+		t.Errorf("with the joining member: outcome %s, want committed", result.Outcome)
 	}
 	for id, acceptor := range acceptors {
 		if state := acceptor.State; state.Revision != 2 || len(state.PreviousMembers) != 0 || len(state.Members) != 4 || !acceptor.IsMember() {
-			t.Errorf("%d holds %+v", id, state)
+			t.Errorf("state of acceptor %d = %+v, want revision 2 with four members and no previous set", id, state)
 		}
 	}
 }
 
-// A reconfiguration that does not fit the base is resolved under a new term: the base may have
-// been superseded.
+// A reconfiguration that does not match the base is resolved only under a new term, since the
+// base may have been superseded.
 func TestReconfigurationOnSupersededState(t *testing.T) {
 	acceptor := establishedAcceptor(1, Position{}, config.ControlState{})
 	acceptor.InitialMembers = memberSet(1)
@@ -135,7 +137,7 @@
 	if got := run(p.Enqueue(Command{ID: 1, Kind: CommandPutConfiguration, Payload: []byte("a"), Deadline: time.Minute}, now)); got != OutcomeCommitted {
 		t.Fatal(got)
 	}
-	// Another proposer has removed member 2 of a set that this one never knew.
+	// Another proposer has removed member 2 from a set that this proposer has never seen.
 	state := acceptor.State
 	state.Revision, state.Members, state.HighestMemberID = 5, memberSet(1), 2
 	acceptor, _ = acceptor.Step(Message{Type: MsgCommit, Term: 1 << 20, Position: Position{1 << 20, 5}, State: state})
@@ -143,12 +145,13 @@
 	now += time.Second
 	p.Enqueue(Command{ID: 2, Kind: CommandReconfigure, Leaving: 1, ExpectedMembers: memberSet(1, 2), Deadline: time.Minute}, now)
 	if p.phase != proposerPreparing {
-		t.Error("resolved by a state that was superseded")
+		t.Error("resolved on a superseded state, want a new prepare phase")
 	}
 }
 
-// The state that finalizes a reconfiguration is committed though time passes before its replies
-// come and no command waits; but the attempt ends if no majority replies.
+// The state that finalizes a reconfiguration is committed even if ticks occur before its
+// replies arrive and no command is waiting. The attempt ends after finishTimeout if no majority
+// replies.
 func TestFinalizationOutlastsTicks(t *testing.T) {
 	for _, answered := range []bool{true, false} {
 		acceptors := map[int]Acceptor{}
@@ -182,31 +185,31 @@
 			}
 		}
 		if !finalizing || committed != answered {
-			t.Errorf("replies come %v: finalization proposed %v, committed %v", answered, finalizing, committed)
+			t.Errorf("replies delivered %v: finalization proposed %v, committed %v", answered, finalizing, committed)
 		}
 		p.Tick(now + finishTimeout)
 		if p.phase != proposerIdle {
-			t.Errorf("replies come %v: still in phase %d after %v", answered, p.phase, finishTimeout)
+			t.Errorf("replies delivered %v: still in phase %d after %v, want idle", answered, p.phase, finishTimeout)
 		}
 	}
 }
 
-// Only one reconfiguration is in force at a time, decided on the current set, and no member ID
-// is used again.
+// Only one reconfiguration is in effect at a time. It must be planned on the current set, and
+// no member ID is reused.
 func TestReconfigurationNeedsBothMajorities(t *testing.T) {
 	current := memberSet(1, 2, 3)
 	join := Command{Kind: CommandReconfigure, Joining: config.Member{MemberID: 4, DiskID: 104}, ExpectedMembers: current}
 	state := applyReconfiguration(config.ControlState{Revision: 1}, current, join)
 	if len(state.Members) != 4 || len(state.PreviousMembers) != 3 || state.HighestMemberID != 4 {
-		t.Errorf("%+v", state)
+		t.Errorf("state after the join = %+v, want four members and three previous ones", state)
 	}
 	swap := Command{Kind: CommandReconfigure, Joining: config.Member{MemberID: 5, DiskID: 105}, Leaving: 2, ExpectedMembers: state.Members}
 	swapped := applyReconfiguration(finalizeReconfiguration(state), state.Members, swap)
 	if s := MemberIDs(swapped.Members); len(s) != 4 || s[1] != 3 || s[3] != 5 || len(swapped.PreviousMembers) != 4 || swapped.HighestMemberID != 5 {
-		t.Errorf("%+v", swapped)
+		t.Errorf("state after the replacement = %+v, want member 5 instead of 2 and four previous members", swapped)
 	}
 	if unchanged := applyReconfiguration(swapped, swapped.Members, Command{Kind: CommandPutConfiguration}); len(unchanged.PreviousMembers) != 0 || len(unchanged.Members) != 4 {
-		t.Errorf("%+v", unchanged)
+		t.Errorf("state after another command = %+v, want four members and no previous set", unchanged)
 	}
 	for _, c := range []struct {
 		name    string
@@ -215,24 +218,25 @@
 		command Command
 		want    Outcome
 	}{
-		{"to be done", config.ControlState{}, current, join, ""},
-		{"done", state, state.Members, join, OutcomeCommitted},
-		{"decided on another set", swapped, swapped.Members, replaceCommand(join, current, 6), OutcomeRejected},
+		{"not in effect", config.ControlState{}, current, join, ""},
+		{"already in effect", state, state.Members, join, OutcomeCommitted},
+		{"planned on another set", swapped, swapped.Members, withExpectedMembers(join, current, 6), OutcomeRejected},
 		{"a member ID used before", config.ControlState{Members: current, HighestMemberID: 4}, current, join, OutcomeRejected},
-		{"the last one", config.ControlState{}, memberSet(1), Command{Kind: CommandReconfigure, Leaving: 1, ExpectedMembers: memberSet(1)}, OutcomeRejected},
-		{"another command", config.ControlState{}, current, Command{Kind: CommandPutConfiguration}, ""},
+		{"removal of the last member", config.ControlState{}, memberSet(1), Command{Kind: CommandReconfigure, Leaving: 1, ExpectedMembers: memberSet(1)}, OutcomeRejected},
+		{"command of another kind", config.ControlState{}, current, Command{Kind: CommandPutConfiguration}, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			result, resolved := resolveReconfiguration(c.base, c.current, c.command)
 			if resolved != (c.want != "") || resolved && result.Outcome != c.want {
-				t.Errorf("%v %v", result.Outcome, resolved)
+				t.Errorf("outcome %v, resolved %v, which does not match the case", result.Outcome, resolved)
 			}
 		})
 	}
 }
 
-// replaceCommand is a command decided on another set, for another member.
-func replaceCommand(command Command, of []config.Member, memberID int) Command {
-	command.ExpectedMembers, command.Joining.MemberID, command.Joining.DiskID = of, memberID, uint64(100+memberID)
+// withExpectedMembers returns the command with another expected member set and another joining
+// member.
+func withExpectedMembers(command Command, expected []config.Member, memberID int) Command {
+	command.ExpectedMembers, command.Joining.MemberID, command.Joining.DiskID = expected, memberID, uint64(100+memberID)
 	return command
 }
--- a/internal/controlplane/consensus/rejection_test.go
+++ b/internal/controlplane/consensus/rejection_test.go
@@ -7,8 +7,8 @@
 	"curlewwalk/internal/config"
 )
 
-// exchangeMessages delivers what a proposer wants to acceptors, which reply at once, and
-// returns the results of commands. The members in lost reply nothing.
+// exchangeMessages delivers the messages of a proposer to acceptors, which reply immediately,
+// and returns the results of commands. Messages to the members in lost are dropped.
 func exchangeMessages(p *Proposer, acceptors map[int]Acceptor, items []Ready, now time.Duration, lost ...int) (results []CommandResult) {
 	for len(items) > 0 {
 		item := items[0]
@@ -31,9 +31,9 @@
 	return results
 }
 
-// A replica comes back from a partition with a promise of a term that no other acceptor gave:
-// the coordinator goes on under its own term while majorities are left without that replica,
-// and takes a higher one once they are not.
+// A replica returns from a partition with a promise of a higher term that no other acceptor
+// gave. The coordinator keeps its own term as long as there is a majority without that replica,
+// and prepares a higher term once there is none.
 func TestSinglePromiseDoesNotInterruptProposal(t *testing.T) {
 	state := config.ControlState{Revision: 2, ConfigurationRevision: 2}
 	acceptors := map[int]Acceptor{}
@@ -47,7 +47,7 @@
 		return p.Enqueue(Command{ID: id, Kind: CommandEvacuate, Zone: "north", Deadline: now + commandTimeout}, now)
 	}
 	if results := exchangeMessages(p, acceptors, submit(1), now); len(results) != 1 || results[0].Outcome != OutcomeCommitted {
-		t.Fatalf("%+v", results)
+		t.Fatalf("results of the first command = %+v, want one committed", results)
 	}
 	term := p.term
 	returned := acceptors[1]
@@ -55,9 +55,9 @@
 	acceptors[1] = returned
 	now += time.Second
 	if results := exchangeMessages(p, acceptors, submit(2), now); len(results) != 1 || results[0].Outcome != OutcomeCommitted || p.term != term {
-		t.Fatalf("%+v under term %d, not %d", results, p.term, term)
+		t.Fatalf("results of the second command = %+v under term %d, want one committed under term %d", results, p.term, term)
 	}
-	// The third is gone: a majority needs the one that came back.
+	// Member 3 is lost, so a majority needs the replica that returned.
 	now += time.Second
 	results := exchangeMessages(p, acceptors, submit(3), now, 3)
 	for range 20 {
@@ -65,6 +65,6 @@
 		results = append(results, exchangeMessages(p, acceptors, p.Tick(now), now, 3)...)
 	}
 	if len(results) != 1 || results[0].Outcome != OutcomeCommitted || p.term <= returned.Promised {
-		t.Errorf("%+v under term %d", results, p.term)
+		t.Errorf("results of the third command = %+v under term %d, want one committed under a higher term than the promised one", results, p.term)
 	}
 }
--- a/internal/controlplane/consensus/replica_commands.go
+++ b/internal/controlplane/consensus/replica_commands.go
@@ -79,9 +79,10 @@
 	r.handleReady(ctx, r.proposer.Enqueue(e.command, now))
 }
 
-// refreshDue reports whether this replica has to commit the newest state. That is the case if
-// it is the coordinator and no majority is known to hold a state that it or another replica has
-// accepted, as after a cold start or after a proposer stopped between accept and commit.
+// refreshDue reports whether this replica has to commit the newest state. The coordinator does
+// so if the newest state, on this or another replica, is not known to be held by a majority, or
+// if a reconfiguration has not been finalized. This occurs after a cold start or after a
+// proposer stopped between accept and commit.
 func (r *Replica) refreshDue(now time.Duration) bool {
 	uncommitted := r.acceptor.Position.Revision > r.acceptor.Committed || len(r.acceptor.State.PreviousMembers) > 0 || r.commits.uncommitted
 	return uncommitted && len(r.commands) == 0 && now-r.lastAttempt >= attemptInterval && r.Health().Connected(now) && r.deps.Peers.IsCoordinator()
--- a/internal/controlplane/consensus/replica_harness_test.go
+++ b/internal/controlplane/consensus/replica_harness_test.go
@@ -16,7 +16,7 @@
 	"curlewwalk/internal/transport"
 )
 
-// diskGate holds up or fails what is written while it is closed.
+// diskGate blocks writes until open is closed, and fails them while failing is set.
 type diskGate struct {
 	open    chan struct{}
 	failing atomic.Bool
@@ -30,14 +30,15 @@
 	return nil
 }
 
-// replicaHarness is a replica with a disk that can be held up, and acceptors on the wire.
+// replicaHarness is a replica with a disk that can be blocked, and with acceptors that are
+// reached over the network.
 type replicaHarness struct {
 	*Replica
 	ctx         context.Context
 	store       *storage.Store
 	committed   chan uint64    // the revisions passed to OnCommit
-	confirmed   chan time.Time // the moments passed to OnReadConfirmed
-	changed     chan bool      // Healthy, whenever OnHealthChange was called
+	confirmed   chan time.Time // the times passed to OnReadConfirmed
+	changed     chan bool      // the results of Healthy at the calls of OnHealthChange
 	acceptors   map[int]*slowPeer
 	coordinator atomic.Bool
 }
@@ -48,8 +49,8 @@
 // IsCoordinator implements Peers.
 func (h *replicaHarness) IsCoordinator() bool { return h.coordinator.Load() }
 
-// newReplicaHarness starts the replica of member 1 of 3, which holds the state of a position;
-// others are acceptors on the wire that hold theirs.
+// newReplicaHarness starts the replica of member 1 of 3, which holds a state at position own.
+// The parameter others maps the remaining members that run to the positions of their states.
 func newReplicaHarness(t *testing.T, own Position, others map[int]Position) *replicaHarness {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
@@ -61,7 +62,7 @@
 	}
 	members := []config.Member{{MemberID: 1, DiskID: 1}}
 	for memberID := 2; memberID <= 3; memberID++ {
-		m := config.Member{MemberID: memberID, DiskID: uint64(memberID), Addr: "127.0.0.1:1"} // nobody listens
+		m := config.Member{MemberID: memberID, DiskID: uint64(memberID), Addr: "127.0.0.1:1"} // no server listens on this port
 		if _, ok := others[memberID]; ok {
 			h.acceptors[memberID] = &slowPeer{}
 			m.Addr = h.acceptors[memberID].serve(ctx, t, actors)
@@ -93,7 +94,7 @@
 	return h
 }
 
-// blockDisk holds up what is written from now on.
+// blockDisk blocks all writes from now on.
 func (h *replicaHarness) blockDisk() *diskGate {
 	g := &diskGate{open: make(chan struct{})}
 	h.store.BeforeWrite = g.before
@@ -103,8 +104,8 @@
 // run starts the replica's timers.
 func (h *replicaHarness) run() { h.deps.Actors.Go(h.ctx, "replica", h.Run) }
 
-// eventually waits until something holds.
-func (h *replicaHarness) eventually(t *testing.T, what string, ok func() bool) {
+// eventually waits until a condition holds.
+func (h *replicaHarness) eventually(t *testing.T, condition string, ok func() bool) {
 	t.Helper()
 	tick := time.NewTicker(5 * time.Millisecond)
 	defer tick.Stop()
@@ -112,24 +113,24 @@
 		select {
 		case <-tick.C:
 		case <-h.ctx.Done():
-			t.Fatalf("waited in vain for: %s", what)
+			t.Fatalf("condition not met in time: %s", condition)
 		}
 	}
 }
 
-// receive takes, or fails the test when its time is over.
+// receive returns the next value from a channel. It fails the test if there is none in time.
 func receive[T any](t *testing.T, h *replicaHarness, from <-chan T) T {
 	t.Helper()
 	select {
 	case v := <-from:
 		return v
 	case <-h.ctx.Done():
-		t.Fatal("waited in vain")
+		t.Fatal("no value received in time")
 		panic("not reached")
 	}
 }
 
-// loadFromDisk is what a restart would find.
+// loadFromDisk returns the acceptor that a restart would load.
 func (h *replicaHarness) loadFromDisk(t *testing.T) Acceptor {
 	t.Helper()
 	acceptor, err := newStateStore(h.store).load(Bootstrap{})
@@ -139,11 +140,12 @@
 	return acceptor
 }
 
-// slowPeer is an acceptor on the wire that grants a MsgJoin at once and is late to say so.
+// slowPeer is an acceptor on the network that grants a MsgJoin immediately but delays the
+// reply.
 type slowPeer struct {
-	mu       sync.Mutex
-	acceptor Acceptor
-	late     time.Duration
+	mu        sync.Mutex
+	acceptor  Acceptor
+	joinDelay time.Duration
 }
 
 func (p *slowPeer) handleMessage(ctx context.Context, request transport.Request) (any, error) {
@@ -157,33 +159,34 @@
 	p.mu.Unlock()
 	if message.Type == MsgJoin {
 		select {
-		case <-time.After(p.late):
+		case <-time.After(p.joinDelay):
 		case <-ctx.Done():
 		}
 	}
 	return reply, nil
 }
 
-// memberRecord is what it knows of a member ID.
+// memberRecord returns the acceptor's record of a member ID.
 func (p *slowPeer) memberRecord(memberID int) MemberRecord {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.acceptor.MemberRecords[memberID]
 }
 
-// addresses are peers that stay where they are.
+// addresses is an implementation of Peers with fixed addresses by member ID.
 type addresses map[int]string
 
 // Addr implements Peers.
 func (a addresses) Addr(memberID int) (string, bool) { s, ok := a[memberID]; return s, ok }
 
-// newTestActors makes an actor system in which a panic fails the test.
+// newTestActors returns an actor system in which a panic fails the test.
 func newTestActors(t *testing.T) *actor.System {
 	t.Helper()
 	return actor.New(slog.New(slog.DiscardHandler), func(name string, cause any, stack []byte) { t.Errorf("%s: %v\n%s", name, cause, stack) })
 }
 
-// testDeps are what a replica needs, without a log or anybody to call back.
+// testDeps returns the dependencies of a replica, with a discarded log and callbacks that do
+// nothing.
 func testDeps(actors *actor.System, client *transport.Client, peers Peers) Deps {
 	return Deps{
 		Actors: actors, Client: client, Log: slog.New(slog.DiscardHandler), Peers: peers,
@@ -191,7 +194,7 @@
 	}
 }
 
-// serve puts an acceptor on the wire, and returns its address.
+// serve starts a server for the acceptor and returns its address.
 func (p *slowPeer) serve(ctx context.Context, t *testing.T, actors *actor.System) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/controlplane/consensus/replica_test.go
+++ b/internal/controlplane/consensus/replica_test.go
@@ -9,8 +9,9 @@
 	"curlewwalk/internal/transport"
 )
 
-// While the disk stalls no reply is sent for what is not on it, and a read is answered at
-// once, from what is. Once the disk goes on, the replies come in the order of the messages.
+// While the disk is blocked, no reply is sent for a state that is not on disk, and a read is
+// answered immediately from the state on disk. Once the disk is unblocked, the replies are sent
+// in the order of the messages.
 func TestRepliesWaitForTheDisk(t *testing.T) {
 	h := newReplicaHarness(t, Position{1 << 17, 5}, nil)
 	self := h.Acceptor().Self
@@ -32,26 +33,26 @@
 	for range 20 {
 		reply := h.stepAcceptor(h.ctx, Message{Sender: self, Type: MsgReadIndex})
 		if reply == nil || reply.Promised != 1<<17 || reply.Position.Revision != 5 {
-			t.Fatalf("shown while the disk stalls: %+v", reply)
+			t.Fatalf("read reply while the disk is blocked = %+v, want the state on disk", reply)
 		}
 	}
 	if len(replies) > 0 {
-		t.Fatalf("replied before it was on disk: %+v", <-replies)
+		t.Fatalf("reply sent before the state was on disk: %+v", <-replies)
 	}
 	close(g.open)
 	for _, want := range []Position{{1 << 17, 5}, {term, 5}, {term, 6}} {
 		reply := receive(t, h, replies)
 		if reply == nil || !reply.Granted || reply.Position != want {
-			t.Errorf("reply %+v, not for %+v", reply, want)
+			t.Errorf("reply = %+v, want granted at %+v", reply, want)
 		}
 		if d := h.loadFromDisk(t); d.Promised != term || d.Position.Compare(want) < 0 {
-			t.Errorf("replied for %+v with promise %d and %+v on disk", want, d.Promised, d.Position)
+			t.Errorf("reply sent for %+v while promise %d and position %+v were on disk", want, d.Promised, d.Position)
 		}
 	}
 }
 
-// With a disk that takes no writes the acceptor gives no replies, and the replica is
-// unhealthy; it is healthy again once the disk is, though no message comes.
+// While the disk rejects writes, the acceptor does not reply and the replica is unhealthy. It
+// becomes healthy again once the disk accepts writes, even if no message arrives.
 func TestFullDiskIsUnhealthy(t *testing.T) {
 	h := newReplicaHarness(t, Position{1 << 17, 5}, map[int]Position{2: {1 << 17, 5}})
 	g := h.blockDisk()
@@ -59,7 +60,7 @@
 	close(g.open)
 	self := h.Acceptor().Self
 	if reply := h.stepAcceptor(h.ctx, Message{Sender: self, Type: MsgPrepare, Term: 2<<17 + 1}); reply != nil {
-		t.Errorf("replied: %+v", reply)
+		t.Errorf("reply with a full disk = %+v, want none", reply)
 	}
 	h.run()
 	if receive(t, h, h.changed) {
@@ -67,11 +68,11 @@
 	}
 	g.failing.Store(false)
 	if !receive(t, h, h.changed) {
-		t.Error("unhealthy with a healthy disk")
+		t.Error("unhealthy although the disk accepts writes again")
 	}
 }
 
-// A committed state is delivered though the local disk does not take it.
+// A committed state is delivered even if the local disk is blocked.
 func TestCommitDeliveredDespiteStalledDisk(t *testing.T) {
 	h := newReplicaHarness(t, Position{1 << 17, 5}, nil)
 	h.blockDisk()
@@ -82,17 +83,17 @@
 		t.Errorf("delivered %d", got)
 	}
 	if got := h.Acceptor().Position.Revision; got != 5 {
-		t.Errorf("the acceptor shows %d, which is not on disk", got)
+		t.Errorf("acceptor shows revision %d, want 5, the one on disk", got)
 	}
 }
 
-// A state that a proposer left with one other replica only, as a quorum read shows, is
-// committed by the coordinator, which does not hold it: else no read would be confirmed again.
+// A quorum read finds a state that a proposer left with only one other replica. The coordinator
+// commits it although it does not hold it. Otherwise no read would be confirmed again.
 func TestUncommittedStateElsewhereIsRefreshed(t *testing.T) {
 	h := newReplicaHarness(t, Position{1 << 17, 5}, map[int]Position{3: {1 << 17, 6}})
 	self := h.Acceptor()
 	if reply := h.stepAcceptor(h.ctx, Message{Sender: self.Self, Type: MsgCommit, Term: self.Position.Term, Position: self.Position, State: self.State}); reply == nil || reply.Committed != 5 {
-		t.Fatalf("its own state is not committed: %+v", reply)
+		t.Fatalf("reply to the commit of its own state = %+v, want revision 5 committed", reply)
 	}
 	h.coordinator.Store(true)
 	h.run()
@@ -106,9 +107,8 @@
 	receive(t, h, h.confirmed)
 }
 
-// A state that majorities hold and no replica knows to be committed, since its proposer
-// stopped, is committed by a quorum read, without the coordinator, and though the local disk
-// stalls.
+// A majority holds a state that no replica knows to be committed, since its proposer stopped. A
+// quorum read commits it without the coordinator and while the local disk is blocked.
 func TestCommitLearnedByReadIndex(t *testing.T) {
 	h := newReplicaHarness(t, Position{1 << 17, 5}, map[int]Position{2: {1 << 17, 6}, 3: {1 << 17, 6}})
 	h.blockDisk()
@@ -119,41 +119,42 @@
 	receive(t, h, h.confirmed)
 }
 
-// A replica without contact to a majority rejects commands at once; it raises no term
-// meanwhile.
+// A replica without contact to a majority rejects commands immediately and does not raise its
+// term.
 func TestNoCommandWithoutMajority(t *testing.T) {
 	h := newReplicaHarness(t, Position{1 << 17, 5}, nil)
 	h.coordinator.Store(true)
 	h.run()
-	h.eventually(t, "the contact to be missed", func() bool { return !h.Connected() })
+	h.eventually(t, "no recent quorum contact", func() bool { return !h.Connected() })
 	promised := h.Acceptor().Promised
 	for range 20 {
 		if result := h.Submit(h.ctx, Command{Kind: CommandEvacuate, Zone: "north"}); result.Outcome != OutcomeRejected {
-			t.Fatalf("%+v", result)
+			t.Fatalf("result = %+v, want rejected", result)
 		}
 	}
 	if acceptor := h.Acceptor(); acceptor.Promised != promised || acceptor.Position.Revision != 5 {
-		t.Errorf("it promised %d, then %d, and holds %+v", promised, acceptor.Promised, acceptor.Position)
+		t.Errorf("promise changed from %d to %d, position = %+v; want no change and revision 5", promised, acceptor.Promised, acceptor.Position)
 	}
 }
 
-// A replica whose contact is old, as one that was suspended or late, asks a majority before it
-// takes a command, and takes it then.
+// A replica whose last quorum contact is old, for example after a suspension or a scheduling
+// delay, contacts a majority before it rejects a command, and then executes the command.
 func TestCommandRegainsContact(t *testing.T) {
 	h := newReplicaHarness(t, Position{1 << 17, 5}, map[int]Position{2: {1 << 17, 5}})
 	h.coordinator.Store(true)
-	h.eventually(t, "the contact to be old", func() bool { return !h.Connected() }) // it asks nobody yet
+	h.eventually(t, "no recent quorum contact", func() bool { return !h.Connected() }) // its timers are not started yet
 	h.run()
 	if result := h.Submit(h.ctx, Command{Kind: CommandEvacuate, Zone: "north"}); result.Outcome != OutcomeCommitted {
-		t.Errorf("%+v", result)
+		t.Errorf("result = %+v, want committed", result)
 	}
 }
 
 // IsCoordinator implements Peers.
 func (addresses) IsCoordinator() bool { return false }
 
-// An empty disk whose membership is granted more slowly than it asks for it joins, in the
-// end, under the incarnation that the others know: else its replies would not count.
+// The static membership is granted more slowly than a replica with an empty disk retries its
+// request. The replica must join under the incarnation that the other members have recorded.
+// Otherwise its replies would not count.
 func TestJoinGrantedSlowly(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
@@ -164,7 +165,7 @@
 		acceptor.StaticSize, acceptor.Committed = 3, 2
 		acceptor.MemberRecords = map[int]MemberRecord{1: {Incarnation: 1, DiskID: 1}, 2: {Incarnation: 1, DiskID: 2}, 3: {Incarnation: 1, DiskID: 77}}
 		acceptor.Self = Sender{MemberID: memberID, Incarnation: 1, DiskID: uint64(memberID)}
-		p := &slowPeer{acceptor: acceptor, late: 700 * time.Millisecond}
+		p := &slowPeer{acceptor: acceptor, joinDelay: 700 * time.Millisecond}
 		others = append(others, p)
 		peers[memberID] = p.serve(ctx, t, actors)
 	}
@@ -179,18 +180,18 @@
 	for r.Acceptor().Phase != PhaseEstablished {
 		select {
 		case <-ctx.Done():
-			t.Fatal("it never joined")
+			t.Fatal("the replica did not join in time")
 		case <-time.After(5 * time.Millisecond):
 		}
 	}
-	time.Sleep(3 * attemptInterval) // what else was asked for comes
+	time.Sleep(3 * attemptInterval) // allows replies to further join requests to arrive
 	self := r.Acceptor().Self
 	for i, p := range others {
 		if record := p.memberRecord(3); !self.isCurrent(record) || record.DiskID != self.DiskID {
-			t.Errorf("member %d knows %+v as member 3, which joined as %+v", i+1, record, self)
+			t.Errorf("member %d has record %+v of member 3, which joined as %+v", i+1, record, self)
 		}
 	}
 	if replies := CurrentReplies(r.members.collectReplies(ctx, Message{Sender: self, Type: MsgRead}, nil)); len(replies) != 3 {
-		t.Errorf("%d replies count", len(replies))
+		t.Errorf("%d replies count, want 3", len(replies))
 	}
 }
--- a/internal/controlplane/consensus/state_encoding.go
+++ b/internal/controlplane/consensus/state_encoding.go
@@ -10,8 +10,8 @@
 )
 
 // The methods in this file let tests/modelcheck compare states. They provide deep copies and
-// canonical encodings. Two states with the same encoding have the same future behavior. (DESIGN
-// 14.9)
+// canonical encodings. Two states with the same encoding have the same future behavior.
+// (DESIGN 14.9)
 
 // Clone returns a copy of the proposer that shares no mutable state with it.
 func (p *Proposer) Clone() *Proposer {
--- a/internal/controlplane/consensus/state_encoding_test.go
+++ b/internal/controlplane/consensus/state_encoding_test.go
@@ -6,15 +6,15 @@
 	"testing"
 )
 
-// A field that the encodings leave out would have states merged that behave otherwise:
-// each field is listed here as encoded, or as one that need not be.
+// A field that is missing in the encodings would make states compare equal that behave
+// differently. Every field must be listed here, either as encoded or as not needed.
 func TestStateEncodingCoversEveryField(t *testing.T) {
 	for _, c := range []struct {
-		of     any
+		typ    any
 		fields []string
 	}{
-		// staticSize is zero where members come and go; backoffUntil, termStarted, startedAt and
-		// lastSent are encoded as far as they matter.
+		// staticSize is zero with dynamic membership. backoffUntil, termStarted, startedAt, and
+		// lastSent are encoded only as far as they matter.
 		{Proposer{}, []string{
 			"self", "staticSize", "initialMembers", "memberSets", "phase", "term", "termStarted", "highestTerm", "backoffUntil",
 			"base", "proposal", "commands", "exchange",
@@ -26,10 +26,10 @@
 		{Reply{}, []string{"Sender", "Type", "Term", "Granted", "Phase", "Promised", "Position", "State", "Committed", "MemberRecords", "MemberSets"}},
 		{Message{}, []string{"Sender", "Type", "Term", "Position", "State"}},
 	} {
-		of := reflect.TypeOf(c.of)
-		for i := range of.NumField() {
-			if name := of.Field(i).Name; !slices.Contains(c.fields, name) {
-				t.Errorf("%s.%s: is it encoded by AppendState, and copied by Clone?", of.Name(), name)
+		typ := reflect.TypeOf(c.typ)
+		for i := range typ.NumField() {
+			if name := typ.Field(i).Name; !slices.Contains(c.fields, name) {
+				t.Errorf("%s.%s is not listed; check that AppendState encodes it and Clone copies it", typ.Name(), name)
 			}
 		}
 	}
--- a/internal/controlplane/consensus/state_files.go
+++ b/internal/controlplane/consensus/state_files.go
@@ -15,8 +15,8 @@
 	Phase       Phase                `json:"phase"`
 	Promised    uint64               `json:"promised"`
 	Members     map[int]MemberRecord `json:"seats"`
-	// MemberID, StaticSize, and InitialMembers are missing in the files of earlier versions,
-	// which take them from the settings.
+	// MemberID, StaticSize, and InitialMembers are missing in the files of earlier versions.
+	// For such a file, decodePromise takes the member ID and the static size from the settings.
 	MemberID       *int            `json:"slot,omitempty"`
 	StaticSize     int             `json:"founded,omitempty"`
 	InitialMembers []config.Member `json:"founders,omitempty"`
--- a/internal/controlplane/consensus/state_store_crash_test.go
+++ b/internal/controlplane/consensus/state_store_crash_test.go
@@ -14,13 +14,13 @@
 
 func (crashFile) Close() error { return nil }
 
-// storeModel follows an acceptor on a disk: what it may have sent, and what may have become of
-// what it did not.
+// storeModel tracks which states of an acceptor were saved, so that replies for them may have
+// been sent.
 type storeModel struct {
 	t         *testing.T
 	bootstrap Bootstrap
 	payloads  map[Position]string
-	// saved is the last state that was saved, so that replies may have been sent for it.
+	// saved is the last saved state. Replies for it may have been sent.
 	saved    Acceptor
 	hasSaved bool
 	restarts int
@@ -30,8 +30,8 @@
 	return &storeModel{t: t, payloads: map[Position]string{}, bootstrap: Bootstrap{NewCluster: true, InitialMembers: []string{"a", "b", "c"}, AdvertiseAddr: "a"}}
 }
 
-// messages are what an acceptor takes: promises, states that are proposed and committed, terms
-// that supersede one another, more states than are kept.
+// messages returns messages to an acceptor: prepares, accepts, and commits under successive
+// terms, with more states than are kept if changes is greater than keepStates.
 func (model *storeModel) messages(changes int) (out []Message) {
 	term, revision := uint64(5), uint64(0)
 	for i := range changes {
@@ -48,8 +48,9 @@
 	return out
 }
 
-// run loads an acceptor and has it take messages until something fails. It sends nothing of
-// what failed to be saved, and goes on as it was, as the replica does.
+// run loads an acceptor and passes messages to it until it crashes. If saving a state fails
+// without a crash, it discards that state and continues with the last saved one, as the replica
+// does.
 func (model *storeModel) run(files *crashDirectory, messages []Message) (loaded bool, err error) {
 	disk := newStateStore(storage.NewStore(files))
 	acceptor, err := disk.load(model.bootstrap)
@@ -62,7 +63,7 @@
 		if err = disk.save(next); err == nil {
 			acceptor, model.saved = next, next
 			if !reply.Granted && message.Type != MsgCommit {
-				model.t.Fatalf("%v of term %d was refused", message.Type, message.Term)
+				model.t.Fatalf("%v of term %d was rejected", message.Type, message.Term)
 			}
 		} else if errors.Is(err, errCrashed) {
 			return true, err
@@ -71,8 +72,9 @@
 	return true, err
 }
 
-// check compares what the next process loads with what was sent before. With the same disk ID
-// it holds and promises no less; lost says that it may have another.
+// check loads the acceptor of the next process and compares it with the last saved state. With
+// the same disk ID, its promise and position must not be lower. If lost is set, it may have
+// another disk ID instead.
 func (model *storeModel) check(next *crashDirectory, lost bool, where string) {
 	model.restarts++
 	acceptor, err := newStateStore(storage.NewStore(next)).load(model.bootstrap)
@@ -84,22 +86,22 @@
 	}
 	if acceptor.Self.DiskID != model.saved.Self.DiskID {
 		if !lost {
-			model.t.Fatalf("%s: another disk ID, with files %q", where, slices.Sorted(maps.Keys(next.current)))
+			model.t.Fatalf("%s: the disk ID has changed; files %q", where, slices.Sorted(maps.Keys(next.current)))
 		}
 		return
 	}
 	if acceptor.Promised < model.saved.Promised || acceptor.Position.Compare(model.saved.Position) < 0 || acceptor.Phase != model.saved.Phase || acceptor.Self != model.saved.Self {
-		model.t.Fatalf("%s: as %+v it promises %d and holds %v, before as %+v %d and %v; files %q", where, acceptor.Self, acceptor.Promised, acceptor.Position,
+		model.t.Fatalf("%s: loaded %+v with promise %d and position %v, saved %+v with promise %d and position %v; files %q", where, acceptor.Self, acceptor.Promised, acceptor.Position,
 			model.saved.Self, model.saved.Promised, model.saved.Position, slices.Sorted(maps.Keys(next.current)))
 	}
 	if acceptor.Position != (Position{}) && string(acceptor.State.Configuration) != model.payloads[acceptor.Position] {
-		model.t.Fatalf("%s: holds %q as %v", where, acceptor.State.Configuration, acceptor.Position)
+		model.t.Fatalf("%s: loaded configuration %q at %v, want the saved one", where, acceptor.State.Configuration, acceptor.Position)
 	}
 }
 
-// A process that is killed, or a machine that loses power, at any step of an acceptor, at each
-// byte of each write, comes back with the same disk ID and with all that it ever sent, whatever
-// is kept or lost of names and files that were not synced.
+// The process is killed, or the machine loses power, at any step of an acceptor and any byte of
+// a write. The next process must load the same disk ID and every state for which a reply may
+// have been sent, whichever unsynced names and contents are kept or lost.
 func TestStoreSurvivesCrashAnywhere(t *testing.T) {
 	t.Parallel()
 	model := newStoreModel(t)
@@ -113,15 +115,16 @@
 		files := newCrashDirectory()
 		files.crashAt = end
 		if _, err := model.run(files, messages); !errors.Is(err, errCrashed) {
-			t.Fatalf("step %d: %v", end, err)
+			t.Fatalf("crash at step %d: error %v, want the simulated crash", end, err)
 		}
-		files.outcomes(t, func(next *crashDirectory) { model.check(next, false, fmt.Sprint("crashed at step ", end)) })
+		files.visitRestarts(t, func(next *crashDirectory) { model.check(next, false, fmt.Sprint("crashed at step ", end)) })
 	}
 	t.Logf("%d steps, %d restarts", completed.steps, model.restarts)
 }
 
-// A disk that is full from any step on, and has space again later or not: nothing is sent that
-// is not on it, and a loss of power at the end takes nothing that was sent.
+// The disk is full from any step on, and may have free space again after the restart. The
+// acceptor must not reply for a state that is not on disk, and a power loss at the end must not
+// lose a state for which a reply may have been sent.
 func TestStoreSurvivesFullDiskAnywhere(t *testing.T) {
 	t.Parallel()
 	model := newStoreModel(t)
@@ -135,16 +138,17 @@
 		files := newCrashDirectory()
 		files.crashAt, files.full = end, true
 		if loaded, _ := model.run(files, messages); !loaded {
-			continue // it does not start
+			continue // the acceptor could not be loaded
 		}
-		files.outcomes(t, func(next *crashDirectory) { model.check(next, false, fmt.Sprint("full from step ", end)) })
+		files.visitRestarts(t, func(next *crashDirectory) { model.check(next, false, fmt.Sprint("full from step ", end)) })
 	}
 	t.Logf("%d steps, %d restarts", completed.steps, model.restarts)
 }
 
-// The latest file of a kind does not match its checksum any more: the acceptor has lost what it
-// promised. However often the process or the power ends while it takes a new disk ID, also at
-// the first start of a cluster, it never replies under the old one with less.
+// The latest file of a kind does not match its checksum, so the acceptor has lost its promises.
+// The process or the power fails, also repeatedly, while the acceptor assigns itself a new disk
+// ID. The acceptor must never reply under the old ID with lower promises, also if the settings
+// are those of the first start of a cluster.
 func TestStoreDetectsLossAnywhere(t *testing.T) {
 	t.Parallel()
 	for _, kind := range []string{kindPromise, kindState} {
@@ -183,10 +187,10 @@
 				newStateStore(storage.NewStore(m)).load(model.bootstrap)
 				files := fmt.Sprint(slices.Sorted(maps.Keys(m.current)), len(m.pending))
 				if files == last && end%16 != 0 {
-					continue // in the middle of a write of a file that is not read
+					continue // within the write of a file that is not read
 				}
 				last = files
-				m.outcomes(t, func(next *crashDirectory) {
+				m.visitRestarts(t, func(next *crashDirectory) {
 					explore(next, depth-1, fmt.Sprintf("%s, crashed at step %d", where, end))
 				})
 			}
--- a/internal/controlplane/consensus/store_helpers_test.go
+++ b/internal/controlplane/consensus/store_helpers_test.go
@@ -7,7 +7,7 @@
 	"curlewwalk/internal/storage"
 )
 
-// openTestStore opens a store in an empty directory.
+// openTestStore returns a store in an empty directory.
 func openTestStore(t *testing.T) *storage.Store {
 	t.Helper()
 	store, err := storage.Open(t.TempDir())
@@ -17,7 +17,7 @@
 	return store
 }
 
-// mustLoad loads an acceptor, and fails the test if that fails.
+// mustLoad loads an acceptor and fails the test on an error.
 func mustLoad(t *testing.T, store *stateStore, bootstrap Bootstrap) Acceptor {
 	t.Helper()
 	acceptor, err := store.load(bootstrap)
@@ -27,7 +27,7 @@
 	return acceptor
 }
 
-// saveAndLoad is a state as it comes back from disk.
+// saveAndLoad saves a state and returns it as loaded from disk.
 func saveAndLoad(t *testing.T, state config.ControlState) config.ControlState {
 	t.Helper()
 	disk := openTestStore(t)
--- a/internal/controlplane/consensus/term_test.go
+++ b/internal/controlplane/consensus/term_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// No two members ever take the same term, nor does one of a version that counts with the
-// earlier stride, and each takes one above all that it knows.
+// Terms of different members differ, also if one of them runs a version with the earlier
+// stride, and each new term is above the highest known one.
 func TestTermsOfMembersAreDistinct(t *testing.T) {
 	const earlierStride = 1 << 16
 	for _, highest := range []uint64{0, 1, 7, earlierStride - 1, earlierStride, 3*earlierStride + 2, 1<<30 + 5, 1 << 40, 1<<50 + 17} {
@@ -11,21 +11,21 @@
 		for _, memberID := range []int{1, 2, 3, 4, 1000, earlierStride - 1, earlierStride, earlierStride + 1, earlierStride + 2, 1 << 20, maxMemberID} {
 			term := nextTerm(highest, memberID, 0)
 			if term <= highest {
-				t.Errorf("member %d takes term %d after %d", memberID, term, highest)
+				t.Errorf("nextTerm of member %d = %d, want more than %d", memberID, term, highest)
 			}
 			if other, ok := seen[term]; ok {
-				t.Errorf("members %d and %d both take term %d after %d", memberID, other, term, highest)
+				t.Errorf("members %d and %d both get term %d after %d", memberID, other, term, highest)
 			}
 			seen[term] = memberID
 			if memberID < earlierStride && term%earlierStride != uint64(memberID) {
-				t.Errorf("member %d takes term %d, which an earlier version would take for another member's", memberID, term)
+				t.Errorf("member %d gets term %d, which an earlier version would attribute to another member", memberID, term)
 			}
 		}
 	}
 }
 
-// Member IDs and terms last for years of replacements: one every ten seconds for thirty years,
-// and as many terms as a contest of proposers ten times a second starts in that time.
+// Member IDs suffice for one replacement every ten seconds for thirty years. Terms suffice for
+// ten competing proposals a second during that time.
 func TestMemberIDsOutlastYears(t *testing.T) {
 	const year = 365 * 24 * 3600
 	const replacements, terms = 30 * year / 10, 30 * year * 10
@@ -35,15 +35,15 @@
 	planner, now := observed(acceptor, statuses, 0)
 	command, ok := planner.PlanJoin(JoinRequest{DiskID: 99, Addr: "c"}, acceptor, statuses, now)
 	if !ok || command.Joining.MemberID != replacements+1 || command.Leaving != 3 {
-		t.Fatalf("after %d replacements an empty disk gets no member ID: %+v %v", replacements, command, ok)
+		t.Fatalf("PlanJoin() after %d replacements = %+v, %v, want the next member ID", replacements, command, ok)
 	}
 	highest := uint64(0)
 	if step := nextTerm(highest, 1, 0) - highest; step > (1<<63)/terms {
-		t.Errorf("%d terms of %d each do not fit", terms, step)
+		t.Errorf("%d terms with stride %d do not fit in 63 bits", terms, step)
 	}
 }
 
-// No two members ever get the same term, whatever each of them knows.
+// Two members never get the same term, whatever terms they know.
 func TestTermsSurviveReconfiguration(t *testing.T) {
 	for _, staticSize := range []int{0, 3} {
 		seen := map[uint64]int{}
@@ -52,7 +52,7 @@
 			for range 100 {
 				term = nextTerm(term, memberID, staticSize)
 				if id, ok := seen[term]; ok {
-					t.Fatalf("members %d and %d both have term %d", id, memberID, term)
+					t.Fatalf("members %d and %d both get term %d", id, memberID, term)
 				}
 				seen[term] = memberID
 			}
--- a/internal/controlplane/consensus/test_cluster_test.go
+++ b/internal/controlplane/consensus/test_cluster_test.go
@@ -11,7 +11,7 @@
 	"curlewwalk/internal/transport"
 )
 
-// testMember is one replica on the wire, whose version may be an earlier one.
+// testMember is a replica that is reached over the network. It may simulate an earlier version.
 type testMember struct {
 	*Replica
 	client *transport.Client
@@ -19,7 +19,8 @@
 	stop   context.CancelFunc
 }
 
-// testCluster is three replicas with disks of their own; the first is the coordinator.
+// testCluster is a cluster of three replicas with separate disks. The first member is the
+// coordinator.
 type testCluster struct {
 	t       *testing.T
 	ctx     context.Context
@@ -29,7 +30,7 @@
 	dirs    [4]string // by member ID
 }
 
-// testPeers are the peers as one member sees them.
+// testPeers implements Peers for one member.
 type testPeers struct {
 	addresses
 	coordinator bool
@@ -48,19 +49,19 @@
 	for memberID := 1; memberID <= 3; memberID++ {
 		c.dirs[memberID] = t.TempDir()
 	}
-	t.Cleanup(func() { // before the directories go
+	t.Cleanup(func() { // runs before the directories are removed
 		cancel()
 		<-c.actors.Done()
 		c.actors.Stop()
 	})
 	for memberID := 1; memberID <= 3; memberID++ {
-		c.peers[memberID] = c.listen("127.0.0.1:0").Addr().String()
+		c.peers[memberID] = c.reserveAddr("127.0.0.1:0").Addr().String()
 	}
 	return c
 }
 
-// listen takes an address and leaves it free again.
-func (c *testCluster) listen(addr string) net.Listener {
+// reserveAddr opens a listener and closes it, so that its address is free for later use.
+func (c *testCluster) reserveAddr(addr string) net.Listener {
 	c.t.Helper()
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -70,7 +71,8 @@
 	return ln
 }
 
-// start starts a member on its disk; old is one of an earlier version, which knows no deltas.
+// start starts a member on its disk. If old is set, the member simulates an earlier version
+// without support for deltas.
 func (c *testCluster) start(memberID int, old bool) {
 	c.t.Helper()
 	store, err := storage.Open(c.dirs[memberID])
