--- a/internal/membership/coordinator.go
+++ b/internal/membership/coordinator.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// Coordinator returns the replica that runs the singleton roles, as far as the asking replica
-// knows: among the given members the one with the lowest member ID that is live and eligible;
-// if none is eligible, the one with the lowest ID that is live; and the asking one, own, if
-// none is live. Two replicas may disagree for a while, so the roles must bear that.
+// Coordinator returns the replica that runs the singleton roles, according to the information of
+// the calling replica, own. Candidates are the given members that are live and established.
+// Coordinator returns the eligible candidate with the lowest member ID, or the candidate with the
+// lowest member ID if none is eligible, or own if there is no candidate. Two replicas may
+// temporarily get different results, so the roles must tolerate two coordinators at the same time.
 // (DESIGN 6.3)
 func (t ReplicaTable) Coordinator(own Replica, members []int, now time.Time) Replica {
 	live := slices.DeleteFunc(t.Live(now), func(replica Replica) bool { return replica.MemberID == own.MemberID })
--- a/internal/membership/departures.go
+++ b/internal/membership/departures.go
@@ -2,25 +2,26 @@
 
 import "slices"
 
-// MaxDepartures is how many departures of its backends a sidecar remembers: many more than
-// leave a machine while their late announcements may still be under way. There is no limit in
-// time, since an announcement may arrive arbitrarily late.
-const MaxDepartures = 256 // (ours)
-
-// MaxReportedDepartures is how many of them, the newest, a sidecar reports to the control plane.
-const MaxReportedDepartures = 32 // (ours)
-
-// Departures are the newest MaxDepartures backend instances that announced their shutdown. An
-// instance is one incarnation of a backend, so its shutdown is final: no announcement that
-// arrives later brings it back. The value is immutable. (DESIGN 9.1)
+// MaxDepartures is the number of departures of its backends that a sidecar remembers. It is far
+// above the number of instances that leave a machine while their late announcements may still be in
+// transit. There is no time limit, since an announcement may arrive arbitrarily late.
+const MaxDepartures = 256
+
+// MaxReportedDepartures is the number of departures, the newest ones, that a sidecar reports to the
+// control plane.
+const MaxReportedDepartures = 32
+
+// Departures holds the newest MaxDepartures backend instances that announced their shutdown. An
+// instance is one incarnation of a backend, so its shutdown is final: an announcement that arrives
+// later does not restore the instance. The value is immutable. (DESIGN 9.1)
 type Departures struct {
 	instances []string // the oldest first
 }
 
-// Contains reports whether an instance has announced its shutdown.
+// Contains reports whether the instance has announced its shutdown.
 func (d Departures) Contains(instance string) bool { return slices.Contains(d.instances, instance) }
 
-// Add returns the departures with more instances; changed is false if all were known.
+// Add returns d with the given instances added. changed is false if d already contains all of them.
 func (d Departures) Add(instances ...string) (next Departures, changed bool) {
 	added := slices.Clone(d.instances)
 	for _, instance := range instances {
@@ -39,7 +40,7 @@
 	return Departures{instances: d.instances[max(0, len(d.instances)-count):]}
 }
 
-// Last returns the newest instance; empty if there is none.
+// Last returns the newest instance, or "" if there is none.
 func (d Departures) Last() string {
 	if len(d.instances) == 0 {
 		return ""
@@ -50,10 +51,10 @@
 // Len returns the number of instances.
 func (d Departures) Len() int { return len(d.instances) }
 
-// Without lists the instances that are not among others, the oldest first.
+// Without returns the instances that are not in others, oldest first.
 func (d Departures) Without(others []string) []string {
 	return slices.DeleteFunc(d.List(), func(instance string) bool { return slices.Contains(others, instance) })
 }
 
-// List lists the instances, the oldest first.
+// List returns the instances, oldest first.
 func (d Departures) List() []string { return slices.Clone(d.instances) }
--- a/internal/membership/digest.go
+++ b/internal/membership/digest.go
@@ -5,8 +5,9 @@
 	"hash/fnv"
 )
 
-// digestBuilder collects the bytes that a digest is computed of: numbers as varints, strings
-// and lists after their length, so that different values give different bytes.
+// digestBuilder accumulates the bytes that a digest is computed over. Numbers are encoded as
+// varints. Strings and lists are prefixed with their length, so that different values have
+// different encodings.
 type digestBuilder []byte
 
 func (d digestBuilder) appendUint(n uint64) digestBuilder { return binary.AppendUvarint(d, n) }
@@ -30,14 +31,14 @@
 	return d.appendUint(0)
 }
 
-// sum returns the digest. It is never zero: in messages zero stands for no digest.
+// sum returns the digest. It is never zero, since zero means "no digest" in messages.
 func (d digestBuilder) sum() uint64 {
 	h := fnv.New64a()
 	h.Write(d)
 	return max(1, h.Sum64())
 }
 
-// WithDigest returns r with its Digest set: that of all fields but WallClock, which changes
+// WithDigest returns r with Digest set. The digest covers all fields but WallClock, which changes
 // in every heartbeat.
 func (r Replica) WithDigest() Replica {
 	r.Digest = digestBuilder{}.
@@ -57,9 +58,10 @@
 	return r
 }
 
-// Digest returns the digest of what one process can teach another about replicas it has not
-// observed itself: which replica each member is, in which member incarnation, and the newest
-// members. own is the process's own replica; nil if it is a sidecar.
+// Digest returns the digest of the information about replicas that a process can pass on to a
+// process that has not observed them itself: the address and the member incarnation of each
+// member's replica, and the newest members. own is the process's own replica, or nil if the process
+// is a sidecar.
 func (t ReplicaTable) Digest(own *Replica) uint64 {
 	t = t.withOwn(own)
 	d := digestBuilder{}
--- a/internal/membership/discovery.go
+++ b/internal/membership/discovery.go
@@ -12,40 +12,41 @@
 	"curlewwalk/internal/transport"
 )
 
-// HeartbeatInterval is how often soft state is sent again.
-const HeartbeatInterval = 500 * time.Millisecond // (ours)
+// HeartbeatInterval is the interval at which soft state is sent again.
+const HeartbeatInterval = 500 * time.Millisecond
 
 const (
-	// budgetRoundInterval is in every how many rounds of heartbeats budgets are exchanged.
-	budgetRoundInterval = 4 // (ours)
-	// minRoundInterval is the time between two rounds that HeartbeatNow asks for: a burst of
-	// changes causes one.
-	minRoundInterval = 20 * time.Millisecond // (ours)
-	// heartbeatTimeout is how long the response to a heartbeat is waited for.
+	// budgetRoundInterval is the number of heartbeat rounds from one exchange of budgets to the
+	// next.
+	budgetRoundInterval = 4
+	// minRoundInterval is the minimum time from a round to the next one that HeartbeatNow requests,
+	// so that a burst of changes causes a single round.
+	minRoundInterval = 20 * time.Millisecond
+	// heartbeatTimeout is how long the sender waits for the response to a heartbeat.
 	heartbeatTimeout = ReplicaTimeout / 2
-	// inboxSize is how many received heartbeats may wait for Run.
+	// inboxSize is the maximum number of received heartbeats that wait for Run.
 	inboxSize = 64
 )
 
-// DiscoveryDeps are the parts that a Discovery works with.
+// DiscoveryDeps are the dependencies of a Discovery.
 type DiscoveryDeps struct {
 	Client *transport.Client
 	Actors *actor.System
 	// Local returns the process's own state: its Node or its Replica.
 	Local func() Heartbeat
-	// OnReplica, if set, is called with each status that came from the replica itself. It must
-	// not block.
+	// OnReplica, if set, is called with each status received from the replica itself. It must not
+	// block.
 	OnReplica func(ctx context.Context, replica Replica)
-	// OnResponse, if set, is called with each heartbeat that was responded to, before the
-	// responder counts as live. It must not block.
+	// OnResponse, if set, is called with each heartbeat that got a response, and with that
+	// response, before the responder counts as live. It must not block.
 	OnResponse func(ctx context.Context, sent, response Heartbeat)
 }
 
-// Discovery finds the control plane replicas and exchanges heartbeats with them. Run does the
-// work; the other methods may be called from anywhere. (DESIGN 7.1)
+// Discovery finds the control plane replicas and exchanges heartbeats with them. Run does the work;
+// the other methods are safe for concurrent use. (DESIGN 7.1)
 type Discovery struct {
 	DiscoveryDeps
-	// addr is the process's own address, which it sends no heartbeats to.
+	// addr is the process's own address. No heartbeats are sent to it.
 	addr string
 
 	seeds   atomic.Pointer[[]string]
@@ -55,8 +56,8 @@
 	results chan heartbeatResult
 	trigger chan struct{}
 
-	// The following fields belong to Run.
-	ownReplica *Replica // as last sent
+	// Only Run accesses the following fields.
+	ownReplica *Replica // as in the last heartbeat
 	encoders   map[string]HeartbeatEncoder
 	sequence   uint
 	rounds     int
@@ -67,12 +68,12 @@
 type heartbeatResult struct {
 	addr string
 	sent Heartbeat
-	// response is nil if there was none; refused says whether the connection was refused.
+	// response is nil if none arrived. refused reports whether the connection was refused.
 	response *Heartbeat
 	refused  bool
 }
 
-// NewDiscovery makes a Discovery of the process at addr, without seeds.
+// NewDiscovery returns a Discovery for the process at addr, without seeds.
 func NewDiscovery(addr string, deps DiscoveryDeps) *Discovery {
 	d := &Discovery{
 		DiscoveryDeps: deps,
@@ -87,16 +88,16 @@
 	return d
 }
 
-// SetSeeds replaces the addresses that get heartbeats while replicas are missing.
+// SetSeeds replaces the addresses that receive heartbeats while replicas are missing.
 func (d *Discovery) SetSeeds(seeds []string) { d.seeds.Store(&seeds) }
 
-// Seeds returns the addresses that SetSeeds set.
+// Seeds returns the addresses set by SetSeeds.
 func (d *Discovery) Seeds() []string { return *d.seeds.Load() }
 
-// Replicas returns what is known of the replicas now.
+// Replicas returns the current table of replicas.
 func (d *Discovery) Replicas() ReplicaTable { return *d.table.Load() }
 
-// HeartbeatNow starts the next round of heartbeats at once.
+// HeartbeatNow requests a round of heartbeats before the next one is due. It does not block.
 func (d *Discovery) HeartbeatNow() {
 	select {
 	case d.trigger <- struct{}{}:
@@ -104,8 +105,8 @@
 	}
 }
 
-// Receive takes a heartbeat or a response that arrived. It is dropped if too many wait, since
-// its content will be sent again.
+// Receive queues a received heartbeat or response for Run. It discards the message if the queue is
+// full, since the content will be sent again.
 func (d *Discovery) Receive(h Heartbeat) {
 	select {
 	case d.inbox <- h:
@@ -113,8 +114,8 @@
 	}
 }
 
-// Respond receives a heartbeat and returns the response as far as it concerns the replicas.
-// own is the process's own status, nil if it is a sidecar.
+// Respond receives a heartbeat and returns the part of the response that concerns the replicas. own
+// is the process's own status, or nil if the process is a sidecar.
 func (d *Discovery) Respond(h Heartbeat, own *Replica) Heartbeat {
 	if h.Replica != nil || h.ReplicaDigest != 0 || len(h.KnownReplicas) > 0 {
 		d.Receive(h)
@@ -122,7 +123,7 @@
 	return d.Replicas().Respond(h, own, d.digest.Load())
 }
 
-// Run sends heartbeats and takes what is received until ctx ends.
+// Run sends heartbeats and processes received messages until ctx is done.
 func (d *Discovery) Run(ctx context.Context) {
 	tick, requested := time.NewTicker(HeartbeatInterval), time.NewTimer(0)
 	defer tick.Stop()
@@ -146,14 +147,14 @@
 	}
 }
 
-// setTable publishes the table with its digest.
+// setTable publishes the table and its digest.
 func (d *Discovery) setTable(t ReplicaTable) {
 	d.table.Store(&t)
 	d.digest.Store(t.Digest(d.ownReplica))
 }
 
-// observe takes what a heartbeat or a response says of the replicas. A replica that was not
-// known gets a heartbeat at once.
+// observe records the information about replicas in a heartbeat or a response. If the message adds
+// a replica to the observed ones, observe requests a round of heartbeats.
 func (d *Discovery) observe(ctx context.Context, h Heartbeat) {
 	before := len(d.Replicas().Observed())
 	next, sender := d.Replicas().ObserveHeartbeat(h, time.Now())
@@ -166,7 +167,7 @@
 	}
 }
 
-// handleResult takes the outcome of sending a heartbeat.
+// handleResult processes the outcome of sending a heartbeat.
 func (d *Discovery) handleResult(ctx context.Context, result heartbeatResult) {
 	switch {
 	case result.response != nil:
@@ -177,12 +178,12 @@
 			d.sendHeartbeat(ctx, result.addr, d.fullHeartbeat(), false)
 		}
 	case result.refused:
-		delete(d.encoders, result.addr) // the next process there has nothing yet
+		delete(d.encoders, result.addr) // a new process at this address has no state yet
 		d.setTable(d.Replicas().Refused(result.addr, time.Now()))
 	}
 }
 
-// fullHeartbeat returns a heartbeat with the process's whole state.
+// fullHeartbeat returns a heartbeat with the process's complete state.
 func (d *Discovery) fullHeartbeat() Heartbeat {
 	h := d.Local()
 	d.ownReplica = h.Replica
@@ -195,8 +196,8 @@
 	return h
 }
 
-// heartbeatAll sends a round of heartbeats. exchangeBudgets says whether counts by contract are
-// sent and their sums asked for in this one.
+// heartbeatAll sends a round of heartbeats. exchangeBudgets specifies whether this round sends the
+// node's counts by contract and requests their sums over all nodes.
 func (d *Discovery) heartbeatAll(ctx context.Context, exchangeBudgets bool) {
 	d.lastRound = time.Now()
 	full := d.fullHeartbeat()
@@ -212,10 +213,10 @@
 	}
 }
 
-// budgetSource returns the address of the replica that is asked for the sums of all nodes'
-// counts; empty if none is live. Each one has the same sums. The choice spreads the sidecars
-// evenly and is, as long as all replicas are live, the one that this sidecar watches too.
-// (DESIGN 8.2)
+// budgetSource returns the address of the replica that is asked for the sums of all nodes' counts,
+// or "" if no replica is live. All replicas have the same sums. Rendezvous hashing distributes the
+// sidecars evenly over the replicas. While all replicas are live, the result is also the replica
+// that this sidecar watches. (DESIGN 8.2)
 func (d *Discovery) budgetSource() string {
 	live := rendezvous.Rank(d.addr, d.Replicas().Live(d.lastRound), func(replica Replica) string { return replica.Addr })
 	if len(live) == 0 {
@@ -224,8 +225,8 @@
 	return live[0].Addr
 }
 
-// sendHeartbeat sends what one process lacks of a full heartbeat, without waiting for the
-// response: Run gets the result.
+// sendHeartbeat sends the part of a full heartbeat that the receiver lacks. It does not wait for
+// the response: Run receives the outcome from results.
 func (d *Discovery) sendHeartbeat(ctx context.Context, addr string, full Heartbeat, includeBudgets bool) {
 	result := heartbeatResult{addr: addr, sent: d.encoders[addr].Encode(full, includeBudgets)}
 	result.sent.KnownDigest = d.Replicas().DigestAt(addr)
--- a/internal/membership/failure_detector.go
+++ b/internal/membership/failure_detector.go
@@ -7,38 +7,39 @@
 )
 
 const (
-	// MonitorsPerNode is how many nodes monitor each node.
-	MonitorsPerNode = 3 // (ours)
-	// missesToSuspect is how many probes in a row fail before a node is suspected.
-	missesToSuspect = 2 // (ours)
+	// MonitorsPerNode is the number of nodes that monitor each node.
+	MonitorsPerNode = 3
+	// missesToSuspect is the number of consecutive failed probes after which a node is suspected.
+	missesToSuspect = 2
 )
 
-// MonitorsOf returns the nodes that monitor a node: the first of the others by rendezvous
-// hashing, so that all nodes agree on them and a node that goes moves only its own monitors.
+// MonitorsOf returns the nodes that monitor the node at addr: the highest ranked of the other nodes
+// by rendezvous hashing. All nodes compute the same monitors. When a node leaves, only the nodes
+// that it monitored get another monitor.
 func MonitorsOf(addr string, nodes []string) []string {
 	others := slices.DeleteFunc(slices.Clone(nodes), func(n string) bool { return n == addr })
 	ranked := rendezvous.Rank(addr, others, func(n string) string { return n })
 	return ranked[:min(MonitorsPerNode, len(ranked))]
 }
 
-// FailureDetector decides which nodes a node monitors and which of them it suspects. It does no
+// FailureDetector determines which nodes a node monitors and which of them it suspects. It does no
 // I/O and is not safe for concurrent use.
 type FailureDetector struct {
 	own       string
-	nodes     []string // monitored was computed from these
+	nodes     []string // the nodes that monitored was computed from
 	monitored []string
-	// misses counts the failed probes in a row, by address; lastResponses are the newest
-	// successful ones.
+	// misses counts the consecutive failed probes by address. lastResponses holds the newest
+	// response by address.
 	misses        map[string]int
 	lastResponses map[string]Probe
 }
 
-// NewFailureDetector makes the detector of the node at an address.
+// NewFailureDetector returns the detector for the node at the address own.
 func NewFailureDetector(own string) *FailureDetector {
 	return &FailureDetector{own: own, misses: map[string]int{}, lastResponses: map[string]Probe{}}
 }
 
-// Monitored returns which of the nodes that exist now are to be probed.
+// Monitored returns the nodes that this node has to probe, given all current nodes.
 func (d *FailureDetector) Monitored(nodes []string) []string {
 	if slices.Equal(nodes, d.nodes) {
 		return d.monitored
@@ -55,8 +56,8 @@
 	return d.monitored
 }
 
-// ObserveProbe takes the outcome of a probe; response is nil if there was none. A refused
-// connection proves that no process listens, so the node is suspected at once.
+// ObserveProbe records the outcome of a probe. response is nil if none arrived. A refused
+// connection proves that no process listens at the address, so the node is suspected at once.
 func (d *FailureDetector) ObserveProbe(addr string, response *Probe, refused bool) {
 	switch {
 	case response != nil:
@@ -68,8 +69,8 @@
 	}
 }
 
-// Suspects returns the suspicions against the monitored nodes, each with the highest refutation
-// that the node is known to have issued. known are the nodes by address.
+// Suspects returns the suspicions against the monitored nodes. Each suspicion has the highest
+// refutation that the node is known to have issued. known holds the nodes by address.
 func (d *FailureDetector) Suspects(known map[string]Node) (out []Suspicion) {
 	for _, addr := range d.monitored {
 		n, ok := known[addr]
--- a/internal/membership/gossip_fetch.go
+++ b/internal/membership/gossip_fetch.go
@@ -8,13 +8,14 @@
 	"curlewwalk/internal/transport"
 )
 
-// maxFetchNodes is how many nodes are asked for in one call.
-const maxFetchNodes = 64 // (ours)
+// maxFetchNodes is the maximum number of nodes requested in one call.
+const maxFetchNodes = 64
 
-// errNotGossip answers a call that is not a GossipRequest. Its text is part of the protocol.
+// errNotGossip is the response to a call that is not a GossipRequest. Its text is part of the
+// protocol.
 var errNotGossip = errors.New("not a gossip")
 
-// HandleGossip handles a GossipRequest.
+// HandleGossip responds to a GossipRequest.
 func (g *Gossiper) HandleGossip(_ context.Context, in transport.Request) (any, error) {
 	var req GossipRequest
 	if !in.Decode(&req) {
@@ -27,7 +28,7 @@
 	if known, ok := view.nodes[req.Sender.Addr]; !ok || known.Incarnation != req.Sender.Incarnation {
 		select {
 		case g.unknownPeers <- req.Sender.Addr:
-		default: // it will ask again
+		default: // the sender repeats its request
 		}
 	}
 	now := g.now()
@@ -38,7 +39,7 @@
 	return out, nil
 }
 
-// stateFor returns the control state as a fetch asks for it; nil if it has none to get.
+// stateFor returns the control state that a fetch requests, or nil if there is none to send.
 func (g *Gossiper) stateFor(f Fetch) *config.ControlState {
 	state := g.State()
 	if state == nil || !f.State || state.Revision <= f.Revision {
@@ -51,8 +52,9 @@
 	return &out
 }
 
-// fetch asks one of those that answered for what is lacking and returns what came. outdated
-// lists which of a response's peers have a newer node than the own view.
+// fetch requests missing state from one of the sidecars that responded and returns the state
+// received. outdated returns the peers of a response whose nodes are newer there than in the own
+// view.
 func (g *Gossiper) fetch(ctx context.Context, req GossipRequest, answered []gossipResult, outdated func([]Peer) []string) (update GossipUpdate) {
 	have := g.State()
 	addr, f := planFetch(have, answered, outdated)
@@ -72,9 +74,9 @@
 	return update
 }
 
-// planFetch decides what to fetch and from whom: from the sidecar with the newest control state
-// if that is newer than the own one, or else from the one that has the most of the nodes that
-// are lacking. addr is empty if nothing is.
+// planFetch returns what to fetch and from which sidecar. It chooses the sidecar with the newest
+// control state if that is newer than the own one, and otherwise the sidecar that has the most
+// missing nodes. addr is empty if nothing is missing.
 func planFetch(have *config.ControlState, answered []gossipResult, outdated func([]Peer) []string) (addr string, f Fetch) {
 	if have != nil {
 		f.Revision, f.ConfigurationRevision = have.Revision, have.ConfigurationRevision
--- a/internal/membership/gossiper.go
+++ b/internal/membership/gossiper.go
@@ -13,43 +13,46 @@
 )
 
 const (
-	// maxUpdateAge is how long updates from the replicas may be missing before other sidecars
-	// are asked.
-	maxUpdateAge = time.Second // (ours)
-	// Fanout is how many other sidecars are asked in a round, however many there are.
-	Fanout = 3 // (ours)
-	// maxUnknownPeers is how many sidecars that asked and are not known may wait to be asked.
-	maxUnknownPeers = 16 // (ours)
-	// roundTimeout is how long a round may take: it ends before the next one is due.
-	roundTimeout = HeartbeatInterval * 4 / 5 // (ours)
+	// maxUpdateAge is the time without updates from the replicas after which the sidecar queries
+	// other sidecars.
+	maxUpdateAge = time.Second
+	// Fanout is the number of other sidecars queried in a round. It does not grow with the number
+	// of sidecars.
+	Fanout = 3
+	// maxUnknownPeers is the maximum number of unknown sidecars that have sent a request and wait
+	// to be queried.
+	maxUnknownPeers = 16
+	// roundTimeout is the maximum duration of a round. A round ends before the next one is due.
+	roundTimeout = HeartbeatInterval * 4 / 5
 )
 
-// GossiperDeps are the parts that a Gossiper works with.
+// GossiperDeps are the dependencies of a Gossiper.
 type GossiperDeps struct {
 	Client *transport.Client
 	Actors *actor.System
-	// Node returns this sidecar's state, View all nodes that it knows and Replicas the control
-	// plane replicas.
+	// Node returns this sidecar's state, View all nodes that it knows, and Replicas the table of
+	// control plane replicas.
 	Node     func() Node
 	View     func() *View
 	Replicas func() ReplicaTable
-	// State returns the control state in force; nil if there is none.
+	// State returns the control state in force, or nil if there is none.
 	State func() *config.ControlState
-	// Seeds returns the addresses that are asked while no other node is known.
+	// Seeds returns the addresses to query while no other node is known.
 	Seeds func() []string
-	// UpdateAge returns how long ago updates from a replica came last.
+	// UpdateAge returns the time since the last updates from a replica.
 	UpdateAge func(now time.Time) time.Duration
-	// OnUpdate is called once with all that a round found, if it found anything.
+	// OnUpdate is called once per round with everything that the round found, unless it found
+	// nothing.
 	OnUpdate func(ctx context.Context, update GossipUpdate)
-	// OnConfirmed is called after each round in which a majority confirms that there was no
-	// newer control state at the time asOf.
+	// OnConfirmed is called after each round in which a majority confirms that no newer control
+	// state existed at the time asOf.
 	OnConfirmed func(asOf time.Time)
 }
 
 // Gossiper replaces the control plane as far as possible while no replica delivers updates. In
-// every HeartbeatInterval it asks a few of the other sidecars for the newest control state, for
-// the nodes that they know, and for what they know of the status of all: a majority of the
-// sidecars can confirm that the control state in force is still the newest. (DESIGN 7.4)
+// every HeartbeatInterval it queries a few other sidecars for the newest control state, for the
+// nodes that they know, and for the statuses of all sidecars. A majority of the sidecars can
+// confirm that the control state in force is still the newest. (DESIGN 7.4)
 type Gossiper struct {
 	GossiperDeps
 	addr string
@@ -57,18 +60,18 @@
 	statuses     atomic.Pointer[PeerStatusTable]
 	unknownPeers chan string
 
-	// The following fields belong to Run. Tests set their own clock and timeout.
+	// Only Run accesses cursor. Tests replace now and roundTimeout.
 	cursor       int
 	now          func() time.Time
 	roundTimeout time.Duration
 }
 
-// GossipUpdate is what a round found.
+// GossipUpdate is the result of a round.
 type GossipUpdate struct {
-	// State is a control state newer than the one in force; nil if none was found.
+	// State is a control state newer than the one in force, or nil if none was found.
 	State *config.ControlState
-	// Nodes are those that the view lacks or has in an older version. Dead are the
-	// incarnations of nodes whose processes are gone, by address.
+	// Nodes are the nodes that the view lacks or has in an older version. Dead holds the
+	// incarnations of nodes whose processes have ended, by address.
 	Nodes         []Node
 	Dead          map[string]uint64
 	KnownReplicas []Replica
@@ -78,7 +81,7 @@
 	return u.State == nil && len(u.Nodes) == 0 && len(u.Dead) == 0 && len(u.KnownReplicas) == 0
 }
 
-// NewGossiper makes a Gossiper of the sidecar at addr.
+// NewGossiper returns a Gossiper for the sidecar at addr.
 func NewGossiper(addr string, deps GossiperDeps) *Gossiper {
 	g := &Gossiper{
 		GossiperDeps: deps,
@@ -91,7 +94,7 @@
 	return g
 }
 
-// Run runs a round in each interval while updates are missing, until ctx ends.
+// Run runs a round in each HeartbeatInterval while updates are missing, until ctx is done.
 func (g *Gossiper) Run(ctx context.Context) {
 	actor.Every(ctx, HeartbeatInterval, func(ctx context.Context) {
 		if g.UpdateAge(g.now()) > maxUpdateAge {
@@ -100,7 +103,7 @@
 	})
 }
 
-// round asks a few sidecars and hands on what they know.
+// round queries a few sidecars and passes the results to OnUpdate and OnConfirmed.
 func (g *Gossiper) round(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, g.roundTimeout)
 	defer cancel()
@@ -129,14 +132,15 @@
 	}
 }
 
-// ownPeer is what this sidecar reports of itself.
+// ownPeer returns the Peer that describes this sidecar.
 func (g *Gossiper) ownPeer(now time.Time) Peer {
 	n := g.Node()
 	status := PeerStatus{AppliedRevision: n.AppliedRevision, QuorumLost: g.Replicas().QuorumLost(now)}
 	return Peer{Addr: n.Addr, Incarnation: n.Incarnation, Version: n.Version, Status: &status}
 }
 
-// others lists the other sidecars that may be asked: all known ones, or else the seeds.
+// others returns the addresses of the other sidecars that may be queried: all known ones, or the
+// seeds if none is known.
 func (g *Gossiper) others(view *View) []string {
 	others := view.Addrs()
 	if len(others) == 0 || len(others) == 1 && others[0] == g.addr {
@@ -145,9 +149,9 @@
 	return slices.DeleteFunc(others, func(addr string) bool { return addr == g.addr })
 }
 
-// targets chooses whom to ask in this round: sidecars that asked and are not known, the one
-// with the newest control state, and the others in turn, in an order that differs from sidecar
-// to sidecar.
+// targets returns the sidecars to query in this round: unknown sidecars that sent a request, the
+// sidecar with the newest control state, and the other sidecars in turn. Each sidecar uses a
+// different order for the latter.
 func (g *Gossiper) targets(others []string, statuses PeerStatusTable, revision uint64) (out []string) {
 	add := func(addr string) {
 		if len(out) < Fanout && addr != g.addr && !slices.Contains(out, addr) {
@@ -175,12 +179,12 @@
 type gossipResult struct {
 	addr   string
 	sentAt time.Time
-	// response is nil if there was none; refused says whether the connection was refused.
+	// response is nil if none arrived. refused reports whether the connection was refused.
 	response *GossipResponse
 	refused  bool
 }
 
-// call sends a request to some sidecars at the same time and waits for all results.
+// call sends a request to several sidecars concurrently and waits for all results.
 func (g *Gossiper) call(ctx context.Context, addrs []string, req GossipRequest) (out []gossipResult) {
 	results := make(chan gossipResult, len(addrs))
 	for _, addr := range addrs {
@@ -201,7 +205,7 @@
 	return out
 }
 
-// observe takes the results of a round into the statuses.
+// observe returns the statuses updated with the results of a round.
 func (g *Gossiper) observe(statuses PeerStatusTable, results []gossipResult, view *View) PeerStatusTable {
 	for _, r := range results {
 		now := g.now()
--- a/internal/membership/heartbeat_encoder.go
+++ b/internal/membership/heartbeat_encoder.go
@@ -1,20 +1,20 @@
 package membership
 
-// HeartbeatEncoder reduces the heartbeats to one receiver to what that has not acknowledged
-// yet. The sender keeps one for each address; it is an immutable value, and the zero value is
-// for a receiver that has nothing or whose version does not understand differences. What the
-// encoder takes for acknowledged may be lost when the receiver restarts; the receiver then asks
-// for a full heartbeat. (DESIGN 7.1)
+// HeartbeatEncoder removes from the heartbeats to one receiver what that receiver has acknowledged.
+// The sender keeps one encoder for each address. An encoder is an immutable value. The zero value
+// is for a receiver that has no state yet or whose version does not support partial heartbeats. A
+// receiver may lose acknowledged state when it restarts; it then requests a full heartbeat. (DESIGN
+// 7.1)
 type HeartbeatEncoder struct {
-	// incarnation and version are those of the Node that the receiver has, and replicaDigest
-	// is that of the Replica.
+	// incarnation and version are those of the Node that the receiver has. replicaDigest is the
+	// digest of the Replica that it has.
 	incarnation, version, replicaDigest uint64
 	// tableDigest is the digest of the receiver's ReplicaTable.
 	tableDigest uint64
 }
 
-// Encode reduces a full heartbeat to what the receiver lacks. includeBudgets says whether the
-// node's counts by contract go into a NodeStatus.
+// Encode removes from a full heartbeat what the receiver already has. includeBudgets specifies
+// whether a NodeStatus includes the node's counts by contract.
 func (e HeartbeatEncoder) Encode(full Heartbeat, includeBudgets bool) Heartbeat {
 	if full.TableDigest == e.tableDigest {
 		full.KnownReplicas = nil
@@ -29,9 +29,9 @@
 	return full
 }
 
-// Acknowledge takes the response to an encoded heartbeat and returns the encoder for the next
-// one. resend says whether that should be sent at once, because this one left out something
-// that the receiver lacks.
+// Acknowledge processes the response to an encoded heartbeat and returns the encoder for the next
+// one. resend reports whether the next heartbeat should be sent at once, because the last one
+// omitted something that the receiver lacks.
 func (e HeartbeatEncoder) Acknowledge(sent, response Heartbeat) (next HeartbeatEncoder, resend bool) {
 	next.tableDigest = response.TableDigest
 	resend = sent.TableDigest == e.tableDigest && sent.TableDigest != response.TableDigest
--- a/internal/membership/node_status.go
+++ b/internal/membership/node_status.go
@@ -2,10 +2,9 @@
 
 import "curlewwalk/internal/retrybudget"
 
-// NodeStatus carries the fields of a Node that change without its Version. It is sent in
-// place of the Node to a control plane replica that has the node in that incarnation and
-// version. Each one is complete, so it does not matter if an earlier one was lost or arrives
-// later. (DESIGN 7.1)
+// NodeStatus carries the fields of a Node that change without its Version. It replaces the Node in
+// heartbeats to a control plane replica that has the Node in that incarnation and version. Each
+// NodeStatus is complete, so the loss or late arrival of an earlier one does no harm. (DESIGN 7.1)
 type NodeStatus struct {
 	Addr        string `msgpack:"a"`
 	Incarnation uint64 `msgpack:"b"`
@@ -15,19 +14,19 @@
 	AppliedRevision uint64      `msgpack:"s,omitempty"`
 	Refutation      uint64      `msgpack:"in,omitempty"`
 	Suspects        []Suspicion `msgpack:"ac,omitempty"`
-	// OpenRequests has only the zones in which any request is open.
+	// OpenRequests contains only the zones that have an open request.
 	OpenRequests map[string]int64 `msgpack:"op,omitempty"`
-	// BudgetReport is sent in some heartbeats only; nil leaves the counts as they were.
+	// BudgetReport is included in some heartbeats only. nil leaves the receiver's counts unchanged.
 	BudgetReport *BudgetReport `msgpack:"ta,omitempty"`
 }
 
-// BudgetReport holds a node's counts by contract. An empty one says that it has none.
+// BudgetReport holds a node's counts by contract. An empty report means that the node has none.
 type BudgetReport struct {
 	Budgets map[string]retrybudget.Counts `msgpack:"b,omitempty"`
 }
 
-// Status returns the part of n that changes without Version; the counts by contract are
-// included on demand.
+// Status returns the fields of n that change without Version. includeBudgets specifies whether the
+// counts by contract are included.
 func (n Node) Status(includeBudgets bool) NodeStatus {
 	status := NodeStatus{
 		Addr:            n.Addr,
@@ -53,7 +52,7 @@
 	return status
 }
 
-// WithStatus returns n with a status of the same incarnation and version applied.
+// WithStatus returns n updated with a status of the same incarnation and version.
 func (n Node) WithStatus(status NodeStatus) Node {
 	n.Sequence = status.Sequence
 	n.AppliedRevision = status.AppliedRevision
--- a/internal/membership/peer_status_table.go
+++ b/internal/membership/peer_status_table.go
@@ -7,48 +7,49 @@
 	"time"
 )
 
-// PeerStatusTTL is how long a status is kept and passed on: as long as a lease that rests on it
-// could be valid.
-const PeerStatusTTL = 4 * time.Second // (ours)
-
-// PeerStatusTable is what the sidecars reported of themselves, received from them or through
-// others. It says whether a majority of them confirms that there is no newer control state than
-// the one in force. It is an immutable value: methods that change it return the next one; the
-// zero value knows nothing. (DESIGN 7.4)
+// PeerStatusTTL is how long a status is kept and passed on. It is the time for which a lease that
+// depends on the status could be valid.
+const PeerStatusTTL = 4 * time.Second
+
+// PeerStatusTable holds the statuses that sidecars reported of themselves, received directly or
+// through other sidecars. It determines whether a majority of the sidecars confirms that no control
+// state is newer than the one in force. The table is an immutable value: exported methods that
+// change it return the next table. The zero value is an empty table. (DESIGN 7.4)
 type PeerStatusTable struct {
 	records map[string]peerRecord
 }
 
-// peerRecord is the newest that is known of one sidecar.
+// peerRecord is the newest information about one sidecar.
 type peerRecord struct {
-	// status is nil if others only mentioned the sidecar.
+	// status is nil if other sidecars only mentioned this one.
 	status *PeerStatus
 	// observedAt is when the status was reported, or earlier, but never later.
 	observedAt time.Time
-	// mentionedAt is when anybody last mentioned the sidecar.
+	// mentionedAt is when any sidecar last mentioned this one.
 	mentionedAt time.Time
 }
 
-// isAlive reports whether the sidecar reported that it runs in an incarnation.
+// isAlive reports whether the sidecar reported that it runs in the given incarnation.
 func (r peerRecord) isAlive(incarnation uint64) bool {
 	return r.status != nil && !r.status.Dead && r.status.Incarnation == incarnation
 }
 
-// isDead reports whether the sidecar was found dead in an incarnation.
+// isDead reports whether the sidecar was found dead in the given incarnation.
 func (r peerRecord) isDead(incarnation uint64) bool {
 	return r.status != nil && r.status.Dead && r.status.Incarnation == incarnation
 }
 
-// isConfirming reports whether the sidecar confirms that no revision above the given one is in
-// force: it is dead, or found the quorum lost while it had none above.
+// isConfirming reports whether the sidecar confirms that it has no revision above the given one in
+// force. It does if it is dead, or if it found the quorum lost while its applied revision was not
+// higher.
 func (r peerRecord) isConfirming(revision uint64) bool {
 	return r.status != nil && (r.status.Dead || r.status.QuorumLost && r.status.AppliedRevision <= revision)
 }
 
-// Observe takes the peers of a response. Their ages count back from asked, when the request was
-// sent, so that a status is never taken for younger than it is. own is the asking sidecar, whose
-// status by others is ignored.
-func (t PeerStatusTable) Observe(own string, peers []Peer, asked, now time.Time) PeerStatusTable {
+// Observe records the peers of a response. The ages of their statuses count back from requestedAt,
+// when the request was sent, so that no status is assumed to be younger than it is. own is the
+// requesting sidecar; what other sidecars report of it is ignored.
+func (t PeerStatusTable) Observe(own string, peers []Peer, requestedAt, now time.Time) PeerStatusTable {
 	next := t.unexpired(now)
 	for _, p := range peers {
 		if p.Addr == own {
@@ -60,20 +61,20 @@
 		}
 		status := *p.Status
 		status.Incarnation = cmp.Or(status.Incarnation, p.Incarnation)
-		next.record(p.Addr, status, asked.Add(-time.Duration(status.Age)*time.Millisecond), now)
+		next.record(p.Addr, status, requestedAt.Add(-time.Duration(status.Age)*time.Millisecond), now)
 	}
 	return next
 }
 
-// MarkDead notes that the address of a sidecar, known in an incarnation, refused a connection
-// that was tried at the given time.
-func (t PeerStatusTable) MarkDead(addr string, incarnation uint64, tried, now time.Time) PeerStatusTable {
+// MarkDead records that the address of a sidecar refused a connection attempt made at attemptedAt.
+// incarnation is the known incarnation of the sidecar.
+func (t PeerStatusTable) MarkDead(addr string, incarnation uint64, attemptedAt, now time.Time) PeerStatusTable {
 	next := t.unexpired(now)
-	next.record(addr, PeerStatus{Incarnation: incarnation, Dead: true}, tried, now)
+	next.record(addr, PeerStatus{Incarnation: incarnation, Dead: true}, attemptedAt, now)
 	return next
 }
 
-// unexpired returns a copy without what is older than PeerStatusTTL.
+// unexpired returns a copy of the table without entries older than PeerStatusTTL.
 func (t PeerStatusTable) unexpired(now time.Time) PeerStatusTable {
 	next := PeerStatusTable{records: make(map[string]peerRecord, len(t.records))}
 	for addr, r := range t.records {
@@ -87,14 +88,14 @@
 	return next
 }
 
-// mention notes in place that the sidecar was mentioned.
+// mention records in place that the sidecar was mentioned.
 func (t PeerStatusTable) mention(addr string, now time.Time) {
 	r := t.records[addr]
 	r.mentionedAt = now
 	t.records[addr] = r
 }
 
-// record stores a status in place, unless it has expired or a younger one is there.
+// record stores a status in place, unless the status has expired or the table has a younger one.
 func (t PeerStatusTable) record(addr string, status PeerStatus, at, now time.Time) {
 	t.mention(addr, now)
 	r := t.records[addr]
@@ -104,8 +105,8 @@
 	}
 }
 
-// deadIncarnations returns, by address, the incarnations of those nodes of a view that were found
-// dead in just that incarnation.
+// deadIncarnations returns the incarnations of the nodes in a view that were found dead in exactly
+// that incarnation, by address.
 func (t PeerStatusTable) deadIncarnations(view *View) map[string]uint64 {
 	out := map[string]uint64{}
 	for addr, r := range t.records {
@@ -116,11 +117,11 @@
 	return out
 }
 
-// Addrs lists the addresses of all sidecars that anybody mentioned.
+// Addrs returns the addresses of all sidecars that any sidecar mentioned.
 func (t PeerStatusTable) Addrs() []string { return slices.Sorted(maps.Keys(t.records)) }
 
-// Outdated lists the addresses of the peers whose nodes the view lacks, or has in an older version
-// or incarnation than the peers' sender.
+// Outdated returns the addresses of the peers whose nodes the view lacks, or has in an older
+// version or incarnation than the sender of the peers.
 func (t PeerStatusTable) Outdated(view *View, peers []Peer) (out []string) {
 	for _, p := range peers {
 		have, ok := view.nodes[p.Addr]
@@ -136,7 +137,8 @@
 	return out
 }
 
-// NewestAbove returns the sidecar with the highest applied revision above the given one.
+// NewestAbove returns the sidecar with the highest applied revision above the given one. ok is
+// false if there is none.
 func (t PeerStatusTable) NewestAbove(above uint64) (addr string, ok bool) {
 	for _, a := range t.Addrs() {
 		if r := t.records[a]; r.status != nil && r.status.AppliedRevision > above {
@@ -146,9 +148,9 @@
 	return addr, ok
 }
 
-// Report lists what is sent to another sidecar: the own peer, all nodes of the view, and all
-// unexpired statuses with their ages as of now. Sidecars that others only mentioned are not
-// passed on, or a mention would never expire.
+// Report returns the peers to send to another sidecar: the own peer, all nodes of the view, and all
+// unexpired statuses with their ages as of now. It omits sidecars that other sidecars only
+// mentioned; otherwise a mention would circulate and never expire.
 func (t PeerStatusTable) Report(own Peer, view *View, now time.Time) []Peer {
 	out := []Peer{own}
 	for _, addr := range union(view.Addrs(), t.Addrs()) {
@@ -173,10 +175,10 @@
 	return out
 }
 
-// ConfirmedAsOf returns the latest time at which a majority of all known sidecars, the own one
-// included, had no revision above the given one in force. The dead confirm it, and those that
-// found the quorum of the replicas lost. Any two majorities have a sidecar in common, so by then
-// no newer revision was in force on a majority. ok is false without such a majority.
+// ConfirmedAsOf returns the latest time at which a majority of all known sidecars, including own,
+// had no revision above the given one in force. Sidecars confirm this if they are dead or found the
+// quorum of the replicas lost. Any two majorities have a sidecar in common, so up to that time no
+// newer revision was in force on a majority. ok is false if there is no such majority.
 func (t PeerStatusTable) ConfirmedAsOf(own string, revision uint64, known []string, now time.Time) (asOf time.Time, ok bool) {
 	all := union(known, t.Addrs())
 	all = slices.DeleteFunc(all, func(a string) bool { return a == own })
--- a/internal/membership/prober.go
+++ b/internal/membership/prober.go
@@ -13,24 +13,24 @@
 // KindProbe is the message kind of a Probe on the wire.
 const KindProbe = "probe"
 
-// Probe is the health check of one sidecar by another. The request is empty; the response has
-// the responder's incarnation and its highest refutation.
+// Probe is the health check of one sidecar by another. The request is empty. The response has the
+// responder's incarnation and its highest refutation.
 type Probe struct {
 	Incarnation uint64 `msgpack:"b"`
 	Refutation  uint64 `msgpack:"i"`
 }
 
-// ProberDeps are the parts that a Prober works with.
+// ProberDeps are the dependencies of a Prober.
 type ProberDeps struct {
 	Client *transport.Client
 	Actors *actor.System
-	// View returns all nodes that are known.
+	// View returns all known nodes.
 	View func() *View
-	// OnChange is called when Suspects has changed. It must not block.
+	// OnChange is called when the result of Suspects has changed. It must not block.
 	OnChange func()
 }
 
-// Prober probes the nodes that its own node monitors and keeps the list of those that it
+// Prober probes the nodes that its own node monitors and maintains the list of those that it
 // suspects. (DESIGN 7.3)
 type Prober struct {
 	ProberDeps
@@ -39,26 +39,26 @@
 	suspects atomic.Pointer[[]Suspicion]
 }
 
-// NewProber makes a Prober of the node at addr.
+// NewProber returns a Prober for the node at addr.
 func NewProber(addr string, deps ProberDeps) *Prober {
 	p := &Prober{ProberDeps: deps, addr: addr}
 	p.suspects.Store(&[]Suspicion{})
 	return p
 }
 
-// Suspects returns the current suspicions. It may be called from anywhere.
+// Suspects returns the current suspicions. It is safe for concurrent use.
 func (p *Prober) Suspects() []Suspicion { return *p.suspects.Load() }
 
 // probeResult is the outcome of a probe.
 type probeResult struct {
 	addr string
-	// response is nil if there was none from the incarnation that was probed; refused tells
-	// whether the connection was refused.
+	// response is nil if none arrived from the probed incarnation. refused reports whether the
+	// connection was refused.
 	response *Probe
 	refused  bool
 }
 
-// Run probes in each HeartbeatInterval until ctx ends.
+// Run probes the monitored nodes in each HeartbeatInterval until ctx is done.
 func (p *Prober) Run(ctx context.Context) {
 	detector := NewFailureDetector(p.addr)
 	tick := time.NewTicker(HeartbeatInterval)
@@ -89,7 +89,7 @@
 	p.OnChange()
 }
 
-// probe sends a probe to a node and, without waiting here, its result to results.
+// probe sends a probe to a node without waiting for the response. The outcome is sent to results.
 func (p *Prober) probe(ctx context.Context, n Node, results chan<- probeResult) {
 	p.Actors.Go(ctx, "probe", func(ctx context.Context) {
 		callCtx, cancel := context.WithTimeout(ctx, HeartbeatInterval)
--- a/internal/membership/replica_exchange.go
+++ b/internal/membership/replica_exchange.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// FindByDigest returns the observed replica whose status has a digest.
+// FindByDigest returns the observed replica whose status has the given digest.
 func (t ReplicaTable) FindByDigest(digest uint64) (Replica, bool) {
 	for _, o := range t.byMember {
 		if digest != 0 && o.replica.Digest == digest {
@@ -12,7 +12,7 @@
 	return Replica{}, false
 }
 
-// DigestAt returns the digest of the observed replica at an address; zero if there is none.
+// DigestAt returns the digest of the observed replica at addr, or zero if there is none.
 func (t ReplicaTable) DigestAt(addr string) uint64 {
 	for _, o := range t.byMember {
 		if o.replica.Addr == addr {
@@ -22,9 +22,9 @@
 	return 0
 }
 
-// ObserveHeartbeat takes what a heartbeat or a response to one says of the replicas. sender is
-// the status of the replica that sent it, also if the message has only its digest; nil if it
-// came from a sidecar or the digest is unknown.
+// ObserveHeartbeat records the information about replicas in a heartbeat or a response. sender is
+// the status of the replica that sent the message, even if the message has only its digest. sender
+// is nil if the message came from a sidecar or the digest is unknown.
 func (t ReplicaTable) ObserveHeartbeat(h Heartbeat, now time.Time) (next ReplicaTable, sender *Replica) {
 	sender = h.Replica
 	if replica, ok := t.FindByDigest(h.ReplicaDigest); ok && sender == nil {
@@ -36,9 +36,9 @@
 	return t.AddReported(h.KnownReplicas, now), sender
 }
 
-// Respond returns the response to a heartbeat as far as it concerns the replicas, leaving out
-// what the caller has already. own is the responder's own status, nil if it is a sidecar, and
-// digest that of its table.
+// Respond returns the part of the response to a heartbeat that concerns the replicas. It omits what
+// the sender of h already has. own is the responder's own status, or nil if the responder is a
+// sidecar. digest is the digest of the responder's table.
 func (t ReplicaTable) Respond(h Heartbeat, own *Replica, digest uint64) Heartbeat {
 	out := Heartbeat{TableDigest: digest}
 	if _, ok := t.FindByDigest(h.ReplicaDigest); h.ReplicaDigest != 0 && !ok {
--- a/internal/membership/replica_queries.go
+++ b/internal/membership/replica_queries.go
@@ -6,19 +6,20 @@
 	"time"
 )
 
-// Members returns the newest members that any replica sent, those before while that change may
-// not have been committed, and the revision of the control state that has them.
+// Members returns the newest members that any replica sent, the previous members while that change
+// may not have been committed, and the revision of the control state that contains the newest
+// members.
 func (t ReplicaTable) Members() (members, previous []int, accepted uint64) {
 	if len(t.newest.Members) > 0 {
 		return t.newest.Members, t.newest.PreviousMembers, t.newest.AcceptedRevision
 	}
-	for i := range t.newest.MemberCount { // an older version sends their number only
+	for i := range t.newest.MemberCount { // older versions send only the number of members
 		members = append(members, i+1)
 	}
 	return members, nil, 0
 }
 
-// Observed lists the replicas that sent a status themselves, live or not, by member ID.
+// Observed returns the replicas that sent a status themselves, live or not, ordered by member ID.
 func (t ReplicaTable) Observed() []Replica {
 	var out []Replica
 	for _, o := range t.byMember {
@@ -28,8 +29,8 @@
 	return out
 }
 
-// All lists the observed replicas and, for the other members, those that others reported, by
-// member ID.
+// All returns the observed replicas and, for the other members, the replicas that other processes
+// reported. The result is ordered by member ID.
 func (t ReplicaTable) All() []Replica {
 	out := t.Observed()
 	for memberID, replica := range t.reported {
@@ -41,21 +42,21 @@
 	return out
 }
 
-// Live lists the replicas that sent their status within ReplicaTimeout, by member ID.
+// Live returns the replicas that sent their status within ReplicaTimeout, ordered by member ID.
 func (t ReplicaTable) Live(now time.Time) []Replica {
 	return slices.DeleteFunc(t.Observed(), func(replica Replica) bool {
 		return now.Sub(t.byMember[replica.MemberID].at) >= ReplicaTimeout
 	})
 }
 
-// Member returns the observed replica with a member ID.
+// Member returns the observed replica with the given member ID.
 func (t ReplicaTable) Member(memberID int) (Replica, bool) {
 	o, ok := t.byMember[memberID]
 	return o.replica, ok
 }
 
 // QuorumLost reports whether so many members are known to be dead that the others, live or silent,
-// can't be a majority. A member counts as dead for ReplicaTimeout after its address refused a
+// cannot be a majority. A member counts as dead for ReplicaTimeout after its address refused a
 // connection, unless it has sent its status since. (DESIGN 7.2)
 func (t ReplicaTable) QuorumLost(now time.Time) bool {
 	dead := t.deadMembers(now)
@@ -69,11 +70,13 @@
 		return left < len(members)/2+1
 	}
 	members, previous, _ := t.Members()
-	// While a change of the members may not have been committed, either set may decide.
+	// While a change of the members may not have been committed, the majority of either set may
+	// decide.
 	return len(members) > 0 && lost(members) && (len(previous) == 0 || lost(previous))
 }
 
-// deadMembers returns the IDs of the members whose addresses refused a connection lately.
+// deadMembers returns the IDs of the members whose addresses refused a connection within
+// ReplicaTimeout and that have not sent a status since.
 func (t ReplicaTable) deadMembers(now time.Time) map[int]bool {
 	dead := map[int]bool{}
 	for _, replica := range t.All() {
@@ -85,14 +88,14 @@
 	return dead
 }
 
-// CommittedPast reports whether a live replica has sent that a revision above the given one is
-// committed. Committed revisions only rise, so what a replica sent once stays true.
+// CommittedPast reports whether a live replica has reported that a revision above the given one is
+// committed. Committed revisions only increase, so an earlier report stays true.
 func (t ReplicaTable) CommittedPast(revision uint64, now time.Time) bool {
 	return slices.ContainsFunc(t.Live(now), func(replica Replica) bool { return replica.CommittedRevision > revision })
 }
 
-// MedianClock returns the median of the live replicas' wall clocks, the caller's own included:
-// it is right as long as most of them are. (DESIGN 17.2)
+// MedianClock returns the median of the live replicas' wall clocks, including the caller's own. The
+// median is correct as long as most of the clocks are. (DESIGN 17.2)
 func (t ReplicaTable) MedianClock(own time.Time, ownMemberID int, now time.Time) time.Time {
 	clocks := []time.Time{own}
 	for _, replica := range t.Live(now) {
@@ -106,8 +109,8 @@
 	return clocks[(len(clocks)-1)/2]
 }
 
-// HeartbeatTargets lists the addresses to send heartbeats to: those of all known replicas and
-// candidates, and the seeds as long as any member has no live replica.
+// HeartbeatTargets returns the addresses to send heartbeats to: those of all known replicas and
+// candidates, and also the seeds while any member has no live replica.
 func (t ReplicaTable) HeartbeatTargets(own string, seeds []string, now time.Time) []string {
 	addrs := map[string]bool{}
 	for _, replica := range t.All() {
--- a/internal/membership/replica_table.go
+++ b/internal/membership/replica_table.go
@@ -7,39 +7,39 @@
 	"time"
 )
 
-// ReplicaTimeout is how long after its last status a replica counts as live.
-const ReplicaTimeout = 1500 * time.Millisecond // (ours)
+// ReplicaTimeout is how long a replica counts as live after its last status.
+const ReplicaTimeout = 1500 * time.Millisecond
 
-// candidateTTL is how long heartbeats are sent to an address that was only reported by others
-// and does not answer.
-const candidateTTL = 30 * time.Second // (ours)
+// candidateTTL is how long heartbeats are sent to an address that does not respond, after another
+// process last reported it.
+const candidateTTL = 30 * time.Second
 
-// ReplicaTable is what one process knows of the control plane replicas: which one is which
-// member, and when it last sent its status. Only a replica's own message makes it the member;
-// what others report makes its address a candidate for heartbeats.
+// ReplicaTable holds the information that one process has about the control plane replicas: which
+// replica is which member, and when it last sent its status. Only a message from the replica itself
+// makes it the member. A report by another process makes the address a candidate for heartbeats.
 //
-// The table is an immutable value: methods that change it return the next one. The zero value
-// knows nothing.
+// The table is an immutable value: methods that change it return the next table. The zero value is
+// an empty table.
 type ReplicaTable struct {
-	// byMember are the replicas that sent a status themselves, by member ID.
+	// byMember holds the replicas that sent a status themselves, by member ID.
 	byMember map[int]observation
-	// refused says when a connection to an address was last refused: no process listens.
+	// refused holds when each address last refused a connection: no process listens there.
 	refused map[string]time.Time
-	// candidates says when an address was last reported by others.
+	// candidates holds when other processes last reported each address.
 	candidates map[string]time.Time
-	// reported are the replicas as others reported them, by member ID.
+	// reported holds the replicas as other processes reported them, by member ID.
 	reported map[int]Replica
 	// newest is the replica that sent the newest members.
 	newest Replica
 }
 
-// observation is a replica's status and when it arrived.
+// observation is a replica's status with its time of arrival.
 type observation struct {
 	replica Replica
 	at      time.Time
 }
 
-// Observe takes the status that a replica sent of itself.
+// Observe records the status that a replica sent of itself.
 func (t ReplicaTable) Observe(replica Replica, now time.Time) ReplicaTable {
 	old, ok := t.byMember[replica.MemberID]
 	if ok && old.outranks(replica, now) {
@@ -51,18 +51,19 @@
 	return next.updateMembers(replica).removeFormerMembers(now)
 }
 
-// outranks reports whether the observed replica stays the member against another one:
-// if that has a lower member incarnation, or, in the same one, another address while the
-// observed one is live. The latter happens only before any of the two is established.
+// outranks reports whether the observed replica remains the member when another replica claims the
+// same member ID. It does if other has a lower member incarnation, or if other has the same member
+// incarnation and another address while the observed replica is live. The second case occurs only
+// before either of them is established.
 func (o observation) outranks(other Replica, now time.Time) bool {
 	if other.MemberIncarnation < o.replica.MemberIncarnation {
 		return true
 	}
-	rivals := other.MemberIncarnation == o.replica.MemberIncarnation && other.Addr != o.replica.Addr
-	return rivals && now.Sub(o.at) < ReplicaTimeout
+	conflict := other.MemberIncarnation == o.replica.MemberIncarnation && other.Addr != o.replica.Addr
+	return conflict && now.Sub(o.at) < ReplicaTimeout
 }
 
-// updateMembers takes the members that a replica sent, if they are newer than those known.
+// updateMembers records the members that a replica sent, if they are newer than the known ones.
 func (t ReplicaTable) updateMembers(replica Replica) ReplicaTable {
 	if replica.MemberCount > 0 && replica.hasNewerMembers(t.newest) {
 		t.newest = replica
@@ -70,8 +71,9 @@
 	return t
 }
 
-// hasNewerMembers reports whether r has newer members than another replica: those of a higher
-// revision, or, of the same, if only r has them at all or only r knows that they are committed.
+// hasNewerMembers reports whether r has newer members than other. The members with the higher
+// accepted revision are newer. If the revisions are equal, the members of r are newer if other has
+// no list of members, or if only r knows that they are committed.
 func (r Replica) hasNewerMembers(other Replica) bool {
 	if other.MemberCount == 0 || r.AcceptedRevision > other.AcceptedRevision {
 		return true
@@ -84,8 +86,8 @@
 	return len(other.Members) == 0 || committed && !otherCommitted
 }
 
-// removeFormerMembers forgets the replicas that are members no longer. One that waits to be
-// added is kept as long as it is live.
+// removeFormerMembers removes the replicas that are no longer members. A replica that waits to be
+// added is kept while it is live.
 func (t ReplicaTable) removeFormerMembers(now time.Time) ReplicaTable {
 	if len(t.newest.Members) == 0 {
 		return t
@@ -101,7 +103,7 @@
 	return t
 }
 
-// AddReported takes the replicas that another process knows of.
+// AddReported records the replicas that another process knows.
 func (t ReplicaTable) AddReported(known []Replica, now time.Time) ReplicaTable {
 	next := t
 	next.candidates, next.reported = cloneOrMake(t.candidates), cloneOrMake(t.reported)
@@ -116,7 +118,7 @@
 	return next.removeFormerMembers(now)
 }
 
-// Refused notes that a connection to an address was refused: no process listens there.
+// Refused records that a connection to addr was refused: no process listens there.
 func (t ReplicaTable) Refused(addr string, now time.Time) ReplicaTable {
 	next := t
 	next.refused = cloneOrMake(t.refused)
@@ -125,7 +127,7 @@
 	return next
 }
 
-// withOwn adds a replica's own status, as it sends it itself; nil adds nothing.
+// withOwn returns the table with the process's own status added. nil adds nothing.
 func (t ReplicaTable) withOwn(own *Replica) ReplicaTable {
 	if own == nil {
 		return t
@@ -143,7 +145,7 @@
 	return maps.Clone(m)
 }
 
-// union returns the elements of two lists, each once, in ascending order.
+// union returns the elements of a and b in ascending order, without duplicates.
 func union[T cmp.Ordered](a, b []T) []T {
 	out := slices.Concat(a, b)
 	slices.Sort(out)
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -5,26 +5,26 @@
 	"slices"
 )
 
-// View is the snapshot of the data plane that requests are routed by: the known nodes, and for
-// each service the backends that may be chosen. It is immutable, and only a hint: the sidecar
-// beside the backend decides whether it takes a request.
+// View is the snapshot of the data plane that is used to route requests: the known nodes and, for
+// each service, the backends that may be chosen. It is immutable. It may be outdated, so the
+// backend's sidecar decides whether to accept a request.
 type View struct {
 	byService map[string][]Target
 	nodes     map[string]Node
 }
 
-// Target is one backend with the sidecar in front of it.
+// Target is one backend with its sidecar.
 type Target struct {
 	Backend
-	// Node is the address of the sidecar, Incarnation that of its process.
+	// Node is the address of the sidecar. Incarnation identifies the sidecar's process.
 	Node        string
 	Incarnation uint64
-	// Load is shared by all views that hold the same backend.
+	// Load is shared by all views that contain the same backend.
 	Load *Load
 }
 
-// NewView makes the view of some nodes, by address. Backends that the previous view holds too
-// keep their Load; previous may be nil.
+// NewView returns the view of the given nodes, which are keyed by address. Backends that are also
+// in the previous view keep their Load. previous may be nil.
 func NewView(nodes map[string]Node, previous *View) *View {
 	loads := previous.loads()
 	v := &View{byService: map[string][]Target{}, nodes: maps.Clone(nodes)}
@@ -55,22 +55,22 @@
 	return out
 }
 
-// key identifies a backend over all views.
+// key identifies a backend across views.
 func (t Target) key() string { return t.Node + " " + t.Service + " " + t.Instance }
 
-// Service lists the targets of a service.
+// Service returns the targets of a service.
 func (v *View) Service(name string) []Target { return v.byService[name] }
 
-// Services lists the names of the services that have backends.
+// Services returns the sorted names of the services that have backends.
 func (v *View) Services() []string { return slices.Sorted(maps.Keys(v.byService)) }
 
-// Addrs lists the addresses of all nodes.
+// Addrs returns the sorted addresses of all nodes.
 func (v *View) Addrs() []string { return slices.Sorted(maps.Keys(v.nodes)) }
 
-// Nodes lists all nodes by address.
+// Nodes returns all nodes, sorted by address.
 func (v *View) Nodes() []Node { return v.nodesAt(v.Addrs()) }
 
-// nodesAt lists the nodes at some addresses, as far as they are known.
+// nodesAt returns the nodes at the given addresses, skipping unknown addresses.
 func (v *View) nodesAt(addrs []string) []Node {
 	var out []Node
 	for _, addr := range addrs {
--- a/internal/watch/departures.go
+++ b/internal/watch/departures.go
@@ -6,26 +6,27 @@
 	"curlewwalk/internal/membership"
 )
 
-// maxDepartures bounds how many departed instances a replica remembers in all. Those of the
-// sidecars that reported theirs longest ago are dropped first.
-const maxDepartures = 65536 // (ours)
+// maxDepartures is the maximum number of departed instances that a replica remembers for all nodes
+// together. The departures of the node with the oldest report are dropped first.
+const maxDepartures = 65536
 
-// departureLog remembers the departures that sidecars reported, beyond the end of their processes:
-// a sidecar that restarts gets back what an earlier process at its address had acknowledged.
-// (DESIGN 9.1)
+// departureLog stores the departures that sidecars reported, also after the sidecars' processes
+// have ended. A sidecar that restarts receives the departures that an earlier process at its
+// address had acknowledged. (DESIGN 9.1)
 type departureLog struct {
 	byNode map[string]nodeDepartures
 	// count is the number of departures of all nodes.
 	count int
 }
 
-// nodeDepartures are the departures of one node and when it last reported any.
+// nodeDepartures holds the departures of one node and the time when it last reported a new one.
 type nodeDepartures struct {
 	departures membership.Departures
 	reportedAt time.Duration
 }
 
-// observe takes the departures that a node reports and returns the other ones known of it.
+// observe records the departures that a node reports and returns the known departures of that node
+// that the report lacks.
 func (d *departureLog) observe(n membership.Node, now time.Duration) (missing []string) {
 	old := d.byNode[n.Addr]
 	next, changed := old.departures.Add(n.Departed...)
@@ -44,7 +45,8 @@
 	return next.Without(n.Departed)
 }
 
-// evictOldest drops the departures of the node that reported any longest ago.
+// evictOldest removes the departures of the node whose last report of a new departure is the
+// oldest.
 func (d *departureLog) evictOldest() {
 	oldest := ""
 	for addr, n := range d.byNode {
--- a/internal/watch/drain.go
+++ b/internal/watch/drain.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// DrainStatus says how far the evacuation of a zone has come.
+// DrainStatus is the progress of the evacuation of a zone.
 type DrainStatus struct {
 	Zone string `json:"locality"`
-	// Evacuated says whether the control state has the zone evacuated, and Revision is that
-	// control state's.
+	// Evacuated reports whether the control state marks the zone as evacuated. Revision is the
+	// revision of that control state.
 	Evacuated bool   `json:"emptied"`
 	Revision  uint64 `json:"stamp"`
-	// OpenRequests is how many requests still run or wait in the zone.
+	// OpenRequests is the number of requests in progress or queued in the zone.
 	OpenRequests int64 `json:"open"`
 	// LaggingNodes lists the addresses of the nodes that have not applied Revision yet.
 	LaggingNodes []string `json:"behind"`
-	// Done is set once no request is open and no node lags; DoneFor is for how long, as
-	// time.Duration prints it.
+	// Done is set while the zone is evacuated, no request is open and no node lags. DoneFor is how
+	// long that has been so, in the format of time.Duration.
 	Done    bool   `json:"done"`
 	DoneFor string `json:"done_for,omitempty"`
 }
 
-// DrainStatus returns the status of a zone.
+// DrainStatus returns the evacuation status of a zone.
 func (l *EventLog) DrainStatus(zone string, now time.Duration) DrainStatus {
 	d := DrainStatus{Zone: zone}
 	if l.state != nil {
@@ -36,14 +36,14 @@
 	if d.Done {
 		since, ok := l.drainedSince[zone]
 		if !ok {
-			since = now // since after the last tick
+			since = now // became drained after the last tick
 		}
 		d.DoneFor = (now - since).String()
 	}
 	return d
 }
 
-// updateDrainedZones records since when each evacuated zone is drained.
+// updateDrainedZones records when each evacuated zone became drained.
 func (l *EventLog) updateDrainedZones(now time.Duration) {
 	if l.state == nil {
 		return
--- a/internal/watch/event.go
+++ b/internal/watch/event.go
@@ -5,13 +5,14 @@
 	"curlewwalk/internal/membership"
 )
 
-// Event is one change. Exactly one field is set; an event without any stands for a control state
-// that a newer one superseded.
+// Event is one change. Exactly one field is set. An event without any field set stands for a
+// control state that a newer one superseded.
 type Event struct {
-	// State is a newly committed control state, StatePatch its difference from the one that
-	// the receiver has.
+	// State is a newly committed control state. StatePatch is its difference from the control state
+	// that the receiver has.
 	State *config.ControlState `msgpack:"w,omitempty"`
-	// Node is a node that was added or changed; RemovedNode is the address of one that is gone.
+	// Node is a node that was added or changed. RemovedNode is the address of a node that was
+	// removed.
 	Node        *membership.Node `msgpack:"n,omitempty"`
 	RemovedNode string           `msgpack:"g,omitempty"`
 	StatePatch  *config.Patch    `msgpack:"p,omitempty"`
--- a/internal/watch/event_log.go
+++ b/internal/watch/event_log.go
@@ -9,44 +9,45 @@
 )
 
 const (
-	// maxEvents is how many events are kept for watchers to continue from.
-	maxEvents = 1024 // (ours)
-	// StartupDelay is how long a replica only listens after its start or a pause: until the
-	// nodes have sent their heartbeats, a snapshot would lack most of them.
-	StartupDelay = 700 * time.Millisecond // (ours)
+	// maxEvents is the number of events that are kept for watchers to continue from.
+	maxEvents = 1024
+	// StartupDelay is how long a replica only receives heartbeats after its start or a pause.
+	// Before the nodes have sent their heartbeats, a snapshot would lack most of them.
+	StartupDelay = 700 * time.Millisecond
 )
 
-// EventLog is what a replica delivers to watchers: the newest committed control state, the nodes,
-// and the numbered changes of both. It also answers what only the replica itself asks: which nodes
-// lag, are suspected, or still run requests in a zone that is drained.
+// EventLog holds what a replica delivers to watchers: the newest committed control state, the
+// nodes, and the numbered changes of both. It also answers queries of the replica itself: which
+// nodes lag, which are suspected, and which still process requests in a zone that is being drained.
 //
-// It is not safe for concurrent use. Times are durations since the owner's start.
+// An EventLog is not safe for concurrent use. Times are durations since the owner's start.
 type EventLog struct {
-	// ID identifies the log: offsets of another one mean nothing in it.
+	// ID identifies the log. Offsets are valid only in the log that issued them.
 	ID uint64
-	// offset is the number of the newest event, the last of events.
+	// offset is the number of the newest event, which is the last element of events.
 	offset uint64
 	events []Event
 
-	// state is the newest committed control state, version its encoding, and history has the
-	// latest versions to make patches from.
+	// state is the newest committed control state. version is its encoding. history holds the
+	// latest versions, from which patches are made.
 	state   *config.ControlState
 	version config.Version
 	history config.VersionHistory
 
-	// nodes are the known nodes by address, and lastHeartbeat is when each sent one.
+	// nodes holds the known nodes by address. lastHeartbeat holds when each of them last sent a
+	// heartbeat.
 	nodes         map[string]membership.Node
 	lastHeartbeat map[string]time.Duration
 	departures    departureLog
-	// drainedSince is since when an evacuated zone is drained.
+	// drainedSince holds when each evacuated zone became drained.
 	drainedSince map[string]time.Duration
 
-	// readyAt is when the log may be delivered.
+	// readyAt is when delivery to watchers may start.
 	readyAt  time.Duration
 	lastTick time.Duration
 }
 
-// NewEventLog makes an empty log.
+// NewEventLog returns an empty log.
 func NewEventLog(id uint64, now time.Duration) *EventLog {
 	return &EventLog{
 		ID:            id,
@@ -57,9 +58,10 @@
 	}
 }
 
-// DetectPause is called before anything else that happens. If the ticks have stopped for a while,
-// the process was frozen or starved: heartbeats could not arrive meanwhile, so the log starts
-// anew, under a new ID. The control state and the departures stay.
+// DetectPause must be called before any other method processes a message. If there were no ticks
+// for a while, the process was suspended or starved of CPU time and could not receive heartbeats.
+// The log then restarts without nodes and events, under a new ID. The control state and the
+// departures are kept.
 func (l *EventLog) DetectPause(now time.Duration) {
 	if now-l.lastTick <= nodeTimeout/2 {
 		return
@@ -70,14 +72,14 @@
 	*l = *next
 }
 
-// Ready reports whether the log may be delivered yet.
+// Ready reports whether the log may be delivered to watchers.
 func (l *EventLog) Ready(now time.Duration) bool { return now >= l.readyAt }
 
-// State returns the newest committed control state, nil if there is none.
+// State returns the newest committed control state, or nil if there is none.
 func (l *EventLog) State() *config.ControlState { return l.state }
 
-// ObserveCommitted takes a committed control state; it reports whether that is newer than the one
-// before.
+// ObserveCommitted records a committed control state. It reports whether that control state is
+// newer than the previous one.
 func (l *EventLog) ObserveCommitted(state config.ControlState) bool {
 	if l.state != nil && state.Revision <= l.state.Revision {
 		return false
@@ -85,7 +87,7 @@
 	state = state.ForSidecars()
 	for i := range l.events {
 		if l.events[i].State != nil {
-			l.events[i] = Event{} // superseded: no watcher needs it, however far behind
+			l.events[i] = Event{} // superseded: no watcher needs it, even one that lags
 		}
 	}
 	l.version, _ = config.NewVersion(state)
@@ -103,8 +105,8 @@
 	}
 }
 
-// Since returns what a watcher asks for, except for Age; fresh is false if there is nothing new
-// for it.
+// Since returns the updates for a request, without Age. fresh is false if there is nothing new for
+// the watcher.
 func (l *EventLog) Since(req Request) (updates Updates, fresh bool) {
 	updates = Updates{LogID: l.ID, Offset: l.offset}
 	first := l.offset - uint64(len(l.events))
@@ -129,9 +131,10 @@
 	return events
 }
 
-// withStatePatch replaces the control state among events by a patch of the one that the watcher
-// has, given by its fingerprint, if that is much shorter; it removes the control state if the
-// watcher has it. It changes events in place.
+// withStatePatch replaces the control state in events by a patch if the patch is much shorter. The
+// patch is relative to the control state that the watcher has, identified by its fingerprint. If
+// the watcher already has the newest control state, withStatePatch removes it from events. It
+// modifies events in place.
 func (l *EventLog) withStatePatch(events []Event, fingerprint []byte) []Event {
 	i := slices.IndexFunc(events, func(event Event) bool { return event.State != nil })
 	if i < 0 || len(fingerprint) != len(l.version.Fingerprint) {
--- a/internal/watch/mirror.go
+++ b/internal/watch/mirror.go
@@ -5,20 +5,22 @@
 	"curlewwalk/internal/membership"
 )
 
-// Mirror is what a sidecar has of the nodes and of the control state's revision, from the replicas
-// that it watched and from other sidecars. It is not safe for concurrent use. (DESIGN 8.2)
+// Mirror holds the nodes that a sidecar knows and the revision of its control state, received from
+// the replicas that it watched and from other sidecars. It is not safe for concurrent use. (DESIGN
+// 8.2)
 type Mirror struct {
-	// Nodes are the known nodes by address.
+	// Nodes holds the known nodes by address.
 	Nodes map[string]membership.Node
-	// revision is that of the newest control state that was accepted.
+	// revision is the revision of the newest accepted control state.
 	revision uint64
 }
 
-// NewMirror makes an empty mirror.
+// NewMirror returns an empty mirror.
 func NewMirror() *Mirror { return &Mirror{Nodes: map[string]membership.Node{}} }
 
-// Apply takes updates whose patches are decoded. state is a control state to put in force, nil if
-// there is none newer; changed says whether there was any event.
+// Apply applies updates whose patches have been decoded. state is the control state to put in
+// force, or nil if the updates contain none that is newer. changed reports whether the updates
+// contain an event or a snapshot.
 func (m *Mirror) Apply(updates Updates) (state *config.ControlState, changed bool) {
 	if updates.Snapshot {
 		clear(m.Nodes)
@@ -38,8 +40,8 @@
 	return state, len(updates.Events) > 0 || updates.Snapshot
 }
 
-// AdvanceTo accepts a control state from any source, unless it is no newer than the one accepted
-// before: the revision in force never goes back.
+// AdvanceTo accepts a control state from any source if it is newer than the last accepted one, and
+// reports whether it did. The revision in force never decreases.
 func (m *Mirror) AdvanceTo(state config.ControlState) bool {
 	if state.Revision <= m.revision {
 		return false
@@ -48,9 +50,9 @@
 	return true
 }
 
-// MergeNodes takes nodes from other sidecars than their own, and the incarnations of nodes whose
-// processes are gone, by address. It reports whether anything changed. Of one incarnation the
-// higher version stays.
+// MergeNodes merges nodes that came from other sidecars. dead holds the incarnations of nodes whose
+// processes have ended, by address; these nodes are removed. MergeNodes reports whether anything
+// changed. Of two versions of the same incarnation, the higher one is kept.
 func (m *Mirror) MergeNodes(nodes []membership.Node, dead map[string]uint64) (changed bool) {
 	for _, n := range nodes {
 		old, ok := m.Nodes[n.Addr]
--- a/internal/watch/nodes.go
+++ b/internal/watch/nodes.go
@@ -10,21 +10,22 @@
 )
 
 const (
-	// nodeTimeout is after how long without a heartbeat a node is removed, suspected or not.
-	nodeTimeout = 2 * time.Second // (ours)
-	// suspectedNodeTimeout is the same for a node that its monitors suspect.
-	suspectedNodeTimeout = 750 * time.Millisecond // (ours)
-	// suspicionQuorum is how many monitors must suspect it, if there are so many.
-	suspicionQuorum = 2 // (ours)
+	// nodeTimeout is the time without a heartbeat after which a node is removed, suspected or not.
+	nodeTimeout = 2 * time.Second
+	// suspectedNodeTimeout replaces nodeTimeout for a node that its monitors suspect.
+	suspectedNodeTimeout = 750 * time.Millisecond
+	// suspicionQuorum is the number of monitors that must suspect a node. If there are fewer other
+	// nodes, all of them must.
+	suspicionQuorum = 2
 )
 
-// ObserveNode takes the node that a heartbeat brought; it reports whether that makes an event.
+// ObserveNode records the node received in a heartbeat. It reports whether that added an event.
 func (l *EventLog) ObserveNode(n membership.Node, now time.Duration) bool {
 	old, ok := l.nodes[n.Addr]
 	l.lastHeartbeat[n.Addr] = now
 	sameIncarnation := ok && old.Incarnation == n.Incarnation
 	if sameIncarnation && (old.Version > n.Version || old.Version == n.Version && old.Sequence > n.Sequence) {
-		return false // a later heartbeat overtook this one
+		return false // a later heartbeat arrived before this one
 	}
 	l.nodes[n.Addr] = n
 	if sameIncarnation && old.Version == n.Version {
@@ -34,9 +35,9 @@
 	return true
 }
 
-// ObserveStatus takes the status that a heartbeat brought in place of the node. It returns false
-// if the node is not known in that version: then the full node has to be sent, and until it comes
-// the node stays as it was, with its backends.
+// ObserveStatus records the status received in a heartbeat in place of the node. It returns false
+// if the log does not have the node in that version; the sender then has to send the full node.
+// Until that arrives, the node is kept unchanged, with its backends.
 func (l *EventLog) ObserveStatus(status membership.NodeStatus, now time.Duration) bool {
 	n, ok := l.nodes[status.Addr]
 	if !ok || n.Incarnation != status.Incarnation {
@@ -49,14 +50,15 @@
 	return n.Version >= status.Version
 }
 
-// ObserveDepartures takes the departures that a node reports, however late that comes, and returns
-// those that earlier processes at its address reported and the node lacks.
+// ObserveDepartures records the departures that a node reports, however late they arrive. It
+// returns the departures that earlier processes at the node's address reported and that the node
+// lacks.
 func (l *EventLog) ObserveDepartures(n membership.Node, now time.Duration) (missing []string) {
 	return l.departures.observe(n, now)
 }
 
-// Tick removes the nodes that have timed out; it reports whether that made an event. It is called
-// at short intervals, see DetectPause.
+// Tick removes the nodes that have timed out. It reports whether that added an event. It must be
+// called at short intervals (see DetectPause).
 func (l *EventLog) Tick(now time.Duration) bool {
 	l.lastTick = now
 	l.updateDrainedZones(now)
@@ -73,13 +75,13 @@
 	return changed
 }
 
-// nodeEvent returns the event of a node: without what only the replicas need.
+// nodeEvent returns the event for a node, without the fields that only the replicas need.
 func nodeEvent(n membership.Node) Event {
 	n.Budgets, n.Suspects, n.OpenRequests, n.Departed, n.Sequence = nil, nil, nil, nil, 0
 	return Event{Node: &n}
 }
 
-// Nodes lists the known nodes by address.
+// Nodes returns the known nodes, sorted by address.
 func (l *EventLog) Nodes() []membership.Node {
 	var out []membership.Node
 	for _, addr := range slices.Sorted(maps.Keys(l.nodes)) {
@@ -88,8 +90,8 @@
 	return out
 }
 
-// LaggingNodes lists the addresses of the nodes that have not applied a revision yet. It is never
-// nil.
+// LaggingNodes returns the addresses of the nodes that have not applied the revision yet. The
+// result is never nil.
 func (l *EventLog) LaggingNodes(revision uint64) []string {
 	out := []string{}
 	for _, n := range l.Nodes() {
@@ -100,7 +102,7 @@
 	return out
 }
 
-// Budgets lists each node's newest counts by contract.
+// Budgets returns the newest counts by contract of each node.
 func (l *EventLog) Budgets() (out []map[string]retrybudget.Counts) {
 	for _, n := range l.nodes {
 		out = append(out, n.Budgets)
@@ -121,7 +123,7 @@
 	return n > 0 && n >= min(suspicionQuorum, len(l.nodes)-1)
 }
 
-// Suspected returns the suspected nodes by address, each with the refutation that it has to
+// Suspected returns the suspected nodes by address, each with the refutation that the node has to
 // exceed.
 func (l *EventLog) Suspected() map[string]uint64 {
 	out := map[string]uint64{}
--- a/internal/watch/server.go
+++ b/internal/watch/server.go
@@ -14,33 +14,34 @@
 )
 
 const (
-	// tickInterval is how often nodes are checked for time-outs and waiting callers are
-	// answered.
+	// tickInterval is how often the server checks nodes for timeouts and replies to waiting
+	// callers.
 	tickInterval = 100 * time.Millisecond
 	// neverConfirmed is the Age of updates from a replica that has never confirmed its control
 	// state.
 	neverConfirmed = time.Hour
 )
 
-// Server is a replica's event log, run by an actor, with the watchers and operators that wait for
-// it. Its methods may be called from anywhere. (DESIGN 8.1)
+// Server runs a replica's event log in an actor and manages the watchers and operators that wait
+// for changes. Its methods are safe for concurrent use. (DESIGN 8.1)
 type Server struct {
 	mailbox *actor.Mailbox
 	start   time.Time
-	// budgets are the sums of all nodes' counts, and suspected is EventLog.Suspected; both are
-	// as of the last tick.
+	// budgets holds the sums of all nodes' counts. suspected holds the result of
+	// EventLog.Suspected. Both are updated at each tick.
 	budgets   atomic.Pointer[map[string]retrybudget.Counts]
 	suspected atomic.Pointer[map[string]uint64]
 
-	// The following fields belong to the actor.
+	// Only the actor accesses the following fields.
 	eventLog      *EventLog
 	watches       []pendingWatch
 	revisionWaits []revisionWait
-	// confirmedAt is as of when there was no newer control state; zero if never.
+	// confirmedAt is the latest time at which no newer control state was acknowledged. It is zero
+	// if the control state was never confirmed.
 	confirmedAt time.Time
 }
 
-// Status is a snapshot of the log, as the API shows it.
+// Status is a snapshot of the log for the API.
 type Status struct {
 	Revision     uint64              `json:"stamp"`
 	LogID        uint64              `json:"feed"`
@@ -50,8 +51,8 @@
 	ControlState config.ControlState `json:"-"`
 }
 
-// NewServer starts the actor with an empty log. incarnation is that of the process; it becomes the
-// log's ID.
+// NewServer starts the actor with an empty log. incarnation is that of the process and becomes the
+// ID of the log.
 func NewServer(actors *actor.System, incarnation uint64) *Server {
 	s := &Server{eventLog: NewEventLog(incarnation, 0), start: time.Now()}
 	s.budgets.Store(&map[string]retrybudget.Counts{})
@@ -60,32 +61,32 @@
 	return s
 }
 
-// Run sends the actor ticks until ctx ends.
+// Run sends ticks to the actor until ctx is done.
 func (s *Server) Run(ctx context.Context) {
 	actor.Every(ctx, tickInterval, func(ctx context.Context) { s.mailbox.Send(ctx, msgTick{}) })
 }
 
-// ObserveNode takes the node that a heartbeat brought, and returns the departures that earlier
-// processes at its address reported and it lacks.
+// ObserveNode records the node received in a heartbeat. It returns the departures that earlier
+// processes at the node's address reported and that the node lacks.
 func (s *Server) ObserveNode(ctx context.Context, n membership.Node) (departed []string) {
 	departed, _ = actor.Ask(ctx, s.mailbox, func(r chan<- []string) any { return msgNode{n, r} })
 	return departed
 }
 
-// ObserveStatus takes the status that a heartbeat brought in place of a node; it returns false if
-// the full node has to be sent.
+// ObserveStatus records the status received in a heartbeat in place of a node. It returns false if
+// the sender has to send the full node.
 func (s *Server) ObserveStatus(ctx context.Context, status membership.NodeStatus) bool {
 	known, ok := actor.Ask(ctx, s.mailbox, func(r chan<- bool) any { return msgNodeStatus{status, r} })
 	return known || !ok
 }
 
-// ObserveCommitted takes a committed control state.
+// ObserveCommitted records a committed control state.
 func (s *Server) ObserveCommitted(ctx context.Context, state config.ControlState) {
 	s.mailbox.Send(ctx, msgCommitted{state})
 }
 
-// ObserveConfirmed takes that at the given time no control state newer than the log's was
-// acknowledged.
+// ObserveConfirmed records that no control state newer than the log's was acknowledged at the time
+// asOf.
 func (s *Server) ObserveConfirmed(ctx context.Context, asOf time.Time) {
 	s.mailbox.Send(ctx, msgConfirmed{asOf})
 }
@@ -93,38 +94,39 @@
 // Budgets returns the sums of all nodes' counts by contract.
 func (s *Server) Budgets() map[string]retrybudget.Counts { return *s.budgets.Load() }
 
-// Suspected returns the refutation that a node has to exceed, if it is suspected.
+// Suspected returns the refutation that the node at addr has to exceed. ok is false if the node is
+// not suspected.
 func (s *Server) Suspected(addr string) (refutation uint64, ok bool) {
 	refutation, ok = (*s.suspected.Load())[addr]
 	return refutation, ok
 }
 
-// Status returns a snapshot of the log; ok is false if the actor has stopped.
+// Status returns a snapshot of the log. ok is false if the actor has stopped.
 func (s *Server) Status(ctx context.Context) (status Status, ok bool) {
 	return actor.Ask(ctx, s.mailbox, func(r chan<- Status) any { return msgStatus{r} })
 }
 
-// DrainStatus returns the status of a zone; ok is false if the actor has stopped.
+// DrainStatus returns the evacuation status of a zone. ok is false if the actor has stopped.
 func (s *Server) DrainStatus(ctx context.Context, zone string) (status DrainStatus, ok bool) {
 	return actor.Ask(ctx, s.mailbox, func(r chan<- DrainStatus) any { return msgDrain{zone, r} })
 }
 
-// AwaitApplied waits until all nodes have applied a revision, for appliedTimeout at most, or more
-// than half of them, for appliedGrace longer. It returns the addresses of those that have not; ok
-// is false if that is not known. (DESIGN 6.6)
+// AwaitApplied waits up to appliedTimeout until all nodes have applied a revision, and then up to
+// appliedGrace longer until more than half of them have. It returns the addresses of the nodes that
+// have not. ok is false if these are not known. (DESIGN 6.6)
 func (s *Server) AwaitApplied(ctx context.Context, revision uint64) (lagging []string, ok bool) {
 	lagging, ok = actor.Ask(ctx, s.mailbox, func(r chan<- []string) any { return msgAwaitApplied{revision, r} })
 	return lagging, ok && lagging != nil
 }
 
-// The errors that a Request may be answered with. Their texts are part of the protocol.
+// The following errors are responses to a Request. Their texts are part of the protocol.
 var (
 	errNotRequest = errors.New("not a follow")
 	errNoUpdates  = errors.New("not settled in")
 )
 
-// HandleWatch handles a Request. It returns when there are events for the watcher, or after
-// Request.Wait.
+// HandleWatch responds to a Request. It returns as soon as there are events for the watcher, and
+// otherwise after Request.Wait.
 func (s *Server) HandleWatch(ctx context.Context, in transport.Request) (any, error) {
 	var req Request
 	if !in.Decode(&req) {
--- a/internal/watch/server_actor.go
+++ b/internal/watch/server_actor.go
@@ -12,12 +12,13 @@
 
 const (
 	// appliedTimeout is how long AwaitApplied waits for all nodes.
-	appliedTimeout = time.Second // (ours)
-	// appliedGrace is how much longer it waits for more than half of them.
-	appliedGrace = 2 * time.Second // (ours)
+	appliedTimeout = time.Second
+	// appliedGrace is how much longer AwaitApplied waits for more than half of the nodes.
+	appliedGrace = 2 * time.Second
 )
 
-// The messages to a Server's actor. Those with a reply channel get exactly one reply.
+// The following types are the messages to a Server's actor. A message with a reply channel gets
+// exactly one reply.
 type (
 	msgNode struct {
 		node  membership.Node
@@ -30,12 +31,12 @@
 	msgCommitted struct{ state config.ControlState }
 	msgConfirmed struct{ asOf time.Time }
 	msgTick      struct{}
-	// msgWatch is replied to later; nil says that the log is not ready.
+	// msgWatch gets its reply later. A nil reply means that the log is not ready.
 	msgWatch struct {
 		request Request
 		reply   chan<- *Updates
 	}
-	// msgAwaitApplied is replied to later; nil says that the nodes are not known yet.
+	// msgAwaitApplied gets its reply later. A nil reply means that the nodes are not known yet.
 	msgAwaitApplied struct {
 		revision uint64
 		reply    chan<- []string
@@ -61,7 +62,7 @@
 	reply    chan<- []string
 }
 
-// handle handles one message to the actor.
+// handle processes one message to the actor.
 func (s *Server) handle(_ context.Context, msg any) {
 	now := time.Since(s.start)
 	s.eventLog.DetectPause(now)
@@ -99,7 +100,7 @@
 	s.answerRevisionWaits(now)
 }
 
-// tick removes nodes that have timed out and publishes what is summed up over all nodes.
+// tick removes nodes that have timed out and publishes the data that is aggregated over all nodes.
 func (s *Server) tick(now time.Duration) {
 	s.eventLog.Tick(now)
 	sums := retrybudget.Merge(s.eventLog.Budgets())
@@ -117,8 +118,7 @@
 	return status
 }
 
-// answerWatches replies to the watchers that there are events for, or that have waited long
-// enough.
+// answerWatches replies to the watchers that have new events or whose wait time has elapsed.
 func (s *Server) answerWatches(now time.Duration) {
 	s.watches = slices.DeleteFunc(s.watches, func(w pendingWatch) bool {
 		updates, fresh := s.eventLog.Since(w.request)
@@ -134,8 +134,8 @@
 	})
 }
 
-// answerRevisionWaits replies to the callers that wait for a revision, if all nodes have applied
-// it or they have waited long enough.
+// answerRevisionWaits replies to the callers that wait for a revision if all nodes have applied it
+// or the wait time has elapsed.
 func (s *Server) answerRevisionWaits(now time.Duration) {
 	s.revisionWaits = slices.DeleteFunc(s.revisionWaits, func(w revisionWait) bool {
 		var lagging []string // nil while the nodes are not known yet
@@ -150,8 +150,8 @@
 	})
 }
 
-// isOver reports whether a wait is over, given the nodes that have not applied the revision yet,
-// nil if they are not known, and the number of all.
+// isOver reports whether a wait has ended. lagging lists the nodes that have not applied the
+// revision yet; it is nil if they are not known. nodes is the number of all nodes.
 func (w revisionWait) isOver(lagging []string, nodes int, now time.Duration) bool {
 	known := lagging != nil
 	if known && len(lagging) == 0 {
--- a/internal/watch/state_decoder.go
+++ b/internal/watch/state_decoder.go
@@ -2,12 +2,12 @@
 
 import "curlewwalk/internal/config"
 
-// StateDecoder keeps the control state that a watcher received last, so that the next one can be
-// sent as a patch of it. The zero value has none. It is not safe for concurrent use.
-// (DESIGN 8.3)
+// StateDecoder stores the control state that a watcher last received, so that the next one can be
+// sent as a patch of it. The zero value stores no control state. A StateDecoder is not safe for
+// concurrent use. (DESIGN 8.3)
 type StateDecoder struct{ version config.Version }
 
-// Prepare returns a request with the fingerprint of the control state that the watcher has.
+// Prepare returns req with the fingerprint of the control state that the watcher has.
 func (d *StateDecoder) Prepare(req Request) Request {
 	req.StateFingerprint = nil
 	if d.version.Size() > 0 {
@@ -16,9 +16,9 @@
 	return req
 }
 
-// Decode replaces patches among the updates by the control states that they make. It returns false
-// if one can't be applied: then nothing of the updates may be used, and the same request, prepared
-// again, brings them without patches.
+// Decode replaces each patch in the updates by the control state that results from it. It returns
+// false if a patch cannot be applied. The caller must then discard all of the updates and send the
+// same request again, after another Prepare, to receive them without patches.
 func (d *StateDecoder) Decode(updates *Updates) bool {
 	for i := range updates.Events {
 		if !d.decodeEvent(&updates.Events[i]) {
--- a/tests/mutation/catalogue.go
+++ b/tests/mutation/catalogue.go
@@ -67,7 +67,7 @@
 	{sentAfterEvacuation, "internal/dataplane/endpoints/lease.go", "LeaseDuration = 4 * time.Second", "LeaseDuration = 40 * time.Second", "./tests/e2e", "TestEvacuationOfUnreachableZone", nil},
 	{sentAfterEvacuation, "internal/membership/peer_status_table.go", "if len(agreed) < majority {", "if majority = min(majority, len(agreed)); false {", "./tests/simulation", "TestServingLeases", nil},
 	{sentAfterEvacuation, "internal/membership/peer_status_table.go", "return agreed[majority-1], true", "return agreed[0], true", "./internal/membership", "TestConfirmedAsOf", nil},
-	{sentAfterEvacuation, "internal/membership/peer_status_table.go", "status, asked.Add(-", "status, now.Add(-", "./internal/membership", "TestStatusAges", nil},
+	{sentAfterEvacuation, "internal/membership/peer_status_table.go", "status, requestedAt.Add(-", "status, now.Add(-", "./internal/membership", "TestStatusAges", nil},
 	{sentAfterEvacuation, "internal/watch/watcher.go", "w.OnUpdates(ctx, s.replica, updates, requestedAt)", "w.OnUpdates(ctx, s.replica, updates, requestedAt.Add(updates.Age))", "./tests/e2e", "TestEvacuationOfUnreachableZone", nil},
 	{sentAfterEvacuation, "internal/controlplane/cluster.go", "return c.discovery.Replicas().MedianClock(clock.Wall(), c.replica.Acceptor().Self.MemberID, time.Now())", "return clock.Wall()", "./tests/e2e", "TestMaintenanceWindows", nil},
 	{staleConfiguration, "internal/watch/event_log.go", "\tl.state = &state\n\tl.appendEvent(Event{State: &state})", "\tl.state = &state", "./tests/e2e", "TestConfigurationStorm", nil},
