--- a/internal/membership/digest_test.go
+++ b/internal/membership/digest_test.go
@@ -9,7 +9,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// testProcess sends heartbeats to replicas; it is a replica itself or a sidecar.
+// testProcess is a replica or a sidecar that sends heartbeats to replicas.
 type testProcess struct {
 	addr     string
 	replica  *Replica
@@ -21,7 +21,7 @@
 	return Heartbeat{Replica: p.replica, KnownReplicas: p.table.All(), TableDigest: p.table.Digest(p.replica)}
 }
 
-// delivery is how far a heartbeat and its response get.
+// delivery specifies whether a heartbeat and its response arrive.
 type delivery int
 
 const (
@@ -30,8 +30,8 @@
 	delivered
 )
 
-// sendHeartbeat sends a heartbeat to another process and returns what was sent and responded,
-// whether it arrived or not.
+// sendHeartbeat sends a heartbeat to another process. It returns the heartbeat and the response,
+// even if they do not arrive.
 func (p *testProcess) sendHeartbeat(o *testProcess, now time.Time, d delivery) (sent, response Heartbeat) {
 	sent = p.encoders[o.addr].Encode(p.fullHeartbeat(), false)
 	sent.KnownDigest = p.table.DigestAt(o.addr)
@@ -52,8 +52,8 @@
 	return sent, response
 }
 
-// heartbeatSimulation is a control plane of three replicas and three sidecars, all of which send
-// heartbeats to the replicas.
+// heartbeatSimulation simulates a control plane of three replicas, and three sidecars. All of them
+// send heartbeats to the replicas.
 type heartbeatSimulation struct {
 	t         *testing.T
 	seed      uint64
@@ -82,7 +82,7 @@
 			}.WithDigest()
 			p.replica = &status
 		}
-		p.forget()
+		p.reset()
 		sim.processes = append(sim.processes, p)
 	}
 	return sim
@@ -92,8 +92,8 @@
 
 func (sim *heartbeatSimulation) now() time.Time { return sim.start.Add(sim.elapsed) }
 
-// forget is what a restart does to a process's memory.
-func (p *testProcess) forget() {
+// reset clears the state that a restart of the process loses.
+func (p *testProcess) reset() {
 	p.table, p.encoders = ReplicaTable{}, map[string]HeartbeatEncoder{}
 }
 
@@ -105,19 +105,19 @@
 	p.replica = &status
 }
 
-// disturb restarts a random process or gives it a new control state, or does nothing.
+// disturb restarts a random process, gives it a new control state, or does nothing.
 func (sim *heartbeatSimulation) disturb() {
 	p := sim.processes[sim.rng.IntN(len(sim.processes))]
 	switch sim.rng.IntN(6) {
 	case 0:
-		if p.forget(); p.replica != nil {
+		if p.reset(); p.replica != nil {
 			p.update(func(status *Replica) {
 				status.Incarnation = sim.rng.Uint64()
 				status.MemberIncarnation += sim.rng.Uint64N(2)
 			})
 		}
 	case 1:
-		if p.replica != nil { // a new control state is accepted; its members may be others
+		if p.replica != nil { // accept a new control state, possibly with other members
 			sim.accepted++
 			members := [][]int{{1, 2, 3}, {1, 2, 3, 4}}[sim.rng.IntN(2)]
 			p.update(func(status *Replica) {
@@ -139,8 +139,8 @@
 	}
 }
 
-// round sends a heartbeat from each process to each replica and returns all messages. If it is
-// lossy, one of four exchanges loses the heartbeat or the response.
+// round sends a heartbeat from each process to each replica and returns all messages. If lossy is
+// set, one in four exchanges loses the heartbeat or the response.
 func (sim *heartbeatSimulation) round(lossy bool) (messages []Heartbeat) {
 	sim.elapsed += HeartbeatInterval
 	for _, p := range sim.processes {
@@ -162,17 +162,18 @@
 	return messages
 }
 
-// checkKnown checks what a process knows of a replica.
-func (sim *heartbeatSimulation) checkKnown(p, of *testProcess) {
+// checkKnown checks that p has the newest status of the replica other.
+func (sim *heartbeatSimulation) checkKnown(p, other *testProcess) {
 	sim.t.Helper()
-	known, ok := p.table.Member(of.replica.MemberID)
-	known.WallClock = of.replica.WallClock
-	if !ok || cmp.Diff(known, *of.replica) != "" {
-		sim.t.Fatalf("seed %d: %s knows %+v of %+v", sim.seed, p.addr, known, *of.replica)
+	known, ok := p.table.Member(other.replica.MemberID)
+	known.WallClock = other.replica.WallClock
+	if !ok || cmp.Diff(known, *other.replica) != "" {
+		sim.t.Fatalf("seed %d: %s has status %+v, want %+v", sim.seed, p.addr, known, *other.replica)
 	}
 }
 
-// checkTable checks which replicas are live for a process, and its clock if it is one itself.
+// checkTable checks that all other replicas are live in the process's table. For a replica, it also
+// checks the median clock.
 func (sim *heartbeatSimulation) checkTable(p *testProcess) {
 	sim.t.Helper()
 	want := simulatedReplicas
@@ -180,17 +181,17 @@
 		want--
 	}
 	if live := p.table.Live(sim.now()); len(live) != want {
-		sim.t.Fatalf("seed %d: for %s %d replicas are live", sim.seed, p.addr, len(live))
+		sim.t.Fatalf("seed %d: %s has %d live replicas, want all but itself", sim.seed, p.addr, len(live))
 	}
 	clock := p.table.MedianClock(sim.now(), 9, sim.now())
 	if p.replica != nil && clock.Sub(sim.now()).Abs() > time.Millisecond {
-		sim.t.Fatalf("seed %d: for %s the time is %v", sim.seed, p.addr, clock)
+		sim.t.Fatalf("seed %d: %s has median clock %v, more than 1 ms off", sim.seed, p.addr, clock)
 	}
 }
 
-// Replicas and sidecars that send differences converge, through lost messages, restarts and
-// changes of members: all replicas are live, each with its newest status. From then on neither a
-// status nor the known replicas are sent any more.
+// TestHeartbeatsConverge checks that replicas and sidecars that send partial heartbeats converge
+// despite lost messages, restarts and changes of members: all replicas are live, each with its
+// newest status. After that, no message contains a status or the known replicas.
 func TestHeartbeatsConverge(t *testing.T) {
 	for seed := range uint64(40) {
 		sim := newHeartbeatSimulation(t, seed)
@@ -204,7 +205,7 @@
 		}
 		for i, h := range sim.round(false) {
 			if h.Replica != nil || len(h.KnownReplicas) > 0 || h.RequestFull {
-				t.Fatalf("seed %d: message %d still sends a status: %+v", seed, i, h)
+				t.Fatalf("seed %d: message %d still carries a status, known replicas or a request for a full heartbeat: %+v", seed, i, h)
 			}
 		}
 		for _, p := range sim.processes {
--- a/internal/membership/discovery.go
+++ b/internal/membership/discovery.go
@@ -12,7 +12,7 @@
 	"curlewwalk/internal/transport"
 )
 
-// HeartbeatInterval is the interval at which soft state is sent again.
+// HeartbeatInterval is the interval at which each process repeats its soft state.
 const HeartbeatInterval = 500 * time.Millisecond
 
 const (
@@ -106,7 +106,7 @@
 }
 
 // Receive queues a received heartbeat or response for Run. It discards the message if the queue is
-// full, since the content will be sent again.
+// full, since later heartbeats repeat the content.
 func (d *Discovery) Receive(h Heartbeat) {
 	select {
 	case d.inbox <- h:
@@ -213,10 +213,10 @@
 	}
 }
 
-// budgetSource returns the address of the replica that is asked for the sums of all nodes' counts,
-// or "" if no replica is live. All replicas have the same sums. Rendezvous hashing distributes the
-// sidecars evenly over the replicas. While all replicas are live, the result is also the replica
-// that this sidecar watches. (DESIGN 8.2)
+// budgetSource returns the address of the replica from which to request the sums of all nodes'
+// counts, or "" if no replica is live. All replicas have the same sums. Rendezvous hashing
+// distributes the sidecars evenly over the replicas. While all replicas are live, the result is
+// also the replica that this sidecar watches. (DESIGN 8.2)
 func (d *Discovery) budgetSource() string {
 	live := rendezvous.Rank(d.addr, d.Replicas().Live(d.lastRound), func(replica Replica) string { return replica.Addr })
 	if len(live) == 0 {
--- a/internal/membership/failure_detector_test.go
+++ b/internal/membership/failure_detector_test.go
@@ -14,8 +14,9 @@
 	return out
 }
 
-// Each node has three monitors among the others, all nodes agree on them, and a node that goes
-// moves no monitors but its own.
+// TestMonitors checks that each node has three monitors among the other nodes, that all nodes
+// compute the same monitors, and that the removal of a node does not take away any other monitor of
+// a node.
 func TestMonitors(t *testing.T) {
 	for _, size := range []int{1, 2, 3, 4, 13, 60} {
 		nodes := nodeAddrs(size)
@@ -30,31 +31,32 @@
 		}
 		for _, n := range nodes {
 			if monitors[n] != min(MonitorsPerNode, size-1) {
-				t.Errorf("of %d nodes %s has %d monitors", size, n, monitors[n])
+				t.Errorf("%d nodes: %s has %d monitors, want three or all other nodes", size, n, monitors[n])
 			}
 		}
 	}
 	nodes := nodeAddrs(13)
-	gone := nodes[4]
-	less := slices.DeleteFunc(slices.Clone(nodes), func(n string) bool { return n == gone })
-	for _, n := range less {
-		before, after := MonitorsOf(n, nodes), MonitorsOf(n, less)
-		for _, w := range before {
-			if w != gone && !slices.Contains(after, w) {
-				t.Errorf("%s lost its monitor %s though %s went", n, w, gone)
+	removed := nodes[4]
+	remaining := slices.DeleteFunc(slices.Clone(nodes), func(n string) bool { return n == removed })
+	for _, n := range remaining {
+		before, after := MonitorsOf(n, nodes), MonitorsOf(n, remaining)
+		for _, monitor := range before {
+			if monitor != removed && !slices.Contains(after, monitor) {
+				t.Errorf("%s lost its monitor %s after the removal of %s", n, monitor, removed)
 			}
 		}
 	}
 }
 
-// A node is suspected after two probes in a row failed, or one was refused, with the highest
-// refutation that it has sent; a higher one refutes that.
+// TestSuspicion checks that a node is suspected after two consecutive failed probes or one refused
+// connection. The suspicion has the highest refutation that the node has sent, and a higher one
+// refutes it.
 func TestSuspicion(t *testing.T) {
 	nodes := nodeAddrs(2)
 	detector := NewFailureDetector(nodes[0])
 	detector.Monitored(nodes)
 	known := map[string]Node{nodes[1]: {Addr: nodes[1], Incarnation: 7}}
-	for _, c := range []struct { // one after another
+	for _, c := range []struct { // in this order
 		name     string
 		response *Probe
 		refused  bool
@@ -69,16 +71,16 @@
 	} {
 		detector.ObserveProbe(nodes[1], c.response, c.refused)
 		if got := detector.Suspects(known); len(got) != c.suspects {
-			t.Errorf("%s: %+v", c.name, got)
+			t.Errorf("%s: got unexpected suspicions %+v", c.name, got)
 		}
 	}
 	suspicion := detector.Suspects(known)[0]
-	for refutation, holds := range map[uint64]bool{3: true, 4: true, 5: false} {
-		if suspicion.AppliesTo(Node{Addr: nodes[1], Incarnation: 7, Refutation: refutation}) != holds {
-			t.Errorf("suspected in %d, refuted in %d: holds %v", suspicion.Refutation, refutation, !holds)
+	for refutation, applies := range map[uint64]bool{3: true, 4: true, 5: false} {
+		if suspicion.AppliesTo(Node{Addr: nodes[1], Incarnation: 7, Refutation: refutation}) != applies {
+			t.Errorf("suspicion of refutation %d, node with refutation %d: AppliesTo returns %v", suspicion.Refutation, refutation, !applies)
 		}
 	}
 	if suspicion.AppliesTo(Node{Addr: nodes[1], Incarnation: 8}) {
-		t.Error("it holds against a new incarnation")
+		t.Error("suspicion applies to a new incarnation")
 	}
 }
--- a/internal/membership/gossip_fetch.go
+++ b/internal/membership/gossip_fetch.go
@@ -53,8 +53,8 @@
 }
 
 // fetch requests missing state from one of the sidecars that responded and returns the state
-// received. outdated returns the peers of a response whose nodes are newer there than in the own
-// view.
+// received. outdated returns the addresses of those peers in a response whose nodes the local view
+// lacks or has in an older version or incarnation.
 func (g *Gossiper) fetch(ctx context.Context, req GossipRequest, answered []gossipResult, outdated func([]Peer) []string) (update GossipUpdate) {
 	have := g.State()
 	addr, f := planFetch(have, answered, outdated)
@@ -75,7 +75,7 @@
 }
 
 // planFetch returns what to fetch and from which sidecar. It chooses the sidecar with the newest
-// control state if that is newer than the own one, and otherwise the sidecar that has the most
+// control state if that is newer than the local one, and otherwise the sidecar that has the most
 // missing nodes. addr is empty if nothing is missing.
 func planFetch(have *config.ControlState, answered []gossipResult, outdated func([]Peer) []string) (addr string, f Fetch) {
 	if have != nil {
--- a/internal/membership/gossiper_test.go
+++ b/internal/membership/gossiper_test.go
@@ -17,16 +17,16 @@
 	"curlewwalk/internal/transport"
 )
 
-// testSidecar is a sidecar that no control plane replica delivers updates to.
+// testSidecar is a sidecar that receives no updates from a control plane replica.
 type testSidecar struct {
 	*Gossiper
 	server *transport.Server
 	clock  *clock
-	stop   context.CancelFunc // ends its process
+	stop   context.CancelFunc // ends the sidecar's process
 
 	mu        sync.Mutex // guards the following fields
 	nodes     map[string]Node
-	view      *View // of nodes; nil if they have changed since
+	view      *View // of nodes; nil if nodes has changed since
 	state     *config.ControlState
 	updates   int
 	confirmed time.Time
@@ -36,7 +36,7 @@
 	s.nodes[n.Addr], s.view = n, nil
 }
 
-// currentView is the Gossiper's View.
+// currentView implements GossiperDeps.View.
 func (s *testSidecar) currentView() *View {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -46,14 +46,14 @@
 	return s.view
 }
 
-// currentState is the Gossiper's State.
+// currentState implements GossiperDeps.State.
 func (s *testSidecar) currentState() *config.ControlState {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.state
 }
 
-// apply is the Gossiper's OnUpdate.
+// apply implements GossiperDeps.OnUpdate.
 func (s *testSidecar) apply(_ context.Context, update GossipUpdate) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -70,12 +70,12 @@
 	}
 }
 
-// clock is the clock of all sidecars of a test.
+// clock is the simulated clock that all sidecars of a test share.
 type clock struct{ at atomic.Int64 }
 
 func (c *clock) now() time.Time { return noon.Add(time.Duration(c.at.Load())) }
 
-// newSidecarsWithoutReplicas starts sidecars that all find that no majority of the members lives.
+// newSidecarsWithoutReplicas starts sidecars that all determine that the quorum is lost.
 func newSidecarsWithoutReplicas(t *testing.T, size int) []*testSidecar {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -84,15 +84,15 @@
 		cancel()
 		<-actors.Done()
 	})
-	common := &clock{}
+	shared := &clock{}
 	var sidecars []*testSidecar
 	for i := range size {
-		sidecars = append(sidecars, startSidecar(ctx, t, actors, common, i))
+		sidecars = append(sidecars, startSidecar(ctx, t, actors, shared, i))
 	}
 	return sidecars
 }
 
-// startSidecar starts the sidecar with an index.
+// startSidecar starts the sidecar with the given index.
 func startSidecar(ctx context.Context, t *testing.T, actors *actor.System, clock *clock, index int) *testSidecar {
 	t.Helper()
 	ip := fmt.Sprintf("127.61.%d.%d", index/200, index%200+1)
@@ -138,8 +138,8 @@
 	return s
 }
 
-// gossipRound runs a round of each sidecar at the same time, and returns what one did on average:
-// its calls, and the bytes of these and their responses.
+// gossipRound runs one round of all sidecars concurrently. It returns the average number of calls
+// per sidecar, and the average number of bytes of these calls and their responses.
 func gossipRound(t *testing.T, sidecars []*testSidecar) (calls, bytes float64) {
 	t.Helper()
 	before := map[*testSidecar]transport.CallCounts{}
@@ -153,22 +153,22 @@
 	}
 	all.Wait()
 	for _, s := range sidecars {
-		now, was := s.Client.Counters.Snapshot()[KindGossip], before[s]
-		if n := now.Calls - was.Calls; n > 4 {
-			t.Errorf("%d calls in one round", n)
+		after, previous := s.Client.Counters.Snapshot()[KindGossip], before[s]
+		if n := after.Calls - previous.Calls; n > 4 {
+			t.Errorf("%d calls in one round, want at most 4", n)
 		}
 		if s.updates > 1 {
-			t.Errorf("OnUpdate was called %d times in one round", s.updates)
+			t.Errorf("OnUpdate was called %d times in one round, want at most once", s.updates)
 		}
-		calls += float64(now.Calls-was.Calls) / float64(len(sidecars))
-		bytes += float64(now.CallBytes+now.ResponseBytes-was.CallBytes-was.ResponseBytes) / float64(len(sidecars))
+		calls += float64(after.Calls-previous.Calls) / float64(len(sidecars))
+		bytes += float64(after.CallBytes+after.ResponseBytes-previous.CallBytes-previous.ResponseBytes) / float64(len(sidecars))
 	}
 	return calls, bytes
 }
 
-// Without replicas a round costs a sidecar a few calls, and bytes that grow with the number of
-// sidecars and no faster; all the same a majority confirms each one's control state within a few
-// rounds, and goes on doing so.
+// TestGossipIsBounded checks the cost of a round without replicas: a few calls per sidecar, and a
+// number of bytes at most linear in the number of sidecars. Within a few rounds, a majority must
+// nevertheless confirm the control state of each sidecar, and confirm it again later.
 func TestGossipIsBounded(t *testing.T) {
 	for _, size := range []int{12, 88, 200} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
@@ -182,9 +182,9 @@
 			unconfirmed, rounds := len(sidecars), 0
 			for ; unconfirmed > 0 && rounds < 8; rounds++ {
 				calls, bytes := gossipRound(t, sidecars)
-				t.Logf("%d sidecars, round %d: %.3f calls and %.0f bytes by each", size, rounds+1, calls, bytes)
+				t.Logf("%d sidecars, round %d: %.3f calls and %.0f bytes per sidecar", size, rounds+1, calls, bytes)
 				if calls > 3.1 || bytes > float64(3*(400+70*size)) {
-					t.Errorf("%.1f calls, %.0f bytes", calls, bytes)
+					t.Errorf("%.1f calls and %.0f bytes per sidecar, want at most 3.1 calls and 1200 bytes plus 210 per sidecar", calls, bytes)
 				}
 				unconfirmed = 0
 				for _, s := range sidecars {
@@ -194,12 +194,12 @@
 				}
 			}
 			if unconfirmed > 0 {
-				t.Errorf("%d of %d are not confirmed after %d rounds", unconfirmed, size, rounds)
+				t.Errorf("%d of %d sidecars are not confirmed after %d rounds", unconfirmed, size, rounds)
 			}
 			if rounds > 6 {
-				t.Errorf("%d rounds until all were confirmed", rounds)
+				t.Errorf("%d rounds until all sidecars were confirmed, want at most 6", rounds)
 			}
-			// Each is confirmed again, as of later.
+			// Each sidecar is confirmed again, as of a later time.
 			before, renewed := sidecars[0].now(), 0
 			for again := 0; renewed < size && again < 8; again++ {
 				gossipRound(t, sidecars)
@@ -211,18 +211,19 @@
 				}
 			}
 			if renewed < size {
-				t.Errorf("%d of %d were confirmed again", renewed, size)
+				t.Errorf("%d of %d sidecars were confirmed again, want all", renewed, size)
 			}
 		})
 	}
 }
 
-// A sidecar that knows only a seed has the control state and all nodes after a few rounds, and all
-// others know it; a newer control state that one of them has reaches all.
+// TestGossipSpreads checks that a sidecar that knows only a seed receives the control state and all
+// nodes within a few rounds, and that all other sidecars learn of it. A newer control state at one
+// sidecar must reach all others.
 func TestGossipSpreads(t *testing.T) {
 	sidecars := newSidecarsWithoutReplicas(t, 88)
-	late := sidecars[len(sidecars)-1]
-	late.Seeds = func() []string { return []string{sidecars[0].addr} }
+	newcomer := sidecars[len(sidecars)-1]
+	newcomer.Seeds = func() []string { return []string{sidecars[0].addr} }
 	for _, s := range sidecars[:len(sidecars)-1] {
 		s.state = &config.ControlState{Revision: 7}
 		for _, o := range sidecars[:len(sidecars)-1] {
@@ -235,13 +236,14 @@
 	}
 	for _, s := range sidecars {
 		if len(s.nodes) != len(sidecars) || s.state == nil || s.state.Revision != 8 {
-			t.Errorf("%s knows %d nodes, has the newest control state: %v", s.addr, len(s.nodes), s.state != nil && s.state.Revision == 8)
+			t.Errorf("%s knows %d nodes, want all; has the newest control state: %v, want true", s.addr, len(s.nodes), s.state != nil && s.state.Revision == 8)
 		}
 	}
 }
 
-// A sidecar whose process is gone is removed everywhere and counts among those that confirm; one
-// that is silent does not, and without a majority no control state is confirmed.
+// TestGossipOfDeadNodes checks that a sidecar whose process has ended is removed everywhere and
+// counts as confirming. A sidecar that does not respond does not count as confirming, and without a
+// majority no control state is confirmed.
 func TestGossipOfDeadNodes(t *testing.T) {
 	sidecars := newSidecarsWithoutReplicas(t, 11)
 	for _, s := range sidecars {
@@ -250,7 +252,7 @@
 			s.addNode(o.nodes[o.addr])
 		}
 	}
-	// Six are partitioned, as if their responses were lost.
+	// Six sidecars are partitioned, as if their responses were lost.
 	for _, s := range sidecars[5:] {
 		s.server.Handlers[KindGossip] = func(context.Context, transport.Request) (any, error) { return nil, errors.New("lost") }
 	}
@@ -259,10 +261,10 @@
 	}
 	for _, s := range sidecars[:5] {
 		if !s.confirmed.IsZero() {
-			t.Errorf("%s is confirmed by five of eleven", s.addr)
+			t.Errorf("%s is confirmed by five of eleven sidecars", s.addr)
 		}
 	}
-	// Two of the six die: their addresses refuse connections.
+	// Two of the six processes end: their addresses refuse connections.
 	for _, s := range sidecars[9:] {
 		s.stop()
 	}
@@ -271,13 +273,14 @@
 	}
 	for _, s := range sidecars[:5] {
 		if s.confirmed.IsZero() || len(s.nodes) != 9 {
-			t.Errorf("%s is confirmed as of %v and knows %d", s.addr, s.confirmed, len(s.nodes))
+			t.Errorf("%s is confirmed as of %v and knows %d nodes, want a confirmation and 9 nodes", s.addr, s.confirmed, len(s.nodes))
 		}
 	}
 }
 
-// A control state is fetched from one sidecar at a time, and its configuration is left out for a
-// sidecar that has that: changes of the members cost little.
+// TestStateIsFetchedOnce checks that a control state is fetched from a single sidecar, and that it
+// is sent without its configuration to a sidecar that already has that. Otherwise a change of the
+// members would transfer the whole configuration.
 func TestStateIsFetchedOnce(t *testing.T) {
 	sidecars := newSidecarsWithoutReplicas(t, 5)
 	configuration := []byte(strings.Repeat("x", 60000))
@@ -289,15 +292,15 @@
 	}
 	sidecars[0].state = &config.ControlState{Revision: 7, ConfigurationRevision: 7, Configuration: configuration}
 	sidecars[1].state = nil
-	for i, most := range []uint64{5000, 70000} {
+	for i, maxBytes := range []uint64{5000, 70000} {
 		before := sidecars[i].Client.Counters.Snapshot()[KindGossip]
 		sidecars[i].round(t.Context())
 		after := sidecars[i].Client.Counters.Snapshot()[KindGossip]
 		if state := sidecars[i].state; state == nil || state.Revision != 8 || string(state.Configuration) != string(configuration) {
-			t.Errorf("%d has the control state: %v", i, state != nil && state.Revision == 8)
+			t.Errorf("sidecar %d has revision 8: %v, or has another configuration", i, state != nil && state.Revision == 8)
 		}
-		if got := after.ResponseBytes - before.ResponseBytes; got > most {
-			t.Errorf("the response to %d has %d bytes", i, got)
+		if got := after.ResponseBytes - before.ResponseBytes; got > maxBytes {
+			t.Errorf("sidecar %d received responses of %d bytes, above the limit", i, got)
 		}
 	}
 }
--- a/internal/membership/heartbeat_encoder.go
+++ b/internal/membership/heartbeat_encoder.go
@@ -3,8 +3,8 @@
 // HeartbeatEncoder removes from the heartbeats to one receiver what that receiver has acknowledged.
 // The sender keeps one encoder for each address. An encoder is an immutable value. The zero value
 // is for a receiver that has no state yet or whose version does not support partial heartbeats. A
-// receiver may lose acknowledged state when it restarts; it then requests a full heartbeat. (DESIGN
-// 7.1)
+// receiver may lose acknowledged state when it restarts; it then requests a full heartbeat.
+// (DESIGN 7.1)
 type HeartbeatEncoder struct {
 	// incarnation and version are those of the Node that the receiver has. replicaDigest is the
 	// digest of the Replica that it has.
--- a/internal/membership/node_status_test.go
+++ b/internal/membership/node_status_test.go
@@ -9,8 +9,8 @@
 	"curlewwalk/internal/retrybudget"
 )
 
-// A node with its own newer status applied is the newer node; without a budget report it keeps the
-// counts that it had, and an empty report takes them away.
+// TestNodeStatus checks that applying a node's newer status to an older copy of the node yields the
+// newer node. Without a budget report the copy keeps its counts; an empty report removes them.
 func TestNodeStatus(t *testing.T) {
 	old := Node{
 		Addr: "a", Incarnation: 7, Version: 3, Backends: []Backend{{Instance: "i"}},
@@ -23,7 +23,7 @@
 	next.Budgets = map[string]retrybudget.Counts{"c": {Requests: 5}}
 
 	want := next
-	want.OpenRequests = map[string]int64{"north": 4} // zones without requests are left out
+	want.OpenRequests = map[string]int64{"north": 4} // zones without open requests are omitted
 	if d := cmp.Diff(want, old.WithStatus(next.Status(true))); d != "" {
 		t.Error(d)
 	}
--- a/internal/membership/peer_status_table.go
+++ b/internal/membership/peer_status_table.go
@@ -148,7 +148,7 @@
 	return addr, ok
 }
 
-// Report returns the peers to send to another sidecar: the own peer, all nodes of the view, and all
+// Report returns the peers to send to another sidecar: own, all nodes of the view, and all
 // unexpired statuses with their ages as of now. It omits sidecars that other sidecars only
 // mentioned; otherwise a mention would circulate and never expire.
 func (t PeerStatusTable) Report(own Peer, view *View, now time.Time) []Peer {
--- a/internal/membership/peer_status_table_test.go
+++ b/internal/membership/peer_status_table_test.go
@@ -18,39 +18,41 @@
 	return Peer{Addr: addr, Incarnation: 1, Status: &PeerStatus{Age: age, AppliedRevision: revision, QuorumLost: true}}
 }
 
-// A majority of all known sidecars must have confirmed that no newer control state is in force; it
-// is confirmed as of the oldest of the youngest statuses that make the majority.
+// TestConfirmedAsOf checks that a majority of all known sidecars must confirm that no newer control
+// state is in force. The confirmation time is that of the oldest status among the youngest ones
+// that form the majority.
 func TestConfirmedAsOf(t *testing.T) {
-	five := []string{"a", "b", "c", "d", "e"} // the own one is a
-	asked := noon.Add(-ms(100))
+	five := []string{"a", "b", "c", "d", "e"} // own is a
+	requestedAt := noon.Add(-ms(100))
 	for name, c := range map[string]struct {
 		known    []string
 		observed []Peer
 		asOf     time.Duration // before noon
 		denied   bool
 	}{
-		"the second youngest of those that are needed": {five, []Peer{quorumLostPeer("b", 7, 50), quorumLostPeer("c", 7, 900), quorumLostPeer("d", 7, 2000)}, ms(1000), false},
-		"too few":                              {five, []Peer{quorumLostPeer("b", 7, 50)}, 0, true},
-		"one that has a newer revision":        {five, []Peer{quorumLostPeer("b", 7, 50), quorumLostPeer("c", 8, 50)}, 0, true},
-		"one that has an older revision":       {five, []Peer{quorumLostPeer("b", 7, 50), quorumLostPeer("c", 6, 50)}, ms(150), false},
-		"one that has a quorum":                {five, []Peer{quorumLostPeer("b", 7, 50), {Addr: "c", Status: &PeerStatus{AppliedRevision: 7}}}, 0, true},
-		"one that is dead":                     {five, []Peer{quorumLostPeer("b", 7, 50), {Addr: "c", Status: &PeerStatus{Dead: true, Age: 20}}}, ms(150), false},
-		"one that is only mentioned":           {five, []Peer{quorumLostPeer("b", 7, 50), {Addr: "c"}}, 0, true},
-		"others that only others mention":      {five[:3], []Peer{quorumLostPeer("b", 7, 50), quorumLostPeer("c", 7, 50), {Addr: "d"}, {Addr: "e"}, {Addr: "f"}}, 0, true},
-		"what is too old":                      {five, []Peer{quorumLostPeer("b", 7, 50), quorumLostPeer("c", 7, 3950)}, 0, true},
-		"nobody else":                          {five[:1], nil, 0, false},
-		"a status of the asking one by others": {five[:1], []Peer{quorumLostPeer("a", 9, 0)}, 0, false},
+		"as of the second youngest status":         {five, []Peer{quorumLostPeer("b", 7, 50), quorumLostPeer("c", 7, 900), quorumLostPeer("d", 7, 2000)}, ms(1000), false},
+		"too few":                                  {five, []Peer{quorumLostPeer("b", 7, 50)}, 0, true},
+		"newer revision":                           {five, []Peer{quorumLostPeer("b", 7, 50), quorumLostPeer("c", 8, 50)}, 0, true},
+		"older revision":                           {five, []Peer{quorumLostPeer("b", 7, 50), quorumLostPeer("c", 6, 50)}, ms(150), false},
+		"quorum not lost":                          {five, []Peer{quorumLostPeer("b", 7, 50), {Addr: "c", Status: &PeerStatus{AppliedRevision: 7}}}, 0, true},
+		"dead sidecar":                             {five, []Peer{quorumLostPeer("b", 7, 50), {Addr: "c", Status: &PeerStatus{Dead: true, Age: 20}}}, ms(150), false},
+		"sidecar that is only mentioned":           {five, []Peer{quorumLostPeer("b", 7, 50), {Addr: "c"}}, 0, true},
+		"unknown sidecars that are only mentioned": {five[:3], []Peer{quorumLostPeer("b", 7, 50), quorumLostPeer("c", 7, 50), {Addr: "d"}, {Addr: "e"}, {Addr: "f"}}, 0, true},
+		"expired status":                           {five, []Peer{quorumLostPeer("b", 7, 50), quorumLostPeer("c", 7, 3950)}, 0, true},
+		"no other sidecar":                         {five[:1], nil, 0, false},
+		"own status reported by others":            {five[:1], []Peer{quorumLostPeer("a", 9, 0)}, 0, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			statuses := PeerStatusTable{}.Observe("a", c.observed, asked, noon)
+			statuses := PeerStatusTable{}.Observe("a", c.observed, requestedAt, noon)
 			if asOf, ok := statuses.ConfirmedAsOf("a", 7, c.known, noon); ok == c.denied || ok && noon.Sub(asOf) != c.asOf {
-				t.Errorf("%v before noon, %v", noon.Sub(asOf), ok)
+				t.Errorf("got unexpected confirmation as of %v before noon, ok %v", noon.Sub(asOf), ok)
 			}
 		})
 	}
 }
 
-// The younger status stays, whoever sent it, and a mention without a status takes none away.
+// TestNewerStatusWins checks that the younger status is kept, regardless of its sender, and that a
+// mention without a status does not remove a status.
 func TestNewerStatusWins(t *testing.T) {
 	statuses := PeerStatusTable{}.Observe("own", []Peer{quorumLostPeer("a", 3, 10)}, noon, noon)
 	statuses = statuses.Observe("own", []Peer{{Addr: "a", Incarnation: 1, Status: &PeerStatus{Age: 500, AppliedRevision: 2}}}, noon, noon)
@@ -60,18 +62,19 @@
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
-	// One that restarts after it was found dead reports so itself.
+	// A sidecar that restarts after it was found dead reports a new status itself.
 	statuses = statuses.MarkDead("a", 1, noon.Add(ms(100)), noon.Add(ms(101)))
 	if got := statuses.deadIncarnations(NewView(map[string]Node{"a": {Addr: "a", Incarnation: 1}}, nil)); len(got) != 1 {
-		t.Errorf("dead: %v", got)
+		t.Errorf("got dead nodes %v, want one", got)
 	}
 	statuses = statuses.Observe("own", []Peer{{Addr: "a", Incarnation: 2, Status: &PeerStatus{}}}, noon.Add(ms(200)), noon.Add(ms(201)))
 	if got := statuses.deadIncarnations(NewView(map[string]Node{"a": {Addr: "a", Incarnation: 1}}, nil)); len(got) != 0 {
-		t.Errorf("dead: %v", got)
+		t.Errorf("got dead nodes %v, want none", got)
 	}
 }
 
-// A sidecar that nobody has in its view any more is not mentioned for ever.
+// TestMentionsExpire checks that a sidecar that is in no view any more is eventually no longer
+// mentioned. Sidecars that repeat each other's mentions would keep it forever.
 func TestMentionsExpire(t *testing.T) {
 	a, b, now := PeerStatusTable{}, PeerStatusTable{}, noon
 	none := NewView(nil, nil)
@@ -82,12 +85,13 @@
 		a, b = a.Observe("a", b.Report(Peer{Addr: "b"}, none, now), now, now), b.Observe("b", a.Report(Peer{Addr: "a"}, none, now), now, now)
 	}
 	if got := union(a.Addrs(), b.Addrs()); !slices.Equal(got, []string{"a", "b"}) {
-		t.Errorf("still mentioned: %v", got)
+		t.Errorf("got mentioned sidecars %v, want [a b]", got)
 	}
 }
 
-// A peer is outdated if the own view lacks its node, or has it in an earlier version or in another
-// incarnation than its own status says; the dead are not.
+// TestOutdated checks that a peer is outdated if the local view lacks its node, or has it in an
+// earlier version or in another incarnation than the peer's own status. Dead peers are not
+// outdated.
 func TestOutdated(t *testing.T) {
 	view := NewView(map[string]Node{
 		"a": {Addr: "a", Incarnation: 1, Version: 5},
@@ -105,12 +109,13 @@
 		{Addr: "g", Status: &PeerStatus{Incarnation: 4}},
 	}
 	if got := (PeerStatusTable{}).Observe("own", peers, noon, noon).Outdated(view, peers); !slices.Equal(got, []string{"b", "d", "e"}) {
-		t.Errorf("outdated: %v", got)
+		t.Errorf("got outdated peers %v, want [b d e]", got)
 	}
 }
 
-// However statuses travel, and however late, none is ever taken for younger than it is: on any way
-// through others its time is at or before that of the report.
+// TestStatusAges checks that a status is never assumed to be younger than it is, however many
+// sidecars pass it on and however late it arrives: the recorded time is never after the time of the
+// report.
 func TestStatusAges(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -125,14 +130,15 @@
 			if from == to {
 				continue
 			}
-			// The response is made some time after the request, and arrives later still.
-			asked, revision := now, uint64(step)
+			// The response is created some time after the request, and arrives after a further
+			// delay.
+			requestedAt, revision := now, uint64(step)
 			now = now.Add(time.Duration(rng.Int64N(int64(ms(400)))))
 			addr := fmt.Sprint(from)
 			reported[addr][revision] = now
 			peers := nodes[from].Report(quorumLostPeer(addr, revision, 0), NewView(nil, nil), now)
 			now = now.Add(time.Duration(rng.Int64N(int64(ms(400)))))
-			nodes[to] = nodes[to].Observe(fmt.Sprint(to), peers, asked, now)
+			nodes[to] = nodes[to].Observe(fmt.Sprint(to), peers, requestedAt, now)
 		}
 		for i, statuses := range nodes {
 			for addr, r := range statuses.records {
@@ -140,7 +146,7 @@
 					continue
 				}
 				if when := reported[addr][r.status.AppliedRevision]; r.observedAt.After(when) {
-					t.Fatalf("seed %d: %d takes the report by %s of %d to be of %v, it was %v", seed, i, addr, r.status.AppliedRevision, r.observedAt.Sub(noon), when.Sub(noon))
+					t.Fatalf("seed %d: sidecar %d has the report by %s of revision %d as of %v, but it was made at %v", seed, i, addr, r.status.AppliedRevision, r.observedAt.Sub(noon), when.Sub(noon))
 				}
 			}
 		}
--- a/internal/membership/replica_table_test.go
+++ b/internal/membership/replica_table_test.go
@@ -13,8 +13,8 @@
 	}
 }
 
-// The newest members that any replica sent are the ones that count. A former member is forgotten
-// once it is silent, and gets no heartbeats any more.
+// TestReplicaTableFollowsMembers checks that the table uses the newest members that any replica
+// sent. A former member is removed once it is no longer live, and then receives no heartbeats.
 func TestReplicaTableFollowsMembers(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var table ReplicaTable
@@ -22,34 +22,37 @@
 		table = table.Observe(newReplica(i+1, a, 1, 1, 2, 3), now)
 	}
 	if table.QuorumLost(now) {
-		t.Error("quorum lost though all are live")
+		t.Error("quorum lost although all replicas are live")
 	}
-	// Member 2 is removed and 4 added; only one replica reports it, and reports 4.
+	// Member 2 is removed and member 4 added. Only replica 1 has these members, and it reports
+	// replica 4.
 	now = now.Add(2 * time.Second)
 	table = table.Observe(newReplica(1, "a", 3, 1, 3, 4), now).AddReported([]Replica{newReplica(4, "d", 3, 1, 3, 4)}, now)
-	table = table.Observe(newReplica(3, "c", 1, 1, 2, 3), now) // it does not know yet
+	table = table.Observe(newReplica(3, "c", 1, 1, 2, 3), now) // replica 3 does not have the new members yet
 	if members, _, accepted := table.Members(); !slices.Equal(members, []int{1, 3, 4}) || accepted != 3 {
-		t.Errorf("members %v of revision %d", members, accepted)
+		t.Errorf("got members %v of revision %d, want [1 3 4] of revision 3", members, accepted)
 	}
 	if _, ok := table.Member(2); ok {
-		t.Error("the removed member is still known")
+		t.Error("the removed member is still observed")
 	}
 	if got := table.HeartbeatTargets("a", []string{"x"}, now); !slices.Equal(got, []string{"c", "d", "x"}) {
-		t.Errorf("heartbeats to %v", got)
+		t.Errorf("got heartbeat targets %v, want [c d x]", got)
 	}
 	table = table.Observe(newReplica(4, "d", 3, 1, 3, 4), now)
 	if got := table.HeartbeatTargets("a", []string{"x"}, now); !slices.Equal(got, []string{"c", "d"}) {
-		t.Errorf("heartbeats to %v though all members are live", got)
+		t.Errorf("got heartbeat targets %v while all members are live, want [c d]", got)
 	}
-	// Two of the three members refuse: the third is no majority, whoever was member 2.
+	// Two of the three members refuse connections. The third one is no majority, even together with
+	// former member 2.
 	table = table.Refused("c", now.Add(time.Millisecond)).Refused("d", now.Add(time.Millisecond))
 	if !table.QuorumLost(now.Add(2 * time.Millisecond)) {
-		t.Error("one of three is a majority")
+		t.Error("quorum not lost although only one of three members is left")
 	}
 }
 
-// While a change of members may not have been committed, both the new and the previous ones must
-// have lost their majority before a sidecar goes on alone.
+// TestQuorumLostOfBothMemberSets checks that, while a change of members may not have been
+// committed, the quorum counts as lost only if both the new and the previous members have lost
+// their majority. Only then may a sidecar continue without the control plane.
 func TestQuorumLostOfBothMemberSets(t *testing.T) {
 	now := time.Unix(1000, 0)
 	replica := newReplica(1, "a", 1, 1, 2, 3, 4)
@@ -61,25 +64,26 @@
 	later := now.Add(time.Millisecond)
 	table = table.Refused("d", later).Refused("c", later)
 	if table.QuorumLost(later) {
-		t.Error("the previous members have a majority still")
+		t.Error("quorum lost although the previous members still have a majority")
 	}
 	table = table.Refused("b", later)
 	if !table.QuorumLost(later) {
-		t.Error("quorum not lost though neither members have a majority")
+		t.Error("quorum not lost although neither member set has a majority")
 	}
 }
 
-// An older version sends the number of members only.
+// TestMembersOfOlderVersions checks that the number of members, which is all that older versions
+// send, yields the member IDs.
 func TestMembersOfOlderVersions(t *testing.T) {
 	now := time.Unix(1000, 0)
 	table := ReplicaTable{}.Observe(Replica{MemberID: 2, MemberCount: 3, Addr: "b", MemberIncarnation: 1}, now)
 	if members, _, _ := table.Members(); !slices.Equal(members, []int{1, 2, 3}) {
-		t.Errorf("members %v", members)
+		t.Errorf("got members %v, want [1 2 3]", members)
 	}
 }
 
-// A revision counts as committed past as long as a replica that sent so is live: nothing follows
-// from one that is silent.
+// TestCommittedPast checks that a revision counts as committed past only while a replica that
+// reported so is live. Reports of a replica that is no longer live are ignored.
 func TestCommittedPast(t *testing.T) {
 	now := time.Now()
 	table := ReplicaTable{}.
@@ -90,16 +94,16 @@
 		after    time.Duration
 		want     bool
 	}{
-		"below both":                       {6, 0, true},
-		"below the highest":                {7, 0, true},
-		"the highest":                      {9, 0, false},
-		"its replica is not live any more": {7, ReplicaTimeout - time.Second, false},
-		"below the one that is live":       {6, ReplicaTimeout - time.Second, true},
-		"below both, none of which live":   {6, ReplicaTimeout, false},
+		"below both":                     {6, 0, true},
+		"below the highest":              {7, 0, true},
+		"equal to the highest":           {9, 0, false},
+		"its replica is no longer live":  {7, ReplicaTimeout - time.Second, false},
+		"below that of the live replica": {6, ReplicaTimeout - time.Second, true},
+		"no live replica":                {6, ReplicaTimeout, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := table.CommittedPast(c.revision, now.Add(c.after)); got != c.want {
-				t.Errorf("past %d after %v: %v", c.revision, c.after, got)
+				t.Errorf("CommittedPast(%d) after %v: got %v, want the opposite", c.revision, c.after, got)
 			}
 		})
 	}
--- a/internal/watch/event_log_test.go
+++ b/internal/watch/event_log_test.go
@@ -12,7 +12,7 @@
 	"curlewwalk/internal/membership"
 )
 
-// watchSimulation is a watcher and the two replicas that it polls in turn.
+// watchSimulation simulates a watcher and the two replicas between which it switches.
 type watchSimulation struct {
 	t    *testing.T
 	seed uint64
@@ -22,7 +22,7 @@
 	// newest is the newest revision that was committed.
 	newest uint64
 
-	// The watcher's state: which replica it asks, its next request, and what it has.
+	// The watcher's state: the index of its replica, its next request, and the data received.
 	current  int
 	req      Request
 	nodes    map[string]membership.Node
@@ -31,12 +31,12 @@
 	snapshots, resumed int
 }
 
-// step lets some time pass, with heartbeats and commits, and perhaps a poll or a change of the
-// replica.
+// step advances the clock by a random time, with heartbeats and commits, and sometimes with a poll
+// or a switch to the other replica.
 func (sim *watchSimulation) step(number int) {
 	sim.now += time.Duration(sim.rng.Int64N(int64(20 * time.Millisecond)))
 	if sim.rng.IntN(800) == 0 {
-		sim.now += 3 * time.Second // all are frozen
+		sim.now += 3 * time.Second // all processes are suspended
 	}
 	for _, log := range sim.logs {
 		log.DetectPause(sim.now)
@@ -59,7 +59,7 @@
 	}
 }
 
-// poll sends the watcher's request, and checks what it has if the response arrives.
+// poll sends the watcher's request. If the response arrives, poll checks the watcher's data.
 func (sim *watchSimulation) poll() {
 	log := sim.logs[sim.current]
 	if !log.Ready(sim.now) {
@@ -67,7 +67,7 @@
 	}
 	updates, _ := log.Since(sim.req)
 	if sim.rng.IntN(5) == 0 {
-		return // the response is lost: the offset stays
+		return // the response is lost: the offset does not change
 	}
 	sim.req = Request{LogID: updates.LogID, Offset: updates.Offset}
 	sim.apply(updates)
@@ -93,7 +93,7 @@
 	}
 }
 
-// check compares what the watcher has with what the replica has.
+// check compares the watcher's data with the replica's.
 func (sim *watchSimulation) check(log *EventLog) {
 	sim.t.Helper()
 	want := log.Nodes()
@@ -110,9 +110,10 @@
 	}
 }
 
-// A watcher that polls now and then, through changes of the replica, lost responses, frozen
-// replicas and more events than are kept, always ends with what the replica has that it asked
-// last, and its revision never falls.
+// TestWatchConverges checks that after each response a watcher has the same data as the replica
+// that sent it, and that its revision never decreases. The watcher polls irregularly, switches
+// replicas, loses responses, and falls behind by more events than a log keeps; replicas are
+// suspended.
 func TestWatchConverges(t *testing.T) {
 	snapshots, resumed := 0, 0
 	for seed := range uint64(40) {
@@ -126,19 +127,20 @@
 		snapshots, resumed = snapshots+sim.snapshots, resumed+sim.resumed
 	}
 	if snapshots == 0 || resumed == 0 {
-		t.Errorf("%d snapshots, %d resumed", snapshots, resumed)
+		t.Errorf("got %d snapshots and %d resumed watches, want both above 0", snapshots, resumed)
 	}
 }
 
-// Of the control states since a watcher's last request it gets only the newest, and without what
-// sidecars do not need; the others are not kept.
+// TestNewestStateOnly checks that a watcher receives only the newest of the control states
+// committed since its last request, without the fields that sidecars do not need, and that the log
+// does not keep the others.
 func TestNewestStateOnly(t *testing.T) {
 	log, mirror := NewEventLog(1, 0), NewMirror()
 	log.ObserveCommitted(config.ControlState{Revision: 1})
 	updates, _ := log.Since(Request{})
 	req := Request{LogID: updates.LogID, Offset: updates.Offset}
 	if state, _ := mirror.Apply(updates); state == nil || state.Revision != 1 {
-		t.Errorf("%+v", state)
+		t.Errorf("got control state %+v, want revision 1", state)
 	}
 	for s := range uint64(50) {
 		log.ObserveCommitted(config.ControlState{Revision: s + 2, Configuration: []byte("{}"), Submitted: []byte("sent")})
@@ -153,7 +155,7 @@
 	}
 	state, _ := mirror.Apply(updates)
 	if !fresh || states != 1 || len(updates.Events) != 51 || len(mirror.Nodes) != 50 || state == nil || state.Revision != 51 || state.Submitted != nil {
-		t.Errorf("%d control states in %d events, %d nodes, %+v", states, len(updates.Events), len(mirror.Nodes), state)
+		t.Errorf("got %d control states in %d events, %d nodes and control state %+v; want 1 in 51, 50 nodes, and revision 51 without Submitted", states, len(updates.Events), len(mirror.Nodes), state)
 	}
 	kept := 0
 	for _, event := range log.events {
@@ -162,14 +164,15 @@
 		}
 	}
 	if kept != 1 {
-		t.Errorf("%d control states are kept", kept)
+		t.Errorf("%d control states are kept, want 1", kept)
 	}
 	if updates, fresh = log.Since(Request{LogID: updates.LogID, Offset: updates.Offset}); fresh {
-		t.Errorf("events again: %+v", updates)
+		t.Errorf("got updates %+v, want nothing new", updates)
 	}
 }
 
-// A replica that was frozen delivers nothing from before; nor does one that has just started.
+// TestEventLogAfterPause checks that a replica that was suspended delivers nothing from before the
+// pause, and that a replica that has just started delivers nothing either.
 func TestEventLogAfterPause(t *testing.T) {
 	log := NewEventLog(1, 0)
 	if log.Ready(StartupDelay - 1) {
@@ -179,28 +182,29 @@
 	log.ObserveNode(membership.Node{Addr: "a"}, StartupDelay)
 	log.DetectPause(StartupDelay + 100*time.Millisecond)
 	if !log.Ready(StartupDelay+100*time.Millisecond) || len(log.Nodes()) != 1 {
-		t.Error("an ordinary interval was taken for a pause")
+		t.Error("an ordinary interval was treated as a pause")
 	}
 	resumed := StartupDelay + 10*time.Second
 	log.DetectPause(resumed)
 	if log.Ready(resumed) || len(log.Nodes()) != 0 || log.ID == 1 {
-		t.Errorf("after a pause: ready %v, %d nodes, log %d", log.Ready(resumed), len(log.Nodes()), log.ID)
+		t.Errorf("after a pause: got ready %v, %d nodes, log ID %d; want false, 0 nodes, another log ID", log.Ready(resumed), len(log.Nodes()), log.ID)
 	}
 	if updates, _ := log.Since(Request{LogID: 1, Offset: 1}); !updates.Snapshot {
-		t.Error("an offset from before the pause was continued")
+		t.Error("got no snapshot for an offset from before the pause")
 	}
 }
 
-// A zone that is drained as soon as it is evacuated is so since then.
+// TestDrainSince checks that a zone that is drained when it is evacuated counts as drained from
+// that time.
 func TestDrainSince(t *testing.T) {
 	log := NewEventLog(1, 0)
 	log.Tick(5 * time.Second)
 	log.ObserveCommitted(config.ControlState{Revision: 1, EvacuatedByOperator: []string{"west"}})
 	if d := log.DrainStatus("west", 5*time.Second); !d.Done || d.DoneFor != "0s" {
-		t.Errorf("at once: %+v", d)
+		t.Errorf("at the evacuation: got %+v, want done for 0s", d)
 	}
 	log.Tick(6 * time.Second)
 	if d := log.DrainStatus("west", 8*time.Second); d.DoneFor != "2s" {
-		t.Errorf("2 s after the tick: %+v", d)
+		t.Errorf("2 s after the tick: got %+v, want done for 2s", d)
 	}
 }
--- a/internal/watch/heartbeat_test.go
+++ b/internal/watch/heartbeat_test.go
@@ -21,7 +21,7 @@
 	encoder membership.HeartbeatEncoder
 }
 
-// message is a heartbeat in flight, or its response once that is set.
+// message is a heartbeat in transit, or its response if response is set.
 type message struct {
 	from        *testSidecar
 	incarnation uint64
@@ -29,8 +29,8 @@
 	response    *membership.Heartbeat
 }
 
-// heartbeatModel is a replica, whose version may be an older one, and the sidecars that send it
-// heartbeats.
+// heartbeatModel models a replica, which may run an older version, and the sidecars that send
+// heartbeats to it.
 type heartbeatModel struct {
 	t            *testing.T
 	rng          *rand.Rand
@@ -57,7 +57,7 @@
 	s.node.Backends = m.backends(s.node)
 }
 
-// send puts a heartbeat in flight.
+// send returns the sidecar's next heartbeat as a message in transit.
 func (m *heartbeatModel) send(s *testSidecar, includeBudgets bool) message {
 	s.node.Sequence++
 	n := s.node
@@ -70,7 +70,8 @@
 	return message{from: s, incarnation: n.Incarnation, sent: sent}
 }
 
-// deliver has the replica handle a heartbeat, as far as its version understands it.
+// deliver makes the replica process a heartbeat, as far as its version supports it, and returns the
+// response in transit.
 func (m *heartbeatModel) deliver(msg message) message {
 	response := membership.Heartbeat{TableDigest: 7}
 	switch {
@@ -84,18 +85,19 @@
 	}
 	for _, n := range m.log.Nodes() {
 		if d := cmp.Diff(n.Backends, m.backends(n)); d != "" {
-			m.t.Fatalf("a node with other backends: %s", d)
+			m.t.Fatalf("a node has other backends than announced: %s", d)
 		}
 	}
 	msg.response = &response
 	return msg
 }
 
-// deliverResponse has the sidecar handle a response; more is a heartbeat that is sent at once.
-func (m *heartbeatModel) deliverResponse(msg message) (more message, resend bool) {
+// deliverResponse makes the sidecar process a response. If resend is set, next is a heartbeat that
+// the sidecar sends at once.
+func (m *heartbeatModel) deliverResponse(msg message) (next message, resend bool) {
 	s := msg.from
 	if msg.incarnation != s.node.Incarnation {
-		return message{}, false // the process that sent the heartbeat is gone
+		return message{}, false // the process that sent the heartbeat has ended
 	}
 	s.encoder, resend = s.encoder.Acknowledge(msg.sent, *msg.response)
 	if !resend {
@@ -105,7 +107,7 @@
 	return m.send(s, false), true
 }
 
-// step makes one random change or delivers or loses one message.
+// step makes one random change, or delivers or loses one message.
 func (m *heartbeatModel) step() {
 	m.now += 5 * time.Millisecond
 	m.log.DetectPause(m.now)
@@ -113,7 +115,7 @@
 	s := m.sidecars[m.rng.IntN(len(m.sidecars))]
 	switch m.rng.IntN(200) {
 	case 0:
-		m.log = NewEventLog(m.rng.Uint64(), m.now) // the replica restarts, maybe in another version
+		m.log = NewEventLog(m.rng.Uint64(), m.now) // the replica restarts, possibly in another version
 		m.olderVersion = m.rng.IntN(4) == 0
 	case 1:
 		m.restart(s)
@@ -134,7 +136,7 @@
 		if len(m.messages) == 0 {
 			return
 		}
-		// Any message in flight arrives next, however old, or is lost.
+		// Any message in transit arrives next, however old, or is lost.
 		i := m.rng.IntN(len(m.messages))
 		msg := m.messages[i]
 		m.messages = append(m.messages[:i:i], m.messages[i+1:]...)
@@ -143,8 +145,8 @@
 		case msg.response == nil:
 			m.messages = append(m.messages, m.deliver(msg))
 		default:
-			if more, resend := m.deliverResponse(msg); resend {
-				m.messages = append(m.messages, more)
+			if next, resend := m.deliverResponse(msg); resend {
+				m.messages = append(m.messages, next)
 			}
 		}
 	}
@@ -156,10 +158,10 @@
 	return open
 }
 
-// Through lost, late and overtaken heartbeats and responses, restarts of the replica and of
-// sidecars, and while the replica runs an older version, it never has a node with other backends
-// than that announced, and has the newest state of a node after two heartbeats with responses,
-// whatever older heartbeats arrive later.
+// TestHeartbeatsConverge checks two properties while heartbeats and responses are lost, delayed and
+// reordered, replicas and sidecars restart, and the replica may run an older version. The replica
+// never has a node with other backends than the node announced. After two heartbeats with responses
+// it has the newest state of the node, even if older heartbeats arrive later.
 func TestHeartbeatsConverge(t *testing.T) {
 	partial, full, resent := 0, 0, 0
 	for seed := range uint64(20) {
@@ -175,16 +177,16 @@
 			if rng.IntN(20) > 0 {
 				continue
 			}
-			// Two heartbeats of one sidecar get responses, one right after the other.
+			// Two consecutive heartbeats of one sidecar get responses.
 			s := m.sidecars[rng.IntN(len(m.sidecars))]
 			msg, resend := m.deliverResponse(m.deliver(m.send(s, true)))
 			if !resend {
 				msg = m.send(s, true)
 			}
 			if _, resend = m.deliverResponse(m.deliver(msg)); resend {
-				t.Fatalf("seed %d: a third heartbeat is requested", seed)
+				t.Fatalf("seed %d: a third heartbeat was requested", seed)
 			}
-			// Heartbeats that it sent before and that arrive only now change nothing any more.
+			// Earlier heartbeats of the sidecar that arrive only now change nothing.
 			m.messages = slices.DeleteFunc(m.messages, func(msg message) bool {
 				late := msg.from == s && msg.incarnation == s.node.Incarnation && msg.response == nil
 				if late {
@@ -200,8 +202,8 @@
 		}
 		partial, full, resent = partial+m.partial, full+m.full, resent+m.resent
 	}
-	t.Logf("%d partial heartbeats, %d full ones, %d of them on request", partial, full, resent)
+	t.Logf("%d partial heartbeats, %d full ones, %d sent again on request", partial, full, resent)
 	if resent == 0 || partial == 0 {
-		t.Errorf("%d partial heartbeats, %d full ones, %d of them on request", partial, full, resent)
+		t.Errorf("got %d partial heartbeats, %d full ones, %d sent again on request; want some partial ones and some requests", partial, full, resent)
 	}
 }
--- a/internal/watch/mirror.go
+++ b/internal/watch/mirror.go
@@ -6,8 +6,8 @@
 )
 
 // Mirror holds the nodes that a sidecar knows and the revision of its control state, received from
-// the replicas that it watched and from other sidecars. It is not safe for concurrent use. (DESIGN
-// 8.2)
+// the replicas that it watched and from other sidecars. It is not safe for concurrent use.
+// (DESIGN 8.2)
 type Mirror struct {
 	// Nodes holds the known nodes by address.
 	Nodes map[string]membership.Node
--- a/internal/watch/replica_selector.go
+++ b/internal/watch/replica_selector.go
@@ -50,8 +50,8 @@
 }
 
 // choose returns the replica for the next request. Replicas that failed recently rank last. Among
-// the others, those in the own zone rank first. Ties are resolved by rendezvous hashing. ok is
-// false if no replica is live.
+// the others, those in the watcher's zone rank first. Rendezvous hashing decides between equal
+// replicas. ok is false if no replica is live.
 func (s *replicaSelector) choose(live []membership.Replica, now time.Time) (chosen membership.Replica, ok bool) {
 	if len(live) == 0 {
 		return membership.Replica{}, false
@@ -79,7 +79,7 @@
 	return replica.Addr == s.current.Addr && replica.Incarnation == s.current.Incarnation
 }
 
-// zoneDistance returns 0 for a replica in the own zone and 1 for any other replica.
+// zoneDistance returns 0 for a replica in the watcher's zone and 1 for any other replica.
 func (s *replicaSelector) zoneDistance(replica membership.Replica) int {
 	if replica.Zone == s.zone {
 		return 0
--- a/internal/watch/replica_selector_test.go
+++ b/internal/watch/replica_selector_test.go
@@ -8,7 +8,7 @@
 	"curlewwalk/internal/membership"
 )
 
-var beginning = time.Unix(1000, 0)
+var startTime = time.Unix(1000, 0)
 
 func replicasIn(zones ...string) (out []membership.Replica) {
 	for i, zone := range zones {
@@ -17,139 +17,141 @@
 	return out
 }
 
-// A watcher asks a replica of its own zone as long as one is live, responds and has confirmed its
-// control state lately; else any other one, and its own zone again later.
+// TestOwnZoneFirst checks that a watcher uses a replica of its own zone while one is live,
+// responds, and has recently confirmed its control state. Otherwise it uses another replica, and
+// returns to its own zone later.
 func TestOwnZoneFirst(t *testing.T) {
 	live := replicasIn("north", "east", "south", "west", "north")
 	for i := range 40 {
-		selector, now := newReplicaSelector(fmt.Sprint("side-", i), "east"), beginning
+		selector, now := newReplicaSelector(fmt.Sprint("side-", i), "east"), startTime
 		if replica, ok := selector.choose(live, now); !ok || replica.Zone != "east" {
-			t.Fatalf("side-%d asks %+v first", i, replica)
+			t.Fatalf("side-%d first chose %+v, want a replica in its own zone", i, replica)
 		}
 		if replica, ok := newReplicaSelector(fmt.Sprint("side-", i), "nowhere").choose(live, now); !ok || replica.Addr == "" {
-			t.Fatalf("side-%d in a zone without replicas asks none", i)
+			t.Fatalf("side-%d in a zone without replicas chose no replica", i)
 		}
 		selector.recordResponse(2*maxConfirmationAge, now)
 		replica, _ := selector.choose(live, now)
 		if replica.Zone == "east" {
-			t.Fatalf("side-%d stays with a replica that has not confirmed", i)
+			t.Fatalf("side-%d stayed with a replica that has not confirmed its control state", i)
 		}
 		selector.recordResponse(0, now)
 		now = now.Add(avoidFailedFor / 2)
 		if again, _ := selector.choose(live, now); again.Addr != replica.Addr {
-			t.Fatalf("side-%d leaves %v, which has confirmed, for %v", i, replica, again)
+			t.Fatalf("side-%d left %v, which has confirmed its control state, for %v", i, replica, again)
 		}
 		now = now.Add(avoidFailedFor / 2)
 		if again, _ := selector.choose(live, now); again.Zone != "east" {
-			t.Fatalf("side-%d never goes back to its own zone", i)
+			t.Fatalf("side-%d did not return to its own zone", i)
 		}
 	}
 }
 
-// The watchers of one zone are spread over its replicas.
+// TestZoneIsSpread checks that the watchers of a zone are distributed over the zone's replicas.
 func TestZoneIsSpread(t *testing.T) {
 	live, watchers := replicasIn("north", "north", "south"), map[string]int{}
 	for i := range 60 {
-		replica, _ := newReplicaSelector(fmt.Sprint("side-", i), "north").choose(live, beginning)
+		replica, _ := newReplicaSelector(fmt.Sprint("side-", i), "north").choose(live, startTime)
 		watchers[replica.Addr]++
 	}
 	if watchers["replica-1"] < 15 || watchers["replica-2"] < 15 || watchers["replica-3"] != 0 {
-		t.Errorf("%v", watchers)
+		t.Errorf("got watchers per replica %v, want at least 15 on replica-1 and replica-2, none on replica-3", watchers)
 	}
 }
 
-// While no replica has confirmed lately, the watcher stays with one that responds: the others are
-// no better.
+// TestNoReplicaConfirmed checks that a watcher stays with a replica that responds while no replica
+// has recently confirmed its control state, since no other replica is better.
 func TestNoReplicaConfirmed(t *testing.T) {
-	live, now := replicasIn("a", "b", "c"), beginning
+	live, now := replicasIn("a", "b", "c"), startTime
 	selector := newReplicaSelector("side", "a")
-	asked := map[string]bool{}
+	chosen := map[string]bool{}
 	for range 3 {
 		replica, _ := selector.choose(live, now)
-		asked[replica.Addr] = true
+		chosen[replica.Addr] = true
 		selector.recordResponse(time.Hour, now)
 		now = now.Add(initialBackoff)
 	}
-	if len(asked) != 3 {
-		t.Fatalf("asked %v only", asked)
+	if len(chosen) != 3 {
+		t.Fatalf("chose only %v, want all three replicas", chosen)
 	}
-	at := selector.current
-	if replica, _ := selector.choose(live, now); replica.Addr != at.Addr {
-		t.Errorf("changed from %v to %v within %v", at, replica, maxConfirmationAge)
+	previous := selector.current
+	if replica, _ := selector.choose(live, now); replica.Addr != previous.Addr {
+		t.Errorf("changed from %v to %v within %v", previous, replica, maxConfirmationAge)
 	}
-	// It does not stay with one that is gone or restarted.
-	without := []membership.Replica{}
+	// The watcher leaves a replica that is no longer live.
+	others := []membership.Replica{}
 	for _, replica := range live {
-		if replica.Addr != at.Addr {
-			without = append(without, replica)
+		if replica.Addr != previous.Addr {
+			others = append(others, replica)
 		}
 	}
-	if replica, ok := selector.choose(without, now); !ok || replica.Addr == at.Addr {
-		t.Errorf("asks %v, which is not live", replica)
+	if replica, ok := selector.choose(others, now); !ok || replica.Addr == previous.Addr {
+		t.Errorf("chose %v, which is not live", replica)
 	}
 }
 
-// A response that takes longer than the first time-out, over a slow link or from a starved process,
-// arrives in the end, however few replicas there are; and after a response the time-out is short
-// again.
+// TestTimeoutGrows checks that a response that takes longer than the initial timeout eventually
+// arrives, with any number of replicas. This happens over a slow link or in a process starved of
+// CPU time. A response resets the timeout.
 func TestTimeoutGrows(t *testing.T) {
 	for _, replicas := range []int{1, 2, 5} {
-		live, now := replicasIn("a", "b", "c", "d", "e")[:replicas], beginning
+		live, now := replicasIn("a", "b", "c", "d", "e")[:replicas], startTime
 		selector, attempts := newReplicaSelector("side", "a"), 0
-		for need := 2500 * time.Millisecond; ; attempts++ {
+		for duration := 2500 * time.Millisecond; ; attempts++ {
 			if attempts > 5 {
-				t.Fatalf("%d replicas: timed out %d times, and on", replicas, attempts)
+				t.Fatalf("%d replicas: still timing out after %d attempts", replicas, attempts)
 			}
 			selector.choose(live, now)
-			if selector.timeout >= need {
+			if selector.timeout >= duration {
 				break
 			}
 			now = now.Add(selector.timeout)
 			selector.recordFailure(true, now)
 		}
 		if selector.recordResponse(0, now); selector.timeout != initialTimeout {
-			t.Errorf("time-out %v after a response", selector.timeout)
+			t.Errorf("got timeout %v after a response, want initialTimeout", selector.timeout)
 		}
 		if selector.recordFailure(false, now); selector.timeout != initialTimeout {
-			t.Errorf("time-out %v after a refused connection", selector.timeout)
+			t.Errorf("got timeout %v after a refused connection, want initialTimeout", selector.timeout)
 		}
 		for range 9 {
 			selector.recordFailure(true, now)
 		}
 		if selector.timeout != maxTimeout {
-			t.Errorf("time-out %v has no bound", selector.timeout)
+			t.Errorf("got timeout %v after many timeouts, want maxTimeout", selector.timeout)
 		}
 	}
 }
 
-// While no replica responds or none is live, the pause between requests grows up to a bound, and the
-// first response resets it; watchers that lost the same replica come back at different times.
+// TestBackoffGrows checks that the pause between requests grows up to a limit while no replica
+// responds or none is live, and that the first response resets it. Watchers that lost the same
+// replica must reconnect at different times.
 func TestBackoffGrows(t *testing.T) {
-	selector, now := newReplicaSelector("side-1", "north"), beginning
+	selector, now := newReplicaSelector("side-1", "north"), startTime
 	selector.choose(replicasIn("north"), now)
-	asked := 0
-	for ; now.Sub(beginning) < 10*time.Second; asked++ {
+	requests := 0
+	for ; now.Sub(startTime) < 10*time.Second; requests++ {
 		selector.recordFailure(false, now)
 		if selector.backoff < initialBackoff || selector.backoff > maxBackoff {
-			t.Fatalf("a backoff of %v", selector.backoff)
+			t.Fatalf("got backoff %v, want initialBackoff to maxBackoff", selector.backoff)
 		}
 		now = now.Add(selector.backoff)
 	}
-	if asked > 30 {
-		t.Errorf("asked %d times in 10 s", asked)
+	if requests > 30 {
+		t.Errorf("sent %d requests in 10 s, want at most 30", requests)
 	}
 	selector.recordResponse(0, now)
 	if selector.growBackoff(); selector.backoff != initialBackoff {
-		t.Errorf("%v after a response", selector.backoff)
+		t.Errorf("got backoff %v after a response, want initialBackoff", selector.backoff)
 	}
 	seen := map[time.Duration]bool{}
 	for range 100 {
 		got := jitter(initialBackoff)
 		if seen[got] = true; got < initialBackoff || got > initialBackoff*3/2 {
-			t.Errorf("%v for %v", got, initialBackoff)
+			t.Errorf("got jittered pause %v for %v, want at most 1.5 times as much", got, initialBackoff)
 		}
 	}
 	if len(seen) < 50 {
-		t.Errorf("%d different pauses of 100", len(seen))
+		t.Errorf("got %d different pauses of 100, want at least 50", len(seen))
 	}
 }
--- a/internal/watch/state_decoder_test.go
+++ b/internal/watch/state_decoder_test.go
@@ -13,7 +13,7 @@
 	"curlewwalk/internal/membership"
 )
 
-// sampleState is a control state with 60 routes, of which one depends on its revision.
+// sampleState returns a control state with 60 routes, one of which depends on the revision.
 func sampleState(revision uint64) config.ControlState {
 	var b strings.Builder
 	for i := range uint64(60) {
@@ -26,19 +26,20 @@
 	return config.ControlState{Revision: revision, ConfigurationRevision: revision, Configuration: []byte(b.String()), Submitted: []byte("what the operator sent")}
 }
 
-// watchOverWire returns updates as they arrive over the wire, and how many bytes they have.
+// watchOverWire returns the updates for a request after encoding and decoding them, and their
+// encoded size in bytes.
 func watchOverWire(t *testing.T, log *EventLog, req Request) (updates Updates, size int) {
 	t.Helper()
 	sent, _ := log.Since(req)
 	b, err := msgpack.Marshal(sent)
 	if err != nil || msgpack.Unmarshal(b, &updates) != nil {
-		t.Fatal("updates do not survive the wire")
+		t.Fatal("encoding and decoding the updates failed")
 	}
 	return updates, len(b)
 }
 
-// testWatcher is a watcher's state: its decoder, its next request, its mirror and the control state
-// that it has in force.
+// testWatcher is the state of a watcher: its decoder, its next request, its mirror, and the control
+// state that it has in force.
 type testWatcher struct {
 	StateDecoder
 	req    Request
@@ -59,8 +60,9 @@
 	return size, true
 }
 
-// A change of one route costs a watcher a small part of the configuration's bytes, also if it
-// changes to another replica; the same configuration again costs none of them.
+// TestBytesOfAConfigurationChange checks that a change of one route transfers only a small part of
+// the configuration, even if the watcher switches to another replica, and that an unchanged
+// configuration is not transferred.
 func TestBytesOfAConfigurationChange(t *testing.T) {
 	logs, w := []*EventLog{NewEventLog(1, 0), NewEventLog(100, 0)}, testWatcher{mirror: NewMirror()}
 	full := len(sampleState(1).Configuration)
@@ -75,26 +77,27 @@
 		}
 		size, decoded := w.watch(t, at)
 		if !decoded || !bytes.Equal(w.state.Configuration, sampleState(s).Configuration) || w.state.Revision != s {
-			t.Fatalf("revision %d: decoded %v, has revision %d", s, decoded, w.state.Revision)
+			t.Fatalf("revision %d: decoded %v, and the watcher has revision %d or another configuration", s, decoded, w.state.Revision)
 		}
 		if s > 1 && size > full/10 {
-			t.Fatalf("revision %d: %d bytes of a configuration of %d", s, size, full)
+			t.Fatalf("revision %d: received %d bytes, want at most a tenth of the configuration's %d", s, size, full)
 		}
 	}
 	for _, log := range logs {
 		w.req = Request{}
 		if size, _ := w.watch(t, log); size > 100 {
-			t.Errorf("%d bytes where nothing is new", size)
+			t.Errorf("received %d bytes without any change, want at most 100", size)
 		}
 	}
 }
 
-// Whatever a watcher has, older, newer, of another replica or altered, it ends up with what its
-// replica has, after one more request at most, and never has anything else than a replica sent.
-// One of an older version gets control states in full.
+// TestStateDecoder checks that a watcher gets its replica's control state after at most one more
+// request, whether its own control state is older, newer, from another replica, or altered. It
+// never has a control state that no replica sent. A watcher of an older version gets control states
+// in full.
 func TestStateDecoder(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 7))
-	patched, refused := 0, 0
+	patched, rejected := 0, 0
 	for range 300 {
 		logs := []*EventLog{NewEventLog(rng.Uint64(), 0), NewEventLog(rng.Uint64(), 0)}
 		w := testWatcher{mirror: NewMirror()}
@@ -121,7 +124,7 @@
 						if altered := w.StateDecoder; altered.Decode(&updates) {
 							t.Fatal("an altered patch was decoded")
 						}
-						refused++
+						rejected++
 					}
 				}
 			}
@@ -132,7 +135,7 @@
 				t.Fatalf("the replica is at revision %d, the watcher at %d", state.Revision, w.state.Revision)
 			}
 			if !bytes.Equal(w.state.Configuration, sampleState(w.state.Revision).Configuration) {
-				t.Fatalf("something else is in force as revision %d", w.state.Revision)
+				t.Fatalf("the configuration in force is not that of revision %d", w.state.Revision)
 			}
 		}
 		old, _ := watchOverWire(t, logs[0], Request{})
@@ -142,13 +145,13 @@
 			}
 		}
 	}
-	if patched == 0 || refused == 0 {
-		t.Errorf("%d patches, %d of them altered", patched, refused)
+	if patched == 0 || rejected == 0 {
+		t.Errorf("got %d patches, %d of them altered; want both above 0", patched, rejected)
 	}
 }
 
-// A patch that a watcher can't apply puts nothing in force, and the next control state is sent in
-// full.
+// TestUndecodablePatch checks that a patch that a watcher cannot apply puts nothing in force, and
+// that the next control state is sent in full.
 func TestUndecodablePatch(t *testing.T) {
 	log, w := NewEventLog(1, 0), testWatcher{mirror: NewMirror()}
 	log.ObserveCommitted(sampleState(1))
@@ -157,12 +160,12 @@
 	updates, _ := watchOverWire(t, log, w.Prepare(w.req))
 	updates.Events[0].StatePatch.Delta[0]++
 	if w.Decode(&updates) {
-		t.Fatal("it was decoded")
+		t.Fatal("an altered patch was decoded")
 	}
 	if req := w.Prepare(w.req); req.StateFingerprint != nil {
-		t.Error("it asks for a patch again")
+		t.Error("the next request asks for a patch again")
 	}
 	if _, decoded := w.watch(t, log); !decoded || w.state.Revision != 2 {
-		t.Errorf("then decoded %v, revision %d", decoded, w.state.Revision)
+		t.Errorf("got decoded %v, revision %d; want true, revision 2", decoded, w.state.Revision)
 	}
 }
