--- a/internal/transport/backpressure_test.go
+++ b/internal/transport/backpressure_test.go
@@ -10,7 +10,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// smallBufferListener is a listener whose connections buffer little that nobody has read.
+// smallBufferListener is a listener whose connections have small kernel buffers, so that writes
+// block soon when the peer does not read.
 type smallBufferListener struct{ net.Listener }
 
 // Accept implements net.Listener.
@@ -27,10 +28,10 @@
 	conn.(*net.TCPConn).SetWriteBuffer(64 << 10)
 }
 
-// A caller that is busy writing reads nothing meanwhile, so that responses pile up. The
-// server reads on all the same, pings too: else both would wait for each other until the
-// connection broke.
-func TestServerReadsOnWhileResponsesPileUp(t *testing.T) {
+// Guards against a deadlock. A caller that is writing a long frame reads no responses, so the
+// server's response queue fills up. If the server blocked on the full queue instead of reading
+// calls and pings, both sides would wait for each other until the connection timed out.
+func TestServerKeepsReadingWhileResponsesQueue(t *testing.T) {
 	ctx, actors := setup(t)
 	answered := make(chan bool, 200)
 	server := startServerWith(t, ctx, actors, smallBufferListener{listen(t)}, map[string]Handler{
@@ -72,7 +73,7 @@
 	for len(got) < calls+1 {
 		m, ok := readMessage(r)
 		if !ok {
-			t.Fatalf("the connection ended after %d responses", len(got))
+			t.Fatalf("connection ended after %d responses, want one for each of the 41 calls", len(got))
 		}
 		if m.Kind == "large" {
 			got[m.ID] = true
@@ -80,12 +81,13 @@
 	}
 }
 
-// A response reaches its caller also while another call's long frame is being written and
-// the peer is slow to accept it; and the call of a frame that was not written completely is
-// certainly not delivered.
-func TestResponseWhileAFrameIsWritten(t *testing.T) {
-	// A chunk that is not accepted is given up after writeTimeout; the rest is for making a
-	// frame of 32 MiB, which takes seconds under the race detector on a busy machine.
+// A response reaches its caller while the long frame of another call is being written and the
+// peer does not accept it. A call whose frame was not written completely is reported as not
+// delivered.
+func TestResponseDuringLongWrite(t *testing.T) {
+	// A chunk that the peer does not accept fails after writeTimeout. The rest of the limit is
+	// for encoding the frame of 32 MiB, which takes seconds under the race detector on a busy
+	// machine.
 	ctx, actors := setupWithin(t, 8*writeTimeout)
 	small, large := make(chan bool), make(chan bool)
 	addr := startPeer(t, func(conn net.Conn, r *bufio.Reader) {
@@ -94,7 +96,7 @@
 			return
 		}
 		close(small)
-		r.ReadByte() // of the large one, and no more
+		r.ReadByte() // read one byte of the large call and then stop reading
 		close(large)
 		conn.Write(frameOf(t, m))
 		<-ctx.Done()
@@ -108,10 +110,10 @@
 	begin := time.Now()
 	var echo echoMessage
 	if response := connection.Call(ctx, "echo", echoMessage{Text: "x"}); !response.Decode(&echo) || echo.Text != "x" || time.Since(begin) > 2*time.Second {
-		t.Errorf("%+v %+v after %v", response, echo, time.Since(begin))
+		t.Errorf("small call got %+v %+v after %v, want its own text within 2 s", response, echo, time.Since(begin))
 	}
 	<-large
 	if delivery := <-deliveries; delivery != NotDelivered {
-		t.Errorf("of a frame that was never accepted completely: delivery %v", delivery)
+		t.Errorf("call with an incomplete frame: got delivery %v, want NotDelivered", delivery)
 	}
 }
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -12,34 +12,34 @@
 	"curlewwalk/internal/actor"
 )
 
-// beginTimeout is how long a call of RequestTraffic waits for a connection to be opened or
-// to come free. After that it is certainly not delivered, and its caller can turn to another
-// node. A connection that is still being opened may serve the next call.
-const beginTimeout = 300 * time.Millisecond // (ours)
+// beginTimeout is how long a call of RequestTraffic waits until a connection is open and
+// accepts the call. After this time the call is certainly not delivered, and its caller can
+// try another node. A connection that is still being opened can serve a later call.
+const beginTimeout = 300 * time.Millisecond
 
-// TrafficClass separates traffic into connections of their own, so that a long frame of one
-// class does not delay the others.
+// TrafficClass selects the connection that carries a call. Each class has a connection of its
+// own, so that a long frame of one class does not delay the other classes.
 type TrafficClass int
 
 const (
-	// ControlTraffic is what keeps the system together: heartbeats, consensus, gossip.
+	// ControlTraffic carries heartbeats, consensus and gossip.
 	ControlTraffic TrafficClass = iota
-	// WatchTraffic is configuration updates.
+	// WatchTraffic carries configuration updates.
 	WatchTraffic
-	// RequestTraffic is clients' requests, which can turn to another node.
+	// RequestTraffic carries client requests, which can be sent to another node instead.
 	RequestTraffic
 )
 
-// Client sends calls to other processes. It keeps one connection for each traffic class to
-// each address, and opens them on demand. (DESIGN 3.4)
+// Client sends calls to other processes. It keeps one connection per address and traffic
+// class, and opens connections on demand. It is safe for concurrent use. (DESIGN 3.4)
 type Client struct {
 	hello   Hello
 	localIP net.IP
 	actors  *actor.System
-	// Counters are the calls sent and the responses received, by kind.
+	// Counters counts the calls sent and the responses received, by kind.
 	Counters Counters
 
-	// connections is an immutable snapshot, which Run replaces.
+	// connections points to an immutable table. Run replaces the table on each change.
 	connections  atomic.Pointer[connectionTable]
 	dialRequests chan dialRequest
 	dialed       chan dialResult
@@ -53,25 +53,27 @@
 	class TrafficClass
 }
 
-// dialRequest asks Run for a connection.
+// dialRequest is a request to Run for a connection.
 type dialRequest struct {
 	key    connectionKey
-	result chan dialResult // has room for the result
+	result chan dialResult // buffered, so that Run does not block on it
 }
 
-// dialResult is how opening a connection went; connection is nil if it failed.
+// dialResult is the result of opening a connection. connection is nil if it failed.
 type dialResult struct {
 	key        connectionKey
 	connection *Connection
-	// refused is set when no process listens there.
+	// refused reports whether the connection was refused: no process listens on the address.
 	refused bool
 }
 
-// pendingDials are those who wait for a connection that is being opened.
+// pendingDials holds, for each connection that is being opened, the channels on which callers
+// wait for the result.
 type pendingDials map[connectionKey][]chan dialResult
 
-// NewClient makes a client; it works while Run does. hello is sent on each connection,
-// localIP is the address that they come from, nil for any.
+// NewClient returns a client. Its calls are served only while Run is running. The client sends
+// hello on each connection. Connections use localIP as their source address; if localIP is
+// nil, the kernel chooses one.
 func NewClient(actors *actor.System, hello Hello, localIP net.IP) *Client {
 	client := &Client{
 		hello:        hello,
@@ -85,8 +87,8 @@
 	return client
 }
 
-// Call sends a call to addr, over a connection that it opens if there is none, and waits for
-// the response or for ctx.
+// Call sends a call to addr and blocks until the response arrives or ctx ends. It opens a
+// connection if there is none for addr and class.
 func (c *Client) Call(ctx context.Context, addr string, class TrafficClass, kind string, body any) Response {
 	beginCtx := ctx
 	if class == RequestTraffic {
@@ -103,7 +105,8 @@
 	return result.connection.call(ctx, beginCtx, outboundCall{kind: kind, body: body, failFast: class == RequestTraffic})
 }
 
-// connect returns the connection of a key, or waits for it to be opened.
+// connect returns the open connection for key. If there is none, it requests one and blocks
+// until the dial completes or ctx ends.
 func (c *Client) connect(ctx context.Context, key connectionKey) dialResult {
 	if connection, ok := (*c.connections.Load())[key]; ok {
 		return dialResult{key: key, connection: connection}
@@ -122,8 +125,8 @@
 	}
 }
 
-// Run opens connections on demand until ctx ends, and then closes all. It alone changes the
-// table of connections.
+// Run opens connections on demand until ctx ends, and then closes all connections. Only Run
+// changes the connection table.
 func (c *Client) Run(ctx context.Context) {
 	pending := pendingDials{}
 	for {
@@ -141,8 +144,8 @@
 	}
 }
 
-// handleDialRequest answers with a connection that is open; else it starts opening one,
-// unless that has been done already.
+// handleDialRequest sends an open connection to the requester. If there is none, it adds the
+// requester to pending and starts a dial, unless one is already in progress for the key.
 func (c *Client) handleDialRequest(ctx context.Context, pending pendingDials, request dialRequest) {
 	if connection, ok := (*c.connections.Load())[request.key]; ok {
 		request.result <- dialResult{key: request.key, connection: connection}
@@ -154,7 +157,7 @@
 	}
 }
 
-// dial opens a connection and hands it to Run.
+// dial opens a connection and sends the result to Run.
 func (c *Client) dial(ctx context.Context, key connectionKey) {
 	connection, err := dial(ctx, c.actors, c.localIP, key.addr, c.hello, &c.Counters)
 	if err != nil {
@@ -169,10 +172,10 @@
 	}
 }
 
-// handleDialResult answers all who wait for the connection.
+// handleDialResult sends the result of a dial to all requesters that wait for it.
 func (c *Client) handleDialResult(ctx context.Context, pending pendingDials, result dialResult) {
-	for _, waiting := range pending[result.key] {
-		waiting <- result
+	for _, waiter := range pending[result.key] {
+		waiter <- result
 	}
 	delete(pending, result.key)
 	if result.connection != nil {
@@ -180,7 +183,8 @@
 	}
 }
 
-// addConnection puts a connection into the table until it has ended.
+// addConnection adds a connection to the table, and starts a goroutine that reports to Run
+// when the connection has ended.
 func (c *Client) addConnection(ctx context.Context, key connectionKey, connection *Connection) {
 	c.updateTable(func(table connectionTable) { table[key] = connection })
 	c.actors.Go(ctx, "transport-watch", func(ctx context.Context) {
@@ -192,14 +196,14 @@
 	})
 }
 
-// removeConnection takes a connection out of the table.
+// removeConnection removes a connection that has ended from the table.
 func (c *Client) removeConnection(ended *Connection) {
 	c.updateTable(func(table connectionTable) {
 		maps.DeleteFunc(table, func(_ connectionKey, connection *Connection) bool { return connection == ended })
 	})
 }
 
-// updateTable replaces the table by a changed copy.
+// updateTable applies change to a copy of the table and stores the copy.
 func (c *Client) updateTable(change func(table connectionTable)) {
 	next := maps.Clone(*c.connections.Load())
 	change(next)
--- a/internal/transport/connection.go
+++ b/internal/transport/connection.go
@@ -15,17 +15,17 @@
 
 const (
 	// dialTimeout is how long opening a TCP connection may take.
-	dialTimeout = time.Second // (ours)
-	// inboundBacklog is how many messages are read ahead of their handling.
-	inboundBacklog = 16 // (ours)
+	dialTimeout = time.Second
+	// inboundBacklog is the number of messages that may be read before they are handled.
+	inboundBacklog = 16
 )
 
-// Connection is the calling side of one TCP connection: many calls at a time, each matched
-// to its response by its number. (DESIGN 3.2)
+// Connection is the calling side of one TCP connection. It multiplexes concurrent calls and
+// matches each response to its call by the call's ID. (DESIGN 3.2)
 //
-// One goroutine reads frames, another owns the pending calls and writes. Both end with the
-// connection, which ends when the peer closes it or times out, when something comes that
-// can't be trusted, or by Close.
+// One goroutine reads frames. Another owns the pending calls and writes frames. Both end with
+// the connection. The connection ends when the peer closes it, when the peer times out, when
+// the peer sends an invalid frame or an unexpected response, or when Close is called.
 type Connection struct {
 	conn     *countingConn
 	peer     Hello
@@ -37,28 +37,28 @@
 	spawn func(name string, run func())
 }
 
-// outboundCall is a call as its caller makes it.
+// outboundCall is a call before its body is encoded.
 type outboundCall struct {
 	kind string
 	body any
-	// failFast says that the caller would rather turn to another node than wait for a peer
-	// that is suspected to be gone.
+	// failFast makes the call fail at once if the peer is suspected to be down, so that the
+	// caller can try another node.
 	failFast bool
 }
 
-// inboundEnvelope is what was read from the peer, or why nothing more can be.
+// inboundEnvelope is a message read from the peer, or the error that ended reading.
 type inboundEnvelope struct {
 	envelope
 	err error
 }
 
-// Dial opens a connection and exchanges Hellos. localIP is the address that it comes from,
-// nil for any.
+// Dial opens a connection to addr and exchanges Hellos. The connection uses localIP as its
+// source address; if localIP is nil, the kernel chooses one.
 func Dial(ctx context.Context, actors *actor.System, localIP net.IP, addr string, hello Hello) (*Connection, error) {
 	return dial(ctx, actors, localIP, addr, hello, &Counters{})
 }
 
-// dial is Dial with the caller's counters.
+// dial is like Dial, but counts frames in counters.
 func dial(ctx context.Context, actors *actor.System, localIP net.IP, addr string, hello Hello, counters *Counters) (*Connection, error) {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	if localIP != nil {
@@ -75,8 +75,8 @@
 		conn.Close()
 		return nil, err
 	}
-	// The connection outlives the call that it was opened for.
-	life := context.WithoutCancel(ctx)
+	// The connection must stay open after the call that it was opened for has ended.
+	connectionCtx := context.WithoutCancel(ctx)
 	connection := &Connection{
 		conn:     conn,
 		peer:     peer,
@@ -85,7 +85,7 @@
 		inbound:  make(chan inboundEnvelope, inboundBacklog),
 		done:     make(chan struct{}),
 		spawn: func(name string, run func()) {
-			actors.Go(life, name, func(context.Context) { run() })
+			actors.Go(connectionCtx, name, func(context.Context) { run() })
 		},
 	}
 	connection.spawn("transport-read", func() { connection.read(reader) })
@@ -93,23 +93,24 @@
 	return connection, nil
 }
 
-// Peer is the Hello of the process that the connection reached.
+// Peer returns the Hello that the peer sent.
 func (c *Connection) Peer() Hello { return c.peer }
 
-// Done is closed when the connection has ended.
+// Done returns a channel that is closed when the connection has ended.
 func (c *Connection) Done() <-chan struct{} { return c.done }
 
-// Close ends the connection. It is not known whether calls still pending were delivered.
+// Close closes the connection. Pending calls return with DeliveryUnknown, except a call whose
+// frame was not written completely, which returns with NotDelivered.
 func (c *Connection) Close() { c.conn.Close() }
 
-// Call sends a call and waits for the response or for ctx. The span of ctx, if it has one,
-// is sent with it.
+// Call sends a call and blocks until the response arrives or ctx ends. If ctx has a span, the
+// span is sent with the call.
 func (c *Connection) Call(ctx context.Context, kind string, body any) Response {
 	return c.call(ctx, ctx, outboundCall{kind: kind, body: body})
 }
 
-// call is Call; until beginCtx ends the connection may take to begin with the call, which
-// is certainly not delivered before.
+// call is like Call, but fails with NotDelivered if the connection has not accepted the call
+// when beginCtx ends. No part of a call is sent before the connection accepts it.
 func (c *Connection) call(ctx, beginCtx context.Context, out outboundCall) Response {
 	body, err := msgpack.Marshal(out.body)
 	if err != nil {
@@ -128,13 +129,13 @@
 	case response := <-call.response:
 		return response
 	case <-ctx.Done():
-		// The connection is not waited for: its peer may hold it up.
+		// Return without waiting for the connection's goroutine: a slow peer may block it.
 		call.abandoned.Store(true)
 		return Response{Delivery: DeliveryUnknown}
 	}
 }
 
-// read reads messages until the connection ends.
+// read reads messages and passes them to run until the connection ends.
 func (c *Connection) read(reader *bufio.Reader) {
 	for {
 		received := readEnvelope(reader)
@@ -149,7 +150,7 @@
 	}
 }
 
-// readEnvelope reads one frame.
+// readEnvelope reads one frame and decodes its message.
 func readEnvelope(reader *bufio.Reader) inboundEnvelope {
 	b, err := readFrame(reader, MaxFrameSize)
 	if err != nil {
@@ -159,8 +160,8 @@
 	return inboundEnvelope{envelope: e, err: err}
 }
 
-// run handles the pending calls until the connection ends. It alone lets frames be written,
-// one at a time.
+// run handles the pending calls until the connection ends. Only run starts writing a frame,
+// and it does so one frame at a time.
 func (c *Connection) run() {
 	calls := newPendingCalls(c)
 	defer calls.close()
--- a/internal/transport/counters.go
+++ b/internal/transport/counters.go
@@ -5,9 +5,9 @@
 	"sync/atomic"
 )
 
-// CallCounts is what one side of connections carried of one kind: a Client sent the calls
-// and received the responses, a Server received the calls and sent the responses. Bytes are
-// whole frames.
+// CallCounts counts the frames of one kind on one side of the connections. A Client counts
+// the calls sent and the responses received. A Server counts the calls received and the
+// responses sent. Byte counts include the frame headers.
 type CallCounts struct {
 	Calls         uint64 `json:"calls"`
 	CallBytes     uint64 `json:"call_bytes"`
@@ -15,26 +15,26 @@
 	ResponseBytes uint64 `json:"receipt_bytes"`
 }
 
-// These are counted beside the kinds of calls.
+// Kinds that are counted in addition to the kinds of calls.
 const (
-	// KindPing is a ping, and its answer.
+	// KindPing is the kind of pings and of their responses.
 	KindPing = "ping"
-	// kindHello is a Hello.
+	// kindHello is the kind of Hellos.
 	kindHello = "greeting"
-	// kindUnknown is a call of a kind that has no handler: the names that other processes
-	// send are not kept.
+	// kindUnknown counts calls that have no handler. Their kinds are not kept as keys, since
+	// the peer chooses them.
 	kindUnknown = "unknown"
-	// kindAbandoned is a response that came after its caller had given up.
+	// kindAbandoned counts responses that arrived after the caller had stopped waiting.
 	kindAbandoned = "dropped"
 )
 
-// Counters counts frames by kind. All connections of one side share it. Its zero value is
-// ready for use, from any goroutine.
-type Counters struct{ byKind sync.Map } // of *kindCounter, by string
+// Counters counts frames by kind. All connections of a Client or of a Server share one. The
+// zero value is ready for use. Counters is safe for concurrent use.
+type Counters struct{ byKind sync.Map } // string to *kindCounter
 
 type kindCounter struct{ calls, callBytes, responses, responseBytes atomic.Uint64 }
 
-// counter returns the counter of a kind, which it makes if need be.
+// counter returns the counter of a kind. It creates the counter if there is none.
 func (c *Counters) counter(kind string) *kindCounter {
 	existing, ok := c.byKind.Load(kind)
 	if !ok {
@@ -55,7 +55,7 @@
 	counter.responseBytes.Add(uint64(bytes))
 }
 
-// Snapshot is what was counted so far, by kind.
+// Snapshot returns the current counts by kind.
 func (c *Counters) Snapshot() map[string]CallCounts {
 	snapshot := map[string]CallCounts{}
 	c.byKind.Range(func(kind, value any) bool {
--- a/internal/transport/delivery.go
+++ b/internal/transport/delivery.go
@@ -1,13 +1,13 @@
 package transport
 
-// Delivery is what is known about a call's way to the peer.
+// Delivery states whether a call reached the peer.
 type Delivery int
 
 const (
-	// DeliveryUnknown says that the peer may have got the call, or not.
+	// DeliveryUnknown means that the peer may or may not have received the call.
 	DeliveryUnknown Delivery = iota
-	// NotDelivered says that the call certainly never reached the peer as a whole.
+	// NotDelivered means that the peer certainly did not receive the complete call.
 	NotDelivered
-	// Answered says that the peer answered.
+	// Answered means that the peer sent a response.
 	Answered
 )
--- a/internal/transport/doc.go
+++ b/internal/transport/doc.go
@@ -1,17 +1,17 @@
-// Package transport carries calls between the system's own processes over TCP. (DESIGN 3)
+// Package transport carries calls between the processes of the mesh over TCP. (DESIGN 3)
 //
-// A Client opens connections on demand and sends calls; a Server accepts connections and
-// answers calls by their kind. Both sides of a connection first send a Hello. After it,
-// each frame holds one message: the calling side sends calls, with ascending numbers and
-// with pings between them, the answering side responses, in any order.
+// A Client opens connections on demand and sends calls. A Server accepts connections and
+// dispatches each call to the handler of its kind. Each side of a connection first sends a
+// Hello. Every later frame holds one message. The calling side sends pings and calls; call
+// IDs ascend. The answering side sends responses, in any order.
 //
-// A frame is
+// A frame consists of
 //
-//	length    4 bytes, big endian: of the payload
+//	length    4 bytes, big endian: length of the payload in bytes
 //	checksum  4 bytes, big endian: CRC-32C of the payload
-//	payload   a trace prefix if the call is traced, and a message in msgpack
+//	payload   a trace prefix if the call is traced, then a message in msgpack
 //
-// The outcome of a call is a Response, never a Go error: its Delivery reports whether the call
-// was answered, certainly not delivered, or neither is known. Callers decide by it whether a
-// request may be sent to another node.
+// The outcome of a call is a Response, never a Go error. Response.Delivery states whether the
+// peer answered the call, whether the call was certainly not delivered, or that neither is
+// known. Callers use it to decide whether a request may be sent to another node.
 package transport
--- a/internal/transport/fuzz_test.go
+++ b/internal/transport/fuzz_test.go
@@ -10,14 +10,14 @@
 	"curlewwalk/internal/trace"
 )
 
-// FuzzPayload: whatever a payload holds, it is a message or an error; a message is
-// written back as one that reads the same.
+// FuzzPayload checks that decode returns a message or an error for any payload, and that a
+// decoded message is unchanged after it is encoded and decoded again.
 func FuzzPayload(f *testing.F) {
 	for name, b := range malformedPayloads {
 		if len(b) < 1000 {
 			f.Add(b)
 		} else {
-			f.Logf("%s is not among the seeds", name)
+			f.Logf("%s: too long for the seed corpus", name)
 		}
 	}
 	body, _ := msgpack.Marshal(echoMessage{Text: "x"})
@@ -39,13 +39,13 @@
 		}
 		again, err := decode(frame[headerLen:])
 		if err != nil || !reflect.DeepEqual(got.message, again.message) {
-			t.Errorf("%+v was decoded again as %+v, %v", got.message, again.message, err)
+			t.Errorf("decoded %+v, after encoding and decoding it again got %+v, %v", got.message, again.message, err)
 		}
 	})
 }
 
-// FuzzFrames: whatever bytes come on a connection, whole frames are read or an error is;
-// nothing is returned of a frame that is not whole.
+// FuzzFrames checks that readFrame returns complete frames or an error for any bytes on a
+// connection, and never part of a frame.
 func FuzzFrames(f *testing.F) {
 	one := sealFrame(append(make([]byte, headerLen), "payload"...))
 	f.Add(one)
@@ -55,19 +55,20 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		r := bytes.NewReader(b)
 		for {
-			at := len(b) - r.Len()
+			start := len(b) - r.Len()
 			payload, err := readFrame(r, 1<<16)
 			if err != nil {
 				return
 			}
-			if whole := sealFrame(append(make([]byte, headerLen), payload...)); !bytes.Equal(whole, b[at:at+len(whole)]) {
-				t.Errorf("%q was read as %q", b[at:], payload)
+			if frame := sealFrame(append(make([]byte, headerLen), payload...)); !bytes.Equal(frame, b[start:start+len(frame)]) {
+				t.Errorf("input %q does not start with the frame of the payload %q that was read from it", b[start:], payload)
 			}
 		}
 	})
 }
 
-// FuzzHello: whatever comes first, it is a Hello, which encodes to the same, or an error.
+// FuzzHello checks that any first payload is decoded as a Hello or rejected with an error, and
+// that a decoded Hello is unchanged after it is encoded and decoded again.
 func FuzzHello(f *testing.F) {
 	b, _ := msgpack.Marshal(Hello{Version: 1, Node: "n", Incarnation: 7})
 	f.Add(b)
@@ -80,7 +81,7 @@
 		var again Hello
 		out, err := msgpack.Marshal(hello)
 		if err != nil || Unmarshal(out, &again) != nil || again != hello {
-			t.Errorf("%+v was decoded again as %+v, %v", hello, again, err)
+			t.Errorf("decoded %+v, after encoding and decoding it again got %+v, %v", hello, again, err)
 		}
 	})
 }
--- a/internal/transport/hello.go
+++ b/internal/transport/hello.go
@@ -9,34 +9,35 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// ProtocolVersion is the version of the messages, sent in Hello.
+// ProtocolVersion is the version of the message protocol. Each side sends it in its Hello.
 const ProtocolVersion = 1
 
-// maxHelloSize bounds the first frame, which anybody who connects may send. In bytes.
-const maxHelloSize = 4 << 10 // (ours)
+// maxHelloSize is the maximum payload length of the first frame in bytes. It is small because
+// any process that can connect may send this frame.
+const maxHelloSize = 4 << 10
 
-// handshakeTimeout is how long both Hellos together may take.
-const handshakeTimeout = time.Second // (ours)
+// handshakeTimeout is how long the exchange of both Hellos may take.
+const handshakeTimeout = time.Second
 
-// Hello is the first message on a connection, in both directions. Unknown fields are
-// ignored, so that old and new versions can talk.
+// Hello is the first message that each side of a connection sends. Unknown fields are ignored,
+// so that different versions interoperate.
 type Hello struct {
 	// Version is the sender's ProtocolVersion.
 	Version int `msgpack:"v"`
-	// Node is the address that the sender's own server is known by.
+	// Node is the address under which the sender's server is reachable.
 	Node string `msgpack:"n"`
-	// Incarnation is a random number that the sender's process drew at its start.
+	// Incarnation is a random number that the sender's process generates when it starts.
 	Incarnation uint64 `msgpack:"b"`
 }
 
-// countFunc counts a frame of so many bytes under a kind.
+// countFunc counts a frame of the given kind and length.
 type countFunc func(kind string, bytes int)
 
-// handshake sends the own Hello and reads the peer's.
-func handshake(conn net.Conn, reader *bufio.Reader, own Hello, countSent, countReceived countFunc) (peer Hello, err error) {
+// handshake sends the local Hello and returns the peer's.
+func handshake(conn net.Conn, reader *bufio.Reader, local Hello, countSent, countReceived countFunc) (peer Hello, err error) {
 	conn.SetDeadline(time.Now().Add(handshakeTimeout))
 	defer conn.SetDeadline(time.Time{})
-	encoded, err := msgpack.Marshal(&own)
+	encoded, err := msgpack.Marshal(&local)
 	if err != nil {
 		return peer, err
 	}
--- a/internal/transport/helpers_test.go
+++ b/internal/transport/helpers_test.go
@@ -14,13 +14,13 @@
 	"curlewwalk/internal/trace"
 )
 
-// setup returns a context and actors for a test that takes ten seconds at most.
+// setup returns a context that ends after ten seconds, and an actor system.
 func setup(t *testing.T) (context.Context, *actor.System) {
 	t.Helper()
 	return setupWithin(t, 10*time.Second)
 }
 
-// setupWithin is setup for a test with a limit of its own.
+// setupWithin is like setup, but the context ends after limit.
 func setupWithin(t *testing.T, limit time.Duration) (context.Context, *actor.System) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
@@ -41,21 +41,21 @@
 	return listener
 }
 
-// echoMessage is the body of "echo" calls and their responses.
+// echoMessage is the body of "echo" calls and of their responses.
 type echoMessage struct {
 	Text string `msgpack:"t"`
-	// Trace is the trace that the handler saw.
+	// Trace is the trace ID in the context of the handler.
 	Trace string `msgpack:"tr"`
 }
 
-// startServer starts a server that answers "echo".
+// startServer starts a server with a handler for "echo" calls.
 func startServer(t *testing.T, ctx context.Context, actors *actor.System) *Server {
 	t.Helper()
 	return startServerWith(t, ctx, actors, listen(t), map[string]Handler{
 		"echo": func(ctx context.Context, request Request) (any, error) {
 			var echo echoMessage
 			if !request.Decode(&echo) {
-				return nil, errors.New("not an echo")
+				return nil, errors.New("body is not an echo message")
 			}
 			if span, ok := trace.SpanFromContext(ctx); ok {
 				echo.Trace = span.Trace.String()
@@ -65,7 +65,7 @@
 	})
 }
 
-// startServerWith starts a server with handlers of the test's own.
+// startServerWith starts a server with the given handlers.
 func startServerWith(t *testing.T, ctx context.Context, actors *actor.System, listener net.Listener, handlers map[string]Handler) *Server {
 	t.Helper()
 	server := &Server{Actors: actors, Hello: Hello{Version: ProtocolVersion, Node: "server"}, Handlers: handlers, Listener: listener}
@@ -73,7 +73,7 @@
 	return server
 }
 
-// startPeer accepts connections, exchanges Hellos and leaves the rest to handle.
+// startPeer accepts connections, exchanges Hellos and calls handle for each connection.
 func startPeer(t *testing.T, handle func(conn net.Conn, r *bufio.Reader)) (addr string) {
 	t.Helper()
 	listener := listen(t)
@@ -95,7 +95,7 @@
 	return listener.Addr().String()
 }
 
-// dialPeer opens a connection.
+// dialPeer opens a Connection to addr.
 func dialPeer(t *testing.T, ctx context.Context, actors *actor.System, addr string) *Connection {
 	t.Helper()
 	connection, err := Dial(ctx, actors, nil, addr, Hello{Version: ProtocolVersion, Node: "caller"})
@@ -105,7 +105,7 @@
 	return connection
 }
 
-// dialRaw opens a connection to a server by hand, and exchanges Hellos.
+// dialRaw opens a TCP connection to a server and exchanges Hellos.
 func dialRaw(t *testing.T, server *Server) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	conn, err := net.Dial("tcp", server.Addr().String())
@@ -120,7 +120,8 @@
 	return conn, r
 }
 
-// readMessage reads a message; false once the connection has ended.
+// readMessage reads a message. It returns false if the connection has ended or the frame is
+// invalid.
 func readMessage(r io.Reader) (message, bool) {
 	b, err := readFrame(r, MaxFrameSize)
 	if err != nil {
@@ -130,7 +131,7 @@
 	return e.message, err == nil
 }
 
-// frameOf builds the frame of a message without a span.
+// frameOf returns the frame of a message, without a span.
 func frameOf(t *testing.T, m message) []byte {
 	t.Helper()
 	frame, err := encode(trace.Span{}, m)
--- a/internal/transport/idle_detector.go
+++ b/internal/transport/idle_detector.go
@@ -7,27 +7,28 @@
 )
 
 const (
-	// pingInterval is how often a peer is pinged while calls are pending.
-	pingInterval = 500 * time.Millisecond // (ours)
-	// idleTimeout is how long a pinged peer may send nothing.
-	idleTimeout = 2 * time.Second // (ours)
+	// pingInterval is the interval between pings while calls are pending.
+	pingInterval = 500 * time.Millisecond
+	// idleTimeout is how long a pinged peer may send nothing before it has timed out.
+	idleTimeout = 2 * time.Second
 )
 
-// idleDetector decides whether a peer has sent nothing for too long. Of the time between two
-// checks no more counts than one that comes in time would take: while this process was held
-// up itself, it could not have received anything. (DESIGN 3.4)
+// idleDetector detects a peer that has sent nothing for idleTimeout. It counts at most
+// pingInterval of the time between two checks: a late check means that this process itself was
+// delayed, and it could not have received anything during the delay. (DESIGN 3.4)
 type idleDetector struct {
 	idle      time.Duration
 	lastCheck time.Time
 	bytesRead uint64
 }
 
-// reset starts anew, with the bytes read from the peer so far.
+// reset sets the idle time to zero. bytesRead is the number of bytes read from the peer so far.
 func (d *idleDetector) reset(now time.Time, bytesRead uint64) {
 	*d = idleDetector{lastCheck: now, bytesRead: bytesRead}
 }
 
-// check takes the bytes read so far, and reports whether the peer has timed out.
+// check updates the idle time and reports whether the peer has timed out. bytesRead is the
+// number of bytes read from the peer so far.
 func (d *idleDetector) check(now time.Time, bytesRead uint64) (timedOut bool) {
 	elapsed := now.Sub(d.lastCheck)
 	d.lastCheck = now
@@ -39,10 +40,11 @@
 	return d.idle >= idleTimeout
 }
 
-// suspected reports whether the peer left a ping unanswered until the next was due.
+// suspected reports whether the peer sent nothing for two ping intervals: it did not answer a
+// ping before the next one was due.
 func (d *idleDetector) suspected() bool { return d.idle >= 2*pingInterval }
 
-// countingConn counts the bytes read from a connection, whole frames or not.
+// countingConn counts the bytes read from a connection, including those of incomplete frames.
 type countingConn struct {
 	net.Conn
 	bytesRead atomic.Uint64
--- a/internal/transport/malformed_test.go
+++ b/internal/transport/malformed_test.go
@@ -19,55 +19,57 @@
 	"curlewwalk/internal/trace"
 )
 
-// listMessage is a message body with a list, whose length the sender claims.
+// listMessage is a message body with a list. The sender controls the claimed length of the list.
 type listMessage struct {
 	Entries []struct{ A, B, C, D uint64 } `msgpack:"e"`
 }
 
-// payloadWith is the payload of a call, with a body of raw bytes.
+// payloadWith returns the payload of a call whose body is the given raw bytes.
 func payloadWith(body string) []byte {
 	return []byte("\x83\xa1i\x01\xa1k\xa4list\xa1b" + body)
 }
 
-// malformedPayloads are payloads that are no message, though each begins as one.
+// malformedPayloads are payloads that are not a valid message. All but the empty one begin like
+// a valid one.
 var malformedPayloads = map[string][]byte{
-	"nothing":                         {},
-	"a byte never written":            payloadWith("\xc1"),
-	"a list without its entries":      payloadWith("\x81\xa1e\xdd\xff\xff\xff\xff"),
-	"a map without its entries":       payloadWith("\xdf\xff\xff\xff\xff"),
-	"a text without its bytes":        payloadWith("\xdb\xff\xff\xff\xff"),
-	"bytes without their bytes":       payloadWith("\xc6\xff\xff\xff\xffabc"),
-	"an extension without its bytes":  payloadWith("\xc9\xff\xff\xff\xff\x01"),
-	"a number cut short":              payloadWith("\xcf\x01"),
-	"lists without end in each other": payloadWith(strings.Repeat("\x91", 5<<20)),
-	"a list nested too deep":          payloadWith(strings.Repeat("\x91", maxDepth-1) + "\xc0"),
-	"more behind the message":         append(payloadWith("\xc0"), 0xc0),
-	"two messages":                    append(payloadWith("\xc0"), payloadWith("\xc0")...),
+	"empty payload":               {},
+	"reserved format code":        payloadWith("\xc1"),
+	"list without entries":        payloadWith("\x81\xa1e\xdd\xff\xff\xff\xff"),
+	"map without entries":         payloadWith("\xdf\xff\xff\xff\xff"),
+	"string without bytes":        payloadWith("\xdb\xff\xff\xff\xff"),
+	"truncated binary":            payloadWith("\xc6\xff\xff\xff\xffabc"),
+	"truncated extension":         payloadWith("\xc9\xff\xff\xff\xff\x01"),
+	"truncated number":            payloadWith("\xcf\x01"),
+	"five million nested lists":   payloadWith(strings.Repeat("\x91", 5<<20)),
+	"list nested one too deep":    payloadWith(strings.Repeat("\x91", maxDepth-1) + "\xc0"),
+	"value after the message":     append(payloadWith("\xc0"), 0xc0),
+	"two messages in one payload": append(payloadWith("\xc0"), payloadWith("\xc0")...),
 }
 
-// A payload that is not exactly one message is an error, whatever lengths it claims.
+// decode rejects a payload that is not exactly one message, with and without a trace prefix. It
+// accepts values nested to the maximum depth.
 func TestMalformedPayload(t *testing.T) {
 	for name, b := range malformedPayloads {
 		for _, prefix := range [][]byte{nil, trace.AppendPrefix(nil, trace.Root())} {
 			if got, err := decode(append(prefix, b...)); err == nil {
-				t.Errorf("%s was decoded as %+v", name, got.message)
+				t.Errorf("%s: decoded as %+v, want an error", name, got.message)
 			}
 		}
 	}
 	if got, err := decode(payloadWith(strings.Repeat("\x91", maxDepth-2) + "\xc0")); err != nil || got.message.Kind != "list" {
-		t.Errorf("nested as deep as allowed: %v", err)
+		t.Errorf("message nested to the maximum depth: got error %v, want a message of kind list", err)
 	}
 }
 
-// The server survives such frames, and so does its process; other connections are served as
-// before.
-func TestServerOutlivesMalformedFrames(t *testing.T) {
+// A malformed frame ends only its own connection. The server keeps running and serves its other
+// connections.
+func TestServerSurvivesMalformedFrames(t *testing.T) {
 	ctx, actors := setup(t)
 	server := startServerWith(t, ctx, actors, listen(t), map[string]Handler{
 		"list": func(_ context.Context, request Request) (any, error) {
 			var list listMessage
 			if !request.Decode(&list) {
-				return nil, errors.New("not a list")
+				return nil, errors.New("body is not a list message")
 			}
 			return len(list.Entries), nil
 		},
@@ -77,29 +79,30 @@
 		conn, r := dialRaw(t, server)
 		conn.Write(sealFrame(append(make([]byte, headerLen), b...)))
 		if _, err := readFrame(r, MaxFrameSize); err == nil {
-			t.Errorf("%s was answered", name)
+			t.Errorf("%s: got a response, want the connection to end", name)
 		}
 		conn.Close()
 	}
 	var n int
 	if r := connection.Call(ctx, "list", listMessage{Entries: make([]struct{ A, B, C, D uint64 }, 3)}); !r.Decode(&n) || n != 3 {
-		t.Errorf("another connection got %+v", r)
+		t.Errorf("call on another connection got %+v, want a count of 3 entries", r)
 	}
 }
 
-// Memory is taken only for what has come of a frame, and a Hello is short: whoever connects
-// and claims a long frame takes no memory by that.
-func TestClaimedLengthTakesNoMemory(t *testing.T) {
+// Guards against exhausting a server's memory by claiming long frames. Memory is allocated only
+// for the bytes of a frame that have arrived. A connection ends if its Hello is longer than
+// maxHelloSize.
+func TestClaimedLengthAllocatesNoMemory(t *testing.T) {
 	var before, after runtime.MemStats
 	var header [headerLen]byte
 	binary.BigEndian.PutUint32(header[:], MaxFrameSize)
 	runtime.ReadMemStats(&before)
 	if _, err := readFrame(bytes.NewReader(append(header[:], "abc"...)), MaxFrameSize); err == nil {
-		t.Error("a cut frame was read")
+		t.Error("read a truncated frame, want an error")
 	}
 	runtime.ReadMemStats(&after)
 	if got := after.TotalAlloc - before.TotalAlloc; got > 1<<20 {
-		t.Errorf("a claim of %d bytes took %d of memory", MaxFrameSize, got)
+		t.Errorf("a frame with a claimed length of %d bytes allocated %d bytes, want at most 1 MiB", MaxFrameSize, got)
 	}
 
 	ctx, actors := setup(t)
@@ -116,27 +119,27 @@
 	conn.Write(sealFrame(append(make([]byte, headerLen), long...)))
 	r := bufio.NewReader(conn)
 	if _, err := readFrame(r, MaxFrameSize); err != nil {
-		t.Fatal(err) // the server's own
+		t.Fatal(err) // the server's Hello
 	}
 	conn.SetReadDeadline(time.Now().Add(3 * time.Second))
 	if _, err := readFrame(r, MaxFrameSize); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("after a long Hello the connection did not end: %v", err)
+		t.Errorf("after a Hello that is too long: got error %v, want the connection to end", err)
 	}
 }
 
-// A long frame arrives as it was sent, however it is cut on its way.
+// readFrame returns a long frame unchanged, whatever the size of the chunks it arrives in.
 func TestLongFrame(t *testing.T) {
 	b := bytes.Repeat([]byte("0123456789abcdef"), 200_000)
-	whole := sealFrame(append(make([]byte, headerLen), b...))
+	frame := sealFrame(append(make([]byte, headerLen), b...))
 	for _, size := range []int{1 << 20, 70_001} {
-		got, err := readFrame(&chunkReader{whole, size}, MaxFrameSize)
+		got, err := readFrame(&chunkReader{frame, size}, MaxFrameSize)
 		if err != nil || !bytes.Equal(got, b) {
-			t.Errorf("in chunks of %d: %v, %d bytes", size, err, len(got))
+			t.Errorf("chunks of %d bytes: got error %v and %d bytes, want all bytes unchanged", size, err, len(got))
 		}
 	}
 }
 
-// chunkReader reads no more than some bytes at a time.
+// chunkReader is a reader that returns at most size bytes per Read.
 type chunkReader struct {
 	remaining []byte
 	size      int
--- a/internal/transport/message.go
+++ b/internal/transport/message.go
@@ -8,29 +8,30 @@
 
 // message is a call, a response or a ping.
 type message struct {
-	// ID numbers the call on its connection; its response repeats it. Pings have none.
+	// ID identifies the call on its connection. The response has the same ID. Pings have none.
 	ID uint64 `msgpack:"i"`
-	// Kind is the kind of the call; its response repeats it.
+	// Kind is the kind of the call. The response has the same kind.
 	Kind string             `msgpack:"k"`
 	Body msgpack.RawMessage `msgpack:"b,omitempty"`
-	// Fault is set on a response when the call was not taken.
+	// Fault is set on the response to a rejected call: the text of the error.
 	Fault string `msgpack:"f,omitempty"`
 }
 
-// envelope is a message with the span that was sent with it.
+// envelope is a received message and its trace span.
 type envelope struct {
 	message message
-	// span is the sender's, if traced is set.
+	// span is the sender's span. It is valid only if traced is set.
 	span   trace.Span
 	traced bool
-	// frameSize is the length of the frame in bytes.
+	// frameSize is the length of the frame in bytes, including the header.
 	frameSize int
 }
 
-// messageSizeHint is what a message takes beside its body, about. In bytes.
+// messageSizeHint is the approximate length of a message without its body, in bytes.
 const messageSizeHint = 64
 
-// encode builds a sealed frame. A zero span makes one without a trace prefix.
+// encode returns the complete frame of a message. If span is zero, the frame has no trace
+// prefix.
 func encode(span trace.Span, msg message) ([]byte, error) {
 	frame := make([]byte, headerLen, headerLen+messageSizeHint+len(msg.Body))
 	if !span.IsZero() {
@@ -47,17 +48,17 @@
 	return sealFrame(frame), nil
 }
 
-// encodePing builds the frame of a ping, which is the same in both directions.
+// encodePing returns the frame of a ping. It is the same in both directions.
 func encodePing() []byte {
 	frame, err := encode(trace.Span{}, message{Kind: KindPing})
 	if err != nil {
-		panic(err) // a message without a body can be encoded
+		panic(err) // encoding a message without a body cannot fail
 	}
 	return frame
 }
 
-// decode reads the payload of a frame, with or without a trace prefix. They must be one
-// whole message.
+// decode decodes the payload of a frame, with or without a trace prefix. It fails unless the
+// rest of the payload is exactly one message.
 func decode(b []byte) (envelope, error) {
 	span, rest, traced := trace.CutPrefix(b)
 	e := envelope{span: span, traced: traced, frameSize: headerLen + len(b)}
@@ -65,8 +66,8 @@
 	return e, err
 }
 
-// Unmarshal decodes bytes from an untrusted source: exactly one msgpack value that fits v,
-// or an error.
+// Unmarshal decodes bytes from an untrusted source into v. It fails unless b is exactly one
+// well-formed msgpack value that fits the type of v.
 func Unmarshal(b []byte, v any) error {
 	if err := checkWellFormed(b); err != nil {
 		return err
--- a/internal/transport/pending_calls.go
+++ b/internal/transport/pending_calls.go
@@ -9,42 +9,43 @@
 	"curlewwalk/internal/trace"
 )
 
-// backgroundWriteSize is the length, in bytes, from which a frame is written by a goroutine
-// of its own, so that responses to other calls do not wait for it.
-const backgroundWriteSize = 16 << 10 // (ours)
+// backgroundWriteSize is the frame length in bytes from which a frame is written by a separate
+// goroutine, so that writing it does not delay responses to other calls.
+const backgroundWriteSize = 16 << 10
 
-// pendingCall is a call from when the connection takes it until its response.
+// pendingCall is a call that the connection has accepted and that has no response yet.
 type pendingCall struct {
 	id   uint64
 	span trace.Span
 	kind string
 	body msgpack.RawMessage
-	// response takes the one response; it has room for it.
+	// response receives exactly one response. It is buffered, so that the sender never blocks.
 	response chan Response
 	failFast bool
-	// abandoned is set once the caller no longer waits.
+	// abandoned is set when the caller stops waiting for the response.
 	abandoned atomic.Bool
 }
 
-// pendingCalls are the calls of a connection that wait for their responses. They belong to
-// the connection's goroutine.
+// pendingCalls tracks the calls of a connection that have no response yet. Only the goroutine
+// that runs Connection.run uses it.
 type pendingCalls struct {
 	connection *Connection
 	byID       map[uint64]*pendingCall
-	// abandoned are those whose callers gave up; their responses may still come.
+	// abandoned holds the IDs of calls whose callers have stopped waiting. Their responses may
+	// still arrive.
 	abandoned map[uint64]bool
 	lastID    uint64
 	idle      idleDetector
-	// keepalive runs only while calls are pending: a node has a connection to each other
-	// one, and an idle one should cost nothing.
+	// keepalive triggers checkPeer. It runs only while calls are pending: each node has a
+	// connection to every other node, so an idle connection must cause no work.
 	keepalive *time.Timer
-	// writing is the call whose frame is being written, if there is one; writeDone then
-	// gets the result.
+	// writing is the call whose frame is being written, or nil. writeDone receives the result
+	// of a write by a separate goroutine.
 	writing   *pendingCall
 	writeDone chan writeResult
 }
 
-// writeResult is what became of a frame: the peer accepted all of it, or an error ended it.
+// writeResult is the result of writing a frame. complete is set if all of the frame was written.
 type writeResult struct {
 	complete bool
 	err      error
@@ -60,11 +61,11 @@
 	}
 }
 
-// step handles the next event; false ends the connection.
+// step handles the next event. It reports whether the connection can continue.
 func (p *pendingCalls) step() bool {
 	calls := p.connection.calls
 	if p.writing != nil {
-		calls = nil // one frame at a time
+		calls = nil // accept no call while a frame is being written
 	}
 	select {
 	case call := <-calls:
@@ -78,7 +79,8 @@
 	}
 }
 
-// send writes a call's frame, or starts writing it.
+// send writes the frame of a call, or starts a goroutine that writes it if the frame is long.
+// It reports whether the connection can continue.
 func (p *pendingCalls) send(call *pendingCall) bool {
 	if call.abandoned.Load() {
 		return true
@@ -107,7 +109,7 @@
 	return true
 }
 
-// write writes a frame of a call or a ping.
+// write writes the frame of a call or a ping. It counts the frame if it was written completely.
 func (p *pendingCalls) write(kind string, frame []byte) writeResult {
 	n, err := writeFrame(p.connection.conn, frame)
 	complete := n == len(frame)
@@ -117,8 +119,10 @@
 	return writeResult{complete: complete, err: err}
 }
 
-// finishSend takes what became of the frame that was being written. The peer can't read part
-// of a frame as a message; the response to a whole one may have come already. (DESIGN 3.3)
+// finishSend handles the result of writing a call's frame, and reports whether the connection
+// can continue. If the frame is incomplete, the call is certainly not delivered, because the
+// peer cannot decode part of a frame. The response to a complete frame may already have
+// arrived. (DESIGN 3.3)
 func (p *pendingCalls) finishSend(result writeResult) bool {
 	call := p.writing
 	p.writing = nil
@@ -129,8 +133,9 @@
 	return result.err == nil
 }
 
-// receive takes what the peer sent. A response to no pending call, or of another kind, ends
-// the connection: it can't be trusted.
+// receive handles a message from the peer, and reports whether the connection can continue. A
+// response that matches no call, or that has another kind than its call, ends the connection,
+// since later responses cannot be trusted either.
 func (p *pendingCalls) receive(received inboundEnvelope) bool {
 	counters := p.connection.counters
 	switch {
@@ -165,11 +170,11 @@
 	return true
 }
 
-// checkPeer pings the peer while calls are pending, and ends the connection if it has timed
-// out. While a frame is being written, the write's own timeout reports whether the peer is
-// there.
+// checkPeer pings the peer while calls are pending. It returns false if the peer has timed out
+// or the ping cannot be written. While a frame is being written, checkPeer sends no ping and
+// writeTimeout detects an unresponsive peer instead.
 func (p *pendingCalls) checkPeer() bool {
-	p.forgetAbandoned()
+	p.discardAbandoned()
 	if len(p.byID) == 0 {
 		return true
 	}
@@ -185,8 +190,9 @@
 	return p.write(KindPing, encodePing()).err == nil
 }
 
-// forgetAbandoned keeps of the calls whose callers gave up only the numbers.
-func (p *pendingCalls) forgetAbandoned() {
+// discardAbandoned removes the calls whose callers have stopped waiting, and keeps only their
+// IDs.
+func (p *pendingCalls) discardAbandoned() {
 	for id, call := range p.byID {
 		if call.abandoned.Load() && call != p.writing {
 			delete(p.byID, id)
@@ -195,8 +201,8 @@
 	}
 }
 
-// close closes the connection. Whether a pending call was delivered is not known, unless its
-// frame was not written completely.
+// close closes the connection and completes all pending calls. A call whose frame was not
+// written completely is not delivered. The delivery of each other call is unknown.
 func (p *pendingCalls) close() {
 	p.keepalive.Stop()
 	p.connection.conn.Close()
--- a/internal/transport/response.go
+++ b/internal/transport/response.go
@@ -11,34 +11,37 @@
 // Response is the outcome of a call.
 type Response struct {
 	Delivery Delivery
-	// Fault says why the call was not taken: by the peer if it answered, else by this side.
+	// Fault is the reason why the call was rejected. If Delivery is Answered, the peer rejected
+	// the call, otherwise this side did. Fault may be empty for a call that was not answered.
 	Fault string
-	// ConnectionRefused is set when the peer's machine refused the connection: no process
-	// listens there.
+	// ConnectionRefused is set if the peer's host refused the connection: no process listens
+	// on the address.
 	ConnectionRefused bool
-	// Span is the peer's, if Traced is set.
+	// Span is the peer's span. It is valid only if Traced is set.
 	Span trace.Span
-	// Traced reports whether the peer answered with a span.
+	// Traced is set if the peer's response has a span.
 	Traced bool
 	body   msgpack.RawMessage
 }
 
-// notDelivered is the outcome of a call that was not sent, or not as a whole.
+// notDelivered returns the response for a call that was not sent, or not sent completely.
 func notDelivered(fault string) Response {
 	return Response{Delivery: NotDelivered, Fault: fault}
 }
 
-// unknownKindPrefix begins the fault of a call of a kind that the peer does not answer. It
-// is part of the protocol.
+// unknownKindPrefix is the prefix of Fault in the response to a call for whose kind the peer
+// has no handler. It is part of the protocol.
 const unknownKindPrefix = "unknown kind "
 
-// UnknownKind reports whether the peer is of a version without that kind of call.
+// UnknownKind reports whether the peer has no handler for the kind of the call, because it
+// runs another version.
 func (r Response) UnknownKind() bool { return strings.HasPrefix(r.Fault, unknownKindPrefix) }
 
-// FaultIs reports whether the peer answered with the text of an error.
+// FaultIs reports whether Fault is the text of err.
 func (r Response) FaultIs(err error) bool { return r.Fault == err.Error() }
 
-// Decode reads the body of an answer into v; false if there is none that fits.
+// Decode decodes the body of a successful response into v. It reports whether there is such a
+// body and it fits the type of v.
 func (r Response) Decode(v any) bool {
 	return r.Delivery == Answered && r.Fault == "" && msgpack.Unmarshal(r.body, v) == nil
 }
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -10,39 +10,41 @@
 	"curlewwalk/internal/actor"
 )
 
-// Request is a call as a handler gets it.
+// Request is a call that is passed to a Handler.
 type Request struct {
 	// Peer is the Hello of the calling process.
 	Peer Hello
 	body msgpack.RawMessage
 }
 
-// Decode reads the call's body into v; false if it doesn't fit.
+// Decode decodes the body of the call into v. It reports whether the body fits the type of v.
 func (r Request) Decode(v any) bool { return msgpack.Unmarshal(r.body, v) == nil }
 
-// Handler answers one kind of call. ctx has the caller's span, if it sent one, and ends with
-// the connection. An error means that the call was not taken; its text is sent to the caller
-// in place of the body.
+// Handler handles the calls of one kind and returns the body of the response. ctx has the
+// caller's span if the caller sent one. ctx is cancelled when the connection ends. An error
+// means that the call was rejected. The caller then receives the text of the error as
+// Response.Fault, in place of a body.
 type Handler func(ctx context.Context, request Request) (body any, err error)
 
-// Server answers the calls of other processes. Its fields are set before Run. (DESIGN 3.2)
+// Server answers the calls of other processes. Its fields must be set before Run is called.
+// (DESIGN 3.2)
 type Server struct {
 	// Hello is sent on each connection.
 	Hello Hello
-	// Handlers are the handlers by kind of call.
+	// Handlers maps each kind of call to its handler.
 	Handlers map[string]Handler
 	Actors   *actor.System
-	// Listener is where connections come in. Run closes it.
+	// Listener accepts the connections. Run closes it.
 	Listener net.Listener
-	// Counters are the calls received and the responses sent, by kind.
+	// Counters counts the calls received and the responses sent, by kind.
 	Counters Counters
 }
 
-// Addr is where the server listens.
+// Addr returns the address that the server listens on.
 func (s *Server) Addr() net.Addr { return s.Listener.Addr() }
 
-// Run accepts connections until ctx ends. Connections end with ctx too; responses that are
-// ready then are still written.
+// Run accepts connections until ctx ends. When ctx ends, all connections are closed, after the
+// responses that are already queued have been written.
 func (s *Server) Run(ctx context.Context) {
 	s.Actors.Go(ctx, "transport-close", func(ctx context.Context) {
 		<-ctx.Done()
@@ -57,7 +59,7 @@
 	}
 }
 
-// serve answers the calls of a connection until it ends.
+// serve performs the handshake on a connection and answers its calls until it ends.
 func (s *Server) serve(ctx context.Context, conn net.Conn) {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
@@ -72,7 +74,7 @@
 	c.readCalls(ctx, reader)
 }
 
-// kindOf is the kind that a call is counted as.
+// kindOf returns the kind under which a call is counted.
 func (s *Server) kindOf(call message) string {
 	if _, ok := s.Handlers[call.Kind]; ok || call.Kind == KindPing {
 		return call.Kind
--- a/internal/transport/server_connection.go
+++ b/internal/transport/server_connection.go
@@ -10,21 +10,21 @@
 	"curlewwalk/internal/trace"
 )
 
-// responseBacklog is how many responses of a connection may wait to be written. (ours)
+// responseBacklog is the maximum number of responses queued for writing on a connection.
 const responseBacklog = 16
 
-// serverConnection is the answering side of one connection: one goroutine reads calls, each
-// call is handled by a goroutine of its own, and one more writes the responses.
+// serverConnection is the answering side of one connection. One goroutine reads calls, a
+// separate goroutine handles each call, and one goroutine writes the responses.
 type serverConnection struct {
 	*Server
 	conn net.Conn
 	peer Hello
-	// responses are the frames that wait to be written.
+	// responses is the queue of frames to write.
 	responses chan []byte
 }
 
-// readCalls reads calls and has them handled, until the connection ends or something comes
-// that can't be trusted.
+// readCalls reads calls and starts a goroutine to handle each, until the connection ends or
+// the peer sends an invalid frame or a call out of sequence.
 func (c *serverConnection) readCalls(ctx context.Context, reader *bufio.Reader) {
 	var lastID uint64
 	for {
@@ -39,7 +39,7 @@
 			continue
 		}
 		if call.ID <= lastID {
-			return // a frame came twice or out of order
+			return // duplicate or reordered frame
 		}
 		lastID = call.ID
 		c.Actors.Go(ctx, "transport-call", func(ctx context.Context) {
@@ -51,7 +51,7 @@
 	}
 }
 
-// handle runs a call's handler.
+// handle calls the handler of a call and returns the response.
 func (c *serverConnection) handle(ctx context.Context, call message) message {
 	response := message{ID: call.ID, Kind: call.Kind}
 	handler, ok := c.Handlers[call.Kind]
@@ -72,8 +72,9 @@
 	return response
 }
 
-// respond queues a response, with the caller's span if the call had one. If the queue is
-// full it waits until ctx ends; if there is room, the response is queued even then.
+// respond queues a response, with the caller's span if the call had one. If the queue is full,
+// respond blocks until there is room or ctx ends. If there is room, the response is queued even
+// if ctx has already ended.
 func (c *serverConnection) respond(ctx context.Context, span trace.Span, response message) {
 	frame, err := encode(span, response)
 	if err != nil {
@@ -91,9 +92,10 @@
 	}
 }
 
-// respondToPing answers a ping, unless responses wait to be written, which tell the peer as
-// much. It must not wait for them: the peer may be busy writing, and read nothing until this
-// side has read that. (DESIGN 3.4)
+// respondToPing queues the response to a ping. It discards the response if the queue is full:
+// the queued responses show the peer just as well that this side is alive. It must not block,
+// since the peer may be writing a frame and may read no responses until this side has read
+// that frame. (DESIGN 3.4)
 func (c *serverConnection) respondToPing() {
 	frame := encodePing()
 	select {
@@ -103,8 +105,8 @@
 	}
 }
 
-// writeResponses writes responses as they come, until ctx or the connection ends. It closes
-// the connection.
+// writeResponses writes queued responses until ctx ends or a write fails. It then closes the
+// connection.
 func (c *serverConnection) writeResponses(ctx context.Context) {
 	defer c.conn.Close()
 	for {
@@ -120,8 +122,8 @@
 	}
 }
 
-// flushResponses writes the responses that are ready, so that no call that was handled is
-// left without its answer.
+// flushResponses writes all queued responses, so that the callers of completed calls receive
+// them before the connection is closed.
 func (c *serverConnection) flushResponses() {
 	for {
 		select {
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -13,25 +13,26 @@
 	"curlewwalk/internal/trace"
 )
 
-// A server answers traced calls with the span, and others without one.
+// A server answers a traced call with the caller's span, and an untraced call without a span. A
+// client accepts a response without a span to a traced call.
 func TestTracedAndUntracedPeers(t *testing.T) {
 	ctx, actors := setup(t)
 	server := startServer(t, ctx, actors)
 	connection := dialPeer(t, ctx, actors, server.Addr().String())
 	span := trace.Root()
 	for _, traced := range []bool{true, false, true} {
-		call, want := ctx, ""
+		callCtx, want := ctx, ""
 		if traced {
-			call, want = trace.ContextWithSpan(ctx, span), span.Trace.String()
+			callCtx, want = trace.ContextWithSpan(ctx, span), span.Trace.String()
 		}
 		var echo echoMessage
-		response := connection.Call(call, "echo", echoMessage{Text: "x"})
+		response := connection.Call(callCtx, "echo", echoMessage{Text: "x"})
 		if !response.Decode(&echo) || response.Traced != traced || echo.Trace != want || echo.Text != "x" {
-			t.Errorf("traced %v: response traced %v, %+v", traced, response.Traced, echo)
+			t.Errorf("traced call %v: got traced response %v, %+v, want the same tracing, the trace ID of the call and text x", traced, response.Traced, echo)
 		}
 	}
 
-	// A peer that knows no tracing answers without a span, and is understood.
+	// A peer without support for tracing answers without a span.
 	addr := startPeer(t, func(conn net.Conn, r *bufio.Reader) {
 		for {
 			m, ok := readMessage(r)
@@ -44,11 +45,12 @@
 	untraced := dialPeer(t, ctx, actors, addr)
 	var echo echoMessage
 	if response := untraced.Call(trace.ContextWithSpan(ctx, span), "echo", echoMessage{Text: "y"}); !response.Decode(&echo) || response.Traced || echo.Text != "y" {
-		t.Errorf("untraced peer: %+v %+v", response, echo)
+		t.Errorf("untraced peer: got %+v %+v, want an untraced response with text y", response, echo)
 	}
 }
 
-// Old and new messages mix: unknown fields and versions are ignored.
+// Processes of different versions interoperate: unknown fields and version numbers in a Hello
+// or a message are ignored.
 func TestMixedVersions(t *testing.T) {
 	ctx, actors := setup(t)
 	server := startServer(t, ctx, actors)
@@ -73,28 +75,28 @@
 	response, err := decode(b)
 	var echo echoMessage
 	if err != nil || response.traced || msgpack.Unmarshal(response.message.Body, &echo) != nil || echo.Text != "z" {
-		t.Errorf("answered %+v, %v", response, err)
+		t.Errorf("got %+v, %v, want an untraced response with text z", response, err)
 	}
 }
 
-// A response that was altered, cut or has another call's number breaks the connection; the
-// call is never answered wrongly.
+// A response that is corrupt, truncated, too long, or does not match the ID and kind of the call
+// ends the connection. The call then returns with DeliveryUnknown, never with a wrong answer.
 func TestBadFramesBreakTheConnection(t *testing.T) {
 	responses := map[string]func(call message) []byte{
-		"altered": func(call message) []byte {
+		"corrupt payload": func(call message) []byte {
 			frame := frameOf(t, call)
-			frame[bytes.LastIndexByte(frame, 'x')] = 'y' // it still decodes
+			frame[bytes.LastIndexByte(frame, 'x')] = 'y' // the payload is still valid msgpack
 			return frame
 		},
-		"another's number": func(call message) []byte {
+		"wrong call ID": func(call message) []byte {
 			call.ID += 5
 			return frameOf(t, call)
 		},
-		"another's kind": func(call message) []byte {
+		"wrong kind": func(call message) []byte {
 			call.Kind = "other"
 			return frameOf(t, call)
 		},
-		"cut short": func(call message) []byte {
+		"truncated": func(call message) []byte {
 			frame := frameOf(t, call)
 			return frame[:len(frame)-3]
 		},
@@ -112,17 +114,18 @@
 			})
 			connection := dialPeer(t, ctx, actors, addr)
 			if r := connection.Call(ctx, "echo", echoMessage{Text: "x"}); r.Delivery != DeliveryUnknown {
-				t.Errorf("delivery %v", r.Delivery)
+				t.Errorf("got delivery %v, want DeliveryUnknown", r.Delivery)
 			}
 			<-connection.Done()
 			if r := connection.Call(ctx, "echo", echoMessage{Text: "x"}); r.Delivery != NotDelivered {
-				t.Errorf("on a broken connection: delivery %v", r.Delivery)
+				t.Errorf("call on an ended connection: got delivery %v, want NotDelivered", r.Delivery)
 			}
 		})
 	}
 }
 
-// The server handles no call twice: a duplicate frame ends the connection.
+// The server does not run a call twice if its frame is duplicated on the way. The duplicate ends
+// the connection.
 func TestDuplicateCall(t *testing.T) {
 	ctx, actors := setup(t)
 	runs := make(chan int, 9)
@@ -138,24 +141,25 @@
 		}
 	}
 	if <-runs; len(runs) != 0 {
-		t.Error("it ran twice")
+		t.Error("the handler ran twice, want once")
 	}
 }
 
-// A server that is stopped while it writes loses none of the responses that are ready.
-func TestStoppedServerWritesItsResponses(t *testing.T) {
+// A server that is stopped while it writes a long response still writes the queued responses.
+func TestStoppedServerFlushesResponses(t *testing.T) {
 	ctx, actors := setup(t)
-	life, stop := context.WithCancel(ctx)
+	serverCtx, stop := context.WithCancel(ctx)
 	defer stop()
 	const calls = 8
 	ran := make(chan bool, calls)
-	server := startServerWith(t, life, actors, listen(t), map[string]Handler{
+	server := startServerWith(t, serverCtx, actors, listen(t), map[string]Handler{
 		"long": func(context.Context, Request) (any, error) { return make([]byte, 8<<20), nil },
 		"run":  func(context.Context, Request) (any, error) { ran <- true; return 1, nil },
 	})
 	conn, r := dialRaw(t, server)
 	conn.Write(frameOf(t, message{ID: 1, Kind: "long"}))
-	// Its first bytes have come, and the rest fills what the connection buffers.
+	// The first byte has arrived. The rest of the response fills the kernel buffers of the
+	// connection, so the later responses stay in the queue.
 	if _, err := r.Peek(1); err != nil {
 		t.Fatal(err)
 	}
@@ -174,27 +178,27 @@
 		got++
 	}
 	if got != 1+calls {
-		t.Errorf("%d of %d responses came", got, 1+calls)
+		t.Errorf("got %d responses, want %d", got, 1+calls)
 	}
 }
 
-// Both sides count the same frames, each kind by itself; a kind that has no handler is not
-// kept by its name.
+// The client and the server count the same frames for each kind. The server counts calls that
+// have no handler under kindUnknown, not under the kind that the peer sent.
 func TestCounters(t *testing.T) {
 	ctx, actors := setup(t)
 	server := startServer(t, ctx, actors)
 	client := NewClient(actors, Hello{Version: ProtocolVersion, Node: "caller"}, nil)
 	actors.Go(ctx, "client", client.Run)
-	for _, kind := range []string{"echo", "echo", "nobody"} {
+	for _, kind := range []string{"echo", "echo", "unregistered"} {
 		client.Call(ctx, server.Addr().String(), ControlTraffic, kind, echoMessage{Text: kind})
 	}
-	called, answered := client.Counters.Snapshot(), server.Counters.Snapshot()
-	answered["nobody"] = answered[kindUnknown]
-	delete(answered, kindUnknown)
-	if d := cmp.Diff(called, answered); d != "" {
+	clientCounts, serverCounts := client.Counters.Snapshot(), server.Counters.Snapshot()
+	serverCounts["unregistered"] = serverCounts[kindUnknown]
+	delete(serverCounts, kindUnknown)
+	if d := cmp.Diff(clientCounts, serverCounts); d != "" {
 		t.Error(d)
 	}
-	if c := called["echo"]; c.Calls != 2 || c.Responses != 2 || c.CallBytes <= 2*headerLen || called[kindHello].Calls != 1 || called["nobody"].Responses != 1 {
-		t.Errorf("%+v", called)
+	if c := clientCounts["echo"]; c.Calls != 2 || c.Responses != 2 || c.CallBytes <= 2*headerLen || clientCounts[kindHello].Calls != 1 || clientCounts["unregistered"].Responses != 1 {
+		t.Errorf("got %+v, want 2 echo calls with responses, 1 Hello and 1 unregistered response", clientCounts)
 	}
 }
--- a/internal/transport/unresponsive_peer_test.go
+++ b/internal/transport/unresponsive_peer_test.go
@@ -15,9 +15,9 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// A caller whose time is over is answered at once, also while the peer, which reads nothing,
-// holds up the connection; and a call that waits for such a connection learns in time that
-// it was not delivered.
+// A peer that reads nothing blocks a connection while a long frame is written to it. A call
+// still returns when its context ends, and a second call on the connection is reported as not
+// delivered within a bounded time.
 func TestPeerThatReadsNothing(t *testing.T) {
 	ctx, actors := setup(t)
 	begun := make(chan struct{})
@@ -40,16 +40,16 @@
 	begin := time.Now()
 	response := client.Call(ctx, addr, RequestTraffic, "small", 1)
 	if took := time.Since(begin); response.Delivery != NotDelivered || took > 1500*time.Millisecond {
-		t.Errorf("the second: delivery %v after %v", response.Delivery, took)
+		t.Errorf("second call: got delivery %v after %v, want NotDelivered within 1.5 s", response.Delivery, took)
 	}
 	if took := <-first; took > 1500*time.Millisecond {
-		t.Errorf("the first, of 400 ms, waited for %v", took)
+		t.Errorf("first call with a timeout of 400 ms returned after %v, want within 1.5 s", took)
 	}
 }
 
-// A response that takes longer than idleTimeout, but comes all the while, is waited for: its
-// connection is not broken.
-func TestSlowAnswer(t *testing.T) {
+// A response whose transmission takes longer than idleTimeout does not end the connection while
+// its bytes keep arriving.
+func TestSlowResponse(t *testing.T) {
 	ctx, actors := setup(t)
 	addr := startPeer(t, func(conn net.Conn, r *bufio.Reader) {
 		m, ok := readMessage(r)
@@ -71,13 +71,13 @@
 	})
 	connection := dialPeer(t, ctx, actors, addr)
 	if r := connection.Call(ctx, "slow", 1); r.Delivery != Answered {
-		t.Errorf("delivery %v", r.Delivery)
+		t.Errorf("got delivery %v, want Answered", r.Delivery)
 	}
 }
 
-// Only time in which this process could have received something counts: one that was held
-// up itself, so that its checks come late, breaks no connection by that. A peer that sends
-// nothing is given up in bounded time all the same.
+// The detector counts only time in which this process could have received data. Otherwise a
+// process that was delayed itself, so that its checks run late, would end connections to healthy
+// peers. A peer that sends nothing still times out after a bounded number of checks.
 func TestIdleDetector(t *testing.T) {
 	now := time.Now()
 	check := func(detector *idleDetector, after time.Duration, bytesRead uint64) bool {
@@ -87,28 +87,28 @@
 	var detector idleDetector
 	detector.reset(now, 5)
 	if check(&detector, 10*idleTimeout, 5) {
-		t.Error("one late check ended it")
+		t.Error("one late check timed the peer out, want no time-out")
 	}
 	if check(&detector, pingInterval, 6) || detector.idle != 0 {
-		t.Error("what was received does not count")
+		t.Error("bytes that arrived did not reset the idle time")
 	}
 	checks := 0
 	for !check(&detector, pingInterval, 6) {
 		checks++
 	}
 	if checks+1 != int(idleTimeout/pingInterval) {
-		t.Errorf("an idle peer was given up after %d checks", checks+1)
+		t.Errorf("idle peer timed out after %d checks, want idleTimeout/pingInterval", checks+1)
 	}
 	detector.reset(now, 6)
 	for checks = 0; !check(&detector, 3*pingInterval, 6); checks++ {
 	}
 	if checks > int(idleTimeout/pingInterval) {
-		t.Errorf("with late checks it took %d", checks)
+		t.Errorf("idle peer with late checks passed %d checks before it timed out, want at most idleTimeout/pingInterval", checks)
 	}
 }
 
-// A response that comes after its caller has given up is nobody's: the callers after it
-// get their own, on the same connection, in whatever order the responses come.
+// A response that arrives after its caller has stopped waiting is discarded. The other callers
+// on the connection receive their own responses, whatever the order in which these arrive.
 func TestLateResponses(t *testing.T) {
 	ctx, actors := setup(t)
 	const calls = 40
@@ -129,7 +129,7 @@
 			if e.Text != "answer all" {
 				continue
 			}
-			slices.Reverse(unanswered) // the newest first
+			slices.Reverse(unanswered) // answer the newest call first
 			for _, m := range unanswered {
 				conn.Write(frameOf(t, m))
 			}
@@ -137,46 +137,46 @@
 		}
 	})
 	connection := dialPeer(t, ctx, actors, addr)
-	var impatient, patient sync.WaitGroup
+	var abandoned, waiting sync.WaitGroup
 	for i := range calls {
-		group := &patient
+		group := &waiting
 		if i%2 == 0 {
-			group = &impatient
+			group = &abandoned
 		}
 		group.Go(func() {
-			call, cancel := ctx, context.CancelFunc(func() {})
+			callCtx, cancel := ctx, context.CancelFunc(func() {})
 			if i%2 == 0 {
-				call, cancel = context.WithTimeout(ctx, 50*time.Millisecond)
+				callCtx, cancel = context.WithTimeout(ctx, 50*time.Millisecond)
 			}
 			defer cancel()
 			text := fmt.Sprint("call ", i)
 			var e echoMessage
-			switch r := connection.Call(call, "echo", echoMessage{Text: text}); {
+			switch r := connection.Call(callCtx, "echo", echoMessage{Text: text}); {
 			case i%2 == 0 && r.Delivery == Answered, i%2 == 1 && (!r.Decode(&e) || e.Text != text):
-				t.Errorf("call %d got %+v %+v", i, r, e)
+				t.Errorf("call %d got %+v %+v, want its own text if odd, no answer if even", i, r, e)
 			}
 		})
 	}
 	for range calls {
 		<-received
 	}
-	impatient.Wait()
+	abandoned.Wait()
 	var e echoMessage
 	if r := connection.Call(ctx, "echo", echoMessage{Text: "answer all"}); !r.Decode(&e) || e.Text != "answer all" {
-		t.Errorf("%+v %+v", r, e)
+		t.Errorf("got %+v %+v, want text \"answer all\"", r, e)
 	}
-	patient.Wait()
-	// Behind this one, all responses of before have come.
+	waiting.Wait()
+	// When the response to this call arrives, all earlier responses have arrived.
 	if r := connection.Call(ctx, "echo", echoMessage{Text: "answer all"}); r.Delivery != Answered {
-		t.Errorf("%+v", r)
+		t.Errorf("last call got %+v, want delivery Answered", r)
 	}
 	if connection.counters.Snapshot()[kindAbandoned].Responses != calls/2 {
-		t.Errorf("%+v", connection.counters.Snapshot())
+		t.Errorf("got counts %+v, want half of the calls counted as abandoned", connection.counters.Snapshot())
 	}
 }
 
-// A response that comes twice breaks the connection, and no other call gets it: whether that
-// was delivered is not known.
+// A duplicate response ends the connection and is not passed to another call. The other pending
+// call returns with DeliveryUnknown.
 func TestDuplicateResponse(t *testing.T) {
 	ctx, actors := setup(t)
 	addr := startPeer(t, func(conn net.Conn, r *bufio.Reader) {
@@ -200,23 +200,23 @@
 			text := fmt.Sprint(i)
 			r := connection.Call(ctx, "echo", echoMessage{Text: text})
 			if r.Delivery == Answered && (!r.Decode(&e) || e.Text != text) {
-				t.Errorf("call %d got %+v", i, e)
+				t.Errorf("call %d got %+v, want its own text", i, e)
 			}
 			deliveries <- r.Delivery
 		})
 	}
 	if a, b := <-deliveries, <-deliveries; a+b != Answered+DeliveryUnknown {
-		t.Errorf("deliveries %v and %v", a, b)
+		t.Errorf("got deliveries %v and %v, want one Answered and one DeliveryUnknown", a, b)
 	}
 	<-connection.Done()
 }
 
-// A request is not sent on a connection whose peer has left a ping unanswered: it is
-// certainly not delivered, at once, and its caller can turn to another node. Calls that were
-// sent go on waiting.
+// A request is not sent on a connection whose peer did not answer a ping in time. It returns at
+// once with NotDelivered, so that the caller can try another node. Calls that were already sent
+// keep waiting.
 func TestSuspectedPeer(t *testing.T) {
 	ctx, actors := setup(t)
-	var seen atomic.Int64
+	var received atomic.Int64
 	addr := startPeer(t, func(_ net.Conn, r *bufio.Reader) {
 		for {
 			m, ok := readMessage(r)
@@ -224,7 +224,7 @@
 				return
 			}
 			if m.Kind == "request" {
-				seen.Add(1)
+				received.Add(1)
 			}
 		}
 	})
@@ -255,10 +255,10 @@
 		case r.delivery == NotDelivered && r.took < pingInterval:
 			notDelivered++
 		case r.delivery != DeliveryUnknown:
-			t.Errorf("%+v", r)
+			t.Errorf("got %+v, want NotDelivered at once or DeliveryUnknown", r)
 		}
 	}
-	if notDelivered == 0 || seen.Load() != int64(sent)-notDelivered {
-		t.Errorf("of %d calls %d were not delivered, and the peer saw %d", sent, notDelivered, seen.Load())
+	if notDelivered == 0 || received.Load() != int64(sent)-notDelivered {
+		t.Errorf("of %d calls, %d were not delivered and the peer received %d, want some not delivered and all others received", sent, notDelivered, received.Load())
 	}
 }
--- a/internal/transport/well_formed.go
+++ b/internal/transport/well_formed.go
@@ -6,30 +6,29 @@
 	"github.com/rotisserie/eris"
 )
 
-// maxDepth bounds how deep the values of a message may be nested: the msgpack library
-// decodes nested values by recursion, and Go ends a process whose stack grows too large.
-// (ours)
+// maxDepth limits the nesting of values in a message. The msgpack library decodes nested
+// values recursively, and the Go runtime ends a process whose stack grows too large.
 const maxDepth = 64
 
 var (
-	errMalformed     = eris.New("not one whole msgpack value")
-	errNestedTooDeep = eris.New("msgpack value is nested too deep")
+	errMalformed     = eris.New("not exactly one complete msgpack value")
+	errNestedTooDeep = eris.New("msgpack value is nested too deeply")
 )
 
-// checkWellFormed checks that b is exactly one msgpack value, with all the elements and bytes
-// that it claims. The library allocates memory by claimed lengths before it reads, so that
-// otherwise a short frame could end the process.
+// checkWellFormed checks that b is exactly one msgpack value and contains all the elements and
+// bytes whose number it claims. The msgpack library allocates memory for the claimed lengths
+// before it reads, so without this check a short frame could exhaust the memory of the process.
 func checkWellFormed(b []byte) error {
-	var missing [maxDepth]uint64 // values still to come, by depth
-	missing[0] = 1
+	var remaining [maxDepth]uint64 // number of values not yet read at each depth
+	remaining[0] = 1
 	for depth := 0; ; {
-		for missing[depth] == 0 {
+		for remaining[depth] == 0 {
 			if depth == 0 {
 				return checkEnd(b)
 			}
 			depth--
 		}
-		missing[depth]--
+		remaining[depth]--
 		values, rest, err := cutValue(b)
 		if err != nil {
 			return err
@@ -38,16 +37,16 @@
 			continue
 		}
 		if values > uint64(len(b)) {
-			return errMalformed // each takes a byte at least
+			return errMalformed // each value takes at least one byte
 		}
 		if depth++; depth == maxDepth {
 			return errNestedTooDeep
 		}
-		missing[depth] = values
+		remaining[depth] = values
 	}
 }
 
-// checkEnd checks that nothing follows the value.
+// checkEnd checks that no bytes follow the value.
 func checkEnd(b []byte) error {
 	if len(b) > 0 {
 		return errMalformed
@@ -55,12 +54,12 @@
 	return nil
 }
 
-// The first bytes of msgpack values that begin a group of codes, by the msgpack
-// specification.
+// The first code of each group of format codes in the msgpack specification. The format code
+// is the first byte of a value.
 const (
-	codeFixMap         = 0x80 // with its length, up to codeFixArray
-	codeFixArray       = 0x90 // with its length, up to codeFixStr
-	codeFixStr         = 0xa0 // with its length, up to codeNil
+	codeFixMap         = 0x80 // codes below codeFixArray include the length
+	codeFixArray       = 0x90 // codes below codeFixStr include the length
+	codeFixStr         = 0xa0 // codes below codeNil include the length
 	codeNil            = 0xc0
 	codeNeverUsed      = 0xc1
 	codeBin8           = 0xc4
@@ -75,7 +74,8 @@
 	codeNegativeFixInt = 0xe0
 )
 
-// cutValue cuts a value off b, without the values nested in it, and returns their number.
+// cutValue removes the first value from b, except the values nested in it. It returns the
+// number of nested values and the rest of b.
 func cutValue(b []byte) (values uint64, rest []byte, err error) {
 	if len(b) == 0 {
 		return 0, nil, errMalformed
@@ -83,7 +83,7 @@
 	c := b[0]
 	b = b[1:]
 	switch {
-	case c < codeFixMap || c >= codeNegativeFixInt: // a small number
+	case c < codeFixMap || c >= codeNegativeFixInt: // small integer
 		return 0, b, nil
 	case c < codeFixArray:
 		return 2 * uint64(c-codeFixMap), b, nil
@@ -116,7 +116,7 @@
 	return 2 * values, rest, err
 }
 
-// skip cuts n bytes off.
+// skip removes the first n bytes of b. values is always 0.
 func skip(b []byte, n uint64) (values uint64, rest []byte, err error) {
 	if n > uint64(len(b)) {
 		return 0, nil, errMalformed
@@ -124,8 +124,8 @@
 	return 0, b[n:], nil
 }
 
-// skipSized cuts off bytes whose number stands before them, in 1 << size bytes, and extra
-// bytes of a type between.
+// skipSized removes a length field of 1 << size bytes, extra bytes (the type of an extension),
+// and as many bytes as the length field states. values is always 0.
 func skipSized(b []byte, size byte, extra uint64) (values uint64, rest []byte, err error) {
 	n, b, err := readLength(b, size)
 	if err != nil {
@@ -134,7 +134,8 @@
 	return skip(b, n+extra)
 }
 
-// readLength reads a length of 1 << size bytes; size is 0, 1 or 2.
+// readLength reads a length field of 1 << size bytes from b, and returns the length and the
+// rest of b. size is 0, 1 or 2.
 func readLength(b []byte, size byte) (n uint64, rest []byte, err error) {
 	width := 1 << size
 	if len(b) < width {
