--- a/internal/actor/dispatcher.go
+++ b/internal/actor/dispatcher.go
@@ -6,10 +6,11 @@
 	"github.com/asynkron/protoactor-go/actor"
 )
 
-// actorThroughput is how many messages an actor handles in a row before it yields. (ours)
+// actorThroughput is the number of messages an actor handles in a row before it yields.
 const actorThroughput = 300
 
-// dispatcher starts the actors' goroutines through the System, like all others.
+// dispatcher starts the goroutines of an actor through System.Go, so that System tracks them like
+// all other goroutines.
 type dispatcher struct {
 	system *System
 	name   string
--- a/internal/actor/doc.go
+++ b/internal/actor/doc.go
@@ -1,8 +1,8 @@
-// Package actor is the only place of the project that starts goroutines, as plain goroutines
-// or as the work of actors. Whatever it starts gets a copy of the span that its parent held,
-// so that traces follow the work (DESIGN 2.3), and a panic in it is reported with the name
-// of the part.
+// Package actor starts all goroutines of the project, either as plain goroutines or to run
+// actors. No other package starts goroutines itself. Each goroutine and each handled message
+// gets a copy of the trace span of its parent, so that traces are propagated (DESIGN 2.3). A
+// panic is reported with the name of the goroutine or actor.
 //
-// An actor is a part that handles one message at a time, so that its state needs no lock.
-// Its Mailbox is how others reach it.
+// An actor handles one message at a time, so its state needs no lock. Other goroutines send
+// messages to it through its Mailbox.
 package actor
--- a/internal/actor/every.go
+++ b/internal/actor/every.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Every calls do in each interval until ctx ends. A call that takes longer than the interval
-// makes the next one late; calls never overlap and do not pile up.
+// Every calls do once per interval until ctx ends. Calls never overlap. If a call takes longer
+// than the interval, the next call is late and further missed calls are skipped.
 func Every(ctx context.Context, interval time.Duration, do func(ctx context.Context)) {
 	tick := time.NewTicker(interval)
 	defer tick.Stop()
--- a/internal/actor/every_test.go
+++ b/internal/actor/every_test.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// Every calls again and again, and returns once the context has ended.
+// Every calls its function repeatedly and returns when the context has ended.
 func TestEvery(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	const wanted = 3
+	const wantCalls = 3
 	calls := 0
 	Every(ctx, time.Millisecond, func(context.Context) {
-		if calls++; calls == wanted {
+		if calls++; calls == wantCalls {
 			cancel()
 		}
 	})
-	if calls < wanted {
-		t.Errorf("%d calls before the end, want %d", calls, wanted)
+	if calls < wantCalls {
+		t.Errorf("got %d calls before Every returned, want at least %d", calls, wantCalls)
 	}
 	if ctx.Err() == nil {
-		t.Error("Every returned although its context goes on")
+		t.Error("Every returned before its context ended")
 	}
 }
--- a/internal/actor/rules_test.go
+++ b/internal/actor/rules_test.go
@@ -9,29 +9,30 @@
 	"golang.org/x/tools/go/packages"
 )
 
-// forbiddenImports start processes, or go round the language's rules.
+// forbiddenImports are the packages that start processes, load code at run time or bypass the
+// safety rules of the language.
 var forbiddenImports = []string{"os/exec", "plugin", "unsafe", "C"}
 
-// forbiddenSystemCall reports whether a function of package syscall starts a process, shares
-// memory with one, or goes round the runtime.
+// forbiddenSystemCall reports whether the function of package syscall with this name starts a
+// process, shares memory with one, or bypasses the Go runtime.
 func forbiddenSystemCall(name string) bool {
 	return name == "Exec" || name == "Mmap" || strings.HasPrefix(name, "Fork") ||
 		strings.HasPrefix(name, "Syscall") || strings.HasPrefix(name, "RawSyscall")
 }
 
-// Only this package starts goroutines, and no process starts another, shares memory with one
-// or goes round the runtime.
+// Only package actor starts goroutines. No package starts a process, shares memory with one or
+// bypasses the Go runtime.
 func TestRules(t *testing.T) {
 	loaded, err := packages.Load(&packages.Config{Mode: packages.NeedName | packages.NeedFiles | packages.NeedSyntax | packages.NeedTypes | packages.NeedImports, Dir: "../.."}, "curlewwalk/...")
 	if err != nil {
 		t.Fatal(err)
 	}
-	seen, starts := 0, 0
+	checked, starts := 0, 0
 	for _, p := range loaded {
 		if strings.HasPrefix(p.PkgPath, "curlewwalk/tests") {
 			continue
 		}
-		seen++
+		checked++
 		for path := range p.Imports {
 			if slices.Contains(forbiddenImports, path) {
 				t.Errorf("%s imports %s", p.PkgPath, path)
@@ -53,7 +54,7 @@
 			})
 		}
 	}
-	if seen < 20 || starts == 0 {
-		t.Errorf("%d packages and %d starts of goroutines were seen", seen, starts)
+	if checked < 20 || starts == 0 {
+		t.Errorf("checked %d packages and found %d go statements, want at least 20 packages and one go statement", checked, starts)
 	}
 }
--- a/internal/actor/system.go
+++ b/internal/actor/system.go
@@ -11,24 +11,25 @@
 	"curlewwalk/internal/trace"
 )
 
-// PanicHandler is called with a panic: a broken invariant of the part with that name. It
-// should end the process.
+// PanicHandler is called when a goroutine or actor panics. name is the name it was started with,
+// cause is the value of the panic. A panic means a broken invariant, so the handler should end
+// the process.
 type PanicHandler func(name string, cause any, stack []byte)
 
-// System starts every goroutine and every actor of a process.
+// System starts all goroutines and actors of a process.
 type System struct {
 	engine  *actor.ActorSystem
 	onPanic PanicHandler
 	running sync.WaitGroup
 }
 
-// New makes a system; the actor library logs to log.
+// New returns a system. The actor library logs to log. onPanic is called for each panic.
 func New(log *slog.Logger, onPanic PanicHandler) *System {
 	logger := func(*actor.ActorSystem) *slog.Logger { return log }
 	return &System{engine: actor.NewActorSystem(actor.WithLoggerFactory(logger)), onPanic: onPanic}
 }
 
-// Go runs fn on a goroutine of its own, with a copy of the span in ctx. name identifies it
+// Go runs fn in a new goroutine, with a copy of the span in ctx. name identifies the goroutine
 // in the report of a panic.
 func (s *System) Go(ctx context.Context, name string, fn func(ctx context.Context)) {
 	child := trace.CopySpan(ctx)
@@ -40,7 +41,7 @@
 	}()
 }
 
-// Done returns a channel that is closed when all that was started has ended.
+// Done returns a channel that is closed when all goroutines have ended.
 func (s *System) Done() <-chan struct{} {
 	done := make(chan struct{})
 	go func() {
@@ -50,10 +51,12 @@
 	return done
 }
 
-// Stop ends the actors. Goroutines end by their contexts.
+// Stop stops the actors. It does not stop goroutines started by Go, which end with their
+// contexts.
 func (s *System) Stop() { s.engine.Shutdown() }
 
-// recoverPanic reports a panic. It must be deferred itself.
+// recoverPanic recovers from a panic and passes it to onPanic. It must be deferred directly, since
+// recover has no effect in a function that a deferred function calls.
 func (s *System) recoverPanic(name string) {
 	if cause := recover(); cause != nil {
 		s.onPanic(name, cause, debug.Stack())
--- a/internal/actor/system_test.go
+++ b/internal/actor/system_test.go
@@ -9,7 +9,8 @@
 	"curlewwalk/internal/trace"
 )
 
-// What is started, goroutines and actors' work alike, has a copy of the starter's span.
+// Goroutines and the handlers of actors get a copy of the span of the context they were started
+// or sent a message with.
 func TestSpanPropagates(t *testing.T) {
 	system := New(slog.New(slog.DiscardHandler), func(name string, cause any, _ []byte) { t.Errorf("%s: %v", name, cause) })
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
@@ -31,12 +32,12 @@
 				t.Errorf("got %+v, want %+v", span, parent)
 			}
 		case <-ctx.Done():
-			t.Fatal("the work was not done")
+			t.Fatal("timed out waiting for the goroutine and the actor")
 		}
 	}
 }
 
-// A panic in any part is reported with the part's name.
+// A panic in a goroutine or in an actor is reported with its name.
 func TestPanicIsReported(t *testing.T) {
 	reported := make(chan string, 2)
 	system := New(slog.New(slog.DiscardHandler), func(name string, _ any, _ []byte) { reported <- name })
@@ -44,6 +45,6 @@
 	system.Spawn("actor", func(context.Context, any) { panic("x") }).Send(context.Background(), 1)
 	names := map[string]bool{<-reported: true, <-reported: true}
 	if !names["goroutine"] || !names["actor"] {
-		t.Errorf("reported %v", names)
+		t.Errorf("got reports of %v, want goroutine and actor", names)
 	}
 }
--- a/internal/storage/directory.go
+++ b/internal/storage/directory.go
@@ -5,22 +5,23 @@
 	"path/filepath"
 )
 
-// Directory is a directory of files, and what of it survives a loss of power: what was written
-// to a file does once File.Sync has returned; names that were created, renamed or removed do,
-// each by itself, once Directory.Sync has returned.
+// Directory is a directory of files. The content of a file survives a power failure once
+// File.Sync has returned. The creation, renaming or removal of a file survives a power failure
+// once Directory.Sync has returned. Before that, each of these changes may survive or be lost
+// independently of the others.
 type Directory interface {
-	// Create creates a file, or truncates it.
+	// Create opens a file for writing. It creates the file, or truncates an existing one.
 	Create(name string) (File, error)
 	Rename(from, to string) error
 	Remove(name string) error
 	Read(name string) ([]byte, error)
-	// List lists the names of all files, in any order.
+	// List returns the names of all files, in any order.
 	List() ([]string, error)
-	// Sync makes the names durable.
+	// Sync makes created, renamed and removed names durable.
 	Sync() error
 }
 
-// File is a file that is being written.
+// File is a file that is open for writing.
 type File interface {
 	Write(b []byte) (int, error)
 	// Sync makes the content durable.
@@ -28,13 +29,13 @@
 	Close() error
 }
 
-// osDirectory is a directory of the file system, by its path.
+// osDirectory is the path of a directory of the file system.
 type osDirectory string
 
-// openDirectory creates a directory if need be, and makes it durable: it too is a name in
-// another directory.
+// openDirectory creates dir and its missing parents. It syncs each directory that received a new
+// entry, so that the new directories survive a power failure.
 func openDirectory(dir string) (osDirectory, error) {
-	var parents []osDirectory // the directories that get a new name
+	var parents []osDirectory // the directories that receive a new entry
 	for path := dir; ; path = filepath.Dir(path) {
 		if _, err := os.Stat(path); err == nil || path == filepath.Dir(path) {
 			break
--- a/internal/storage/fault_injected.go
+++ b/internal/storage/fault_injected.go
@@ -8,20 +8,22 @@
 	"time"
 )
 
-// The variable that names the file with the fault, and the faults that the file may hold.
+// faultVariable is the environment variable that holds the path of the fault file. The content
+// of the fault file selects one of the faults.
 const (
 	faultVariable = "CURLEWWALK_FAULT_DISK"
-	faultFull     = "full"  // every write fails
-	faultStall    = "stall" // a write waits until the file holds something else
-	faultSlow     = "slow"  // a write takes slowWrite longer
+	faultFull     = "full"  // every write fails with ENOSPC
+	faultStall    = "stall" // a write blocks until the content of the fault file changes
+	faultSlow     = "slow"  // a write takes slowWriteDelay longer
 )
 
 const (
 	stallPollInterval = 10 * time.Millisecond
-	slowWrite         = 300 * time.Millisecond
+	slowWriteDelay    = 300 * time.Millisecond
 )
 
-// diskFault is called before each write; it has the fault that a file names at that moment.
+// diskFault returns a function to call before each write. The function injects the fault that
+// the fault file selects at the time of the call. diskFault returns nil if no fault file is set.
 func diskFault() func() error {
 	path := os.Getenv(faultVariable)
 	if path == "" {
@@ -38,7 +40,7 @@
 			<-tick.C
 		}
 		if current() == faultSlow {
-			time.Sleep(slowWrite)
+			time.Sleep(slowWriteDelay)
 		}
 		if current() == faultFull {
 			return syscall.ENOSPC
--- a/internal/storage/fault_none.go
+++ b/internal/storage/fault_none.go
@@ -2,5 +2,5 @@
 
 package storage
 
-// diskFault is nil: only builds for tests have disk faults injected.
+// diskFault returns nil: disk faults are injected only in builds with the faultinjection tag.
 func diskFault() func() error { return nil }
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -1,7 +1,7 @@
-// Package storage keeps versions of documents as plain files in one directory: one file a
-// version, which begins with a checksum. A version is written to a temporary file, synced and
-// renamed, and the directory is synced: after a loss of power each version is either there as
-// a whole or not at all, and one that Save has returned for is there. (DESIGN 6.1)
+// Package storage stores versions of documents as plain files in one directory. Each version is
+// one file, which begins with a checksum. Save writes a version to a temporary file, syncs the
+// file, renames it and syncs the directory. After a power failure each version is either complete
+// or absent, and each version whose Save has returned is present. (DESIGN 6.1)
 package storage
 
 import (
@@ -15,30 +15,33 @@
 )
 
 const (
-	// temporarySuffix ends the names of files that are being written.
+	// temporarySuffix is the suffix of the names of files that are being written.
 	temporarySuffix = ".aside"
-	// quarantinePrefix begins the names of files that are kept only for operators.
+	// quarantinePrefix is the prefix of the names of files that are kept only for inspection by
+	// operators. The store does not read them.
 	quarantinePrefix = "torn-"
 )
 
-// Store keeps versions in one directory. It is not safe for concurrent use.
+// Store stores versions of documents in one directory. It is not safe for concurrent use.
 type Store struct {
 	directory Directory
-	// BeforeWrite, if set, is called before each version is written; its error fails the
-	// write. Tests use it for disks with faults.
+	// BeforeWrite, if set, is called before each version is written. If it returns an error,
+	// the write fails. Tests use it to simulate disk faults.
 	BeforeWrite func() error
 }
 
-// Version is one version of a document as it was found on disk.
+// Version is one version of a document as read from disk.
 type Version struct {
-	// Name is what it was saved under; empty if there is no version of that kind.
+	// Name is the version name that was passed to Save. It is empty if there is no version of
+	// the kind.
 	Name string
 	Data []byte
-	// Corrupt is set, without data, if the file does not match its checksum.
+	// Corrupt is set if the file does not match its checksum. Data is then nil.
 	Corrupt bool
 }
 
-// Open makes a store in a directory of the file system, which it creates if need be.
+// Open returns a store in a directory of the file system. It creates the directory if it does
+// not exist.
 func Open(dir string) (*Store, error) {
 	d, err := openDirectory(dir)
 	if err != nil {
@@ -47,11 +50,11 @@
 	return &Store{directory: d, BeforeWrite: diskFault()}, nil
 }
 
-// NewStore makes a store in any directory.
+// NewStore returns a store in directory.
 func NewStore(directory Directory) *Store { return &Store{directory: directory} }
 
-// Save writes one version of a kind of document; it returns once the version is on disk.
-// Versions of a kind are ordered by name, as text.
+// Save writes one version of a kind of document. When it returns without an error, the version
+// is durable. Versions of a kind are ordered by name, compared as strings.
 func (s *Store) Save(kind, version string, data []byte) error {
 	if s.BeforeWrite != nil {
 		if err := s.BeforeWrite(); err != nil {
@@ -69,7 +72,7 @@
 	return s.syncDirectory()
 }
 
-// writeFile writes a file and syncs it.
+// writeFile writes a file and syncs its content.
 func (s *Store) writeFile(name string, data []byte) error {
 	f, err := s.directory.Create(name)
 	if err != nil {
@@ -87,8 +90,9 @@
 
 func (s *Store) syncDirectory() error { return eris.Wrap(s.directory.Sync(), "sync directory") }
 
-// Latest reads the latest version of a kind. If that is corrupt, no earlier one takes its
-// place: what came before it must not be taken for the latest.
+// Latest returns the latest version of a kind. If that version is corrupt, Latest reports it as
+// corrupt and does not fall back to an earlier version, because callers must not mistake an
+// earlier version for the latest.
 func (s *Store) Latest(kind string) (Version, error) {
 	names, err := s.listVersions(kind)
 	if err != nil || len(names) == 0 {
@@ -108,8 +112,8 @@
 	return latest, nil
 }
 
-// Quarantine renames all but the latest keep versions of a kind, so that none of them is read
-// again and all stay for operators to look at.
+// Quarantine renames all but the latest keep versions of a kind. The store does not read the
+// renamed files again; they remain for inspection by operators.
 func (s *Store) Quarantine(kind string, keep int) error {
 	names, err := s.listVersions(kind)
 	if err != nil || len(names) <= keep {
@@ -138,7 +142,7 @@
 	return nil
 }
 
-// listVersions lists the names of the versions of a kind, the latest last.
+// listVersions returns the names of the versions of a kind, the latest last.
 func (s *Store) listVersions(kind string) ([]string, error) {
 	entries, err := s.directory.List()
 	if err != nil {
@@ -156,7 +160,7 @@
 
 func fileName(kind, version string) string { return kind + "." + version }
 
-// checksum is the first line of a file, in hex.
+// checksum returns the SHA-256 of data in hex, which is the first line of a file.
 func checksum(data []byte) string {
 	sum := sha256.Sum256(data)
 	return hex.EncodeToString(sum[:])
--- a/internal/storage/store_test.go
+++ b/internal/storage/store_test.go
@@ -8,10 +8,10 @@
 	"testing"
 )
 
-// openWith opens a store with versions "1" to "n" of a kind.
-func openWith(t *testing.T, kind string, n int) (*Store, string) {
+// openWithVersions opens a store in a new directory and saves versions "1" to "n" of a kind.
+func openWithVersions(t *testing.T, kind string, n int) (*Store, string) {
 	t.Helper()
-	dir := filepath.Join(t.TempDir(), "made", "if need be")
+	dir := filepath.Join(t.TempDir(), "missing", "directory")
 	s, err := Open(dir)
 	if err != nil {
 		t.Fatal(err)
@@ -25,7 +25,7 @@
 	return s, dir
 }
 
-// fileNames lists the files of a directory, sorted.
+// fileNames returns the names of the files in a directory, sorted.
 func fileNames(t *testing.T, dir string) (names []string) {
 	t.Helper()
 	entries, err := os.ReadDir(dir)
@@ -38,10 +38,10 @@
 	return names
 }
 
-// The latest version of a kind is read, whatever there is of others and of writes that were
-// interrupted.
+// Latest returns the latest version of a kind, and ignores other kinds and the temporary files of
+// interrupted writes.
 func TestLatest(t *testing.T) {
-	s, dir := openWith(t, "state", 3)
+	s, dir := openWithVersions(t, "state", 3)
 	if err := s.Save("promise", "9", []byte("other kind")); err != nil {
 		t.Fatal(err)
 	}
@@ -54,29 +54,29 @@
 		t.Run(c.kind, func(t *testing.T) {
 			got, err := s.Latest(c.kind)
 			if err != nil || got.Name != c.name || string(got.Data) != c.data || got.Corrupt {
-				t.Errorf("%+v %v", got, err)
+				t.Errorf("got %+v, %v, want the latest version of the kind and its data", got, err)
 			}
 		})
 	}
 }
 
-// A corrupt version is reported, and no earlier one takes its place.
+// Latest reports a corrupt latest version and does not fall back to an earlier one.
 func TestLatestIsCorrupt(t *testing.T) {
-	for name, content := range map[string]string{"changed": checksum([]byte("a")) + "\nb", "truncated": checksum([]byte("a")), "empty": ""} {
+	for name, content := range map[string]string{"modified": checksum([]byte("a")) + "\nb", "truncated": checksum([]byte("a")), "empty": ""} {
 		t.Run(name, func(t *testing.T) {
-			s, dir := openWith(t, "state", 2)
+			s, dir := openWithVersions(t, "state", 2)
 			if err := os.WriteFile(filepath.Join(dir, "state.2"), []byte(content), 0o600); err != nil {
 				t.Fatal(err)
 			}
 			got, err := s.Latest("state")
 			if err != nil || got.Name != "2" || !got.Corrupt || got.Data != nil {
-				t.Errorf("%+v %v", got, err)
+				t.Errorf("got %+v, %v, want version 2 reported as corrupt, without data", got, err)
 			}
 		})
 	}
 }
 
-// Prune removes earlier versions, Quarantine keeps them under names that are not read.
+// Prune removes earlier versions. Quarantine renames them so that they are no longer read.
 func TestPruneAndQuarantine(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -84,31 +84,31 @@
 		want   []string
 	}{
 		{"prune", func(s *Store) error { return s.Prune("state", 2) }, []string{"state.3", "state.4"}},
-		{"prune fewer", func(s *Store) error { return s.Prune("state", 9) }, []string{"state.1", "state.2", "state.3", "state.4"}},
+		{"prune with fewer versions than kept", func(s *Store) error { return s.Prune("state", 9) }, []string{"state.1", "state.2", "state.3", "state.4"}},
 		{"quarantine", func(s *Store) error { return s.Quarantine("state", 3) }, []string{"state.2", "state.3", "state.4", "torn-state.1"}},
-		{"quarantine all", func(s *Store) error { return s.Quarantine("state", 0) }, []string{"torn-state.1", "torn-state.2", "torn-state.3", "torn-state.4"}},
+		{"quarantine every version", func(s *Store) error { return s.Quarantine("state", 0) }, []string{"torn-state.1", "torn-state.2", "torn-state.3", "torn-state.4"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s, dir := openWith(t, "state", 4)
+			s, dir := openWithVersions(t, "state", 4)
 			if err := c.change(s); err != nil {
 				t.Fatal(err)
 			}
 			if got := fileNames(t, dir); !slices.Equal(got, c.want) {
-				t.Errorf("%q, want %q", got, c.want)
+				t.Errorf("got files %q, want %q", got, c.want)
 			}
 		})
 	}
 }
 
-// An error of BeforeWrite fails the write, and leaves no file.
+// If BeforeWrite returns an error, Save fails with that error and creates no file.
 func TestBeforeWriteFails(t *testing.T) {
-	s, dir := openWith(t, "state", 1)
-	full := errors.New("no space left")
-	s.BeforeWrite = func() error { return full }
-	if err := s.Save("state", "2", nil); !errors.Is(err, full) {
-		t.Errorf("%v", err)
+	s, dir := openWithVersions(t, "state", 1)
+	errFull := errors.New("no space left")
+	s.BeforeWrite = func() error { return errFull }
+	if err := s.Save("state", "2", nil); !errors.Is(err, errFull) {
+		t.Errorf("got error %v, want the error of BeforeWrite", err)
 	}
 	if got := fileNames(t, dir); !slices.Equal(got, []string{"state.1"}) {
-		t.Errorf("%q", got)
+		t.Errorf("got files %q, want only state.1", got)
 	}
 }
