--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -11,32 +11,32 @@
 	"golang.org/x/tools/go/packages"
 )
 
-// wallClockMethods are the methods of time.Time that read the wall clock's part of a time. Those
-// that only compare and subtract times use the monotonic clock.
+// wallClockMethods are the methods of time.Time that use the wall clock reading of a time. Methods
+// that only compare or subtract times use the monotonic clock reading.
 var wallClockMethods = []string{
 	"Unix", "UnixMilli", "UnixMicro", "UnixNano", "Format", "AppendFormat", "String", "Date", "Clock", "Year", "Month", "Day",
 	"Hour", "Minute", "Second", "Nanosecond", "Weekday", "YearDay", "ISOWeek", "Round", "Truncate", "UTC", "Local", "In", "Location", "Zone",
 	"MarshalJSON", "MarshalText", "MarshalBinary", "GobEncode", "GoString",
 }
 
-// wallClockFunctions make a time of the wall clock.
+// wallClockFunctions are the functions that return a time without a monotonic clock reading.
 var wallClockFunctions = []string{
 	"time.Unix", "time.UnixMilli", "time.UnixMicro", "time.Date", "time.Parse", "time.ParseInLocation", "curlewwalk/internal/clock.Wall",
 }
 
-// exemptPackages are the packages that handle calendar times; exemptDeclarations pass wall clock
-// times on outside of them, by package.
+// exemptPackages are the packages that handle calendar times. exemptDeclarations are, by package,
+// the declarations outside of them that may pass on wall clock times.
 var (
 	exemptPackages     = []string{"curlewwalk/internal/clock", "curlewwalk/internal/maintenance"}
 	exemptDeclarations = map[string][]string{
 		"curlewwalk/internal/membership":   {"ReplicaTable.MedianClock"},
-		"curlewwalk/internal/plan":         {"Impact.String"}, // of a window that is shown
+		"curlewwalk/internal/plan":         {"Impact.String"}, // formats a maintenance window for display
 		"curlewwalk/internal/controlplane": {"cluster.status", "cluster.medianWallClock", "windowsResponse"},
 	}
 )
 
-// wallClockUses lists where a package reads the wall clock, encodes a time, or makes a time of
-// the wall clock.
+// wallClockUses returns the positions at which a package reads the wall clock, creates a time from
+// it, or declares an encoded field of type time.Time, each with a description.
 func wallClockUses(p *packages.Package) (out []string) {
 	for _, file := range p.Syntax {
 		for _, d := range file.Decls {
@@ -47,7 +47,7 @@
 				switch n := n.(type) {
 				case *ast.Field:
 					if encodesTime(p, n) {
-						out = append(out, p.Fset.Position(n.Pos()).String()+": a time is encoded")
+						out = append(out, p.Fset.Position(n.Pos()).String()+": field of type time.Time is encoded")
 					}
 				case *ast.Ident:
 					if name, ok := wallClockFunction(p, n); ok {
@@ -61,7 +61,7 @@
 	return out
 }
 
-// encodesTime reports whether a field with a time has a key in JSON or msgpack.
+// encodesTime reports whether a struct field contains a time.Time and is encoded in JSON or msgpack.
 func encodesTime(p *packages.Package, f *ast.Field) bool {
 	t := p.TypesInfo.TypeOf(f.Type)
 	if f.Tag == nil || t == nil || !strings.Contains(t.String(), "time.Time") {
@@ -74,8 +74,8 @@
 	})
 }
 
-// wallClockFunction is the full name of the function that an identifier stands for, if that
-// reads the wall clock or makes a time of it.
+// wallClockFunction returns the full name of the function that an identifier refers to, and reports
+// whether the function reads the wall clock or creates a time from it.
 func wallClockFunction(p *packages.Package, id *ast.Ident) (string, bool) {
 	fn, ok := p.TypesInfo.Uses[id].(*types.Func)
 	if !ok || fn.Pkg() == nil {
@@ -87,7 +87,8 @@
 	return name, found
 }
 
-// declaredName is what a declaration declares: a function, Type.Method, or one type.
+// declaredName returns the name that a declaration declares: the name of a function or of a type, or
+// Type.Method for a method. It is empty for other declarations.
 func declaredName(d ast.Decl) string {
 	switch d := d.(type) {
 	case *ast.FuncDecl:
@@ -110,7 +111,8 @@
 	return ""
 }
 
-// loadPackages loads the packages of a pattern that are not exempt, with files added by path.
+// loadPackages loads the packages that match a pattern and are not exempt. overlay adds files, by
+// path.
 func loadPackages(t *testing.T, pattern string, overlay map[string][]byte) (all []*packages.Package) {
 	t.Helper()
 	got, err := packages.Load(&packages.Config{
@@ -131,16 +133,17 @@
 	return all
 }
 
-// samplePackage is a package that each kind of use is added to, to see that the check finds it.
+// samplePackage is the package to which the test adds each kind of wall clock use, to verify that
+// the check finds it.
 const samplePackage = "curlewwalk/internal/dataplane/endpoints"
 
-// Nothing but this package, the maintenance windows and what passes wall clock times to them
-// reads a wall clock, so that no jump of one can change any other decision. The check itself is
-// seen to find each kind of use.
+// Only this package, the maintenance windows, and the declarations that pass wall clock times to
+// them use the wall clock, so that a jump of the wall clock cannot change any other decision. The
+// test also verifies that the check finds each kind of use.
 func TestWallClockIsReadInOnePlace(t *testing.T) {
 	checked := loadPackages(t, "curlewwalk/...", nil)
 	if len(checked) < 20 {
-		t.Fatalf("only %d packages were checked", len(checked))
+		t.Fatalf("checked %d packages, want at least 20", len(checked))
 	}
 	for _, p := range checked {
 		for _, use := range wallClockUses(p) {
@@ -149,15 +152,15 @@
 	}
 	sample := slices.IndexFunc(checked, func(p *packages.Package) bool { return p.PkgPath == samplePackage })
 	if sample < 0 {
-		t.Fatalf("%s was not checked", samplePackage)
+		t.Fatalf("sample package %s is not among the checked packages", samplePackage)
 	}
 	added := strings.TrimSuffix(checked[sample].GoFiles[0], ".go") + "_added.go"
 	for _, c := range []struct{ name, code string }{
-		{"seconds", "func _() int64 { return time.Now().Unix() }"},
-		{"text", "func _(t time.Time) string { return t.String() }"},
-		{"from seconds", "func _() time.Time { return time.Unix(1, 2) }"},
-		{"without monotonic clock", "func _() time.Time { return time.Now().Round(0) }"},
-		{"encoded", "type _ struct { T time.Time `msgpack:\"t\"` }"},
+		{"Unix seconds", "func _() int64 { return time.Now().Unix() }"},
+		{"string", "func _(t time.Time) string { return t.String() }"},
+		{"time from Unix seconds", "func _() time.Time { return time.Unix(1, 2) }"},
+		{"time without monotonic clock reading", "func _() time.Time { return time.Now().Round(0) }"},
+		{"encoded field", "type _ struct { T time.Time `msgpack:\"t\"` }"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			text := "package endpoints\nimport \"time\"\n" + c.code + "\n"
@@ -166,7 +169,7 @@
 				found += len(wallClockUses(p))
 			}
 			if found != 1 {
-				t.Errorf("%s: found %d times", c.code, found)
+				t.Errorf("%s: found %d uses of the wall clock, want 1", c.code, found)
 			}
 		})
 	}
--- a/internal/clock/offset_injected.go
+++ b/internal/clock/offset_injected.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// offsetVariable names the file with the offset.
+// offsetVariable is the environment variable that holds the path of the offset file.
 const offsetVariable = "CURLEWWALK_FAULT_CLOCK"
 
-// wallOffset is by how much a test has the wall clock jump: the duration that stands in a file,
-// zero without one.
+// wallOffset returns the offset by which a test shifts the wall clock: the duration in the offset
+// file, or zero if there is no such file or its content is not a duration.
 func wallOffset() time.Duration {
 	b, err := os.ReadFile(os.Getenv(offsetVariable))
 	if err != nil {
--- a/internal/clock/offset_none.go
+++ b/internal/clock/offset_none.go
@@ -4,5 +4,5 @@
 
 import "time"
 
-// wallOffset is zero: only builds for tests have their wall clock jump.
+// wallOffset returns zero: the wall clock is shifted only in builds with the faultinjection tag.
 func wallOffset() time.Duration { return 0 }
--- a/internal/clock/wall.go
+++ b/internal/clock/wall.go
@@ -1,9 +1,9 @@
-// Package clock is the one place where the wall clock is read. All other code counts durations
-// on the monotonic clock, which no correction of the time can make jump. (DESIGN 17.2)
+// Package clock is the only package that reads the wall clock. All other code measures durations on
+// the monotonic clock, which does not jump when the system time is corrected. (DESIGN 17.2)
 package clock
 
 import "time"
 
-// Wall is the time of the wall clock. It has no reading of the monotonic clock, so differences
-// of two such times jump with it.
+// Wall returns the time of the wall clock, without a monotonic clock reading. The difference of two
+// such times therefore includes jumps of the wall clock.
 func Wall() time.Time { return time.Now().Round(0).Add(wallOffset()) }
--- a/internal/process/common_api.go
+++ b/internal/process/common_api.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// probeTimeout bounds the answer to a liveness or readiness probe.
-const probeTimeout = 500 * time.Millisecond // (ours)
+// probeTimeout is how long a liveness or readiness probe may take.
+const probeTimeout = 500 * time.Millisecond
 
-// Probe tells whether a process is live or ready, and why.
-type Probe func(ctx context.Context) (ok bool, why string)
+// Probe reports whether a process is live or ready, and the reason.
+type Probe func(ctx context.Context) (ok bool, reason string)
 
-// RegisterCommon adds the endpoints of both programs: GET /live, /ready and /v1/log.
+// RegisterCommon adds the endpoints that both programs serve: GET /live, /ready and /v1/log.
 func (p *Process) RegisterCommon(mux *http.ServeMux, live, ready Probe) {
 	mux.HandleFunc("GET /live", probeHandler(live))
 	mux.HandleFunc("GET /ready", probeHandler(ready))
@@ -26,11 +26,11 @@
 	return func(w http.ResponseWriter, r *http.Request) {
 		ctx, cancel := context.WithTimeout(r.Context(), probeTimeout)
 		defer cancel()
-		ok, why := probe(ctx)
+		ok, reason := probe(ctx)
 		status := http.StatusOK
 		if !ok {
 			status = http.StatusServiceUnavailable
 		}
-		JSON(w, status, map[string]any{"ok": ok, "why": why})
+		JSON(w, status, map[string]any{"ok": ok, "why": reason})
 	}
 }
--- a/internal/process/document.go
+++ b/internal/process/document.go
@@ -9,13 +9,13 @@
 	"time"
 )
 
-// documentTimeout is how long an operator's document may take to arrive. (ours)
+// documentTimeout is how long a document that an operator uploads may take to arrive.
 const documentTimeout = 30 * time.Second
 
-// DocumentError tells why a document was not read completely.
+// DocumentError is the reason why a document was not read completely.
 type DocumentError struct {
-	// Status is the response's: 413 over the size limit, 408 if the document did not arrive in
-	// time, 400 if it was truncated.
+	// Status is the HTTP status of the response: 413 if the document exceeds the size limit, 408
+	// if it did not arrive in time, 400 if it was truncated.
 	Status  int
 	Message string
 }
@@ -23,13 +23,14 @@
 // Error implements error.
 func (e *DocumentError) Error() string { return e.Message }
 
-// ReadDocument reads a request's body of at most maxBytes, within documentTimeout.
+// ReadDocument reads the body of a request. It fails if the body is longer than maxBytes or does
+// not arrive within documentTimeout.
 func ReadDocument(w http.ResponseWriter, r *http.Request, maxBytes int64) ([]byte, *DocumentError) {
 	return readDocument(w, r, maxBytes, documentTimeout)
 }
 
 func readDocument(w http.ResponseWriter, r *http.Request, maxBytes int64, timeout time.Duration) ([]byte, *DocumentError) {
-	// net/http removes the deadline again at the end of the body.
+	// net/http removes the deadline when the end of the body has been read.
 	http.NewResponseController(w).SetReadDeadline(time.Now().Add(timeout))
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBytes))
 	var tooLarge *http.MaxBytesError
--- a/internal/process/document_test.go
+++ b/internal/process/document_test.go
@@ -11,21 +11,22 @@
 	"time"
 )
 
-// A document that does not arrive in time is rejected, so that its caller may go elsewhere; the
-// connection of a complete one is not bound to that time any more.
-func TestDocumentInTime(t *testing.T) {
-	const wait = 100 * time.Millisecond
+// A document that does not arrive in time is rejected, so that the client can send it to another
+// node. The read deadline no longer applies once the document is complete: otherwise it would
+// cancel the request while the handler runs.
+func TestDocumentTimeout(t *testing.T) {
+	const timeout = 100 * time.Millisecond
 	handled := make(chan error, 1)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		b, err := readDocument(w, r, 10, wait)
+		b, err := readDocument(w, r, 10, timeout)
 		if err != nil {
 			http.Error(w, err.Message, err.Status)
 			return
 		}
-		select { // longer than the document had
+		select { // run for longer than the timeout of the document
 		case <-r.Context().Done():
 			handled <- r.Context().Err()
-		case <-time.After(3 * wait):
+		case <-time.After(3 * timeout):
 			handled <- nil
 		}
 		w.Write(b)
@@ -47,15 +48,15 @@
 		return resp.StatusCode, string(b)
 	}
 	if status, body := send("Content-Length: 5\r\n\r\nhello"); status != 200 || body != "hello" {
-		t.Errorf("a complete one: %d %q", status, body)
+		t.Errorf("complete document: got %d %q, want 200 and hello", status, body)
 	}
 	if err := <-handled; err != nil {
-		t.Errorf("a complete one: %v", err)
+		t.Errorf("complete document: the request was cancelled while its handler ran: %v", err)
 	}
 	if status, _ := send("Content-Length: 5\r\n\r\nhell"); status != 408 {
-		t.Errorf("a late one: %d", status)
+		t.Errorf("document that does not arrive in time: got %d, want 408", status)
 	}
 	if status, _ := send("Content-Length: 11\r\n\r\nhello world"); status != 413 {
-		t.Errorf("a large one: %d", status)
+		t.Errorf("document over the size limit: got %d, want 413", status)
 	}
 }
--- a/internal/process/http_server.go
+++ b/internal/process/http_server.go
@@ -7,28 +7,30 @@
 	"time"
 )
 
-// The limits of what clients may take of an HTTP server.
+// The limits on the resources of an HTTP server that a client can occupy.
 const (
-	readHeaderTimeout = 10 * time.Second // (ours)
-	idleTimeout       = 2 * time.Minute  // (ours)
-	maxHeaderBytes    = 1 << 20          // (ours)
+	readHeaderTimeout = 10 * time.Second
+	idleTimeout       = 2 * time.Minute
+	maxHeaderBytes    = 1 << 20
 )
 
-// shutdownPollInterval is how often a server that shuts down looks for idle connections.
-const shutdownPollInterval = 10 * time.Millisecond // (ours)
+// shutdownPollInterval is the interval at which a server that is shutting down checks for idle
+// connections.
+const shutdownPollInterval = 10 * time.Millisecond
 
-// HTTPServer is an HTTP server on one listener, which can close its connections without leaving a
+// HTTPServer is an HTTP server on one listener. It can close its connections without leaving a
 // request unanswered.
 type HTTPServer struct {
 	Listener net.Listener
 	server   *http.Server
 	tracked  *trackedListener
-	// acceptDone is closed when no connection is accepted any more.
+	// acceptDone is closed when the server has stopped accepting connections.
 	acceptDone chan struct{}
 }
 
-// Serve starts an HTTP server on a listener. net/http starts a goroutine for each connection itself:
-// the one exception to the rule that goroutines are started by package actor. (DESIGN 13)
+// Serve starts an HTTP server on a listener. net/http itself starts a goroutine for each
+// connection. This is the only exception to the rule that package actor starts all goroutines.
+// (DESIGN 13)
 func (p *Process) Serve(ln net.Listener, h http.Handler) *HTTPServer {
 	s := &HTTPServer{Listener: ln, tracked: newTrackedListener(ln), acceptDone: make(chan struct{})}
 	s.server = &http.Server{
@@ -47,7 +49,8 @@
 	return s
 }
 
-// onConnState follows the states of the connections.
+// onConnState marks a connection as idle, or removes it from the open connections, when net/http
+// reports the change of its state.
 func (s *HTTPServer) onConnState(c net.Conn, state http.ConnState) {
 	conn := c.(*trackedConn)
 	switch state {
@@ -58,20 +61,23 @@
 	}
 }
 
-// CloseIdle sends the closing response on idle connections until all connections have ended or ctx
-// does; busy ones become idle or end meanwhile. New connections are accepted until all that were
-// there have ended, and closed in the same way.
+// CloseIdle closes the listener and all connections. It sends the closing response on each
+// connection as soon as the connection is idle. Until all open connections have ended and none is
+// pending in the kernel, the server still accepts connections and closes them in the same way. If
+// ctx ends first, CloseIdle closes the listener and returns while connections are still open.
 func (s *HTTPServer) CloseIdle(ctx context.Context, closingResponse []byte) {
 	allEnded := func() bool { return len(s.tracked.connections()) == 0 }
 	s.closeIdleUntil(ctx, closingResponse, allEnded)
 	s.closeIdleUntil(ctx, closingResponse, func() bool { return !s.tracked.hasPending() })
-	// Not by http.Server.Shutdown: after it, net/http reads requests and closes without a response.
+	// http.Server.Shutdown is not used here: after it, net/http may read a request and close the
+	// connection without a response.
 	s.tracked.Close()
 	<-s.acceptDone
 	s.closeIdleUntil(ctx, closingResponse, allEnded)
 }
 
-// closeIdleUntil sends the closing response on idle connections until done or ctx ends.
+// closeIdleUntil sends the closing response on idle connections until done returns true or ctx
+// ends.
 func (s *HTTPServer) closeIdleUntil(ctx context.Context, closingResponse []byte, done func() bool) {
 	tick := time.NewTicker(shutdownPollInterval)
 	defer tick.Stop()
@@ -87,7 +93,7 @@
 	}
 }
 
-// Shutdown lets requests finish until ctx ends, then cuts the connections that are left.
+// Shutdown waits for running requests until ctx ends, then closes the remaining connections.
 func (s *HTTPServer) Shutdown(ctx context.Context) {
 	if s.server.Shutdown(ctx) != nil {
 		s.server.Close()
--- a/internal/process/process_test.go
+++ b/internal/process/process_test.go
@@ -9,8 +9,8 @@
 	"curlewwalk/internal/settings"
 )
 
-// A signal that arrives before a process waits for one, when it serves already, does not end it at
-// once.
+// A signal that arrives before WaitForStop is called is queued. Without the queue the Go runtime
+// would end the process, which may already serve requests at that time.
 func TestEarlySignals(t *testing.T) {
 	p := New("test", settings.Common{Wire: "127.0.0.1:0", LogLines: 8})
 	send := func(s syscall.Signal) {
@@ -26,12 +26,12 @@
 		p.WaitForStop(func() { reloads <- true })
 		close(stopping)
 	}()
-	wait := func(what string, ch <-chan bool) {
+	wait := func(event string, ch <-chan bool) {
 		t.Helper()
 		select {
 		case <-ch:
 		case <-time.After(5 * time.Second):
-			t.Fatalf("waited in vain for %s", what)
+			t.Fatalf("timed out waiting for %s", event)
 		}
 	}
 	wait("the reload", reloads)
--- a/internal/process/reload.go
+++ b/internal/process/reload.go
@@ -8,28 +8,29 @@
 	"curlewwalk/internal/settings"
 )
 
-// SeedSetter is given the addresses that a process asks first for the others.
+// SeedSetter receives the addresses that a process contacts first to discover the other nodes.
 type SeedSetter interface{ SetSeeds(seeds []string) }
 
-// Reloader applies the settings that can be changed by a SIGHUP, and serves GET /v1/reload, which
-// shows the outcome of the last one. Apply is to be called once at the start.
+// Reloader applies the settings that can be changed with a SIGHUP. It also serves GET /v1/reload,
+// which returns the result of the last reload. Apply must be called once during start.
 type Reloader struct {
 	Discovery SeedSetter
-	drain     atomic.Int64 // a time.Duration
+	drain     atomic.Int64 // time.Duration
 	last      atomic.Pointer[settings.ReloadResult]
 }
 
-// Apply applies the reloadable settings.
+// Apply applies the reloadable settings of cfg.
 func (r *Reloader) Apply(cfg settings.Common) {
 	r.Discovery.SetSeeds(cfg.Seeds)
 	r.drain.Store(int64(cfg.Drain))
 }
 
-// Drain is how long a graceful shutdown may take.
+// Drain returns how long a graceful shutdown may take.
 func (r *Reloader) Drain() time.Duration { return time.Duration(r.drain.Load()) }
 
-// Reload takes newly read settings, next, in place of old, which are of the same type; common are
-// those of next. An exit says that they are not valid: then nothing is applied.
+// Reload applies newly read settings and records the result. old and next are the previous and the
+// new settings and must have the same type. common is the common part of next. If exit.Now is set,
+// the new settings are not valid and nothing is applied.
 func (r *Reloader) Reload(p *Process, old, next any, common settings.Common, exit settings.Exit) {
 	if exit.Now {
 		r.last.Store(&settings.ReloadResult{Fault: exit.Text})
--- a/internal/process/reload_test.go
+++ b/internal/process/reload_test.go
@@ -12,13 +12,14 @@
 	"curlewwalk/internal/settings"
 )
 
-// seedRecorder keeps the seeds that were set last.
+// seedRecorder records the seeds that were set last.
 type seedRecorder struct{ seeds []string }
 
 // SetSeeds implements SeedSetter.
 func (s *seedRecorder) SetSeeds(seeds []string) { s.seeds = seeds }
 
-// A reload applies what it can, keeps everything if the settings are not valid, and shows either.
+// A reload applies the reloadable settings and lists those that need a restart. It changes nothing
+// if the new settings are not valid. GET /v1/reload returns the result in each case.
 func TestReload(t *testing.T) {
 	old := settings.Common{Drain: time.Second, Seeds: []string{"a"}, Zone: "north"}
 	for _, c := range []struct {
@@ -26,7 +27,7 @@
 		next settings.Common
 		exit settings.Exit
 		want settings.ReloadResult
-		// drain and seeds are those in effect after it.
+		// drain and seeds are the values in effect after the reload.
 		drain time.Duration
 		seeds []string
 	}{
@@ -46,7 +47,7 @@
 			[]string{"b"},
 		},
 		{
-			"one that needs a restart",
+			"setting that needs a restart",
 			settings.Common{Drain: time.Second, Seeds: []string{"a"}, Zone: "south"},
 			settings.Exit{},
 			settings.ReloadResult{NeedsRestart: []string{"locality"}},
@@ -54,7 +55,7 @@
 			[]string{"a"},
 		},
 		{
-			"settings that are not valid",
+			"invalid settings",
 			settings.Common{Drain: 2 * time.Second},
 			settings.Exit{Now: true, Code: 2, Text: "drain"},
 			settings.ReloadResult{Fault: "drain"},
@@ -78,7 +79,7 @@
 				t.Error(diff)
 			}
 			if diff := cmp.Diff(c.seeds, discovery.seeds); diff != "" || r.Drain() != c.drain {
-				t.Errorf("drain %v, want %v; seeds: %s", r.Drain(), c.drain, diff)
+				t.Errorf("got drain %v, want %v; seeds (-want +got):\n%s", r.Drain(), c.drain, diff)
 			}
 		})
 	}
--- a/internal/process/response.go
+++ b/internal/process/response.go
@@ -15,7 +15,7 @@
 	enc.Encode(value)
 }
 
-// Error writes a response that tells why a request failed.
+// Error writes an error response. Its JSON body contains the messages, joined by "; ".
 func Error(w http.ResponseWriter, status int, messages ...string) {
 	JSON(w, status, map[string]string{"error": strings.Join(messages, "; ")})
 }
--- a/internal/process/shutdown.go
+++ b/internal/process/shutdown.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// httpServerList has the HTTP servers of a process.
+// httpServerList is the list of HTTP servers of a process. It is safe for concurrent use.
 type httpServerList struct {
 	mu      sync.Mutex
 	servers []*HTTPServer
@@ -28,9 +28,9 @@
 	return slices.Clone(l.servers)
 }
 
-// ShutdownHTTP shuts all HTTP servers down at once and waits for them. Idle connections get the
-// closing response, for closingGrace at most if new ones keep coming; requests that were received
-// may finish until ctx ends.
+// ShutdownHTTP shuts down all HTTP servers concurrently and waits for them. It sends the closing
+// response on idle connections for at most closingGrace, even if clients keep opening new ones.
+// Requests that were received may finish until ctx ends.
 func (p *Process) ShutdownHTTP(ctx context.Context, closingGrace time.Duration, closingResponse []byte) {
 	closingCtx, cancel := context.WithTimeout(ctx, closingGrace)
 	defer cancel()
@@ -46,9 +46,10 @@
 	stopped.Wait()
 }
 
-// ClosingResponse is the response to whatever a client may be sending on an idle connection that is
-// about to be closed: 408, which tells that the request was not received. A client that sends
-// nothing takes it for the end of the connection. (DESIGN 11.3)
+// ClosingResponse returns the response that is sent on an idle connection before it is closed. A
+// client that is sending a request at that moment receives it as the response: status 408 means
+// that the request was not received. A client that sends nothing treats it as the end of the
+// connection. (DESIGN 11.3)
 func ClosingResponse(header http.Header, body []byte) []byte {
 	header = header.Clone()
 	header.Set("Connection", "close")
@@ -58,7 +59,7 @@
 	}
 	var b bytes.Buffer
 	if err := resp.Write(&b); err != nil {
-		panic(err) // a buffer can be written to
+		panic(err) // writing to a bytes.Buffer cannot fail
 	}
 	return b.Bytes()
 }
--- a/internal/process/stop_test.go
+++ b/internal/process/stop_test.go
@@ -15,11 +15,11 @@
 	"curlewwalk/internal/actor"
 )
 
-// testClosingResponse is the closing response of these tests.
+// testClosingResponse is the closing response in these tests.
 const testClosingResponse = "HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 
-// blockedListener accepts nothing until it is released: connections made meanwhile are with the
-// kernel alone.
+// blockedListener accepts no connection until it is released. Until then, new connections are
+// pending in the kernel.
 type blockedListener struct {
 	*net.TCPListener
 	released chan struct{}
@@ -31,7 +31,8 @@
 	return l.TCPListener.Accept()
 }
 
-// serve serves h on a listener. stop shuts the server down; it is done when the server has ended.
+// serve serves h on a listener. stop starts the shutdown of the server and returns a channel that
+// is closed when the shutdown is complete.
 func serve(t *testing.T, ln net.Listener, h http.Handler) (stop func() (done <-chan struct{})) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
@@ -51,7 +52,7 @@
 	}
 }
 
-// listen listens on a free port.
+// listen opens a listener on a free port.
 func listen(t *testing.T) *net.TCPListener {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -61,7 +62,7 @@
 	return ln.(*net.TCPListener)
 }
 
-// dial connects and sends pipelined requests.
+// dial opens a connection and sends the given number of pipelined requests.
 func dial(t *testing.T, addr net.Addr, requests int) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", addr.String())
@@ -78,19 +79,20 @@
 	return c
 }
 
-// status reads the next response on a connection.
-func status(t *testing.T, responses *bufio.Reader) int {
+// readStatus reads the next response and returns its status.
+func readStatus(t *testing.T, responses *bufio.Reader) int {
 	t.Helper()
 	resp, err := http.ReadResponse(responses, nil)
 	if err != nil {
-		t.Fatalf("no response: %v", err)
+		t.Fatalf("read response: %v", err)
 	}
 	io.Copy(io.Discard, resp.Body)
 	return resp.StatusCode
 }
 
-// A client whose connection the kernel has accepted for a server that stops gets the closing response,
-// though the server itself had not accepted it yet. (DESIGN 11.3)
+// Guards against resetting connections that are still pending in the kernel when the server stops.
+// The server must accept such a connection and answer it, with the closing response or the response
+// of the handler, before it closes the listener. (DESIGN 11.3)
 func TestStopWithPendingConnection(t *testing.T) {
 	ln := blockedListener{listen(t), make(chan struct{})}
 	stop := serve(t, ln, http.NotFoundHandler())
@@ -98,54 +100,54 @@
 	done := stop()
 	select {
 	case <-done:
-		t.Error("the server stopped with a connection pending")
+		t.Error("the server stopped while a connection was pending")
 	case <-time.After(10 * shutdownPollInterval):
 	}
 	close(ln.released)
-	if got := status(t, bufio.NewReader(c)); got != http.StatusRequestTimeout && got != http.StatusNotFound {
-		t.Errorf("got %d", got)
+	if got := readStatus(t, bufio.NewReader(c)); got != http.StatusRequestTimeout && got != http.StatusNotFound {
+		t.Errorf("got status %d, want 408 or 404", got)
 	}
 	c.Close()
 	<-done
 }
 
-// A pipelined request that is already running when the server stops gets its own response: the closing
-// response would promise that it has not run.
+// A pipelined request that is already running when the server stops gets its own response. The
+// closing response would wrongly state that the request was not run.
 func TestStopWhilePipelinedRequestRuns(t *testing.T) {
 	ln := listen(t)
 	var ran atomic.Int32
-	second, release := make(chan struct{}), make(chan struct{})
+	secondRunning, release := make(chan struct{}), make(chan struct{})
 	stop := serve(t, ln, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		if ran.Add(1) == 2 {
-			close(second)
+			close(secondRunning)
 			<-release
 		}
-		io.WriteString(w, "good day")
+		io.WriteString(w, "response body")
 	}))
 	c := dial(t, ln.Addr(), 2)
 	responses := bufio.NewReader(c)
-	if got := status(t, responses); got != http.StatusOK {
-		t.Fatalf("the first got %d", got)
+	if got := readStatus(t, responses); got != http.StatusOK {
+		t.Fatalf("first request: got status %d, want 200", got)
 	}
-	<-second
+	<-secondRunning
 	done := stop()
-	// The closing response would be sent within a few polls.
+	// A wrong closing response would be sent within a few poll intervals.
 	select {
 	case <-done:
-		t.Error("the server stopped while a request ran")
+		t.Error("the server stopped while a request was running")
 	case <-time.After(10 * shutdownPollInterval):
 	}
 	close(release)
-	if got := status(t, responses); got != http.StatusOK {
-		t.Errorf("the second ran and got %d", got)
+	if got := readStatus(t, responses); got != http.StatusOK {
+		t.Errorf("second request, which ran: got status %d, want 200", got)
 	}
 	c.Close()
 	<-done
 }
 
-// A part that does not end delays the end of its process for a short time only: the grace time is
-// nearly over when the parts are ended.
-func TestEndIsBounded(t *testing.T) {
+// A goroutine that does not end delays Close for a short time only. Little of the grace period is
+// left when Close is called.
+func TestCloseIsBounded(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	actors := actor.New(slog.New(slog.DiscardHandler), func(name string, cause any, stack []byte) { t.Errorf("%s: %v\n%s", name, cause, stack) })
 	p := &Process{Context: ctx, cancel: cancel, Actors: actors}
@@ -155,9 +157,9 @@
 	began := time.Now()
 	p.Close()
 	if took := time.Since(began); took > time.Second {
-		t.Errorf("the process went on for %v", took)
+		t.Errorf("Close took %v, want at most 1 s", took)
 	}
 	if ctx.Err() == nil {
-		t.Error("its context was not cancelled")
+		t.Error("Close did not cancel the context of the process")
 	}
 }
--- a/internal/process/tracked_conn.go
+++ b/internal/process/tracked_conn.go
@@ -11,19 +11,19 @@
 )
 
 // closingTimeout is how long the client may take to close a connection after the closing response.
-const closingTimeout = 500 * time.Millisecond // (ours)
+const closingTimeout = 500 * time.Millisecond
 
-// errClosing tells a handler that its client was already sent the closing response.
-var errClosing = errors.New("the client was sent the closing response")
+// errClosing is returned by Write after the closing response was sent.
+var errClosing = errors.New("connection is closing: closing response already sent")
 
-// trackedConn is a client's connection. It can be sent a closing response while it is idle, atomically
-// with what the client may be sending just then: either the request is read first, and gets its own
-// response; or the closing response is sent first, is the response, and the request is never run.
-// (DESIGN 11.3)
+// trackedConn is a connection of a client on which a closing response can be sent while it is idle.
+// Sending it is atomic with respect to a request that the client may be sending at the same time.
+// If the request is read first, it gets its own response. If the closing response is sent first, it
+// is the response to the request, and the request is never run. (DESIGN 11.3)
 type trackedConn struct {
 	net.Conn
 	mu      sync.Mutex
-	busy    bool // something was read since it was idle
+	busy    bool // bytes were read since the connection was last idle
 	closing bool // the closing response was sent
 }
 
@@ -33,15 +33,15 @@
 	if !c.observeRead(n) {
 		return n, err
 	}
-	// What still comes is read and dropped, so that the client's writing does not fail before it
-	// has read the closing response.
+	// Read and discard the rest of the input, so that the client's writes do not fail before the
+	// client has read the closing response.
 	for err == nil {
 		_, err = c.Conn.Read(b)
 	}
 	return 0, io.EOF
 }
 
-// observeRead records that n bytes were read, and tells whether the closing response was sent.
+// observeRead records that n bytes were read, and reports whether the closing response was sent.
 func (c *trackedConn) observeRead(n int) (closing bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -59,7 +59,8 @@
 	return c.Conn.Write(b)
 }
 
-// SetReadDeadline implements net.Conn. The closing response's own deadline stays.
+// SetReadDeadline implements net.Conn. It has no effect after the closing response was sent, so that
+// the deadline of closingTimeout stays in force.
 func (c *trackedConn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -69,9 +70,10 @@
 	return c.Conn.SetReadDeadline(t)
 }
 
-// beginRequest records that a request which was read is about to run; false if the closing response
-// was its response. A client may pipeline requests, so that the next one is read before the one
-// before it has its response.
+// beginRequest marks the connection as busy and reports whether the request may run. The request
+// must not run if the closing response was already sent in answer to it. observeRead alone is not
+// enough, because a client may pipeline requests. The next request may then be read before the
+// previous one has its response, and markIdle clears the busy flag after that response.
 func (c *trackedConn) beginRequest() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -79,14 +81,15 @@
 	return !c.closing
 }
 
-// markIdle records that all requests that were begun have their responses.
+// markIdle records that all requests that have begun have their responses.
 func (c *trackedConn) markIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.busy = false
 }
 
-// closeIfIdle sends the closing response, if the connection is idle, and closes it for writing.
+// closeIfIdle sends the closing response and closes the connection for writing, if the connection is
+// idle.
 func (c *trackedConn) closeIfIdle(closingResponse []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -101,19 +104,20 @@
 	}
 }
 
-// connContextKey is the key of a request's trackedConn in its context.
+// connContextKey is the context key of the trackedConn of a request.
 type connContextKey struct{}
 
-// withTrackedConn puts a connection into the context of its requests.
+// withTrackedConn returns a context for the requests of a connection that contains the connection.
 func withTrackedConn(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, connContextKey{}, c)
 }
 
-// rejectAfterClosing runs requests by h, except those whose response was the closing response.
+// rejectAfterClosing returns a handler that passes requests to h, except those that were already
+// answered with the closing response.
 func rejectAfterClosing(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if c, ok := r.Context().Value(connContextKey{}).(*trackedConn); ok && !c.beginRequest() {
-			panic(http.ErrAbortHandler) // ends the connection, which has its response
+			panic(http.ErrAbortHandler) // closes the connection; its response was already sent
 		}
 		h.ServeHTTP(w, r)
 	})
--- a/internal/process/tracked_listener.go
+++ b/internal/process/tracked_listener.go
@@ -10,9 +10,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// trackedListener is a listener that knows its open connections, from the moment that they are
-// accepted, and whether the kernel holds more of them: closing the listener would reset those.
-// (DESIGN 11.3)
+// trackedListener is a listener that tracks its open connections from the moment they are accepted.
+// It also reports whether connections are pending in the kernel: closing the listener would reset
+// them. (DESIGN 11.3)
 type trackedListener struct {
 	net.Listener
 	mu   sync.Mutex
@@ -36,23 +36,23 @@
 	return c, nil
 }
 
-// remove forgets a connection that has ended.
+// remove removes a connection that has ended from the open connections.
 func (l *trackedListener) remove(c *trackedConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.open, c)
 }
 
-// connections lists the open connections.
+// connections returns the open connections, in any order.
 func (l *trackedListener) connections() []*trackedConn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.Collect(maps.Keys(l.open))
 }
 
-// hasPending tells whether the kernel holds connections that were not accepted yet. One that is
-// made between this check and the close of the listener is still reset: a socket has no means
-// against that, so the time between is kept as short as possible.
+// hasPending reports whether the kernel holds connections that have not been accepted yet. A
+// connection that is made between this check and the close of the listener is still reset. The
+// socket API offers no way to prevent this, so the caller keeps that time as short as possible.
 func (l *trackedListener) hasPending() (pending bool) {
 	l.withSocket(func(fd int) {
 		fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}
@@ -62,7 +62,8 @@
 	return pending
 }
 
-// withSocket calls f with the listening socket, if there is one.
+// withSocket calls f with the file descriptor of the listening socket. It does not call f if the
+// listener has no socket or is closed.
 func (l *trackedListener) withSocket(f func(fd int)) {
 	socket, ok := l.Listener.(syscall.Conn)
 	if !ok {
@@ -72,5 +73,5 @@
 	if err != nil {
 		return
 	}
-	_ = rawConn.Control(func(fd uintptr) { f(int(fd)) }) // a closed one has nothing pending
+	_ = rawConn.Control(func(fd uintptr) { f(int(fd)) }) // fails only on a closed socket, which has no pending connections
 }
--- a/internal/ringlog/ringlog.go
+++ b/internal/ringlog/ringlog.go
@@ -1,5 +1,5 @@
-// Package ringlog is a log in memory: a ring of the newest lines, which is written out when something
-// goes wrong. (DESIGN 12)
+// Package ringlog provides an in-memory log. A ring buffer keeps the newest lines, which are written
+// out when the process fails or an operator requests them. (DESIGN 12)
 package ringlog
 
 import (
@@ -10,19 +10,19 @@
 	"sync"
 )
 
-// Ring is a slog.Handler that keeps the newest lines, as text. It is safe for concurrent use.
+// Ring is a slog.Handler that keeps the newest log lines as text. It is safe for concurrent use.
 type Ring struct {
 	slog.Handler
 	buffer *buffer
 }
 
-// New makes a ring of size lines. Each line is written to echo too, if that is not nil.
+// New returns a ring that keeps size lines. If echo is not nil, each line is also written to echo.
 func New(size int, echo io.Writer) *Ring {
 	b := &buffer{lines: make([][]byte, size), echo: echo}
 	return &Ring{Handler: slog.NewTextHandler(b, &slog.HandlerOptions{Level: slog.LevelInfo}), buffer: b}
 }
 
-// Enabled implements slog.Handler: all but debug lines are kept.
+// Enabled implements slog.Handler. Lines below level Info are not kept.
 func (r *Ring) Enabled(ctx context.Context, level slog.Level) bool {
 	return r.Handler.Enabled(ctx, level)
 }
@@ -37,16 +37,16 @@
 	return &Ring{Handler: r.Handler.WithGroup(name), buffer: r.buffer}
 }
 
-// WriteTo implements io.WriterTo: it writes the lines that are kept, the oldest first.
+// WriteTo implements io.WriterTo. It writes the kept lines, the oldest first.
 func (r *Ring) WriteTo(w io.Writer) (int64, error) {
 	return r.buffer.writeTo(w)
 }
 
-// buffer is the io.Writer behind the handler, which calls Write once for each line.
+// buffer is the ring buffer. The slog.TextHandler calls Write once for each line.
 type buffer struct {
 	mu    sync.Mutex
-	lines [][]byte // nil where none was written yet
-	next  int      // the index of the oldest line, which is overwritten next
+	lines [][]byte // an element is nil until it is first written
+	next  int      // index of the oldest line, which is overwritten next
 	echo  io.Writer
 }
 
--- a/internal/ringlog/ringlog_test.go
+++ b/internal/ringlog/ringlog_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// The ring keeps the newest lines, oldest first, whichever derived logger wrote them.
+// The ring keeps the newest lines, the oldest first. Loggers that are derived from the same ring
+// write to the same lines. Each kept line is also written to echo.
 func TestKeepsNewestLines(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -34,7 +35,7 @@
 				lines = nil
 			}
 			if len(lines) != len(c.want) {
-				t.Fatalf("kept %q, want lines with %q", lines, c.want)
+				t.Fatalf("kept lines %q, want lines that end with %q", lines, c.want)
 			}
 			for i, want := range c.want {
 				if !strings.HasSuffix(lines[i], want) {
@@ -42,7 +43,7 @@
 				}
 			}
 			if !strings.HasSuffix(echo.String(), kept.String()) {
-				t.Errorf("echoed %q, kept %q", echo.String(), kept.String())
+				t.Errorf("echoed %q, want it to end with the kept lines %q", echo.String(), kept.String())
 			}
 		})
 	}
