--- a/internal/actor/rules_test.go
+++ b/internal/actor/rules_test.go
@@ -22,7 +22,7 @@
 
 // Only package actor starts goroutines. No package starts a process, shares memory with one or
 // bypasses the Go runtime.
-func TestRules(t *testing.T) {
+func TestForbiddenConstructs(t *testing.T) {
 	loaded, err := packages.Load(&packages.Config{Mode: packages.NeedName | packages.NeedFiles | packages.NeedSyntax | packages.NeedTypes | packages.NeedImports, Dir: "../.."}, "curlewwalk/...")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/actor/system_test.go
+++ b/internal/actor/system_test.go
@@ -9,8 +9,8 @@
 	"curlewwalk/internal/trace"
 )
 
-// Goroutines and the handlers of actors get a copy of the span of the context they were started
-// or sent a message with.
+// A goroutine gets a copy of the span of the context with which it was started. The handler of an
+// actor gets a copy of the span of the context with which its message was sent.
 func TestSpanPropagates(t *testing.T) {
 	system := New(slog.New(slog.DiscardHandler), func(name string, cause any, _ []byte) { t.Errorf("%s: %v", name, cause) })
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -12,9 +12,9 @@
 	"curlewwalk/internal/actor"
 )
 
-// beginTimeout is how long a call of RequestTraffic waits until a connection is open and
-// accepts the call. After this time the call is certainly not delivered, and its caller can
-// try another node. A connection that is still being opened can serve a later call.
+// beginTimeout is how long a call of RequestTraffic waits until a connection is open and has
+// accepted the call. A call that times out in this way is certainly not delivered, so its caller
+// can try another node. A connection that is still being opened can serve a later call.
 const beginTimeout = 300 * time.Millisecond
 
 // TrafficClass selects the connection that carries a call. Each class has a connection of its
@@ -183,8 +183,8 @@
 	}
 }
 
-// addConnection adds a connection to the table, and starts a goroutine that reports to Run
-// when the connection has ended.
+// addConnection adds a connection to the table. It starts a goroutine that notifies Run when the
+// connection has ended.
 func (c *Client) addConnection(ctx context.Context, key connectionKey, connection *Connection) {
 	c.updateTable(func(table connectionTable) { table[key] = connection })
 	c.actors.Go(ctx, "transport-watch", func(ctx context.Context) {
--- a/internal/transport/connection.go
+++ b/internal/transport/connection.go
@@ -33,7 +33,7 @@
 	calls    chan *pendingCall
 	inbound  chan inboundEnvelope
 	done     chan struct{}
-	// spawn starts a goroutine that writes a long frame.
+	// spawn starts a goroutine of the connection. name identifies it in the report of a panic.
 	spawn func(name string, run func())
 }
 
--- a/internal/transport/response.go
+++ b/internal/transport/response.go
@@ -11,8 +11,9 @@
 // Response is the outcome of a call.
 type Response struct {
 	Delivery Delivery
-	// Fault is the reason why the call was rejected. If Delivery is Answered, the peer rejected
-	// the call, otherwise this side did. Fault may be empty for a call that was not answered.
+	// Fault is the reason why the call was rejected, by the peer if Delivery is Answered and by
+	// this side otherwise. It is empty for a call that succeeded, and may be empty for a call
+	// that was not answered.
 	Fault string
 	// ConnectionRefused is set if the peer's host refused the connection: no process listens
 	// on the address.
--- a/internal/transport/server_connection.go
+++ b/internal/transport/server_connection.go
@@ -92,10 +92,10 @@
 	}
 }
 
-// respondToPing queues the response to a ping. It discards the response if the queue is full:
-// the queued responses show the peer just as well that this side is alive. It must not block,
-// since the peer may be writing a frame and may read no responses until this side has read
-// that frame. (DESIGN 3.4)
+// respondToPing queues the response to a ping. If the queue is full, it discards the response,
+// because the queued responses already show the peer that this side is alive. It must not block:
+// the peer may be writing a frame, and may read no responses until this side has read that frame.
+// (DESIGN 3.4)
 func (c *serverConnection) respondToPing() {
 	frame := encodePing()
 	select {
@@ -122,8 +122,8 @@
 	}
 }
 
-// flushResponses writes all queued responses, so that the callers of completed calls receive
-// them before the connection is closed.
+// flushResponses writes all queued responses before the connection is closed, so that each call
+// that was handled gets its response.
 func (c *serverConnection) flushResponses() {
 	for {
 		select {
