--- a/internal/metrics/counter_vec.go
+++ b/internal/metrics/counter_vec.go
@@ -6,14 +6,15 @@
 	"sync/atomic"
 )
 
-// separator stands between the label values in a key; none contains it.
+// separator joins the label values in a key. No label value contains it.
 const separator = "\x00"
 
-// CounterVec is a counter for each combination of one or more label values. The
-// zero value is ready for use, from any goroutine.
-type CounterVec struct{ counters sync.Map } // of *atomic.Uint64, by the joined labels
+// CounterVec contains a counter for each combination of one or more label
+// values. The zero value is ready for use. It is safe for concurrent use.
+type CounterVec struct{ counters sync.Map } // joined label values -> *atomic.Uint64
 
-// Inc counts one under the label values, which must always be as many.
+// Inc increments the counter of the given label values. The number of label
+// values must be the same in every call.
 func (v *CounterVec) Inc(labels ...string) {
 	key := strings.Join(labels, separator)
 	counter, ok := v.counters.Load(key)
@@ -23,7 +24,8 @@
 	counter.(*atomic.Uint64).Add(1)
 }
 
-// Collect is a ReadFunc of all counters.
+// Collect emits the value of each counter with its label values. It is a
+// ReadFunc.
 func (v *CounterVec) Collect(emit EmitFunc) {
 	v.counters.Range(func(key, counter any) bool {
 		emit(float64(counter.(*atomic.Uint64).Load()), strings.Split(key.(string), separator)...)
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,6 +1,7 @@
 // Package metrics serves a process's counters and gauges in the Prometheus text
-// format. A metric is read when it is scraped, from the counters that the parts
-// keep anyway: between scrapes it costs nothing. (DESIGN 12)
+// format. A metric is read only when it is scraped, from counters that the
+// process maintains in any case, so metrics cost nothing between scrapes.
+// (DESIGN 12)
 package metrics
 
 import (
@@ -11,16 +12,16 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// namespace is the prefix of all names of the project's own.
+// namespace is the prefix of the names of the project's own metrics.
 const namespace = "curlewwalk"
 
-// EmitFunc reports one value of a metric, with the values of its labels in the
-// order in which the metric names them.
+// EmitFunc reports one value of a metric. The label values are in the order of
+// the metric's label names.
 type EmitFunc func(value float64, labels ...string)
 
-// ReadFunc reports the present values of a metric. The library calls it on
-// goroutines of its own, of several scrapes at a time: it must be safe for
-// concurrent use and may not block for long.
+// ReadFunc reports the current values of a metric. The Prometheus library calls
+// it on its own goroutines, and concurrently for concurrent scrapes, so it must
+// be safe for concurrent use and must not block for long.
 type ReadFunc func(emit EmitFunc)
 
 // Metric is one metric family. It implements prometheus.Collector.
@@ -30,13 +31,14 @@
 	read ReadFunc
 }
 
-// Counter is a metric that only grows while the process lives. Its name is
-// given without the prefix and ends in _total.
+// Counter returns a metric that only increases during the life of the process.
+// The name is given without the namespace and ends in _total.
 func Counter(name, help string, labels []string, read ReadFunc) *Metric {
 	return newMetric(prometheus.CounterValue, name, help, labels, read)
 }
 
-// Gauge is a metric that goes up and down. Its name is given without the prefix.
+// Gauge returns a metric that can increase and decrease. The name is given
+// without the namespace.
 func Gauge(name, help string, labels []string, read ReadFunc) *Metric {
 	return newMetric(prometheus.GaugeValue, name, help, labels, read)
 }
@@ -53,7 +55,7 @@
 func (m *Metric) Describe(out chan<- *prometheus.Desc) { out <- m.desc }
 
 // Collect implements prometheus.Collector. A value with the wrong number of
-// labels is reported to the scraper as an error.
+// labels makes the scrape fail with an error.
 func (m *Metric) Collect(out chan<- prometheus.Metric) {
 	m.read(func(value float64, labels ...string) {
 		sample, err := prometheus.NewConstMetric(m.desc, m.kind, value, labels...)
@@ -64,8 +66,9 @@
 	})
 }
 
-// Handler serves the metrics, and those of the Go runtime and of the process.
-// It panics if two metrics have one name.
+// Handler returns a handler that serves the given metrics, and the Prometheus
+// library's metrics of the Go runtime and of the process. It panics if two
+// metrics have the same name.
 func Handler(all ...*Metric) http.Handler {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
@@ -75,12 +78,12 @@
 	return promhttp.HandlerFor(registry, promhttp.HandlerOpts{})
 }
 
-// Scalar is a reading of a metric without labels.
+// Scalar returns a ReadFunc for a metric without labels, with a single value.
 func Scalar(read func() float64) ReadFunc {
 	return func(emit EmitFunc) { emit(read()) }
 }
 
-// Bool is 1 for true and 0 for false.
+// Bool returns 1 for true and 0 for false.
 func Bool(v bool) float64 {
 	if v {
 		return 1
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -8,16 +8,16 @@
 	"testing"
 )
 
-// scrape reads a handler as Prometheus does.
+// scrape requests the metrics from a handler as Prometheus does.
 func scrape(h http.Handler) (status int, text string) {
 	w := httptest.NewRecorder()
 	h.ServeHTTP(w, httptest.NewRequest("GET", "/metrics", nil))
 	return w.Code, w.Body.String()
 }
 
-// Each value stands under its name and labels, with its type and help, and is
-// read anew at each scrape.
-func TestHandler(t *testing.T) {
+// The handler serves each value with its metric's name, labels, type and help,
+// and reads the value again at each scrape.
+func TestHandlerServesCurrentValues(t *testing.T) {
 	open := 3.0
 	var retries CounterVec
 	h := Handler(
@@ -39,28 +39,29 @@
 		"\nprocess_open_fds ",
 	} {
 		if !strings.Contains(text, want) {
-			t.Errorf("lacks %q", want)
+			t.Errorf("scrape lacks %q", want)
 		}
 	}
 	if status != http.StatusOK {
-		t.Errorf("status %d", status)
+		t.Errorf("got status %d, want 200", status)
 	}
 	open = 4
 	if _, text = scrape(h); !strings.Contains(text, "\ncurlewwalk_requests_in_flight 4\n") {
-		t.Error("an old value was kept")
+		t.Error("second scrape lacks the value 4, which was set after the first scrape")
 	}
 }
 
-// A value with the wrong labels fails its scrape, not the process.
-func TestWrongLabels(t *testing.T) {
+// A value with the wrong number of labels makes the scrape fail with status 500.
+// It does not make the process panic.
+func TestWrongLabelCountFailsScrape(t *testing.T) {
 	status, text := scrape(Handler(Gauge("wrong", "Wrong.", []string{"one"}, func(emit EmitFunc) { emit(1, "a", "b") })))
 	if status != http.StatusInternalServerError || !strings.Contains(text, "curlewwalk_wrong") {
-		t.Errorf("%d %s", status, text)
+		t.Errorf("got status %d, text %q, want status 500 and the metric's name", status, text)
 	}
 }
 
-// Counting from many goroutines loses nothing.
-func TestCounterVecConcurrently(t *testing.T) {
+// Concurrent increments of one counter are all counted.
+func TestCounterVecConcurrentIncrements(t *testing.T) {
 	const workers, each = 8, 1000
 	var vec CounterVec
 	var wg sync.WaitGroup
@@ -75,6 +76,6 @@
 	total := 0.0
 	vec.Collect(func(value float64, _ ...string) { total += value })
 	if total != workers*each {
-		t.Errorf("counted %v, not %d", total, workers*each)
+		t.Errorf("counted %v increments, want %d", total, workers*each)
 	}
 }
--- a/internal/metrics/transport.go
+++ b/internal/metrics/transport.go
@@ -2,8 +2,9 @@
 
 import "curlewwalk/internal/transport"
 
-// Transport returns the metrics of the connections between processes: messages and bytes by
-// kind. The client side sent the calls that it counts, the server side received them.
+// Transport returns the metrics of the connections between processes: the numbers of messages and
+// of bytes, by kind of message. client counts the calls that this process sent, and server the calls
+// that this process received.
 func Transport(client, server *transport.Counters) []*Metric {
 	sides := map[string]*transport.Counters{"client": client, "server": server}
 	labels := []string{"side", "kind", "message"}
@@ -17,7 +18,8 @@
 	}
 }
 
-// bySideAndKind reads one figure of calls and one of responses from all counters.
+// bySideAndKind returns a ReadFunc that emits two values for each side and each kind of message: the
+// values that pick returns for calls and for responses.
 func bySideAndKind(sides map[string]*transport.Counters, pick func(c transport.CallCounts) (calls, responses uint64)) ReadFunc {
 	return func(emit EmitFunc) {
 		for side, counters := range sides {
--- a/internal/settings/common.go
+++ b/internal/settings/common.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Common has the settings of both programs.
+// Common contains the settings that both programs have.
 type Common struct {
 	File    string `long:"settings" short:"f" description:"settings file (INI: name = value); a flag wins over it" no-ini:"true"`
 	Check   bool   `long:"check" description:"check the settings, print what they come to, and exit" no-ini:"true"`
--- a/internal/settings/control_plane.go
+++ b/internal/settings/control_plane.go
@@ -6,43 +6,45 @@
 	"time"
 )
 
-// ControlPlane has the settings of a control plane node.
+// ControlPlane contains the settings of a control plane node.
 type ControlPlane struct {
 	Common
-	// Slot is the replica's static member ID, from 1; zero: it asks the members to join.
+	// Slot is the replica's static member ID, from 1. If it is zero, the replica asks the members
+	// to let it join.
 	Slot int `long:"slot" ini-name:"slot" description:"a static seat: which slot this core takes, from 1; without it the core asks the others for one"`
-	// Slots is how many static members there are.
+	// Slots is the number of static members.
 	Slots int `long:"slots" ini-name:"slots" default:"3" description:"how many slots a system of static seats begins with: 1, 3, 5 or 7"`
-	// Founders are the initial members' transport addresses, in the order of their member IDs.
+	// Founders are the transport addresses of the initial members, in the order of their member IDs.
 	Founders []string `long:"founders" ini-name:"founders" description:"wire address of a core that founds the system, in order; one a line, or several with commas"`
-	// First is set at the first start of a new cluster.
+	// First is true at the first start of a new cluster.
 	First bool `long:"first" ini-name:"first" description:"this is the first start of the whole system, on empty disks"`
-	// GoneAfter is how long a member may be silent before it is removed or replaced.
+	// GoneAfter is how long a member may be unresponsive before it is removed or replaced.
 	GoneAfter time.Duration `long:"gone-after" ini-name:"gone-after" default:"2500ms" description:"how long a core may be unheard before its seat is given to another"`
 	// Data is the data directory.
 	Data string `long:"data" ini-name:"data" description:"data folder (required)"`
 }
 
-// maxFounders bounds the members that a cluster is founded with.
+// maxFounders is the maximum number of initial members of a cluster.
 const maxFounders = 31
 
 const (
-	// maxStaticMembers bounds the static members; their number is odd, as an even one tolerates no
-	// more failures than one less.
+	// maxStaticMembers is the maximum number of static members. Their number must be odd, because an
+	// even number of members tolerates no more failures than the odd number below it.
 	maxStaticMembers = 7
-	// minGoneAfter is far enough above the heartbeat interval that a short pause removes nobody.
+	// minGoneAfter is the minimum of GoneAfter. It is far enough above the heartbeat interval that a
+	// short pause does not remove a member.
 	minGoneAfter = 2 * time.Second
 )
 
-// HasStaticMember tells whether the replica has a member ID by its settings.
+// HasStaticMember reports whether the settings give the replica a static member ID.
 func (s ControlPlane) HasStaticMember() bool { return s.Slot != 0 }
 
-// ReadControlPlane reads and validates the settings of a control plane node, those of groups with
-// them. Exit tells whether the program is to end at once.
+// ReadControlPlane reads and validates the settings of a control plane node, together with those of
+// groups. Exit reports whether the program must exit instead of running.
 func ReadControlPlane(args []string, groups ...Group) (ControlPlane, Exit) {
 	var s ControlPlane
 	exit := read("controlplane", &s, &s.Common, args, groups, s.validate)
-	// The initial members can be asked for the others as well.
+	// The initial members serve as seeds too: a process can ask them for the other members.
 	for _, founder := range s.Founders {
 		if !slices.Contains(s.Seeds, founder) {
 			s.Seeds = append(s.Seeds, founder)
@@ -51,7 +53,7 @@
 	return s, exit
 }
 
-// validate fills in what depends on other settings and adds violations.
+// validate splits the lists in Founders, and records the violations of the settings.
 func (s *ControlPlane) validate(v *validator) {
 	s.Founders = splitLists(s.Founders)
 	s.validateMemberID(v)
@@ -64,8 +66,8 @@
 	}
 }
 
-// validateMemberID checks the static member ID, which a replica must have that has nobody to ask
-// to join.
+// validateMemberID checks the static member ID. A replica must have one if it has no other member
+// that it can ask to join.
 func (s *ControlPlane) validateMemberID(v *validator) {
 	joins := !s.HasStaticMember() && (s.First || len(s.Founders) > 0 || len(s.Seeds) > 0)
 	if s.Slots < 1 || s.Slots > maxStaticMembers || s.Slots%2 == 0 {
@@ -77,7 +79,8 @@
 	}
 }
 
-// validateFounders checks the initial members.
+// validateFounders checks the addresses of the initial members, and that First is set only together
+// with them.
 func (s *ControlPlane) validateFounders(v *validator) {
 	for i, founder := range s.Founders {
 		v.address("founders", founder, true)
@@ -93,7 +96,7 @@
 	}
 }
 
-// splitLists splits values that are lists with commas.
+// splitLists splits comma-separated values into one list, and drops empty items.
 func splitLists(values []string) (items []string) {
 	for _, value := range values {
 		for item := range strings.SplitSeq(value, ",") {
--- a/internal/settings/doc.go
+++ b/internal/settings/doc.go
@@ -1,6 +1,7 @@
-// Package settings reads and validates a program's settings, from a file and from flags; a flag wins
-// over the file. (DESIGN 11)
+// Package settings reads a program's settings from a file and from flags, and validates them. A flag
+// overrides the file. (DESIGN 11)
 //
-// A setting's name is that of its struct tag, in the file, as a flag and in messages alike.
-// docs/OPERATING.md lists all of them; a test holds the page to these structs.
+// The struct tag of a field gives the setting's name, which is the same in the file, on the command
+// line and in messages. docs/OPERATING.md lists all settings; a test compares that page with the
+// structs.
 package settings
--- a/internal/settings/docs_test.go
+++ b/internal/settings/docs_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// settingNames lists the names of a struct's settings.
+// settingNames returns the names of a struct's settings, including those of embedded structs.
 func settingNames(t reflect.Type) (names []string) {
 	for i := range t.NumField() {
 		if f := t.Field(i); f.Anonymous {
@@ -19,7 +19,8 @@
 	return names
 }
 
-// Each setting has its line in docs/OPERATING.md.
+// Each setting has a row in the table of docs/OPERATING.md. The test fails if a setting is added or
+// renamed without the page, and if the structs yield implausibly few settings.
 func TestEachSettingIsDocumented(t *testing.T) {
 	page, err := os.ReadFile("../../docs/OPERATING.md")
 	if err != nil {
@@ -35,10 +36,10 @@
 			documented = documented || len(cells) == 3 && strings.Contains(cells[1], "`"+name+"`")
 		}
 		if !documented {
-			t.Errorf("%s has no line", name)
+			t.Errorf("setting %s has no row in docs/OPERATING.md", name)
 		}
 	}
 	if len(all) < 30 {
-		t.Errorf("%d settings seen", len(all))
+		t.Errorf("found %d settings in the structs, want at least 30", len(all))
 	}
 }
--- a/internal/settings/exit.go
+++ b/internal/settings/exit.go
@@ -1,12 +1,12 @@
 package settings
 
-// Exit tells whether the program is to end at once instead of running: after --help, --version and
-// --check, or over settings that are not valid.
+// Exit describes whether the program exits instead of running. It exits after --help, --version and
+// --check, and if the settings are invalid.
 type Exit struct {
-	// Now is false if the program is to run; the rest is empty then.
+	// Now is true if the program must exit. If it is false, the other fields are empty.
 	Now bool
 	// Code is the process's exit code.
 	Code int
-	// Text is to be printed, on standard error if Code is not zero.
+	// Text is the text to print: on standard error if Code is not zero, else on standard output.
 	Text string
 }
--- a/internal/settings/read.go
+++ b/internal/settings/read.go
@@ -11,11 +11,11 @@
 // Version is the version that --version prints.
 const Version = "curlewwalk 0.1"
 
-// codeInvalid is the exit code over settings that are not valid.
-const codeInvalid = 2
+// exitCodeInvalid is the exit code for invalid settings.
+const exitCodeInvalid = 2
 
-// read fills settings, a pointer to a struct, from the file that args name and from args, and
-// validates them. common is the part of settings that both programs have.
+// read fills settings, a pointer to a struct, from args and from the settings file that args name,
+// and validates the result. common points to the embedded Common of settings.
 func read(program string, settings any, common *Common, args []string, groups []Group, validate func(*validator)) Exit {
 	parser := newParser(program, settings, groups)
 	if err := parseArgs(parser, args); err != nil {
@@ -51,8 +51,8 @@
 	return Exit{}
 }
 
-// newParser makes the parser of a program's settings and of further groups. It panics if a struct's
-// tags are wrong, which no input can cause.
+// newParser returns a parser for a program's settings and for additional groups. It panics if the
+// tags of a struct are malformed, which no input can cause.
 func newParser(program string, settings any, groups []Group) *flags.Parser {
 	parser := flags.NewNamedParser(program, flags.HelpFlag|flags.PassDoubleDash)
 	if _, err := parser.AddGroup("Settings", "", settings); err != nil {
@@ -66,17 +66,17 @@
 	return parser
 }
 
-// parseArgs parses flags; an argument that is no flag is an error.
+// parseArgs parses flags. It returns an error if an argument is not a flag.
 func parseArgs(parser *flags.Parser, args []string) error {
-	rest, err := parser.ParseArgs(args)
-	if err == nil && len(rest) > 0 {
-		err = fmt.Errorf("%q: no such argument", rest[0])
+	remaining, err := parser.ParseArgs(args)
+	if err == nil && len(remaining) > 0 {
+		err = fmt.Errorf("unexpected argument %q", remaining[0])
 	}
 	return err
 }
 
-// parseFile parses a settings file, if there is one, and then the flags again, so that a flag wins
-// over the file.
+// parseFile parses the settings file called name, and then parses the flags again, so that a flag
+// overrides the file. It does nothing if name is empty.
 func parseFile(parser *flags.Parser, name string, args []string) error {
 	if name == "" {
 		return nil
@@ -87,7 +87,7 @@
 	return parseArgs(parser, args)
 }
 
-// invalid is the exit over settings that are not valid, with its text on one line.
+// invalid returns the Exit for invalid settings. It joins the lines of text into one.
 func invalid(program, text string) Exit {
-	return Exit{Now: true, Code: codeInvalid, Text: program + ": settings: " + strings.ReplaceAll(text, "\n", "; ")}
+	return Exit{Now: true, Code: exitCodeInvalid, Text: program + ": settings: " + strings.ReplaceAll(text, "\n", "; ")}
 }
--- a/internal/settings/reload.go
+++ b/internal/settings/reload.go
@@ -5,19 +5,20 @@
 	"slices"
 )
 
-// reloadable has the settings that a SIGHUP applies, by name.
+// reloadable lists the names of the settings that SIGHUP applies without a restart.
 var reloadable = []string{"seed", "drain"}
 
-// ReloadResult is the outcome of a SIGHUP, by the names of the settings that have changed.
+// ReloadResult is the outcome of a reload by SIGHUP. Applied and NeedsRestart contain the names of
+// the settings that changed.
 type ReloadResult struct {
 	Applied      []string `json:"applied"`
 	NeedsRestart []string `json:"needs_restart"`
-	// Fault tells why the settings could not be read; then nothing was applied.
+	// Fault is the reason why the settings could not be read. If it is set, no setting was applied.
 	Fault string `json:"fault,omitempty"`
 }
 
-// Diff lists which settings of two structs of one type differ, by whether they can be applied
-// without a restart.
+// Diff compares two settings structs of the same type. It returns the names of the settings that
+// differ: in Applied those that can be applied without a restart, in NeedsRestart the others.
 func Diff(old, next any) (result ReloadResult) {
 	oldValue, nextValue := reflect.ValueOf(old), reflect.ValueOf(next)
 	for i := range oldValue.NumField() {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -10,7 +10,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// validSettings is a settings file of a sidecar.
+// validSettings is a valid settings file of a sidecar.
 const validSettings = `locality = north
 wire = 127.0.0.1:7400
 control = 127.0.0.1:7401
@@ -21,7 +21,7 @@
 drain = 3s
 `
 
-// writeFile writes a settings file and returns its name.
+// writeFile writes text to a settings file in a temporary directory and returns the file's name.
 func writeFile(t *testing.T, text string) string {
 	t.Helper()
 	name := filepath.Join(t.TempDir(), "settings.ini")
@@ -31,26 +31,27 @@
 	return name
 }
 
-// Settings come from the file; a flag wins over it.
-func TestFileAndFlags(t *testing.T) {
+// Settings come from the file, and a flag overrides the file. A flag that may be repeated replaces the
+// file's values rather than adding to them. Advertise defaults to Wire.
+func TestFlagsOverrideFile(t *testing.T) {
 	s, exit := ReadSidecar([]string{"--settings", writeFile(t, validSettings), "--drain=5s", "--seed=10.0.0.9:1", "--advertise=10.0.0.7:7400"})
 	if exit.Now {
 		t.Fatal(exit.Text)
 	}
 	if s.Zone != "north" || s.Drain != 5*time.Second || s.Advertise != "10.0.0.7:7400" || s.Wire != "127.0.0.1:7400" || s.Outgoing["orders"] != "127.0.0.1:7500" {
-		t.Errorf("%+v", s)
+		t.Errorf("file and flags give %+v, want the file's settings with drain and advertise of the flags", s)
 	}
 	if d := cmp.Diff([]string{"10.0.0.9:1"}, s.Seeds); d != "" {
 		t.Error(d)
 	}
 	if s, _ := ReadSidecar([]string{"--settings", writeFile(t, validSettings)}); len(s.Seeds) != 2 || s.Advertise != s.Wire {
-		t.Errorf("%+v", s)
+		t.Errorf("the file alone gives %+v, want its two seeds, and wire as the advertised address", s)
 	}
 }
 
-// A setting that is not valid is reported on one line that names the setting, the value and what is
-// allowed; exit code 2. --check, --help and --version end with 0.
-func TestExits(t *testing.T) {
+// An invalid setting ends the program with exit code 2, and with one line that names the setting, its
+// value and the allowed values. --check, --help and --version end it with exit code 0.
+func TestExitCodesAndMessages(t *testing.T) {
 	f := writeFile(t, validSettings)
 	controlPlane := []string{"--locality=n", "--wire=127.0.0.1:1", "--control=127.0.0.1:2", "--slot=1", "--data=x"}
 	for _, c := range []struct {
@@ -97,34 +98,35 @@
 			} else {
 				_, exit = ReadSidecar(c.args)
 			}
-			if !exit.Now || exit.Code != c.code || c.code == codeInvalid && strings.Contains(exit.Text, "\n") {
-				t.Errorf("%v: %+v", c.args, exit)
+			if !exit.Now || exit.Code != c.code || c.code == exitCodeInvalid && strings.Contains(exit.Text, "\n") {
+				t.Errorf("%v: got %+v, want an exit with the case's code, and one line of text if the settings are invalid", c.args, exit)
 			}
 			for _, n := range c.names {
 				if !strings.Contains(exit.Text, n) {
-					t.Errorf("%v: %q does not name %s", c.args, exit.Text, n)
+					t.Errorf("%v: text %q does not contain %q", c.args, exit.Text, n)
 				}
 			}
 		})
 	}
 }
 
-// Settings that are not given have their defaults; bodies may have a quarter of a bounded memory.
-func TestBounds(t *testing.T) {
+// Settings that are not given have their defaults. If memory is limited and body-memory is not given,
+// body-memory is a quarter of memory, and at most 256 MiB.
+func TestDefaultsAndBodyMemory(t *testing.T) {
 	f := writeFile(t, validSettings)
 	s, exit := ReadSidecar([]string{"--settings", f})
 	if exit.Now || s.Beat != 500*time.Millisecond || s.Halving != 10*time.Second || s.Shun != time.Second || s.Ramp != 10*time.Second || s.RampFrom != 0.2 || s.Memory != 0 || s.BodyMemory != 256<<20 {
-		t.Errorf("%+v %+v", s, exit)
+		t.Errorf("got settings %+v, exit %+v, want the defaults and no exit", s, exit)
 	}
 	for flags, want := range map[string]int64{"--memory=64": 16 << 20, "--memory=500": 125 << 20, "--memory=4096": 256 << 20, "--memory=500 --body-memory=300000000": 300000000} {
 		if s, exit := ReadSidecar(append([]string{"--settings", f}, strings.Fields(flags)...)); exit.Now || s.BodyMemory != want {
-			t.Errorf("%s: %d, want %d: %+v", flags, s.BodyMemory, want, exit)
+			t.Errorf("%s: got body-memory %d, want %d; exit %+v", flags, s.BodyMemory, want, exit)
 		}
 	}
 }
 
-// A reload tells the settings that it can apply from those that need a restart.
-func TestDiff(t *testing.T) {
+// Diff separates the changed settings that a reload can apply from those that need a restart.
+func TestDiffSeparatesReloadableSettings(t *testing.T) {
 	f := writeFile(t, validSettings)
 	old, _ := ReadSidecar([]string{"--settings", f})
 	next, _ := ReadSidecar([]string{"--settings", f, "--drain=9s", "--seed=10.0.0.9:1", "--inquiries=127.0.0.1:9"})
--- a/internal/settings/validator.go
+++ b/internal/settings/validator.go
@@ -9,18 +9,19 @@
 	"curlewwalk/internal/config"
 )
 
-// maxSeeds bounds the addresses that a process asks first.
+// maxSeeds is the maximum number of seeds, the addresses that a process contacts first.
 const maxSeeds = 3
 
-// validator collects violations, a line each. The first one is what is printed.
+// validator collects violations, one line each. Only the first violation is printed.
 type validator struct{ violations []string }
 
-// addViolation adds that a setting has a value which it must not have.
+// addViolation records that a setting's value is not allowed.
 func (v *validator) addViolation(field string, value any, allowed string) {
 	v.violations = append(v.violations, fmt.Sprintf("%s %q: must be %s", field, fmt.Sprint(value), allowed))
 }
 
-// address checks an IP address and port.
+// address checks that a value is an IP address and port. An empty value is valid if the setting is
+// not required.
 func (v *validator) address(field, value string, required bool) {
 	if value == "" && !required {
 		return
@@ -37,29 +38,29 @@
 	}
 }
 
-// duration checks both bounds of a duration, which are inclusive.
+// duration checks that a duration is from minimum to maximum, both inclusive.
 func (v *validator) duration(field string, value, minimum, maximum time.Duration) {
 	if value < minimum || value > maximum {
 		v.addViolation(field, value, fmt.Sprintf("from %v to %v", minimum, formatBound(maximum)))
 	}
 }
 
-// formatBound formats a bound as a setting would be written: 1m in place of 1m0s.
+// formatBound formats a bound as it is written in a setting: 1m rather than 1m0s.
 func formatBound(d time.Duration) string {
-	if minutes, whole := strings.CutSuffix(d.String(), "m0s"); whole {
+	if minutes, ok := strings.CutSuffix(d.String(), "m0s"); ok {
 		return minutes + "m"
 	}
 	return d.String()
 }
 
-// share checks that a share is from 0 to maxShare; NaN is not.
+// share checks that a share is from 0 to maxShare. NaN is a violation.
 func (v *validator) share(field string, value, maxShare float64) {
 	if !(value >= 0 && value <= maxShare) {
 		v.addViolation(field, value, fmt.Sprintf("from 0 to %v", maxShare))
 	}
 }
 
-// common checks the settings of both programs.
+// common checks the settings that both programs have.
 func (v *validator) common(s *Common) {
 	if !config.IsValidName(s.Zone) {
 		v.addViolation("locality", s.Zone, config.NameRules)
--- a/internal/trace/doc.go
+++ b/internal/trace/doc.go
@@ -1,8 +1,7 @@
-// Package trace implements distributed tracing after Zipkin's model: spans with four events
-// each, whose identifiers travel in B3 headers to clients and backends, and in a binary
-// prefix between nodes. (DESIGN 2)
+// Package trace implements distributed tracing according to Zipkin's model: each span has four
+// events. The identifiers of a span are sent in B3 headers between the mesh and its clients and
+// backends, and in a binary prefix between nodes. (DESIGN 2)
 //
-// The current span travels in the context of the work. Events are put onto a bounded Queue,
-// which never delays the traffic, and a Publisher sends them in batches to the collector of
-// their trace.
+// Within a process, a context carries the current span. Events are put into a bounded Queue, which
+// never delays the traffic. A Publisher sends the events in batches to the collector of their trace.
 package trace
--- a/internal/trace/event.go
+++ b/internal/trace/event.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Kind is the kind of an event, by its name in Zipkin.
+// Kind is the kind of an event. Its values are Zipkin's names.
 type Kind string
 
-// The four events of a span: the client's side records the first and the last, the server's
-// side those in between.
+// The four events of a span. The client records the first and the last one, the server those in
+// between.
 const (
 	ClientStart   Kind = "cs"
 	ServerReceive Kind = "sr"
@@ -14,17 +14,17 @@
 	ClientReceive Kind = "cr"
 )
 
-// Event is an event of a span, as a node has recorded it.
+// Event is an event of a span, recorded by one process.
 type Event struct {
 	Trace  TraceID `msgpack:"t"`
 	Span   ID      `msgpack:"s"`
 	Parent ID      `msgpack:"p,omitempty"`
 	Kind   Kind    `msgpack:"k"`
-	// Counter is the span's logical counter. (DESIGN 2.6)
+	// Counter is the value of the span's logical counter at the event. (DESIGN 2.6)
 	Counter uint64 `msgpack:"c"`
 
-	// Node and Incarnation name the process that recorded the event. At is the time by its
-	// monotonic clock, which only compares with other events of the same process.
+	// Node and Incarnation identify the process that recorded the event. At is the time of the event
+	// by that process's monotonic clock. It can be compared only with events of the same process.
 	Node        string        `msgpack:"n"`
 	Incarnation uint64        `msgpack:"b"`
 	At          time.Duration `msgpack:"at"`
@@ -33,15 +33,15 @@
 	Service  string `msgpack:"sv,omitempty"`
 	Caller   string `msgpack:"cl,omitempty"`
 	Instance string `msgpack:"i,omitempty"`
-	// Status is that of HTTP.
+	// Status is the HTTP status.
 	Status  int    `msgpack:"st,omitempty"`
 	Outcome string `msgpack:"o,omitempty"`
 	Reason  string `msgpack:"r,omitempty"`
-	// Attempt numbers the attempts of a request.
+	// Attempt is the number of the attempt within its request.
 	Attempt int `msgpack:"lg,omitempty"`
 
-	// Link says how an outgoing call was linked to its cause, and Candidates are the spans
-	// of all likely causes. (DESIGN 2.5)
+	// Link is how the cause of an outgoing call was determined. Candidates are the spans of all
+	// likely causes. (DESIGN 2.5)
 	Link       Link `msgpack:"ln,omitempty"`
 	Candidates []ID `msgpack:"cd,omitempty"`
 }
--- a/internal/trace/id.go
+++ b/internal/trace/id.go
@@ -6,7 +6,7 @@
 	"strconv"
 )
 
-// ID identifies a span; zero is none. (DESIGN 2.1)
+// ID identifies a span. Zero identifies no span. (DESIGN 2.1)
 type ID uint64
 
 // NewID returns a random ID that is not zero.
@@ -18,10 +18,10 @@
 	}
 }
 
-// String returns the 16 hex digits of B3.
+// String returns the B3 form of the ID: 16 hex digits.
 func (id ID) String() string { return fmt.Sprintf("%016x", uint64(id)) }
 
-// ParseID parses 16 hex digits; anything else, and zero, is no ID.
+// ParseID parses an ID of 16 hex digits. ok is false if s has any other form or is zero.
 func ParseID(s string) (id ID, ok bool) {
 	if len(s) != 16 {
 		return 0, false
--- a/internal/trace/link.go
+++ b/internal/trace/link.go
@@ -1,12 +1,13 @@
 package trace
 
-// Link says how certain the parent of a span is.
+// Link is the certainty of the parent of a span.
 type Link string
 
-// The links: the span has no parent, its parent is proven, or its parent is the likeliest of
-// several candidates.
 const (
-	LinkNone     Link = ""
-	LinkProven   Link = "proven"
+	// LinkNone means that the span has no parent.
+	LinkNone Link = ""
+	// LinkProven means that the parent is certain.
+	LinkProven Link = "proven"
+	// LinkInferred means that the parent is the most likely of several candidates.
 	LinkInferred Link = "inferred"
 )
--- a/internal/trace/prefix.go
+++ b/internal/trace/prefix.go
@@ -2,15 +2,16 @@
 
 import "encoding/binary"
 
-// prefixMagic begins a message with a span. 0xc1 is the one byte that msgpack never writes,
-// so that no plain message can begin with it. (DESIGN 2.2)
+// prefixMagic is the beginning of a message with a span. msgpack never uses the byte 0xc1, so a
+// message without a prefix can't begin with it. (DESIGN 2.2)
 var prefixMagic = [4]byte{0xc1, 'B', '3', 1}
 
-// prefixLen is the length of a prefix in bytes: the magic, and five numbers of 8 bytes,
-// the most significant byte first.
+// prefixLen is the length of a prefix in bytes. A prefix consists of the magic and five big-endian
+// numbers of 8 bytes each.
 const prefixLen = len(prefixMagic) + 5*8
 
-// AppendPrefix appends the prefix of a message, with the identifiers and the counter of s.
+// AppendPrefix appends a message prefix with the identifiers and the logical counter of s to b, and
+// returns the extended slice.
 func AppendPrefix(b []byte, s Span) []byte {
 	b = append(b, prefixMagic[:]...)
 	for _, n := range [...]uint64{s.Trace.Hi, uint64(s.Trace.Lo), uint64(s.ID), uint64(s.Parent), s.Counter()} {
@@ -19,9 +20,9 @@
 	return b
 }
 
-// CutPrefix splits a message into its span and the plain message behind the prefix; traced
-// is false if there is no span. A message without a complete prefix is returned as it is;
-// one whose prefix has no identifiers is returned without the prefix.
+// CutPrefix splits a message into the span of its prefix and the plain message after the prefix.
+// traced is false if the message has no span: if it has no complete prefix, plain is the whole
+// message; if the trace ID or span ID in the prefix is zero, plain is the message without the prefix.
 func CutPrefix(b []byte) (s Span, plain []byte, traced bool) {
 	if len(b) < prefixLen || [4]byte(b[:4]) != prefixMagic {
 		return Span{}, b, false
--- a/internal/trace/publisher.go
+++ b/internal/trace/publisher.go
@@ -5,27 +5,28 @@
 	"time"
 )
 
-// finalFlushTimeout bounds the publishing of what is left when Run ends.
+// finalFlushTimeout is how long Run may take to publish the remaining events after its context ends.
 const finalFlushTimeout = time.Second
 
-// SendFunc sends a batch of events to a collector, and reports whether it was accepted.
+// SendFunc sends a batch of events to a collector, and reports whether the collector accepted it.
 type SendFunc func(ctx context.Context, collector string, batch []Event) bool
 
-// Publisher sends the events of a queue to the collectors of their traces. Several may share
-// a queue.
+// Publisher sends the events of a queue to the collectors of their traces. Several publishers may
+// share a queue.
 type Publisher struct {
 	Queue *Queue
-	// CollectorFor returns the address of a trace's collector; ok is false if there is
-	// none, and then the events count as failed.
+	// CollectorFor returns the address of a trace's collector. ok is false if the trace has no
+	// collector; its events are then discarded and counted as failed.
 	CollectorFor func(TraceID) (collector string, ok bool)
 	Send         SendFunc
-	// FlushInterval and MaxBatch bound how long events wait, and how many of them, before
-	// they are sent.
+	// FlushInterval is the interval at which Run sends the batch that it has collected. A batch that
+	// reaches MaxBatch events is sent immediately.
 	FlushInterval time.Duration
 	MaxBatch      int
 }
 
-// Run publishes until ctx ends, and then what is left in the queue.
+// Run publishes events until ctx ends. It then publishes the remaining events of the queue and
+// returns.
 func (p *Publisher) Run(ctx context.Context) {
 	tick := time.NewTicker(p.FlushInterval)
 	defer tick.Stop()
@@ -46,7 +47,8 @@
 	}
 }
 
-// drain publishes a batch and what is left in the queue, after the end of ctx.
+// drain publishes a batch together with the remaining events of the queue. It is called after ctx
+// has ended.
 func (p *Publisher) drain(ctx context.Context, batch []Event) {
 	for len(p.Queue.events) > 0 {
 		batch = append(batch, <-p.Queue.events)
@@ -56,7 +58,8 @@
 	p.flush(ctx, batch)
 }
 
-// flush sends a batch, split by collector, and returns it empty for reuse.
+// flush sends each event of a batch to its collector, in one message per collector. It returns the
+// batch with length 0 for reuse.
 func (p *Publisher) flush(ctx context.Context, batch []Event) []Event {
 	byCollector := map[string][]Event{}
 	for _, e := range batch {
--- a/internal/trace/queue.go
+++ b/internal/trace/queue.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Queue is a bounded queue of events between the traffic and the publishers. It is safe for
-// concurrent use. (DESIGN 2.4)
+// Queue is a bounded queue of events. The goroutines that handle traffic put events into it, and
+// publishers take them out. It is safe for concurrent use. (DESIGN 2.4)
 type Queue struct {
 	node        string
 	incarnation uint64
@@ -16,26 +16,29 @@
 	accepted, dropped, published, failed atomic.Uint64
 }
 
-// QueueStats are the numbers of events of a queue since its start.
+// QueueStats contains the numbers of events of a queue. All but Queued count since the queue was
+// created.
 type QueueStats struct {
+	// Accepted is the number of events that were put into the queue.
 	Accepted uint64 `json:"taken"`
-	// Dropped is the number of those that found the queue full.
+	// Dropped is the number of events that were discarded because the queue was full.
 	Dropped uint64 `json:"dropped"`
-	// Published and Failed are the numbers of those that a collector accepted, and of those
-	// that none did.
+	// Published is the number of events that a collector accepted, Failed the number of events that
+	// no collector accepted.
 	Published uint64 `json:"published"`
 	Failed    uint64 `json:"failed"`
 	// Queued is the number of events that are in the queue now.
 	Queued int `json:"waiting"`
 }
 
-// NewQueue returns an empty queue for up to size events of a process.
+// NewQueue returns an empty queue for up to size events. node and incarnation identify the process
+// that records them.
 func NewQueue(node string, incarnation uint64, size int) *Queue {
 	return &Queue{node: node, incarnation: incarnation, start: time.Now(), events: make(chan Event, size)}
 }
 
-// Put records an event of s. It sets the fields of e that name the span, the process and the
-// time. It never blocks: if the queue is full, the event is dropped and counted.
+// Put records an event of s. It sets the fields of e that identify the span, the process and the
+// time. It never blocks: if the queue is full, Put drops the event and counts it in Dropped.
 func (q *Queue) Put(s Span, kind Kind, e Event) {
 	e.Trace, e.Span, e.Parent, e.Kind, e.Counter = s.Trace, s.ID, s.Parent, kind, s.NextCounter()
 	e.Node, e.Incarnation, e.At = q.node, q.incarnation, time.Since(q.start)
@@ -47,7 +50,7 @@
 	}
 }
 
-// Stats returns the numbers of events.
+// Stats returns the current numbers of events.
 func (q *Queue) Stats() QueueStats {
 	return QueueStats{
 		Accepted: q.accepted.Load(), Dropped: q.dropped.Load(),
--- a/internal/trace/traceid.go
+++ b/internal/trace/traceid.go
@@ -1,16 +1,16 @@
 package trace
 
-// TraceID identifies a trace, the tree of spans that a request causes. It has 64 bits where a
-// trace begins here, and may have 128 where a client sends it.
+// TraceID identifies a trace, which is the tree of spans that a request causes. A trace that begins
+// in this system has an ID of 64 bits. An ID sent by a client may have 128 bits.
 type TraceID struct {
 	Hi uint64 `msgpack:"h,omitempty"`
 	Lo ID     `msgpack:"l"`
 }
 
-// IsZero reports whether there is no trace.
+// IsZero reports whether t is the zero TraceID, which identifies no trace.
 func (t TraceID) IsZero() bool { return t.Hi == 0 && t.Lo == 0 }
 
-// String returns the hex form of B3: 16 digits, or 32 if the high half is set.
+// String returns the B3 form of the ID: 16 hex digits, or 32 if the high half is not zero.
 func (t TraceID) String() string {
 	if t.Hi == 0 {
 		return t.Lo.String()
@@ -18,8 +18,8 @@
 	return ID(t.Hi).String() + t.Lo.String()
 }
 
-// ParseTraceID parses 16 or 32 hex digits; anything else, and a zero in the low half, is no
-// TraceID.
+// ParseTraceID parses a trace ID of 16 or 32 hex digits. ok is false if s has any other form, or if
+// the low half is zero.
 func ParseTraceID(s string) (id TraceID, ok bool) {
 	if len(s) != 32 {
 		lo, ok := ParseID(s)
