--- a/cmd/controlplane/main.go
+++ b/cmd/controlplane/main.go
@@ -1,5 +1,5 @@
-// Command controlplane is one replica of the control plane: it stores the operator's configuration
-// on its disk, serves it to the sidecars that watch it, and collects spans. (DESIGN 1)
+// Command controlplane runs one replica of the control plane. A replica stores the operator's
+// configuration on disk, serves it to the sidecars that watch it, and collects spans. (DESIGN 1)
 package main
 
 import (
--- a/cmd/controlplane/tzdata.go
+++ b/cmd/controlplane/tzdata.go
@@ -1,4 +1,5 @@
 package main
 
-// The time zones that maintenance calendars name, for machines without a time zone database.
+// Maintenance calendars name time zones. The embedded database makes these names work on machines that
+// have no time zone database.
 import _ "time/tzdata"
--- a/cmd/planner/golden_test.go
+++ b/cmd/planner/golden_test.go
@@ -6,5 +6,5 @@
 	"curlewwalk/tests/golden"
 )
 
-// The planner's flags keep their names and defaults.
+// The names and defaults of the planner's flags do not change.
 func TestGoldenFlags(t *testing.T) { golden.Settings(t, "flags.txt", &options{}) }
--- a/cmd/planner/main.go
+++ b/cmd/planner/main.go
@@ -1,7 +1,9 @@
-// Command planner shows what a change of the configuration, the zones or the nodes would affect, by
-// the state of a live control plane node or of a file. It changes nothing. (DESIGN 16)
+// Command planner prints what a change of the configuration, the zones or the nodes would affect. It
+// computes this from the state of a live control plane node, or from a saved state in a file. It does
+// not change the system. (DESIGN 16)
 //
-// Exit codes: 0 nothing is affected, 1 something is, 2 invalid input.
+// The exit code is 0 if the change affects nothing, 1 if it affects something, and 2 if the input is
+// invalid.
 package main
 
 import (
@@ -15,7 +17,7 @@
 	"curlewwalk/internal/plan"
 )
 
-// The exit codes.
+// The exit codes other than 0.
 const (
 	exitAffected = 1
 	exitInvalid  = 2
@@ -53,7 +55,7 @@
 	}
 }
 
-// assess reads a snapshot, saves it if that is asked for, and works out a change's impact on it.
+// assess reads a snapshot, saves it if o.Save is set, and returns the impact of the change in o on it.
 func assess(o options) (plan.Impact, error) {
 	snapshot, err := readSnapshot(o)
 	if err != nil {
@@ -77,7 +79,7 @@
 	return impact, err
 }
 
-// printImpact prints an impact as text, or as JSON.
+// printImpact prints an impact to standard output, as text or as JSON.
 func printImpact(impact plan.Impact, asJSON bool) {
 	if !asJSON {
 		fmt.Print(impact)
--- a/cmd/planner/snapshot.go
+++ b/cmd/planner/snapshot.go
@@ -15,12 +15,12 @@
 )
 
 // fetchTimeout bounds each request to the control plane node.
-const fetchTimeout = 5 * time.Second // (ours)
+const fetchTimeout = 5 * time.Second
 
-// errNoSource is that of options which name no source of the state, or two.
-var errNoSource = errors.New("one of --core and --state is needed")
+// errNoSource is returned if the options name no source of the state, or two sources.
+var errNoSource = errors.New("exactly one of --core and --state is required")
 
-// readSnapshot takes the state from a file, or from a live control plane node.
+// readSnapshot reads the state from a file or from a live control plane node, whichever o names.
 func readSnapshot(o options) (plan.Snapshot, error) {
 	switch {
 	case (o.ControlPlane == "") == (o.State == ""):
@@ -48,7 +48,7 @@
 	return os.WriteFile(file, b, 0o640)
 }
 
-// The parts of the /v1 documents that a snapshot is made of.
+// The parts of the /v1 documents that a snapshot needs.
 type (
 	stateDocument struct {
 		Replicas []membership.Replica `json:"cores"`
@@ -65,7 +65,7 @@
 	}
 )
 
-// fetchSnapshot reads the state of a live node by its control address.
+// fetchSnapshot reads the state of a live control plane node from its control address.
 func fetchSnapshot(addr string) (snapshot plan.Snapshot, err error) {
 	var state stateDocument
 	var zones zonesDocument
@@ -88,13 +88,13 @@
 	case status == http.StatusOK:
 		snapshot.Configuration = string(body)
 	case status != http.StatusNotFound:
-		return snapshot, fmt.Errorf("/v1/desired: status %d", status)
+		return snapshot, fmt.Errorf("GET /v1/desired: got status %d, want 200 or 404", status)
 	}
 	return snapshot, nil
 }
 
-// insertSelf puts the replica that was asked among those that it knows, by member ID. It replaces
-// one that it knows under its own.
+// insertSelf inserts self, the replica that sent the state, into the replicas that it knows, in the
+// order of the member IDs. It replaces a known replica that has the same member ID as self.
 func insertSelf(replicas []membership.Replica, self membership.Replica) (all []membership.Replica) {
 	inserted := false
 	for _, replica := range replicas {
@@ -111,17 +111,18 @@
 	return all
 }
 
-// fetchDocument reads a JSON document that must exist.
+// fetchDocument reads a JSON document from a control address and decodes it into document. It returns
+// an error if the status is not 200.
 func fetchDocument(addr, path string, document any) error {
 	body, status, err := fetch(addr, path)
 	if err != nil {
 		return err
 	}
 	if status != http.StatusOK {
-		return fmt.Errorf("%s: status %d", path, status)
+		return fmt.Errorf("GET %s: got status %d, want 200", path, status)
 	}
 	if err := json.Unmarshal(body, document); err != nil {
-		return fmt.Errorf("%s: %w", path, err)
+		return fmt.Errorf("decode %s: %w", path, err)
 	}
 	return nil
 }
--- a/cmd/planner/snapshot_test.go
+++ b/cmd/planner/snapshot_test.go
@@ -8,7 +8,8 @@
 	"curlewwalk/internal/membership"
 )
 
-// The replica that was asked stands among the others by its member ID, once.
+// The replica that sent the state is inserted among the others in the order of the member IDs, and
+// occurs once even if the others include its member ID.
 func TestInsertSelf(t *testing.T) {
 	self := membership.Replica{MemberID: 2, Addr: "self"}
 	others := func(memberIDs ...int) (replicas []membership.Replica) {
@@ -26,14 +27,14 @@
 		{"first", others(3, 4), []int{2, 3, 4}},
 		{"between", others(1, 3), []int{1, 2, 3}},
 		{"last", others(0, 1), []int{0, 1, 2}},
-		{"known under its own ID", others(1, 2, 3), []int{1, 2, 3}},
+		{"own member ID already known", others(1, 2, 3), []int{1, 2, 3}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var got []int
 			for _, replica := range insertSelf(c.known, self) {
 				got = append(got, replica.MemberID)
 				if (replica.MemberID == self.MemberID) != (replica.Addr == self.Addr) {
-					t.Errorf("member %d is %s", replica.MemberID, replica.Addr)
+					t.Errorf("member %d has address %q, want the address self for the sender only", replica.MemberID, replica.Addr)
 				}
 			}
 			if diff := cmp.Diff(c.want, got); diff != "" {
@@ -43,12 +44,12 @@
 	}
 }
 
-// The state is read from one source.
+// Options must name exactly one source of the state.
 func TestSnapshotNeedsOneSource(t *testing.T) {
 	for name, o := range map[string]options{"none": {}, "both": {ControlPlane: "127.0.0.1:1", State: "state.json"}} {
 		t.Run(name, func(t *testing.T) {
 			if _, err := readSnapshot(o); err != errNoSource {
-				t.Errorf("%v, want %v", err, errNoSource)
+				t.Errorf("got error %v, want %v", err, errNoSource)
 			}
 		})
 	}
--- a/cmd/sidecar/main.go
+++ b/cmd/sidecar/main.go
@@ -1,5 +1,5 @@
-// Command sidecar is the data plane: it stands beside every caller and every
-// backend of a machine. (DESIGN 1)
+// Command sidecar runs the data plane on one machine. It is the proxy of every
+// caller and every backend on that machine. (DESIGN 1)
 package main
 
 import (
@@ -11,10 +11,10 @@
 )
 
 func main() {
-	set, exit := readSettings()
+	cfg, exit := readSettings()
 	process.Exit(exit)
-	dataplane.New(set, nil).Run(readSettings)
+	dataplane.New(cfg, nil).Run(readSettings)
 }
 
-// readSettings reads the settings of the command line, and of the file that it names.
+// readSettings reads the settings from the command line and from the file that it names.
 func readSettings() (settings.Sidecar, settings.Exit) { return settings.ReadSidecar(os.Args[1:]) }
