--- a/internal/trace/prefix.go
+++ b/internal/trace/prefix.go
@@ -21,8 +21,9 @@
 }
 
 // CutPrefix splits a message into the span of its prefix and the plain message after the prefix.
-// traced is false if the message has no span: if it has no complete prefix, plain is the whole
-// message; if the trace ID or span ID in the prefix is zero, plain is the message without the prefix.
+// traced is false if the message has no span. In that case, plain is
+//   - the whole message, if it has no complete prefix;
+//   - the message without its prefix, if the span ID or the low half of the trace ID is zero.
 func CutPrefix(b []byte) (s Span, plain []byte, traced bool) {
 	if len(b) < prefixLen || [4]byte(b[:4]) != prefixMagic {
 		return Span{}, b, false
