--- a/internal/dataplane/agent.go
+++ b/internal/dataplane/agent.go
@@ -14,53 +14,57 @@
 	"curlewwalk/internal/watch"
 )
 
-// agentConfig is what the settings say about a sidecar's control state.
+// agentConfig holds the agent's configuration, which comes from the sidecar's settings.
 type agentConfig struct {
-	// Addr is the sidecar's transport address, which identifies it.
+	// Addr is the sidecar's transport address, which identifies the sidecar.
 	Addr        string
 	Incarnation uint64
 	Zone        string
-	// HeartbeatInterval is how often own backends are expected to announce themselves.
+	// HeartbeatInterval is the interval at which own backends are expected to announce
+	// themselves.
 	HeartbeatInterval time.Duration
-	// SlowStart is how traffic returns to a zone that has recovered.
+	// SlowStart controls how traffic returns to a zone that has recovered.
 	SlowStart routing.SlowStart
 }
 
-// agentDeps are the parts that the agent uses.
+// agentDeps holds the collaborators of the agent.
 type agentDeps struct {
 	Actors         *actor.System
 	RetryBudgets   *retrybudget.ServiceBudgets
 	LatencyBudgets *retrybudget.LatencyBudgets
-	// Suspects lists the sidecars that this one suspects to have failed.
+	// Suspects returns the sidecars that this sidecar suspects to have failed.
 	Suspects func() []membership.Suspicion
-	// HeartbeatNow makes the next heartbeats leave at once; it doesn't block.
+	// HeartbeatNow triggers an immediate heartbeat to the control plane replicas. It does not
+	// block.
 	HeartbeatNow func()
-	// Notice logs a line for operators; nil for none.
+	// Notice logs a line for operators. It may be nil.
 	Notice func(message string, attributes ...any)
 }
 
-// agent owns the control state of a sidecar. It is an actor: all changes come as messages
-// and are made by handle, one at a time. Others read the immutable snapshots that the
-// atomic pointers hold. (DESIGN 1.3)
+// agent owns the control state of a sidecar. It is an actor: every change arrives as a
+// message, and handle processes one message at a time. Other goroutines read the immutable
+// snapshots behind the atomic pointers. (DESIGN 1.3)
 type agent struct {
 	agentConfig
 	agentDeps
 	mailbox *actor.Mailbox
 
-	// Snapshots, for any goroutine.
+	// Snapshots that any goroutine may read.
 	registry    atomic.Pointer[endpoints.Registry]
 	table       atomic.Pointer[routing.Table]
 	view        atomic.Pointer[membership.View]
 	watchStatus atomic.Pointer[watchStatus]
-	// controlState is what table was made of; nil before the first.
+	// controlState is the state that table was built from. It is nil until the first state is
+	// applied.
 	controlState atomic.Pointer[config.ControlState]
-	// refutation is raised to refute a suspicion of this incarnation. (DESIGN 7.3)
+	// refutation is the refutation number of this incarnation. The agent raises it to refute
+	// a suspicion. (DESIGN 7.3)
 	refutation atomic.Uint64
-	// lease is renewed by updates of the control plane, peerLease by the agreement of a
-	// majority of the sidecars while the control plane has no quorum.
+	// lease is renewed by control plane updates. While the control plane has no quorum,
+	// peerLease is renewed by the agreement of a majority of the sidecars.
 	lease, peerLease endpoints.Lease
 
-	// What follows belongs to the actor.
+	// The fields below are accessed only by the actor.
 	mirror            *watch.Mirror
 	wakeDetector      endpoints.WakeDetector
 	reportLimiter     reportLimiter
@@ -68,13 +72,13 @@
 	pendingDepartures pendingDepartures
 }
 
-// watchStatus is how far this sidecar has come with the updates of the control plane.
+// watchStatus describes the latest control plane update that this sidecar has applied.
 type watchStatus struct {
-	// Replica is the address of the replica that sent the last update, "" before the
-	// first; MemberID is its member.
+	// Replica is the address of the replica that sent the last update, or "" before the first
+	// update. MemberID is the member ID of that replica.
 	Replica  string `json:"core"`
 	MemberID int    `json:"slot"`
-	// Revision is that of the routing table.
+	// Revision is the revision of the routing table.
 	Revision   uint64    `json:"stamp"`
 	LastUpdate time.Time `json:"-"`
 }
@@ -95,7 +99,7 @@
 	return a
 }
 
-// Run sends the agent its ticks until ctx ends.
+// Run sends the agent its periodic messages until ctx ends.
 func (a *agent) Run(ctx context.Context) {
 	tick, wakeCheck := time.NewTicker(membership.HeartbeatInterval), time.NewTicker(endpoints.WakeCheckInterval)
 	defer tick.Stop()
@@ -112,23 +116,24 @@
 	}
 }
 
-// configured reports whether this sidecar has got a configuration and the other sidecars,
-// from the control plane or from a peer.
+// configured reports whether this sidecar has received a configuration and the list of
+// sidecars, either from the control plane or from a peer.
 func (a *agent) configured() bool {
 	return a.watchStatus.Load().Replica != "" || a.controlState.Load() != nil
 }
 
-// updateAge is the time since the last update of the control plane.
+// updateAge returns the time since the last control plane update.
 func (a *agent) updateAge(now time.Time) time.Duration {
 	return now.Sub(a.watchStatus.Load().LastUpdate)
 }
 
-// services lists the services that routes lead to or that have backends.
+// services returns the services that are the target of a route or that have backends. A
+// service may be listed twice.
 func (a *agent) services() []string {
 	return append(a.table.Load().Services(), a.view.Load().Services()...)
 }
 
-// node is what this sidecar reports of itself.
+// node returns this sidecar's own entry in the membership.
 func (a *agent) node() membership.Node {
 	registry := a.registry.Load()
 	return membership.Node{
@@ -146,8 +151,8 @@
 	}
 }
 
-// handleHeartbeatResponse takes a control plane replica's response to a heartbeat. It runs
-// on the heartbeat's goroutine. A suspicion of this incarnation is refuted at once.
+// handleHeartbeatResponse processes a control plane replica's response to a heartbeat. It
+// runs on the heartbeat's goroutine. It refutes a suspicion of this incarnation immediately.
 func (a *agent) handleHeartbeatResponse(ctx context.Context, sent, response membership.Heartbeat) {
 	if len(response.Departed) > 0 {
 		a.mailbox.Send(ctx, msgDeparted{response.Departed})
@@ -163,7 +168,8 @@
 	}
 }
 
-// refute raises the refutation above a suspected one, and reports it if it was not there.
+// refute raises the refutation number above a suspected one and, if the number changes, sends
+// a heartbeat.
 func (a *agent) refute(suspected uint64) {
 	for current := a.refutation.Load(); suspected >= current; current = a.refutation.Load() {
 		if a.refutation.CompareAndSwap(current, suspected+1) {
@@ -172,9 +178,10 @@
 	}
 }
 
-// handleUpdates takes what the control plane sent in response to a request made at
-// requestedAt, and returns once it is in force: the next is not requested before, so that of
-// changes that come faster only the newest is sent. (DESIGN 8.2)
+// handleUpdates applies the updates that a replica sent in response to a request made at
+// requestedAt. It blocks until they are in force. The watcher makes its next request only
+// after that, so when changes arrive faster than they are applied, the replica sends only the
+// newest. (DESIGN 8.2)
 func (a *agent) handleUpdates(ctx context.Context, replica membership.Replica, updates watch.Updates, requestedAt time.Time) {
 	actor.Ask(ctx, a.mailbox, func(applied chan<- bool) any { return msgUpdates{replica, updates, requestedAt, applied} })
 }
--- a/internal/dataplane/agent_backends.go
+++ b/internal/dataplane/agent_backends.go
@@ -6,11 +6,11 @@
 	"curlewwalk/internal/dataplane/endpoints"
 )
 
-// announce registers an own backend, or notes that it is leaving.
+// announce registers an own backend, or marks the backend as leaving.
 func (a *agent) announce(m msgAnnounce, now time.Time) {
 	if a.wakeDetector.CatchingUp(now) && !m.announcement.Draining {
-		// It may have waited while the process was frozen, and the backend be gone: its
-		// next announcement counts.
+		// The announcement may have been queued while the process was frozen, and the backend
+		// may have stopped since. Only the backend's next announcement is applied.
 		m.reply <- nil
 		return
 	}
@@ -21,8 +21,8 @@
 	a.acknowledge(*before, after, now, func() { m.reply <- faults })
 }
 
-// leave notes that an own backend is leaving for good: it gets no more requests, and is removed
-// once it has been silent for long enough.
+// leave marks an own backend as departed. The backend gets no further requests and is removed
+// after it has been silent for long enough.
 func (a *agent) leave(m msgLeave, now time.Time) {
 	before := a.registry.Load()
 	_, known := before.Lookup(m.instance)
@@ -32,8 +32,9 @@
 	a.acknowledge(*before, after, now, func() { m.reply <- known })
 }
 
-// acknowledge answers a backend: at once, unless it has just said that it is leaving. That a
-// control plane replica must have stored first, or acknowledgeTimeout have passed.
+// acknowledge replies to a backend. The reply is immediate unless the change marks a backend
+// as departed. In that case, it is sent once a control plane replica has stored the departure
+// or acknowledgeTimeout has passed.
 func (a *agent) acknowledge(before, after endpoints.Registry, now time.Time, answer func()) {
 	if !after.DepartedSince(before) {
 		answer()
@@ -42,7 +43,8 @@
 	a.pendingDepartures.add(after.Version, now, answer)
 }
 
-// setRegistry puts a registry in force, and reports it if it is a new version.
+// setRegistry replaces the endpoint registry. If the registry's version changes, it rebuilds
+// the view and sends a heartbeat.
 func (a *agent) setRegistry(next endpoints.Registry) {
 	next = next.ScaleShares(a.table.Load().WarmupRate, time.Now())
 	changed := next.Version != a.registry.Load().Version
--- a/internal/dataplane/agent_configuration.go
+++ b/internal/dataplane/agent_configuration.go
@@ -9,7 +9,7 @@
 	"curlewwalk/internal/watch"
 )
 
-// applyUpdates applies what a control plane replica sent.
+// applyUpdates applies updates from a control plane replica.
 func (a *agent) applyUpdates(replica membership.Replica, updates watch.Updates) {
 	state, nodesChanged := a.mirror.Apply(updates)
 	if state != nil {
@@ -26,9 +26,9 @@
 	})
 }
 
-// applyGossip applies what other sidecars reported. Nodes count only while the control plane
-// sends no updates. All that a round brought comes at once, so that the view is rebuilt once
-// a round at most. (DESIGN 7.4)
+// applyGossip applies the combined result of a gossip round. Gossiped nodes are merged only
+// while the control plane sends no updates. A round's results arrive in one message, so a
+// round rebuilds the view at most once. (DESIGN 7.4)
 func (a *agent) applyGossip(update membership.GossipUpdate, now time.Time) {
 	if update.State != nil && a.mirror.AdvanceTo(*update.State) {
 		a.applyState(*update.State)
@@ -41,7 +41,8 @@
 	}
 }
 
-// applyState puts a control state in force, if a routing table can be made of it.
+// applyState puts a control state into force. It ignores a state from which no routing table
+// can be built.
 func (a *agent) applyState(state config.ControlState) {
 	table, ok := routing.NewTable(state)
 	if !ok {
@@ -56,8 +57,8 @@
 	}
 }
 
-// rebuildView makes the view anew from the mirrored nodes and this one, of which the agent
-// itself knows best.
+// rebuildView rebuilds the view from the mirrored nodes. The entry for this sidecar is
+// replaced by the agent's own, which is always the most recent.
 func (a *agent) rebuildView() {
 	a.mirror.Nodes[a.Addr] = a.node()
 	a.view.Store(membership.NewView(a.mirror.Nodes, a.view.Load()))
--- a/internal/dataplane/agent_messages.go
+++ b/internal/dataplane/agent_messages.go
@@ -11,43 +11,47 @@
 	"curlewwalk/internal/watch"
 )
 
-// The messages of the agent. Those with a channel are answered on it, once; the channel has
-// room for the answer.
+// Messages handled by the agent. A message with a channel gets exactly one reply on it. The
+// channel must be buffered so that the reply does not block the agent.
 type (
-	// msgAnnounce is an own backend's announcement. Its answer lists what is wrong with it.
+	// msgAnnounce carries an announcement of an own backend. The reply lists the faults found
+	// in the announcement.
 	msgAnnounce struct {
 		announcement endpoints.Announcement
 		reply        chan<- []string
 	}
-	// msgLeave says that an own backend is leaving. Its answer reports whether it was known.
+	// msgLeave reports that an own backend is leaving. The reply reports whether the backend
+	// was known.
 	msgLeave struct {
 		instance string
 		reply    chan<- bool
 	}
-	// msgDeparted lists backends that left while an earlier incarnation ran.
+	// msgDeparted lists backends that departed during an earlier incarnation of this sidecar.
 	msgDeparted struct{ instances []string }
-	// msgReplicated says that a control plane replica has this node at a version.
+	// msgReplicated reports that a control plane replica has stored the given version of this
+	// node.
 	msgReplicated struct{ version uint64 }
-	// msgUpdates is what a control plane replica sent. It is answered when it is in force.
+	// msgUpdates carries updates from a control plane replica. The reply is sent once they
+	// are in force.
 	msgUpdates struct {
 		replica     membership.Replica
 		updates     watch.Updates
 		requestedAt time.Time
 		applied     chan<- bool
 	}
-	// msgGossip is what a round of queries to other sidecars brought.
+	// msgGossip carries the result of a gossip round.
 	msgGossip struct{ update membership.GossipUpdate }
-	// msgTick comes every membership.HeartbeatInterval.
+	// msgTick is sent every membership.HeartbeatInterval.
 	msgTick struct{}
-	// msgWakeCheck comes every endpoints.WakeCheckInterval.
+	// msgWakeCheck is sent every endpoints.WakeCheckInterval.
 	msgWakeCheck struct{}
-	// msgDrain says that the sidecar is shutting down.
+	// msgDrain reports that the sidecar is shutting down.
 	msgDrain struct{}
-	// msgPing is answered as soon as its turn comes.
+	// msgPing is answered when it is processed. The liveness check uses it.
 	msgPing struct{ reply chan<- bool }
 )
 
-// handle handles one message. The actor calls it, and nothing else does.
+// handle processes one message. Only the actor may call it.
 func (a *agent) handle(_ context.Context, message any) {
 	now := time.Now()
 	a.wakeDetector.Check(now)
--- a/internal/dataplane/api.go
+++ b/internal/dataplane/api.go
@@ -11,10 +11,10 @@
 	"curlewwalk/internal/retrybudget"
 )
 
-// maxAnnouncementSize bounds the body of an announcement, in bytes. (ours)
+// maxAnnouncementSize is the maximum size of an announcement's body, in bytes.
 const maxAnnouncementSize = 64 << 10
 
-// apiHandler serves a sidecar's /v1, /live, /ready and /metrics.
+// apiHandler serves the sidecar's operator API: /v1, /live, /ready, and /metrics.
 func (s *Sidecar) apiHandler() http.Handler {
 	mux := http.NewServeMux()
 	s.process.RegisterCommon(mux, s.checkLiveness, s.Ready)
@@ -30,13 +30,15 @@
 	return mux
 }
 
-// checkLiveness reports whether the agent still handles messages, and what was checked.
+// checkLiveness reports whether the agent still handles messages, and returns the name of the
+// checked component.
 func (s *Sidecar) checkLiveness(ctx context.Context) (live bool, checked string) {
 	_, live = actor.Ask(ctx, s.agent.mailbox, func(reply chan<- bool) any { return msgPing{reply} })
 	return live, "control thread"
 }
 
-// Ready reports whether clients may be sent here, or why not.
+// Ready reports whether clients may send requests to this sidecar. The reason explains the
+// result.
 func (s *Sidecar) Ready(context.Context) (ready bool, reason string) {
 	switch {
 	case s.draining.Load():
@@ -49,25 +51,25 @@
 	return true, "serving"
 }
 
-// Announce registers an own backend, or notes that it is leaving. faults lists what
-// is wrong with the announcement; ok is false if ctx ended first.
+// Announce registers an own backend, or marks the backend as leaving. faults lists the faults
+// found in the announcement. ok is false if ctx ended first.
 func (s *Sidecar) Announce(ctx context.Context, announcement endpoints.Announcement) (faults []string, ok bool) {
 	return actor.Ask(ctx, s.agent.mailbox, func(reply chan<- []string) any { return msgAnnounce{announcement, reply} })
 }
 
-// Leave notes that an own backend is leaving for good. known is false if there is none such; ok is
-// false if ctx ended first.
+// Leave marks an own backend as departed. known reports whether the backend was registered.
+// ok is false if ctx ended first.
 func (s *Sidecar) Leave(ctx context.Context, instance string) (known, ok bool) {
 	return actor.Ask(ctx, s.agent.mailbox, func(reply chan<- bool) any { return msgLeave{instance, reply} })
 }
 
 // announceResponse is the response to an announcement.
 type announceResponse struct {
-	// Outgoing is where the backend sends its own calls.
+	// Outgoing is the address to which the backend sends its own calls.
 	Outgoing string `json:"outgoing"`
-	// Fault says why there is no such address. The backend is registered all the same.
+	// Fault explains why Outgoing is empty. The backend is registered nevertheless.
 	Fault string `json:"fault,omitempty"`
-	// Every is how soon the next announcement should come.
+	// Every is the interval at which the backend should announce itself.
 	Every string `json:"every"`
 }
 
@@ -79,7 +81,7 @@
 	}
 	faults, ok := s.Announce(r.Context(), announcement)
 	if !ok {
-		return // the backend has gone
+		return // the backend has disconnected
 	}
 	if len(faults) > 0 {
 		process.Error(w, http.StatusUnprocessableEntity, faults...)
@@ -114,8 +116,9 @@
 	process.JSON(w, http.StatusOK, s.stats())
 }
 
-// handleBudgets shows the budgets of all contracts in force: of all sidecars together if a
-// control plane replica has sent the totals lately, else of this one.
+// handleBudgets returns the budgets of all contracts in force. The figures are totals over
+// all sidecars if a control plane replica has sent these recently. Otherwise they cover this
+// sidecar only.
 func (s *Sidecar) handleBudgets(w http.ResponseWriter, _ *http.Request) {
 	totals, complete := s.latencyBudgets.Totals()
 	process.JSON(w, http.StatusOK, retrybudget.BudgetList{Complete: complete, Budgets: s.routingTable().BudgetReports(totals)})
--- a/internal/dataplane/causality/inference.go
+++ b/internal/dataplane/causality/inference.go
@@ -4,11 +4,11 @@
 
 const (
 	// rebalancePasses is how often shares are rebalanced at a time: they converge.
-	rebalancePasses = 2 // (ours)
+	rebalancePasses = 2
 	// maxInferences bounds the inferences that are kept for a kind of call.
-	maxInferences = 256 // (ours)
+	maxInferences = 256
 	// minCandidateShare is the share below which a candidate is not reported.
-	minCandidateShare = 0.01 // (ours)
+	minCandidateShare = 0.01
 	// minExpected is the least number of calls that a request is expected to make, so that
 	// no candidate is ever excluded by what was learned.
 	minExpected = 0.02
--- a/internal/dataplane/causality/mixed_traffic.go
+++ b/internal/dataplane/causality/mixed_traffic.go
@@ -9,13 +9,13 @@
 const (
 	// deadlineTolerance is by how much a call may seem to outlive its cause: both tell
 	// their time left in whole milliseconds, and at different moments.
-	deadlineTolerance = 50 * time.Millisecond // (ours)
+	deadlineTolerance = 50 * time.Millisecond
 	// maxForeignShare is the fraction of a route's requests that are certainly clients'
 	// from which on all of them count as clients'.
-	maxForeignShare = 0.01 // (ours)
+	maxForeignShare = 0.01
 	// minSamples is the number of requests of a route that are observed before any of
 	// them is linked.
-	minSamples = 4 // (ours)
+	minSamples = 4
 )
 
 // mixedTraffic counts the requests of a route that may be clients' as well as calls of the
--- a/internal/dataplane/departure_log.go
+++ b/internal/dataplane/departure_log.go
@@ -6,44 +6,49 @@
 	"curlewwalk/internal/dataplane/endpoints"
 )
 
-// departureLog counts and logs what own backends said about leaving, and announcements that
-// did not count: afterwards that explains why a backend got requests, or none. The agent's
-// actor writes it, metrics read the counts.
+// departureLog counts and logs departures of own backends, and announcements that were not
+// applied normally. The log allows an operator to find out later why a backend did or did not
+// receive requests. The agent's actor writes the log. The metrics read the counts from other
+// goroutines.
 type departureLog struct {
-	// notice logs a line for operators; nil for none.
+	// notice logs a line for operators. It may be nil.
 	notice func(message string, attributes ...any)
 	counts [numDepartureEvents]atomic.Int64
 }
 
-// departureEvent is what an announcement or a message of leaving came to, unless it simply
-// registers a backend.
+// departureEvent classifies the effect of an announcement or of a removal request. An
+// announcement that simply registers a backend has no event.
 type departureEvent int
 
 const (
-	// eventLeaving: the backend is leaving from now on.
+	// eventLeaving: the backend was marked as departed.
 	eventLeaving departureEvent = iota
-	// eventUnknownLeft: a backend that isn't known has left.
-	eventUnknownLeft
-	// eventOvertaken: a later announcement of the backend came before this one.
-	eventOvertaken
-	// eventLate: a backend that has left announces itself as if it had not.
-	eventLate
-	// eventDoubted: the announcement is not its backend's first, though none came before.
-	eventDoubted
+	// eventUnknownDeparted: a removal request named a backend that is not registered. The
+	// backend is marked as departed all the same.
+	eventUnknownDeparted
+	// eventSuperseded: a later announcement of the same backend had already arrived.
+	eventSuperseded
+	// eventAfterDeparture: a departed backend announced itself without marking itself as
+	// draining.
+	eventAfterDeparture
+	// eventUnconfirmed: the announcement is not the backend's first, but this sidecar has
+	// received no earlier one.
+	eventUnconfirmed
 	numDepartureEvents
 )
 
-// departureEventNames are the events' names in logs and metrics.
+// departureEventNames holds the names of the events in logs and metrics.
 var departureEventNames = [numDepartureEvents]string{
-	eventLeaving:     "leaving",
-	eventUnknownLeft: "unknown-left",
-	eventOvertaken:   "overtaken",
-	eventLate:        "late",
-	eventDoubted:     "doubted",
+	eventLeaving:         "leaving",
+	eventUnknownDeparted: "unknown-left",
+	eventSuperseded:      "overtaken",
+	eventAfterDeparture:  "late",
+	eventUnconfirmed:     "doubted",
 }
 
 // What said that a backend is leaving, as logged.
 const (
+	// Sources of a departure, as logged.
 	sourceAnnouncement = "announcement"
 	sourceDelete       = "delete"
 )
@@ -58,31 +63,32 @@
 	d.notice("backend departure", attributes...)
 }
 
-// observeAnnouncement records what an announcement came to, from the registry before and
+// observeAnnouncement records the effect of an announcement, given the registry before and
 // after it.
 func (d *departureLog) observeAnnouncement(announcement endpoints.Announcement, before, after endpoints.Registry) {
 	instance, sequence := announcement.Instance, announcement.Sequence
 	endpoint, _ := before.Lookup(instance)
 	switch {
 	case before.HasDeparted(instance) && !announcement.Draining:
-		d.record(eventLate, instance, "sequence", sequence)
+		d.record(eventAfterDeparture, instance, "sequence", sequence)
 	case after.IsUnconfirmed(instance):
-		d.record(eventDoubted, instance, "sequence", sequence)
+		d.record(eventUnconfirmed, instance, "sequence", sequence)
 	case endpoint.Supersedes(announcement):
-		d.record(eventOvertaken, instance, "sequence", sequence)
+		d.record(eventSuperseded, instance, "sequence", sequence)
 	case !before.HasDeparted(instance) && after.HasDeparted(instance):
 		d.record(eventLeaving, instance, "source", sourceAnnouncement, "sequence", sequence)
 	}
 }
 
-// observeRemoval records a message of leaving that is not an announcement. known tells
-// whether the backend was registered, alreadyDeparted whether it had said so before.
+// observeRemoval records a removal request, which is a departure that is not reported by an
+// announcement. known reports whether the backend was registered. alreadyDeparted reports
+// whether the backend had been marked as departed before.
 func (d *departureLog) observeRemoval(instance string, known, alreadyDeparted bool) {
 	switch {
 	case alreadyDeparted:
 	case known:
 		d.record(eventLeaving, instance, "source", sourceDelete)
 	default:
-		d.record(eventUnknownLeft, instance, "source", sourceDelete)
+		d.record(eventUnknownDeparted, instance, "source", sourceDelete)
 	}
 }
--- a/internal/dataplane/departure_log_test.go
+++ b/internal/dataplane/departure_log_test.go
@@ -8,8 +8,8 @@
 	"curlewwalk/internal/dataplane/endpoints"
 )
 
-// An announcement is recorded by what it came to: nothing for one that simply counts, else
-// the one event that explains it.
+// TestDepartureLogOfAnnouncements checks that an announcement is recorded as the event that
+// describes its effect, and that an announcement that is applied normally is not recorded.
 func TestDepartureLogOfAnnouncements(t *testing.T) {
 	now := time.Now()
 	announcement := func(sequence uint64, draining bool) endpoints.Announcement {
@@ -24,13 +24,13 @@
 		announcement endpoints.Announcement
 		event        string // "" for none
 	}{
-		"the first":                        {endpoints.Registry{Started: now}, announcement(1, false), ""},
-		"the next":                         {announced, announcement(3, false), ""},
-		"the backend is leaving":           {announced, announcement(3, true), "leaving"},
-		"it is leaving, said again":        {announced.MarkDeparted("a"), announcement(3, true), ""},
-		"it has left, and says otherwise":  {announced.MarkDeparted("a"), announcement(3, false), "late"},
-		"a later one came before this one": {announced, announcement(1, false), "overtaken"},
-		"it should have been known before": {endpoints.Registry{Started: now.Add(-time.Hour)}, announcement(9, false), "doubted"},
+		"first announcement":                 {endpoints.Registry{Started: now}, announcement(1, false), ""},
+		"next announcement":                  {announced, announcement(3, false), ""},
+		"backend starts draining":            {announced, announcement(3, true), "leaving"},
+		"departed backend repeats draining":  {announced.MarkDeparted("a"), announcement(3, true), ""},
+		"departed backend announces itself":  {announced.MarkDeparted("a"), announcement(3, false), "late"},
+		"superseded by a later announcement": {announced, announcement(1, false), "overtaken"},
+		"earlier announcements are missing":  {endpoints.Registry{Started: now.Add(-time.Hour)}, announcement(9, false), "doubted"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			log, logged := newTestDepartureLog()
@@ -44,16 +44,17 @@
 	}
 }
 
-// A message of leaving is recorded once, also that of a backend that isn't known.
+// TestDepartureLogOfRemovals checks that the removal of a backend is recorded once, also if
+// the backend is not registered.
 func TestDepartureLogOfRemovals(t *testing.T) {
 	for name, c := range map[string]struct {
 		known, alreadyDeparted bool
 		event                  string // "" for none
 	}{
-		"a known backend":         {known: true, event: "leaving"},
-		"an unknown backend":      {event: "unknown-left"},
-		"a backend that has left": {alreadyDeparted: true},
-		"one that is leaving":     {known: true, alreadyDeparted: true},
+		"registered backend":            {known: true, event: "leaving"},
+		"unregistered backend":          {event: "unknown-left"},
+		"unregistered departed backend": {alreadyDeparted: true},
+		"registered departed backend":   {known: true, alreadyDeparted: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			log, logged := newTestDepartureLog()
@@ -63,7 +64,7 @@
 	}
 }
 
-// newTestDepartureLog returns a departure log, and the events that it logs.
+// newTestDepartureLog returns a departure log and the names of the events that it logs.
 func newTestDepartureLog() (log *departureLog, logged *[]string) {
 	logged = &[]string{}
 	return &departureLog{notice: func(_ string, attributes ...any) {
@@ -75,7 +76,8 @@
 	}}, logged
 }
 
-// checkLogged checks that one event was logged and counted, or none if it is "".
+// checkLogged checks that the event, and no other one, was logged and counted. If event is
+// "", no event must have been recorded.
 func checkLogged(t *testing.T, log *departureLog, logged []string, event string) {
 	t.Helper()
 	var want []string
@@ -83,11 +85,11 @@
 		want = []string{event}
 	}
 	if !slices.Equal(logged, want) {
-		t.Errorf("logged %q, not %q", logged, want)
+		t.Errorf("logged events %q, want %q", logged, want)
 	}
 	for counted, name := range departureEventNames {
 		if got := log.counts[counted].Load(); got != 0 != (name == event) {
-			t.Errorf("%q was counted %d times", name, got)
+			t.Errorf("event %q was counted %d times", name, got)
 		}
 	}
 }
--- a/internal/dataplane/doc.go
+++ b/internal/dataplane/doc.go
@@ -1,12 +1,13 @@
-// Package dataplane wires the parts of a sidecar together and serves its operator API.
-// (DESIGN 1)
+// Package dataplane assembles the parts of a sidecar process and serves the sidecar's
+// operator API. (DESIGN 1)
 //
-// A sidecar stands beside the callers and the backends of one machine. A request enters
-// at proxy.Outbound, which chooses a backend by the routing table and sends an attempt to
-// the sidecar beside it; there proxy.Inbound admits the attempt and runs it.
+// A sidecar runs on the same machine as the clients and backends that it serves. A client's
+// request arrives at proxy.Outbound. Outbound chooses a backend from the routing table and
+// sends an attempt to the sidecar on that backend's machine. There, proxy.Inbound admits the
+// attempt and runs it.
 //
-// All control state of the process belongs to the agent, an actor. Everything that other
-// processes report (configuration updates, gossip, announcements of own backends) reaches
-// it as a message; it replaces immutable snapshots (routing table, membership view,
-// endpoint registry) that the request path reads without a lock. (DESIGN 1.3)
+// The agent, an actor, owns all control state of the process. Configuration updates, gossip,
+// and announcements of the sidecar's own backends reach the agent as messages. In response
+// the agent replaces immutable snapshots: the routing table, the membership view, and the
+// endpoint registry. The request path reads these snapshots without locking. (DESIGN 1.3)
 package dataplane
--- a/internal/dataplane/egress.go
+++ b/internal/dataplane/egress.go
@@ -12,35 +12,35 @@
 	"curlewwalk/internal/rendezvous"
 )
 
-// The range of the ports that are given to services: below the one that Linux takes for the
-// local ends of connections.
+// Ports are assigned to services from a range below the ephemeral ports, which Linux assigns
+// to the local ends of connections.
 const (
-	firstPort = 20000 // (ours)
-	portCount = 12000 // (ours)
+	firstPort = 20000
+	portCount = 12000
 )
 
-// egressConfig is what the settings say about outgoing addresses.
+// egressConfig holds the settings of the egress listeners.
 type egressConfig struct {
-	// Host is the IP address of those that are not fixed.
+	// Host is the IP address of the listeners that are not in Fixed.
 	Host netip.Addr
-	// Fixed are addresses (IP:port) by service.
+	// Fixed maps services to fixed addresses (IP:port).
 	Fixed map[string]string
 }
 
-// egressDeps are the parts that the listeners use.
+// egressDeps holds the collaborators of the egress listeners.
 type egressDeps struct {
-	// Services lists the services that this node knows of.
+	// Services returns the services that this node has discovered.
 	Services func() []string
-	// Serve serves a listener until its server is closed.
+	// Serve serves HTTP on a listener until the returned server is closed.
 	Serve func(listener net.Listener, handler http.Handler) *process.HTTPServer
-	// Handler serves the requests of a service's backends.
+	// Handler returns the handler of the requests that a service's backends send.
 	Handler func(service string) http.Handler
 }
 
-// egressListeners are the addresses that own backends send their outgoing calls to: one for
-// each service, so that the address identifies the caller. The port follows from the
-// service's name alone, so that no other service ever gets it, whatever was restarted in
-// between. (DESIGN 9.3)
+// egressListeners manages the addresses to which own backends send their outgoing calls. Each
+// service has its own address, so the address identifies the calling service. The port is
+// derived from the service's name alone. A restart therefore never moves a service to another
+// service's port. (DESIGN 9.3)
 type egressListeners struct {
 	egressConfig
 	egressDeps
@@ -53,12 +53,13 @@
 	return &egressListeners{egressConfig: cfg, egressDeps: deps, servers: map[string]*process.HTTPServer{}}
 }
 
-// portOf is the port of a service.
+// portOf returns the port of a service.
 func portOf(service string) uint16 {
 	return uint16(firstPort + rendezvous.Score("outgoing", service)%portCount)
 }
 
-// portCollisionError says that two services have one port, so that neither gets it.
+// portCollisionError reports that two services map to the same port. Neither service gets the
+// port.
 type portCollisionError struct {
 	port  uint16
 	other string
@@ -69,7 +70,7 @@
 	return fmt.Sprintf("port %d is that of %s too: settings must give one of them an address (outgoing)", e.port, e.other)
 }
 
-// addr returns the address of a service, which it opens if need be.
+// addr returns the address of a service's listener. It opens the listener on the first call.
 func (e *egressListeners) addr(service string) (string, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -88,7 +89,7 @@
 	return listener.Addr().String(), nil
 }
 
-// choose is the address that a service is to have.
+// choose returns the address on which a service's listener is to be opened.
 func (e *egressListeners) choose(service string) (string, error) {
 	if address, ok := e.Fixed[service]; ok {
 		return address, nil
@@ -102,7 +103,7 @@
 	return netip.AddrPortFrom(e.Host, port).String(), nil
 }
 
-// closeIdle closes idle connections, each after the response given.
+// closeIdle writes the response to each idle connection and then closes the connection.
 func (e *egressListeners) closeIdle(ctx context.Context, response []byte) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -111,7 +112,7 @@
 	}
 }
 
-// shutdown closes the addresses; open requests may finish until ctx ends.
+// shutdown closes all listeners. Open requests may finish until ctx ends.
 func (e *egressListeners) shutdown(ctx context.Context) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/dataplane/egress_test.go
+++ b/internal/dataplane/egress_test.go
@@ -7,8 +7,9 @@
 	"testing"
 )
 
-// Of two services whose names come to one port neither is given the other's address; the
-// error names the other.
+// TestPortCollision checks that a service does not get the port of another service. Two
+// service names can hash to the same port. Requests from one service would then be attributed
+// to the other. The error must name the other service.
 func TestPortCollision(t *testing.T) {
 	byPort := map[uint16]string{}
 	for i := 0; ; i++ {
@@ -22,7 +23,7 @@
 		addr, err := e.addr(service)
 		var collision *portCollisionError
 		if !errors.As(err, &collision) || !strings.Contains(err.Error(), other) {
-			t.Errorf("%s got %q, %v though %s has the same port", service, addr, err, other)
+			t.Errorf("addr(%s) = %q, %v; want a port collision error that names %s", service, addr, err, other)
 		}
 		return
 	}
--- a/internal/dataplane/freshness.go
+++ b/internal/dataplane/freshness.go
@@ -6,14 +6,14 @@
 	"curlewwalk/internal/dataplane/endpoints"
 )
 
-// configurationTrustedFor is how long after its last confirmation a configuration is
-// trusted to be the newest: an acknowledged change is in force everywhere within it.
-const configurationTrustedFor = 2 * time.Second // (ours)
+// configurationTrustedFor is how long after its last confirmation a configuration is assumed
+// to be the newest. An acknowledged change is in force on all sidecars within this time.
+const configurationTrustedFor = 2 * time.Second
 
-// leaseValid reports whether this sidecar may admit requests to its backends: its lease has
-// not expired, or the control plane has lost its quorum, so that no newer configuration can
-// be acknowledged, and a majority of the sidecars agree that there is none. (DESIGN 7.2,
-// 7.4)
+// leaseValid reports whether this sidecar may admit requests to its backends. It may do so
+// while its lease has not expired. It may also do so if the control plane has lost its quorum
+// and a majority of the sidecars agree that there is no newer configuration: without a
+// quorum, the control plane cannot acknowledge a newer one. (DESIGN 7.2, 7.4)
 func (s *Sidecar) leaseValid() bool {
 	now := time.Now()
 	if s.agent.lease.Age(now) <= endpoints.LeaseDuration {
@@ -22,24 +22,24 @@
 	return s.peerLeaseValid(now)
 }
 
-// peerLeaseValid reports whether the other sidecars' agreement stands in for the lease.
+// peerLeaseValid reports whether the agreement of the other sidecars replaces the lease.
 func (s *Sidecar) peerLeaseValid(now time.Time) bool {
 	return s.agent.peerLease.Age(now) <= endpoints.LeaseDuration && s.discovery.Replicas().QuorumLost(now)
 }
 
-// configurationUnconfirmed reports whether a newer configuration may have been in force
-// elsewhere for so long that it would be wrong to say that a request has no route.
+// configurationUnconfirmed reports whether a newer configuration may already be in force on
+// other sidecars. In that case, this sidecar must not reject a request for lack of a route.
 // (DESIGN 7.2)
 func (s *Sidecar) configurationUnconfirmed() bool {
 	now := time.Now()
 	return s.agent.lease.Age(now) > configurationTrustedFor && !s.peerLeaseValid(now)
 }
 
-// configurationOutdated reports whether this sidecar must not choose routes by what it has:
-// a live control plane replica reports that a newer revision is committed, and none has
-// confirmed this sidecar's for so long that the newer one is to be in force by now. A
-// sidecar that no replica reaches goes on; admission is bound by the lease of the sidecar
-// that admits. (DESIGN 7.2)
+// configurationOutdated reports whether this sidecar must not route requests by its own
+// configuration. This is the case if a live control plane replica reports a newer committed
+// revision, and this sidecar's revision has not been confirmed for so long that the newer one
+// must be assumed to be in force. A sidecar that no replica can reach continues to route:
+// admission depends on the lease of the sidecar that admits the request. (DESIGN 7.2)
 func (s *Sidecar) configurationOutdated() bool {
 	now := time.Now()
 	return s.agent.lease.Age(now) > configurationTrustedFor && s.discovery.Replicas().CommittedPast(s.routingTable().Revision, now)
--- a/internal/dataplane/idempotency/table.go
+++ b/internal/dataplane/idempotency/table.go
@@ -5,11 +5,11 @@
 const (
 	// Retention is how long a reservation is kept for replays after its request has
 	// completed.
-	Retention = 2 * time.Minute // (ours)
+	Retention = 2 * time.Minute
 	// maxReservations bounds the reservations of a table.
-	maxReservations = 65536 // (ours)
+	maxReservations = 65536
 	// maxResponseBytes bounds the total size of the stored responses.
-	maxResponseBytes = 64 << 20 // (ours)
+	maxResponseBytes = 64 << 20
 )
 
 // Key identifies a reservation.
--- a/internal/dataplane/keyreplication/owner.go
+++ b/internal/dataplane/keyreplication/owner.go
@@ -15,10 +15,10 @@
 const (
 	// recoveryInterval is how often the records of earlier incarnations are asked for
 	// until they have been recovered.
-	recoveryInterval = 20 * time.Millisecond // (ours)
+	recoveryInterval = 20 * time.Millisecond
 	// repairGrace is how long after a start the other owners take to notice it, and to
 	// replace the replicas that an earlier incarnation of this node stored.
-	repairGrace = 1200 * time.Millisecond // (ours)
+	repairGrace = 1200 * time.Millisecond
 	// goroutineName names the goroutines of an owner's calls.
 	goroutineName = "key replication"
 )
--- a/internal/dataplane/keyreplication/placement.go
+++ b/internal/dataplane/keyreplication/placement.go
@@ -9,7 +9,7 @@
 )
 
 // ReplicationFactor is the number of peers that store each record.
-const ReplicationFactor = 2 // (ours)
+const ReplicationFactor = 2
 
 // Peers returns the nodes of a view without the one at ownAddr.
 func Peers(v *membership.View, ownAddr string) []membership.Node {
--- a/internal/dataplane/keyreplication/recovery.go
+++ b/internal/dataplane/keyreplication/recovery.go
@@ -10,11 +10,11 @@
 
 const (
 	// handoverTimeout is how long a peer may take to hand over.
-	handoverTimeout = 400 * time.Millisecond // (ours)
+	handoverTimeout = 400 * time.Millisecond
 	// handoverGrace is how long peers that don't hand over delay the recovery. After it,
 	// fewer than ReplicationFactor of them are tolerated, since each record has another
 	// replica.
-	handoverGrace = 5 * time.Second // (ours)
+	handoverGrace = 5 * time.Second
 )
 
 // recovery collects the records of an owner's earlier incarnations from its peers.
--- a/internal/dataplane/keyreplication/repair.go
+++ b/internal/dataplane/keyreplication/repair.go
@@ -9,7 +9,7 @@
 
 const (
 	// repairBatch is how many replicas are added concurrently.
-	repairBatch = 64 // (ours)
+	repairBatch = 64
 	// repairTime bounds one repair, so that the next view is looked at soon.
 	repairTime = membership.HeartbeatInterval / 2
 )
--- a/internal/dataplane/keyreplication/replica_store.go
+++ b/internal/dataplane/keyreplication/replica_store.go
@@ -8,13 +8,13 @@
 
 const (
 	// maxRecords bounds the records of a ReplicaStore.
-	maxRecords = 131072 // (ours)
+	maxRecords = 131072
 	// maxResponseBytes bounds the total size of the responses in a ReplicaStore or a
 	// ReplicationTracker.
-	maxResponseBytes = 64 << 20 // (ours)
+	maxResponseBytes = 64 << 20
 	// maxHandoverBytes bounds the total size of the responses in a HandoverReply, which
 	// has to fit into one frame.
-	maxHandoverBytes = 24 << 20 // (ours)
+	maxHandoverBytes = 24 << 20
 )
 
 // ReplicaStore holds the records that a node stores for others. It is not safe for
--- a/internal/dataplane/keyreplication/replicate.go
+++ b/internal/dataplane/keyreplication/replicate.go
@@ -14,16 +14,16 @@
 
 const (
 	// storeTimeout is how long a peer may take to store a record.
-	storeTimeout = 150 * time.Millisecond // (ours)
+	storeTimeout = 150 * time.Millisecond
 	// replicationAttempts is how often peers that did not store a record are replaced by
 	// the next.
-	replicationAttempts = 3 // (ours)
+	replicationAttempts = 3
 	// completionTimeout is how long a peer may take to store a response or to release a
 	// record. Nobody waits for it.
 	completionTimeout = 2 * time.Second
 	// maxReplicatedResponse is the size in bytes of the largest response that is
 	// replicated.
-	maxReplicatedResponse = 256 << 10 // (ours)
+	maxReplicatedResponse = 256 << 10
 )
 
 // Reservation is the record of a reservation with the addresses of its replicas.
--- a/internal/dataplane/metrics.go
+++ b/internal/dataplane/metrics.go
@@ -12,11 +12,13 @@
 // Values of the label "side": the client side takes requests of callers, the server side
 // attempts for own backends.
 const (
+	// Values of the label "side". The client side handles requests from clients. The server
+	// side handles attempts for own backends.
 	clientSide = "client"
 	serverSide = "server"
 )
 
-// metricsHandler serves the sidecar's metrics.
+// metricsHandler returns the handler that serves the sidecar's metrics.
 func (s *Sidecar) metricsHandler() http.Handler {
 	var all []*metrics.Metric
 	all = append(all, s.trafficMetrics()...)
@@ -26,7 +28,7 @@
 	return metrics.Handler(all...)
 }
 
-// trafficMetrics are the metrics of the request path.
+// trafficMetrics returns the metrics of the request path.
 func (s *Sidecar) trafficMetrics() []*metrics.Metric {
 	side := []string{"side"}
 	return []*metrics.Metric{
@@ -61,12 +63,12 @@
 	}
 }
 
-// outboundTotal reads one figure of the client side.
+// outboundTotal returns a function that reads one value of the client side's totals.
 func (s *Sidecar) outboundTotal(read func(total proxy.Totals) float64) metrics.ReadFunc {
 	return metrics.Scalar(func() float64 { return read(s.outbound.Counters.Snapshot()) })
 }
 
-// bySide reads the totals of both sides of the proxy.
+// bySide returns a function that reads the totals of each side of the proxy.
 func (s *Sidecar) bySide(read func(total proxy.Totals, emit metrics.EmitFunc, side string)) metrics.ReadFunc {
 	return func(emit metrics.EmitFunc) {
 		read(s.outbound.Counters.Snapshot(), emit, clientSide)
@@ -74,7 +76,7 @@
 	}
 }
 
-// controlMetrics are the metrics of the control state.
+// controlMetrics returns the metrics of the control state.
 func (s *Sidecar) controlMetrics() []*metrics.Metric {
 	return []*metrics.Metric{
 		metrics.Gauge("lease_valid", "Whether requests may be admitted: 1 while the lease on the configuration holds.", nil, metrics.Scalar(func() float64 {
@@ -113,7 +115,7 @@
 	}
 }
 
-// traceMetrics are the metrics of the trace queue.
+// traceMetrics returns the metrics of the trace queue.
 func (s *Sidecar) traceMetrics() []*metrics.Metric {
 	return []*metrics.Metric{
 		metrics.Counter("trace_events_total", "Trace events, by what became of them.", []string{"outcome"}, func(emit metrics.EmitFunc) {
--- a/internal/dataplane/report_limiter_test.go
+++ b/internal/dataplane/report_limiter_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// A single change is reported at once; of a storm as many as its time allows, and the last
-// one in any case.
+// TestReportLimiter checks that a single change is reported immediately. In a burst of
+// changes, the number of reports must stay within the limit, and the last change must be
+// reported.
 func TestReportLimiter(t *testing.T) {
 	var r reportLimiter
 	now := time.Unix(1000, 0)
@@ -14,11 +15,11 @@
 		t.Fatal("a single change was not reported at once")
 	}
 	reported, last, newest := 0, 0, 0
-	const step, storm = 10 * time.Millisecond, 3 * time.Second
-	for at := step; at < storm+2*reportInterval; at += step {
+	const step, burst = 10 * time.Millisecond, 3 * time.Second
+	for at := step; at < burst+2*reportInterval; at += step {
 		now = now.Add(step)
 		due := false
-		if at < storm && at%(90*time.Millisecond) == 0 {
+		if at < burst && at%(90*time.Millisecond) == 0 {
 			newest++
 			due = r.changed(now)
 		} else if at%(100*time.Millisecond) == 0 {
@@ -28,10 +29,10 @@
 			reported, last = reported+1, newest
 		}
 	}
-	if most := int(storm/reportInterval) + 1; reported > most || last != newest {
-		t.Errorf("%d of %d changes were reported, the newest reported is %d", reported, newest, last)
+	if maxReports := int(burst/reportInterval) + 1; reported > maxReports || last != newest {
+		t.Errorf("%d of %d changes were reported, the last of them number %d; want fewer reports, or the newest change reported last", reported, newest, last)
 	}
 	if now = now.Add(time.Second); !r.changed(now) {
-		t.Error("a change after the storm was not reported at once")
+		t.Error("a change after the burst was not reported at once")
 	}
 }
--- a/internal/dataplane/shutdown.go
+++ b/internal/dataplane/shutdown.go
@@ -11,19 +11,26 @@
 )
 
 const (
-	// answerReserve is the part of the grace time that is kept for answering what is still
-	// open: rejected if it was not begun, its outcome unknown if it was. (DESIGN 11.3)
-	answerReserve = 300 * time.Millisecond // (ours)
-	// closeIdleTimeout is how long closing idle client connections may take. (ours)
+	// answerReserve is the part of the drain time that is reserved for answering the requests
+	// that are still open. A request that was not started is rejected. A request that was
+	// started gets the answer that its outcome is unknown. (DESIGN 11.3)
+	answerReserve = 300 * time.Millisecond
+	// closeIdleTimeout bounds the time for closing idle client connections.
 	closeIdleTimeout = 2 * time.Second
-	// stopPollInterval is how often a stopping sidecar checks whether it is done. (ours)
+	// stopPollInterval is the interval at which a stopping sidecar checks whether all
+	// requests have finished.
 	stopPollInterval = 10 * time.Millisecond
 )
 
-// shutdown drains the sidecar. It is unready at once, and its backends are reported as draining
-// and get no new attempts; it serves clients for a while on other sidecars' backends, then
-// refuses them; and what was accepted may finish until abandonAt. What is still open then is
-// answered with what is known of it, within the rest of the grace time. (DESIGN 11.3)
+// shutdown drains the sidecar (DESIGN 11.3) in these steps:
+//
+//  1. The sidecar reports itself as not ready. Its backends are reported as draining and get
+//     no new attempts.
+//  2. For a while, the sidecar still serves clients, using the backends of other sidecars.
+//  3. The sidecar refuses new requests. Requests that were accepted may finish until
+//     abandonAt.
+//  4. Requests that are still open are answered with what is known of their outcome, within
+//     the rest of the drain time.
 func (s *Sidecar) shutdown() {
 	signaledAt, before := time.Now(), s.outbound.Counters.Snapshot()
 	drain := s.reloader.Drain()
@@ -33,9 +40,9 @@
 	s.abandonAt.Store(&abandonAt)
 	s.draining.Store(true)
 	s.agent.mailbox.Send(ctx, msgDrain{})
-	s.serveOn(ctx, drain)
-	s.closed.Store(true)
-	// The outgoing calls of own backends are waited for as well: they belong to requests that
+	s.keepServing(ctx, drain)
+	s.refusing.Store(true)
+	// The wait includes outgoing calls of own backends, since these belong to requests that
 	// were accepted.
 	s.awaitIdle(ctx, abandonAt)
 	abandonedRequests, abandonedAttempts := s.outbound.Counters.InFlight.Load(), s.inbound.Counters.InFlight.Load()
@@ -48,45 +55,46 @@
 	s.reportShutdown(signaledAt, before, abandonedRequests, abandonedAttempts)
 }
 
-// serveOn keeps serving clients for a while: whoever sends them here learns only at the next
+// keepServing continues to serve clients for a while. Load balancers learn only at their next
 // health check that this sidecar is not ready.
-func (s *Sidecar) serveOn(ctx context.Context, drain time.Duration) {
+func (s *Sidecar) keepServing(ctx context.Context, drain time.Duration) {
 	select {
 	case <-time.After(min(s.settings.ServeOn, drain/2)):
 	case <-ctx.Done():
 	}
 }
 
-// refusesClients reports whether clients' requests are refused. The calls of an own backend
-// belong to requests that were accepted: where they can't be distinguished from clients', all that
-// surely end before the shutdown does are taken while the backend runs one. (DESIGN 11.3)
+// refusesClients reports whether requests from clients are refused. Calls of an own backend
+// are not refused, since they belong to requests that were accepted. If such calls cannot be
+// distinguished from requests of clients, then all requests are accepted while the backend is
+// running a request, provided that they end before the shutdown does. (DESIGN 11.3)
 func (s *Sidecar) refusesClients() bool {
-	return s.closed.Load() && (s.settings.Caller == "" || s.inbound.Counters.InFlight.Load() == 0)
+	return s.refusing.Load() && (s.settings.Caller == "" || s.inbound.Counters.InFlight.Load() == 0)
 }
 
-// shutdownTime is the time until which what is still taken must have ended; stopping is
-// false while clients are not refused.
+// shutdownTime returns the time by which requests that are still accepted must have ended.
+// stopping is false until the sidecar refuses clients.
 func (s *Sidecar) shutdownTime() (end time.Time, stopping bool) {
 	at := s.abandonAt.Load()
-	if at == nil || !s.closed.Load() {
+	if at == nil || !s.refusing.Load() {
 		return time.Time{}, false
 	}
 	return *at, true
 }
 
-// awaitIdle waits until nothing is open, or until end.
+// awaitIdle blocks until no request or attempt is open, until end, or until ctx ends.
 func (s *Sidecar) awaitIdle(ctx context.Context, end time.Time) {
 	ctx, cancel := context.WithDeadline(ctx, end)
 	defer cancel()
 	awaitZero(ctx, func() int64 { return s.inbound.Counters.InFlight.Load() + s.outbound.Counters.InFlight.Load() })
 }
 
-// awaitAnswered waits until all requests of callers have got their answers.
+// awaitAnswered blocks until all requests of clients have been answered, or until ctx ends.
 func (s *Sidecar) awaitAnswered(ctx context.Context) {
 	awaitZero(ctx, s.outbound.Counters.InFlight.Load)
 }
 
-// awaitZero waits until a count is zero, or ctx ends.
+// awaitZero blocks until count returns zero, or until ctx ends.
 func awaitZero(ctx context.Context, count func() int64) {
 	tick := time.NewTicker(stopPollInterval)
 	defer tick.Stop()
@@ -99,9 +107,10 @@
 	}
 }
 
-// closeIdleConnections closes the idle connections of callers. One may be sending a request
-// just then, and could not know whether that was read: so the answer to it, that it was not
-// run, is written on the connection first.
+// closeIdleConnections closes the idle connections of clients. A client may be sending a
+// request on such a connection at the same time, and it could not tell whether the sidecar
+// has read that request. Therefore a response that says that the request was not executed is
+// written to the connection before it is closed.
 func (s *Sidecar) closeIdleConnections(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, closeIdleTimeout)
 	defer cancel()
@@ -111,17 +120,17 @@
 	s.egress.closeIdle(ctx, closing)
 }
 
-// closeServers closes the HTTP addresses; open requests may finish until ctx ends.
+// closeServers closes the HTTP listeners. Open requests may finish until ctx ends.
 func (s *Sidecar) closeServers(ctx context.Context) {
 	s.apiServer.Shutdown(ctx)
 	s.requestServer.Shutdown(ctx)
 	s.egress.shutdown(ctx)
 }
 
-// reportShutdown prints what became of the requests that came since the signal to stop: the
-// log ring and the metrics end with the process. abandonedRequests counts the requests of
-// callers that were open when the time was over, abandonedAttempts the attempts for own
-// backends.
+// reportShutdown prints the outcomes of the requests that arrived since the stop signal. They
+// are printed because the log ring and the metrics are lost when the process ends.
+// abandonedRequests is the number of client requests that were still open at abandonAt.
+// abandonedAttempts is the number of attempts for own backends that were open then.
 func (s *Sidecar) reportShutdown(signaledAt time.Time, before proxy.Totals, abandonedRequests, abandonedAttempts int64) {
 	total := s.outbound.Counters.Snapshot()
 	fmt.Fprintf(os.Stdout, "stopped after=%v asked=%d answered=%d not-run=%d unknown=%d given-up=%d attempts-given-up=%d\n",
--- a/internal/dataplane/sidecar.go
+++ b/internal/dataplane/sidecar.go
@@ -20,11 +20,12 @@
 	"curlewwalk/internal/watch"
 )
 
-// Adapter lets a platform speak to a sidecar in words of its own. (DESIGN 18)
+// Adapter connects a sidecar to a platform with its own protocol. (DESIGN 18)
 type Adapter struct {
-	// Dialect translates requests of callers and responses of backends.
+	// Dialect translates requests from clients and responses of backends.
 	Dialect proxy.Dialect
-	// Open opens the platform's own addresses; it is called once, when all parts run.
+	// Open opens the platform's own listeners. New calls it once, after all parts have been
+	// started.
 	Open func(s *Sidecar)
 }
 
@@ -35,14 +36,14 @@
 	dialect  proxy.Dialect
 	reloader *process.Reloader
 
-	// Control state, and what keeps it up to date.
+	// Control state and the components that update it.
 	agent     *agent
 	discovery *membership.Discovery
 	prober    *membership.Prober
 	gossiper  *membership.Gossiper
 	watcher   *watch.Watcher
 
-	// The request path.
+	// Request path.
 	outbound       *proxy.Outbound
 	inbound        *proxy.Inbound
 	egress         *egressListeners
@@ -53,20 +54,21 @@
 	latencyBudgets *retrybudget.LatencyBudgets
 	traceQueue     *trace.Queue
 
-	// apiServer serves operators and backends, requestServer the clients.
+	// apiServer serves operators and backends. requestServer serves clients.
 	apiServer, requestServer *process.HTTPServer
 
-	// draining is set at the start of a shutdown: the sidecar reports itself unready and admits
-	// no new attempts. closed is set later in it: new requests of clients are refused, too.
-	draining, closed atomic.Bool
-	// abandonAt is when a stopping sidecar answers whatever is still open; nil before.
-	// abandonRequests does so.
+	// draining is set at the start of a shutdown: the sidecar then reports itself as not
+	// ready and admits no new attempts. refusing is set later in the shutdown: the sidecar
+	// then also refuses new requests from clients.
+	draining, refusing atomic.Bool
+	// abandonAt is the time at which a stopping sidecar calls abandonRequests to answer all
+	// requests that are still open. It is nil until the shutdown starts.
 	abandonAt       atomic.Pointer[time.Time]
 	abandonRequests context.CancelCauseFunc
 }
 
-// New builds a sidecar from its settings, opens its addresses and starts its parts.
-// adapter may be nil. It ends the process if an address can't be opened.
+// New builds a sidecar from its settings, opens its listeners, and starts its parts. adapter
+// may be nil. New ends the process if a listener cannot be opened.
 func New(set settings.Sidecar, adapter *Adapter) *Sidecar {
 	s := &Sidecar{process: process.New("sidecar", set.Common), settings: set, dialect: proxy.DefaultDialect{}}
 	if adapter != nil {
@@ -99,20 +101,21 @@
 	return s
 }
 
-// memoryLimitPercent is the share of the memory given to the process at which the garbage
-// collector starts to work harder. (ours)
+// memoryLimitPercent is the memory limit of the Go runtime, as a percentage of the memory
+// available to the process. Near this limit, the garbage collector runs more often.
 const memoryLimitPercent = 85
 
-// limitMemory sets the memory given to the process, in MiB; zero is no limit.
+// limitMemory limits the memory of the Go runtime, given the memory available to the process
+// in MiB. Zero means no limit.
 func limitMemory(mebibytes int64) {
 	if mebibytes > 0 {
 		debug.SetMemoryLimit(mebibytes << 20 * memoryLimitPercent / 100)
 	}
 }
 
-// Run prints a line of readiness with the addresses that were opened, waits for a signal
-// to stop, and returns after a graceful shutdown. read reads the settings again, on
-// SIGHUP.
+// Run prints a line with the addresses of the listeners to signal that the sidecar is
+// running. It then blocks until a stop signal arrives, and returns after a graceful shutdown.
+// On SIGHUP, it calls read to read the settings again.
 func (s *Sidecar) Run(read func() (settings.Sidecar, settings.Exit)) {
 	fmt.Fprintf(os.Stdout, "started wire=%s control=%s inquiries=%s\n", s.process.TransportServer.Addr(), s.apiServer.Listener.Addr(), s.requestServer.Listener.Addr())
 	s.process.WaitForStop(func() {
@@ -122,5 +125,5 @@
 	s.shutdown()
 }
 
-// Process is the process that the sidecar runs in.
+// Process returns the process in which the sidecar runs.
 func (s *Sidecar) Process() *process.Process { return s.process }
--- a/internal/dataplane/stats.go
+++ b/internal/dataplane/stats.go
@@ -8,24 +8,25 @@
 	"curlewwalk/internal/trace"
 )
 
-// backendView is an own backend as an operator reads it.
+// backendView describes an own backend in the operator API.
 type backendView struct {
 	membership.Backend
-	// Age is the time since its last announcement.
+	// Age is the time since the backend's last announcement.
 	Age string `json:"age"`
-	// Open is how many requests it runs, Limit how many it may run at a time now.
+	// Open is the number of requests that the backend is running. Limit is the number that it
+	// may currently run at the same time.
 	Open  int64 `json:"open"`
 	Limit int64 `json:"limit"`
-	// Outgoing is where it sends its own calls.
+	// Outgoing is the address to which the backend sends its own calls.
 	Outgoing string `json:"outgoing"`
 }
 
-// backendViews lists the own backends.
+// backendViews returns the own backends.
 func (s *Sidecar) backendViews() []backendView {
 	now := time.Now()
 	views := []backendView{}
 	for _, endpoint := range s.agent.registry.Load().Endpoints() {
-		outgoing, _ := s.egress.addr(endpoint.Service) // it stays empty
+		outgoing, _ := s.egress.addr(endpoint.Service) // empty if the listener cannot be opened
 		views = append(views, backendView{
 			Backend:  endpoint.Backend,
 			Age:      now.Sub(endpoint.LastHeartbeat).String(),
@@ -37,16 +38,16 @@
 	return views
 }
 
-// sidecarStats is what GET /v1/stats shows.
+// sidecarStats is the response to GET /v1/stats.
 type sidecarStats struct {
 	Node        string `json:"node"`
 	Incarnation uint64 `json:"boot"`
 	Zone        string `json:"locality"`
-	// Revision is that of the routing table.
+	// Revision is the revision of the routing table.
 	Revision uint64      `json:"stamp"`
 	Watch    watchStatus `json:"follows"`
-	// UpdateAge is the time since the control plane's last update, LeaseAge since the
-	// moment as of which the lease was renewed.
+	// UpdateAge is the time since the last control plane update. LeaseAge is the time since
+	// the moment as of which the lease was renewed.
 	UpdateAge  string               `json:"news_age"`
 	LeaseAge   string               `json:"claim_age"`
 	LeaseValid bool                 `json:"claimed"`
@@ -55,21 +56,23 @@
 	Inbound    proxy.Totals         `json:"far"`
 	Trace      trace.QueueStats     `json:"trace_queue"`
 	Draining   bool                 `json:"draining"`
-	// Closed tells that requests of clients are refused.
+	// Closed reports whether requests from clients are refused.
 	Closed bool `json:"closed"`
-	// KeysHeld counts the reservations of keys that this node stores for others,
-	// KeysCompleted those of them with a response. KeysRecovered reports whether it has got
-	// back its own of earlier incarnations.
+	// KeysHeld is the number of key reservations that this node stores for other sidecars.
+	// KeysCompleted is the number of those that have a response. KeysRecovered reports
+	// whether this node has recovered the reservations of its own earlier incarnations.
 	KeysHeld      int64 `json:"claims_held"`
 	KeysCompleted int64 `json:"claims_settled"`
 	KeysRecovered bool  `json:"claims_handed_over"`
-	// BodyBytes are the bytes of requests' bodies in memory now, outbound and inbound.
+	// BodyBytes holds the sizes in bytes of the request bodies in memory: outbound, then
+	// inbound.
 	BodyBytes [2]int64 `json:"bodies_held"`
-	// ExtraAttempts is how many extra attempts to each service this node may make now.
+	// ExtraAttempts maps each service to the number of extra attempts that this node may
+	// currently make to it.
 	ExtraAttempts map[string]float64 `json:"extra_legs"`
 }
 
-// stats reads all that GET /v1/stats shows.
+// stats returns the response to GET /v1/stats.
 func (s *Sidecar) stats() sidecarStats {
 	watched := *s.agent.watchStatus.Load()
 	stored, completed := s.replicaServer.Count()
@@ -87,7 +90,7 @@
 		Inbound:       s.inbound.Counters.Snapshot(),
 		Trace:         s.traceQueue.Stats(),
 		Draining:      s.draining.Load(),
-		Closed:        s.closed.Load(),
+		Closed:        s.refusing.Load(),
 		KeysHeld:      stored,
 		KeysCompleted: completed,
 		KeysRecovered: s.outbound.KeyReplication.Recovered(),
--- a/internal/dataplane/trace_publisher.go
+++ b/internal/dataplane/trace_publisher.go
@@ -14,17 +14,17 @@
 )
 
 const (
-	// tracePublishers is how many goroutines drain the trace queue. (ours)
+	// tracePublishers is the number of goroutines that drain the trace queue.
 	tracePublishers = 2
-	// traceFlushInterval is how long events wait for others to be published with. (ours)
+	// traceFlushInterval is the maximum time for which an event waits for its batch to fill.
 	traceFlushInterval = 300 * time.Millisecond
-	// maxTraceBatch is how many events are published at a time. (ours)
+	// maxTraceBatch is the maximum number of events in a batch.
 	maxTraceBatch = 256
-	// tracePublishTimeout is how long a batch may take to be stored. (ours)
+	// tracePublishTimeout bounds the time for storing a batch.
 	tracePublishTimeout = time.Second
 )
 
-// newTracePublisher makes one of the loops that publish trace events.
+// newTracePublisher returns a new publisher of trace events.
 func (s *Sidecar) newTracePublisher() *trace.Publisher {
 	return &trace.Publisher{
 		Queue:         s.traceQueue,
@@ -35,9 +35,9 @@
 	}
 }
 
-// collectorFor is the address of the control plane replica that stores a trace: the first
-// live one by rendezvous of the trace id, of those in the own zone if there are any. ok is
-// false if none is live. (DESIGN 2.6)
+// collectorFor returns the address of the control plane replica that stores a trace. It is
+// the first live replica in the rendezvous order of the trace ID. Replicas in the sidecar's
+// own zone are preferred, if any are live. ok is false if no replica is live. (DESIGN 2.6)
 func (s *Sidecar) collectorFor(id trace.TraceID) (addr string, ok bool) {
 	live := s.discovery.Replicas().Live(time.Now())
 	inZone := slices.DeleteFunc(slices.Clone(live), func(replica membership.Replica) bool { return replica.Zone != s.settings.Zone })
@@ -51,7 +51,8 @@
 	return ranked[0].Addr, true
 }
 
-// publishTraces sends a batch of events to a collector, and reports whether it took them.
+// publishTraces sends a batch of events to a collector and reports whether the collector
+// stored it.
 func (s *Sidecar) publishTraces(ctx context.Context, collector string, batch []trace.Event) bool {
 	ctx, cancel := context.WithTimeout(ctx, tracePublishTimeout)
 	defer cancel()
--- a/internal/dataplane/wiring.go
+++ b/internal/dataplane/wiring.go
@@ -14,7 +14,7 @@
 	"curlewwalk/internal/watch"
 )
 
-// newAgent makes the owner of the control state.
+// newAgent returns the agent, which owns the control state.
 func (s *Sidecar) newAgent() *agent {
 	return newAgent(agentConfig{
 		Addr:              s.settings.Advertise,
@@ -32,7 +32,8 @@
 	})
 }
 
-// newDiscovery makes the part that exchanges heartbeats with the control plane replicas.
+// newDiscovery returns the component that exchanges heartbeats with the control plane
+// replicas.
 func (s *Sidecar) newDiscovery() *membership.Discovery {
 	return membership.NewDiscovery(s.settings.Advertise, membership.DiscoveryDeps{
 		Client: s.process.TransportClient,
@@ -44,7 +45,7 @@
 	})
 }
 
-// newProber makes the part that probes the sidecars which this one monitors.
+// newProber returns the component that probes the sidecars monitored by this one.
 func (s *Sidecar) newProber() *membership.Prober {
 	return membership.NewProber(s.settings.Advertise, membership.ProberDeps{
 		Client:   s.process.TransportClient,
@@ -54,8 +55,8 @@
 	})
 }
 
-// newGossiper makes the part that asks other sidecars while no control plane replica
-// answers. (DESIGN 7.4)
+// newGossiper returns the component that queries other sidecars while no control plane
+// replica responds. (DESIGN 7.4)
 func (s *Sidecar) newGossiper() *membership.Gossiper {
 	return membership.NewGossiper(s.settings.Advertise, membership.GossiperDeps{
 		Client:      s.process.TransportClient,
@@ -71,13 +72,13 @@
 	})
 }
 
-// handleGossip hands on what a round of gossip found.
+// handleGossip passes the result of a gossip round to discovery and to the agent.
 func (s *Sidecar) handleGossip(ctx context.Context, update membership.GossipUpdate) {
 	s.discovery.Receive(membership.Heartbeat{KnownReplicas: update.KnownReplicas})
 	s.agent.mailbox.Send(ctx, msgGossip{update})
 }
 
-// newWatcher makes the part that watches a control plane replica for updates.
+// newWatcher returns the component that watches a control plane replica for updates.
 func (s *Sidecar) newWatcher() *watch.Watcher {
 	return watch.NewWatcher(watch.WatcherConfig{
 		Addr: s.settings.Advertise,
@@ -90,7 +91,7 @@
 	})
 }
 
-// newOutbound makes the client side of the proxy.
+// newOutbound returns the client side of the proxy.
 func (s *Sidecar) newOutbound() *proxy.Outbound {
 	var lifetime context.Context
 	lifetime, s.abandonRequests = context.WithCancelCause(s.process.Context)
@@ -125,7 +126,8 @@
 	})
 }
 
-// newKeyOwner makes the part that replicates this sidecar's idempotency keys to others.
+// newKeyOwner returns the component that replicates this sidecar's idempotency keys to other
+// sidecars.
 func (s *Sidecar) newKeyOwner() *keyreplication.Owner {
 	return keyreplication.NewOwner(keyreplication.OwnerConfig{
 		Addr:        s.settings.Advertise,
@@ -140,7 +142,7 @@
 	})
 }
 
-// newInbound makes the server side of the proxy, beside the own backends.
+// newInbound returns the server side of the proxy, which runs attempts on own backends.
 func (s *Sidecar) newInbound() *proxy.Inbound {
 	return proxy.NewInbound(s.process.Context, proxy.InboundConfig{
 		Incarnation:      s.process.Incarnation,
@@ -158,12 +160,12 @@
 	})
 }
 
-// newBodyLimiter bounds the memory that one side of the proxy takes for bodies.
+// newBodyLimiter returns a limiter of the memory that one side of the proxy uses for bodies.
 func (s *Sidecar) newBodyLimiter() *proxy.BodyLimiter {
 	return &proxy.BodyLimiter{MaxBody: s.settings.MaxBody, MaxTotal: s.settings.BodyMemory}
 }
 
-// newEgressListeners makes the addresses for the own backends' outgoing calls.
+// newEgressListeners returns the listeners for outgoing calls of own backends.
 func (s *Sidecar) newEgressListeners() *egressListeners {
 	return newEgressListeners(egressConfig{
 		Host:  netip.MustParseAddrPort(s.settings.Advertise).Addr(),
@@ -175,7 +177,7 @@
 	})
 }
 
-// registerHandlers sets what other processes may call.
+// registerHandlers registers the handlers of calls from other processes.
 func (s *Sidecar) registerHandlers() {
 	handlers := s.process.TransportServer.Handlers
 	maps.Copy(handlers, s.replicaServer.Handlers())
@@ -186,7 +188,7 @@
 	handlers[proxy.KindCancel] = s.inbound.HandleCancel
 }
 
-// handleHeartbeat answers another process's heartbeat.
+// handleHeartbeat answers a heartbeat of another process.
 func (s *Sidecar) handleHeartbeat(_ context.Context, request transport.Request) (any, error) {
 	var heartbeat membership.Heartbeat
 	if !request.Decode(&heartbeat) {
@@ -200,13 +202,14 @@
 	return membership.Probe{Incarnation: s.process.Incarnation, Refutation: s.agent.refutation.Load()}, nil
 }
 
-// localHeartbeat is what this sidecar reports of itself.
+// localHeartbeat returns the heartbeat that this sidecar sends.
 func (s *Sidecar) localHeartbeat() membership.Heartbeat {
 	node := s.agent.node()
 	return membership.Heartbeat{Node: &node}
 }
 
-// listen opens the addresses, or ends the process. The names are those of the settings.
+// listen opens the listeners, or ends the process if one cannot be opened. The names passed
+// to Listen are those of the settings.
 func (s *Sidecar) listen() {
 	p := s.process
 	p.TransportServer.Listener = p.Listen("wire", s.settings.Wire)
@@ -219,7 +222,7 @@
 	}
 }
 
-// start starts the parts' loops; they end with the process's context.
+// start starts the loops of all components. The loops end with the process's context.
 func (s *Sidecar) start() {
 	s.run("causality", s.causality.Run)
 	s.run("idempotency", s.reservations.Run)
@@ -241,8 +244,8 @@
 	s.process.Actors.Go(s.process.Context, name, loop)
 }
 
-// routingTable is the routing table in force.
+// routingTable returns the routing table in force.
 func (s *Sidecar) routingTable() *routing.Table { return s.agent.table.Load() }
 
-// membershipView is the newest view of all sidecars.
+// membershipView returns the newest view of all sidecars.
 func (s *Sidecar) membershipView() *membership.View { return s.agent.view.Load() }
