--- a/internal/dataplane/causality/call_pattern.go
+++ b/internal/dataplane/causality/call_pattern.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// The delays of calls are counted in buckets, each of which is bucketRatio times as wide as
-// the one before. The first is up to lowestBucket.
+// The delays of calls are counted in a histogram. Each bucket is bucketRatio times as wide as
+// the previous one. The first bucket holds delays up to lowestBucket.
 const (
 	bucketCount  = 56
 	bucketRatio  = 1.25
@@ -14,23 +14,25 @@
 )
 
 const (
-	// minPatternCalls is the number of calls below which a pattern is not used.
+	// minPatternCalls is the minimum number of observed calls for a pattern to be used.
 	minPatternCalls = 8
-	// neighborWeight is the weight of the neighbors of a bucket, which smooths the counts.
+	// neighborWeight is the weight of the two neighbors of a bucket. Including the neighbors
+	// smooths the histogram.
 	neighborWeight = 0.25
-	// emptyBucketWeight is what an empty bucket counts, so that no delay is impossible.
+	// emptyBucketWeight is added to the count of every bucket, so that no delay has zero
+	// likelihood.
 	emptyBucketWeight = 0.02
 )
 
-// callPattern is what was learned of the calls by one route that requests of another make.
-// Inferred calls count by their shares.
+// callPattern describes the calls by one route that are made by the requests of another
+// route. An inferred call is counted by its share.
 type callPattern struct {
 	calls float64
-	// delays counts the calls by their delay after the request's start.
+	// delays counts the calls by their delay after the start of the request.
 	delays [bucketCount]float64
 }
 
-// bucket returns the bucket of a delay.
+// bucket returns the index of a delay's bucket.
 func bucket(delay time.Duration) int {
 	if delay <= lowestBucket {
 		return 0
@@ -38,14 +40,15 @@
 	return min(bucketCount-1, 1+int(math.Log(float64(delay)/float64(lowestBucket))/math.Log(bucketRatio)))
 }
 
-// observe adds a call, or the share of one.
+// observe adds a call, or a share of a call.
 func (p *callPattern) observe(delay time.Duration, share float64) {
 	p.calls += share
 	p.delays[bucket(delay)] += share
 }
 
-// density returns how likely a call is made after a delay, up to a constant factor. If too
-// little was learned, or p is nil, it assumes the same likelihood for each bucket.
+// density returns the likelihood density of a call at a delay, up to a constant factor. If p
+// is nil or has fewer than minPatternCalls calls, density treats all buckets as equally
+// likely.
 func (p *callPattern) density(delay time.Duration) float64 {
 	width := float64(max(delay, lowestBucket))
 	if p == nil || p.calls < minPatternCalls {
@@ -61,22 +64,23 @@
 	return (mass + emptyBucketWeight) / (p.calls + 1) / width
 }
 
-// patterns are the call patterns of all routes.
+// patterns holds the call patterns of all routes.
 type patterns struct {
 	byRoutes map[routePair]*callPattern
-	// completed are the numbers of requests that have ended, by route.
+	// completed counts the requests that have ended, by route.
 	completed map[string]float64
 }
 
-// routePair is the route of requests, and the route of the calls that they make.
+// routePair is the route of a request and the route of a call that the request makes.
 type routePair struct{ request, call string }
 
 func newPatterns() patterns {
 	return patterns{byRoutes: map[routePair]*callPattern{}, completed: map[string]float64{}}
 }
 
-// of returns the pattern of a pair of routes, and adds it if there is none.
-func (p patterns) of(request, call string) *callPattern {
+// getOrCreate returns the pattern of a pair of routes. It adds an empty pattern if there is
+// none.
+func (p patterns) getOrCreate(request, call string) *callPattern {
 	pair := routePair{request, call}
 	pattern := p.byRoutes[pair]
 	if pattern == nil {
@@ -86,12 +90,14 @@
 	return pattern
 }
 
-// density is that of the pattern of a pair of routes.
+// density returns the likelihood density of a call for a pair of routes; see
+// callPattern.density.
 func (p patterns) density(request, call string, delay time.Duration) float64 {
 	return p.byRoutes[routePair{request, call}].density(delay)
 }
 
-// callRate returns how many calls by a route a request of another makes on average.
+// callRate estimates the average number of calls by one route that a request of another route
+// makes.
 func (p patterns) callRate(request, call string) float64 {
 	calls := 0.0
 	if pattern := p.byRoutes[routePair{request, call}]; pattern != nil {
@@ -100,7 +106,8 @@
 	return (calls + 1) / (p.completed[request] + 1)
 }
 
-// expectedCalls returns callRate as a whole number of calls, if it is not far below one.
+// expectedCalls returns callRate rounded to a whole number of calls. A rate below 0.5 is not
+// rounded, but is raised to minExpected if it is lower.
 func (p patterns) expectedCalls(request, call string) float64 {
 	rate := p.callRate(request, call)
 	if rate < 0.5 {
--- a/internal/dataplane/causality/correlator.go
+++ b/internal/dataplane/causality/correlator.go
@@ -12,16 +12,16 @@
 type Correlator struct {
 	openRequests map[trace.ID]*OpenRequest
 	patterns     patterns
-	// inferences are the calls that were linked by inference and have a candidate that
-	// is open, the oldest first.
+	// inferences holds the calls that were linked by inference and have at least one open
+	// candidate, oldest first.
 	inferences map[callKind][]*inference
 	mixed      map[callKind]*mixedTraffic
 }
 
-// callKind is a kind of call: the service that makes it, and the route that it takes.
+// callKind identifies a kind of call by the calling service and the route of the call.
 type callKind struct{ service, route string }
 
-// NewCorrelator returns a correlator that has learned nothing.
+// NewCorrelator returns a correlator without learned call patterns.
 func NewCorrelator() *Correlator {
 	return &Correlator{
 		openRequests: map[trace.ID]*OpenRequest{},
@@ -38,7 +38,7 @@
 }
 
 // End removes an open request. The calls that requests of its route usually make must be
-// among those that were linked, which tells something of earlier inferences.
+// among the calls linked to it. End therefore corrects the shares of earlier inferences.
 func (c *Correlator) End(id trace.ID) {
 	request, ok := c.openRequests[id]
 	if !ok {
@@ -63,7 +63,7 @@
 }
 
 // Link links a call that a service makes by a route. carried is the span that the call
-// itself carries, if any.
+// carries, or the zero span.
 func (c *Correlator) Link(service, route string, carried trace.Span, now time.Time) Cause {
 	if request := c.carriedRequest(service, carried); request != nil {
 		return c.linkProven(request, route, now)
@@ -80,7 +80,7 @@
 	return c.linkInferred(callKind{service, route}, candidates, now)
 }
 
-// carriedRequest returns the open request of a service that a span names, or nil.
+// carriedRequest returns the open request of a service that has the carried span, or nil.
 func (c *Correlator) carriedRequest(service string, carried trace.Span) *OpenRequest {
 	request, ok := c.openRequests[carried.ID]
 	if !ok || request.Service != service || request.Span.Trace != carried.Trace {
@@ -89,7 +89,8 @@
 	return request
 }
 
-// candidates returns the open requests that may be a call's cause, in a fixed order.
+// candidates returns the open requests for which mayCause returns true, in a deterministic
+// order.
 func (c *Correlator) candidates(mayCause func(*OpenRequest) bool) (candidates []*OpenRequest) {
 	for _, request := range c.openRequests {
 		if mayCause(request) {
@@ -102,14 +103,14 @@
 	return candidates
 }
 
-// linkProven links a call to the one request that can have caused it.
+// linkProven links a call to a request that is certainly its cause.
 func (c *Correlator) linkProven(request *OpenRequest, route string, now time.Time) Cause {
 	request.calls[route]++
-	c.patterns.of(request.Route, route).observe(now.Sub(request.StartedAt), 1)
+	c.patterns.getOrCreate(request.Route, route).observe(now.Sub(request.StartedAt), 1)
 	return causeOf(request, trace.LinkProven)
 }
 
-// linkInferred links a call to the likeliest of several candidates.
+// linkInferred links a call to the most likely of several candidates.
 func (c *Correlator) linkInferred(kind callKind, candidates []*OpenRequest, now time.Time) Cause {
 	inferences := c.inferences[kind]
 	inferred := c.newInference(kind, candidates, inferences, now)
--- a/internal/dataplane/causality/doc.go
+++ b/internal/dataplane/causality/doc.go
@@ -1,12 +1,15 @@
-// Package causality finds the inbound request that caused an outgoing call of a backend,
-// although backends pass no trace context along. (DESIGN 2.5)
+// Package causality finds the inbound request that caused an outgoing call of a backend, even
+// though backends do not propagate trace context. (DESIGN 2.5)
 //
-// A call is linked to its cause by the span that it carries, if it does; or because its
-// service has only one open request; or by inference from what was learned of the calls
-// that requests of each route make, and when. What is inferred is marked so, with all
-// candidates, and takes the latest deadline and the highest priority among them: a wrong
-// link must not fail a call that has time left.
+// A call is linked to its cause in one of three ways. If the call carries a span, it is
+// linked to the request with that span. If its service has only one open request, it is
+// linked to that request. Otherwise the cause is inferred from learned call patterns: which
+// calls the requests of each route make, and when they make them.
 //
-// Correlator has the rules; Tracker runs a Correlator on one goroutine for the concurrent
-// requests of a sidecar.
+// An inferred link is marked as inferred and lists all likely candidates. It takes the latest
+// deadline and the highest priority of the candidates, because a wrong link must not fail a
+// call that has time left.
+//
+// Correlator implements the rules. Tracker runs a Correlator on one goroutine on behalf of
+// the concurrent requests of a sidecar.
 package causality
--- a/internal/dataplane/causality/inference.go
+++ b/internal/dataplane/causality/inference.go
@@ -3,14 +3,15 @@
 import "time"
 
 const (
-	// rebalancePasses is how often shares are rebalanced at a time: they converge.
+	// rebalancePasses is the number of passes in one rebalancing. The shares converge over
+	// the passes.
 	rebalancePasses = 2
-	// maxInferences bounds the inferences that are kept for a kind of call.
+	// maxInferences is the maximum number of inferences kept for one kind of call.
 	maxInferences = 256
 	// minCandidateShare is the share below which a candidate is not reported.
 	minCandidateShare = 0.01
-	// minExpected is the least number of calls that a request is expected to make, so that
-	// no candidate is ever excluded by what was learned.
+	// minExpected is the minimum number of calls that a request is expected to make, so that
+	// learned patterns never exclude a candidate entirely.
 	minExpected = 0.02
 )
 
@@ -18,14 +19,15 @@
 type inference struct {
 	at         time.Time
 	candidates []*OpenRequest
-	// shares are the likelihoods of the candidates to be the cause; their sum is 1. They
-	// change with each later call and with each end of a request.
+	// shares holds the likelihood of each candidate to be the cause. The shares add up to 1.
+	// They change with each later call and whenever a request ends.
 	shares []float64
 }
 
-// newInference weighs the candidates of a call by how often, and how long after its start, a
-// request of their route makes such a call, and by the calls that are likely theirs already
-// by earlier inferences.
+// newInference computes the initial share of each candidate of a call. A share depends on how
+// often requests of the candidate's route make such a call, on the likely delay of the call
+// after the start of the request, and on the calls that earlier links have already attributed
+// to the candidate.
 func (c *Correlator) newInference(kind callKind, candidates []*OpenRequest, earlier []*inference, now time.Time) *inference {
 	inferred := &inference{at: now, candidates: candidates, shares: make([]float64, len(candidates))}
 	attributed := attributedCalls(earlier)
@@ -39,8 +41,9 @@
 	return inferred
 }
 
-// rebalance changes the shares so that each call has one cause, and each candidate has no
-// more calls than a request of its route usually makes; one that has ended has just as many.
+// rebalance adjusts the shares so that the shares of each call add up to 1, and so that no
+// candidate is attributed more calls than a request of its route usually makes. A candidate
+// that has ended is attributed exactly that number.
 func (c *Correlator) rebalance(kind callKind, inferences []*inference) {
 	for range rebalancePasses {
 		attributed := attributedCalls(inferences)
@@ -56,16 +59,16 @@
 	}
 }
 
-// learn adds an inference whose candidates have all ended to what is known of calls.
+// learn adds an inference whose candidates have all ended to the call patterns.
 func (c *Correlator) learn(kind callKind, inferred *inference) {
 	for i, candidate := range inferred.candidates {
 		share := inferred.shares[i]
 		candidate.calls[kind.route] += share
-		c.patterns.of(candidate.Route, kind.route).observe(inferred.at.Sub(candidate.StartedAt), share)
+		c.patterns.getOrCreate(candidate.Route, kind.route).observe(inferred.at.Sub(candidate.StartedAt), share)
 	}
 }
 
-// attributedCalls returns the sums of the shares that each candidate has in inferences.
+// attributedCalls returns the sum of each candidate's shares over the inferences.
 func attributedCalls(inferences []*inference) map[*OpenRequest]float64 {
 	calls := map[*OpenRequest]float64{}
 	for _, inferred := range inferences {
@@ -76,7 +79,7 @@
 	return calls
 }
 
-// normalize scales the shares to a sum of 1.
+// normalize scales the shares so that they add up to 1.
 func (f *inference) normalize() {
 	sum := 0.0
 	for _, share := range f.shares {
@@ -91,7 +94,8 @@
 	}
 }
 
-// best returns the index of the likeliest candidate, the first one among equals.
+// best returns the index of the most likely candidate. Of equally likely candidates, it
+// returns the first.
 func (f *inference) best() int {
 	best := 0
 	for i, share := range f.shares {
@@ -102,7 +106,7 @@
 	return best
 }
 
-// allEnded reports whether no candidate is open any more.
+// allEnded reports whether all candidates have ended.
 func (f *inference) allEnded() bool {
 	for _, request := range f.candidates {
 		if !request.ended {
--- a/internal/dataplane/causality/mixed_traffic_test.go
+++ b/internal/dataplane/causality/mixed_traffic_test.go
@@ -9,12 +9,13 @@
 	"curlewwalk/internal/trace"
 )
 
-// mixedCounts counts the links of a run of mixedBackend.
-type mixedCounts struct{ clients, linkedClients, calls, rightCalls int }
+// mixedCounts counts the links made in a run of mixedBackend.
+type mixedCounts struct{ clients, linkedClients, calls, correctCalls int }
 
-// TestMixedTraffic checks a backend that processes nine requests at a time, and whose calls
-// arrive at the same address as clients' requests: after a while, few clients' requests are
-// linked, and enough calls to their true cause.
+// TestMixedTraffic simulates a backend that processes nine requests concurrently and whose
+// calls arrive at the same address as requests from clients. After a learning period, at most
+// 1% of the clients' requests may be linked to a cause, and at least 30% of the calls must be
+// linked to their true cause.
 func TestMixedTraffic(t *testing.T) {
 	var total mixedCounts
 	for seed := range uint64(8) {
@@ -23,17 +24,19 @@
 			total.clients += counts.clients
 			total.linkedClients += counts.linkedClients
 			total.calls += counts.calls
-			total.rightCalls += counts.rightCalls
+			total.correctCalls += counts.correctCalls
 		})
 	}
 	t.Logf("%+v", total)
-	if total.linkedClients*100 > total.clients || total.rightCalls*10 < total.calls*3 || total.calls == 0 {
-		t.Errorf("%d of %d clients' requests linked, %d of %d calls linked rightly", total.linkedClients, total.clients, total.rightCalls, total.calls)
+	if total.linkedClients*100 > total.clients || total.correctCalls*10 < total.calls*3 || total.calls == 0 {
+		t.Errorf("%d of %d requests from clients linked, want at most 1%%; %d of %d calls linked to their true cause, want at least 30%%", total.linkedClients, total.clients, total.correctCalls, total.calls)
 	}
 }
 
-// mixedBackend runs a backend for a minute, and counts from 20 s on. Clients send requests of
-// three routes, one of which has less time left than the open requests.
+// mixedBackend simulates a backend for one minute and counts the links made after the first
+// 20 s. Clients send requests of three routes. The requests of one of these routes have less
+// time left than the open requests, so they cannot be recognized as requests from clients by
+// their deadline.
 func mixedBackend(rng *rand.Rand) (counts mixedCounts) {
 	const concurrency, learningTime = 9, 20 * time.Second
 	correlator, base := NewCorrelator(), time.Now()
@@ -55,7 +58,7 @@
 				if cause := correlator.LinkMixed("home", "check", trace.Span{}, 500*time.Millisecond, at); now > learningTime {
 					counts.calls++
 					if cause.Parent.ID == request.span.ID {
-						counts.rightCalls++
+						counts.correctCalls++
 					}
 				}
 			}
--- a/internal/dataplane/causality/request.go
+++ b/internal/dataplane/causality/request.go
@@ -14,26 +14,27 @@
 	Priority  int
 	StartedAt time.Time
 	Deadline  time.Time
-	// calls are the numbers of outgoing calls that were linked to the request, by their
-	// route; inferred ones count by their shares, once all candidates have ended.
+	// calls counts the outgoing calls linked to the request, by the route of the call.
+	// Inferred calls are counted by their shares, once all their candidates have ended.
 	calls map[string]float64
 	ended bool
 }
 
-// Cause is what an outgoing call was linked to. A zero Parent means that nothing was, and
-// the call begins a trace.
+// Cause is the result of linking an outgoing call. If Parent is zero, the call was not linked
+// to a request and starts a new trace.
 type Cause struct {
 	Parent trace.Span
 	Link   trace.Link
-	// Candidates are the spans of all likely causes, that of Parent first.
+	// Candidates holds the span IDs of all likely causes, starting with that of Parent.
 	Candidates []trace.ID
-	// Deadline is the latest among the candidates; zero if there are none.
+	// Deadline is the latest deadline of the candidates, or zero if there are none.
 	Deadline time.Time
-	// Priority is the highest among the candidates, which is the lowest number.
+	// Priority is the highest priority of the candidates. A lower number means a higher
+	// priority.
 	Priority int
 }
 
-// causeOf returns the cause that is the request alone.
+// causeOf returns a cause with the request as its only candidate.
 func causeOf(request *OpenRequest, link trace.Link) Cause {
 	return Cause{
 		Parent: request.Span, Link: link, Candidates: []trace.ID{request.Span.ID},
--- a/internal/dataplane/causality/tracker_test.go
+++ b/internal/dataplane/causality/tracker_test.go
@@ -8,9 +8,9 @@
 	"curlewwalk/internal/trace"
 )
 
-// TestTrackerHasEnded checks that the methods return after the end of Run, so that requests
-// which are still running then can end as well.
-func TestTrackerHasEnded(t *testing.T) {
+// TestTrackerMethodsReturnAfterRun checks that the methods return after Run has ended.
+// Otherwise requests that are still running when the sidecar stops would block forever.
+func TestTrackerMethodsReturnAfterRun(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	tracker := NewTracker()
@@ -24,9 +24,9 @@
 	select {
 	case cause := <-causes:
 		if !cause.Parent.IsZero() {
-			t.Errorf("linked to %+v", cause)
+			t.Errorf("linked to %+v, want no parent", cause)
 		}
 	case <-time.After(5 * time.Second):
-		t.Error("it waits for a tracker that has ended")
+		t.Error("the methods did not return within 5 s after Run had ended")
 	}
 }
--- a/internal/dataplane/departure_log.go
+++ b/internal/dataplane/departure_log.go
@@ -46,9 +46,8 @@
 	eventUnconfirmed:     "doubted",
 }
 
-// What said that a backend is leaving, as logged.
+// Sources of a departure, as logged.
 const (
-	// Sources of a departure, as logged.
 	sourceAnnouncement = "announcement"
 	sourceDelete       = "delete"
 )
--- a/internal/dataplane/egress.go
+++ b/internal/dataplane/egress.go
@@ -29,7 +29,7 @@
 
 // egressDeps holds the collaborators of the egress listeners.
 type egressDeps struct {
-	// Services returns the services that this node has discovered.
+	// Services returns the services that are known to this node.
 	Services func() []string
 	// Serve serves HTTP on a listener until the returned server is closed.
 	Serve func(listener net.Listener, handler http.Handler) *process.HTTPServer
@@ -39,8 +39,8 @@
 
 // egressListeners manages the addresses to which own backends send their outgoing calls. Each
 // service has its own address, so the address identifies the calling service. The port is
-// derived from the service's name alone. A restart therefore never moves a service to another
-// service's port. (DESIGN 9.3)
+// derived from the service's name alone. Restarts therefore never give a service's port to
+// another service. (DESIGN 9.3)
 type egressListeners struct {
 	egressConfig
 	egressDeps
--- a/internal/dataplane/idempotency/decision.go
+++ b/internal/dataplane/idempotency/decision.go
@@ -1,30 +1,30 @@
 package idempotency
 
-// Decision says what a request that has asked for a reservation must do.
+// Decision is the outcome of a request's attempt to reserve its key.
 type Decision int
 
-// The decisions.
+// Decisions.
 const (
-	// Proceed: the key is reserved for this request. Execute it, then call Complete or
-	// Release.
+	// Proceed: the key is reserved for this request. The caller executes the request, and
+	// then calls Complete or Release.
 	Proceed Decision = iota
-	// Replay: don't execute the request; its response is the first request's.
+	// Replay: the request must not be executed. Its response is that of the first request.
 	Replay
-	// ResponseEvicted: the first request has completed, and its response is no longer
-	// stored.
+	// ResponseEvicted: the first request has completed, but its response is no longer stored.
 	ResponseEvicted
-	// KeyReused: the key belongs to a request with another fingerprint.
+	// KeyReused: the key is reserved by a request with a different fingerprint.
 	KeyReused
-	// TableFull: there is no room for another reservation.
+	// TableFull: the table has no room for another reservation.
 	TableFull
 )
 
-// Result is a decision with what belongs to it.
+// Result is a decision and its associated data.
 type Result[T any] struct {
 	Decision Decision
-	// Response is that of the first request, for Replay; otherwise it is the zero value.
+	// Response is the response to the first request if Decision is Replay, and the zero value
+	// otherwise.
 	Response T
-	// Retry says that the first request released its reservation while this one was
-	// waiting for it, so that the key has to be reserved anew.
+	// Retry reports that the first request released its reservation while this request was
+	// waiting for the response. The caller must reserve the key again.
 	Retry bool
 }
--- a/internal/dataplane/idempotency/doc.go
+++ b/internal/dataplane/idempotency/doc.go
@@ -1,9 +1,10 @@
-// Package idempotency executes the requests of one Idempotency-Key at most once on a
-// sidecar. The first request with a key reserves it and is executed; a later request with
-// the same key is a replay: it waits for the first one's response, or gets the stored
-// one, and is never executed beside or after it. (DESIGN 10.3)
+// Package idempotency ensures that a sidecar executes at most one request for each
+// Idempotency-Key. The first request with a key reserves the key and is executed. A later
+// request with the same key is a replay. It waits for the response to the first request, or
+// gets the stored response. It is never executed, neither concurrently with the first request
+// nor after it. (DESIGN 10.3)
 //
-// Table holds the rules and has no concurrency of its own; Store runs a Table on one
-// goroutine for the concurrent requests of a sidecar. Reservations are kept on other nodes
-// as well by package keyreplication, so that they outlive the sidecar.
+// Table implements the rules and is not safe for concurrent use. Store runs a Table on one
+// goroutine on behalf of the concurrent requests of a sidecar. Package keyreplication
+// replicates reservations to other nodes, so that they survive the sidecar.
 package idempotency
--- a/internal/dataplane/idempotency/store.go
+++ b/internal/dataplane/idempotency/store.go
@@ -5,19 +5,18 @@
 	"time"
 )
 
-// Store makes a Table available to concurrent requests: the goroutine of Run owns the
-// table, and the methods hand their operations to it. T is the type of a response.
+// Store makes a Table available to concurrent requests. The goroutine that calls Run owns the
+// table, and the methods pass their operations to it. T is the type of a response.
 type Store[T any] struct {
 	responseSize func(T) int
 	operations   chan operation[T]
 }
 
-// operation is executed on the table by the goroutine that owns it. now is the time since
-// that goroutine started.
+// operation runs on the goroutine that owns the table. now is the time since Run was called.
 type operation[T any] func(table *Table[T], now time.Duration)
 
-// NewStore returns an empty store; responseSize tells the size of a response in bytes.
-// The methods block until Run is called.
+// NewStore returns an empty store. responseSize returns the size of a response in bytes. The
+// methods of the store block until Run is called.
 func NewStore[T any](responseSize func(T) int) *Store[T] {
 	return &Store[T]{responseSize: responseSize, operations: make(chan operation[T])}
 }
@@ -36,7 +35,8 @@
 	}
 }
 
-// execute hands an operation to Run and reports whether it was taken before ctx ended.
+// execute passes an operation to Run. It reports whether Run accepted the operation before
+// ctx ended.
 func (s *Store[T]) execute(ctx context.Context, do operation[T]) bool {
 	select {
 	case s.operations <- do:
@@ -46,18 +46,18 @@
 	}
 }
 
-// Reserve asks for the reservation of a key. While the first request of the key is
-// executed, it waits for that request's response, until ctx ends: then the error is
-// ctx.Err(), and the decision is Replay if the request was waiting for a response and
-// TableFull if the table was never asked.
+// Reserve attempts to reserve a key. While the first request with the key is executing,
+// Reserve blocks until that request ends or ctx ends. If ctx ends first, the error is
+// ctx.Err(). In that case, the decision is Replay if the request was waiting for a response,
+// and TableFull if Run had not accepted the operation.
 func (s *Store[T]) Reserve(ctx context.Context, key Key, fingerprint Fingerprint) (Decision, T, error) {
 	var none T
 	for {
 		results := make(chan Result[T], 1)
-		asked := s.execute(ctx, func(table *Table[T], now time.Duration) {
+		accepted := s.execute(ctx, func(table *Table[T], now time.Duration) {
 			table.Reserve(key, fingerprint, now, func(result Result[T]) { results <- result })
 		})
-		if !asked {
+		if !accepted {
 			return TableFull, none, ctx.Err()
 		}
 		select {
@@ -71,19 +71,20 @@
 	}
 }
 
-// Complete ends a reservation whose decision was Proceed, with the response for its replays.
+// Complete stores the response of a request whose decision was Proceed, and delivers the
+// response to the request's replays.
 func (s *Store[T]) Complete(ctx context.Context, key Key, response T) {
 	s.execute(ctx, func(table *Table[T], now time.Duration) { table.Complete(key, response, now) })
 }
 
-// Release ends a reservation whose decision was Proceed, but whose request was certainly not
-// executed: a replay may be.
+// Release ends the reservation of a request whose decision was Proceed, but which was
+// certainly not executed. A replay may then be executed.
 func (s *Store[T]) Release(ctx context.Context, key Key) {
 	s.execute(ctx, func(table *Table[T], _ time.Duration) { table.Release(key) })
 }
 
-// Restore adds a completed reservation that an earlier incarnation of this node made,
-// unless the key is reserved already.
+// Restore adds a completed reservation that an earlier incarnation of this node made, unless
+// the key is already reserved.
 func (s *Store[T]) Restore(ctx context.Context, key Key, fingerprint Fingerprint, response T) {
 	s.execute(ctx, func(table *Table[T], now time.Duration) { table.Restore(key, fingerprint, response, now) })
 }
--- a/internal/dataplane/idempotency/table.go
+++ b/internal/dataplane/idempotency/table.go
@@ -6,9 +6,9 @@
 	// Retention is how long a reservation is kept for replays after its request has
 	// completed.
 	Retention = 2 * time.Minute
-	// maxReservations bounds the reservations of a table.
+	// maxReservations is the maximum number of reservations in a table.
 	maxReservations = 65536
-	// maxResponseBytes bounds the total size of the stored responses.
+	// maxResponseBytes is the maximum total size of the stored responses, in bytes.
 	maxResponseBytes = 64 << 20
 )
 
@@ -20,24 +20,26 @@
 	Text string `msgpack:"Text"`
 }
 
-// Fingerprint is a digest of a request, which tells a replay from another request that
-// uses the same key.
+// Fingerprint is a digest of a request. It distinguishes a replay from a different request
+// that uses the same key.
 type Fingerprint [32]byte
 
-// Table holds the reservations of one sidecar. It is not safe for concurrent use, and
-// takes the time from its caller: a monotonic clock of any origin.
+// Table holds the reservations of one sidecar. It is not safe for concurrent use. The caller
+// passes in the time, which is the reading of a monotonic clock with an arbitrary origin.
 //
-// No reservation is removed before its retention has passed. A full table refuses new
-// reservations; if the stored responses take too many bytes, the oldest are evicted, and
-// their replays learn just that. T is the type of a response.
+// A reservation is never removed before its retention has passed. A full table refuses new
+// reservations. If the stored responses exceed maxResponseBytes, the oldest responses are
+// evicted but their reservations are kept; replays then get ResponseEvicted. T is the type of
+// a response.
 type Table[T any] struct {
 	responseSize func(T) int
 	reservations map[Key]*entry[T]
-	// completed are the keys of the completed reservations, the oldest first.
+	// completed holds the keys of the completed reservations, oldest first.
 	completed []Key
-	// evicted is the length of the prefix of completed whose responses were evicted.
+	// evicted is the number of keys at the start of completed whose responses have been
+	// evicted.
 	evicted int
-	// responseBytes is the total size of the stored responses.
+	// responseBytes is the total size of the stored responses, in bytes.
 	responseBytes int
 }
 
@@ -45,22 +47,22 @@
 type entry[T any] struct {
 	fingerprint Fingerprint
 	completed   bool
-	// evicted says that the response is no longer stored.
+	// evicted reports that the response is no longer stored.
 	evicted     bool
 	completedAt time.Duration
 	response    T
-	// waiters get the result of the replays that arrived before the first request
-	// completed.
+	// waiters are called with the result of the first request. There is one for each replay
+	// that arrived before the first request ended.
 	waiters []func(Result[T])
 }
 
-// NewTable returns an empty table; responseSize tells the size of a response in bytes.
+// NewTable returns an empty table. responseSize returns the size of a response in bytes.
 func NewTable[T any](responseSize func(T) int) *Table[T] {
 	return &Table[T]{responseSize: responseSize, reservations: map[Key]*entry[T]{}}
 }
 
-// Reserve asks for the reservation of a key. deliver is called once with the result: at
-// once, or when the first request of the key is completed or released.
+// Reserve attempts to reserve a key. It calls deliver exactly once with the result:
+// immediately, or when the first request with the key is completed or released.
 func (t *Table[T]) Reserve(key Key, fingerprint Fingerprint, now time.Duration, deliver func(Result[T])) {
 	t.expire(now)
 	reservation, ok := t.reservations[key]
@@ -97,7 +99,7 @@
 	}
 }
 
-// evictOldest removes the oldest stored response, but not its reservation.
+// evictOldest evicts the oldest stored response and keeps its reservation.
 func (t *Table[T]) evictOldest() {
 	reservation := t.reservations[t.completed[t.evicted]]
 	t.responseBytes -= t.responseSize(reservation.response)
@@ -107,21 +109,22 @@
 	t.evicted++
 }
 
-// Complete ends the reservation of a request whose decision was Proceed: its response is
-// stored, and delivered to the replays that wait for it.
+// Complete ends the execution of a request whose decision was Proceed. It stores the response
+// and delivers it to the replays that are waiting for it.
 func (t *Table[T]) Complete(key Key, response T, now time.Duration) {
 	t.reservations[key].deliver(Result[T]{Decision: Replay, Response: response})
 	t.storeResponse(key, response, now)
 }
 
 // Release ends the reservation of a request whose decision was Proceed, but which was
-// certainly not executed: a replay may be, and those that wait have to reserve the key anew.
+// certainly not executed. A replay may then be executed. Replays that are waiting must
+// reserve the key again.
 func (t *Table[T]) Release(key Key) {
 	t.reservations[key].deliver(Result[T]{Decision: Replay, Retry: true})
 	delete(t.reservations, key)
 }
 
-// deliver delivers a result to all replays that wait for it.
+// deliver delivers a result to all waiting replays.
 func (e *entry[T]) deliver(result Result[T]) {
 	for _, deliver := range e.waiters {
 		deliver(result)
@@ -129,8 +132,8 @@
 	e.waiters = nil
 }
 
-// Restore adds a completed reservation that an earlier incarnation of this node made,
-// unless the key is reserved already.
+// Restore adds a completed reservation that an earlier incarnation of this node made, unless
+// the key is already reserved.
 func (t *Table[T]) Restore(key Key, fingerprint Fingerprint, response T, now time.Duration) {
 	if _, ok := t.reservations[key]; !ok {
 		t.reservations[key] = &entry[T]{fingerprint: fingerprint}
@@ -138,8 +141,8 @@
 	}
 }
 
-// storeResponse completes a reservation, and evicts the oldest responses if they take too
-// many bytes with this one.
+// storeResponse marks a reservation as completed and stores its response. It then evicts the
+// oldest responses until the stored responses are within maxResponseBytes.
 func (t *Table[T]) storeResponse(key Key, response T, now time.Duration) {
 	reservation := t.reservations[key]
 	reservation.completed = true
--- a/internal/dataplane/idempotency/table_test.go
+++ b/internal/dataplane/idempotency/table_test.go
@@ -7,31 +7,32 @@
 	"time"
 )
 
-// reservationModel is what a test expects of one reservation.
+// reservationModel is the expected state of one reservation.
 type reservationModel struct {
 	response    int
 	completedAt time.Duration
 	completed   bool
 }
 
-// decisionCounts counts the decisions that a test has met.
+// decisionCounts counts the decisions that a test run has produced.
 type decisionCounts struct{ proceed, replay, evicted int }
 
-// TestTable compares a table with a plain model, under pressure of count and bytes: no
-// request whose key is reserved is executed again before its retention has passed, and a
-// replay gets the first request's response or learns that it was evicted.
+// TestTable compares a table with a simple model under random operations that exhaust the
+// bound on stored response bytes. A request whose key is reserved must not be executed again
+// before the retention has passed. A replay must get the response to the first request, or
+// the decision ResponseEvicted.
 func TestTable(t *testing.T) {
 	for seed := range uint64(20) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			counts := compareWithModel(t, rand.New(rand.NewPCG(seed, 1)))
 			if counts.proceed == 0 || counts.replay == 0 || counts.evicted == 0 {
-				t.Errorf("not every decision was met: %+v", counts)
+				t.Errorf("got decisions %+v, want at least one of each kind", counts)
 			}
 		})
 	}
 }
 
-// compareWithModel executes random operations on a table and on a model of it.
+// compareWithModel executes random operations on a table and on a model of the table.
 func compareWithModel(t *testing.T, rng *rand.Rand) (counts decisionCounts) {
 	t.Helper()
 	table := NewTable(func(size int) int { return size })
@@ -57,11 +58,11 @@
 				counts.evicted++
 			case result.Retry:
 			default:
-				t.Fatalf("result %+v, expected reservation %+v", result, expected)
+				t.Fatalf("got result %+v, want one that matches the model's reservation %+v", result, expected)
 			}
 		})
 		if waits := expected != nil && !expected.completed; delivered == waits {
-			t.Fatalf("delivered at once: %v, expected reservation %+v", delivered, expected)
+			t.Fatalf("result delivered immediately: %v, model's reservation: %+v", delivered, expected)
 		}
 		if model := models[key]; model != nil && !model.completed && rng.IntN(3) > 0 {
 			model.response = rng.IntN(maxResponseBytes / 20)
@@ -74,19 +75,20 @@
 			}
 		}
 		if table.responseBytes > maxResponseBytes || table.responseBytes < 0 {
-			t.Fatalf("%d bytes of responses are stored", table.responseBytes)
+			t.Fatalf("%d bytes of responses are stored, want between 0 and maxResponseBytes", table.responseBytes)
 		}
 	}
 	return counts
 }
 
-// TestTableFull checks that exactly the reservations beyond the bound are refused.
+// TestTableFull checks that a table accepts maxReservations reservations and refuses the next
+// one.
 func TestTableFull(t *testing.T) {
 	table := NewTable(func(int) int { return 0 })
 	for i := range maxReservations + 1 {
 		table.Reserve(Key{Text: fmt.Sprint(i)}, Fingerprint{}, 0, func(result Result[int]) {
 			if (result.Decision == TableFull) != (i == maxReservations) {
-				t.Fatalf("reservation %d: decision %v", i, result.Decision)
+				t.Fatalf("reservation %d: got decision %v, want TableFull for the last reservation only", i, result.Decision)
 			}
 		})
 	}
--- a/internal/dataplane/keyreplication/owner.go
+++ b/internal/dataplane/keyreplication/owner.go
@@ -13,50 +13,50 @@
 )
 
 const (
-	// recoveryInterval is how often the records of earlier incarnations are asked for
-	// until they have been recovered.
+	// recoveryInterval is the interval between handover requests until the records of earlier
+	// incarnations have been recovered.
 	recoveryInterval = 20 * time.Millisecond
-	// repairGrace is how long after a start the other owners take to notice it, and to
-	// replace the replicas that an earlier incarnation of this node stored.
+	// repairGrace is the time that the other owners need after a start of this node to detect
+	// the start and to replace the replicas that an earlier incarnation of this node stored.
 	repairGrace = 1200 * time.Millisecond
-	// goroutineName names the goroutines of an owner's calls.
+	// goroutineName is the name of the goroutines that make an owner's calls.
 	goroutineName = "key replication"
 )
 
-// OwnerConfig says whose records an Owner replicates.
+// OwnerConfig identifies the sidecar whose records an Owner replicates.
 type OwnerConfig struct {
-	// Addr, Incarnation and Zone are those of this sidecar.
+	// Addr, Incarnation, and Zone are those of the sidecar.
 	Addr        string
 	Incarnation uint64
 	Zone        string
 }
 
-// OwnerDeps are the parts that an Owner works with.
+// OwnerDeps holds the collaborators of an Owner.
 type OwnerDeps struct {
 	// View returns the current view of the nodes.
 	View func() *membership.View
-	// ViewReady reports whether the view has been learned from the control plane.
+	// ViewReady reports whether this sidecar has received a view from the control plane or
+	// from a peer.
 	ViewReady func() bool
 	Client    *transport.Client
 	Actors    *actor.System
-	// Restore takes over each record of an earlier incarnation.
+	// Restore is called with each record of an earlier incarnation.
 	Restore func(ctx context.Context, record Record)
 }
 
-// Owner replicates the records of a sidecar's reservations, and recovers those of its
-// earlier incarnations. It is safe for concurrent use.
+// Owner replicates the records of a sidecar's reservations, and recovers the records of the
+// sidecar's earlier incarnations. It is safe for concurrent use.
 type Owner struct {
 	config OwnerConfig
 	deps   OwnerDeps
 
-	// sequence numbers the reservations of this incarnation.
+	// sequence is the sequence number of the latest reservation of this incarnation.
 	sequence       atomic.Uint64
 	recovered      atomic.Bool
 	repairComplete atomic.Bool
 	health         peerHealth
 
-	// mu guards tracker. It is held for a moment by each request with a key.
-	// (DESIGN 13)
+	// mu guards tracker. Each request with a key holds it only briefly. (DESIGN 13)
 	mu      sync.Mutex
 	tracker *ReplicationTracker
 	start   time.Time
@@ -70,17 +70,18 @@
 	}
 }
 
-// Recovered reports whether the records of earlier incarnations have been handed over, so
-// that requests with a key may be executed.
+// Recovered reports whether the records of earlier incarnations have been recovered. Requests
+// with a key may be executed only after that.
 func (o *Owner) Recovered() bool { return o.recovered.Load() }
 
-// RepairComplete reports whether the other owners have had the time to replace the replicas
-// that an earlier incarnation of this node stored, so that the next node may be stopped.
+// RepairComplete reports whether the other owners have had enough time to replace the
+// replicas that an earlier incarnation of this node stored. After that, it is safe to stop
+// the next node.
 func (o *Owner) RepairComplete() bool { return o.repairComplete.Load() }
 
-// Run recovers the records of earlier incarnations and repairs the replication of the
-// present ones, until ctx ends. Every peer that comes into view is asked to hand over, for
-// as long as an earlier incarnation's records may be kept.
+// Run recovers the records of earlier incarnations and repairs the replication of current
+// records until ctx ends. It requests a handover from every peer that appears in the view,
+// for as long as peers may still store records of an earlier incarnation.
 func (o *Owner) Run(ctx context.Context) {
 	var viewReadyAt time.Time
 	recovering := recovery{owner: o, answered: map[string]uint64{}}
@@ -111,20 +112,22 @@
 
 func (o *Owner) peers() []membership.Node { return Peers(o.deps.View(), o.config.Addr) }
 
-// withTracker calls do with the tracker and the time since the owner's start.
+// withTracker calls do with the tracker and the time since the owner was created. It holds mu
+// during the call.
 func (o *Owner) withTracker(do func(tracker *ReplicationTracker, now time.Duration)) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	do(o.tracker, time.Since(o.start))
 }
 
-// addReplica notes that a peer stores a record.
+// addReplica records that a peer stores a record.
 func (o *Owner) addReplica(record Record, peer membership.Node) {
 	o.withTracker(func(tracker *ReplicationTracker, now time.Duration) { tracker.AddReplica(record, peer, now) })
 }
 
-// runConcurrently calls do for all items at once, and returns for each whether it
-// succeeded. It waits for all of them; timeout bounds their contexts.
+// runConcurrently calls do for all items concurrently and waits for all calls to return.
+// timeout limits the context of the calls. The result reports for each item whether its call
+// succeeded.
 func runConcurrently[T any](ctx context.Context, actors *actor.System, items []T, timeout time.Duration, do func(context.Context, T) bool) []bool {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
--- a/internal/dataplane/keyreplication/peer_health.go
+++ b/internal/dataplane/keyreplication/peer_health.go
@@ -8,18 +8,18 @@
 	"curlewwalk/internal/membership"
 )
 
-// unresponsiveFor is how long a peer that did not answer counts as unresponsive, and comes
-// after all others.
+// unresponsiveFor is how long a peer that did not answer is considered unresponsive and
+// ranked after all other peers.
 const unresponsiveFor = time.Second
 
-// peerHealth remembers the peers that lately did not answer. It is safe for concurrent use.
+// peerHealth tracks the peers that recently failed to answer. It is safe for concurrent use.
 type peerHealth struct {
-	// unresponsive has the times until which peers count as unresponsive, by address. The
-	// map is replaced, never changed.
+	// unresponsive maps the address of each unresponsive peer to the time until which the
+	// peer is considered unresponsive. The map is immutable and is replaced as a whole.
 	unresponsive atomic.Pointer[map[string]time.Time]
 }
 
-// responsive reports whether a peer does not count as unresponsive.
+// responsive reports whether a peer is not considered unresponsive.
 func (h *peerHealth) responsive(addr string) bool {
 	unresponsive := h.unresponsive.Load()
 	return unresponsive == nil || !time.Now().Before((*unresponsive)[addr])
@@ -37,7 +37,7 @@
 	return 1
 }
 
-// markUnresponsive notes that a peer did not answer.
+// markUnresponsive records that a peer did not answer.
 func (h *peerHealth) markUnresponsive(addr string) {
 	for {
 		old := h.unresponsive.Load()
@@ -55,7 +55,7 @@
 	}
 }
 
-// responsivePeers returns the peers that don't count as unresponsive.
+// responsivePeers returns the peers that are not considered unresponsive.
 func (o *Owner) responsivePeers() []membership.Node {
 	return slices.DeleteFunc(o.peers(), func(peer membership.Node) bool { return !o.health.responsive(peer.Addr) })
 }
--- a/internal/dataplane/keyreplication/placement.go
+++ b/internal/dataplane/keyreplication/placement.go
@@ -11,14 +11,14 @@
 // ReplicationFactor is the number of peers that store each record.
 const ReplicationFactor = 2
 
-// Peers returns the nodes of a view without the one at ownAddr.
+// Peers returns the nodes of a view, except the one at ownAddr.
 func Peers(v *membership.View, ownAddr string) []membership.Node {
 	return slices.DeleteFunc(v.Nodes(), func(n membership.Node) bool { return n.Addr == ownAddr })
 }
 
-// RankReplicas returns the nodes other than the owner, those that are to store the record
-// of a key first. The order is that of rendezvous hashing, except that the first node of
-// each zone other than the owner's precedes all further nodes.
+// RankReplicas returns the nodes other than the owner, ordered by their preference for
+// storing the record of a key. The order is that of rendezvous hashing, with one exception:
+// the first node of each zone other than the owner's zone precedes all remaining nodes.
 func RankReplicas(ownAddr, zone string, key idempotency.Key, nodes []membership.Node) []membership.Node {
 	ranked := rendezvous.Rank(ownAddr+" "+key.Caller+" "+key.Text, nodes, func(n membership.Node) string { return n.Addr })
 	usedZones := map[string]bool{zone: true}
--- a/internal/dataplane/keyreplication/recovery.go
+++ b/internal/dataplane/keyreplication/recovery.go
@@ -9,23 +9,24 @@
 )
 
 const (
-	// handoverTimeout is how long a peer may take to hand over.
+	// handoverTimeout bounds the time for one handover request.
 	handoverTimeout = 400 * time.Millisecond
-	// handoverGrace is how long peers that don't hand over delay the recovery. After it,
-	// fewer than ReplicationFactor of them are tolerated, since each record has another
-	// replica.
+	// handoverGrace is how long peers that do not answer delay the recovery. After it, the
+	// recovery tolerates fewer than ReplicationFactor missing peers, because each record then
+	// has another replica.
 	handoverGrace = 5 * time.Second
 )
 
-// recovery collects the records of an owner's earlier incarnations from its peers.
+// recovery collects the records of an owner's earlier incarnations from the owner's peers.
 type recovery struct {
 	owner *Owner
-	// answered are the incarnations of the peers that have handed over, by address.
+	// answered maps the address of each peer that has handed over its records to the peer's
+	// incarnation.
 	answered map[string]uint64
 }
 
-// requestHandovers asks the peers that have not handed over yet; viewReadyFor is how long
-// the peers have been known.
+// requestHandovers requests a handover from each peer that has not answered yet. viewReadyFor
+// is the time since the view became ready.
 func (r *recovery) requestHandovers(ctx context.Context, viewReadyFor time.Duration) {
 	var pending []membership.Node
 	for _, peer := range r.owner.peers() {
@@ -46,7 +47,7 @@
 	}
 }
 
-// requestHandover restores the records that one peer stores, and reports whether it
+// requestHandover restores the records that one peer stores. It reports whether the peer
 // answered.
 func (o *Owner) requestHandover(ctx context.Context, peer membership.Node) bool {
 	var reply HandoverReply
--- a/internal/dataplane/keyreplication/repair.go
+++ b/internal/dataplane/keyreplication/repair.go
@@ -8,14 +8,15 @@
 )
 
 const (
-	// repairBatch is how many replicas are added concurrently.
+	// repairBatch limits the number of replicas that are added concurrently.
 	repairBatch = 64
-	// repairTime bounds one repair, so that the next view is looked at soon.
+	// repairTime limits the duration of one repair, so that changes of the view are processed
+	// soon.
 	repairTime = membership.HeartbeatInterval / 2
 )
 
-// repair replaces lost replicas, batch by batch, until none is missing, none of a batch
-// could be added, or repairTime is over.
+// repair replaces lost replicas in batches. It stops when no replica is missing, when no
+// replica of a batch could be added, or when repairTime has passed.
 func (o *Owner) repair(ctx context.Context) {
 	for begin := time.Now(); time.Since(begin) < repairTime; {
 		var missing []MissingReplica
--- a/internal/dataplane/keyreplication/replica_server.go
+++ b/internal/dataplane/keyreplication/replica_server.go
@@ -9,20 +9,20 @@
 	"curlewwalk/internal/transport"
 )
 
-// ReplicaServer answers the calls of owners from a ReplicaStore: the goroutine of Run owns
-// the store, and the handlers hand their operations to it.
+// ReplicaServer answers the calls of owners from a ReplicaStore. The goroutine that calls Run
+// owns the store, and the handlers pass their operations to it.
 type ReplicaServer struct {
 	operations chan storeOperation
-	// records and completed are the store's counts after the latest operation.
+	// records and completed are the counts of the store after the latest operation.
 	records, completed atomic.Int64
 }
 
-// storeOperation is executed on the store by the goroutine that owns it. now is the time
-// since that goroutine started.
+// storeOperation runs on the goroutine that owns the store. now is the time since Run was
+// called.
 type storeOperation func(store *ReplicaStore, now time.Duration)
 
-// NewReplicaServer returns a server with an empty store. Its handlers block until Run is
-// called.
+// NewReplicaServer returns a server with an empty store. The handlers of the server block
+// until Run is called.
 func NewReplicaServer() *ReplicaServer {
 	return &ReplicaServer{operations: make(chan storeOperation)}
 }
@@ -43,12 +43,13 @@
 	}
 }
 
-// Count returns the number of records stored for others, and of those with a response.
+// Count returns the number of records that are stored for other sidecars, and the number of
+// those that have a response.
 func (s *ReplicaServer) Count() (records, completed int64) {
 	return s.records.Load(), s.completed.Load()
 }
 
-// Handlers returns the handlers of this package's calls by their kind.
+// Handlers returns the handlers of this package's calls by kind.
 func (s *ReplicaServer) Handlers() map[string]transport.Handler {
 	return map[string]transport.Handler{
 		KindStore: handle(s, func(store *ReplicaStore, record Record, now time.Duration) StoreReply {
@@ -64,13 +65,14 @@
 	}
 }
 
-// The errors that a call may be answered with. Their texts are part of the protocol.
+// Errors returned to the calling process. Their texts are part of the protocol.
 var (
 	errWrongBody = errors.New("not of this kind")
 	errStopping  = errors.New("stopping")
 )
 
-// handle returns a handler that decodes a call's body into a Body and has Run answer it.
+// handle returns a handler that decodes the body of a call and passes it to answer on the
+// goroutine that owns the store.
 func handle[Body, Reply any](s *ReplicaServer, answer func(store *ReplicaStore, body Body, now time.Duration) Reply) transport.Handler {
 	return func(ctx context.Context, request transport.Request) (any, error) {
 		var body Body
--- a/internal/dataplane/keyreplication/replica_store.go
+++ b/internal/dataplane/keyreplication/replica_store.go
@@ -7,26 +7,28 @@
 )
 
 const (
-	// maxRecords bounds the records of a ReplicaStore.
+	// maxRecords is the maximum number of records in a ReplicaStore.
 	maxRecords = 131072
-	// maxResponseBytes bounds the total size of the responses in a ReplicaStore or a
-	// ReplicationTracker.
+	// maxResponseBytes is the maximum total size of the responses in a ReplicaStore or in a
+	// ReplicationTracker, in bytes.
 	maxResponseBytes = 64 << 20
-	// maxHandoverBytes bounds the total size of the responses in a HandoverReply, which
-	// has to fit into one frame.
+	// maxHandoverBytes is the maximum total size of the responses in a HandoverReply, in
+	// bytes. A HandoverReply must fit into one frame.
 	maxHandoverBytes = 24 << 20
 )
 
-// ReplicaStore holds the records that a node stores for others. It is not safe for
-// concurrent use, and takes the time from its caller: a monotonic clock of any origin.
+// ReplicaStore holds the records that a node stores for others. It is not safe for concurrent
+// use. The caller passes in the time, which is the reading of a monotonic clock with an
+// arbitrary origin.
 type ReplicaStore struct {
 	records map[recordKey]storedRecord
-	// responseBytes is the total size of the responses, completed their number.
+	// responseBytes is the total size of the stored responses, in bytes. completed is their
+	// number.
 	responseBytes int
 	completed     int
 }
 
-// recordKey identifies a record: keys are unique for each owner.
+// recordKey identifies a record. An idempotency key is unique only for one owner.
 type recordKey struct {
 	owner string
 	key   idempotency.Key
@@ -40,11 +42,13 @@
 // NewReplicaStore returns an empty store.
 func NewReplicaStore() *ReplicaStore { return &ReplicaStore{records: map[recordKey]storedRecord{}} }
 
-// Store adds a record, or the response to one that is stored. The record of an earlier
-// incarnation of the owner is never replaced: the reply returns it. A full store accepts
-// no new record, and drops a response that it has no room for rather than the record:
-// without the response a replay learns that the outcome is unknown, without the record it
-// would be executed again.
+// Store adds a record, or adds the response to a stored record. It never replaces a record of
+// an earlier incarnation of the owner, and returns that record in the reply instead. A full
+// store accepts no new records.
+//
+// If there is no room for a response, the record is stored without it. Without the response,
+// a replay learns that the outcome is unknown. Without the record, the replay would be
+// executed.
 func (s *ReplicaStore) Store(record Record, now time.Duration) StoreReply {
 	if len(s.records) >= maxRecords || s.responseBytes+len(record.Response) > maxResponseBytes {
 		s.removeExpired(now)
@@ -59,7 +63,7 @@
 	case ok && old.Incarnation != record.Incarnation:
 		return StoreReply{Existing: &old.Record}
 	case ok && old.Sequence > record.Sequence, ok && old.Sequence == record.Sequence && record.Response == nil:
-		return StoreReply{Accepted: true} // superseded on its way
+		return StoreReply{Accepted: true} // the stored record is at least as recent
 	case !ok && len(s.records) >= maxRecords:
 		return StoreReply{}
 	case s.responseBytes+len(record.Response) > maxResponseBytes:
@@ -74,8 +78,8 @@
 	return StoreReply{Accepted: true}
 }
 
-// Release removes a record whose request was certainly not executed. The record of a later
-// reservation of the same key stays.
+// Release removes the record of a request that was certainly not executed. It does not remove
+// the record of a later reservation of the same key.
 func (s *ReplicaStore) Release(record Record) {
 	key := recordKey{record.Owner, record.Key}
 	if old, ok := s.records[key]; ok && old.sameReservation(record) {
@@ -83,8 +87,8 @@
 	}
 }
 
-// Handover returns all records of an owner's earlier incarnations, with as many of their
-// responses as fit into one reply.
+// Handover returns all records of an owner's earlier incarnations. Responses beyond
+// maxHandoverBytes are left out.
 func (s *ReplicaStore) Handover(request HandoverRequest, now time.Duration) (reply HandoverReply) {
 	responseBytes := 0
 	for _, stored := range s.records {
@@ -99,7 +103,7 @@
 	return reply
 }
 
-// Count returns the number of records, and of those with a response.
+// Count returns the number of records and the number of records that have a response.
 func (s *ReplicaStore) Count() (records, completed int) { return len(s.records), s.completed }
 
 func (s *ReplicaStore) removeExpired(now time.Duration) {
@@ -110,7 +114,7 @@
 	}
 }
 
-// remove removes a record, if there is one.
+// remove removes a record if it exists.
 func (s *ReplicaStore) remove(key recordKey) {
 	if response := s.records[key].Response; response != nil {
 		s.responseBytes -= len(response)
--- a/internal/dataplane/keyreplication/replica_store_test.go
+++ b/internal/dataplane/keyreplication/replica_store_test.go
@@ -9,28 +9,29 @@
 	"curlewwalk/internal/dataplane/idempotency"
 )
 
-// recordModel is what a test expects of one record.
+// recordModel is the expected state of one record.
 type recordModel struct {
 	incarnation, sequence uint64
 	expiresAt             time.Duration
 	completed             bool
 }
 
-// TestReplicaStore compares a store with a plain model: the record of an earlier
-// incarnation is returned to a later one and never replaced by it, a record is released
-// only by its own reservation, and it is kept until it expires.
+// TestReplicaStore compares a store with a simple model under random operations. If the store
+// lost or replaced the record of an earlier incarnation, a replay would be executed again.
+// The store must therefore return such a record to a later incarnation and never replace it.
+// A record may be released only by its own reservation, and must be kept until it expires.
 func TestReplicaStore(t *testing.T) {
 	for seed := range uint64(20) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			if conflicts := compareWithModel(t, rand.New(rand.NewPCG(seed, 31))); conflicts == 0 {
-				t.Error("no record of an earlier incarnation was met")
+				t.Error("got no conflict with a record of an earlier incarnation, want at least one")
 			}
 		})
 	}
 }
 
-// compareWithModel executes random operations on a store and on a model of it. It returns
-// how often a record of an earlier incarnation was met.
+// compareWithModel executes random operations on a store and on a model of the store. It
+// returns how often a store operation found a record of an earlier incarnation.
 func compareWithModel(t *testing.T, rng *rand.Rand) (conflicts int) {
 	t.Helper()
 	store := NewReplicaStore()
@@ -63,7 +64,7 @@
 				store.Store(record, now)
 				model.completed, model.expiresAt = true, now+record.TTL
 			}
-		case 1: // an old release must not remove a later record
+		case 1: // the release of an earlier reservation must not remove a later record
 			record.Sequence = 0
 			store.Release(record)
 		default:
@@ -75,10 +76,10 @@
 				conflicts++
 				existing := reply.Existing
 				if reply.Accepted || existing == nil || existing.Incarnation != model.incarnation || (existing.Response != nil) != model.completed {
-					t.Fatalf("reply %+v, expected record %+v", reply, model)
+					t.Fatalf("got reply %+v, want the existing record %+v", reply, model)
 				}
 			case !reply.Accepted:
-				t.Fatalf("not accepted: %+v, expected record %+v", reply, model)
+				t.Fatalf("got reply %+v, want it accepted; model's record: %+v", reply, model)
 			default:
 				models[text] = &recordModel{incarnation: incarnation, sequence: sequence, expiresAt: now + record.TTL}
 			}
@@ -99,12 +100,13 @@
 	}
 	got := len(store.Handover(HandoverRequest{Owner: "o", Incarnation: incarnation}, now).Records)
 	if got != want {
-		t.Fatalf("%d records are handed over, %d are of earlier incarnations", got, want)
+		t.Fatalf("%d records were handed over, want the %d of earlier incarnations", got, want)
 	}
 }
 
-// TestReplicaStoreBounds checks that a store accepts records beyond the bound on responses
-// without these, and hands over no more responses than fit into a reply.
+// TestReplicaStoreBounds checks that a store that has reached the bound on response bytes
+// accepts further records without their responses. It also checks that the responses in a
+// handover reply are within maxHandoverBytes.
 func TestReplicaStoreBounds(t *testing.T) {
 	const responseSize = 1 << 20
 	const count = 3 * maxResponseBytes / responseSize
@@ -112,7 +114,7 @@
 	for i := range count {
 		record := Record{Owner: "o", Sequence: 1, Key: idempotency.Key{Text: fmt.Sprint(i)}, TTL: time.Minute, Response: make([]byte, responseSize)}
 		if !store.Store(record, 0).Accepted || store.responseBytes > maxResponseBytes {
-			t.Fatalf("record %d: %d bytes of responses are stored", i, store.responseBytes)
+			t.Fatalf("record %d: not accepted, or stored responses of %d bytes exceed maxResponseBytes", i, store.responseBytes)
 		}
 	}
 	responseBytes := 0
@@ -121,6 +123,6 @@
 		responseBytes += len(record.Response)
 	}
 	if len(records) != count || responseBytes == 0 || responseBytes > maxHandoverBytes {
-		t.Errorf("%d records with %d bytes of responses are handed over", len(records), responseBytes)
+		t.Errorf("%d records with %d bytes of responses were handed over, want all records, and between 1 and maxHandoverBytes bytes", len(records), responseBytes)
 	}
 }
--- a/internal/dataplane/keyreplication/replicate.go
+++ b/internal/dataplane/keyreplication/replicate.go
@@ -13,20 +13,19 @@
 )
 
 const (
-	// storeTimeout is how long a peer may take to store a record.
+	// storeTimeout bounds the time for storing a record on a peer.
 	storeTimeout = 150 * time.Millisecond
-	// replicationAttempts is how often peers that did not store a record are replaced by
-	// the next.
+	// replicationAttempts is the number of rounds in which a record is sent to peers. After
+	// each round, peers that did not store the record are replaced by the next candidates.
 	replicationAttempts = 3
-	// completionTimeout is how long a peer may take to store a response or to release a
-	// record. Nobody waits for it.
+	// completionTimeout bounds the time for sending a response or a release to a peer. No
+	// request waits for these calls.
 	completionTimeout = 2 * time.Second
-	// maxReplicatedResponse is the size in bytes of the largest response that is
-	// replicated.
+	// maxReplicatedResponse is the maximum size of a replicated response, in bytes.
 	maxReplicatedResponse = 256 << 10
 )
 
-// Reservation is the record of a reservation with the addresses of its replicas.
+// Reservation is the record of a reservation and the addresses of its replicas.
 type Reservation struct {
 	Record
 	replicas []string
@@ -35,10 +34,9 @@
 // ErrNotReplicated is returned if too few peers store a record.
 var ErrNotReplicated = errors.New("too few peers store the record of the idempotency key")
 
-// ReservedError is returned for a key that an earlier incarnation of this sidecar has
-// reserved.
+// ReservedError is returned if an earlier incarnation of this sidecar has reserved the key.
 type ReservedError struct {
-	// Existing is the record of that reservation.
+	// Existing is the record of the earlier reservation.
 	Existing Record
 }
 
@@ -47,11 +45,11 @@
 	return fmt.Sprintf("the idempotency key is reserved by incarnation %d", e.Existing.Incarnation)
 }
 
-// Replicate makes a reservation and stores it on ReplicationFactor peers, or on all of them
-// if they are fewer. remaining is the time until the request's deadline.
+// Replicate makes a reservation and stores it on ReplicationFactor peers, or on all peers if
+// there are fewer. remaining is the time until the request's deadline.
 //
-// With an error the request must not be executed: ErrNotReplicated, and then the reservation
-// is released, or a *ReservedError.
+// If Replicate returns an error, the request must not be executed. The error is
+// ErrNotReplicated, in which case the reservation has been released, or a *ReservedError.
 func (o *Owner) Replicate(ctx context.Context, key idempotency.Key, fingerprint idempotency.Fingerprint, remaining time.Duration) (Reservation, error) {
 	reservation := Reservation{Record: Record{
 		Owner: o.config.Addr, Incarnation: o.config.Incarnation, Sequence: o.sequence.Add(1),
@@ -83,8 +81,8 @@
 	return reservation, ErrNotReplicated
 }
 
-// storeOnAll asks all targets to store a record. It returns those that accepted it, and the
-// first record of an earlier incarnation that one of them returned, if any.
+// storeOnAll sends a record to all targets. It returns the targets that accepted the record.
+// If targets returned a record of an earlier incarnation, existing is the first such record.
 func (o *Owner) storeOnAll(ctx context.Context, targets []membership.Node, record Record) (accepted []membership.Node, existing *Record) {
 	conflicts := make(chan *Record, len(targets))
 	results := runConcurrently(ctx, o.deps.Actors, targets, storeTimeout, func(ctx context.Context, target membership.Node) bool {
@@ -106,7 +104,7 @@
 	return accepted, existing
 }
 
-// store asks a peer to store a record; ok is false if it did not answer.
+// store sends a record to a peer. ok is false if the peer did not answer.
 func (o *Owner) store(ctx context.Context, peer membership.Node, record Record) (reply StoreReply, ok bool) {
 	if ok = o.deps.Client.Call(ctx, peer.Addr, transport.ControlTraffic, KindStore, record).Decode(&reply); !ok {
 		o.health.markUnresponsive(peer.Addr)
@@ -114,8 +112,9 @@
 	return reply, ok
 }
 
-// Complete sends a response to the replicas of a reservation, unless it is too large. It does
-// not wait for them: a record without its response still prevents a second execution.
+// Complete sends a response to the replicas of a reservation, unless the response is too
+// large. It does not wait for the replicas: a record without its response still prevents a
+// second execution.
 func (o *Owner) Complete(ctx context.Context, reservation Reservation, response []byte) {
 	if len(response) > maxReplicatedResponse {
 		return
@@ -125,14 +124,14 @@
 	o.sendToReplicas(ctx, KindStore, reservation)
 }
 
-// Release removes a reservation whose request was certainly not executed. It does not wait
-// for the replicas.
+// Release removes the reservation of a request that was certainly not executed. It does not
+// wait for the replicas.
 func (o *Owner) Release(ctx context.Context, reservation Reservation) {
 	o.withTracker(func(tracker *ReplicationTracker, _ time.Duration) { tracker.Remove(reservation.Record) })
 	o.sendToReplicas(ctx, KindRelease, reservation)
 }
 
-// sendToReplicas sends a record to its replicas, also after the end of ctx.
+// sendToReplicas sends a record to its replicas. The calls continue after ctx ends.
 func (o *Owner) sendToReplicas(ctx context.Context, kind string, reservation Reservation) {
 	for _, addr := range reservation.replicas {
 		o.deps.Actors.Go(context.WithoutCancel(ctx), goroutineName, func(ctx context.Context) {
--- a/internal/dataplane/keyreplication/tracker.go
+++ b/internal/dataplane/keyreplication/tracker.go
@@ -7,27 +7,27 @@
 	"curlewwalk/internal/membership"
 )
 
-// ReplicationTracker knows which peers store an owner's records, and finds the records
-// that need another replica because a peer has gone or restarted. It is not safe for
-// concurrent use, and takes the time from its caller: a monotonic clock of any origin.
-// (DESIGN 10.4)
+// ReplicationTracker tracks which peers store an owner's records. It finds the records that
+// need another replica because a peer has left or restarted. It is not safe for concurrent
+// use. The caller passes in the time, which is the reading of a monotonic clock with an
+// arbitrary origin. (DESIGN 10.4)
 type ReplicationTracker struct {
 	ownAddr, zone string
 	records       map[idempotency.Key]*trackedRecord
-	// responseBytes is the total size of the responses in records.
+	// responseBytes is the total size of the responses in records, in bytes.
 	responseBytes int
 }
 
-// trackedRecord is a record with its replicas.
+// trackedRecord is a record and its replicas.
 type trackedRecord struct {
 	Record
-	// replicas are the incarnations of the peers that store the record, by address: a
-	// peer in another incarnation has lost it.
+	// replicas maps the address of each peer that stores the record to the peer's
+	// incarnation. A peer that has restarted with another incarnation has lost the record.
 	replicas  map[string]uint64
 	expiresAt time.Duration
 }
 
-// MissingReplica is a record that Target is to store in place of a lost replica.
+// MissingReplica is a record that is to be stored on Target to replace a lost replica.
 type MissingReplica struct {
 	Record
 	Target membership.Node
@@ -38,8 +38,8 @@
 	return &ReplicationTracker{ownAddr: ownAddr, zone: zone, records: map[idempotency.Key]*trackedRecord{}}
 }
 
-// AddReplica notes that a peer stores a record. A record that is not tracked yet is added,
-// in place of another reservation of its key.
+// AddReplica records that a peer stores a record. If the record is not tracked yet, it is
+// added and replaces any other reservation of its key.
 func (t *ReplicationTracker) AddReplica(record Record, peer membership.Node, now time.Duration) {
 	tracked := t.records[record.Key]
 	if tracked == nil || !tracked.sameReservation(record) {
@@ -60,16 +60,16 @@
 	}
 }
 
-// Remove ends the tracking of a record: its reservation was released.
+// Remove stops tracking a record whose reservation was released.
 func (t *ReplicationTracker) Remove(record Record) {
 	if tracked := t.records[record.Key]; tracked != nil && tracked.sameReservation(record) {
 		t.removeKey(record.Key)
 	}
 }
 
-// MissingReplicas returns the replicas that are to be added, so that each record has
-// ReplicationFactor of them on the given peers, or one on each if they are fewer. Once
-// there are limit of them, no further record is looked at. Expired records are removed.
+// MissingReplicas returns the replicas that must be added so that each record has
+// ReplicationFactor replicas on the given peers, or one on each peer if there are fewer. Once
+// it has found limit replicas, it adds none for further records. It removes expired records.
 func (t *ReplicationTracker) MissingReplicas(peers []membership.Node, limit int, now time.Duration) (missing []MissingReplica) {
 	incarnations := map[string]uint64{}
 	for _, peer := range peers {
@@ -94,7 +94,7 @@
 	return missing
 }
 
-// newReplicas chooses up to n peers for further replicas of a record.
+// newReplicas selects up to n peers for additional replicas of a record.
 func (t *ReplicationTracker) newReplicas(tracked *trackedRecord, peers []membership.Node, incarnations map[string]uint64, n int) (targets []membership.Node) {
 	for _, peer := range RankReplicas(t.ownAddr, t.zone, tracked.Key, peers) {
 		if len(targets) == n {
@@ -107,7 +107,8 @@
 	return targets
 }
 
-// countReplicas counts the replicas on the peers of the given incarnations.
+// countReplicas returns the number of replicas on peers that still have the given
+// incarnations.
 func (r *trackedRecord) countReplicas(incarnations map[string]uint64) (count int) {
 	for addr := range r.replicas {
 		if r.storedOn(addr, incarnations) {
@@ -117,15 +118,15 @@
 	return count
 }
 
-// storedOn reports whether the peer at addr still stores the record, given the current
-// incarnations of the peers by address.
+// storedOn reports whether the peer at addr still stores the record. incarnations maps the
+// addresses of the peers to their current incarnations.
 func (r *trackedRecord) storedOn(addr string, incarnations map[string]uint64) bool {
 	incarnation, ok := r.replicas[addr]
 	return ok && incarnations[addr] == incarnation
 }
 
-// update takes over the state of a record. If there is no room for its response, the record
-// is kept without it: a replay must not be executed, even if it can't be answered.
+// update replaces the state of a record. If there is no room for the response, the record is
+// kept without it, because a replay must not be executed even if it cannot be answered.
 func (t *ReplicationTracker) update(tracked *trackedRecord, record Record, now time.Duration) {
 	if t.responseBytes+len(record.Response) > maxResponseBytes {
 		record.Response = nil
--- a/internal/dataplane/metrics.go
+++ b/internal/dataplane/metrics.go
@@ -9,11 +9,9 @@
 	"curlewwalk/internal/metrics"
 )
 
-// Values of the label "side": the client side takes requests of callers, the server side
-// attempts for own backends.
+// Values of the label "side". The client side handles requests from clients. The server side
+// handles attempts for own backends.
 const (
-	// Values of the label "side". The client side handles requests from clients. The server
-	// side handles attempts for own backends.
 	clientSide = "client"
 	serverSide = "server"
 )
--- a/internal/dataplane/shutdown.go
+++ b/internal/dataplane/shutdown.go
@@ -27,8 +27,8 @@
 //  1. The sidecar reports itself as not ready. Its backends are reported as draining and get
 //     no new attempts.
 //  2. For a while, the sidecar still serves clients, using the backends of other sidecars.
-//  3. The sidecar refuses new requests. Requests that were accepted may finish until
-//     abandonAt.
+//  3. The sidecar refuses new requests from clients. Requests that were accepted may finish
+//     until abandonAt.
 //  4. Requests that are still open are answered with what is known of their outcome, within
 //     the rest of the drain time.
 func (s *Sidecar) shutdown() {
@@ -65,9 +65,10 @@
 }
 
 // refusesClients reports whether requests from clients are refused. Calls of an own backend
-// are not refused, since they belong to requests that were accepted. If such calls cannot be
+// belong to requests that were accepted, so they are not refused. If such calls cannot be
 // distinguished from requests of clients, then all requests are accepted while the backend is
-// running a request, provided that they end before the shutdown does. (DESIGN 11.3)
+// running a request, provided that they are certain to end before the shutdown does. (DESIGN
+// 11.3)
 func (s *Sidecar) refusesClients() bool {
 	return s.refusing.Load() && (s.settings.Caller == "" || s.inbound.Counters.InFlight.Load() == 0)
 }
