--- a/internal/dataplane/causality/correlator_test.go
+++ b/internal/dataplane/causality/correlator_test.go
@@ -52,9 +52,9 @@
 		if remaining--; remaining < 0 {
 			return
 		}
-		route, call, duration, callDuration := "place", "take", 30*time.Millisecond, 15*time.Millisecond
+		route, call, duration, callDuration := "place-order", "reserve-stock", 30*time.Millisecond, 15*time.Millisecond
 		if rng.IntN(7) < 3 {
-			route, call, duration, callDuration = "read", "look", 10*time.Millisecond, 5*time.Millisecond
+			route, call, duration, callDuration = "read-order", "check-stock", 10*time.Millisecond, 5*time.Millisecond
 		}
 		work := vary(duration)
 		span := trace.Root()
--- a/internal/dataplane/causality/mixed_traffic_test.go
+++ b/internal/dataplane/causality/mixed_traffic_test.go
@@ -72,7 +72,7 @@
 		for _, client := range []struct {
 			route     string
 			remaining time.Duration
-		}{{"browse", 2 * time.Second}, {"lodge", 2500 * time.Millisecond}, {"quick", time.Second}} {
+		}{{"browse", 2 * time.Second}, {"order", 2500 * time.Millisecond}, {"quick", time.Second}} {
 			if rng.IntN(60) > 0 {
 				continue
 			}
--- a/internal/dataplane/causality/tracker_test.go
+++ b/internal/dataplane/causality/tracker_test.go
@@ -19,7 +19,7 @@
 	go func() {
 		tracker.Begin(context.Background(), OpenRequest{})
 		tracker.End(trace.NewID())
-		causes <- tracker.Link(context.Background(), "desk", "once", trace.Span{})
+		causes <- tracker.Link(context.Background(), "orders", "call", trace.Span{})
 	}()
 	select {
 	case cause := <-causes:
--- a/internal/dataplane/pending_departures.go
+++ b/internal/dataplane/pending_departures.go
@@ -12,8 +12,9 @@
 const acknowledgeTimeout = 250 * time.Millisecond
 
 // pendingDepartures holds departures of own backends that have not been acknowledged. A
-// departure is acknowledged once a control plane replica has stored it, so that it survives
-// this process. Only the agent's actor may call the methods. (DESIGN 9.1)
+// departure is acknowledged once a control plane replica has stored it, so that the departure
+// survives this process. After acknowledgeTimeout, the departure is acknowledged in any case.
+// Only the agent's actor may call the methods. (DESIGN 9.1)
 type pendingDepartures struct {
 	pending []pendingDeparture
 	// nonEmpty reports to other goroutines whether any departure is pending.
--- a/internal/dataplane/shutdown.go
+++ b/internal/dataplane/shutdown.go
@@ -67,8 +67,8 @@
 // refusesClients reports whether requests from clients are refused. Calls of an own backend
 // belong to requests that were accepted, so they are not refused. If such calls cannot be
 // distinguished from requests of clients, then all requests are accepted while the backend is
-// running a request, provided that they are certain to end before the shutdown does. (DESIGN
-// 11.3)
+// running a request, as long as they are certain to end before the shutdown ends.
+// (DESIGN 11.3)
 func (s *Sidecar) refusesClients() bool {
 	return s.refusing.Load() && (s.settings.Caller == "" || s.inbound.Counters.InFlight.Load() == 0)
 }
