--- a/internal/dataplane/agent.go
+++ b/internal/dataplane/agent.go
@@ -66,7 +66,7 @@
 
 	// The fields below are accessed only by the actor.
 	mirror            *watch.Mirror
-	wakeDetector      endpoints.WakeDetector
+	resumeDetector    endpoints.ResumeDetector
 	reportLimiter     reportLimiter
 	departureLog      departureLog
 	pendingDepartures pendingDepartures
@@ -101,17 +101,17 @@
 
 // Run sends the agent its periodic messages until ctx ends.
 func (a *agent) Run(ctx context.Context) {
-	tick, wakeCheck := time.NewTicker(membership.HeartbeatInterval), time.NewTicker(endpoints.WakeCheckInterval)
+	tick, resumeCheck := time.NewTicker(membership.HeartbeatInterval), time.NewTicker(endpoints.ResumeCheckInterval)
 	defer tick.Stop()
-	defer wakeCheck.Stop()
+	defer resumeCheck.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-tick.C:
 			a.mailbox.Send(ctx, msgTick{})
-		case <-wakeCheck.C:
-			a.mailbox.Send(ctx, msgWakeCheck{})
+		case <-resumeCheck.C:
+			a.mailbox.Send(ctx, msgResumeCheck{})
 		}
 	}
 }
--- a/internal/dataplane/agent_backends.go
+++ b/internal/dataplane/agent_backends.go
@@ -8,7 +8,7 @@
 
 // announce registers an own backend, or marks the backend as leaving.
 func (a *agent) announce(m msgAnnounce, now time.Time) {
-	if a.wakeDetector.CatchingUp(now) && !m.announcement.Draining {
+	if a.resumeDetector.RecentlyResumed(now) && !m.announcement.Draining {
 		// The announcement may have been queued while the process was frozen, and the backend
 		// may have stopped since. Only the backend's next announcement is applied.
 		m.reply <- nil
--- a/internal/dataplane/agent_messages.go
+++ b/internal/dataplane/agent_messages.go
@@ -43,8 +43,8 @@
 	msgGossip struct{ update membership.GossipUpdate }
 	// msgTick is sent every membership.HeartbeatInterval.
 	msgTick struct{}
-	// msgWakeCheck is sent every endpoints.WakeCheckInterval.
-	msgWakeCheck struct{}
+	// msgResumeCheck is sent every endpoints.ResumeCheckInterval.
+	msgResumeCheck struct{}
 	// msgDrain reports that the sidecar is shutting down.
 	msgDrain struct{}
 	// msgPing is answered when it is processed. The liveness check uses it.
@@ -54,7 +54,7 @@
 // handle processes one message. Only the actor may call it.
 func (a *agent) handle(_ context.Context, message any) {
 	now := time.Now()
-	a.wakeDetector.Check(now)
+	a.resumeDetector.Check(now)
 	switch m := message.(type) {
 	case msgAnnounce:
 		a.announce(m, now)
@@ -72,7 +72,7 @@
 		m.applied <- true
 	case msgGossip:
 		a.applyGossip(m.update, now)
-	case msgWakeCheck:
+	case msgResumeCheck:
 		a.pendingDepartures.expire(now)
 		if a.reportLimiter.tick(now) {
 			a.HeartbeatNow()
--- a/internal/dataplane/endpoints/doc.go
+++ b/internal/dataplane/endpoints/doc.go
@@ -9,5 +9,5 @@
 //
 // A sidecar admits requests only while it holds a Lease. For a short time after its process was
 // suspended, the sidecar ignores announcements, since they may have been queued for a long time
-// (WakeDetector).
+// (ResumeDetector).
 package endpoints
--- a/tests/mutation/catalogue.go
+++ b/tests/mutation/catalogue.go
@@ -63,7 +63,7 @@
 	{alteredRequest, "internal/dataplane/endpoints/stale.go", "e.confirmed && now.Sub(e.LastHeartbeat)", "now.Sub(e.LastHeartbeat)", "./internal/dataplane/endpoints", "TestStaleAnnouncementAfterStart", nil},
 	{alteredRequest, "internal/dataplane/endpoints/stale.go", "return r.displaced.Contains(a.Instance) && r.addressTaken(a, now)", "return false", "./internal/dataplane/endpoints", "TestStaleAnnouncementOfDisplaced", nil},
 	{sentAfterLeaving, "internal/dataplane/endpoints/heartbeat.go", "return 3 * p.interval()", "return 40 * p.interval()", "./tests/e2e", "TestSilentBackend", nil},
-	{sentAfterLeaving, "internal/dataplane/endpoints/wake_detector.go", "return now.Sub(d.wokeAt) < catchUpPeriod", "return false", "./tests/e2e", "TestOldAnnouncementsAfterWake", nil},
+	{sentAfterLeaving, "internal/dataplane/endpoints/resume_detector.go", "return now.Sub(d.resumedAt) < catchUpPeriod", "return false", "./tests/e2e", "TestOldAnnouncementsAfterWake", nil},
 	{sentAfterEvacuation, "internal/dataplane/endpoints/lease.go", "LeaseDuration = 4 * time.Second", "LeaseDuration = 40 * time.Second", "./tests/e2e", "TestEvacuationOfUnreachableZone", nil},
 	{sentAfterEvacuation, "internal/membership/peer_status_table.go", "if len(agreed) < majority {", "if majority = min(majority, len(agreed)); false {", "./tests/simulation", "TestServingLeases", nil},
 	{sentAfterEvacuation, "internal/membership/peer_status_table.go", "return agreed[majority-1], true", "return agreed[0], true", "./internal/membership", "TestConfirmedAsOf", nil},
