--- a/internal/dataplane/proxy/capacity.go
+++ b/internal/dataplane/proxy/capacity.go
@@ -25,7 +25,7 @@
 func (in *Inbound) ConcurrencyLimit(e endpoints.Endpoint, at time.Time) int64 {
 	table := in.Table()
 	uptime := at.Sub(in.started)
-	halved := uptime < in.HalfCapacityTime && table.EarlierRunsPossible(uptime)
+	halved := uptime < in.HalfCapacityTime && table.EarlierRequestsMayRun(uptime)
 	limit := min(e.ConcurrencyLimit(table.ZoneShare(e.Zone, at), halved, at), int64(in.maxConnections(e)))
 	if rate, ok := in.warmupRate(e, at); ok {
 		limit = max(1, min(limit, int64(rate)))
--- a/internal/dataplane/routing/table.go
+++ b/internal/dataplane/routing/table.go
@@ -146,9 +146,9 @@
 	return slices.Compact(services)
 }
 
-// EarlierRunsPossible reports whether requests admitted by an earlier process of this node may
+// EarlierRequestsMayRun reports whether requests admitted by an earlier process of this node may
 // still be running, given the uptime of this process.
-func (t *Table) EarlierRunsPossible(uptime time.Duration) bool {
+func (t *Table) EarlierRequestsMayRun(uptime time.Duration) bool {
 	longest := minEarlierRun
 	for _, c := range t.contracts {
 		longest = max(longest, min(maxEarlierRun, c.Deadline.Duration))
--- a/tests/simulation/slowstart_test.go
+++ b/tests/simulation/slowstart_test.go
@@ -52,7 +52,7 @@
 // limit is the concurrency limit as of now, by the capacity share that the backend reports.
 func (s *slowStart) limit() int64 {
 	s.endpoint.CapacityShare = min(1, 0.2+0.8*float64(s.now)/float64(slowStartRamp))
-	return s.endpoint.ConcurrencyLimit(1, s.table.EarlierRunsPossible(s.now-s.started), s.base.Add(s.now))
+	return s.endpoint.ConcurrencyLimit(1, s.table.EarlierRequestsMayRun(s.now-s.started), s.base.Add(s.now))
 }
 
 // apply starts the requests that the queue lets go, and drops those that it rejects.
