--- a/internal/dataplane/proxy/retry.go
+++ b/internal/dataplane/proxy/retry.go
@@ -52,7 +52,7 @@
 			WaitUntil:                o.waitUntil(req),
 			AcceptLate:               o.AcceptLate,
 			RetryAfter:               o.retryAfter(),
-			SpendRetry:               func() bool { return o.RetryBudgets.TryWithdraw(req.route.Service) },
+			WithdrawRetry:            func() bool { return o.RetryBudgets.TryWithdraw(req.route.Service) },
 			AbandonReason:            func() string { return o.abandonReason(req) },
 			ConfigurationUnconfirmed: o.ConfigurationUnconfirmed,
 		},
--- a/internal/dataplane/routing/conditions.go
+++ b/internal/dataplane/routing/conditions.go
@@ -32,9 +32,9 @@
 	// RetryAfter is the minimum time after which a rejected client should resend the request. Zero
 	// means defaultRetryAfter.
 	RetryAfter time.Duration
-	// SpendRetry takes a retry from the retry budget. It returns false if the budget is exhausted.
-	// It is called before each attempt that follows an attempt that reached a backend.
-	SpendRetry func() bool
+	// WithdrawRetry takes a retry from the retry budget. It returns false if the budget is
+	// exhausted. It is called before each attempt that follows an attempt that reached a backend.
+	WithdrawRetry func() bool
 	// AbandonReason, if set, returns why no further attempt is to be made, for example because the
 	// client has disconnected or this node is stopping. It returns an empty string if the request
 	// continues.
--- a/internal/dataplane/routing/conditions_test.go
+++ b/internal/dataplane/routing/conditions_test.go
@@ -64,7 +64,7 @@
 			Route: config.Route{Name: "w", Service: "s"}, Deadline: now.Add(remaining), Zone: "north", Rand: rand.New(rand.NewPCG(seed, 1)),
 			Conditions: Conditions{
 				TargetTime: now.Add(100 * time.Millisecond), MaxLateness: 900 * time.Millisecond, LatenessBudget: latenessBudget, CrossZoneCost: s.crossZoneCost,
-				Latency: func(t membership.Target) LatencyHistogram { return s.latencies.Estimate("w", t) }, SpendRetry: func() bool { return true },
+				Latency: func(t membership.Target) LatencyHistogram { return s.latencies.Estimate("w", t) }, WithdrawRetry: func() bool { return true },
 			},
 		}
 		if action := d.Next(table, s.view, now); action.Kind == Send {
--- a/internal/dataplane/routing/decision.go
+++ b/internal/dataplane/routing/decision.go
@@ -71,7 +71,7 @@
 	if !d.Conditions.AcceptLate && d.Conditions.unlikelyToFinish(target, d.Deadline.Sub(now)) && d.Rand.IntN(unlikelySampleInterval) > 0 {
 		return past.fail("the time left does not cover what it takes")
 	}
-	if past.reached > 0 && !d.Conditions.SpendRetry() {
+	if past.reached > 0 && !d.Conditions.WithdrawRetry() {
 		return past.fail("no means for another leg after: " + past.reason)
 	}
 	return Action{Kind: Send, Target: target, QueuePastTarget: queuePastTarget}
--- a/internal/dataplane/routing/decision_test.go
+++ b/internal/dataplane/routing/decision_test.go
@@ -25,7 +25,7 @@
 			now := time.Now()
 			d := Decision{
 				Route: config.Route{Name: "w", Service: "s", MaxAttempts: maxAttempts}, Deadline: now.Add(time.Second), Rand: rand.New(rand.NewPCG(1, 1)),
-				Conditions: Conditions{Latency: func(membership.Target) LatencyHistogram { return LatencyHistogram{} }, SpendRetry: func() bool { return true }},
+				Conditions: Conditions{Latency: func(membership.Target) LatencyHistogram { return LatencyHistogram{} }, WithdrawRetry: func() bool { return true }},
 			}
 			action := d.Next(table, view, now)
 			for ; action.Kind == Send; action = d.Next(table, view, now) {
@@ -70,7 +70,7 @@
 				Conditions: Conditions{
 					TargetTime: now.Add(time.Second), MaxLateness: time.Minute, LatenessBudget: time.Minute, AcceptLate: true, WaitUntil: now.Add(time.Minute),
 					Latency:                  func(target membership.Target) LatencyHistogram { return s.latencies.Estimate("w", target) },
-					ConfigurationUnconfirmed: func() bool { return c.unconfirmed }, SpendRetry: func() bool { return true },
+					ConfigurationUnconfirmed: func() bool { return c.unconfirmed }, WithdrawRetry: func() bool { return true },
 				},
 			}
 			action := d.Next(table, s.view, now)
--- a/tests/simulation/requests_sidecar.go
+++ b/tests/simulation/requests_sidecar.go
@@ -57,7 +57,7 @@
 	deadline := sim.now + requestDeadline
 	decision := &routing.Decision{
 		Route: config.Route{Name: "w", Service: "s"}, Deadline: sim.base.Add(deadline), Zone: n.Zone, Rand: sim.rng,
-		Conditions: routing.Conditions{Latency: func(membership.Target) routing.LatencyHistogram { return routing.LatencyHistogram{} }, SpendRetry: func() bool { return true }},
+		Conditions: routing.Conditions{Latency: func(membership.Target) routing.LatencyHistogram { return routing.LatencyHistogram{} }, WithdrawRetry: func() bool { return true }},
 	}
 	lastBody := ""
 	var next func()
