--- a/internal/controlplane/api_calendar.go
+++ b/internal/controlplane/api_calendar.go
@@ -71,7 +71,7 @@
 	calendar, _ := parseCalendar(state.Calendar) // the calendar was validated before it was committed
 	now := n.cluster.medianWallClock()
 	// An empty list is encoded as [] instead of null.
-	process.JSON(w, http.StatusOK, windowsResponse{
+	process.WriteJSON(w, http.StatusOK, windowsResponse{
 		Revision: state.CalendarRevision,
 		Now:      now,
 		Begun:    append([]config.ZoneClosure{}, state.Closures...),
--- a/internal/controlplane/api_configuration.go
+++ b/internal/controlplane/api_configuration.go
@@ -23,7 +23,7 @@
 		return
 	}
 	if !json.Valid(body) {
-		process.Error(w, http.StatusBadRequest, "not JSON")
+		process.WriteError(w, http.StatusBadRequest, "not JSON")
 		return
 	}
 	result, violations := n.PutConfiguration(r.Context(), update)
@@ -43,7 +43,7 @@
 	}
 	generation, err := strconv.ParseUint(header, 10, 64)
 	if err != nil || generation == 0 {
-		process.Error(w, http.StatusBadRequest, headerGeneration+" is no number from 1")
+		process.WriteError(w, http.StatusBadRequest, headerGeneration+" is no number from 1")
 		return 0, false
 	}
 	return generation, true
@@ -56,7 +56,7 @@
 		return
 	}
 	if state.ConfigurationRevision == 0 {
-		process.Error(w, http.StatusNotFound, "no configuration was ever put")
+		process.WriteError(w, http.StatusNotFound, "no configuration was ever put")
 		return
 	}
 	setRevisionHeaders(w, state.ConfigurationRevision)
--- a/internal/controlplane/api_response.go
+++ b/internal/controlplane/api_response.go
@@ -36,13 +36,13 @@
 
 // writeViolations rejects an invalid document with status 422.
 func writeViolations(w http.ResponseWriter, message string, violations ...config.FieldViolation) {
-	process.JSON(w, http.StatusUnprocessableEntity, validationError{Error: message, Violations: violations})
+	process.WriteJSON(w, http.StatusUnprocessableEntity, validationError{Error: message, Violations: violations})
 }
 
 // writeUnavailable responds with status 503, so that the client retries at another replica.
 func writeUnavailable(w http.ResponseWriter, message string) {
 	w.Header().Set("Retry-After", "1")
-	process.Error(w, http.StatusServiceUnavailable, message)
+	process.WriteError(w, http.StatusServiceUnavailable, message)
 }
 
 // readBody reads a request body of at most maxBytes. On failure, it writes an error response and
@@ -55,7 +55,7 @@
 	case err.Status == http.StatusRequestEntityTooLarge:
 		writeViolations(w, document+" does not check", config.FieldViolation{Path: path, Message: err.Message})
 	default:
-		process.Error(w, err.Status, err.Message)
+		process.WriteError(w, err.Status, err.Message)
 	}
 	return nil, false
 }
@@ -69,7 +69,7 @@
 	}
 	parsed, err := strconv.ParseUint(strings.Trim(header, `"`), 10, 64)
 	if err != nil {
-		process.Error(w, http.StatusBadRequest, "If-Match is no stamp")
+		process.WriteError(w, http.StatusBadRequest, "If-Match is no stamp")
 		return nil, false
 	}
 	return &parsed, true
@@ -100,7 +100,7 @@
 	if status == http.StatusServiceUnavailable {
 		w.Header().Set("Retry-After", "1")
 	}
-	process.JSON(w, status, response)
+	process.WriteJSON(w, status, response)
 }
 
 // setRevisionHeaders sets the revision header and the entity tag of a response.
--- a/internal/controlplane/api_state.go
+++ b/internal/controlplane/api_state.go
@@ -46,7 +46,7 @@
 		state.Live = append(state.Live, replica.MemberID)
 	}
 	state.Watch, _ = n.watchServer.Status(r.Context())
-	process.JSON(w, http.StatusOK, state)
+	process.WriteJSON(w, http.StatusOK, state)
 }
 
 // getBudgets handles GET /v1/budgets. The response holds the retry budgets, summed over the
@@ -55,10 +55,10 @@
 	status, ok := n.watchServer.Status(r.Context())
 	table, valid := routing.NewTable(status.ControlState)
 	if !ok || !valid {
-		process.Error(w, http.StatusServiceUnavailable, "no configuration is known")
+		process.WriteError(w, http.StatusServiceUnavailable, "no configuration is known")
 		return
 	}
-	process.JSON(w, http.StatusOK, retrybudget.BudgetList{
+	process.WriteJSON(w, http.StatusOK, retrybudget.BudgetList{
 		Complete: status.Ready,
 		Budgets:  table.BudgetReports(n.watchServer.Budgets()),
 	})
--- a/internal/controlplane/api_traces.go
+++ b/internal/controlplane/api_traces.go
@@ -19,7 +19,7 @@
 func (n *Node) getTrace(w http.ResponseWriter, r *http.Request) {
 	id, ok := trace.ParseTraceID(r.PathValue("id"))
 	if !ok {
-		process.Error(w, http.StatusBadRequest, "not a trace id: 16 or 32 hex digits")
+		process.WriteError(w, http.StatusBadRequest, "not a trace id: 16 or 32 hex digits")
 		return
 	}
 	events, unreachable := n.queryTrace(r.Context(), id)
@@ -30,7 +30,7 @@
 	if tree.Spans == 0 {
 		status = http.StatusNotFound
 	}
-	process.JSON(w, status, tree)
+	process.WriteJSON(w, status, tree)
 }
 
 // queryTrace queries all members concurrently for their events of a trace. It returns the events
--- a/internal/controlplane/api_zones.go
+++ b/internal/controlplane/api_zones.go
@@ -25,7 +25,7 @@
 	if evacuated == nil {
 		evacuated = []string{} // encoded as [] instead of null
 	}
-	process.JSON(w, http.StatusOK, zonesResponse{Revision: state.Revision, Evacuated: evacuated, Windows: state.Closures})
+	process.WriteJSON(w, http.StatusOK, zonesResponse{Revision: state.Revision, Evacuated: evacuated, Windows: state.Closures})
 }
 
 // zoneCommandHandler returns the handler of PUT or DELETE /v1/localities/{name}/emptied, which
@@ -53,5 +53,5 @@
 		writeUnavailable(w, "no majority of cores confirms what is known here")
 		return
 	}
-	process.JSON(w, http.StatusOK, drain)
+	process.WriteJSON(w, http.StatusOK, drain)
 }
--- a/internal/dataplane/api.go
+++ b/internal/dataplane/api.go
@@ -76,7 +76,7 @@
 func (s *Sidecar) handleAnnounce(w http.ResponseWriter, r *http.Request) {
 	var announcement endpoints.Announcement
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxAnnouncementSize)).Decode(&announcement); err != nil {
-		process.Error(w, http.StatusBadRequest, "not an announcement: "+err.Error())
+		process.WriteError(w, http.StatusBadRequest, "not an announcement: "+err.Error())
 		return
 	}
 	faults, ok := s.Announce(r.Context(), announcement)
@@ -84,7 +84,7 @@
 		return // the backend has disconnected
 	}
 	if len(faults) > 0 {
-		process.Error(w, http.StatusUnprocessableEntity, faults...)
+		process.WriteError(w, http.StatusUnprocessableEntity, faults...)
 		return
 	}
 	response := announceResponse{Every: s.settings.Beat.String()}
@@ -92,28 +92,28 @@
 	if response.Outgoing, err = s.egress.addr(announcement.Service); err != nil {
 		response.Fault = "outgoing address: " + err.Error()
 	}
-	process.JSON(w, http.StatusOK, response)
+	process.WriteJSON(w, http.StatusOK, response)
 }
 
 func (s *Sidecar) handleLeave(w http.ResponseWriter, r *http.Request) {
 	known, ok := s.Leave(r.Context(), r.PathValue("instance"))
 	if ok && !known {
-		process.Error(w, http.StatusNotFound, "no such backend")
+		process.WriteError(w, http.StatusNotFound, "no such backend")
 		return
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
 
 func (s *Sidecar) handleBackends(w http.ResponseWriter, _ *http.Request) {
-	process.JSON(w, http.StatusOK, s.backendViews())
+	process.WriteJSON(w, http.StatusOK, s.backendViews())
 }
 
 func (s *Sidecar) handleNodes(w http.ResponseWriter, _ *http.Request) {
-	process.JSON(w, http.StatusOK, s.membershipView().Nodes())
+	process.WriteJSON(w, http.StatusOK, s.membershipView().Nodes())
 }
 
 func (s *Sidecar) handleStats(w http.ResponseWriter, _ *http.Request) {
-	process.JSON(w, http.StatusOK, s.stats())
+	process.WriteJSON(w, http.StatusOK, s.stats())
 }
 
 // handleBudgets returns the budgets of all contracts in force. The figures are totals over
@@ -121,9 +121,9 @@
 // sidecar only.
 func (s *Sidecar) handleBudgets(w http.ResponseWriter, _ *http.Request) {
 	totals, complete := s.latencyBudgets.Totals()
-	process.JSON(w, http.StatusOK, retrybudget.BudgetList{Complete: complete, Budgets: s.routingTable().BudgetReports(totals)})
+	process.WriteJSON(w, http.StatusOK, retrybudget.BudgetList{Complete: complete, Budgets: s.routingTable().BudgetReports(totals)})
 }
 
 func (s *Sidecar) handleLatencies(w http.ResponseWriter, _ *http.Request) {
-	process.JSON(w, http.StatusOK, s.outbound.Latencies.Reports())
+	process.WriteJSON(w, http.StatusOK, s.outbound.Latencies.Reports())
 }
--- a/internal/process/common_api.go
+++ b/internal/process/common_api.go
@@ -31,6 +31,6 @@
 		if !ok {
 			status = http.StatusServiceUnavailable
 		}
-		JSON(w, status, map[string]any{"ok": ok, "why": reason})
+		WriteJSON(w, status, map[string]any{"ok": ok, "why": reason})
 	}
 }
--- a/internal/process/reload.go
+++ b/internal/process/reload.go
@@ -45,5 +45,5 @@
 
 // ServeHTTP implements http.Handler.
 func (r *Reloader) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
-	JSON(w, http.StatusOK, r.last.Load())
+	WriteJSON(w, http.StatusOK, r.last.Load())
 }
--- a/internal/process/response.go
+++ b/internal/process/response.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// JSON writes a response with a value as its JSON body.
-func JSON(w http.ResponseWriter, status int, value any) {
+// WriteJSON writes a response with a value as its JSON body.
+func WriteJSON(w http.ResponseWriter, status int, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	enc := json.NewEncoder(w)
@@ -15,7 +15,7 @@
 	enc.Encode(value)
 }
 
-// Error writes an error response. Its JSON body contains the messages, joined by "; ".
-func Error(w http.ResponseWriter, status int, messages ...string) {
-	JSON(w, status, map[string]string{"error": strings.Join(messages, "; ")})
+// WriteError writes an error response. Its JSON body contains the messages, joined by "; ".
+func WriteError(w http.ResponseWriter, status int, messages ...string) {
+	WriteJSON(w, status, map[string]string{"error": strings.Join(messages, "; ")})
 }
