--- a/internal/controlplane/consensus/delta_codec_test.go
+++ b/internal/controlplane/consensus/delta_codec_test.go
@@ -32,7 +32,7 @@
 	if got := c.members[from].Forward(c.ctx, c.peers[1], command); !got.Decode(&result) {
 		result.Outcome = OutcomeUnknown
 		if got.Delivery == transport.Answered {
-			c.t.Fatalf("forwarded command was answered with fault %q", got.Fault)
+			c.t.Fatalf("forwarded command was answered with error %q", got.ErrorText)
 		}
 	}
 	return result
--- a/internal/controlplane/consensus/member_client.go
+++ b/internal/controlplane/consensus/member_client.go
@@ -77,7 +77,7 @@
 	own := c.local.Acceptor()
 	if patch, encoded := c.deltas.encodeCommand(command, own.Position, own.State); encoded {
 		response := c.client.Call(ctx, addr, transport.ControlTraffic, KindDeltaCommand, patch)
-		if response.Delivery != transport.Answered || !response.FaultIs(errMissingBase) && !response.UnknownKind() {
+		if response.Delivery != transport.Answered || !response.HasErrorText(errMissingBase) && !response.UnknownKind() {
 			return response // the command may have been executed
 		}
 	}
--- a/internal/dataplane/proxy/faults_test.go
+++ b/internal/dataplane/proxy/faults_test.go
@@ -133,7 +133,7 @@
 			attempt.ID, attempt.Service, attempt.Instance, attempt.Incarnation, attempt.Timeout, attempt.TimeToTarget = "odd", "desk", "a", 7, time.Second, time.Second
 			node := p.outbound.View().Nodes()[0].Addr
 			r := p.outbound.Transport.Call(ctx, node, transport.RequestTraffic, KindAttempt, attempt)
-			if r.Delivery != transport.Answered || r.Fault == "" {
+			if r.Delivery != transport.Answered || r.ErrorText == "" {
 				t.Errorf("got reply %+v, want an error reply", r)
 			}
 			var response AttemptResponse
--- a/internal/transport/fuzz_test.go
+++ b/internal/transport/fuzz_test.go
@@ -22,7 +22,7 @@
 	}
 	body, _ := msgpack.Marshal(echoMessage{Text: "x"})
 	for _, s := range []trace.Span{{}, trace.Root()} {
-		b, err := encode(s, message{ID: 1, Kind: "echo", Body: body, Fault: "none"})
+		b, err := encode(s, message{ID: 1, Kind: "echo", Body: body, ErrorText: "none"})
 		if err != nil {
 			f.Fatal(err)
 		}
--- a/internal/transport/message.go
+++ b/internal/transport/message.go
@@ -13,8 +13,8 @@
 	// Kind is the kind of the call. The response has the same kind.
 	Kind string             `msgpack:"k"`
 	Body msgpack.RawMessage `msgpack:"b,omitempty"`
-	// Fault is set on the response to a rejected call: the text of the error.
-	Fault string `msgpack:"f,omitempty"`
+	// ErrorText is set on the response to a rejected call: the text of the error.
+	ErrorText string `msgpack:"f,omitempty"`
 }
 
 // envelope is a received message and its trace span.
--- a/internal/transport/pending_calls.go
+++ b/internal/transport/pending_calls.go
@@ -161,11 +161,11 @@
 	}
 	counters.addResponse(call.kind, received.frameSize)
 	call.response <- Response{
-		Delivery: Answered,
-		Fault:    received.message.Fault,
-		Span:     received.span,
-		Traced:   received.traced,
-		body:     received.message.Body,
+		Delivery:  Answered,
+		ErrorText: received.message.ErrorText,
+		Span:      received.span,
+		Traced:    received.traced,
+		body:      received.message.Body,
 	}
 	return true
 }
--- a/internal/transport/response.go
+++ b/internal/transport/response.go
@@ -11,10 +11,10 @@
 // Response is the outcome of a call.
 type Response struct {
 	Delivery Delivery
-	// Fault is the reason why the call was rejected, by the peer if Delivery is Answered and by
-	// this side otherwise. It is empty for a call that succeeded, and may be empty for a call
+	// ErrorText is the reason why the call was rejected, by the peer if Delivery is Answered and
+	// by this side otherwise. It is empty for a call that succeeded, and may be empty for a call
 	// that was not answered.
-	Fault string
+	ErrorText string
 	// ConnectionRefused is set if the peer's host refused the connection: no process listens
 	// on the address.
 	ConnectionRefused bool
@@ -26,23 +26,23 @@
 }
 
 // notDelivered returns the response for a call that was not sent, or not sent completely.
-func notDelivered(fault string) Response {
-	return Response{Delivery: NotDelivered, Fault: fault}
+func notDelivered(errorText string) Response {
+	return Response{Delivery: NotDelivered, ErrorText: errorText}
 }
 
-// unknownKindPrefix is the prefix of Fault in the response to a call for whose kind the peer
+// unknownKindPrefix is the prefix of ErrorText in the response to a call for whose kind the peer
 // has no handler. It is part of the protocol.
 const unknownKindPrefix = "unknown kind "
 
 // UnknownKind reports whether the peer has no handler for the kind of the call, because it
 // runs another version.
-func (r Response) UnknownKind() bool { return strings.HasPrefix(r.Fault, unknownKindPrefix) }
+func (r Response) UnknownKind() bool { return strings.HasPrefix(r.ErrorText, unknownKindPrefix) }
 
-// FaultIs reports whether Fault is the text of err.
-func (r Response) FaultIs(err error) bool { return r.Fault == err.Error() }
+// HasErrorText reports whether ErrorText is the text of err.
+func (r Response) HasErrorText(err error) bool { return r.ErrorText == err.Error() }
 
 // Decode decodes the body of a successful response into v. It reports whether there is such a
 // body and it fits the type of v.
 func (r Response) Decode(v any) bool {
-	return r.Delivery == Answered && r.Fault == "" && msgpack.Unmarshal(r.body, v) == nil
+	return r.Delivery == Answered && r.ErrorText == "" && msgpack.Unmarshal(r.body, v) == nil
 }
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -23,7 +23,7 @@
 // Handler handles the calls of one kind and returns the body of the response. ctx has the
 // caller's span if the caller sent one. ctx is cancelled when the connection ends. An error
 // means that the call was rejected. The caller then receives the text of the error as
-// Response.Fault, in place of a body.
+// Response.ErrorText, in place of a body.
 type Handler func(ctx context.Context, request Request) (body any, err error)
 
 // Server answers the calls of other processes. Its fields must be set before Run is called.
--- a/internal/transport/server_connection.go
+++ b/internal/transport/server_connection.go
@@ -56,17 +56,17 @@
 	response := message{ID: call.ID, Kind: call.Kind}
 	handler, ok := c.Handlers[call.Kind]
 	if !ok {
-		response.Fault = unknownKindPrefix + call.Kind
+		response.ErrorText = unknownKindPrefix + call.Kind
 		return response
 	}
 	body, err := handler(ctx, Request{Peer: c.peer, body: call.Body})
 	if err != nil {
-		response.Fault = err.Error()
+		response.ErrorText = err.Error()
 		return response
 	}
 	encoded, err := msgpack.Marshal(body)
 	if err != nil {
-		response.Fault = err.Error()
+		response.ErrorText = err.Error()
 	}
 	response.Body = encoded
 	return response
@@ -78,7 +78,7 @@
 func (c *serverConnection) respond(ctx context.Context, span trace.Span, response message) {
 	frame, err := encode(span, response)
 	if err != nil {
-		frame, _ = encode(span, message{ID: response.ID, Kind: response.Kind, Fault: err.Error()})
+		frame, _ = encode(span, message{ID: response.ID, Kind: response.Kind, ErrorText: err.Error()})
 	}
 	c.Counters.addResponse(c.kindOf(response), len(frame))
 	select {
