--- a/internal/controlplane/node.go
+++ b/internal/controlplane/node.go
@@ -172,7 +172,7 @@
 // setting, and stops all components.
 func (n *Node) stop() {
 	n.stopping.Store(true)
-	ctx, cancel := context.WithTimeout(context.Background(), n.reloader.Drain())
+	ctx, cancel := context.WithTimeout(context.Background(), n.reloader.DrainTimeout())
 	defer cancel()
 	n.leaveMembership(ctx)
 	n.process.ShutdownHTTP(ctx, closingGrace, process.ClosingResponse(http.Header{}, nil))
--- a/internal/dataplane/shutdown.go
+++ b/internal/dataplane/shutdown.go
@@ -33,7 +33,7 @@
 //     the rest of the drain time.
 func (s *Sidecar) shutdown() {
 	signaledAt, before := time.Now(), s.outbound.Counters.Snapshot()
-	drain := s.reloader.Drain()
+	drain := s.reloader.DrainTimeout()
 	ctx, cancel := context.WithTimeout(context.Background(), drain)
 	defer cancel()
 	abandonAt := signaledAt.Add(drain - min(answerReserve, drain/4))
--- a/internal/process/reload.go
+++ b/internal/process/reload.go
@@ -25,8 +25,8 @@
 	r.drain.Store(int64(cfg.Drain))
 }
 
-// Drain returns how long a graceful shutdown may take.
-func (r *Reloader) Drain() time.Duration { return time.Duration(r.drain.Load()) }
+// DrainTimeout returns how long a graceful shutdown may take.
+func (r *Reloader) DrainTimeout() time.Duration { return time.Duration(r.drain.Load()) }
 
 // Reload applies newly read settings and records the result. old and next are the previous and the
 // new settings and must have the same type. common is the common part of next. If exit.Now is set,
--- a/internal/process/reload_test.go
+++ b/internal/process/reload_test.go
@@ -78,8 +78,8 @@
 			if diff := cmp.Diff(c.want, got); diff != "" {
 				t.Error(diff)
 			}
-			if diff := cmp.Diff(c.seeds, discovery.seeds); diff != "" || r.Drain() != c.drain {
-				t.Errorf("got drain %v, want %v; seeds (-want +got):\n%s", r.Drain(), c.drain, diff)
+			if diff := cmp.Diff(c.seeds, discovery.seeds); diff != "" || r.DrainTimeout() != c.drain {
+				t.Errorf("got drain %v, want %v; seeds (-want +got):\n%s", r.DrainTimeout(), c.drain, diff)
 			}
 		})
 	}
