--- a/internal/dataplane/freshness.go
+++ b/internal/dataplane/freshness.go
@@ -42,5 +42,5 @@
 // admission depends on the lease of the sidecar that admits the request. (DESIGN 7.2)
 func (s *Sidecar) configurationOutdated() bool {
 	now := time.Now()
-	return s.agent.lease.Age(now) > configurationTrustedFor && s.discovery.Replicas().CommittedPast(s.routingTable().Revision, now)
+	return s.agent.lease.Age(now) > configurationTrustedFor && s.discovery.Replicas().HasCommittedAbove(s.routingTable().Revision, now)
 }
--- a/internal/membership/discovery.go
+++ b/internal/membership/discovery.go
@@ -179,7 +179,7 @@
 		}
 	case result.refused:
 		delete(d.encoders, result.addr) // a new process at this address has no state yet
-		d.setTable(d.Replicas().Refused(result.addr, time.Now()))
+		d.setTable(d.Replicas().RecordRefusal(result.addr, time.Now()))
 	}
 }
 
--- a/internal/membership/gossiper.go
+++ b/internal/membership/gossiper.go
@@ -16,9 +16,9 @@
 	// maxUpdateAge is the time without updates from the replicas after which the sidecar queries
 	// other sidecars.
 	maxUpdateAge = time.Second
-	// Fanout is the number of other sidecars queried in a round. It does not grow with the number
-	// of sidecars.
-	Fanout = 3
+	// GossipFanout is the number of other sidecars queried in a round. It does not grow with the
+	// number of sidecars.
+	GossipFanout = 3
 	// maxUnknownPeers is the maximum number of unknown sidecars that have sent a request and wait
 	// to be queried.
 	maxUnknownPeers = 16
@@ -154,11 +154,11 @@
 // different order for the latter.
 func (g *Gossiper) targets(others []string, statuses PeerStatusTable, revision uint64) (out []string) {
 	add := func(addr string) {
-		if len(out) < Fanout && addr != g.addr && !slices.Contains(out, addr) {
+		if len(out) < GossipFanout && addr != g.addr && !slices.Contains(out, addr) {
 			out = append(out, addr)
 		}
 	}
-	for range min(len(g.unknownPeers), Fanout-1) {
+	for range min(len(g.unknownPeers), GossipFanout-1) {
 		add(<-g.unknownPeers)
 	}
 	if addr, ok := statuses.NewestAbove(revision); ok {
@@ -166,7 +166,7 @@
 	}
 	ranked := rendezvous.Rank(g.addr, others, func(addr string) string { return addr })
 	for range ranked {
-		if len(out) == Fanout {
+		if len(out) == GossipFanout {
 			break
 		}
 		g.cursor++
--- a/internal/membership/gossiper_test.go
+++ b/internal/membership/gossiper_test.go
@@ -121,7 +121,7 @@
 		},
 		View: s.currentView,
 		Replicas: func() ReplicaTable {
-			return ReplicaTable{}.Observe(dead, noon.Add(-time.Hour)).Refused(dead.Addr, clock.now())
+			return ReplicaTable{}.Observe(dead, noon.Add(-time.Hour)).RecordRefusal(dead.Addr, clock.now())
 		},
 		State:       s.currentState,
 		Seeds:       func() []string { return nil },
--- a/internal/membership/replica_queries.go
+++ b/internal/membership/replica_queries.go
@@ -88,9 +88,9 @@
 	return dead
 }
 
-// CommittedPast reports whether a live replica has reported that a revision above the given one is
-// committed. Committed revisions only increase, so an earlier report stays true.
-func (t ReplicaTable) CommittedPast(revision uint64, now time.Time) bool {
+// HasCommittedAbove reports whether a live replica has reported that a revision above the given
+// one is committed. Committed revisions only increase, so an earlier report stays true.
+func (t ReplicaTable) HasCommittedAbove(revision uint64, now time.Time) bool {
 	return slices.ContainsFunc(t.Live(now), func(replica Replica) bool { return replica.CommittedRevision > revision })
 }
 
--- a/internal/membership/replica_table.go
+++ b/internal/membership/replica_table.go
@@ -118,8 +118,8 @@
 	return next.removeFormerMembers(now)
 }
 
-// Refused records that a connection to addr was refused: no process listens there.
-func (t ReplicaTable) Refused(addr string, now time.Time) ReplicaTable {
+// RecordRefusal records that a connection to addr was refused: no process listens there.
+func (t ReplicaTable) RecordRefusal(addr string, now time.Time) ReplicaTable {
 	next := t
 	next.refused = cloneOrMake(t.refused)
 	maps.DeleteFunc(next.refused, func(_ string, at time.Time) bool { return now.Sub(at) > ReplicaTimeout })
--- a/internal/membership/replica_table_test.go
+++ b/internal/membership/replica_table_test.go
@@ -44,7 +44,7 @@
 	}
 	// Two of the three members refuse connections. The third one is no majority, even together with
 	// former member 2.
-	table = table.Refused("c", now.Add(time.Millisecond)).Refused("d", now.Add(time.Millisecond))
+	table = table.RecordRefusal("c", now.Add(time.Millisecond)).RecordRefusal("d", now.Add(time.Millisecond))
 	if !table.QuorumLost(now.Add(2 * time.Millisecond)) {
 		t.Error("quorum not lost although only one of three members is left")
 	}
@@ -62,11 +62,11 @@
 		table = table.Observe(newReplica(i+2, addr, 1, 1, 2, 3), now)
 	}
 	later := now.Add(time.Millisecond)
-	table = table.Refused("d", later).Refused("c", later)
+	table = table.RecordRefusal("d", later).RecordRefusal("c", later)
 	if table.QuorumLost(later) {
 		t.Error("quorum lost although the previous members still have a majority")
 	}
-	table = table.Refused("b", later)
+	table = table.RecordRefusal("b", later)
 	if !table.QuorumLost(later) {
 		t.Error("quorum not lost although neither member set has a majority")
 	}
@@ -82,9 +82,9 @@
 	}
 }
 
-// TestCommittedPast checks that a revision counts as committed past only while a replica that
-// reported so is live. Reports of a replica that is no longer live are ignored.
-func TestCommittedPast(t *testing.T) {
+// TestHasCommittedAbove checks that a higher revision counts as committed only while a replica that
+// reported it is live. Reports of a replica that is no longer live are ignored.
+func TestHasCommittedAbove(t *testing.T) {
 	now := time.Now()
 	table := ReplicaTable{}.
 		Observe(Replica{MemberID: 1, Addr: "a", MemberIncarnation: 1, CommittedRevision: 7}, now).
@@ -102,8 +102,8 @@
 		"no live replica":                {6, ReplicaTimeout, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if got := table.CommittedPast(c.revision, now.Add(c.after)); got != c.want {
-				t.Errorf("CommittedPast(%d) after %v: got %v, want the opposite", c.revision, c.after, got)
+			if got := table.HasCommittedAbove(c.revision, now.Add(c.after)); got != c.want {
+				t.Errorf("HasCommittedAbove(%d) after %v: got %v, want the opposite", c.revision, c.after, got)
 			}
 		})
 	}
--- a/tests/mutation/catalogue.go
+++ b/tests/mutation/catalogue.go
@@ -111,7 +111,7 @@
 	{slowRecovery, "internal/controlplane/consensus/term.go", "termStride = 1 << 29", "termStride = 1 << 16", "./internal/controlplane/consensus", "TestMemberIDsOutlastYears", nil},
 	{staleRead, "internal/controlplane/consensus/transition.go", "if next.PromiseDirty || next.StateDirty {", "if false {", "./internal/controlplane/consensus", "TestRepliesWaitForTheDisk", nil},
 	{staleConfiguration, "internal/dataplane/proxy/request.go", "if o.ConfigurationOutdated != nil && o.ConfigurationOutdated() {", "if false {", "./internal/dataplane/proxy", "TestNoRouteWhileOutdated", nil},
-	{staleConfiguration, "internal/membership/replica_queries.go", "return replica.CommittedRevision > revision", "return replica.CommittedRevision > revision+9", "./internal/membership", "TestCommittedPast", nil},
+	{staleConfiguration, "internal/membership/replica_queries.go", "return replica.CommittedRevision > revision", "return replica.CommittedRevision > revision+9", "./internal/membership", "TestHasCommittedAbove", nil},
 	{staleRead, "internal/controlplane/api_zones.go", "if !contact || !ok || drain.Revision < newest {", "if !ok || false && contact && newest == 0 {", "./tests/e2e", "TestIsolatedReplica", nil},
 	{slowRecovery, "internal/controlplane/consensus/health.go", "return !h.writeFailed && !(h.writing && now-h.writeStarted > maxWriteDuration)", "return true", "./internal/controlplane/consensus", "TestFullDiskIsUnhealthy", nil},
 	{slowRecovery, "internal/controlplane/consensus/health.go", "return now-h.lastQuorumContact <= maxContactAge", "return true", "./internal/controlplane/consensus", "TestNoCommandWithoutMajority", nil},
--- a/tests/simulation/leases_sidecar.go
+++ b/tests/simulation/leases_sidecar.go
@@ -33,7 +33,7 @@
 	for _, peer := range sim.sidecars {
 		known = append(known, peer.addr)
 	}
-	for _, i := range sim.rng.Perm(len(sim.sidecars))[:membership.Fanout] {
+	for _, i := range sim.rng.Perm(len(sim.sidecars))[:membership.GossipFanout] {
 		peer := sim.sidecars[i]
 		if peer == sidecar {
 			continue
