--- a/internal/dataplane/routing/histogram.go
+++ b/internal/dataplane/routing/histogram.go
@@ -20,9 +20,9 @@
 	minObservations = 8
 )
 
-// LatencyHistogram is a decaying histogram of the durations of attempts of a route. A duration
-// includes the wait in the backend's queue and the calls that the attempt causes. The last bucket
-// counts the attempts that were not answered in time.
+// LatencyHistogram is a histogram, with exponential decay, of the durations of attempts of a route.
+// A duration includes the wait in the backend's queue and the calls that the attempt causes. The
+// last bucket counts the attempts that were not answered in time.
 type LatencyHistogram struct {
 	weights [bucketCount + 1]float64
 	total   float64
