--- a/internal/membership/discovery.go
+++ b/internal/membership/discovery.go
@@ -215,8 +215,12 @@
 
 // budgetSource returns the address of the replica from which to request the sums of all nodes'
 // counts, or "" if no replica is live. All replicas have the same sums. Rendezvous hashing
-// distributes the sidecars evenly over the replicas. While all replicas are live, the result is
-// also the replica that this sidecar watches. (DESIGN 8.2)
+// distributes the sidecars evenly over the live replicas, regardless of zones.
+//
+// The watcher of this sidecar uses the same hashing, but ranks replicas that failed recently last
+// and, among the others, prefers replicas in its own zone. It may therefore choose another replica.
+// Both choose the same replica if no replica failed recently and either the highest-ranked live
+// replica is in the sidecar's zone or no live replica is in that zone. (DESIGN 8.2)
 func (d *Discovery) budgetSource() string {
 	live := rendezvous.Rank(d.addr, d.Replicas().Live(d.lastRound), func(replica Replica) string { return replica.Addr })
 	if len(live) == 0 {
