--- a/internal/controlplane/consensus/acceptor.go
+++ b/internal/controlplane/consensus/acceptor.go
@@ -24,10 +24,11 @@
 	Position Position
 	State    config.ControlState
 	// MemberRecords maps each member ID to its highest known incarnation and the disk of that
-	// incarnation.
+	// incarnation. Only acceptors with static membership add records.
 	MemberRecords map[int]MemberRecord
 	// Committed is the highest revision known to be held by a majority. It is not saved to
-	// disk.
+	// disk. If it equals Position.Revision, the accepted state is committed: once a revision is
+	// committed, no later term proposes another state at that revision.
 	Committed uint64
 	// PromiseDirty and StateDirty report which parts differ from the disk and must be saved.
 	PromiseDirty, StateDirty bool
@@ -98,7 +99,8 @@
 }
 
 // handleCommit accepts a committed state. The state may be copied even if a higher term has
-// been promised since, because every later term has read that state. (DESIGN 6.4)
+// been promised since: before the proposer of a later term proposes anything, it reads that
+// state, or one that follows it, from a majority. (DESIGN 6.4)
 func (a Acceptor) handleCommit(message Message) Acceptor {
 	if a.Position.Compare(message.Position) < 0 {
 		a = a.accept(message.Position, message.State)
@@ -128,7 +130,8 @@
 	return reply
 }
 
-// accept replaces the accepted state.
+// accept replaces the accepted state. It does not set PromiseDirty for the raised promise,
+// since loading the saved state raises the promise to its term again.
 func (a Acceptor) accept(position Position, state config.ControlState) Acceptor {
 	a.Position, a.State, a.StateDirty = position, state, true
 	a.Promised = max(a.Promised, position.Term)
--- a/internal/controlplane/consensus/acceptor_join.go
+++ b/internal/controlplane/consensus/acceptor_join.go
@@ -12,7 +12,8 @@
 // replies of the other static members to a MsgRead. All of them must have answered, and none
 // may hold a state or have lost one. Members that are already established must have recorded
 // this disk when they were established. Otherwise this disk replaces another one and must
-// request the membership by MsgJoin. (DESIGN 6.5)
+// request the membership by MsgJoin. An acceptor that is established adopts the highest promise
+// among the replies. (DESIGN 6.5)
 func (a Acceptor) Establish(replies map[int]Reply) (next Acceptor, established bool) {
 	if a.Phase != PhaseEmpty || len(replies) < a.StaticSize-1 {
 		return a, false
@@ -34,8 +35,9 @@
 }
 
 // NextIncarnation returns the sender identity with which the acceptor of an empty disk requests
-// its static membership. The incarnation is one higher than any that the other members know. It
-// is ready for use once a majority of established acceptors has answered.
+// its static membership. The incarnation is one higher than any that this acceptor and the
+// given replies know for its member ID. The identity may be used only if ready is set, that is
+// if the counted replies are a majority of the static members.
 func (a Acceptor) NextIncarnation(replies map[int]Reply) (self Sender, ready bool) {
 	incarnation := a.Self.Incarnation
 	for _, reply := range replies {
@@ -46,9 +48,9 @@
 }
 
 // CompleteJoin decides whether the acceptor of an empty disk has joined, based on the replies
-// to its MsgJoin, which was sent as self. A majority of the established acceptors must have
-// granted the request; the acceptor then copies the highest state and promise from their
-// replies. (DESIGN 6.5)
+// to its MsgJoin, which was sent as self. A majority of the static members must have granted
+// the request, which only established acceptors do. The acceptor then copies the highest state
+// and promise from their replies. (DESIGN 6.5)
 func (a Acceptor) CompleteJoin(self Sender, replies map[int]Reply) (next Acceptor, joined bool) {
 	// An acceptor whose own disk has been replaced may not know that. Its reply does not count.
 	granted := CurrentReplies(replies)
@@ -83,7 +85,9 @@
 	return a
 }
 
-// initialDiskID returns the disk ID of the initial member at an address.
+// initialDiskID returns the disk ID of the initial member at an address. Each initial member
+// derives the disk IDs of all of them, so the ID depends only on the address. Like the IDs of
+// newDiskID, it is never zero.
 func initialDiskID(addr string) uint64 {
 	sum := sha256.Sum256([]byte("curlewwalk founder " + addr))
 	return binary.BigEndian.Uint64(sum[:]) | 1
--- a/internal/controlplane/consensus/bootstrap.go
+++ b/internal/controlplane/consensus/bootstrap.go
@@ -2,8 +2,10 @@
 
 import "slices"
 
-// Bootstrap holds the settings of a replica's membership. They are used only while its disk is
-// empty. (DESIGN 6.5)
+// Bootstrap holds the settings of a replica's membership. They are used while its disk is
+// empty. Later the membership on disk takes precedence. The settings are used again, without
+// NewCluster, if the files on disk cannot be read. MemberID and StaticSize are also used for a
+// file of an earlier version that lacks them. (DESIGN 6.5)
 type Bootstrap struct {
 	// MemberID and StaticSize are the replica's member ID, from 1, and the number of static
 	// members. Both are zero if the membership is dynamic.
--- a/internal/controlplane/consensus/command.go
+++ b/internal/controlplane/consensus/command.go
@@ -32,7 +32,8 @@
 
 // Command is a write to the control state that the proposer executes.
 type Command struct {
-	// ID is unique among the commands of one replica.
+	// ID is unique among the commands of one replica. The replica that executes the command
+	// assigns it.
 	ID   uint64      `msgpack:"i"`
 	Kind CommandKind `msgpack:"k"`
 	// Payload is the configuration or the calendar.
@@ -40,10 +41,9 @@
 	// Generation is the number that the operator assigned to a configuration, from 1, or zero
 	// if there is none.
 	Generation uint64 `msgpack:"ed,omitempty"`
-	// Submitted is the operator's original submission of a generation, if it has another form
-	// than Payload.
+	// Submitted is the document that the operator submitted, if Payload was translated from it.
 	Submitted []byte `msgpack:"st,omitempty"`
-	// Digest identifies the submitted form of a numbered configuration.
+	// Digest is the config.SubmissionDigest of a configuration with a Generation.
 	Digest []byte `msgpack:"dg,omitempty"`
 	// Zone is the zone of an evacuation or a maintenance window.
 	Zone string `msgpack:"l"`
@@ -65,7 +65,8 @@
 	ExpectedMembers []config.Member `msgpack:"of,omitempty"`
 	// RevisionsOnly is set if the sender needs only the revisions of the resulting state.
 	RevisionsOnly bool `msgpack:"br,omitempty"`
-	// Deadline is the time, since the replica's start, at which the submitter stops waiting.
+	// Deadline is the time, since the replica's start, at which the proposer ends the command
+	// if it is not finished.
 	Deadline time.Duration `msgpack:"-"`
 	// enqueuedAt is the time at which the proposer queued the command.
 	enqueuedAt time.Duration
--- a/internal/controlplane/consensus/command_apply.go
+++ b/internal/controlplane/consensus/command_apply.go
@@ -27,7 +27,7 @@
 			// The closure stays on record so that its window is not begun again.
 			state.Closures[i].Waived = state.Closures[i].Waived || state.Closures[i].Zone == command.Zone
 		}
-		state = state.WithEvacuation(command.Zone)
+		state = state.WithEvacuation(command.Zone) // records the revocation as well
 	case CommandBeginWindow:
 		state.Closures = append(state.Closures, config.ZoneClosure{Zone: command.Zone, Window: command.Window})
 	case CommandEndWindow:
--- a/internal/controlplane/consensus/command_resolution.go
+++ b/internal/controlplane/consensus/command_resolution.go
@@ -30,8 +30,12 @@
 		// again.
 		return result, false
 	case command.SinceRevision != nil && proposed && command.IfMatch == nil:
-		return result, false // the zone's record does not show it, so it was not committed; proposed again, as above
+		// The record of commands on zones does not show the command, so it was not committed. It
+		// is proposed again, as above.
+		return result, false
 	case proposed && base.Revision > command.proposedAt.Revision:
+		// The base does not show whether the state at the revision of the proposal was that of
+		// the command or another one.
 		result.Outcome = OutcomeUnknown
 		return result, true
 	case proposed && base.Revision == command.proposedAt.Revision && satisfies(base, command):
@@ -107,5 +111,5 @@
 	case CommandReconfigure:
 		return false // reconfigurations are resolved by resolveReconfiguration
 	}
-	return !slices.Contains(state.EvacuatedZones(), command.Zone)
+	return !slices.Contains(state.EvacuatedZones(), command.Zone) // CommandRevokeEvacuation
 }
--- a/internal/controlplane/consensus/command_result.go
+++ b/internal/controlplane/consensus/command_result.go
@@ -6,8 +6,9 @@
 type Outcome string
 
 const (
-	// OutcomeCommitted means that a majority holds the result of the command, or held it before
-	// a newer state.
+	// OutcomeCommitted means that a majority holds the result of the command, or held it until
+	// it accepted a newer state. A command that has nothing to change has this outcome as well,
+	// for example a configuration whose generation is below the newest one.
 	OutcomeCommitted Outcome = "taken"
 	// OutcomeMismatch means that the revision in IfMatch was not the newest one.
 	OutcomeMismatch Outcome = "mismatch"
@@ -23,11 +24,14 @@
 	OutcomeUnknown Outcome = "unknown"
 )
 
-// CommandResult is the response to a command.
+// CommandResult is the response to a command. The ID is the one that the executing replica
+// assigned to the command.
 type CommandResult struct {
 	ID      uint64  `msgpack:"i"`
 	Outcome Outcome `msgpack:"r"`
-	// State is the newest control state if the command was committed.
+	// State is the newest control state that the proposer knew when it determined the outcome.
+	// It is empty if the command ended without being compared with a state, for example at its
+	// deadline.
 	State config.ControlState `msgpack:"w"`
 }
 
--- a/internal/controlplane/consensus/commit_tracker.go
+++ b/internal/controlplane/consensus/commit_tracker.go
@@ -3,19 +3,23 @@
 import "time"
 
 // commitTracker records the last delivered committed state and the results of later quorum
-// reads. It has no side effects.
+// reads. A state is delivered when it is passed to Deps.OnCommit. The tracker has no side
+// effects.
 type commitTracker struct {
 	// delivered is the revision of the newest delivered state.
 	delivered uint64
 	// observed is the newest position in the last quorum read.
 	observed Position
-	// uncommitted is set if the state at observed has not been delivered and is not known to be
-	// committed.
+	// uncommitted is set if the last two quorum reads returned the state at observed as the
+	// newest one, and that state has not been delivered and is not known to be committed.
 	uncommitted  bool
 	confirmation readConfirmation
 }
 
-// readConfirmation is a quorum read that is confirmed once its revision has been delivered.
+// readConfirmation is a quorum read and the revision that it returned. Once that revision has
+// been delivered, it is confirmed that no state newer than the delivered one had been
+// acknowledged at startedAt. The confirmation is pending until takeConfirmation has returned
+// it.
 type readConfirmation struct {
 	startedAt time.Time
 	revision  uint64
--- a/internal/controlplane/consensus/delta_codec.go
+++ b/internal/controlplane/consensus/delta_codec.go
@@ -6,7 +6,8 @@
 	"curlewwalk/internal/config"
 )
 
-// maxFingerprints bounds the number of positions whose fingerprints the codec stores.
+// maxFingerprints bounds the number of positions whose fingerprints the codec stores. When the
+// limit is reached, the codec discards all of them.
 const maxFingerprints = 32
 
 // deltaMessage is a message whose control state is replaced by a patch to a base state.
--- a/internal/controlplane/consensus/doc.go
+++ b/internal/controlplane/consensus/doc.go
@@ -9,6 +9,18 @@
 // majority has accepted it. While a reconfiguration is in progress, a majority of the previous
 // member set must have accepted it as well.
 //
+// Each change of the control state increases its revision by one. A Position is a revision
+// together with the term under which it was proposed. The coordinator is the live and healthy
+// member with the lowest member ID. Replicas may disagree for a while about which member that
+// is; this is safe, since a proposer writes nothing without the promises of a majority.
+//
+// The membership is static or dynamic. With static membership, the settings give each replica
+// its member ID and the number of members. A member whose disk was replaced requests its member
+// ID again by MsgJoin, under a higher incarnation. With dynamic membership, the control state
+// lists the members, and reconfigurations planned by the MembershipPlanner change them. Each
+// disk then gets a member ID that no disk had before. The members of the first start are called
+// initial members.
+//
 // Acceptor, Proposer, MembershipPlanner, and Health are pure: they receive messages and the
 // time as arguments and return what has to be sent, saved, and answered. This allows
 // tests/modelcheck to explore their interleavings, and tests/simulation to run many of them on
--- a/internal/controlplane/consensus/handlers.go
+++ b/internal/controlplane/consensus/handlers.go
@@ -12,7 +12,8 @@
 // The kinds of request on the wire. The delta kinds carry the control state, or the command, as
 // a difference from a state that the receiver has. A replica of an earlier version answers that
 // the kind is unknown, and a replica without the base answers errMissingBase. In both cases the
-// sender sends the whole content immediately. (DESIGN 8.3)
+// sender sends the whole content immediately. Package controlplane handles KindJoin, whose
+// content is a JoinRequest. (DESIGN 8.3)
 const (
 	KindMessage      = "ballot"
 	KindCommand      = "order"
@@ -60,7 +61,7 @@
 		return nil, errMissingBase
 	}
 	if _, ok := r.members.deltas.add(delta.Message.Position, delta.Message.State); !ok {
-		return nil, errMissingBase
+		return nil, errMissingBase // makes the sender send the whole state
 	}
 	if reply := r.stepAcceptor(ctx, delta.Message); reply != nil {
 		reply.MemberSets = MemberSets{} // the sender of a proposal or commit knows the member sets
--- a/internal/controlplane/consensus/health.go
+++ b/internal/controlplane/consensus/health.go
@@ -5,21 +5,23 @@
 const (
 	// maxWriteDuration is the duration of a write after which the disk counts as unhealthy.
 	maxWriteDuration = 750 * time.Millisecond
-	// maxContactAge is the maximum age of the last quorum contact for a replica that counts as
-	// connected.
+	// maxContactAge is the maximum age of the last quorum contact of a replica that counts as
+	// connected. A quorum contact is a quorum read by observeQuorum that a majority has
+	// answered. Its age counts from the start of the read.
 	maxContactAge = 1500 * time.Millisecond
 	// suspensionGap is the time without a tick after which a replica, which normally ticks
 	// every tickInterval, counts as having been suspended.
 	suspensionGap = 400 * time.Millisecond
-	// resumeGracePeriod is the time after a suspension in which incoming messages may have been
-	// queued during the suspension.
+	// resumeGracePeriod is the time after a suspension for which the messages that the replica
+	// processes may have arrived during the suspension.
 	resumeGracePeriod = 500 * time.Millisecond
 )
 
 // Health describes whether a replica's disk accepts writes and whether the replica reaches a
 // majority, based on its most recent operations. It is a pure value, and its times are relative
-// to the replica's start. A replica that fails either condition must not remain the
-// coordinator, even if its heartbeats arrive. (DESIGN 6.3)
+// to the replica's start. The zero value is healthy: the start counts as a quorum contact. A
+// replica that fails either condition must not remain the coordinator, even if its heartbeats
+// arrive. (DESIGN 6.3)
 type Health struct {
 	writing           bool
 	writeStarted      time.Duration // start of the current or the last write
--- a/internal/controlplane/consensus/joining.go
+++ b/internal/controlplane/consensus/joining.go
@@ -10,10 +10,10 @@
 // state.
 const attemptInterval = 300 * time.Millisecond
 
-// joinAttempts tracks the attempts to join with an empty disk as a static member. A replica
-// that joined under a lower incarnation than was granted to a later attempt would not be
-// counted. Therefore only one attempt is in progress at a time, and each attempt requests a
-// higher incarnation.
+// joinAttempts tracks the attempts to join with an empty disk as a static member. The replies
+// of a replica that joined under a lower incarnation than was granted to a later attempt would
+// not be counted. Therefore only one attempt is in progress at a time, and each attempt
+// requests a higher incarnation.
 type joinAttempts struct {
 	inProgress bool
 	// incarnation is the highest incarnation requested so far.
@@ -45,8 +45,9 @@
 	return replies
 }
 
-// tryEstablish continues an attempt. It establishes the acceptor, or else requests the
-// membership of a replaced disk from the other members.
+// tryEstablish continues an attempt with the replies of the other members. It establishes the
+// acceptor, or else requests that the local disk replace the one that the other members have
+// recorded.
 func (r *Replica) tryEstablish(ctx context.Context, replies map[int]Reply) {
 	decide := func(acceptor Acceptor) (Acceptor, bool) {
 		if acceptor.Phase == PhaseEstablished {
@@ -63,8 +64,10 @@
 	r.enqueueTransition(ctx, transition{decide: decide, done: done, deadline: r.now() + messageTimeout})
 }
 
-// requestJoin requests the static membership from the other members. It returns false if the
-// request is not allowed yet.
+// requestJoin requests the static membership from the other members. It returns false if it
+// sends no request. That is the case if too few members have answered, or if the acceptor needs
+// no request: it is established, or the replies allow it to be established but that could not
+// be saved.
 func (r *Replica) requestJoin(ctx context.Context, replies map[int]Reply) bool {
 	if _, established := r.acceptor.Establish(replies); established || r.acceptor.Phase == PhaseEstablished {
 		return false
--- a/internal/controlplane/consensus/member_client.go
+++ b/internal/controlplane/consensus/member_client.go
@@ -71,7 +71,8 @@
 }
 
 // forward sends a command to another replica for execution. The command is encoded as a delta
-// to the local state if that makes it shorter.
+// to the local state if that makes it shorter. A refresh requests the whole resulting state,
+// because LinearizableRead returns it; for other commands the revisions suffice.
 func (c *memberClient) forward(ctx context.Context, addr string, command Command) transport.Response {
 	command.RevisionsOnly = command.Kind != CommandRefresh
 	own := c.local.Acceptor()
--- a/internal/controlplane/consensus/membership_planner.go
+++ b/internal/controlplane/consensus/membership_planner.go
@@ -19,8 +19,10 @@
 type JoinRequest struct {
 	DiskID uint64 `msgpack:"d"`
 	Addr   string `msgpack:"a"`
-	Zone   string `msgpack:"l"`
-	// Forwarded is set once a replica has forwarded it to the coordinator.
+	// Zone is the zone of the replica. It does not affect the planning.
+	Zone string `msgpack:"l"`
+	// Forwarded is set once a replica has forwarded the request to the coordinator. Such a
+	// request is not forwarded again.
 	Forwarded bool `msgpack:"p,omitempty"`
 }
 
@@ -68,8 +70,8 @@
 
 // PlanJoin returns the reconfiguration that makes a disk a member. It returns false if there is
 // none at present. Each disk gets a member ID that was never used before. The disk replaces the
-// member that had its address before that member's disk was lost, or else a member that is
-// gone. If there is neither, it is added to the set.
+// member with the same address, whose own disk has been lost, or else a member that is gone. If
+// there is neither, it is added to the set.
 func (p MembershipPlanner) PlanJoin(request JoinRequest, acceptor Acceptor, statuses map[int]MemberStatus, now time.Duration) (Command, bool) {
 	members := acceptor.MemberSets().Current
 	if acceptor.StaticSize > 0 || len(members) == 0 {
@@ -113,7 +115,8 @@
 
 // PlanRemoval returns the reconfiguration that removes a member that is gone. It returns false
 // if there is none at present. A member is removed only if the set has an even size or at least
-// two of its members are gone, and if the live members are a majority of the set.
+// two of its members are gone, and if the live members are a majority of the set. Of several
+// members that are gone, the one with the highest member ID is removed.
 func (p MembershipPlanner) PlanRemoval(acceptor Acceptor, now time.Duration) (Command, bool) {
 	members := acceptor.MemberSets().Current
 	if acceptor.StaticSize > 0 || len(members) <= smallestSize(acceptor) {
--- a/internal/controlplane/consensus/message.go
+++ b/internal/controlplane/consensus/message.go
@@ -20,7 +20,8 @@
 	MsgJoin MessageType = "sit"
 )
 
-// Message is sent to an acceptor, which answers with a Reply.
+// Message is sent to an acceptor, which answers with a Reply. Reads and MsgJoin need only
+// Sender and Type. MsgPrepare also needs Term, and MsgAccept and MsgCommit need all fields.
 type Message struct {
 	Sender   Sender              `msgpack:"f"`
 	Type     MessageType         `msgpack:"a"`
--- a/internal/controlplane/consensus/position.go
+++ b/internal/controlplane/consensus/position.go
@@ -2,8 +2,9 @@
 
 import "cmp"
 
-// Position orders accepted control states, first by the term that wrote them, then by revision.
-// The JSON keys are those of stored files.
+// Position orders accepted control states, first by the term under which they were proposed,
+// then by revision. The revision is that of the state. A state that is proposed again under a
+// later term keeps its revision. The JSON keys are those of stored files.
 type Position struct {
 	Term     uint64 `msgpack:"e" json:"Epoch"`
 	Revision uint64 `msgpack:"s" json:"Stamp"`
--- a/internal/controlplane/consensus/proposer.go
+++ b/internal/controlplane/consensus/proposer.go
@@ -26,7 +26,7 @@
 type proposerPhase int
 
 const (
-	// proposerIdle waits for commands.
+	// proposerIdle waits for commands, or for the backoff to end.
 	proposerIdle proposerPhase = iota
 	// proposerPreparing waits for a majority to promise the term.
 	proposerPreparing
@@ -51,9 +51,9 @@
 	phase          proposerPhase
 	term           uint64        // the term held or being prepared; zero if there is none
 	termStarted    time.Duration // when the prepare phase of the term began
-	highestTerm    uint64        // the highest term seen in any reply
+	highestTerm    uint64        // the highest promise of the local acceptor or in any reply
 	backoffUntil   time.Duration // no new term is prepared before this time
-	base           stateSnapshot // the newest state known under this term
+	base           stateSnapshot // the newest state, read by the prepare phase or committed since
 	proposal       proposal
 	commands       commandQueue
 	exchange       phaseExchange
--- a/internal/controlplane/consensus/proposer_phases.go
+++ b/internal/controlplane/consensus/proposer_phases.go
@@ -198,7 +198,8 @@
 	return p.broadcast(now)
 }
 
-// unlistedSelf returns the local acceptor as a member if no member set includes it.
+// unlistedSelf returns the local acceptor as a member if no member set includes it. The
+// acceptor is sent the message of each phase in any case, since hasQuorum requires its reply.
 func (p *Proposer) unlistedSelf() []config.Member {
 	if containsSender(p.memberSets.Union(), p.self) {
 		return nil
@@ -239,8 +240,9 @@
 	case proposerAccepting:
 		message.Type, message.Position, message.State = MsgAccept, p.proposal.position, p.proposal.state
 	case proposerProbing:
-		// The probe is a repeated prepare message that carries the member sets of the
-		// reconfiguration.
+		// The probe is a repeated prepare message that carries the position and the member sets
+		// of the reconfiguration. Acceptors ignore them; tests/simulation and tests/modelcheck
+		// read them.
 		message.Position = p.proposal.position
 		message.State.Members, message.State.PreviousMembers = p.proposal.state.Members, p.proposal.state.PreviousMembers
 	}
--- a/internal/controlplane/consensus/quorum.go
+++ b/internal/controlplane/consensus/quorum.go
@@ -10,8 +10,9 @@
 // Majority returns the smallest number of members that is a majority of n.
 func Majority(n int) int { return n/2 + 1 }
 
-// MemberSets holds the member sets whose majorities decide. While a reconfiguration is the
-// newest change, majorities of both the current and the previous set are needed. (DESIGN 6.5)
+// MemberSets holds the member sets whose majorities decide. Each set is sorted by member ID.
+// While a reconfiguration is the newest change, majorities of both the current and the previous
+// set are needed. (DESIGN 6.5)
 type MemberSets struct {
 	Current  []config.Member `msgpack:"n,omitempty" json:"now"`
 	Previous []config.Member `msgpack:"b,omitempty" json:"before,omitempty"`
--- a/internal/controlplane/consensus/reconfiguration.go
+++ b/internal/controlplane/consensus/reconfiguration.go
@@ -6,9 +6,10 @@
 	"curlewwalk/internal/config"
 )
 
-// applyReconfiguration sets the member sets of the next state according to a command. A command
-// of another kind leaves the current set unchanged. At most one member joins and one leaves at
-// a time. (DESIGN 6.5)
+// applyReconfiguration sets the member sets of the next state according to a command. The
+// current set must not be empty and is sorted by member ID. A command of another kind leaves
+// the current set unchanged and drops the previous set. At most one member joins and one leaves
+// at a time. (DESIGN 6.5)
 func applyReconfiguration(next config.ControlState, current []config.Member, command Command) config.ControlState {
 	next.PreviousMembers = nil
 	if command.Kind != CommandReconfigure {
@@ -55,7 +56,9 @@
 	return result, false
 }
 
-// reusesMemberID reports whether the ID of a joining member may have been used before.
+// reusesMemberID reports whether the ID of a joining member may have been used before. The
+// highest ID of the current set counts as well, since the state records none before the first
+// reconfiguration.
 func reusesMemberID(base config.ControlState, current []config.Member, joining config.Member) bool {
 	return joining.MemberID != 0 && joining.MemberID <= max(base.HighestMemberID, current[len(current)-1].MemberID)
 }
--- a/internal/controlplane/consensus/replica.go
+++ b/internal/controlplane/consensus/replica.go
@@ -29,7 +29,8 @@
 type Config struct {
 	// Store holds the acceptor's files. No other component may use it.
 	Store *storage.Store
-	// Bootstrap holds the membership settings, which are used only while the disk is empty.
+	// Bootstrap holds the membership settings, most of which are used only while the disk is
+	// empty.
 	Bootstrap Bootstrap
 }
 
@@ -50,10 +51,11 @@
 	OnHealthChange func()
 }
 
-// Peers locates the other replicas.
+// Peers locates the other replicas and determines the coordinator.
 type Peers interface {
-	// Addr returns the address of the replica that has a member ID, or that would be assigned
-	// it.
+	// Addr returns the address of the replica that last announced a member ID as its own. A
+	// replica with static membership announces the ID in its settings even before it is
+	// established.
 	Addr(memberID int) (string, bool)
 	// IsCoordinator reports whether this replica is the live and healthy member with the lowest
 	// member ID, according to its local view of the membership.
@@ -83,8 +85,8 @@
 	joining     joinAttempts
 	// reportedHealthy is the health at the last call of OnHealthChange.
 	reportedHealthy bool
-	// lastProbe is the time of the last probe write to a faulty disk.
-	lastProbe time.Duration
+	// lastDiskProbe is the time of the last probe write to a faulty disk.
+	lastDiskProbe time.Duration
 	// lastAttempt is the time of the last attempt to join. Once the replica is established, it
 	// is the time of the last attempt to commit an uncommitted state.
 	lastAttempt time.Duration
--- a/internal/controlplane/consensus/replica_commands.go
+++ b/internal/controlplane/consensus/replica_commands.go
@@ -16,8 +16,8 @@
 	// commands.
 	reconfigurationTimeout = 2 * time.Second
 	// regainTimeout bounds the time for which a command waits for the replica to contact a
-	// majority again. The sender of a command treats one second without a response as a
-	// failure.
+	// majority again. The operator clients in tests/e2e treat one second without a response as
+	// a failure.
 	regainTimeout = 700 * time.Millisecond
 )
 
--- a/internal/controlplane/consensus/replica_reads.go
+++ b/internal/controlplane/consensus/replica_reads.go
@@ -51,7 +51,8 @@
 	return result.State.Revision, result.Outcome == OutcomeCommitted
 }
 
-// CatchUp copies the committed state of another replica that is known to have a newer one.
+// CatchUp copies the committed state of another replica that has announced a newer committed
+// revision.
 func (r *Replica) CatchUp(ctx context.Context, addr string) {
 	ctx, cancel := context.WithTimeout(ctx, messageTimeout)
 	defer cancel()
--- a/internal/controlplane/consensus/replies.go
+++ b/internal/controlplane/consensus/replies.go
@@ -20,7 +20,8 @@
 }
 
 // HighestReply returns the reply with the highest position and the member sets of its state. If
-// that reply has no member sets, it returns own, the member sets known to the reader.
+// that reply has no member sets, it returns own, the member sets known to the reader. A joining
+// acceptor without a state has no member sets.
 func HighestReply(replies map[int]Reply, own MemberSets) (highest Reply, sets MemberSets) {
 	for _, reply := range replies {
 		if c := highest.Position.Compare(reply.Position); c < 0 || c == 0 && len(highest.MemberSets.Current) == 0 {
--- a/internal/controlplane/consensus/state_encoding.go
+++ b/internal/controlplane/consensus/state_encoding.go
@@ -21,8 +21,9 @@
 	return &out
 }
 
-// AppendState appends an encoding of the proposer. Times are encoded only as far as they matter
-// if the next time passed to the proposer is far beyond all of its timeouts.
+// AppendState appends an encoding of the proposer. Between the calls of its methods, the time
+// must either stay the same or advance far beyond all of its timeouts, as in tests/modelcheck.
+// Times are encoded only as far as they matter then.
 func (p *Proposer) AppendState(b []byte, now time.Duration) []byte {
 	b = appendSender(b, p.self)
 	b = appendMembers(b, p.initialMembers)
@@ -89,13 +90,14 @@
 }
 
 // AppendControlState appends an encoding of the parts of a state that commands on
-// configurations and member sets change.
+// configurations and member sets change. The commands of tests/modelcheck change no other
+// parts.
 func AppendControlState(b []byte, state config.ControlState) []byte {
 	b = appendNumbers(b, state.Revision, state.ConfigurationRevision, state.Generation, uint64(state.HighestMemberID), uint64(len(state.Configuration)), uint64(len(state.AcceptedGenerations)))
 	b = append(b, state.Configuration...)
-	for _, t := range state.AcceptedGenerations {
-		b = appendNumbers(b, t.Generation, uint64(len(t.Digest)))
-		b = append(b, t.Digest...)
+	for _, accepted := range state.AcceptedGenerations {
+		b = appendNumbers(b, accepted.Generation, uint64(len(accepted.Digest)))
+		b = append(b, accepted.Digest...)
 	}
 	b = appendMembers(b, state.Members)
 	return appendMembers(b, state.PreviousMembers)
--- a/internal/controlplane/consensus/state_files.go
+++ b/internal/controlplane/consensus/state_files.go
@@ -23,7 +23,7 @@
 }
 
 // stateHeader is the first line of a control state file. The configuration follows, byte for
-// byte as the operator's client sent it.
+// byte as in the control state.
 type stateHeader struct {
 	Position
 	ConfigurationRevision uint64   `json:"desired_stamp"`
--- a/internal/controlplane/consensus/state_store.go
+++ b/internal/controlplane/consensus/state_store.go
@@ -33,7 +33,8 @@
 
 // load loads the acceptor. An empty disk gets the initial state that the settings specify. If
 // the latest files cannot be read, the acceptor has lost its promises: the files are
-// quarantined, and the acceptor must join again under a new disk ID.
+// quarantined, and the acceptor must join again under a new disk ID. Earlier files are not
+// loaded instead, since replies for later ones may have been sent.
 func (s *stateStore) load(bootstrap Bootstrap) (Acceptor, error) {
 	empty := bootstrap.InitialState(newDiskID())
 	promise, err := s.store.Latest(kindPromise)
@@ -62,7 +63,9 @@
 	}
 	switch acceptor.Phase {
 	case PhaseLost:
-		return acceptor, s.store.Quarantine(kindState, 0) // resetIdentity was interrupted before this step
+		// resetIdentity was interrupted before this step, or CompleteJoin between the writes of
+		// the state and of the promise.
+		return acceptor, s.store.Quarantine(kindState, 0)
 	case PhaseEstablished, PhaseJoining:
 		loaded, err := acceptor.withEncodedState(state.Data)
 		if err != nil {
@@ -70,6 +73,8 @@
 		}
 		return loaded, nil
 	}
+	// The acceptor of an empty disk does not use the state. CompleteJoin was interrupted between
+	// the writes of the state and of the promise.
 	return acceptor, nil
 }
 
@@ -87,7 +92,7 @@
 	if err := s.save(acceptor); err != nil {
 		return acceptor, err
 	}
-	if err := s.store.Quarantine(kindPromise, 1); err != nil {
+	if err := s.store.Quarantine(kindPromise, 1); err != nil { // keeps the promise that was just saved
 		return acceptor, err
 	}
 	return acceptor, s.store.Quarantine(kindState, 0)
@@ -102,8 +107,8 @@
 // newDiskID returns a random disk ID, which is never zero.
 func newDiskID() uint64 { return rand.Uint64() | 1 }
 
-// save writes the dirty parts of an acceptor. The control state is written first, since a
-// promise on disk implies that the state it refers to is on disk as well.
+// save writes the dirty parts of an acceptor. The control state is written first, since the
+// phase and the member ID in the promise may result from that state.
 func (s *stateStore) save(acceptor Acceptor) error {
 	if acceptor.StateDirty {
 		if err := s.saveState(acceptor); err != nil {
--- a/internal/controlplane/consensus/term.go
+++ b/internal/controlplane/consensus/term.go
@@ -12,8 +12,9 @@
 )
 
 // nextTerm returns the next term of a member that is higher than the highest known term. Two
-// members never get the same term. The stride is the number of static members, as in earlier
-// versions, or termStride if the membership is dynamic. (DESIGN 6.5)
+// members never get the same term, since a term modulo the stride determines the member ID. The
+// stride is the number of static members, as in earlier versions, or termStride if the
+// membership is dynamic. (DESIGN 6.5)
 func nextTerm(highest uint64, memberID, staticSize int) uint64 {
 	stride := uint64(termStride)
 	if staticSize > 0 {
--- a/internal/controlplane/consensus/transition.go
+++ b/internal/controlplane/consensus/transition.go
@@ -10,8 +10,8 @@
 	// maxTransitions bounds the number of transitions that wait for the disk. The sender of a
 	// rejected message sends it again if necessary.
 	maxTransitions = 64
-	// probeInterval is the interval between probe writes to a faulty disk.
-	probeInterval = 500 * time.Millisecond
+	// diskProbeInterval is the interval between probe writes to a faulty disk.
+	diskProbeInterval = 500 * time.Millisecond
 )
 
 // transition is a change of the acceptor. It is computed from the state on disk once the disk
@@ -132,10 +132,10 @@
 // probeDisk writes the promise again if the last write failed or took too long, to detect when
 // the disk accepts writes again.
 func (r *Replica) probeDisk(ctx context.Context, now time.Duration) {
-	if r.transitions.saving || r.Health().DiskHealthy(now) || now-r.lastProbe < probeInterval {
+	if r.transitions.saving || r.Health().DiskHealthy(now) || now-r.lastDiskProbe < diskProbeInterval {
 		return
 	}
-	r.lastProbe = now
+	r.lastDiskProbe = now
 	rewrite := func(acceptor Acceptor) (Acceptor, bool) {
 		acceptor.PromiseDirty = true
 		return acceptor, true
