--- a/internal/dataplane/proxy/admit.go
+++ b/internal/dataplane/proxy/admit.go
@@ -43,6 +43,7 @@
 	if done == nil {
 		return in.refuse(ctx, attempt, refusal{queueRejection(ctx), retryAfter, endpoint.Admission.Outstanding()})
 	}
+	// The duration of a canceled attempt is not used to estimate the backend's speed.
 	defer func() { done(errors.Is(context.Cause(ctx), errCanceled)) }()
 	if !in.attemptLog.begin(ctx, attempt.ID) {
 		return in.notBegun(ctx, attempt)
@@ -53,7 +54,8 @@
 }
 
 // checkAdmission reports whether an attempt may be sent to its backend now. It is called first at
-// admission, and again immediately before the write.
+// admission, and again immediately before the write. currentLimit also calls it, to get the newest
+// state of the backend.
 func (in *Inbound) checkAdmission(ctx context.Context, attempt *Attempt) (endpoints.Endpoint, endpoints.Rejection) {
 	switch {
 	case attempt.Incarnation != in.Incarnation:
@@ -67,7 +69,7 @@
 }
 
 // refuse returns the reply to an attempt that must not run. The reply proves that the attempt does
-// not run, unless an earlier copy of the attempt has begun.
+// not run, unless an earlier copy of the attempt has begun or the attempt log has ended.
 func (in *Inbound) refuse(ctx context.Context, attempt *Attempt, r refusal) AttemptResponse {
 	response := AttemptResponse{ID: attempt.ID, Outcome: routing.NotRun, Reason: string(r.rejection), InFlight: int(r.inFlight), RetryAfter: r.retryAfter}
 	if !in.attemptLog.refuse(context.WithoutCancel(ctx), attempt.ID) {
@@ -76,8 +78,8 @@
 	return response
 }
 
-// notBegun returns the reply to an attempt that the attempt log did not let begin, either because
-// its context has ended or because it is a duplicate.
+// notBegun returns the reply to an attempt that the attempt log did not let begin, because its
+// context has ended, because it is a duplicate, or because the log has ended.
 func (in *Inbound) notBegun(ctx context.Context, attempt *Attempt) AttemptResponse {
 	if ctx.Err() != nil {
 		return in.refuse(ctx, attempt, refusal{rejection: rejectionFor(ctx)})
@@ -96,7 +98,7 @@
 }
 
 // currentLimit returns a function that returns the backend's concurrency limit at the time of the
-// call. The function uses the capacity of the backend's newest heartbeat. If the backend would no
+// call. The function uses the capacity of the backend's newest heartbeat. If the attempt would no
 // longer be admitted, it uses the capacity at the time of the admission.
 func (in *Inbound) currentLimit(ctx context.Context, attempt *Attempt, admitted endpoints.Endpoint) func() int64 {
 	return func() int64 {
--- a/internal/dataplane/proxy/attempt.go
+++ b/internal/dataplane/proxy/attempt.go
@@ -10,7 +10,9 @@
 	"curlewwalk/internal/dataplane/routing"
 )
 
-// The kinds of messages from an outbound side to an inbound side.
+// The kinds of messages from an outbound side to an inbound side. The protocol calls an attempt a
+// leg and a cancellation a recall. The values here and the msgpack tags below are part of the
+// protocol.
 const (
 	// KindAttempt carries an Attempt. The reply is an AttemptResponse.
 	KindAttempt = "leg"
@@ -26,23 +28,26 @@
 	Number   int    `msgpack:"n"`
 	Service  string `msgpack:"s"`
 	Instance string `msgpack:"i"`
-	// Incarnation is the incarnation of the inbound side's process that the attempt is for.
+	// Incarnation identifies the run of the inbound side's process that the attempt is for. Each
+	// start of the process draws a random number.
 	Incarnation uint64 `msgpack:"bt"`
 	Route       string `msgpack:"w"`
-	// Priority is the request's priority. Lower numbers are admitted first.
+	// Priority is the request's priority. Lower numbers are admitted first. 1 is the highest
+	// priority.
 	Priority int `msgpack:"rk"`
-	// Timeout is the time left until the request's deadline.
+	// Timeout is the time left until the request's deadline, less responseMargin.
 	Timeout time.Duration `msgpack:"l"`
 	// TimeToTarget is the time left until the request's latency target, plus the lateness that the
-	// contract's budget allows. The attempt waits in the queue for at most this time, unless
-	// QueuePastTarget is set.
+	// latency budget of its contract allows, less responseMargin. The attempt waits in the queue for
+	// at most this time, unless QueuePastTarget is set.
 	TimeToTarget time.Duration `msgpack:"am"`
 	// QueuePastTarget reports whether the attempt may wait in the queue beyond TimeToTarget instead
 	// of being rejected.
 	QueuePastTarget bool `msgpack:"pt,omitempty"`
 	// Idempotent reports whether the request may safely run twice.
 	Idempotent bool `msgpack:"rp,omitempty"`
-	// Caller is the service that sent the request. It is empty for a client.
+	// Caller is the service that sent the request, or OutboundConfig.LocalService if the sender is
+	// unknown. It is empty for a client.
 	Caller string `msgpack:"c,omitempty"`
 	Method string `msgpack:"m"`
 	// URI is the request target as sent by the caller.
--- a/internal/dataplane/proxy/attemptlog.go
+++ b/internal/dataplane/proxy/attemptlog.go
@@ -5,18 +5,21 @@
 	"time"
 )
 
-// attemptRetention is how long the log keeps an attempt. It is longer than any deadline.
+// attemptRetention is how long the log keeps an attempt. It is longer than any deadline, because
+// the configuration allows deadlines of at most 10 minutes.
 const attemptRetention = 11 * time.Minute
 
 // AttemptLog records which attempts have begun and which were refused, so that no attempt begins
 // twice or after its refusal. It is not safe for concurrent use. The caller passes the current time
-// as the time since a fixed start. (DESIGN 10.2)
+// as the time since a fixed start, so that tests/simulation can use the log with simulated time.
+// (DESIGN 10.2)
 type AttemptLog struct {
 	records map[string]attemptRecord
 	// order holds the IDs of the attempts in the order in which they were recorded.
 	order []string
 }
 
+// attemptRecord is the record of an attempt that was refused, or has begun if refused is false.
 type attemptRecord struct {
 	refused    bool
 	recordedAt time.Duration
--- a/internal/dataplane/proxy/backendconn.go
+++ b/internal/dataplane/proxy/backendconn.go
@@ -10,7 +10,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// errHeadTooLarge is the error of a read beyond the read limit.
+// errHeadTooLarge is the error of a read beyond the read limit, which applies to response heads.
 var errHeadTooLarge = eris.New("response head exceeds the size limit")
 
 // backendConn is a connection to a backend. It carries one attempt at a time. Unlike the
@@ -20,7 +20,8 @@
 	address backendAddress
 	raw     syscall.RawConn
 	reader  *bufio.Reader
-	// readLimit is how many more bytes may be read before it is raised again.
+	// readLimit is how many more bytes may be read. nextResponse sets it before it reads the head of
+	// a response, and lifts it for the body, which readBody limits.
 	readLimit int64
 	// usedBefore reports whether the connection has carried an attempt before.
 	usedBefore bool
@@ -28,7 +29,7 @@
 	// have a Content-Length but has no body.
 	carriedHead bool
 	// idleSince is when the connection was last used. idleTimeout is how long it may be idle after
-	// that, or zero if it must be closed.
+	// that. It is zero during an exchange, and if the connection must be closed instead of kept.
 	idleSince   time.Time
 	idleTimeout time.Duration
 }
--- a/internal/dataplane/proxy/backendrequest.go
+++ b/internal/dataplane/proxy/backendrequest.go
@@ -8,7 +8,7 @@
 )
 
 // newBackendRequest rebuilds the caller's request for the backend at addr. net/http writes it with
-// the same request target and adds no headers of its own.
+// the same request target, and adds no headers except those that state the length of the body.
 func newBackendRequest(ctx context.Context, addr string, attempt *Attempt) *http.Request {
 	req := &http.Request{
 		Method:     attempt.Method,
--- a/internal/dataplane/proxy/bodylimiter.go
+++ b/internal/dataplane/proxy/bodylimiter.go
@@ -2,12 +2,13 @@
 
 import "sync/atomic"
 
-// BodyLimiter limits the memory for bodies on one side of the proxy. It is safe for concurrent use.
-// (DESIGN 10.5)
+// BodyLimiter limits the size of each body, and the memory for request bodies, on one side of the
+// proxy. It is safe for concurrent use. (DESIGN 10.5)
 type BodyLimiter struct {
 	// MaxBody is the maximum size of a request or response body, in bytes.
 	MaxBody int64
-	// MaxTotal is the maximum total size of the bodies of all open requests, in bytes.
+	// MaxTotal is the maximum total size of the request bodies of all open requests, in bytes.
+	// Response bodies are not counted.
 	MaxTotal int64
 
 	reserved atomic.Int64
--- a/internal/dataplane/proxy/cancel.go
+++ b/internal/dataplane/proxy/cancel.go
@@ -14,8 +14,8 @@
 // stoppingReason is the reason for rejecting or ending requests while this node is shutting down.
 const stoppingReason = "this node is stopping"
 
-// ErrStopping is the cancellation cause of the contexts of requests and attempts that are still
-// open when the time for the shutdown is over.
+// ErrStopping is the cancellation cause of the contexts of requests that are still open, and of
+// attempts that have not begun, when the time for finishing them during a shutdown is over.
 var ErrStopping = eris.New(stoppingReason)
 
 // errCanceled is the cancellation cause of the context of an attempt that was canceled.
@@ -31,6 +31,7 @@
 	if !request.Decode(&cancel) {
 		return nil, errNotCancel
 	}
+	// If the cancellation is for an earlier incarnation, that incarnation may have begun the attempt.
 	response := AttemptResponse{ID: cancel.ID, Outcome: routing.Unknown, Reason: "it was begun, or begun before a restart"}
 	if in.cancel(cancel.ID) && cancel.Incarnation == in.Incarnation {
 		response.Outcome, response.Reason = routing.NotRun, "recalled before it was begun"
@@ -61,7 +62,7 @@
 }
 
 // RefuseWaiting refuses all open attempts that have not begun, so that their requests can be sent
-// to other nodes. It is called shortly before the end of this node's shutdown.
+// to other nodes. It is called when the time for finishing open requests during a shutdown is over.
 func (in *Inbound) RefuseWaiting() {
 	for _, id := range in.openAttempts.ids() {
 		if !in.attemptLog.refuse(context.Background(), id) {
@@ -74,7 +75,7 @@
 }
 
 // rejectionFor returns the rejection of an attempt whose context has ended. It also returns
-// DeadlineExpired if the context has not ended.
+// DeadlineExpired if the context has not ended; queueRejection relies on that.
 func rejectionFor(ctx context.Context) endpoints.Rejection {
 	cause := context.Cause(ctx)
 	switch {
--- a/internal/dataplane/proxy/clientwatch.go
+++ b/internal/dataplane/proxy/clientwatch.go
@@ -7,7 +7,8 @@
 )
 
 // clientWatch detects when the client of a request closes or loses its connection, through the
-// context of the net/http request. The attempt in progress is then canceled once. (DESIGN 10.7)
+// context of the net/http request. The attempt in progress is then canceled. The watch cancels each
+// attempt at most once. (DESIGN 10.7)
 type clientWatch struct {
 	// unregister stops watching the client's context.
 	unregister func() bool
@@ -26,7 +27,8 @@
 	return w
 }
 
-// ignoreClient returns the watch of a request that continues even if its client disconnects.
+// ignoreClient returns the watch of a request that continues even if its client disconnects. The
+// watch never reports a disconnection.
 func ignoreClient() *clientWatch {
 	return &clientWatch{unregister: func() bool { return true }}
 }
--- a/internal/dataplane/proxy/connpool.go
+++ b/internal/dataplane/proxy/connpool.go
@@ -15,9 +15,9 @@
 // backendAddress identifies a backend instance at its address.
 type backendAddress struct{ instance, address string }
 
-// connPool is the pool of connections to the backends of this node. The sweeper closes idle
-// connections that can no longer be used. It starts when the first connection becomes idle.
-// (DESIGN 10.6)
+// connPool is the pool of connections to the backends of this node. Its sweeper, a goroutine that
+// runs sweep, closes idle connections that can no longer be used. The sweeper starts when the first
+// connection becomes idle. (DESIGN 10.6)
 type connPool struct {
 	// lifetime is the context of the sweeper. When it ends, all idle connections are closed.
 	lifetime context.Context
@@ -47,8 +47,8 @@
 }
 
 // acquire returns a connection to a backend that was idle for less than maxIdle, or a new one. It
-// closes idle connections to keep at most maxConnections open. The caller must release the
-// connection.
+// closes idle connections to keep at most maxConnections open. It does not limit the connections in
+// use, which Inbound.ConcurrencyLimit does. The caller must release the connection.
 func (p *connPool) acquire(ctx context.Context, e endpoints.Endpoint, maxConnections int, maxIdle time.Duration) (*backendConn, error) {
 	address := backendAddress{e.Instance, e.Address}
 	if idle := p.reserve(address, maxConnections, maxIdle); idle != nil {
@@ -66,6 +66,8 @@
 }
 
 // reserve counts a connection as in use, and returns a usable idle connection if there is one.
+// Otherwise it closes the least recently used idle connections, if necessary, to make room for a
+// new connection.
 func (p *connPool) reserve(address backendAddress, maxConnections int, maxIdle time.Duration) *backendConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -105,7 +107,7 @@
 
 // dial opens a connection. It fails when ctx ends.
 func (p *connPool) dial(ctx context.Context, address backendAddress) (*backendConn, error) {
-	dialer := net.Dialer{Timeout: dialTimeout, KeepAlive: -1}
+	dialer := net.Dialer{Timeout: dialTimeout, KeepAlive: -1} // no TCP keep-alive probes
 	tcp, err := dialer.DialContext(ctx, "tcp", address.address)
 	if err != nil {
 		return nil, err
--- a/internal/dataplane/proxy/counters.go
+++ b/internal/dataplane/proxy/counters.go
@@ -8,7 +8,8 @@
 )
 
 // Counters counts the requests of an outbound side, or the attempts of an inbound side, since the
-// start of the process.
+// start of the process. The fields from ExtraAttempts to AfterDisconnect are used only by an
+// outbound side, and the fields after them only by an inbound side.
 type Counters struct {
 	// InFlight is the number of requests or attempts that are open now.
 	InFlight atomic.Int64
@@ -21,13 +22,13 @@
 	// Joined counts the requests that got the response of an earlier request with the same
 	// idempotency key.
 	Joined atomic.Int64
-	// ClientDisconnects counts the requests whose clients disconnected before they were answered.
-	// AfterDisconnect is the total time, in nanoseconds, for which these requests continued
-	// afterwards.
+	// ClientDisconnects counts the requests without an idempotency key whose clients disconnected
+	// before they were answered. AfterDisconnect is the total time, in nanoseconds, for which these
+	// requests continued afterwards.
 	ClientDisconnects, AfterDisconnect atomic.Int64
 	// CanceledBeforeStart counts the attempts that were canceled before they began. CanceledRunning
-	// counts the running attempts that were stopped. LeftRunning counts the canceled attempts that
-	// must not be stopped or are not known.
+	// counts the running attempts that were stopped. LeftRunning counts the cancellations that had
+	// no effect, because the attempt had begun and was not idempotent, or was no longer open.
 	CanceledBeforeStart, CanceledRunning, LeftRunning atomic.Int64
 }
 
@@ -50,7 +51,7 @@
 	}
 }
 
-// Totals is a snapshot of Counters for the API.
+// Totals is a snapshot of Counters for the API. The JSON names are part of the API.
 type Totals struct {
 	InFlight          int64 `json:"open"`
 	Requests          int64 `json:"inquiries"`
--- a/internal/dataplane/proxy/dialect.go
+++ b/internal/dataplane/proxy/dialect.go
@@ -9,11 +9,11 @@
 
 // Dialect defines how HTTP messages carry the information that the proxy needs. It parses the
 // requests of callers and the responses of backends, and builds the messages sent to them.
-// DefaultDialect is the project's own dialect, and adapters provide others. A dialect only parses
-// and formats. The proxy makes all decisions. (DESIGN 18.2)
+// DefaultDialect is the project's own dialect. Adapters to platforms provide others, as package
+// platform does. A dialect only parses and formats. The proxy makes all decisions. (DESIGN 18.2)
 type Dialect interface {
-	// ParseRequest reads the metadata of a request. h is the header for the backend. ParseRequest
-	// removes the fields from h that only sidecars may set.
+	// ParseRequest reads the metadata of a request. h is the header or the trailer for the backend.
+	// ParseRequest removes the fields from h that only sidecars may set.
 	ParseRequest(r *http.Request, h http.Header) RequestMetadata
 	// SetBackendHeaders adds to h, the header of a request to a backend, the information that the
 	// backend needs about an attempt: its caller, the target instance and the remaining time.
@@ -42,16 +42,18 @@
 	ResponseValid ResponseClass = iota
 	// ResponseDeclined means that the backend has not run the attempt and never will.
 	ResponseDeclined
-	// ResponseMisrouted means the same as ResponseDeclined, because another instance has the
-	// address.
+	// ResponseMisrouted means that another instance answered at the backend's address, so the
+	// attempt has not run and never will.
 	ResponseMisrouted
 	// ResponseMismatched is the response to another request.
 	ResponseMismatched
-	// ResponseForged reports a success that this backend cannot have sent.
+	// ResponseForged lacks the proof, which the dialect requires, that the backend sent it as the
+	// attempt's response. It does not show whether the attempt has run.
 	ResponseForged
 )
 
-// LocalReply describes a reply that a sidecar sends itself.
+// LocalReply describes a local reply, which is a response that a sidecar sends to the caller
+// instead of a backend's response.
 type LocalReply struct {
 	Status  int
 	Outcome routing.Outcome
@@ -64,8 +66,8 @@
 }
 
 // DefaultDialect is the project's own dialect. It reads Idempotency-Key from requests, sends
-// Curlewwalk-Caller to backends, and formats local replies as JSON documents with
-// Curlewwalk-Outcome.
+// Curlewwalk-Caller to backends, and formats local replies as JSON documents with a
+// Curlewwalk-Outcome header.
 type DefaultDialect struct{}
 
 // ParseRequest implements Dialect.
--- a/internal/dataplane/proxy/exchange.go
+++ b/internal/dataplane/proxy/exchange.go
@@ -16,7 +16,7 @@
 func (in *Inbound) exchange(ctx context.Context, endpoint endpoints.Endpoint, attempt *Attempt, span trace.Span, guard *writeGuard) AttemptResponse {
 	x := backendExchange{inbound: in, endpoint: endpoint, attempt: attempt, span: span, guard: guard, maxConnections: in.maxConnections(endpoint)}
 	response, retry := x.tryConnection(ctx, maxIdleTimeFor(attempt))
-	for retry {
+	for retry { // at most once, because a new connection is not a reused one
 		response, retry = x.tryConnection(ctx, forceNewConnection)
 	}
 	return response
@@ -95,6 +95,8 @@
 	case err == nil:
 		x.conn.idleTimeout, x.conn.idleSince = idleTimeoutAfter, time.Now()
 	case x.guard.written():
+		// The response is kept, because the backend may respond before the end of the request. The
+		// connection is closed.
 	case x.guard.refusal.Load() != nil:
 		x.conn.idleTimeout = idleTimeout // the connection was not used
 		response = connectionLost(ctx, err)
@@ -105,9 +107,9 @@
 	return response
 }
 
-// startWrite writes the request, and returns the channel that receives the write's result. A long
-// request is written concurrently with reading the response, because the backend may respond before
-// the end of the request.
+// startWrite writes the request, and returns the channel that receives the write's result. A
+// request with a body longer than inlineWriteLimit is written concurrently with reading the
+// response, because the backend may respond before the end of the request.
 func (x *backendExchange) startWrite(ctx context.Context) <-chan error {
 	written := make(chan error, 1)
 	write := func(context.Context) {
@@ -136,7 +138,8 @@
 	}
 }
 
-// write writes the request. A short request is written with a single call of Write.
+// write writes the request. A request that fits in the buffer is written with a single call of
+// Write.
 func (x *backendExchange) write() error {
 	out := bufio.NewWriterSize(guardedWriter{conn: x.conn.Conn, guard: x.guard}, headBufferSize+min(len(x.attempt.Body), inlineWriteLimit))
 	if err := x.req.Write(out); err != nil {
--- a/internal/dataplane/proxy/header.go
+++ b/internal/dataplane/proxy/header.go
@@ -16,7 +16,8 @@
 	HeaderKey = "Idempotency-Key"
 )
 
-// hopByHop lists the header fields that apply to a single connection.
+// hopByHop lists the header fields that apply to a single connection. It includes Content-Length
+// and Expect, because each side reads the complete body before it forwards it in a new message.
 var hopByHop = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect",
--- a/internal/dataplane/proxy/idempotency.go
+++ b/internal/dataplane/proxy/idempotency.go
@@ -28,7 +28,8 @@
 }
 
 // runKeyed runs a request under its idempotency key, or directly if it has none. The first request
-// of a key runs, and each repeat gets its response. (DESIGN 10.3, 10.4)
+// of a key runs, and each repeat gets its response. If the first request has not run, a repeat may
+// run. (DESIGN 10.3, 10.4)
 func (o *Outbound) runKeyed(ctx context.Context, req *request) Response {
 	if req.metadata.IdempotencyKey == "" {
 		return o.runAttempts(ctx, req)
@@ -46,6 +47,7 @@
 		return response
 	}
 	outcome := o.runFirst(ctx, req, key)
+	// The reservation is ended under o.Lifetime, because ctx may have ended at the request's deadline.
 	if outcome.keep {
 		o.Reservations.Complete(o.Lifetime, key.Key, outcome.response)
 	} else {
@@ -61,7 +63,8 @@
 		return requestKey{}, rejectKeyTooLong
 	}
 	if !o.KeyReplication.Recovered() {
-		// An earlier incarnation of this node may have run a request with the same key.
+		// An earlier incarnation of this node may have run a request with the same key, and its
+		// records have not been recovered from the other nodes yet.
 		return requestKey{}, rejectKeysNotRecovered
 	}
 	return requestKey{idempotency.Key{Caller: req.caller, Text: text}, req.fingerprint()}, nil
@@ -88,7 +91,7 @@
 	case idempotency.KeyReused:
 		return false, Response{}, rejectKeyReused
 	case idempotency.Replay:
-		if err != nil {
+		if err != nil { // ctx ended before the first request did
 			return false, Response{}, rejectFirstStillOpen
 		}
 		return false, response, nil
--- a/internal/dataplane/proxy/inbound.go
+++ b/internal/dataplane/proxy/inbound.go
@@ -15,11 +15,12 @@
 
 // InboundConfig holds the settings of an Inbound.
 type InboundConfig struct {
-	// Incarnation is the incarnation of this process. Attempts for an earlier incarnation are
-	// refused.
+	// Incarnation is the random number that identifies this run of the process. Attempts for another
+	// incarnation are refused.
 	Incarnation uint64
-	// HalfCapacityTime is how long after the start of this process a backend gets at most half of
-	// its capacity, because requests that an earlier process admitted may still be running.
+	// HalfCapacityTime is how long after the start of this process, at most, a backend gets only half
+	// of its capacity, because requests that an earlier process admitted may still be running. Zero
+	// means that it gets its full capacity from the start.
 	HalfCapacityTime time.Duration
 }
 
@@ -32,7 +33,8 @@
 	Table     func() *routing.Table
 	Spans     *trace.Queue
 	Causality *causality.Tracker
-	// LeaseHeld reports whether this node may admit attempts.
+	// LeaseHeld reports whether this node may admit attempts. It may not if it cannot confirm that
+	// its configuration is the newest. (DESIGN 7.2)
 	LeaseHeld func() bool
 	// Draining reports whether new attempts are refused.
 	Draining func() bool
@@ -75,7 +77,9 @@
 func (in *Inbound) HandleAttempt(ctx context.Context, request transport.Request) (any, error) {
 	var attempt Attempt
 	if !request.Decode(&attempt) || !attempt.valid() {
-		return nil, errNotAttempt // the attempt never begins, which the reply to a cancellation confirms
+		// The outbound side cancels the attempt after this error. The reply to the cancellation says
+		// that the attempt has not run.
+		return nil, errNotAttempt
 	}
 	in.Counters.Requests.Add(1)
 	in.Counters.InFlight.Add(1)
--- a/internal/dataplane/proxy/outbound.go
+++ b/internal/dataplane/proxy/outbound.go
@@ -22,13 +22,15 @@
 type OutboundConfig struct {
 	// Zone is the zone of this node. The proxy prefers backends in this zone.
 	Zone string
-	// LocalService is the service that all callers on this machine belong to. It is empty if they
-	// belong to several services or to none.
+	// LocalService is the service that all backends on this machine belong to. If it is set, their
+	// requests may arrive at the same address as those of clients, with the empty string as the
+	// caller. It is empty if the backends belong to several services, which have addresses of their
+	// own, or to none.
 	LocalService string
-	// EjectionTime is how long the proxy avoids a backend that failed.
+	// EjectionTime is how long the proxy does not choose a backend that failed.
 	EjectionTime time.Duration
 	// WaitShare is the longest time that a request may wait for a backend with capacity, as a share
-	// of its latency target.
+	// of its latency target, from 0 to 0.5.
 	WaitShare float64
 	// MinRetryAfter is the shortest time after which a rejected client may retry.
 	MinRetryAfter time.Duration
@@ -56,13 +58,16 @@
 	LatencyBudgets *retrybudget.LatencyBudgets
 	Latencies      *routing.LatencyTable
 	Dialect        Dialect
-	// Lifetime ends when the node must answer all requests that are still open. Its cause is
-	// ErrStopping if the node is shutting down.
+	// Lifetime is the context of all requests. It ends when the node must answer all requests that
+	// are still open. Its cause is ErrStopping if the node is shutting down.
 	Lifetime context.Context
-	// RefusesClients reports whether the node rejects requests of clients.
+	// RefusesClients reports whether the node rejects requests of clients, because it is shutting
+	// down. If LocalService is set, it returns false while a backend of this node is running a
+	// request, because the backend's own requests cannot be distinguished from those of clients.
 	RefusesClients func() bool
-	// ShutdownTime, if set, reports whether this node is shutting down, and when another node may
-	// take its place. The requests of this node must have ended by then. (DESIGN 11.3)
+	// ShutdownTime, if set, reports whether the shutdown of this node has reached the phase in which
+	// requests of clients are refused, and the time by which requests that are still accepted must
+	// have ended. (DESIGN 11.3)
 	ShutdownTime func() (end time.Time, stopping bool)
 	// ConfigurationUnconfirmed, if set, reports whether a newer configuration than this node's may
 	// be in force.
@@ -82,7 +87,8 @@
 	// after NewOutbound because its Restore callback is RestoreKey.
 	KeyReplication *keyreplication.Owner
 	Counters       Counters
-	// RouteCounters counts completed requests by route and outcome.
+	// RouteCounters counts completed requests by route and outcome. It omits requests that handle
+	// rejected before send.
 	RouteCounters metrics.CounterVec
 }
 
@@ -92,8 +98,8 @@
 	return &Outbound{OutboundConfig: c, OutboundDeps: deps}
 }
 
-// Handler returns the handler for the requests of one caller, which is a backend service, or "" for
-// clients.
+// Handler returns the handler for the requests of one caller. caller is the service of a backend,
+// or "" for clients.
 func (o *Outbound) Handler(caller string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if o.RefusesClients() {
@@ -172,8 +178,8 @@
 	}
 }
 
-// outlivesNode reports whether a request with the given deadline may still be running when the
-// shutdown of this node ends.
+// outlivesNode reports whether a request with the given deadline may still be running at the
+// ShutdownTime of this node.
 func (o *Outbound) outlivesNode(deadline time.Time) bool {
 	if o.ShutdownTime == nil {
 		return false
--- a/internal/dataplane/proxy/readresponse.go
+++ b/internal/dataplane/proxy/readresponse.go
@@ -61,7 +61,7 @@
 		}
 		response, idleTimeout = x.readOwn(ctx, resp)
 		if mismatched > 0 {
-			idleTimeout = 0
+			idleTimeout = 0 // further responses to earlier requests may follow
 		}
 		return response, idleTimeout
 	}
@@ -103,8 +103,10 @@
 	return AttemptResponse{Outcome: routing.NotRun, Reason: declinedReason, ReachedBackend: true}, idleTimeoutAfter(resp, err)
 }
 
-// skipResponse reads a response to another request to its end. It returns false if the attempt's
-// own response cannot be identified in the data that follows.
+// skipResponse reads a response to another request to its end. mismatched is the number of such
+// responses so far, including this one. skipResponse returns false if the attempt's own response
+// cannot be identified in the data that follows. On a connection that has carried a HEAD request,
+// it is unknown whether the skipped response has a body, so the data that follows may be that body.
 func (x *backendExchange) skipResponse(resp *http.Response, mismatched int) bool {
 	_, _, err := x.readBody(resp)
 	return !(err != nil || mismatched > maxMismatched || resp.Close || x.conn.carriedHead)
@@ -171,7 +173,8 @@
 	return maxIdleTime
 }
 
-// unknownOutcome returns the reply to an attempt whose response cannot be forwarded.
+// unknownOutcome returns the reply to an attempt whose response cannot be forwarded. The reason is
+// err, or why ctx has ended if it has.
 func unknownOutcome(ctx context.Context, err error) AttemptResponse {
 	reason := err.Error()
 	if ctx.Err() != nil {
@@ -180,7 +183,8 @@
 	return AttemptResponse{Outcome: routing.Unknown, Reason: reason}
 }
 
-// connectionLost returns the reply to an attempt whose connection failed.
+// connectionLost returns the reply to an attempt whose connection failed or could not be opened.
+// The outcome is Unknown. forward changes it to NotRun if no byte was written.
 func connectionLost(ctx context.Context, err error) AttemptResponse {
 	reason, end := "backend: "+rootCause(err), deadline(ctx)
 	switch {
--- a/internal/dataplane/proxy/rejection.go
+++ b/internal/dataplane/proxy/rejection.go
@@ -13,9 +13,10 @@
 const transientRetryAfter = time.Second
 
 // The rejections of requests. Each has a status, an outcome, a reason and the time after which the
-// client may retry. Only a request under an idempotency key can have an outcome other than NotRun,
-// because an earlier request of the same key may have run. The reasons are sent to clients and must
-// not be changed.
+// client may retry. Of all rejections in this file, only those of requests under an idempotency key
+// can have an outcome other than NotRun, because an earlier request of the same key may have run.
+// The reasons are sent to clients and must not be changed. They call a route a way, a request an
+// inquiry, and the reservation of a key a claim.
 var (
 	rejectTooManyBodies      = &routing.Failure{Status: http.StatusServiceUnavailable, Outcome: routing.NotRun, Reason: "this node holds as many bodies as it can", RetryAfter: transientRetryAfter}
 	rejectBodyTimeout        = &routing.Failure{Status: http.StatusRequestTimeout, Outcome: routing.NotRun, Reason: "body took too long", RetryAfter: transientRetryAfter}
--- a/internal/dataplane/proxy/request.go
+++ b/internal/dataplane/proxy/request.go
@@ -17,12 +17,14 @@
 	// caller is the backend service that sent the request. It is empty for a client.
 	caller string
 	// route is the matched route. Its Service is the service that was picked for this request.
-	route    config.Route
+	route config.Route
+	// contract is the service level that the route refers to.
 	contract config.Contract
 	deadlines
 	metadata RequestMetadata
 	client   *clientWatch
-	// cause is the request that caused this one, if a backend sent this one.
+	// cause is the request that caused this one, if a backend sent this one or is likely to have
+	// sent it. Otherwise it is the zero value.
 	cause causality.Cause
 	span  trace.Span
 	// clientTraced reports whether the caller sent trace headers.
@@ -119,8 +121,9 @@
 }
 
 // linkCause links a backend's request to the request that caused it. The request inherits the
-// cause's priority, and the cause's deadline if that is earlier. If clients and the backends of
-// LocalService share an address, the likely cause is recorded in the trace only. (DESIGN 2.5)
+// cause's priority, and the cause's deadline if that is earlier. A cause that was not found has
+// neither. If clients and the backends of LocalService share an address, the likely cause is
+// recorded in the trace only. (DESIGN 2.5)
 func (o *Outbound) linkCause(req *request, clientSpan trace.Span) {
 	if req.caller != "" {
 		req.cause = o.Causality.Link(o.Lifetime, req.caller, req.route.Name, clientSpan)
--- a/internal/dataplane/proxy/response.go
+++ b/internal/dataplane/proxy/response.go
@@ -13,7 +13,7 @@
 )
 
 // Response is the response that the client of a request receives. It is also stored in the record
-// of an idempotency key.
+// of an idempotency key, whose format the msgpack tags define.
 type Response struct {
 	Status int         `msgpack:"Status"`
 	Header http.Header `msgpack:"Header"`
@@ -24,7 +24,8 @@
 }
 
 // ShutdownResponse returns the response in dialect d that a sidecar sends on an idle client
-// connection while it is shutting down. (DESIGN 11.3)
+// connection while it is shutting down. A client that is sending a request on the connection at the
+// same time learns from status 408 that the request was not received. (DESIGN 11.3)
 func ShutdownResponse(d Dialect) Response {
 	return d.BuildReply(LocalReply{Status: http.StatusRequestTimeout, Outcome: routing.NotRun, Reason: stoppingReason, RetryAfter: transientRetryAfter})
 }
@@ -63,7 +64,8 @@
 	return Response{Status: reply.Status, Header: header, Body: body, Outcome: reply.Outcome}
 }
 
-// write writes the response to the client. It adds nothing that the response does not contain.
+// write writes the response to the client. It adds only the header fields that describe the end of
+// the message, which are Content-Length and Trailer.
 func (r Response) write(w http.ResponseWriter, request *http.Request) {
 	h := w.Header()
 	for k, v := range r.Header {
--- a/internal/dataplane/proxy/retry.go
+++ b/internal/dataplane/proxy/retry.go
@@ -10,8 +10,8 @@
 	"curlewwalk/internal/trace"
 )
 
-// runAttempts sends a request in sequential attempts, as its decision says, and returns the
-// response for the client.
+// runAttempts sends a request in sequential attempts, as its routing.Decision says, and returns the
+// response for the client. The decision also limits the time and the number of attempts.
 func (o *Outbound) runAttempts(ctx context.Context, req *request) Response {
 	decision := o.newDecision(req)
 	o.Spans.Put(req.span, trace.ClientStart, req.traceEvent())
@@ -103,7 +103,7 @@
 }
 
 // allowedLateness returns how long after its latency target a request may be planned to end, within
-// its contract's lateness budget.
+// its contract's latency budget.
 func (o *Outbound) allowedLateness(req *request) time.Duration {
 	return o.LatencyBudgets.AllowedLateness(req.contract.Name, req.maxLateness())
 }
@@ -114,8 +114,8 @@
 	return req.startedAt.Add(time.Duration(o.WaitShare * float64(req.contract.LatencyTarget.Duration)))
 }
 
-// crossZoneCost returns the cost of sending the request to another zone. The cost grows with the
-// size of the request.
+// crossZoneCost returns the cost of sending the request to another zone. It is CrossZoneCost for a
+// request without a body, and grows by CrossZoneCost for each typicalRequestSize bytes of the body.
 func (o *Outbound) crossZoneCost(req *request) float64 {
 	return o.CrossZoneCost * (1 + float64(len(req.template.Body))/typicalRequestSize)
 }
--- a/internal/dataplane/proxy/sendattempt.go
+++ b/internal/dataplane/proxy/sendattempt.go
@@ -74,7 +74,7 @@
 	reply := o.Transport.Call(ctx, attempt.target.Node, transport.RequestTraffic, KindAttempt, attempt.Attempt)
 	stopWatching()
 	attempt.target.Load.Attempts.Add(-1)
-	if reply.Traced {
+	if reply.Traced { // orders later trace events of this side after those of the inbound side
 		attempt.span.AdvanceCounter(reply.Span.Counter())
 	}
 	return reply
@@ -101,7 +101,8 @@
 }
 
 // indicatesFault reports whether the response indicates a fault of its target. A full backend or a
-// canceled attempt is not a fault.
+// canceled attempt is not a fault. Any other reason for a missing response is one, including an
+// expired deadline.
 func (r *AttemptResponse) indicatesFault() bool {
 	return r.Outcome != routing.Answered && r.Reason != string(endpoints.BackendFull) && r.Reason != string(endpoints.Canceled)
 }
--- a/internal/dataplane/proxy/sendcancel.go
+++ b/internal/dataplane/proxy/sendcancel.go
@@ -14,6 +14,7 @@
 // request's deadline, cancelLost does not wait for the reply. At the end of a shutdown, it waits
 // for shutdownCancelTimeout only. (DESIGN 10.2)
 func (o *Outbound) cancelLost(ctx context.Context, attempt *outgoingAttempt) routing.AttemptResult {
+	// ReachedBackend is set because the attempt may have been written to the backend.
 	lost := routing.AttemptResult{Target: attempt.target, Outcome: routing.Unknown, Reason: "lost on the way", ReachedBackend: true}
 	timeout := cancelTimeout
 	switch {
