--- a/tests/e2e/admission_test.go
+++ b/tests/e2e/admission_test.go
@@ -18,17 +18,17 @@
 	"curlewwalk/tests/ledger"
 )
 
-// The address of a backend that died is used by one of another service: nothing meant for the first
-// reaches the second.
+// TestAddressReused checks that a request for one service never reaches another. A backend dies, and a
+// backend of another service starts at its address.
 func TestAddressReused(t *testing.T) {
 	r := newRig(t)
 	var misdirected atomic.Int64
-	old := r.backend(1, http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
+	stopped := r.backend(1, http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	if a := r.send("POST", "/once/", "x"); a.StatusCode != 200 {
-		t.Fatalf("got %d %s", a.StatusCode, a.body)
+		t.Fatalf("request to the first backend: got %d %s, want 200", a.StatusCode, a.body)
 	}
-	addr := old.Addr()
-	old.Kill()
+	addr := stopped.Addr()
+	stopped.Kill()
 	ln, err := faultproxy.Bind(addr)
 	must(t, err)
 	srv := &http.Server{Handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) { misdirected.Add(1) })}
@@ -42,21 +42,22 @@
 		r.expect(r.send("POST", "/once/", "x"), 503, ledger.OutcomeNotRun)
 	}
 	if misdirected.Load() != 0 {
-		t.Errorf("%d requests reached another service", misdirected.Load())
+		t.Errorf("%d requests reached a backend of another service, want 0", misdirected.Load())
 	}
 }
 
-// A backend whose announcements stop gets no new requests, by the age of the last one alone.
+// TestSilentBackend checks that a backend gets no new requests soon after its announcements stop. The
+// backend still answers, so only the age of its last announcement can show that it is gone.
 func TestSilentBackend(t *testing.T) {
 	r := newRig(t)
 	var runs atomic.Int64
-	var last atomic.Int64
+	var lastRunAt atomic.Int64
 	ln, err := net.Listen("tcp", net.JoinHostPort(r.Site.IP(1), "0"))
 	must(t, err)
 	begin := time.Now()
 	srv := &http.Server{Handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 		runs.Add(1)
-		last.Store(int64(time.Since(begin)))
+		lastRunAt.Store(int64(time.Since(begin)))
 	})}
 	defer srv.Close()
 	go srv.Serve(ln)
@@ -72,12 +73,14 @@
 			refused++
 		}
 	}
-	if runs.Load() == 0 || time.Duration(last.Load())-announcedAt > 1600*time.Millisecond {
-		t.Errorf("ran %d times, last %v after its only announcement", runs.Load(), time.Duration(last.Load())-announcedAt)
+	if runs.Load() == 0 || time.Duration(lastRunAt.Load())-announcedAt > 1600*time.Millisecond {
+		t.Errorf("the backend ran %d times, the last time %v after its only announcement; want at least one run and at most 1.6s", runs.Load(), time.Duration(lastRunAt.Load())-announcedAt)
 	}
 }
 
-// A reload applies what it can, and reports what it can't.
+// TestReload checks that a sidecar and a replica report the result of a reload after SIGHUP: the
+// settings that it applied, and those that it could not apply. With unchanged settings both must be
+// empty.
 func TestReload(t *testing.T) {
 	r := newRig(t)
 	for _, p := range []interface {
@@ -96,29 +99,30 @@
 	}
 }
 
-// The reason of an answer can be read from its trace and from the log.
+// TestRefusalReason checks that the reason for an error response can be found in the request's trace,
+// and that the sidecar's log contains the trace identifier.
 func TestRefusalReason(t *testing.T) {
 	r := newRig(t)
 	r.rawBackend(1, func(int, net.Conn) {})
 	a := r.send("POST", "/once/", "x")
 	r.expect(a, 502, ledger.OutcomeUnknown)
-	var own struct{ Trace string }
-	must(t, json.Unmarshal(a.body, &own))
+	var refusal struct{ Trace string }
+	must(t, json.Unmarshal(a.body, &refusal))
 	must(t, fleet.Await(r.ctx, "the reason in the trace", func(ctx context.Context) bool {
 		var tr fleet.TraceTree
-		_, err := r.Replicas[0].Get(ctx, "/v1/traces/"+own.Trace, &tr)
+		_, err := r.Replicas[0].Get(ctx, "/v1/traces/"+refusal.Trace, &tr)
 		if err != nil || len(tr.Roots) != 1 || len(tr.Roots[0].Events) != 4 {
 			return false
 		}
-		last := tr.Roots[0].Events[3]
-		return last.Status == 502 && last.Outcome == ledger.OutcomeUnknown && last.Reason != "" && tr.Roots[0].Events[2].Reason == last.Reason
+		final := tr.Roots[0].Events[3]
+		return final.Status == 502 && final.Outcome == ledger.OutcomeUnknown && final.Reason != "" && tr.Roots[0].Events[2].Reason == final.Reason
 	}))
 	resp, err := r.HTTP.Get("http://" + r.Sidecars[0].Control + "/v1/log")
 	must(t, err)
 	defer resp.Body.Close()
 	log, err := io.ReadAll(resp.Body)
 	must(t, err)
-	if !bytes.Contains(log, []byte(own.Trace)) {
-		t.Errorf("the log does not have trace %s: %s", own.Trace, log)
+	if !bytes.Contains(log, []byte(refusal.Trace)) {
+		t.Errorf("the log does not contain trace %s: %s", refusal.Trace, log)
 	}
 }
--- a/tests/e2e/await_test.go
+++ b/tests/e2e/await_test.go
@@ -12,23 +12,23 @@
 	"curlewwalk/tests/fleet"
 )
 
-// awaitRuns waits until a count is at least n.
+// awaitRuns waits until count returns at least n.
 func awaitRuns(ctx context.Context, count func() int64, n int64) error {
-	return fleet.Await(ctx, "more runs", func(context.Context) bool { return count() >= n })
+	return fleet.Await(ctx, "the number of runs to increase", func(context.Context) bool { return count() >= n })
 }
 
 // awaitCondition waits until ok returns true.
 func awaitCondition(ctx context.Context, ok func(ctx context.Context) bool) error {
-	return fleet.Await(ctx, "the condition of the test", ok)
+	return fleet.Await(ctx, "the test's condition", ok)
 }
 
-// awaitElapsed waits until d has passed since a moment.
+// awaitElapsed waits until more than d has passed since the given time.
 func awaitElapsed(ctx context.Context, t *testing.T, since time.Time, d time.Duration) {
 	t.Helper()
 	must(t, fleet.Await(ctx, fmt.Sprintf("%v to pass", d), func(context.Context) bool { return time.Since(since) > d }))
 }
 
-// awaitUnready waits until a sidecar reports that it is not ready.
+// awaitUnready waits until the sidecar of a machine reports that it is not ready.
 func awaitUnready(r *rig, machine int) error {
 	return awaitCondition(r.ctx, func(ctx context.Context) bool {
 		status, err := r.Sidecars[machine].Get(ctx, "/ready", nil)
@@ -36,7 +36,7 @@
 	})
 }
 
-// awaitServed waits until every kind of request that clients send succeeds from a machine.
+// awaitServed waits until a request of each plan that clients send succeeds from a machine.
 func awaitServed(ctx context.Context, f *fleet.Fleet, machine int) error {
 	client := f.NewClient(machine, 1)
 	client.Name = fmt.Sprintf("served-%d-%d", machine, servedCalls.Add(1))
@@ -51,8 +51,8 @@
 	return nil
 }
 
-// servedCalls gives the clients of awaitServed different names.
+// servedCalls numbers the clients of awaitServed, so that each has a unique name.
 var servedCalls atomic.Int64
 
-// decode parses a JSON document.
+// decode parses a JSON document and reports whether that succeeded.
 func decode(b []byte, into any) bool { return json.Unmarshal(b, into) == nil }
--- a/tests/e2e/body_test.go
+++ b/tests/e2e/body_test.go
@@ -16,7 +16,8 @@
 	"curlewwalk/tests/ledger"
 )
 
-// Chunked bodies and trailers pass both ways unaltered.
+// TestTrailers checks that chunked bodies and trailers reach the other end unaltered, in both
+// directions.
 func TestTrailers(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
@@ -45,22 +46,23 @@
 	must(t, err)
 	s := receive(r, got)
 	if s.body != "good day" || s.length != -1 || !cmp.Equal(s.trailer, req.Trailer) {
-		t.Errorf("the backend got %+v", s)
+		t.Errorf("the backend got %+v, want a chunked body \"good day\" with the client's trailers", s)
 	}
 	if want := (http.Header{"X-Sum": {"of both"}}); string(b) != "first, second" || !cmp.Equal(resp.Trailer, want) {
-		t.Errorf("the client got %q, %v", b, resp.Trailer)
+		t.Errorf("the client got %q with trailers %v, want \"first, second\" with the backend's trailers", b, resp.Trailer)
 	}
 }
 
 const (
-	// maxBody is the bound on a body's size in TestLargeBodies.
+	// maxBody is the body size limit in TestLargeBodies, in bytes.
 	maxBody = 4 << 20
-	// bodiesInMemory is how many such bodies the memory of a node for them has room for.
+	// bodiesInMemory is the number of bodies of maxBody bytes that fit into a node's memory for
+	// bodies.
 	bodiesInMemory = 3
 )
 
-// echoFleet is a fleet of two machines whose backend, on machine 1, returns the body of each request
-// once it is released.
+// echoFleet is a fleet of two machines. Its backend, on machine 1, reports each request on running,
+// and returns the request's body after a receive from release succeeds.
 type echoFleet struct {
 	*fleet.Fleet
 	t                *testing.T
@@ -68,7 +70,8 @@
 	running, release chan struct{}
 }
 
-// newEchoFleet starts an echo fleet with bounds on bodies.
+// newEchoFleet starts an echo fleet whose sidecars limit the size of bodies, and whose outbound
+// sidecar also limits the memory for bodies.
 func newEchoFleet(t *testing.T) *echoFleet {
 	t.Helper()
 	size := smallFleet()
@@ -92,8 +95,8 @@
 	return e
 }
 
-// send sends a body of n bytes. outcome has the seconds of Retry-After appended; same reports whether
-// the body was returned.
+// send sends a body of n bytes. outcome is the outcome header followed by the seconds of Retry-After.
+// same reports whether the response contains the body that was sent.
 func (e *echoFleet) send(n int) (status int, outcome string, same bool) {
 	body := bytes.Repeat([]byte{byte(n)}, n)
 	req, err := http.NewRequestWithContext(e.ctx, "POST", "http://"+e.RequestAddress(0)+"/surveys/x", bytes.NewReader(body))
@@ -111,19 +114,20 @@
 	return resp.StatusCode, resp.Header.Get(outcomeHeader) + resp.Header.Get("Retry-After"), bytes.Equal(got, body)
 }
 
-// Bodies near the bound pass both ways; larger ones are rejected before they are read; and no more
-// are accepted at a time than the memory for bodies allows.
+// TestLargeBodies checks the limits on bodies. Bodies at the size limit pass in both directions.
+// Larger bodies are rejected before they are read. A sidecar accepts no more bodies at a time than fit
+// into its memory for bodies, and frees that memory afterwards.
 func TestLargeBodies(t *testing.T) {
 	t.Parallel()
 	e := newEchoFleet(t)
 	if status, outcome, _ := e.send(maxBody + 1); status != http.StatusRequestEntityTooLarge || outcome != ledger.OutcomeNotRun {
-		t.Errorf("over the bound: %d %s", status, outcome)
+		t.Errorf("body over the size limit: got %d %s, want 413 not-run", status, outcome)
 	}
 	var wg sync.WaitGroup
 	for range bodiesInMemory {
 		wg.Go(func() {
 			if status, _, same := e.send(maxBody); status != http.StatusOK || !same {
-				t.Errorf("at the bound: %d, the same %v", status, same)
+				t.Errorf("body at the size limit: got %d, body returned %v; want 200, true", status, same)
 			}
 		})
 	}
@@ -132,7 +136,7 @@
 	}
 	for range 9 {
 		if status, outcome, _ := e.send(maxBody); status != http.StatusServiceUnavailable || outcome != ledger.OutcomeNotRun+"1" {
-			t.Errorf("with the memory full: %d %s", status, outcome)
+			t.Errorf("body with the memory for bodies full: got %d %s, want 503 not-run, followed by 1 for Retry-After", status, outcome)
 		}
 	}
 	close(e.release)
@@ -145,6 +149,6 @@
 		return err == nil && st.BodiesInMemory == [2]int64{}
 	}))
 	if status, _, same := e.send(maxBody); status != http.StatusOK || !same {
-		t.Errorf("afterwards: %d", status)
+		t.Errorf("after the memory for bodies was freed: got %d, want 200 and the same body", status)
 	}
 }
--- a/tests/e2e/budget_test.go
+++ b/tests/e2e/budget_test.go
@@ -9,7 +9,7 @@
 	"curlewwalk/tests/ledger"
 )
 
-// budgets is the part of GET /v1/budgets that is read.
+// budgets holds the fields of GET /v1/budgets that the test reads.
 type budgets struct {
 	Whole   bool
 	Budgets []struct {
@@ -19,16 +19,17 @@
 	}
 }
 
-// Each replica and each sidecar shows one budget for a contract, summed over all nodes: what is late
-// or refused anywhere is taken from it everywhere.
+// TestBudgetsAreSummed checks that each replica and each sidecar reports the same error budget for a
+// contract, summed over all nodes. A late or refused request on any node must reduce the budget that
+// all nodes report.
 func TestBudgetsAreSummed(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
 	r.backend(1, http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
-	shows := func(requests int64, kept bool) {
+	expectBudget := func(requests int64, kept bool) {
 		t.Helper()
 		for _, p := range r.Programs() {
-			must(t, fleet.Await(r.ctx, p.Name+" to show the budget", func(ctx context.Context) bool {
+			must(t, fleet.Await(r.ctx, p.Name+" to report the budget", func(ctx context.Context) bool {
 				var b budgets
 				_, err := p.Get(ctx, "/v1/budgets", &b)
 				if err != nil || !b.Whole {
@@ -46,14 +47,14 @@
 	for range 10 {
 		for i := range r.Sidecars {
 			if a := r.NewClient(i, 1).SendOne(r.ctx, oncePlan); a.Status != 200 && a.Mismatch == "" {
-				t.Errorf("%+v", a)
+				t.Errorf("got %+v, want status 200", a)
 			}
 		}
 	}
-	shows(20, true)
+	expectBudget(20, true)
 	must(t, r.Backends[0].Leave(r.ctx))
 	for range 5 {
 		r.expect(r.send("POST", "/once/", "x"), 503, ledger.OutcomeNotRun)
 	}
-	shows(25, false)
+	expectBudget(25, false)
 }
--- a/tests/e2e/cancellation_test.go
+++ b/tests/e2e/cancellation_test.go
@@ -12,8 +12,9 @@
 	"curlewwalk/tests/fleet"
 )
 
-// When a client abandons a request the whole tree of calls for it ends: the connection to each
-// backend is closed, which ends that backend's own calls, and so on down.
+// TestClientCancellationPropagates checks that all nested calls of a request end soon after its client
+// closes the connection. The sidecars close the connection to each backend, which ends the backend's
+// own calls, and so on for each further call.
 func TestClientCancellationPropagates(t *testing.T) {
 	t.Parallel()
 	deep := fakes.RequestPlan{Name: "deep", Method: "GET", Prefix: "/deep/", Service: "store", LatencyTarget: time.Second, Deadline: 10 * time.Second, Priority: 1, Idempotent: true}
@@ -22,7 +23,7 @@
 	f, ctx := startFleet(t, fleet.Size{Name: "rig", Replicas: 1, Machines: 2, Zones: []string{"north", "south"}, Capacity: 9, Plans: []fakes.RequestPlan{top, deep}})
 	r := &rig{Fleet: f, t: t, ctx: ctx}
 	reached, ended := make(chan string, 9), make(chan string, 9)
-	run := func(name string, calls func(ctx context.Context)) http.Handler {
+	blockingHandler := func(name string, calls func(ctx context.Context)) http.Handler {
 		return http.HandlerFunc(func(_ http.ResponseWriter, q *http.Request) {
 			reached <- name
 			calls(q.Context())
@@ -30,8 +31,8 @@
 			ended <- name
 		})
 	}
-	r.backendOf("store", 1, run("leaf", func(context.Context) {}))
-	root := run("root", func(ctx context.Context) {
+	r.backendOf("store", 1, blockingHandler("leaf", func(context.Context) {}))
+	root := blockingHandler("root", func(ctx context.Context) {
 		req, err := http.NewRequestWithContext(ctx, "GET", "http://"+r.RequestAddress(0)+"/deep/x", nil)
 		if err != nil {
 			t.Error(err)
@@ -49,12 +50,12 @@
 	for range 2 {
 		receive(r, reached)
 	}
-	leftAt := time.Now()
+	closedAt := time.Now()
 	c.Close()
 	for range 2 {
 		name := receive(r, ended)
-		if after := time.Since(leftAt); after > 3*time.Second {
-			t.Errorf("%s ended %v after the request was abandoned", name, after)
+		if after := time.Since(closedAt); after > 3*time.Second {
+			t.Errorf("backend %s ended %v after the client closed its connection, want at most 3s", name, after)
 		}
 	}
 }
--- a/tests/e2e/coordinator_test.go
+++ b/tests/e2e/coordinator_test.go
@@ -12,21 +12,21 @@
 	"curlewwalk/tests/fleet"
 )
 
-// configurationWriter has numbered configurations put to some replicas in turn, one at each
-// interval, each again until it is acknowledged.
+// configurationWriter puts numbered configurations to the given replicas in turn, one per interval. It
+// repeats each until it is acknowledged or refused.
 type configurationWriter struct {
 	f        *fleet.Fleet
 	replicas []*fleet.Program
 	interval time.Duration
-	// revision is the highest that was acknowledged, count how many were.
+	// revision is the highest acknowledged revision. count is the number of acknowledgements.
 	revision, count atomic.Uint64
 
 	mu      sync.Mutex
-	slowest time.Duration // until an acknowledgement
-	refused []string      // final refusals
+	slowest time.Duration // longest time until an acknowledgement
+	refused []string      // answers with a 4xx status
 }
 
-// start begins writing; stop ends it and waits for the end.
+// start starts writing. stop stops it and waits until it has ended.
 func (w *configurationWriter) start(ctx context.Context) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	var wg sync.WaitGroup
@@ -48,7 +48,8 @@
 	}
 }
 
-// put puts one configuration. After a second without an answer the next replica is tried.
+// put puts configuration n. It tries the next replica after an answer that is neither an
+// acknowledgement nor a refusal, and after 1 s without an answer.
 func (w *configurationWriter) put(ctx context.Context, n int) {
 	begin := time.Now()
 	for attempt := n; ctx.Err() == nil; attempt++ {
@@ -72,20 +73,20 @@
 	}
 }
 
-// report returns how long the slowest acknowledgement took, and what was refused.
+// report returns the longest time until an acknowledgement, and the refusals.
 func (w *configurationWriter) report() (longest time.Duration, refused []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.slowest, w.refused
 }
 
-// watchLeases watches that no sidecar's lease lapses until stop is called, which returns the age of the
-// oldest lease and how often one had lapsed.
-func watchLeases(ctx context.Context, f *fleet.Fleet) (stop func() (oldest time.Duration, lapsed int)) {
+// watchLeases polls the leases of all sidecars every 100 ms until stop is called. stop returns the age
+// of the oldest lease that was seen, and the number of polls that found an expired lease.
+func watchLeases(ctx context.Context, f *fleet.Fleet) (stop func() (oldest time.Duration, expired int)) {
 	ctx, cancel := context.WithCancel(ctx)
 	var wg sync.WaitGroup
 	var oldest time.Duration
-	lapsed := 0
+	expired := 0
 	wg.Go(func() {
 		tick := time.NewTicker(100 * time.Millisecond)
 		defer tick.Stop()
@@ -100,7 +101,7 @@
 				}
 				age, _ := time.ParseDuration(st.Age)
 				if oldest = max(oldest, age); !st.Valid {
-					lapsed++
+					expired++
 				}
 			}
 			select {
@@ -113,13 +114,15 @@
 	return func() (time.Duration, int) {
 		cancel()
 		wg.Wait()
-		return oldest, lapsed
+		return oldest, expired
 	}
 }
 
-// The disk of the coordinator stalls, is full, or is slow, while the configuration is changed again and
-// again: the other replicas confirm the changes, no sidecar's lease lapses, nothing is refused for
-// that, and once the disk is healthy its replica has the newest state and is the coordinator again.
+// TestDiskFaultOnCoordinator checks that a fault of the coordinator's disk does not interrupt the
+// control plane. The disk stalls, is full, or is slow while the configuration changes repeatedly. The
+// other replicas must confirm the changes, no sidecar's lease may expire, and no change may be
+// refused. Once the disk is healthy, its replica must have the newest state and be the coordinator
+// again.
 func TestDiskFaultOnCoordinator(t *testing.T) {
 	for _, fault := range []string{fleet.DiskStall, fleet.DiskFull, fleet.DiskSlow} {
 		t.Run(fault, func(t *testing.T) {
@@ -129,24 +132,24 @@
 			must(t, awaitRuns(ctx, f.Backends[0].Runs.Load, 5))
 			w := &configurationWriter{f: f, replicas: f.Replicas, interval: 700 * time.Millisecond}
 			stopChanges := w.start(ctx)
-			must(t, fleet.Await(ctx, "a change", func(context.Context) bool { return w.count.Load() > 0 }))
+			must(t, fleet.Await(ctx, "a configuration change to be acknowledged", func(context.Context) bool { return w.count.Load() > 0 }))
 			stopLeases := watchLeases(ctx, f)
 			must(t, f.SetDiskFault(f.Replicas[0], fault))
 			began, before := time.Now(), w.count.Load()
 			awaitElapsed(ctx, t, began, 8*time.Second)
 			during := w.count.Load() - before
 			must(t, f.SetDiskFault(f.Replicas[0], fleet.DiskHealthy))
-			oldest, lapsed := stopLeases()
+			oldest, expired := stopLeases()
 			stopChanges()
-			if longest, refused := w.report(); during < 4 || longest > 4*time.Second || len(refused) > 0 {
-				t.Errorf("%d changes were acknowledged in 8 s, the slowest after %v; refused: %v", during, longest, refused)
+			if slowest, refused := w.report(); during < 4 || slowest > 4*time.Second || len(refused) > 0 {
+				t.Errorf("%d changes were acknowledged in 8 s, the slowest after %v, with refusals %v; want at least 4, at most 4s, no refusal", during, slowest, refused)
 			}
-			if lapsed > 0 {
-				t.Errorf("leases had lapsed %d times, the oldest was %v", lapsed, oldest)
+			if expired > 0 {
+				t.Errorf("found an expired lease %d times, the oldest lease was %v; want no expired lease", expired, oldest)
 			}
-			t.Logf("%d changes acknowledged, the oldest lease %v", during, oldest.Round(time.Millisecond))
+			t.Logf("%d changes were acknowledged, the oldest lease was %v", during, oldest.Round(time.Millisecond))
 			must(t, f.AwaitServing(ctx, w.revision.Load(), len(f.Size.Backends)))
-			must(t, fleet.Await(ctx, "the replica to be the coordinator again, with the newest state", func(ctx context.Context) bool {
+			must(t, fleet.Await(ctx, "the replica to become coordinator again with the newest state", func(ctx context.Context) bool {
 				st, err := readState(ctx, f.Replicas[0])
 				return err == nil && st.Coordinator == 1 && st.Position.Revision >= w.revision.Load()
 			}))
--- a/tests/e2e/day_test.go
+++ b/tests/e2e/day_test.go
@@ -7,8 +7,9 @@
 	"curlewwalk/tests/fleet"
 )
 
-// A short day of a small fleet: some failures in seeded order under load, a last one, and reading back.
-// Whole days are run by tests/cmd/day.
+// TestShortDay runs a short version of the test run of package day on a small fleet: some faults in a
+// seeded order under load, a final fault, and a check of the stored configuration. The command
+// tests/cmd/day makes full runs.
 func TestShortDay(t *testing.T) {
 	t.Parallel()
 	f, err := fleet.New(smallFleet(), binaries)
@@ -21,6 +22,6 @@
 		t.Error("broken rule: ", b)
 	}
 	if v.Good == 0 {
-		t.Error("nothing was answered")
+		t.Error("no request succeeded")
 	}
 }
--- a/tests/e2e/duplicate_generation_test.go
+++ b/tests/e2e/duplicate_generation_test.go
@@ -10,22 +10,22 @@
 	"curlewwalk/tests/fleet"
 )
 
-// numberedRace is a fleet of replicas at which two operators use the same generations.
-type numberedRace struct {
+// generationRace is a fleet of replicas at which two operators use the same generations.
+type generationRace struct {
 	*fleet.Fleet
 	t   *testing.T
 	ctx context.Context
 }
 
-// put has the configuration of an operator under a generation acknowledged (200) or refused (409), at
-// the replica after the given one or at the next ones.
-func (n *numberedRace) put(replica, generation, operator int) (status int) {
+// put puts the configuration of an operator under a generation. It starts at the replica after the
+// given one and tries the next ones until the answer is 200 (acknowledged) or 409 (refused).
+func (n *generationRace) put(replica, generation, operator int) (status int) {
 	err := fleet.Await(n.ctx, "a final answer", func(ctx context.Context) bool {
 		replica++
 		body := configuration(1000*generation + operator)
 		r, err := n.Operate(ctx, n.Replicas[replica%len(n.Replicas)], "PUT", configurationPath, body, generationHeader, fmt.Sprint(generation))
 		if err == nil && r.Status != 200 && r.Status != 409 && r.Status != 503 {
-			n.t.Errorf("%d of operator %d: %d %s", generation, operator, r.Status, r.Body)
+			n.t.Errorf("generation %d of operator %d: got %d %s, want 200, 409 or 503", generation, operator, r.Status, r.Body)
 		}
 		status = r.Status
 		return err == nil && (status == 200 || status == 409)
@@ -36,8 +36,8 @@
 	return status
 }
 
-// race has both operators put at once, each at a replica of its own, and returns what they got.
-func (n *numberedRace) race(generation int) []int {
+// race lets both operators put at the same time, each at its own replica, and returns the statuses.
+func (n *generationRace) race(generation int) []int {
 	statuses := make([]int, 2)
 	var racing sync.WaitGroup
 	for operator := range statuses {
@@ -47,8 +47,8 @@
 	return statuses
 }
 
-// disturb kills a replica before one of four generations, and starts it two later.
-func (n *numberedRace) disturb(generation int) {
+// killOrRestart kills a replica before every fourth generation, and starts it two generations later.
+func (n *generationRace) killOrRestart(generation int) {
 	victim := n.Replicas[generation/4%3]
 	switch generation % 4 {
 	case 0:
@@ -60,25 +60,26 @@
 	}
 }
 
-// Two operators race with one configuration each under the same generation, at replicas that are killed
-// and started in turn, the coordinator first. One is acknowledged, and the other learns that it is not;
-// and so they are answered at every replica whenever they ask again.
-func TestEqualNumbers(t *testing.T) {
+// TestDuplicateGeneration checks that a generation is never acknowledged for two configurations. Two
+// operators put different configurations under the same generation while replicas are killed and
+// restarted in turn, the coordinator first. One must be acknowledged and the other refused. Every
+// replica must give the same answers to later repeats.
+func TestDuplicateGeneration(t *testing.T) {
 	f, ctx := startFleet(t, controlPlaneOnly(3))
-	n := &numberedRace{Fleet: f, t: t, ctx: ctx}
+	n := &generationRace{Fleet: f, t: t, ctx: ctx}
 	answers := map[int][]int{}
 	for generation := 1; generation <= 24; generation++ {
-		n.disturb(generation)
+		n.killOrRestart(generation)
 		answers[generation] = n.race(generation)
 		if got := slices.Sorted(slices.Values(answers[generation])); !slices.Equal(got, []int{200, 409}) {
-			t.Errorf("under %d they got %v", generation, answers[generation])
+			t.Errorf("generation %d: the operators got %v, want one 200 and one 409", generation, answers[generation])
 		}
 	}
 	for generation, before := range answers {
 		for replica := range f.Replicas {
 			for operator, want := range before {
 				if got := n.put(replica, generation, operator); got != want {
-					t.Errorf("%d of operator %d got %d, and then %d", generation, operator, want, got)
+					t.Errorf("generation %d of operator %d got %d, and %d for a repeat", generation, operator, want, got)
 				}
 			}
 		}
--- a/tests/e2e/failure_detection_test.go
+++ b/tests/e2e/failure_detection_test.go
@@ -8,7 +8,8 @@
 	"curlewwalk/tests/fleet"
 )
 
-// knowsNode reports whether a sidecar has a node in its view; ok is false if it does not answer.
+// knowsNode reports whether a sidecar's membership view contains a node. ok is false if the sidecar
+// does not answer.
 func knowsNode(ctx context.Context, p *fleet.Program, addr string) (known, ok bool) {
 	var nodes []struct {
 		Address string `json:"address"`
@@ -20,24 +21,25 @@
 	return known, err == nil
 }
 
-// A dead sidecar is removed from all views once the nodes that monitor it agree, before its heartbeats
-// are overdue.
+// TestDeadNodeIsRemoved checks that all sidecars remove a dead node from their views. They do so once
+// the nodes that monitor it agree, before its heartbeats are overdue.
 func TestDeadNodeIsRemoved(t *testing.T) {
 	f, ctx := startFleet(t, smallFleet())
 	addr := f.Sidecars[3].IP + ":7400"
 	f.Sidecars[3].Kill()
-	dead := time.Now()
+	killedAt := time.Now()
 	for _, p := range f.Sidecars[:3] {
-		must(t, fleet.Await(ctx, "the dead node to be gone", func(ctx context.Context) bool {
+		must(t, fleet.Await(ctx, "the dead node to be removed from the view", func(ctx context.Context) bool {
 			known, ok := knowsNode(ctx, p, addr)
 			return ok && !known
 		}))
 	}
-	t.Logf("removed everywhere after %v", time.Since(dead).Round(time.Millisecond))
+	t.Logf("removed from all views after %v", time.Since(killedAt).Round(time.Millisecond))
 }
 
-// A node that its monitors can't reach, but the replicas can, refutes the suspicion: it stays in every
-// view, and the next suspicion is of a later incarnation.
+// TestSuspectedNodeRefutes checks that a live node refutes a suspicion. Its monitors cannot reach it,
+// but the replicas can. The node must stay in every view and raise its incarnation, so that an older
+// suspicion no longer applies.
 func TestSuspectedNodeRefutes(t *testing.T) {
 	f, ctx := newFleet(t, smallFleet())
 	must(t, f.InterposeProxies())
@@ -50,7 +52,7 @@
 	f.Network.PartitionBetween([]string{f.Sidecars[3].IP}, others)
 	refuted := func(ctx context.Context) bool {
 		if known, ok := knowsNode(ctx, f.Sidecars[0], addr); ok && !known {
-			t.Error("it was removed")
+			t.Error("the node was removed from the view while it refuted the suspicion")
 			return true
 		}
 		var st struct {
@@ -69,13 +71,13 @@
 		}
 		return false
 	}
-	must(t, fleet.Await(ctx, "the node to refute", refuted))
-	partitionedAt := time.Now()
+	must(t, fleet.Await(ctx, "the node to refute the suspicion", refuted))
+	refutedAt := time.Now()
 	must(t, fleet.Await(ctx, "3 s to pass", func(ctx context.Context) bool {
 		if known, ok := knowsNode(ctx, f.Sidecars[0], addr); ok && !known {
-			t.Error("it was removed later")
+			t.Error("the node was removed from the view within 3 s after it refuted the suspicion")
 			return true
 		}
-		return time.Since(partitionedAt) > 3*time.Second
+		return time.Since(refutedAt) > 3*time.Second
 	}))
 }
--- a/tests/e2e/invalid_input_test.go
+++ b/tests/e2e/invalid_input_test.go
@@ -11,12 +11,13 @@
 	"curlewwalk/tests/ledger"
 )
 
-// What operators and backends send by mistake or in malice is rejected with the field that is wrong, and
-// has no effect: huge, deep, repeated, truncated or out of range.
+// TestHostileInput checks that faulty or malicious input from operators and backends is rejected with
+// an error that names the wrong field, and has no effect. The inputs are too large, deeply nested,
+// repeated, truncated or out of range.
 func TestHostileInput(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
-	good := `{"instance": "a", "service": "desk", "address": "127.0.0.1:1", "capacity": 1`
+	announcementPrefix := `{"instance": "a", "service": "desk", "address": "127.0.0.1:1", "capacity": 1`
 	replica, sidecar := "http://"+r.Replicas[0].Control, "http://"+r.Sidecars[1].Control
 	for _, test := range []struct {
 		method, url, body, header string
@@ -24,16 +25,16 @@
 		message                   string
 	}{
 		{"POST", sidecar + "/v1/backends", "", "", 400, "announcement"},
-		{"POST", sidecar + "/v1/backends", good, "", 400, "announcement"},
+		{"POST", sidecar + "/v1/backends", announcementPrefix, "", 400, "announcement"},
 		{"POST", sidecar + "/v1/backends", "[]", "", 400, "announcement"},
 		{"POST", sidecar + "/v1/backends", strings.Repeat("[", 60000), "", 400, "announcement"},
-		{"POST", sidecar + "/v1/backends", good + `, "x": "` + strings.Repeat("y", 100000) + `"}`, "", 400, "too large"},
-		{"POST", sidecar + "/v1/backends", good + `, "capacity": -5}`, "", 422, "capacity"},
-		{"POST", sidecar + "/v1/backends", good + `, "capacity": 1000000000}`, "", 422, "capacity"},
-		{"POST", sidecar + "/v1/backends", good + `, "service": "De Sk"}`, "", 422, "service"},
-		{"POST", sidecar + "/v1/backends", good + `, "locality": "../north"}`, "", 422, "locality"},
-		{"POST", sidecar + "/v1/backends", good + `, "address": "example.org:80"}`, "", 422, "address"},
-		{"POST", sidecar + "/v1/backends", good + `, "warmup": {"share": 7, "ramp": "-3s"}}`, "", 422, "warmup.share"},
+		{"POST", sidecar + "/v1/backends", announcementPrefix + `, "x": "` + strings.Repeat("y", 100000) + `"}`, "", 400, "too large"},
+		{"POST", sidecar + "/v1/backends", announcementPrefix + `, "capacity": -5}`, "", 422, "capacity"},
+		{"POST", sidecar + "/v1/backends", announcementPrefix + `, "capacity": 1000000000}`, "", 422, "capacity"},
+		{"POST", sidecar + "/v1/backends", announcementPrefix + `, "service": "De Sk"}`, "", 422, "service"},
+		{"POST", sidecar + "/v1/backends", announcementPrefix + `, "locality": "../north"}`, "", 422, "locality"},
+		{"POST", sidecar + "/v1/backends", announcementPrefix + `, "address": "example.org:80"}`, "", 422, "address"},
+		{"POST", sidecar + "/v1/backends", announcementPrefix + `, "warmup": {"share": 7, "ramp": "-3s"}}`, "", 422, "warmup.share"},
 		{"DELETE", sidecar + "/v1/backends/nobody", "", "", 404, "no such"},
 		{"PUT", replica + "/v1/localities/No%20Where/emptied", "", "", 422, "No Where"},
 		{"PUT", replica + "/v1/localities/" + strings.Repeat("x", 64) + "/emptied", "", "", 422, "at most 63"},
@@ -54,16 +55,16 @@
 			defer resp.Body.Close()
 			b, _ := io.ReadAll(resp.Body)
 			if resp.StatusCode != test.status || !bytes.Contains(b, []byte(test.message)) {
-				t.Errorf("%s %s %.60s: %d %.200s, want %d with %q", test.method, test.url, test.body, resp.StatusCode, b, test.status, test.message)
+				t.Errorf("%s %s %.60s: got %d %.200s, want %d with %q", test.method, test.url, test.body, resp.StatusCode, b, test.status, test.message)
 			}
 		})
 	}
 	var known []any
 	if _, err := r.Sidecars[1].Get(r.ctx, "/v1/backends", &known); err != nil || len(known) > 0 {
-		t.Errorf("backends were accepted: %v %v", known, err)
+		t.Errorf("got backends %v, error %v; want none", known, err)
 	}
-	if s, err := r.Revision(r.ctx, r.Sidecars[1]); err != nil || s != r.FirstRevision {
-		t.Errorf("the revision went from %d to %d", r.FirstRevision, s)
+	if revision, err := r.Revision(r.ctx, r.Sidecars[1]); err != nil || revision != r.FirstRevision {
+		t.Errorf("the revision changed from %d to %d, want no change", r.FirstRevision, revision)
 	}
 	r.expect(r.send("POST", "/once/", "x", "Idempotency-Key", strings.Repeat("k", 256)), 400, ledger.OutcomeNotRun)
 }
--- a/tests/e2e/isolation_test.go
+++ b/tests/e2e/isolation_test.go
@@ -11,8 +11,8 @@
 	"curlewwalk/tests/fleet"
 )
 
-// operatorProbe sends one replica again and again what an operator may request, and judges each answer
-// by what was acknowledged before the request.
+// operatorProbe repeatedly sends operator requests to one replica. It checks each answer against what
+// was acknowledged before the request.
 type operatorProbe struct {
 	f       *fleet.Fleet
 	replica *fleet.Program
@@ -25,11 +25,11 @@
 	slowest    time.Duration
 }
 
-// start begins; stop ends it and waits for the end.
+// start starts the requests. stop stops them and waits until they have ended.
 func (probe *operatorProbe) start(ctx context.Context) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	var wg sync.WaitGroup
-	for _, ask := range []func(context.Context){probe.readConfiguration, probe.repeatChange, probe.readDrain} {
+	for _, request := range []func(context.Context){probe.readConfiguration, probe.repeatChange, probe.readDrain} {
 		wg.Go(func() {
 			tick := time.NewTicker(150 * time.Millisecond)
 			defer tick.Stop()
@@ -38,7 +38,7 @@
 				case <-ctx.Done():
 					return
 				case <-tick.C:
-					ask(ctx)
+					request(ctx)
 				}
 			}
 		})
@@ -49,7 +49,8 @@
 	}
 }
 
-// operate sends one request with a time-out of a second; false without a usable answer.
+// operate sends one request with a time-out of 1 s, and reports whether the status is 200. It records
+// a 4xx status as a violation, because all requests of the probe are valid.
 func (probe *operatorProbe) operate(ctx context.Context, method, path string, body []byte, header ...string) (fleet.Reply, bool) {
 	call, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
@@ -72,17 +73,17 @@
 	return r, r.Status == http.StatusOK
 }
 
-// expectRevision records a violation if an answer is older than what was acknowledged before it was
-// requested.
+// expectRevision records a violation if an answer has an older revision than one that was acknowledged
+// before the request.
 func (probe *operatorProbe) expectRevision(path string, got, want uint64) {
 	probe.mu.Lock()
 	defer probe.mu.Unlock()
 	if got < want {
-		probe.violations = append(probe.violations, fmt.Sprintf("%s returned revision %d, %d was acknowledged", path, got, want))
+		probe.violations = append(probe.violations, fmt.Sprintf("%s returned revision %d, want at least the acknowledged revision %d", path, got, want))
 	}
 }
 
-// readConfiguration reads the configuration.
+// readConfiguration reads the configuration and checks its revision.
 func (probe *operatorProbe) readConfiguration(ctx context.Context) {
 	want := probe.writer.revision.Load()
 	if r, ok := probe.operate(ctx, "GET", configurationPath, nil); ok {
@@ -90,33 +91,34 @@
 	}
 }
 
-// repeatChange repeats a change that was acknowledged: it must never be refused, and is confirmed only by
-// a majority.
+// repeatChange repeats an acknowledged change. The replica must never refuse it, and may confirm it
+// only with a majority.
 func (probe *operatorProbe) repeatChange(ctx context.Context) {
 	probe.operate(ctx, "PUT", configurationPath, probe.f.Configuration(), generationHeader, "1")
 }
 
-// readDrain reads the report on a zone.
+// readDrain reads the drain report of a zone and checks its revision.
 func (probe *operatorProbe) readDrain(ctx context.Context) {
 	want := probe.writer.revision.Load()
-	var d struct {
+	var report struct {
 		Revision uint64 `json:"stamp"`
 	}
-	if r, ok := probe.operate(ctx, "GET", "/v1/localities/west", nil); ok && decode(r.Body, &d) {
-		probe.expectRevision("/v1/localities/west", d.Revision, want)
+	if r, ok := probe.operate(ctx, "GET", "/v1/localities/west", nil); ok && decode(r.Body, &report) {
+		probe.expectRevision("/v1/localities/west", report.Revision, want)
 	}
 }
 
-// takeReport returns what happened since the last call.
-func (probe *operatorProbe) takeReport() (wrong []string, unclear, answered int, slowest time.Duration) {
+// takeReport returns the violations, the numbers of failed and of answered requests, and the slowest
+// failure since the last call, and resets them.
+func (probe *operatorProbe) takeReport() (found []string, failed, answered int, slowest time.Duration) {
 	probe.mu.Lock()
 	defer probe.mu.Unlock()
-	wrong, unclear, answered, slowest = probe.violations, probe.unanswered, probe.answered, probe.slowest
+	found, failed, answered, slowest = probe.violations, probe.unanswered, probe.answered, probe.slowest
 	probe.violations, probe.unanswered, probe.answered, probe.slowest = nil, 0, 0, 0
-	return wrong, unclear, answered, slowest
+	return found, failed, answered, slowest
 }
 
-// promisedTerm is the term that a replica has promised.
+// promisedTerm returns the term that a replica has promised.
 func promisedTerm(ctx context.Context, t *testing.T, p *fleet.Program) uint64 {
 	t.Helper()
 	st, err := readState(ctx, p)
@@ -124,29 +126,30 @@
 	return st.Promised
 }
 
-// ownTerms collects the terms of its own that a replica was seen to promise. A replica that hears the
-// others also promises the terms that they begin; how many those need says nothing of this one.
+// ownTerms collects the terms that a replica began itself and that it was seen to promise. A replica
+// that receives messages of the others also promises terms that they begin. Those do not count,
+// because their number depends on the other replicas only.
 type ownTerms struct {
 	memberID, replicas int
 	seen               map[uint64]bool
 }
 
-// observe takes in what the replica has promised now.
+// observe adds a promised term if the replica began it.
 func (o *ownTerms) observe(promised uint64) {
 	if promised%uint64(o.replicas) == uint64(o.memberID%o.replicas) {
 		o.seen[promised] = true
 	}
 }
 
-// isolation is a way to isolate one replica from the others.
+// isolation is a way to isolate one replica from the others, repeated a number of rounds.
 type isolation struct {
-	name  string
-	times int
-	lasts time.Duration
-	begin func(f *fleet.Fleet, replica int)
+	name     string
+	rounds   int
+	duration time.Duration
+	begin    func(f *fleet.Fleet, replica int)
 }
 
-// otherIPs are the machines of all replicas but one.
+// otherIPs returns the addresses of all replicas but one.
 func otherIPs(f *fleet.Fleet, replica int) (ips []string) {
 	for i, p := range f.Replicas {
 		if i != replica {
@@ -156,43 +159,49 @@
 	return ips
 }
 
-// Limits of what an isolated replica may do, and of how long changes may take.
+// Limits on what an isolated replica may do, and on the duration of changes.
 const (
-	// maxOwnTerms is how many terms it may begin: that from before, and one more.
+	// maxOwnTerms is the number of terms that an isolated replica may begin: the one from before the
+	// isolation, and one more.
 	maxOwnTerms = 2
-	// serveAfterHeal is how soon it must serve the newest configuration afterwards.
+	// serveAfterHeal is the time after the isolation within which the replica must serve the newest
+	// configuration.
 	serveAfterHeal = 4 * time.Second
-	// maxChangeDuring and maxChangeAfter bound the slowest change at the other replicas.
+	// maxChangeDuring and maxChangeAfter limit the slowest change at the other replicas, during and
+	// after the isolation.
 	maxChangeDuring = 5 * time.Second
 	maxChangeAfter  = 2 * time.Second
 )
 
-// A replica is isolated in several ways, as coordinator and not, while operators go on at the
-// others and send requests to it too: the others accept each change, it returns nothing old and
-// refuses nothing for good, and afterwards it serves at once and disturbs nobody.
+// TestIsolatedReplica checks that an isolated replica does no harm. The replica is isolated in several
+// ways, as coordinator and not, while operators send requests to it and to the others. The other
+// replicas must accept each change. The isolated replica must not return outdated state, refuse a
+// valid request with a 4xx status, or begin many terms. Afterwards it must soon serve the newest
+// configuration, and must not slow down changes.
 func TestIsolatedReplica(t *testing.T) {
-	for _, way := range []isolation{
+	for _, scenario := range []isolation{
 		{"from everything", 1, 20 * time.Second, func(f *fleet.Fleet, i int) { f.Network.Partition(f.Replicas[i].IP) }},
 		{"from the other replicas", 1, 8 * time.Second, func(f *fleet.Fleet, i int) {
 			f.Network.PartitionBetween([]string{f.Replicas[i].IP}, otherIPs(f, i))
 		}},
 		{"receives nothing", 1, 8 * time.Second, func(f *fleet.Fleet, i int) { f.Network.BlockOneWay(otherIPs(f, i), []string{f.Replicas[i].IP}) }},
 		{"sends nothing", 1, 8 * time.Second, func(f *fleet.Fleet, i int) { f.Network.BlockOneWay([]string{f.Replicas[i].IP}, otherIPs(f, i)) }},
-		{"again and again", 3, 2500 * time.Millisecond, func(f *fleet.Fleet, i int) { f.Network.Partition(f.Replicas[i].IP) }},
+		{"repeatedly", 3, 2500 * time.Millisecond, func(f *fleet.Fleet, i int) { f.Network.Partition(f.Replicas[i].IP) }},
 	} {
-		t.Run(way.name, func(t *testing.T) {
+		t.Run(scenario.name, func(t *testing.T) {
 			for _, replica := range []int{0, 2} {
 				t.Run(fmt.Sprintf("member %d", replica+1), func(t *testing.T) {
 					t.Parallel()
-					testIsolation(t, way, replica)
+					testIsolation(t, scenario, replica)
 				})
 			}
 		})
 	}
 }
 
-// testIsolation isolates one replica in one way.
-func testIsolation(t *testing.T, way isolation, replica int) {
+// testIsolation runs one isolation of one replica under load from operators, and checks the answers
+// and the duration of changes.
+func testIsolation(t *testing.T, scenario isolation, replica int) {
 	t.Helper()
 	f, ctx := newFleet(t, controlPlaneOnly(3))
 	must(t, f.InterposeProxies())
@@ -204,16 +213,16 @@
 		}
 	}
 	stopWriter := writer.start(ctx)
-	must(t, fleet.Await(ctx, "a change", func(context.Context) bool { return writer.count.Load() > 0 }))
+	must(t, fleet.Await(ctx, "a configuration change to be acknowledged", func(context.Context) bool { return writer.count.Load() > 0 }))
 	probe := &operatorProbe{f: f, replica: f.Replicas[replica], writer: writer}
 	stopProbe := probe.start(ctx)
-	must(t, fleet.Await(ctx, "answers of the replica", func(context.Context) bool {
+	must(t, fleet.Await(ctx, "the replica to answer operators", func(context.Context) bool {
 		probe.mu.Lock()
 		defer probe.mu.Unlock()
 		return probe.answered > 3
 	}))
-	for range way.times {
-		isolateOnce(ctx, t, way, replica, probe)
+	for range scenario.rounds {
+		isolateOnce(ctx, t, scenario, replica, probe)
 	}
 	healed := time.Now()
 	writer.mu.Lock()
@@ -226,39 +235,39 @@
 	after, refused := writer.report()
 	violations, _, _, _ := probe.takeReport()
 	for _, violation := range append(violations, refused...) {
-		t.Error("refused or old: ", violation)
+		t.Error("refused change or outdated answer: ", violation)
 	}
 	if during > maxChangeDuring || after > maxChangeAfter {
-		t.Errorf("the slowest change took %v, and %v afterwards", during, after)
+		t.Errorf("the slowest change took %v during and %v after the isolation, want at most 5s and 2s", during, after)
 	}
-	t.Logf("the slowest change took %v, and %v afterwards", during.Round(time.Millisecond), after.Round(time.Millisecond))
+	t.Logf("the slowest change took %v during and %v after the isolation", during.Round(time.Millisecond), after.Round(time.Millisecond))
 }
 
-// isolateOnce isolates the replica for as long as the way says, and checks what it did
-// meanwhile and how soon it serves afterwards.
-func isolateOnce(ctx context.Context, t *testing.T, way isolation, replica int, probe *operatorProbe) {
+// isolateOnce runs one round of an isolation. It checks what the replica does meanwhile, and how soon
+// it serves the newest configuration afterwards.
+func isolateOnce(ctx context.Context, t *testing.T, scenario isolation, replica int, probe *operatorProbe) {
 	t.Helper()
 	f, writer, isolated := probe.f, probe.writer, probe.replica
 	before := writer.count.Load()
-	way.begin(f, replica)
-	began := time.Now()
-	// What it began before it misses the others may still fail late.
-	must(t, fleet.Await(ctx, "the isolation to be noticed", func(context.Context) bool { return time.Since(began) > 2*time.Second }))
+	scenario.begin(f, replica)
+	isolatedAt := time.Now()
+	// A request that started before the replica noticed the isolation may still fail late.
+	must(t, fleet.Await(ctx, "the replica to notice the isolation", func(context.Context) bool { return time.Since(isolatedAt) > 2*time.Second }))
 	own := ownTerms{memberID: replica + 1, replicas: len(f.Replicas), seen: map[uint64]bool{}}
 	must(t, fleet.Await(ctx, "the end of the isolation", func(context.Context) bool {
 		own.observe(promisedTerm(ctx, t, isolated))
-		return time.Since(began) > way.lasts
+		return time.Since(isolatedAt) > scenario.duration
 	}))
 	if len(own.seen) > maxOwnTerms {
-		t.Errorf("isolated it began %d terms: %v", len(own.seen), own.seen)
+		t.Errorf("the isolated replica began %d terms, %v; want at most 2", len(own.seen), own.seen)
 	}
 	if writer.count.Load() < before+2 {
-		t.Errorf("the other replicas accepted %d changes", writer.count.Load()-before)
+		t.Errorf("the other replicas accepted %d changes during the isolation, want at least 2", writer.count.Load()-before)
 	}
 	violations, unanswered, _, slowest := probe.takeReport()
-	t.Logf("isolated: %d requests were not answered, the slowest after %v", unanswered, slowest.Round(time.Millisecond))
+	t.Logf("isolated replica: %d requests failed, the slowest after %v", unanswered, slowest.Round(time.Millisecond))
 	for _, violation := range violations {
-		t.Error("isolated: ", violation)
+		t.Error("isolated replica: ", violation)
 	}
 	f.Network.Heal()
 	healed := time.Now()
@@ -268,8 +277,8 @@
 		return err == nil && r.Status == http.StatusOK && r.Revision >= want
 	}))
 	took := time.Since(healed)
-	t.Logf("it served %v after the isolation", took.Round(time.Millisecond))
+	t.Logf("the replica served the newest configuration %v after the isolation", took.Round(time.Millisecond))
 	if took > serveAfterHeal {
-		t.Errorf("it served only %v after the isolation", took)
+		t.Errorf("the replica served the newest configuration %v after the isolation, want at most 4s", took)
 	}
 }
--- a/tests/e2e/keyreplication_test.go
+++ b/tests/e2e/keyreplication_test.go
@@ -14,18 +14,18 @@
 	"curlewwalk/tests/fleet"
 )
 
-// keyedFleet is a fleet with one backend, of orders, on the last machine; clients send to machine 0 with
-// idempotency keys.
+// keyedFleet is a fleet with one backend, of the orders service, on the last machine. Clients send
+// orders with idempotency keys to machine 0.
 type keyedFleet struct {
 	*fleet.Fleet
 	t    *testing.T
 	ctx  context.Context
 	runs atomic.Int64
-	// running gets each run, which then waits for release.
+	// running receives a value for each run, which then blocks until it receives from release.
 	running, release chan struct{}
 }
 
-// newKeyedFleet starts such a fleet.
+// newKeyedFleet starts a keyed fleet and waits until all its sidecars are ready.
 func newKeyedFleet(t *testing.T, machines int) *keyedFleet {
 	t.Helper()
 	size := smallFleet()
@@ -53,7 +53,7 @@
 	return keyed
 }
 
-// sendKeyed sends an order under a key; a broken connection is status 0.
+// sendKeyed sends an order under a key. For a broken connection it returns status 0 and the error.
 func (k *keyedFleet) sendKeyed(key, body string) (status int, text string) {
 	req, err := http.NewRequestWithContext(k.ctx, "POST", "http://"+k.RequestAddress(0)+"/orders/1", bytes.NewReader([]byte(body)))
 	must(k.t, err)
@@ -67,7 +67,8 @@
 	return resp.StatusCode, string(b)
 }
 
-// restartClientSidecar kills the client's sidecar, together with others, and starts it again.
+// restartClientSidecar kills the other programs and the sidecar of machine 0, restarts that sidecar,
+// and waits until it is ready.
 func (k *keyedFleet) restartClientSidecar(others ...*fleet.Program) {
 	k.Kill(others...)
 	k.Kill(k.Sidecars[0])
@@ -75,20 +76,22 @@
 	must(k.t, k.Sidecars[0].AwaitReady(k.ctx))
 }
 
-// A key survives its sidecar. If that is killed after the run and before the answer, alone or together
-// with any one other node, the repeat does not run again; after the answer, the repeat gets that answer.
+// TestKeySurvivesItsSidecar checks that a key outlives the sidecar that received the request. That
+// sidecar is killed, alone or together with one other node. Before the answer, a repeat must not run
+// again. After the answer, a repeat must get the same answer.
 func TestKeySurvivesItsSidecar(t *testing.T) {
 	for _, test := range []struct {
 		name string
-		// also is the index of a node that dies together with the client's sidecar; none if 0.
-		also     int
-		answered bool // before it dies
+		// otherNode is the index of a node that is killed together with the client's sidecar, or 0 for
+		// none.
+		otherNode int
+		answered  bool // before the kill
 	}{
 		{"before the answer", 0, false},
-		{"with one other", 1, false},
-		{"with another", 2, false},
+		{"before the answer, with node 1", 1, false},
+		{"before the answer, with node 2", 2, false},
 		{"after the answer", 0, true},
-		{"after, with one other", 1, true},
+		{"after the answer, with node 1", 1, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
@@ -99,31 +102,31 @@
 			if test.answered {
 				k.release <- struct{}{}
 				want = <-first
-				// The replicas get the response after the client.
+				// The replicas get the response after the client does.
 				must(t, k.awaitReplicated(2, 2))
 			}
 			var others []*fleet.Program
-			if test.also > 0 {
-				others = k.Sidecars[test.also : test.also+1]
+			if test.otherNode > 0 {
+				others = k.Sidecars[test.otherNode : test.otherNode+1]
 			}
 			k.restartClientSidecar(others...)
 			status, text := k.sendKeyed("a", "x")
 			if test.answered && (status != 200 || text != want) || !test.answered && status != 502 {
-				t.Errorf("the repeat got %d %q, the first %q", status, text, want)
+				t.Errorf("the repeat got %d %q, the first request %q; want the same answer, or 502 if the first had none", status, text, want)
 			}
 			if status, _ := k.sendKeyed("a", "another"); status != 422 {
-				t.Errorf("another request under the key got %d", status)
+				t.Errorf("another request under the same key got %d, want 422", status)
 			}
 			if n := k.runs.Load(); n != 1 {
-				t.Errorf("it ran %d times", n)
+				t.Errorf("the order ran %d times, want 1", n)
 			}
 			close(k.release)
 		})
 	}
 }
 
-// sendInBackground sends an order under a key, again while its replicas are too slow for it to run.
-// The channel gets the text of the answer.
+// sendInBackground sends an order under a key, and sends it again if the key's replicas were too slow
+// for it to run. The channel gets the text of the answer.
 func (k *keyedFleet) sendInBackground(key, body string) <-chan string {
 	answer := make(chan string, 1)
 	go func() {
@@ -136,21 +139,22 @@
 	return answer
 }
 
-// awaitRun waits until an order runs, which must be before its answer.
+// awaitRun waits until an order runs. It fails the test if the answer comes first.
 func (k *keyedFleet) awaitRun(answer <-chan string) {
 	k.t.Helper()
 	select {
 	case <-k.running:
 	case text := <-answer:
-		k.t.Fatalf("answered without a run: %s", text)
+		k.t.Fatalf("the order was answered without a run: %s", text)
 	case <-k.ctx.Done():
-		k.t.Fatal("it was never run")
+		k.t.Fatal("timed out waiting for the order to run")
 	}
 }
 
-// awaitReplicated waits until the other nodes hold so many records, and so many of them with responses.
+// awaitReplicated waits until the nodes other than the client's hold the given number of records, and
+// the given number of those with a response.
 func (k *keyedFleet) awaitReplicated(records, responses int) error {
-	return fleet.Await(k.ctx, "the key's replicas", func(ctx context.Context) bool {
+	return fleet.Await(k.ctx, "the records at the key's replicas", func(ctx context.Context) bool {
 		stored, completed := 0, 0
 		for _, p := range k.Sidecars[1:] {
 			var st struct {
@@ -166,15 +170,16 @@
 	})
 }
 
-// All sidecars are killed and started again one after another, and with them all replicas of a key and
-// its owner: it survives them, since what a replica has lost is replicated anew.
+// TestKeySurvivesRollingKills checks that a key survives when all sidecars are killed and restarted
+// one after another. These kills also reach its owner and all its replicas, so that it survives only
+// if lost copies are replicated again.
 func TestKeySurvivesRollingKills(t *testing.T) {
 	t.Parallel()
 	k := newKeyedFleet(t, 4)
 	close(k.release)
 	status, first := k.sendKeyed("a", "x")
 	if status != 200 {
-		t.Fatalf("the first got %d %s", status, first)
+		t.Fatalf("the first request got %d %s, want 200", status, first)
 	}
 	must(t, k.awaitReplicated(2, 2))
 	for _, i := range []int{3, 2, 1, 0, 1, 2, 3} {
@@ -183,50 +188,51 @@
 		must(t, k.Sidecars[i].AwaitReady(k.ctx))
 	}
 	if status, text := k.sendKeyed("a", "x"); status != 200 || text != first || k.runs.Load() != 1 {
-		t.Errorf("the repeat got %d %q, the first %q; it ran %d times", status, text, first, k.runs.Load())
+		t.Errorf("the repeat got %d %q, the first request %q, after %d runs; want the same answer after 1 run", status, text, first, k.runs.Load())
 	}
 }
 
-// A request that surely did not run releases its key at the replicas too; a replica that does not answer
-// is replaced by another one, and where there is none, nothing is run.
+// TestKeyReplicaSelection checks three cases of key replication. A request that certainly did not run
+// releases its key at the replicas too. A replica that does not answer is replaced by another node.
+// Without enough replicas, the request is not run.
 func TestKeyReplicaSelection(t *testing.T) {
 	t.Parallel()
 	k := newKeyedFleet(t, 4)
 	close(k.release)
 	must(t, k.Backends[0].Leave(k.ctx))
 	if status, text := k.sendKeyed("a", "x"); status != 503 {
-		t.Errorf("without a backend: %d %s", status, text)
+		t.Errorf("without a backend: got %d %s, want 503", status, text)
 	}
 	k.Backends[0].Kill()
-	must(t, k.awaitReplicated(0, 0)) // released there too, before the sidecar dies
+	must(t, k.awaitReplicated(0, 0)) // the replicas release the key before the sidecar is killed
 	k.restartClientSidecar()
 	b, err := k.StartBackend(3, "orders", "two", 8001)
 	must(t, err)
 	must(t, awaitCondition(k.ctx, func(context.Context) bool { status, _ := k.sendKeyed("a", "x"); return status == 418 || status == 200 }))
 	if b.Runs.Load() != 1 {
-		t.Errorf("what had not run was run %d times afterwards", b.Runs.Load())
+		t.Errorf("the order that had not run ran %d times afterwards, want 1", b.Runs.Load())
 	}
-	// Partitioned from the owner only, a replica stays in view.
+	// A node that is partitioned from the owner only stays in the membership view.
 	k.Network.PartitionBetween([]string{k.Sidecars[0].IP}, []string{k.Sidecars[1].IP})
 	for i := range 5 {
 		if status, text := k.sendKeyed(fmt.Sprint("b", i), "x"); status != 418 && status != 200 {
-			t.Errorf("with a replica that does not answer: %d %s", status, text)
+			t.Errorf("with a replica that does not answer: got %d %s, want 200 or 418", status, text)
 		}
 	}
 	before := b.Runs.Load()
 	k.Network.PartitionBetween([]string{k.Sidecars[0].IP}, []string{k.Sidecars[1].IP, k.Sidecars[2].IP})
 	if status, text := k.sendKeyed("c", "x"); status != 503 {
-		t.Errorf("with too few replicas: %d %s", status, text)
+		t.Errorf("with too few replicas: got %d %s, want 503", status, text)
 	}
 	if n := b.Runs.Load(); n != before {
-		t.Errorf("%d ran whose key was not replicated", n-before)
+		t.Errorf("%d orders ran without a replicated key, want 0", n-before)
 	}
 	k.Network.Heal()
 	must(t, awaitCondition(k.ctx, func(context.Context) bool { status, _ := k.sendKeyed("c", "x"); return status == 418 || status == 200 }))
 }
 
-// Sidecars are killed one after another under load from clients that repeat at once, under the same key,
-// whatever was not answered: each order runs once.
+// TestKeyedThroughKills checks that each order runs once while sidecars are killed one after another
+// under load. The clients immediately repeat unanswered orders under the same key.
 func TestKeyedThroughKills(t *testing.T) {
 	t.Parallel()
 	f, ctx := startFleet(t, smallFleet())
@@ -253,9 +259,9 @@
 	for _, c := range callers {
 		repeats += c.Repeats.Load()
 	}
-	t.Logf("%d repeats under a key", repeats)
+	t.Logf("%d repeats with a key", repeats)
 	if repeats == 0 {
-		t.Error("nothing was repeated")
+		t.Error("no order was repeated")
 	}
 	checkLedger(t, f)
 }
--- a/tests/e2e/late_announcement_test.go
+++ b/tests/e2e/late_announcement_test.go
@@ -9,8 +9,8 @@
 	"curlewwalk/tests/fleet"
 )
 
-// leavingFleet is a fleet of two machines with a backend of one service on each: one that will leave, on
-// machine 1, and one that stays.
+// leavingFleet starts a fleet of two machines with one backend of the same service on each. The test
+// makes the backend on machine 1 leave; the other stays.
 func leavingFleet(t *testing.T) (f *fleet.Fleet, ctx context.Context, leaving *fakes.Backend) {
 	t.Helper()
 	size := smallFleet()
@@ -25,16 +25,16 @@
 	return f, ctx, leaving
 }
 
-// watchAfterLeaving is for how long a backend is watched after it left.
+// watchAfterLeaving is the time for which requests are sent after a backend left.
 const watchAfterLeaving = 3500 * time.Millisecond
 
-// sendDuringLateAnnouncements sends requests one after the other at both machines, with late announcements
-// of the leaving backend among them.
+// sendDuringLateAnnouncements sends requests in turn to both machines, and repeats old announcements
+// of the leaving backend between them.
 func sendDuringLateAnnouncements(ctx context.Context, t *testing.T, f *fleet.Fleet, leaving *fakes.Backend) {
 	t.Helper()
 	survey := f.Size.Plans[2]
 	callers := []*fakes.Client{f.NewClient(0, 1), f.NewClient(1, 2)}
-	for from := time.Now(); time.Since(from) < watchAfterLeaving; {
+	for begin := time.Now(); time.Since(begin) < watchAfterLeaving; {
 		for _, c := range callers {
 			c.SendOne(ctx, survey)
 		}
@@ -42,13 +42,14 @@
 	}
 }
 
-// An announcement from before a backend left that arrives after it, however late, does not bring the
-// backend back: neither after it announced that it is leaving nor after it only deregistered.
+// TestLateAnnouncement checks that a delayed announcement does not make a departed backend available
+// again. The announcement was sent before the backend left, and arrives afterwards. The backend either
+// announces that it is leaving or only deregisters.
 func TestLateAnnouncement(t *testing.T) {
 	t.Parallel()
 	variants := map[string]func(b *fakes.Backend, ctx context.Context) error{
-		"leaving": (*fakes.Backend).Leave,
-		"gone":    (*fakes.Backend).Deregister,
+		"leaving":      (*fakes.Backend).Leave,
+		"deregistered": (*fakes.Backend).Deregister,
 	}
 	for name, announce := range variants {
 		t.Run(name, func(t *testing.T) {
@@ -61,7 +62,8 @@
 	}
 }
 
-// Nor does it if the sidecar that knew of the departure was killed meanwhile and has restarted.
+// TestLateAnnouncementAtRestartedSidecar checks that a late announcement also has no effect when the
+// sidecar that knew of the departure has been killed and restarted.
 func TestLateAnnouncementAtRestartedSidecar(t *testing.T) {
 	t.Parallel()
 	f, ctx, leaving := leavingFleet(t)
--- a/tests/e2e/loss_test.go
+++ b/tests/e2e/loss_test.go
@@ -15,7 +15,7 @@
 	"curlewwalk/tests/fleet"
 )
 
-// startLoad has clients on all machines send until stop is called.
+// startLoad runs the clients of all machines until stop is called.
 func startLoad(ctx context.Context, f *fleet.Fleet) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	var wg sync.WaitGroup
@@ -26,8 +26,9 @@
 	}
 }
 
-// Right after each acknowledgement the replica that gave it is killed and loses its disk, and another one
-// is killed; what is read back is what was acknowledged.
+// TestAcknowledgedThenDiskLost checks that an acknowledged write survives the loss of a disk. Right
+// after each acknowledgement, the replica that gave it is killed and loses its disk, and another
+// replica is killed too. A read must then return the acknowledged configuration.
 func TestAcknowledgedThenDiskLost(t *testing.T) {
 	t.Parallel()
 	f, ctx := startFleet(t, controlPlaneOnly(3))
@@ -36,7 +37,7 @@
 		lost, other := f.Replicas[i], f.Replicas[(i+1)%3]
 		body := configuration(100 + round)
 		var revision uint64
-		must(t, fleet.Await(ctx, "a write", func(ctx context.Context) bool {
+		must(t, fleet.Await(ctx, "a write to be acknowledged", func(ctx context.Context) bool {
 			r, err := f.Operate(ctx, lost, "PUT", configurationPath, body)
 			revision = r.Revision
 			return err == nil && r.Status == 200
@@ -55,14 +56,15 @@
 				return err == nil && r.Status == 200
 			}))
 			if r.Revision < revision || !bytes.Equal(r.Body, body) {
-				t.Errorf("round %d: %s reads back revision %d %q; %d %q was acknowledged", round, p.Name, r.Revision, r.Body, revision, body)
+				t.Errorf("round %d: %s returned revision %d %q, want the acknowledged revision %d %q", round, p.Name, r.Revision, r.Body, revision, body)
 			}
 		}
 	}
 }
 
-// A zone loses power, with the coordinator, sidecars and backends in it: from all other machines every
-// kind of request and an operator's write succeed within 15 s, and from all once it has come back.
+// TestZoneLost checks recovery from the power loss of a zone with the coordinator, sidecars and
+// backends in it. Within 15 s a request of each plan must succeed from all other machines, and an
+// operator's write must be acknowledged. The same must hold for all machines once the zone is back.
 func TestZoneLost(t *testing.T) {
 	t.Parallel()
 	size := smallFleet()
@@ -77,14 +79,14 @@
 		for _, i := range machines {
 			must(t, awaitServed(ctx, f, i))
 		}
-		must(t, fleet.Await(ctx, "a write", func(ctx context.Context) bool {
+		must(t, fleet.Await(ctx, "a write to be acknowledged", func(ctx context.Context) bool {
 			r, err := f.Operate(ctx, f.Replicas[2], "PUT", configurationPath, f.Configuration())
 			return err == nil && r.Status == 200
 		}))
 		if took := time.Since(begin); took > 15*time.Second {
-			t.Errorf("back only after %v", took)
+			t.Errorf("service recovered after %v, want at most 15s", took)
 		} else {
-			t.Logf("back after %v", took.Round(time.Millisecond))
+			t.Logf("service recovered after %v", took.Round(time.Millisecond))
 		}
 	}
 	expectRecovery(1, 2, 3, 5, 6, 7)
@@ -98,47 +100,49 @@
 	checkLedger(t, f)
 }
 
-// One backend after the other is replaced under load by a cold one: nothing is dropped, and none gets more
-// than it can bear.
+// TestReplacedOneByOne checks that backends can be replaced one after another under load. Each
+// replacement starts cold. No request may be dropped, and no backend may get more requests than it can
+// handle.
 func TestReplacedOneByOne(t *testing.T) {
 	t.Parallel()
 	f, ctx := startFleet(t, smallFleet())
 	stop := startLoad(ctx, f)
-	for i, old := range f.Backends[:4] {
-		b, err := f.StartBackendOn(fmt.Sprintf("%s:%d", f.Site.IP(i), 8200), i, old.Service, old.Instance+"-new", 0.4)
+	for i, replaced := range f.Backends[:4] {
+		b, err := f.StartBackendOn(fmt.Sprintf("%s:%d", f.Site.IP(i), 8200), i, replaced.Service, replaced.Instance+"-new", 0.4)
 		must(t, err)
 		must(t, awaitRuns(ctx, b.Runs.Load, 3))
-		must(t, old.Leave(ctx))
-		// It may not have read yet what was written to it before it left.
-		must(t, fleet.Await(ctx, "the old one to be idle", func(ctx context.Context) bool {
+		must(t, replaced.Leave(ctx))
+		// The backend may not yet have read a request that was written before it left.
+		must(t, fleet.Await(ctx, "the replaced backend to be idle", func(ctx context.Context) bool {
 			type entry struct {
 				Instance string
 				Open     int64
 			}
 			var page []entry
 			_, err := f.Sidecars[i].Get(ctx, "/v1/backends", &page)
-			return err == nil && old.Open() == 0 && slices.Contains(page, entry{old.Instance, 0})
+			return err == nil && replaced.Open() == 0 && slices.Contains(page, entry{replaced.Instance, 0})
 		}))
-		runsAtLeaving := old.Runs.Load()
+		runsAtLeaving := replaced.Runs.Load()
 		must(t, awaitRuns(ctx, b.Runs.Load, b.Runs.Load()+5))
-		if n := old.Runs.Load() - runsAtLeaving; n > 0 {
-			t.Errorf("%s ran %d more after it had left", old.Instance, n)
+		if n := replaced.Runs.Load() - runsAtLeaving; n > 0 {
+			t.Errorf("%s ran %d requests after it had left, want 0", replaced.Instance, n)
 		}
-		old.Kill()
+		replaced.Kill()
 	}
 	stop()
 	for _, b := range f.Backends[4:] {
 		if capacity := 0.4 * float64(b.Capacity); float64(b.Peak.Load()) > 1.5*capacity {
-			t.Errorf("%s ran %d at a time and can bear %.1f", b.Instance, b.Peak.Load(), capacity)
+			t.Errorf("%s ran %d requests at a time, want at most 1.5 times its cold capacity of %.1f", b.Instance, b.Peak.Load(), capacity)
 		}
 	}
 	if v := checkLedger(t, f); v.Interrupted > 0 || v.LostEarly > 0 {
-		t.Errorf("%d were dropped and %d lost", v.Interrupted, v.LostEarly)
+		t.Errorf("%d requests were interrupted, and %d had an unknown outcome before the deadline; want 0", v.Interrupted, v.LostEarly)
 	}
 }
 
-// Under load a fifth of all answers is lost or malformed after the run: nothing runs again that must not,
-// no malformed answer is passed on, and retries stay within their bound.
+// TestGarbledUnderLoad checks that lost and malformed answers do not cause wrong results. Under load a
+// fifth of all answers are lost or malformed after the run. A request that must run once must not run
+// again, no malformed answer may reach a client, and retries must stay within their limit.
 func TestGarbledUnderLoad(t *testing.T) {
 	t.Parallel()
 	f, ctx := startFleet(t, smallFleet())
@@ -151,18 +155,20 @@
 	}
 	stop()
 	if v := checkLedger(t, f); v.Unknown == 0 {
-		t.Error("no answer was lost")
+		t.Error("no request had an unknown outcome: the backends lost no answers")
 	}
 }
 
-// A backend's sidecar is frozen with requests in it, and woken: those end, the others are served elsewhere
-// meanwhile, and nothing runs twice or after it was promised not to.
+// TestFrozenWithRequests checks that a frozen sidecar of a backend does not violate the outcomes that
+// clients were told. The sidecar is frozen with open requests and later resumes. The open requests
+// must end, and other backends must serve further requests meanwhile. No request may run twice, or run
+// after its client was told that it was not run.
 func TestFrozenWithRequests(t *testing.T) {
 	t.Parallel()
 	f, ctx := startFleet(t, smallFleet())
 	stop := startLoad(ctx, f)
 	for range 2 {
-		must(t, fleet.Await(ctx, "requests at the backend", func(context.Context) bool { return f.Backends[3].Open() > 0 }))
+		must(t, fleet.Await(ctx, "the backend to have open requests", func(context.Context) bool { return f.Backends[3].Open() > 0 }))
 		f.Sidecars[3].Signal(syscall.SIGSTOP)
 		frozen := time.Now()
 		must(t, awaitServed(ctx, f, 0))
@@ -175,8 +181,8 @@
 	checkLedger(t, f)
 }
 
-// In a zone whose backends have become thirty times slower, requests that would be late go elsewhere, and
-// the learned latencies can be read.
+// TestSlowZone checks that requests avoid a zone whose backends have become thirty times slower.
+// Requests that would be late there must go to other zones. The learned latencies must be readable.
 func TestSlowZone(t *testing.T) {
 	t.Parallel()
 	size := smallFleet()
@@ -185,26 +191,26 @@
 	stop := startLoad(ctx, f)
 	must(t, awaitRuns(ctx, f.Backends[0].Runs.Load, 150))
 	stop()
-	quick, slow := f.Backends[0].Runs.Load(), f.Backends[3].Runs.Load()
-	t.Logf("the quick backend ran %d, the slow one %d", quick, slow)
-	if slow*2 > quick || slow == 0 {
-		t.Errorf("the quick backend ran %d, the slow one %d", quick, slow)
+	fastRuns, slowRuns := f.Backends[0].Runs.Load(), f.Backends[3].Runs.Load()
+	t.Logf("the fast backend ran %d requests, the slow one %d", fastRuns, slowRuns)
+	if slowRuns*2 > fastRuns || slowRuns == 0 {
+		t.Errorf("the fast backend ran %d requests, the slow one %d; want at least 1 and at most half as many at the slow one", fastRuns, slowRuns)
 	}
-	var pages []struct {
+	var costs []struct {
 		Route          string `json:"way"`
 		Instance, Half string
 		Weight         float64
 	}
-	_, err := f.Sidecars[3].Get(ctx, "/v1/costs", &pages)
+	_, err := f.Sidecars[3].Get(ctx, "/v1/costs", &costs)
 	must(t, err)
-	half := map[string]time.Duration{}
-	for _, p := range pages {
+	medians := map[string]time.Duration{}
+	for _, p := range costs {
 		if p.Route == "order-place" && p.Instance != "" {
-			half[p.Instance], _ = time.ParseDuration(p.Half)
+			medians[p.Instance], _ = time.ParseDuration(p.Half)
 		}
 	}
-	if half["orders-3"] < 2*half["orders-0"] || half["orders-0"] == 0 {
-		t.Errorf("learned: %v", half)
+	if medians["orders-3"] < 2*medians["orders-0"] || medians["orders-0"] == 0 {
+		t.Errorf("learned medians %v: want that of orders-3 at least twice that of orders-0", medians)
 	}
 	checkLedger(t, f)
 }
--- a/tests/e2e/main_test.go
+++ b/tests/e2e/main_test.go
@@ -12,7 +12,7 @@
 	"curlewwalk/tests/ledger"
 )
 
-// binaries are the programs, built once for all tests.
+// binaries are the compiled programs, built once for all tests.
 var binaries fleet.Binaries
 
 func TestMain(m *testing.M) {
@@ -26,18 +26,18 @@
 	os.Exit(code)
 }
 
-// Names of the system's interface that many tests use.
+// Paths and headers of the system's interface that many tests use.
 const (
 	configurationPath = "/v1/desired"
 	generationHeader  = "Curlewwalk-Edition"
 	outcomeHeader     = "Curlewwalk-Outcome"
 )
 
-// testTimeout bounds what a test waits for. It is no measure of speed.
+// testTimeout bounds each test's waiting. It is not a performance limit.
 const testTimeout = 40 * time.Second
 
-// newFleet prepares a fleet that is not started yet. When the test ends the fleet is closed, and
-// none of its processes may have reported a data race or a broken invariant.
+// newFleet prepares a fleet without starting it. When the test ends, newFleet closes the fleet and
+// fails the test if a process reported a data race or a broken invariant.
 func newFleet(t *testing.T, size fleet.Size) (*fleet.Fleet, context.Context) {
 	t.Helper()
 	f, err := fleet.New(size, binaries)
@@ -57,7 +57,7 @@
 	return f, ctx
 }
 
-// startFleet starts a fleet.
+// startFleet prepares a fleet and starts it.
 func startFleet(t *testing.T, size fleet.Size) (*fleet.Fleet, context.Context) {
 	t.Helper()
 	f, ctx := newFleet(t, size)
@@ -65,7 +65,7 @@
 	return f, ctx
 }
 
-// restartReplicas kills all replicas that are running, starts all, and waits until they are ready.
+// restartReplicas kills the running replicas, starts all replicas, and waits until they are ready.
 func restartReplicas(ctx context.Context, t *testing.T, f *fleet.Fleet) {
 	t.Helper()
 	for _, p := range f.Replicas {
@@ -81,7 +81,7 @@
 	}
 }
 
-// must fails the test at once on an error.
+// must ends the test if err is not nil.
 func must(t *testing.T, err error) {
 	t.Helper()
 	if err != nil {
@@ -89,7 +89,7 @@
 	}
 }
 
-// smallFleet is a size for tests that need no full deployment: four machines, one in each zone.
+// smallFleet returns the size for tests that need no full deployment: four machines, one in each zone.
 func smallFleet() fleet.Size {
 	s := fleet.Association()
 	s.Name, s.Machines, s.Backends = "small", 4, []string{"orders", "stock", "surveys", "orders"}
@@ -97,10 +97,10 @@
 	return s
 }
 
-// maxReported bounds how many breaches, or interruptions, of one fleet are printed.
+// maxReported limits how many breaches, and how many interruptions, of one fleet are printed.
 const maxReported = 10
 
-// checkLedger fails the test on each rule that the fleet broke, and if nothing was answered.
+// checkLedger fails the test for each rule that the fleet broke, and if no request succeeded.
 func checkLedger(t *testing.T, f *fleet.Fleet) ledger.Verdict {
 	t.Helper()
 	v := f.Ledger.Judge()
@@ -108,10 +108,10 @@
 		t.Error("broken rule: ", breach)
 	}
 	if v.Good == 0 {
-		t.Error("nothing was answered")
+		t.Error("no request succeeded")
 	}
 	for _, interruption := range v.Interruptions[:min(len(v.Interruptions), maxReported)] {
-		t.Log("got no answer: ", interruption)
+		t.Log("request without an answer: ", interruption)
 	}
 	t.Logf("sent %d, ran %d, good %d, not-run %d, unknown %d, interrupted %d, broken rules %d", v.Sent, v.Ran, v.Good, v.NotRun, v.Unknown, v.Interrupted, len(v.Breaches))
 	return v
--- a/tests/e2e/metrics_test.go
+++ b/tests/e2e/metrics_test.go
@@ -15,25 +15,27 @@
 	"github.com/prometheus/common/expfmt"
 )
 
-// documented matches a row of the metrics table: the name, and which program has it.
-var documented = regexp.MustCompile("(?m)^\\| `(curlewwalk_[a-z_]+)` \\| (sidecar|controlplane|both) \\|")
+// documentedMetric matches a row of the metrics table. Its groups are the name and the program that
+// exports it.
+var documentedMetric = regexp.MustCompile("(?m)^\\| `(curlewwalk_[a-z_]+)` \\| (sidecar|controlplane|both) \\|")
 
-// families scrapes the metrics of a program.
-func (r *rig) families(control string) map[string]*dto.MetricFamily {
+// scrapeMetrics returns the metric families that a program exports.
+func (r *rig) scrapeMetrics(control string) map[string]*dto.MetricFamily {
 	r.t.Helper()
 	resp, err := r.HTTP.Get("http://" + control + "/metrics")
 	must(r.t, err)
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		r.t.Fatalf("status %d", resp.StatusCode)
+		r.t.Fatalf("GET /metrics: got status %d, want 200", resp.StatusCode)
 	}
 	got, err := (&expfmt.TextParser{}).TextToMetricFamilies(resp.Body)
 	must(r.t, err)
 	return got
 }
 
-// sampleValue is the sample of a family that has all the labels, which are given as name and value in turn.
-func sampleValue(family *dto.MetricFamily, labels ...string) (v float64, found bool) {
+// sampleValue returns the value of the first sample of a family that has all the given labels. labels
+// holds alternating names and values.
+func sampleValue(family *dto.MetricFamily, labels ...string) (value float64, found bool) {
 	for _, m := range family.GetMetric() {
 		if hasLabels(m, labels) {
 			return m.GetCounter().GetValue() + m.GetGauge().GetValue(), true
@@ -42,7 +44,7 @@
 	return 0, false
 }
 
-// hasLabels reports whether a sample has all the labels.
+// hasLabels reports whether a sample has all the given labels.
 func hasLabels(m *dto.Metric, labels []string) bool {
 	for i := 0; i+1 < len(labels); i += 2 {
 		if !slices.ContainsFunc(m.GetLabel(), func(l *dto.LabelPair) bool { return l.GetName() == labels[i] && l.GetValue() == labels[i+1] }) {
@@ -52,8 +54,8 @@
 	return true
 }
 
-// Both programs export what happened under the names that OPERATING.md lists: no other of our own, none
-// missing, and all of them lint clean.
+// TestMetrics checks that the exported metrics show what happened in the fleet. Each program must
+// export exactly the metrics that OPERATING.md lists for it, and all must pass the Prometheus linter.
 func TestMetrics(t *testing.T) {
 	r := newRig(t)
 	r.backend(1, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) }))
@@ -64,19 +66,19 @@
 	r.send("GET", "/nowhere", "")
 	_, err := r.Operate(r.ctx, r.Replicas[0], "GET", configurationPath, nil)
 	must(t, err)
-	// The answer to a request with a key is replicated beside the client's answer.
+	// The response to a request with a key is replicated at the same time as it is sent to the client.
 	must(t, awaitCondition(r.ctx, func(context.Context) bool {
-		replicated, _ := sampleValue(r.families(r.Sidecars[1].Control)["curlewwalk_keys_held"], "state", "answered")
+		replicated, _ := sampleValue(r.scrapeMetrics(r.Sidecars[1].Control)["curlewwalk_keys_held"], "state", "answered")
 		return replicated == 1
 	}))
 
-	caller, callee := r.families(r.Sidecars[0].Control), r.families(r.Sidecars[1].Control)
-	replica := r.families(r.Replicas[0].Control)
+	caller, callee := r.scrapeMetrics(r.Sidecars[0].Control), r.scrapeMetrics(r.Sidecars[1].Control)
+	replica := r.scrapeMetrics(r.Replicas[0].Control)
 	for _, want := range []struct {
-		in     map[string]*dto.MetricFamily
-		name   string
-		value  float64
-		labels []string
+		metrics map[string]*dto.MetricFamily
+		name    string
+		value   float64
+		labels  []string
 	}{
 		{caller, "route_requests_total", 3, []string{"route", "look", "outcome", "answered"}},
 		{caller, "route_requests_total", 1, []string{"route", "once", "outcome", "answered"}},
@@ -101,32 +103,33 @@
 		{replica, "sidecars_known", 2, nil},
 		{replica, "feed_ready", 1, nil},
 	} {
-		if got, found := sampleValue(want.in["curlewwalk_"+want.name], want.labels...); !found || got != want.value {
-			t.Errorf("%s %v is %v (found: %v), not %v", want.name, want.labels, got, found, want.value)
+		if got, found := sampleValue(want.metrics["curlewwalk_"+want.name], want.labels...); !found || got != want.value {
+			t.Errorf("%s %v: got %v (found: %v), want %v", want.name, want.labels, got, found, want.value)
 		}
 	}
 	if got, _ := sampleValue(caller["curlewwalk_retry_budget"], "service", "desk"); got <= 0 {
-		t.Errorf("the retry budget is %v after three requests", got)
+		t.Errorf("the retry budget is %v after three requests, want more than 0", got)
 	}
 	if got, found := sampleValue(caller["curlewwalk_lease_age_seconds"]); !found || got < 0 || got > 4*time.Second.Seconds() {
-		t.Errorf("the lease is %v s old (found: %v)", got, found)
+		t.Errorf("the lease is %v s old (found: %v), want 0 to 4", got, found)
 	}
-	for in, kind := range map[*map[string]*dto.MetricFamily]string{&caller: "leg", &callee: "hail", &replica: "hail"} {
-		if got, _ := sampleValue((*in)["curlewwalk_wire_bytes_total"], "kind", kind); got <= 0 {
-			t.Errorf("no bytes of kind %s", kind)
+	for metrics, kind := range map[*map[string]*dto.MetricFamily]string{&caller: "leg", &callee: "hail", &replica: "hail"} {
+		if got, _ := sampleValue((*metrics)["curlewwalk_wire_bytes_total"], "kind", kind); got <= 0 {
+			t.Errorf("got no bytes of kind %s", kind)
 		}
 	}
 	checkDocumented(t, caller, "sidecar")
 	checkDocumented(t, replica, "controlplane")
 }
 
-// checkDocumented compares the metrics of a program with the table, and lints their names and types.
+// checkDocumented compares the metrics of a program with the documented table, and lints their names
+// and types.
 func checkDocumented(t *testing.T, got map[string]*dto.MetricFamily, program string) {
 	t.Helper()
 	page, err := os.ReadFile("../../docs/OPERATING.md")
 	must(t, err)
 	var want, own []string
-	for _, row := range documented.FindAllStringSubmatch(string(page), -1) {
+	for _, row := range documentedMetric.FindAllStringSubmatch(string(page), -1) {
 		if row[2] == program || row[2] == "both" {
 			want = append(want, row[1])
 		}
@@ -141,7 +144,7 @@
 	slices.Sort(want)
 	slices.Sort(own)
 	if !slices.Equal(want, own) {
-		t.Errorf("%s has %v, the table lists %v", program, own, want)
+		t.Errorf("%s exports %v, want the documented %v", program, own, want)
 	}
 	problems, err := promlint.NewWithMetricFamilies(families).Lint()
 	must(t, err)
--- a/tests/e2e/outgoing_test.go
+++ b/tests/e2e/outgoing_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// A fixed address for the outgoing calls of a service is the one that its backends get, and it
-// identifies the caller.
+// TestFixedOutgoing checks that backends of a service get the fixed address for outgoing calls that is
+// configured for the service, and that calls to this address are attributed to the service.
 func TestFixedOutgoing(t *testing.T) {
 	f, ctx := newFleet(t, smallFleet())
 	fixed := f.Site.IP(0) + ":7500"
@@ -20,19 +20,21 @@
 	_, err := f.Sidecars[0].Get(ctx, "/v1/backends", &got)
 	must(t, err)
 	if len(got) != 1 || got[0].Service != "orders" || got[0].Outgoing != fixed {
-		t.Errorf("backends: %+v", got)
+		t.Errorf("got backends %+v, want one of orders with the configured address", got)
 	}
 	c := f.NewClient(0, 1)
 	for range 5 {
 		if a := c.SendOne(ctx, f.Size.Plans[0]); a.Status != 200 {
-			t.Errorf("%+v", a)
+			t.Errorf("got %+v, want status 200", a)
 		}
 	}
 	checkLedger(t, f)
 }
 
-// A backend that got an address before its sidecar was killed goes on sending there: such a call is
-// attributed to its service, whichever backend announces itself first to the new sidecar.
+// TestOutgoingAddressSurvivesRestart checks that a service keeps its address for outgoing calls when
+// its sidecar is killed and restarted. A backend continues to use the address that it got before. Its
+// calls must be attributed to its own service, whichever backend announces itself first to the new
+// sidecar.
 func TestOutgoingAddressSurvivesRestart(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
@@ -46,25 +48,25 @@
 		must(t, json.NewDecoder(resp.Body).Decode(&got))
 		return got
 	}
-	old := announce("hotline").Outgoing
+	addrBefore := announce("hotline").Outgoing
 	r.Sidecars[0].Kill()
 	must(t, r.Sidecars[0].Start())
 	must(t, r.Sidecars[0].AwaitReady(r.ctx))
-	if other := announce("surveys").Outgoing; other == old || other == "" {
-		t.Errorf("surveys got %q, hotline %q before", other, old)
+	if other := announce("surveys").Outgoing; other == addrBefore || other == "" {
+		t.Errorf("surveys got the address %q, hotline had %q; want different addresses", other, addrBefore)
 	}
 	announce("hotline")
-	var a int
+	var status int
 	must(t, awaitCondition(r.ctx, func(_ context.Context) bool {
-		resp, err := http.Post("http://"+old+"/once/x", "text/plain", bytes.NewReader([]byte("x")))
+		resp, err := http.Post("http://"+addrBefore+"/once/x", "text/plain", bytes.NewReader([]byte("x")))
 		if err != nil {
-			t.Fatalf("the address that hotline got: %v", err)
+			t.Fatalf("request to the outgoing address of hotline: %v", err)
 		}
 		resp.Body.Close()
-		a = resp.StatusCode
-		return a == 200
+		status = resp.StatusCode
+		return status == 200
 	}))
 	if got := receive(r, callers); got != "hotline" {
-		t.Errorf("a call of hotline was attributed to %q", got)
+		t.Errorf("a call of hotline was attributed to %q, want hotline", got)
 	}
 }
--- a/tests/e2e/overload_test.go
+++ b/tests/e2e/overload_test.go
@@ -12,8 +12,8 @@
 	"curlewwalk/tests/ledger"
 )
 
-// Under overload, with clients that retry at once, the higher priority keeps its service and the lower one
-// gives way; nothing else goes wrong.
+// TestOverloadByPriority checks that under overload requests of the higher priority are served and
+// those of the lower priority are refused first. The clients retry immediately. No rule may be broken.
 func TestOverloadByPriority(t *testing.T) {
 	t.Parallel()
 	size := smallFleet()
@@ -37,18 +37,18 @@
 	}
 	f.RunClients(load, callers...)
 	checkLedger(t, f)
-	t.Logf("good by priority: %v of %v", good, sent)
-	first, second := float64(good[1])/float64(sent[1]), float64(good[2])/float64(sent[2])
-	if first <= second || good[2] == sent[2] {
-		t.Errorf("priority 1 was served %.2f, priority 2 %.2f", first, second)
+	t.Logf("requests served by priority: %v of %v", good, sent)
+	firstShare, secondShare := float64(good[1])/float64(sent[1]), float64(good[2])/float64(sent[2])
+	if firstShare <= secondShare || good[2] == sent[2] {
+		t.Errorf("served shares: priority 1 %.2f, priority 2 %.2f; want a higher share for priority 1 and refusals for priority 2", firstShare, secondShare)
 	}
 }
 
-// concurrencyMeter is a backend that works for a moment and measures how many requests it runs at a
-// time.
+// concurrencyMeter is a backend that holds each request for 100 ms and records the highest number of
+// requests at a time.
 type concurrencyMeter struct{ open, peak atomic.Int64 }
 
-// ServeHTTP runs a request.
+// ServeHTTP counts a request while it runs.
 func (m *concurrencyMeter) ServeHTTP(http.ResponseWriter, *http.Request) {
 	n := m.open.Add(1)
 	defer m.open.Add(-1)
@@ -59,7 +59,7 @@
 	<-work.C
 }
 
-// flood sends 60 requests at once, and returns how many were served.
+// flood sends 60 requests at the same time and returns the number that were served.
 func (r *rig) flood() int64 {
 	var wg sync.WaitGroup
 	var served atomic.Int64
@@ -74,11 +74,12 @@
 	return served.Load()
 }
 
-// A cold backend that is the only one never gets more than one and a half times what it can bear, with all
-// clients sending at once; also when its sidecar was killed and started again.
+// TestSlowStartLimit checks that a cold backend without alternatives never runs more than 1.5 times
+// its cold capacity, even when all clients send at the same time. This must also hold after its
+// sidecar was killed and restarted, while requests that the killed sidecar admitted still run.
 func TestSlowStartLimit(t *testing.T) {
 	t.Parallel()
-	const capacity, warmth, most = 10, 0.4, 6 // 1.5 times 0.4 of 10
+	const capacity, warmth, maxConcurrent = 10, 0.4, 6 // 1.5 times 0.4 of 10
 	r := newRig(t)
 	started := time.Now()
 	meter := &concurrencyMeter{}
@@ -89,12 +90,13 @@
 	must(t, b.Start(r.Site.IP(1)+":8500"))
 	r.Backends = append(r.Backends, b)
 	must(t, r.AwaitServing(r.ctx, 1, 1))
-	// Until the sidecar no longer accounts for what an earlier one may have admitted.
+	// Wait until the sidecar no longer reserves capacity for requests that an earlier sidecar may have
+	// admitted.
 	awaitElapsed(r.ctx, t, started, 4*time.Second)
 	if r.flood() == 0 {
-		t.Error("nothing was served")
+		t.Error("no request was served")
 	}
-	// What a killed sidecar had admitted may still be running.
+	// Requests that the killed sidecar admitted may still be running.
 	var wg sync.WaitGroup
 	wg.Go(func() { r.flood() })
 	must(t, awaitRuns(r.ctx, meter.open.Load, 3))
@@ -103,8 +105,8 @@
 	must(t, r.AwaitServing(r.ctx, 1, 1))
 	r.flood()
 	wg.Wait()
-	if meter.peak.Load() > most {
-		t.Errorf("%d at a time at a backend that can bear %v", meter.peak.Load(), capacity*warmth)
+	if meter.peak.Load() > maxConcurrent {
+		t.Errorf("the backend ran %d requests at a time, want at most 1.5 times its cold capacity of %v", meter.peak.Load(), capacity*warmth)
 	}
-	t.Logf("at most %d at a time", meter.peak.Load())
+	t.Logf("the backend ran at most %d requests at a time", meter.peak.Load())
 }
--- a/tests/e2e/partition_test.go
+++ b/tests/e2e/partition_test.go
@@ -12,15 +12,16 @@
 	"curlewwalk/tests/ledger"
 )
 
-// The coordinator is partitioned from the others together with a machine: the others go on, the minority
-// acknowledges nothing, and after the partition the newest state is in force everywhere.
+// TestPartitionedControlPlane partitions the coordinator and one machine from the others. The majority
+// must keep accepting writes, and the minority must refuse writes and reads. After the partition the
+// newest state must be in force everywhere.
 func TestPartitionedControlPlane(t *testing.T) {
 	f, ctx := newFleet(t, smallFleet())
 	must(t, f.InterposeProxies())
 	must(t, f.Start(ctx))
 	f.Network.Partition(f.Replicas[0].IP, f.Sidecars[0].IP)
 	var revision uint64
-	must(t, fleet.Await(ctx, "a write at the majority", func(ctx context.Context) bool {
+	must(t, fleet.Await(ctx, "a write to be acknowledged by the majority", func(ctx context.Context) bool {
 		r, err := f.Operate(ctx, f.Replicas[1], "PUT", configurationPath, f.Configuration())
 		revision = r.Revision
 		return err == nil && r.Status == 200
@@ -28,30 +29,31 @@
 	r, err := f.Operate(ctx, f.Replicas[0], "PUT", configurationPath, configuration(9))
 	must(t, err)
 	if r.Status != 503 {
-		t.Errorf("the minority accepted a write: %d %s", r.Status, r.Body)
+		t.Errorf("write at the minority: got %d %s, want 503", r.Status, r.Body)
 	}
 	if r, err = f.Operate(ctx, f.Replicas[0], "GET", configurationPath, nil); err != nil || r.Status != 503 {
-		t.Errorf("the minority was read: %d %v", r.Status, err)
+		t.Errorf("read at the minority: got %d, error %v; want 503", r.Status, err)
 	}
 	for _, p := range f.Sidecars[1:] {
-		must(t, fleet.Await(ctx, "the state at the majority's sidecars", func(ctx context.Context) bool {
-			s, err := f.Revision(ctx, p)
-			return err == nil && s >= revision
+		must(t, fleet.Await(ctx, "the sidecars of the majority to have the new state", func(ctx context.Context) bool {
+			got, err := f.Revision(ctx, p)
+			return err == nil && got >= revision
 		}))
 	}
 	f.Network.Heal()
 	healed := time.Now()
 	must(t, f.AwaitServing(ctx, revision, len(f.Size.Backends)))
-	t.Logf("in force everywhere %v after the partition", time.Since(healed).Round(time.Millisecond))
+	t.Logf("the newest state was in force everywhere %v after the partition", time.Since(healed).Round(time.Millisecond))
 	r, err = f.Operate(ctx, f.Replicas[0], "GET", configurationPath, nil)
 	must(t, err)
 	if r.Revision < revision || r.Revision == revision && !bytes.Equal(r.Body, f.Configuration()) {
-		t.Errorf("read back revision %d after %d was acknowledged", r.Revision, revision)
+		t.Errorf("got revision %d, want at least the acknowledged revision %d with its configuration", r.Revision, revision)
 	}
 }
 
-// Every process of the system dies at once and comes back: backends and nodes are announced again, the
-// state comes from the disks, and service returns.
+// TestMassRestart checks that the system recovers within 15 s when every process is killed and
+// restarted at the same time. Backends and nodes must be announced again, and the state must be read
+// from the disks.
 func TestMassRestart(t *testing.T) {
 	f, ctx := startFleet(t, smallFleet())
 	stop := startLoad(ctx, f)
@@ -62,45 +64,46 @@
 	}
 	killed.Wait()
 	begin := time.Now()
-	phase := func(name string) { t.Logf("%6v %s", time.Since(begin).Round(time.Millisecond), name) }
+	logPhase := func(name string) { t.Logf("%6v %s", time.Since(begin).Round(time.Millisecond), name) }
 	for _, p := range f.Programs() {
 		must(t, p.Start())
 	}
-	phase("all processes listen")
+	logPhase("all processes listen")
 	for _, p := range f.Replicas {
 		must(t, p.AwaitReady(ctx))
 	}
-	phase("the replicas are members and know all nodes")
+	logPhase("the replicas are members and know all nodes")
 	must(t, f.AwaitServing(ctx, 1, len(f.Size.Backends)))
-	phase("every sidecar has the state, the nodes and the backends")
+	logPhase("every sidecar has the state, the nodes and the backends")
 	for i := range f.Sidecars {
 		must(t, awaitServed(ctx, f, i))
 	}
 	took := time.Since(begin)
-	phase("every kind of request is served from every machine")
+	logPhase("every kind of request is served from every machine")
 	for _, p := range f.Sidecars {
 		must(t, p.AwaitReady(ctx))
 	}
-	phase("every sidecar is ready: keys recovered, their replicas had time to answer")
+	logPhase("every sidecar is ready: keys are recovered, and their replicas had time to answer")
 	before := f.Backends[0].Runs.Load()
 	must(t, awaitRuns(ctx, f.Backends[0].Runs.Load, before+20))
 	stop()
 	if took > 15*time.Second {
-		t.Errorf("service returned only after %v", took)
+		t.Errorf("service recovered after %v, want at most 15s", took)
 	}
 	checkLedger(t, f)
 }
 
-// The zone of a machine that nobody reaches is evacuated: its sidecar, which can't know of it, admits
-// nothing once 5 s have passed; nor does one that is frozen meanwhile and woken with requests queued up.
-// Once the zone is restored and the machine reached again, it serves.
+// TestEvacuationOfUnreachableZone checks that an evacuation also takes effect at a machine that cannot
+// learn of it. The machine is partitioned, or its sidecar is frozen and later resumes with requests
+// queued. The sidecar must admit nothing once 5 s have passed since the evacuation. It must serve
+// again when the zone is restored and the machine is reachable.
 func TestEvacuationOfUnreachableZone(t *testing.T) {
-	for name, hide := range map[string]func(f *fleet.Fleet) (restore func()){
+	for name, makeUnreachable := range map[string]func(f *fleet.Fleet) (restore func()){
 		"partitioned": func(f *fleet.Fleet) func() {
 			f.Network.Partition(f.Sidecars[3].IP)
 			return f.Network.Heal
 		},
-		// The replica on its side answers, but can't confirm its state.
+		// The replica on the sidecar's side of the partition answers, but cannot confirm its state.
 		"partitioned with a replica": func(f *fleet.Fleet) func() {
 			f.Network.Partition(f.Sidecars[3].IP, f.Replicas[2].IP)
 			return f.Network.Heal
@@ -117,15 +120,15 @@
 			must(t, f.Start(ctx))
 			stop := startLoad(ctx, f)
 			must(t, awaitRuns(ctx, f.Backends[3].Runs.Load, 5))
-			restore := hide(f)
+			restore := makeUnreachable(f)
 			evacuated := time.Now()
 			r, err := f.EvacuateZone(ctx, f.Replicas[0], "west")
 			must(t, err)
 			awaitElapsed(ctx, t, evacuated, 7*time.Second)
 			restore()
 			must(t, fleet.Await(ctx, "the evacuation to be in force", func(ctx context.Context) bool {
-				s, err := f.Revision(ctx, f.Sidecars[3])
-				return err == nil && s >= r.Revision
+				revision, err := f.Revision(ctx, f.Sidecars[3])
+				return err == nil && revision >= r.Revision
 			}))
 			_, err = f.RestoreZone(ctx, f.Replicas[0], "west")
 			must(t, err)
@@ -136,27 +139,29 @@
 	}
 }
 
-// With every replica dead, which each sidecar can tell from a partition, traffic goes on for longer than a
-// lease lasts.
+// TestAllReplicasDead checks that sidecars keep serving for longer than a lease lasts when all
+// replicas are dead. A sidecar can distinguish dead replicas from a partition.
 func TestAllReplicasDead(t *testing.T) {
 	t.Parallel()
 	f, ctx := startFleet(t, smallFleet())
 	for _, p := range f.Replicas {
 		p.Kill()
 	}
-	dead := time.Now()
+	killedAt := time.Now()
 	c := f.NewClient(0, 1)
-	for time.Since(dead) < 6*time.Second {
+	for time.Since(killedAt) < 6*time.Second {
 		if a := c.SendOne(ctx, c.PickPlan()); a.Status != 200 || a.Outcome != "" {
-			t.Fatalf("%v after the replicas had died: %+v", time.Since(dead), a)
+			t.Fatalf("%v after all replicas were killed: got %+v, want status 200", time.Since(killedAt), a)
 		}
 	}
 	checkLedger(t, f)
 }
 
-// An evacuation is acknowledged and all replicas lose power at once, while a machine of that zone is
-// partitioned from them. Reached again by sidecars that know of it, and refused by the replicas' machines,
-// its sidecar gets the evacuation before it admits anything.
+// TestEvacuationThenReplicasDie checks that an acknowledged evacuation reaches a partitioned machine
+// without the replicas. The replicas lose power right after the acknowledgement. When the partition
+// ends, other sidecars know of the evacuation, and the replicas' machines refuse connections. The
+// sidecar in the evacuated zone must get the evacuation from the other sidecars before it admits a
+// request.
 func TestEvacuationThenReplicasDie(t *testing.T) {
 	t.Parallel()
 	f, ctx := newFleet(t, smallFleet())
@@ -170,22 +175,23 @@
 	must(t, err)
 	f.PowerOff(f.Replicas...)
 	if !bytes.Contains(r.Body, []byte(`"in_force": false`)) || !bytes.Contains(r.Body, []byte(f.Sidecars[3].IP)) {
-		t.Errorf("the answer does not list who is behind: %s", r.Body)
+		t.Errorf("the answer does not say that the evacuation is not in force at the partitioned sidecar: %s", r.Body)
 	}
 	f.Network.Heal()
 	awaitElapsed(ctx, t, evacuated, 8*time.Second)
 	must(t, fleet.Await(ctx, "the evacuation to be in force without replicas", func(ctx context.Context) bool {
-		s, err := f.Revision(ctx, f.Sidecars[3])
-		return err == nil && s >= r.Revision
+		revision, err := f.Revision(ctx, f.Sidecars[3])
+		return err == nil && revision >= r.Revision
 	}))
-	// It serves its own clients from the other zones.
+	// The sidecar serves the clients on its machine with backends of the other zones.
 	must(t, awaitServed(ctx, f, 3))
 	stop()
 	checkLedger(t, f)
 }
 
-// A sidecar that starts while all replicas are dead gets the configuration, the nodes and a lease from the
-// other sidecars, and they get its backends.
+// TestStartWithoutControlPlane checks that a sidecar can start while all replicas are dead. The
+// sidecar must get the configuration, the nodes and a lease from the other sidecars, and these must
+// learn of its backends.
 func TestStartWithoutControlPlane(t *testing.T) {
 	t.Parallel()
 	f, ctx := startFleet(t, smallFleet())
@@ -199,24 +205,24 @@
 	must(t, f.AwaitServing(ctx, f.FirstRevision, len(f.Size.Backends)))
 	before := f.Backends[1].Runs.Load()
 	c := f.NewClient(2, 1)
-	must(t, fleet.Await(ctx, "the only backend of stock, beside the restarted sidecar, to be used", func(ctx context.Context) bool {
+	must(t, fleet.Await(ctx, "the only backend of stock, on the restarted sidecar's machine, to run a request", func(ctx context.Context) bool {
 		c.SendOne(ctx, f.Size.Plans[0])
 		return f.Backends[1].Runs.Load() > before
 	}))
 	checkLedger(t, f)
 }
 
-// A sidecar that can get no configuration is not ready, and answers at once that nothing was run and when
-// to retry.
+// TestStartAlone checks a sidecar that cannot get a configuration. It must report that it is not
+// ready. It must refuse requests at once, with the outcome not-run and a Retry-After header.
 func TestStartAlone(t *testing.T) {
 	t.Parallel()
 	f, ctx := newFleet(t, smallFleet())
 	must(t, f.Sidecars[1].Start())
 	a := f.NewClient(1, 1).SendOne(ctx, f.Size.Plans[0])
 	if a.Status != 503 || a.Outcome != ledger.OutcomeNotRun || a.Mismatch != "" {
-		t.Errorf("%+v", a)
+		t.Errorf("got %+v, want 503 not-run", a)
 	}
 	if status, err := f.Sidecars[1].Get(ctx, "/ready", nil); err != nil || status != 503 {
-		t.Errorf("ready: %d %v", status, err)
+		t.Errorf("GET /ready: got %d, error %v; want 503", status, err)
 	}
 }
--- a/tests/e2e/planner_test.go
+++ b/tests/e2e/planner_test.go
@@ -10,8 +10,9 @@
 	"testing"
 )
 
-// The planner prints what a change would move, from a live replica and from a file alike, reports it by its
-// exit code, and changes nothing.
+// TestPlanner checks the output and the exit code of the planner, with the state of a live replica and
+// with a saved state file. The planner must print what a change would move, and must not change
+// anything.
 func TestPlanner(t *testing.T) {
 	t.Parallel()
 	f, ctx := startFleet(t, smallFleet())
@@ -42,10 +43,10 @@
 		{"added sidecar", []string{"--state=" + saved, "--gain=127.0.0.1:1"}, 1, []string{"127.0.0.1:1 follows none -> "}},
 		{"other configuration", []string{"--state=" + saved, "--desired=" + write("other.json", configuration(1))}, 1, []string{"way w: new", "way order-place: gone", "contract c: new"}},
 		{"invalid configuration", []string{"--state=" + saved, "--desired=" + write("bad.json", []byte(`{"ways":[{"name":"x"}]}`))}, 2, []string{"$.ways[0].prefix"}},
-		{"no JSON", []string{"--state=" + saved, "--desired=" + write("none.json", []byte(`{`))}, 2, []string{"not JSON"}},
+		{"not JSON", []string{"--state=" + saved, "--desired=" + write("none.json", []byte(`{`))}, 2, []string{"not JSON"}},
 		{"unknown node", []string{"--state=" + saved, "--lose=127.0.0.1:9"}, 2, []string{"no such node"}},
 		{"no state file", []string{"--state=" + saved + ".none"}, 2, []string{"no such file"}},
-		{"no state at all", nil, 2, []string{"--core", "--state"}},
+		{"no state", nil, 2, []string{"--core", "--state"}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			out, err := exec.Command(binaries.Path("planner"), test.args...).CombinedOutput()
@@ -55,18 +56,18 @@
 				code = exit.ExitCode()
 			}
 			if code != test.code {
-				t.Errorf("%v: exit %d, want %d: %s", test.args, code, test.code, out)
+				t.Errorf("%v: got exit code %d, want %d: %s", test.args, code, test.code, out)
 			}
 			for _, want := range test.prints {
 				if !strings.Contains(string(out), want) {
-					t.Errorf("%v: does not print %q: %s", test.args, want, out)
+					t.Errorf("%v: the output does not contain %q: %s", test.args, want, out)
 				}
 			}
 		})
 	}
 	for _, p := range f.Sidecars {
-		if s, err := f.Revision(ctx, p); err != nil || s != r.Revision {
-			t.Errorf("%s is at revision %d: the planner changed something", p.Name, s)
+		if revision, err := f.Revision(ctx, p); err != nil || revision != r.Revision {
+			t.Errorf("%s is at revision %d, want no change by the planner", p.Name, revision)
 		}
 	}
 }
--- a/tests/e2e/request_test.go
+++ b/tests/e2e/request_test.go
@@ -16,7 +16,9 @@
 	"curlewwalk/tests/ledger"
 )
 
-// What a backend gets is what the client sent, and the other way round.
+// TestRequestsPassUnaltered checks that requests reach the backend unaltered, and that responses reach
+// the client unaltered. The sidecars may only remove hop-by-hop headers and a forged caller header,
+// and add trace headers.
 func TestRequestsPassUnaltered(t *testing.T) {
 	r := newRig(t)
 	type seen struct {
@@ -39,39 +41,40 @@
 		a := r.send("GET", uri, "", "X-One", "1", "Curlewwalk-Caller", "forged", "Connection", "X-Drop", "X-Drop", "hop", "Accept-Encoding", "identity", "Idempotency-Key", "k"+uri)
 		s := receive(r, got)
 		if s.Method != "GET" || s.URI != uri || s.Host != r.RequestAddress(0) || s.Body != "" {
-			t.Errorf("backend saw %s %s host %s body %q", s.Method, s.URI, s.Host, s.Body)
+			t.Errorf("the backend got %s %s, host %s, body %q; want the client's request", s.Method, s.URI, s.Host, s.Body)
 		}
 		for _, k := range []string{"X-B3-Traceid", "X-B3-Spanid", "X-B3-Parentspanid"} {
 			s.Header.Del(k)
 		}
 		want := http.Header{"X-One": {"1"}, "Accept-Encoding": {"identity"}, "Idempotency-Key": {"k" + uri}, "User-Agent": {"Go-http-client/1.1"}}
 		if d := cmp.Diff(want, s.Header); d != "" {
-			t.Errorf("headers at the backend: %s", d)
+			t.Errorf("wrong headers at the backend: %s", d)
 		}
-		wantBack := http.Header{"Set-Cookie": {"a=1", "b=2"}, "Location": {"http://elsewhere/"}, "Content-Length": {"13"}}
-		if d := cmp.Diff(wantBack, a.Header); d != "" || a.StatusCode != 302 || string(a.body) != "moved \x00 bytes" {
-			t.Errorf("answer %d %q: %s", a.StatusCode, a.body, d)
+		wantResponse := http.Header{"Set-Cookie": {"a=1", "b=2"}, "Location": {"http://elsewhere/"}, "Content-Length": {"13"}}
+		if d := cmp.Diff(wantResponse, a.Header); d != "" || a.StatusCode != 302 || string(a.body) != "moved \x00 bytes" {
+			t.Errorf("got answer %d %q, want 302 with the backend's body; header differences: %s", a.StatusCode, a.body, d)
 		}
 	}
 	body := strings.Repeat("\x00\xff", 1<<20)
 	r.send("POST", "/once/x", body)
 	if s := receive(r, got); s.Body != body || s.Method != "POST" {
-		t.Errorf("a body of %d bytes came as %d", len(body), len(s.Body))
+		t.Errorf("a body of %d bytes reached the backend with %d bytes", len(body), len(s.Body))
 	}
 	a := r.send("HEAD", "/look/head", "")
 	if receive(r, got); a.StatusCode != 302 || len(a.body) != 0 {
-		t.Errorf("HEAD: %d %q", a.StatusCode, a.body)
+		t.Errorf("HEAD: got %d with body %q, want 302 without a body", a.StatusCode, a.body)
 	}
 }
 
-// Refusals of the outbound sidecar come at once and say what is known.
+// TestRefusals checks that the outbound sidecar refuses a request that it cannot run at once. The
+// answer must have the status for the cause and the outcome not-run.
 func TestRefusals(t *testing.T) {
 	r := newRig(t)
 	r.expect(r.send("GET", "/nowhere", ""), 404, ledger.OutcomeNotRun)
 	r.expect(r.send("POST", "/look/", ""), 404, ledger.OutcomeNotRun)
 	r.expect(r.send("POST", "/once/", strings.Repeat("x", 17<<20)), 413, ledger.OutcomeNotRun)
-	r.expect(r.send("POST", "/once/", "x"), 503, ledger.OutcomeNotRun) // no backend at all
-	// A truncated body is a bad request.
+	r.expect(r.send("POST", "/once/", "x"), 503, ledger.OutcomeNotRun) // no backend exists
+	// A request with a truncated body gets status 400.
 	c, err := net.Dial("tcp", r.RequestAddress(0))
 	must(t, err)
 	defer c.Close()
@@ -79,9 +82,9 @@
 	must(t, c.(*net.TCPConn).CloseWrite())
 	reply, _ := io.ReadAll(c)
 	if !bytes.HasPrefix(reply, []byte("HTTP/1.1 400 ")) {
-		t.Errorf("a truncated request got %q", reply)
+		t.Errorf("a truncated request got %q, want status 400", reply)
 	}
-	// Where nobody listens, the request surely did not run.
+	// No process listens at this address, so the request certainly did not run.
 	ln, err := net.Listen("tcp", net.JoinHostPort(r.Site.IP(1), "0"))
 	must(t, err)
 	addr := ln.Addr().String()
@@ -90,46 +93,48 @@
 	r.expect(r.send("POST", "/once/", "x"), 503, ledger.OutcomeNotRun)
 }
 
-// Whatever a backend answers wrongly after it was written to, an order is not run again, and its answer is
-// not passed on as complete.
+// TestWrongAnswers checks that a malformed, truncated or missing answer of a backend is never passed
+// on as complete. The sidecar has already written the order to the backend, so the order may have run
+// and must not run again.
 func TestWrongAnswers(t *testing.T) {
-	for name, speak := range map[string]string{
-		"nothing":         "",
-		"half a head":     "HTTP/1.1 200 OK\r\nContent-Le",
-		"no HTTP":         "good day\r\n\r\n",
-		"short body":      "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nonly this",
-		"short chunk":     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nonly",
-		"no last chunk":   "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nonly\r\n",
-		"no length":       "HTTP/1.1 200 OK\r\n\r\nends with the connection",
-		"two lengths":     "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabcd",
-		"other protocol":  "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: Upgrade\r\n\r\n",
-		"length and junk": "HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\nabc",
+	for name, response := range map[string]string{
+		"no answer":      "",
+		"truncated head": "HTTP/1.1 200 OK\r\nContent-Le",
+		"not HTTP":       "good day\r\n\r\n",
+		"short body":     "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nonly this",
+		"short chunk":    "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nonly",
+		"no last chunk":  "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nonly\r\n",
+		"no length":      "HTTP/1.1 200 OK\r\n\r\nends with the connection",
+		"two lengths":    "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabcd",
+		"other protocol": "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: Upgrade\r\n\r\n",
+		"invalid length": "HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\nabc",
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			r := newRig(t)
-			count := r.rawBackend(1, func(_ int, c net.Conn) { io.WriteString(c, speak) })
+			count := r.rawBackend(1, func(_ int, c net.Conn) { io.WriteString(c, response) })
 			a := r.send("POST", "/once/", "x", "Idempotency-Key", "k")
 			r.expect(a, 502, ledger.OutcomeUnknown)
 			if n := count(); n != 1 {
-				t.Errorf("it ran %d times", n)
+				t.Errorf("the order ran %d times, want 1", n)
 			}
 			// The key stays reserved: a repeat gets the same answer and does not run.
 			again := r.send("POST", "/once/", "x", "Idempotency-Key", "k")
 			if !bytes.Equal(a.body, again.body) || count() != 1 {
-				t.Errorf("a repeat got %q after %q and ran %d times", again.body, a.body, count())
+				t.Errorf("the repeat got %q, the first request %q, after %d runs; want the same answer after 1 run", again.body, a.body, count())
 			}
 		})
 	}
 }
 
-// A request on an idempotent route is retried after a lost answer; an order is not, even with two backends.
+// TestRetry checks that a request on an idempotent route is retried when its answer is lost. An order
+// must not be retried, even if a second backend is available.
 func TestRetry(t *testing.T) {
 	r := newRig(t)
 	count := r.rawBackend(1, func(int, net.Conn) {})
 	r.expect(r.send("POST", "/once/", "x"), 502, ledger.OutcomeUnknown)
 	if n := count(); n != 1 {
-		t.Fatalf("an order ran %d times", n)
+		t.Fatalf("the order ran %d times, want 1", n)
 	}
 	var good atomic.Int64
 	r.backend(1, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { good.Add(1) }))
@@ -138,17 +143,17 @@
 		r.send("POST", "/once/", "x")
 	}
 	if n := good.Load() + int64(count()) - 1; n != sent {
-		t.Errorf("%d orders ran %d times", sent, n)
+		t.Errorf("%d orders ran %d times, want one run each", sent, n)
 	}
 	for count() < 7 && r.ctx.Err() == nil {
 		if a := r.send("GET", "/look/", ""); a.StatusCode != 200 {
-			t.Errorf("an idempotent request got %d %s", a.StatusCode, a.body)
+			t.Errorf("an idempotent request got %d %s, want 200", a.StatusCode, a.body)
 		}
 	}
 }
 
-// When everything fails and clients go on sending, retries stay within a fifth of the traffic and the
-// allowance.
+// TestRetriesBounded checks that retries do not multiply the load when all attempts fail and clients
+// keep sending. The retries must stay within a fifth of the requests plus the initial allowance.
 func TestRetriesBounded(t *testing.T) {
 	r := newRig(t)
 	var count []func() int
@@ -160,13 +165,14 @@
 		r.expect(r.send("GET", "/look/", ""), 502, ledger.OutcomeUnknown)
 	}
 	runs := count[0]() + count[1]() + count[2]()
-	t.Logf("%d sent, %d attempts", sent, runs)
+	t.Logf("%d requests, %d attempts", sent, runs)
 	if runs <= sent || float64(runs) > 1.2*sent+20 {
-		t.Errorf("%d requests came to %d attempts", sent, runs)
+		t.Errorf("%d requests led to %d attempts, want some retries and at most 1.2 attempts per request plus 20", sent, runs)
 	}
 }
 
-// A request is answered when its deadline has passed, and a slow backend is not tried a second time.
+// TestDeadline checks that a request is answered soon after its deadline, and that a slow backend is
+// not tried a second time.
 func TestDeadline(t *testing.T) {
 	r := newRig(t)
 	release := make(chan struct{})
@@ -180,15 +186,16 @@
 	close(release)
 	r.expect(a, 504, ledger.OutcomeUnknown)
 	if runs.Load() != 1 {
-		t.Errorf("it ran %d times", runs.Load())
+		t.Errorf("the order ran %d times, want 1", runs.Load())
 	}
 	if a.took > oncePlan.Deadline+time.Second {
-		t.Errorf("a deadline of %v was answered after %v", oncePlan.Deadline, a.took)
+		t.Errorf("a request with a deadline of %v was answered after %v, want at most 1s later", oncePlan.Deadline, a.took)
 	}
 }
 
-// A repeat under a key joins the running request, gets the same response afterwards, and can't be another
-// request. What did not run may run.
+// TestIdempotencyKeys checks repeats under an idempotency key. A repeat joins the running request, and
+// gets the same response afterwards. A different request under the same key is refused. A request that
+// did not run does not block its key.
 func TestIdempotencyKeys(t *testing.T) {
 	r := newRig(t)
 	r.expect(r.send("POST", "/once/", "x", "Idempotency-Key", "a"), 503, ledger.OutcomeNotRun)
@@ -202,23 +209,23 @@
 		fmt.Fprintf(w, "run %d", n)
 	}))
 	answers := make(chan string, 3)
-	sendOne := func() { answers <- string(r.send("POST", "/once/", "x", "Idempotency-Key", "a").body) }
-	go sendOne()
+	sendOrder := func() { answers <- string(r.send("POST", "/once/", "x", "Idempotency-Key", "a").body) }
+	go sendOrder()
 	receive(r, running)
-	go sendOne()
-	go sendOne()
+	go sendOrder()
+	go sendOrder()
 	r.awaitJoined(2)
 	close(release)
 	for range 3 {
 		if got := receive(r, answers); got != "run 1" {
-			t.Errorf("got %q", got)
+			t.Errorf("got %q, want \"run 1\"", got)
 		}
 	}
 	if a := r.send("POST", "/once/", "x", "Idempotency-Key", "a"); string(a.body) != "run 1" {
-		t.Errorf("afterwards: %q", a.body)
+		t.Errorf("repeat after the run: got %q, want \"run 1\"", a.body)
 	}
 	r.expect(r.send("POST", "/once/", "other", "Idempotency-Key", "a"), 422, ledger.OutcomeNotRun)
 	if a := r.send("POST", "/once/", "x", "Idempotency-Key", "b"); string(a.body) != "run 2" || runs.Load() != 2 {
-		t.Errorf("another key: %q after %d runs", a.body, runs.Load())
+		t.Errorf("request under another key: got %q after %d runs, want \"run 2\" after 2 runs", a.body, runs.Load())
 	}
 }
--- a/tests/e2e/restart_test.go
+++ b/tests/e2e/restart_test.go
@@ -7,16 +7,16 @@
 	"curlewwalk/tests/fleet"
 )
 
-// Every process is restarted in turn under load, with reloads and changes of
-// configuration between: what was handed over is answered, and nothing is
-// answered by a guess.
+// TestRollingRestart checks that restarts lose no request. Every process is restarted in turn under
+// load. After each restart all processes reload their settings, and the configuration changes. Each
+// accepted request must be answered, and none may get an unknown outcome before its deadline.
 func TestRollingRestart(t *testing.T) {
 	t.Parallel()
 	f, ctx := startFleet(t, smallFleet())
 	stop := startLoad(ctx, f)
 	for i, p := range f.Programs() {
 		if code := p.Stop(); code != 0 {
-			t.Errorf("%s ended with %d: %s", p.Name, code, p.Stderr())
+			t.Errorf("%s exited with code %d, want 0: %s", p.Name, code, p.Stderr())
 		}
 		must(t, p.Start())
 		must(t, p.AwaitReady(ctx))
@@ -29,12 +29,12 @@
 	}
 	stop()
 	if v := checkLedger(t, f); v.Interrupted > 0 || v.LostEarly > 0 {
-		t.Errorf("%d were dropped and %d lost", v.Interrupted, v.LostEarly)
+		t.Errorf("%d requests were interrupted, and %d had an unknown outcome before the deadline; want 0", v.Interrupted, v.LostEarly)
 	}
 }
 
-// earlierVersion is a version that lacks what came later; later adds fields that this one
-// does not know.
+// earlierVersion turns the sources into a version without fields and messages that were added later.
+// laterVersion adds fields that the present version does not know.
 var (
 	earlierVersion = []fleet.SourceChange{
 		{File: "internal/dataplane/proxy/attempt.go", Old: "`msgpack:\"rk\"`", New: "`msgpack:\"-\"`"},
@@ -65,27 +65,28 @@
 	}
 )
 
-// A fleet goes from an earlier version to this one and on to a later, one process
-// after another, under load, with a configuration put at each step: old and new talk
-// all the while, and nothing handed over is dropped.
+// TestRollingUpgrade checks that an upgrade under load drops no request. The processes change one
+// after another from an earlier version to the present one. Every second process then changes to a
+// later version. A configuration is put at each step. All versions must be able to communicate with
+// each other.
 func TestRollingUpgrade(t *testing.T) {
 	t.Parallel()
-	old, err := fleet.BuildWith("../..", earlierVersion)
+	earlier, err := fleet.BuildWith("../..", earlierVersion)
 	must(t, err)
-	t.Cleanup(old.Remove)
-	next, err := fleet.BuildWith("../..", laterVersion)
+	t.Cleanup(earlier.Remove)
+	later, err := fleet.BuildWith("../..", laterVersion)
 	must(t, err)
-	t.Cleanup(next.Remove)
+	t.Cleanup(later.Remove)
 	f, ctx := newFleet(t, smallFleet())
 	for _, p := range f.Programs() {
-		p.UseBinaries(old)
+		p.UseBinaries(earlier)
 	}
 	must(t, f.Start(ctx))
 	stop := startLoad(ctx, f)
 	for i, p := range f.Programs() {
-		for _, version := range []fleet.Binaries{binaries, next}[:1+i%2] {
+		for _, version := range []fleet.Binaries{binaries, later}[:1+i%2] {
 			if code := p.Stop(); code != 0 {
-				t.Errorf("%s ended with %d: %s", p.Name, code, p.Stderr())
+				t.Errorf("%s exited with code %d, want 0: %s", p.Name, code, p.Stderr())
 			}
 			p.UseBinaries(version)
 			must(t, p.Start())
@@ -97,6 +98,6 @@
 	}
 	stop()
 	if v := checkLedger(t, f); v.Interrupted > 0 || v.LostEarly > 0 {
-		t.Errorf("%d were dropped and %d lost", v.Interrupted, v.LostEarly)
+		t.Errorf("%d requests were interrupted, and %d had an unknown outcome before the deadline; want 0", v.Interrupted, v.LostEarly)
 	}
 }
--- a/tests/e2e/stop_test.go
+++ b/tests/e2e/stop_test.go
@@ -16,7 +16,7 @@
 	"curlewwalk/tests/ledger"
 )
 
-// sidecarStats is the part of GET /v1/stats that these tests read.
+// sidecarStats holds the fields of GET /v1/stats that these tests read.
 type sidecarStats struct {
 	Closed   bool `json:"closed"`
 	Outbound struct {
@@ -27,7 +27,7 @@
 	} `json:"far"`
 }
 
-// awaitStats waits until the statistics of a sidecar are as wanted.
+// awaitStats waits until want returns true for the statistics of a sidecar.
 func (r *rig) awaitStats(machine int, what string, want func(s sidecarStats) bool) {
 	r.t.Helper()
 	must(r.t, fleet.Await(r.ctx, what, func(ctx context.Context) bool {
@@ -37,14 +37,16 @@
 	}))
 }
 
-// connectionAnswer is the answer on a connection; err is set if it ended without one.
+// connectionAnswer is the answer to a request on its own connection. err is set if the connection
+// ended without a complete answer.
 type connectionAnswer struct {
 	status  int
 	outcome string
 	err     error
 }
 
-// sendOnNewConnection sends a request to a sidecar on a connection of its own.
+// sendOnNewConnection sends a request to the sidecar of a machine on a new connection, and delivers
+// the answer to answers.
 func (r *rig) sendOnNewConnection(machine int, method, uri string, answers chan<- connectionAnswer) {
 	c, err := net.Dial("tcp", r.RequestAddress(machine))
 	if err != nil {
@@ -63,28 +65,30 @@
 	answers <- connectionAnswer{resp.StatusCode, resp.Header.Get(outcomeHeader), err}
 }
 
-// restart restarts a sidecar with further settings.
+// restart restarts a sidecar with additional settings.
 func (r *rig) restart(machine int, args ...string) {
 	r.t.Helper()
 	r.Sidecars[machine].Stop()
 	r.Sidecars[machine].AddArgs(args...)
 	must(r.t, r.Sidecars[machine].Start())
-	must(r.t, r.AwaitServing(r.ctx, 1, r.known))
+	must(r.t, r.AwaitServing(r.ctx, 1, r.backendCount))
 }
 
-// A stopping sidecar whose backend still runs something accepts the calls of that backend, which can't be
-// told from clients' requests there; but none that may take longer than the stop.
+// TestStopRefusesLongRequests checks that a stopping sidecar refuses requests whose deadline is after
+// the end of the stop. While its backend still runs a request, the sidecar must keep accepting that
+// backend's own calls. On the request address it cannot distinguish them from clients' requests, so it
+// accepts any request that ends before the stop does.
 func TestStopRefusesLongRequests(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
 	r.restart(1, "--caller=desk", "--drain=2500ms")
 	running, release := make(chan struct{}, 9), make(chan struct{})
-	hold := http.HandlerFunc(func(_ http.ResponseWriter, q *http.Request) {
+	blockingHandler := http.HandlerFunc(func(_ http.ResponseWriter, q *http.Request) {
 		io.Copy(io.Discard, q.Body)
 		running <- struct{}{}
 		<-release
 	})
-	r.backend(1, hold)
+	r.backend(1, blockingHandler)
 	first, second := make(chan connectionAnswer, 1), make(chan connectionAnswer, 1)
 	go r.sendOnNewConnection(0, "POST", "/once/", first)
 	receive(r, running)
@@ -96,22 +100,23 @@
 	}))
 	r.Sidecars[1].Signal(syscall.SIGTERM)
 	r.awaitStats(1, "clients to be refused", func(s sidecarStats) bool { return s.Closed })
-	// Its deadline is 3 s away.
+	// The deadline of this request is 3 s away, after the end of the stop.
 	go r.sendOnNewConnection(1, "POST", "/once/", second)
 	if a := receive(r, second); a.err != nil || a.status != 503 || a.outcome != ledger.OutcomeNotRun {
-		t.Errorf("what outlasts the stop: %+v", a)
+		t.Errorf("request that may outlast the stop: got %+v, want 503 not-run", a)
 	}
 	if n := runs.Load(); n != 0 {
-		t.Errorf("it ran %d times", n)
+		t.Errorf("the refused request ran %d times, want 0", n)
 	}
 	close(release)
 	if a := receive(r, first); a.err != nil || a.status != 200 {
-		t.Errorf("what was running: %+v", a)
+		t.Errorf("running request: got %+v, want 200", a)
 	}
 }
 
-// When the time to stop is over, all that is still open is answered: refused if it was not begun, with an
-// unknown outcome if it was. No connection is closed without an answer.
+// TestStopAnswersOpenRequests checks that all open requests are answered when the drain time of a
+// stopping sidecar ends. A request that has not started gets the outcome not-run, and a started one
+// gets the outcome unknown. No connection may be closed without an answer.
 func TestStopAnswersOpenRequests(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
@@ -123,34 +128,35 @@
 		running <- struct{}{}
 		<-release
 	}))
-	const asked = 12
-	begun := make(chan connectionAnswer, asked)
-	for range asked {
+	const sent = 12
+	begun := make(chan connectionAnswer, sent)
+	for range sent {
 		go r.sendOnNewConnection(0, "POST", "/once/", begun)
 	}
-	r.awaitStats(1, "all to run or wait", func(s sidecarStats) bool { return s.Inbound.Open == asked })
+	r.awaitStats(1, "all requests to run or wait", func(s sidecarStats) bool { return s.Inbound.Open == sent })
 	exit := make(chan int, 1)
 	go func() { exit <- r.Sidecars[0].Stop() }()
 	outcomes := map[string]int{}
-	for range asked {
+	for range sent {
 		a := receive(r, begun)
 		if a.err != nil {
-			t.Errorf("no answer: %v", a.err)
+			t.Errorf("a connection ended without an answer: %v", a.err)
 			continue
 		}
 		outcomes[fmt.Sprint(a.status, " ", a.outcome)]++
 	}
 	ran := len(running)
-	if outcomes["503 not-run"] != asked-ran || outcomes["502 unknown"] != ran || ran == 0 || ran == asked {
-		t.Errorf("%d ran of %d: %v", ran, asked, outcomes)
+	if outcomes["503 not-run"] != sent-ran || outcomes["502 unknown"] != ran || ran == 0 || ran == sent {
+		t.Errorf("%d of %d requests ran, with answers %v; want 502 unknown for each that ran, 503 not-run for the others", ran, sent, outcomes)
 	}
 	if code := receive(r, exit); code != 0 {
-		t.Errorf("it ended with %d", code)
+		t.Errorf("the process exited with code %d, want 0", code)
 	}
 }
 
-// A replica that stops answers operators on the connections that they keep: a request that meets its end is
-// answered as not handled, so that they try another replica.
+// TestReplicaStopAnswers checks that a stopping replica answers operators on open keep-alive
+// connections. A request that arrives during the close must be answered as not handled, so that the
+// operator can try another replica.
 func TestReplicaStopAnswers(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
@@ -168,18 +174,18 @@
 		return resp, err
 	}
 	if resp, err := get(); err != nil || resp.StatusCode != 200 {
-		t.Fatalf("%+v %v", resp, err)
+		t.Fatalf("got %+v, error %v; want 200", resp, err)
 	}
 	exit := make(chan int, 1)
 	go func() { exit <- r.Replicas[0].Stop() }()
 	_, err = in.Peek(1) // the close is announced, or the connection has ended
 	if err != nil {
-		t.Fatalf("the close was not announced: %v", err)
+		t.Fatalf("the replica did not announce the close of the connection: %v", err)
 	}
 	if resp, err := get(); err != nil || resp.StatusCode != http.StatusRequestTimeout || !resp.Close {
-		t.Errorf("%+v %v", resp, err)
+		t.Errorf("got %+v, error %v; want 408 and a closed connection", resp, err)
 	}
 	if code := receive(r, exit); code != 0 {
-		t.Errorf("it ended with %d", code)
+		t.Errorf("the process exited with code %d, want 0", code)
 	}
 }
--- a/tests/e2e/wake_test.go
+++ b/tests/e2e/wake_test.go
@@ -14,8 +14,9 @@
 	"curlewwalk/tests/faultproxy"
 )
 
-// A sidecar is frozen with announcements of a backend queued in its sockets, while the backend dies and its
-// address is used by another service. Woken, it must not take the old announcements for new ones.
+// TestOldAnnouncementsAfterWake checks that a resumed sidecar does not treat old announcements as new.
+// The sidecar is frozen with announcements of a backend in its socket buffers. Meanwhile the backend
+// dies, and another service starts at its address.
 func TestOldAnnouncementsAfterWake(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
@@ -48,11 +49,11 @@
 	go srv.Serve(ln)
 	awaitElapsed(r.ctx, t, frozen, 3*time.Second)
 	r.Sidecars[1].Signal(syscall.SIGCONT)
-	woken := time.Now()
-	for time.Since(woken) < 3*time.Second {
+	resumed := time.Now()
+	for time.Since(resumed) < 3*time.Second {
 		r.send("GET", "/look/", "")
 	}
 	if n := misdirected.Load(); n > 0 {
-		t.Errorf("%d requests reached another service", n)
+		t.Errorf("%d requests reached a backend of another service, want 0", n)
 	}
 }
