--- a/tests/e2e/coordinator_test.go
+++ b/tests/e2e/coordinator_test.go
@@ -13,7 +13,7 @@
 )
 
 // configurationWriter puts numbered configurations to the given replicas in turn, one per interval. It
-// repeats each until it is acknowledged or refused.
+// repeats each configuration until it is acknowledged or refused.
 type configurationWriter struct {
 	f        *fleet.Fleet
 	replicas []*fleet.Program
--- a/tests/e2e/drain_test.go
+++ b/tests/e2e/drain_test.go
@@ -150,9 +150,9 @@
 	checkLedger(t, f)
 }
 
-// TestEvacuatedZone evacuates and restores a zone under load. It checks that the zone runs nothing
-// more once all sidecars have the evacuation in force, that its backend runs requests again after the
-// restore, and that every request succeeds.
+// TestEvacuatedZone checks the evacuation and the restore of a zone under load. The zone must run no
+// further request once all sidecars have the evacuation in force. Its backend must run requests again
+// after the restore. Every request must succeed.
 func TestEvacuatedZone(t *testing.T) {
 	f, ctx := startFleet(t, smallFleet())
 	stop := startLoad(ctx, f)
--- a/tests/e2e/keyreplication_test.go
+++ b/tests/e2e/keyreplication_test.go
@@ -77,8 +77,9 @@
 }
 
 // TestKeySurvivesItsSidecar checks that a key outlives the sidecar that received the request. That
-// sidecar is killed, alone or together with one other node. Before the answer, a repeat must not run
-// again. After the answer, a repeat must get the same answer.
+// sidecar is killed, alone or together with one other node. If it is killed after the order ran and
+// before the answer, a repeat must not run the order again. If it is killed after the answer, a repeat
+// must get the same answer.
 func TestKeySurvivesItsSidecar(t *testing.T) {
 	for _, test := range []struct {
 		name string
@@ -125,8 +126,9 @@
 	}
 }
 
-// sendInBackground sends an order under a key, and sends it again if the key's replicas were too slow
-// for it to run. The channel gets the text of the answer.
+// sendInBackground sends an order under a key. It repeats the order while the answer is 503 and the
+// order has not run, since the key's replicas may be too slow at first. The channel gets the text of
+// the final answer.
 func (k *keyedFleet) sendInBackground(key, body string) <-chan string {
 	answer := make(chan string, 1)
 	go func() {
--- a/tests/e2e/outgoing_test.go
+++ b/tests/e2e/outgoing_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// TestFixedOutgoing checks that backends of a service get the fixed address for outgoing calls that is
-// configured for the service, and that calls to this address are attributed to the service.
+// TestFixedOutgoing checks a fixed address for the outgoing calls of a service. The backends of the
+// service must get this address, and calls to it must be attributed to the service.
 func TestFixedOutgoing(t *testing.T) {
 	f, ctx := newFleet(t, smallFleet())
 	fixed := f.Site.IP(0) + ":7500"
--- a/tests/e2e/partition_test.go
+++ b/tests/e2e/partition_test.go
@@ -12,9 +12,9 @@
 	"curlewwalk/tests/ledger"
 )
 
-// TestPartitionedControlPlane partitions the coordinator and one machine from the others. The majority
-// must keep accepting writes, and the minority must refuse writes and reads. After the partition the
-// newest state must be in force everywhere.
+// TestPartitionedControlPlane checks the control plane while the coordinator and one machine are
+// partitioned from the others. The majority must accept writes, and the minority must refuse writes
+// and reads. After the partition the newest state must be in force everywhere.
 func TestPartitionedControlPlane(t *testing.T) {
 	f, ctx := newFleet(t, smallFleet())
 	must(t, f.InterposeProxies())
