--- a/tests/fakes/backend.go
+++ b/tests/fakes/backend.go
@@ -18,35 +18,38 @@
 )
 
 // Backend is one backend instance on a machine. It announces itself to the sidecar of that
-// machine, and runs requests by the plans. The exported fields are set before Start.
+// machine and runs each request as its plan specifies. The exported fields must be set before
+// Start, except for the atomic ones.
 type Backend struct {
 	Instance string
 	Service  string
 	Zone     string
 	Capacity int
-	// Warmth is the share of its capacity that it announces; zero for all of it.
+	// Warmth is the share of the capacity that is announced as warmed up. Zero means a fully warm
+	// backend.
 	Warmth float64
-	// SlowFactor is how many times longer than planned it works; zero for as planned.
+	// SlowFactor multiplies the planned work time. Zero means the planned time.
 	SlowFactor float64
-	// CountsAnnouncements is set if its announcements are numbered.
+	// CountsAnnouncements makes each announcement carry a sequence number.
 	CountsAnnouncements bool
-	Control             string // the sidecar's control address
+	Control             string // control address of the sidecar
 	RequestPlans        []RequestPlan
 	Ledger              *ledger.Ledger
 	HTTP                *http.Client
-	// Handle, if set, replaces the ordinary behaviour.
+	// Handle, if set, replaces the default handler, which runs requests by the plans.
 	Handle http.Handler
 
-	// TemporarySlowFactor is a further SlowFactor that may change at any time; zero for none.
+	// TemporarySlowFactor multiplies the work time in addition to SlowFactor. It may change at any
+	// time. Zero means no further factor.
 	TemporarySlowFactor atomic.Int64
-	// GarblePercent is how many of a hundred answers are lost or malformed.
+	// GarblePercent is the percentage of answers that are lost or malformed.
 	GarblePercent atomic.Int64
-	// Peak is the most requests that it ran at a time, Runs counts all.
+	// Peak is the highest number of concurrent requests so far. Runs counts all requests.
 	Peak, Runs atomic.Int64
 
 	listener      net.Listener
 	server        *http.Server
-	outgoing      atomic.Value // string: where its own calls are sent
+	outgoing      atomic.Value // string: address for the backend's own calls
 	open          atomic.Int64
 	stop          context.CancelFunc
 	done          chan struct{}
@@ -55,24 +58,26 @@
 	announcements atomic.Int64
 }
 
-// Timing of announcements.
+// Interval between announcements, and time limit for each. The limit is below the interval, so a
+// sidecar that does not answer does not delay the next announcement.
 const (
 	announceInterval = 500 * time.Millisecond
 	announceTimeout  = 400 * time.Millisecond
 )
 
-// Start listens on addr, and announces the backend until it is killed or stopped.
+// Start listens on addr and announces the backend periodically until Kill, StopAnnouncing or
+// Deregister.
 func (b *Backend) Start(addr string) error {
 	ln, err := faultproxy.Bind(addr)
 	if err != nil {
 		return err
 	}
 	b.listener = ln
-	h := b.Handle
-	if h == nil {
-		h = http.HandlerFunc(b.serve)
+	handler := b.Handle
+	if handler == nil {
+		handler = http.HandlerFunc(b.serve)
 	}
-	b.server = &http.Server{Handler: h}
+	b.server = &http.Server{Handler: handler}
 	ctx, cancel := context.WithCancel(context.Background())
 	b.stop, b.done = cancel, make(chan struct{})
 	go b.server.Serve(ln)
@@ -80,20 +85,21 @@
 	return nil
 }
 
-// Addr is where the backend listens.
+// Addr returns the address on which the backend listens.
 func (b *Backend) Addr() string { return b.listener.Addr().String() }
 
-// Open is how many requests it is running.
+// Open returns the number of requests that the backend is running.
 func (b *Backend) Open() int64 { return b.open.Load() }
 
-// Kill ends the backend at once; what it runs is interrupted.
+// Kill stops the backend at once and closes its connections, which interrupts running requests.
 func (b *Backend) Kill() {
 	b.stop()
 	b.server.Close()
 	<-b.done
 }
 
-// Leave announces that the backend is leaving. It goes on serving.
+// Leave announces that the backend is leaving and records that in the ledger. The backend
+// continues to serve requests.
 func (b *Backend) Leave(ctx context.Context) error {
 	b.leaving.Store(true)
 	if err := b.announce(ctx, true); err != nil {
@@ -103,8 +109,9 @@
 	return nil
 }
 
-// Deregister takes the backend out without announcing before that it is leaving, and ends its
-// announcements. It goes on serving.
+// Deregister stops the announcements and deregisters the backend without a preceding announcement
+// that it is leaving. It records the departure in the ledger. The backend continues to serve
+// requests.
 func (b *Backend) Deregister(ctx context.Context) error {
 	b.StopAnnouncing()
 	if err := b.deregister(ctx); err != nil {
@@ -114,8 +121,8 @@
 	return nil
 }
 
-// deregister asks the sidecar to take the backend out. It is no error if the sidecar does not
-// know it.
+// deregister sends a deregistration to the sidecar. An answer that the backend is not registered
+// is not an error.
 func (b *Backend) deregister(ctx context.Context) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodDelete, "http://"+b.Control+"/v1/backends/"+b.Instance, nil)
 	if err != nil {
@@ -127,30 +134,30 @@
 	}
 	resp.Body.Close()
 	if resp.StatusCode/100 != 2 && resp.StatusCode != http.StatusNotFound {
-		return fmt.Errorf("deregister: status %d", resp.StatusCode)
+		return fmt.Errorf("deregister backend: status %d", resp.StatusCode)
 	}
 	return nil
 }
 
-// SendLateAnnouncement sends an announcement from before the backend announced that it is
-// leaving.
+// SendLateAnnouncement sends an announcement without the leaving flag. After Leave, this simulates an
+// announcement that was sent before Leave and delayed.
 func (b *Backend) SendLateAnnouncement(ctx context.Context) error { return b.announce(ctx, false) }
 
-// CaptureAnnouncement makes an announcement as of now, which send sends at any later time, and
-// more than once.
+// CaptureAnnouncement captures an announcement of the current state. The returned function sends
+// it and may be called at any later time and more than once.
 func (b *Backend) CaptureAnnouncement() (send func(ctx context.Context) error) {
 	body := b.announcement(b.leaving.Load())
 	return func(ctx context.Context) error { return b.sendAnnouncement(ctx, body) }
 }
 
-// StopAnnouncing ends the announcements. The backend goes on serving.
+// StopAnnouncing stops the announcements. The backend continues to serve requests.
 func (b *Backend) StopAnnouncing() {
 	b.stop()
 	<-b.done
 }
 
-// AnnounceLeaving says once that the backend is leaving: by an announcement, or by deregistering
-// it. The caller records that.
+// AnnounceLeaving reports once to the sidecar that the backend is leaving, by an announcement or
+// by a deregistration. The caller must record the departure in the ledger.
 func (b *Backend) AnnounceLeaving(ctx context.Context, deregister bool) error {
 	if !deregister {
 		b.leaving.Store(true)
@@ -159,36 +166,36 @@
 	return b.deregister(ctx)
 }
 
-// announceLoop announces the backend until ctx ends.
+// announceLoop announces the backend at each interval until ctx is done.
 func (b *Backend) announceLoop(ctx context.Context) {
 	defer close(b.done)
-	tick := time.NewTicker(announceInterval)
-	defer tick.Stop()
+	ticker := time.NewTicker(announceInterval)
+	defer ticker.Stop()
 	for {
-		call, cancel := context.WithTimeout(ctx, announceTimeout)
-		b.announce(call, b.leaving.Load())
+		callCtx, cancel := context.WithTimeout(ctx, announceTimeout)
+		b.announce(callCtx, b.leaving.Load())
 		cancel()
 		select {
 		case <-ctx.Done():
 			return
-		case <-tick.C:
+		case <-ticker.C:
 		}
 	}
 }
 
-// announcement is the body of an announcement as of now.
+// announcement returns the JSON body of an announcement of the current state.
 func (b *Backend) announcement(leaving bool) []byte {
-	a := map[string]any{
+	fields := map[string]any{
 		"instance": b.Instance, "service": b.Service, "address": b.Addr(), "locality": b.Zone,
 		"capacity": b.Capacity, "leaving": leaving,
 	}
 	if b.Warmth > 0 {
-		a["warmup"] = map[string]any{"share": b.Warmth}
+		fields["warmup"] = map[string]any{"share": b.Warmth}
 	}
 	if b.CountsAnnouncements {
-		a["count"] = b.announcements.Add(1)
+		fields["count"] = b.announcements.Add(1)
 	}
-	body, _ := json.Marshal(a)
+	body, _ := json.Marshal(fields)
 	return body
 }
 
@@ -197,8 +204,8 @@
 	return b.sendAnnouncement(ctx, b.announcement(leaving))
 }
 
-// sendAnnouncement sends an announcement, and keeps the address for outgoing calls that the
-// sidecar replies with.
+// sendAnnouncement sends an announcement and stores the address for outgoing calls from the
+// sidecar's reply.
 func (b *Backend) sendAnnouncement(ctx context.Context, body []byte) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+b.Control+"/v1/backends", bytes.NewReader(body))
 	if err != nil {
@@ -213,7 +220,7 @@
 		Outgoing string `json:"outgoing"`
 	}
 	if resp.StatusCode != http.StatusOK {
-		return fmt.Errorf("announcement: status %d", resp.StatusCode)
+		return fmt.Errorf("announce backend: status %d", resp.StatusCode)
 	}
 	if err := json.NewDecoder(resp.Body).Decode(&reply); err != nil {
 		return err
@@ -222,12 +229,13 @@
 	return nil
 }
 
-// serve runs a request: it records the run, works, makes the inner calls, and answers.
+// serve handles a request: it records the run, sleeps for half of the work time, makes the inner
+// calls, sleeps for the other half, and writes the answer.
 func (b *Backend) serve(w http.ResponseWriter, r *http.Request) {
 	begun := time.Now()
-	n := b.open.Add(1)
+	running := b.open.Add(1)
 	defer b.open.Add(-1)
-	for old := b.Peak.Load(); n > old && !b.Peak.CompareAndSwap(old, n); old = b.Peak.Load() {
+	for peak := b.Peak.Load(); running > peak && !b.Peak.CompareAndSwap(peak, running); peak = b.Peak.Load() {
 	}
 	b.Runs.Add(1)
 	body, err := io.ReadAll(r.Body)
@@ -259,7 +267,7 @@
 		writeGarbled(w)
 		return
 	}
-	answer := deterministicBody(id+b.Instance, 200+int(n)*10)
+	answer := deterministicBody(id+b.Instance, 200+int(running)*10)
 	w.Header().Set(headerInstance, b.Instance)
 	w.Header().Set(headerID, id)
 	w.Header().Set(headerDigest, digest("", "", w.Header(), answer))
@@ -268,20 +276,22 @@
 	w.Write(answer)
 }
 
-// writeGarbled loses the answer, or writes a malformed one.
+// writeGarbled writes nothing, an incomplete answer, or bytes that are not HTTP, and closes the
+// connection.
 func writeGarbled(w http.ResponseWriter) {
-	c, _, err := w.(http.Hijacker).Hijack()
+	conn, _, err := w.(http.Hijacker).Hijack()
 	if err != nil {
 		return
 	}
-	defer c.Close()
-	io.WriteString(c, []string{
+	defer conn.Close()
+	io.WriteString(conn, []string{
 		"", "HTTP/1.1 200 OK\r\nContent-Le", "HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\nonly this",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nonly", "\x00\xff not HTTP at all\r\n\r\n",
 	}[rand.IntN(5)])
 }
 
-// innerCall makes one inner call, through the address that the sidecar gave.
+// innerCall sends an inner call of the named plan to the address for outgoing calls that the sidecar
+// gave in its last reply. Before the first reply it does nothing.
 func (b *Backend) innerCall(ctx context.Context, parent, name string) {
 	addr, _ := b.outgoing.Load().(string)
 	if addr == "" {
@@ -295,17 +305,17 @@
 	}
 }
 
-// sleep waits for d, or until ctx ends.
+// sleep blocks for d or until ctx is done.
 func sleep(ctx context.Context, d time.Duration) {
-	t := time.NewTimer(d)
-	defer t.Stop()
+	timer := time.NewTimer(d)
+	defer timer.Stop()
 	select {
-	case <-t.C:
+	case <-timer.C:
 	case <-ctx.Done():
 	}
 }
 
-// matchPlan is the plan of a request, by method and path.
+// matchPlan returns the first plan whose method and path prefix match a request.
 func matchPlan(plans []RequestPlan, method, path string) (RequestPlan, bool) {
 	for _, p := range plans {
 		if p.Method == method && len(path) >= len(p.Prefix) && path[:len(p.Prefix)] == p.Prefix {
--- a/tests/fakes/client.go
+++ b/tests/fakes/client.go
@@ -12,34 +12,36 @@
 	"curlewwalk/tests/ledger"
 )
 
-// Client is a client on one machine that sends requests at a rate, whatever the answers are.
+// Client is an open-loop client on one machine: it sends requests at a fixed mean rate,
+// independent of the answers.
 type Client struct {
 	Name    string
-	Zone    string  // of its machine
-	Address string  // where its sidecar takes requests
-	Rate    float64 // in requests a second
+	Zone    string  // zone of the machine
+	Address string  // address for requests at the sidecar of the machine
+	Rate    float64 // mean rate in requests per second
 	Plans   []RequestPlan
 	Ledger  *ledger.Ledger
 	HTTP    *http.Client
 	Seed    uint64
-	// Retries is how often it sends again at once after a refusal.
+	// Retries is the maximum number of immediate retries after a refusal as not run.
 	Retries int
-	// Keyed gives each request an idempotency key, and has it sent again under that key until
+	// Keyed makes the client give each request an idempotency key and resend it with that key until
 	// its outcome is known.
 	Keyed bool
-	// Repeats counts the requests sent again under their key.
+	// Repeats counts the resends with an idempotency key.
 	Repeats atomic.Int64
-	// OnAnswer, if set, gets each answer and how long it took.
+	// OnAnswer, if set, is called with each answer and the time from the first send to the answer.
+	// Calls may be concurrent.
 	OnAnswer func(p RequestPlan, a ledger.Answered, took time.Duration)
 
 	sequence atomic.Int64
 	rng      *rand.Rand
 }
 
-// maxKeyedSends bounds how often one request is sent under its key.
+// maxKeyedSends is the maximum number of sends of one request with its idempotency key.
 const maxKeyedSends = 200
 
-// SendOne sends one request of a plan, with the retries that the client makes.
+// SendOne sends one request of a plan, retries it as configured, and returns the last answer.
 func (c *Client) SendOne(ctx context.Context, p RequestPlan) ledger.Answered {
 	start := time.Now()
 	var answer ledger.Answered
@@ -58,7 +60,7 @@
 	return answer
 }
 
-// sendKeyed sends one request under a key until its outcome is known.
+// sendKeyed sends one request with an idempotency key until its outcome is known.
 func (c *Client) sendKeyed(ctx context.Context, p RequestPlan, id string) (a ledger.Answered) {
 	for i := range maxKeyedSends {
 		a = c.send(ctx, p, id, "key of "+id)
@@ -73,15 +75,15 @@
 	return a
 }
 
-// send sends one request.
+// send sends one request once.
 func (c *Client) send(ctx context.Context, p RequestPlan, id, key string) ledger.Answered {
 	return sendRequest(ctx, c.HTTP, c.Ledger, request{address: c.Address, plan: p, zone: c.Zone, id: id, key: key})
 }
 
-// Run sends until ctx ends and returns when all answers are in.
+// Run sends requests until ctx is done and returns when all of them have been answered.
 func (c *Client) Run(ctx context.Context) {
-	var open sync.WaitGroup
-	defer open.Wait()
+	var pending sync.WaitGroup
+	defer pending.Wait()
 	next := time.NewTimer(c.nextInterval())
 	defer next.Stop()
 	for {
@@ -91,18 +93,18 @@
 		case <-next.C:
 			next.Reset(c.nextInterval())
 			p := c.PickPlan()
-			open.Go(func() { c.SendOne(ctx, p) })
+			pending.Go(func() { c.SendOne(ctx, p) })
 		}
 	}
 }
 
-// nextInterval draws the time to the next request: requests come at random, as from many
-// independent clients.
+// nextInterval draws the time until the next request from an exponential distribution. The
+// arrivals are a Poisson process, like those of many independent clients.
 func (c *Client) nextInterval() time.Duration {
 	return time.Duration(c.random().ExpFloat64() * float64(time.Second) / c.Rate)
 }
 
-// random is the client's own random source.
+// random returns the client's random source, which is created from Seed at the first call.
 func (c *Client) random() *rand.Rand {
 	if c.rng == nil {
 		c.rng = rand.New(rand.NewPCG(c.Seed, 1))
@@ -110,5 +112,5 @@
 	return c.rng
 }
 
-// PickPlan draws a plan by its share. It must not be called concurrently.
+// PickPlan draws a plan with a probability equal to its share. It must not be called concurrently.
 func (c *Client) PickPlan() RequestPlan { return pickPlan(c.Plans, c.random().Float64()) }
--- a/tests/fakes/httpclient.go
+++ b/tests/fakes/httpclient.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// NewHTTPClient makes the HTTP client of the fakes. Its connections count what is written to
-// them: net/http sends some requests again on another connection by itself, and only the count
-// shows whether anything of the first attempt was sent.
+// NewHTTPClient returns the HTTP client of the fakes. Its connections count the bytes written to
+// them. net/http resends some requests on another connection by itself, and only the byte count
+// shows whether any part of the first attempt was sent.
 func NewHTTPClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{DialContext: dial, MaxIdleConnsPerHost: 64}, Timeout: 30 * time.Second}
 }
 
-// dial opens a connection that counts.
+// dial opens a connection that counts the bytes written to it.
 func dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	c, err := new(net.Dialer).DialContext(ctx, network, addr)
 	if err != nil {
@@ -37,21 +37,22 @@
 	return n, err
 }
 
-// connectionCounter counts on how many connections a request was sent, in full or in part.
+// connectionCounter counts the connections on which a request was sent, in full or in part.
 type connectionCounter struct {
 	used          int
-	current       *countingConn // not counted yet
-	writtenBefore int64         // to current, before this request
+	current       *countingConn // connection of the newest attempt, not yet counted in used
+	writtenBefore int64         // bytes written to current before this request
 }
 
-// gotConn is called with each connection that net/http uses for the request.
-func (c *connectionCounter) gotConn(i httptrace.GotConnInfo) {
+// gotConn implements httptrace.ClientTrace.GotConn. net/http calls it with each connection on
+// which it attempts the request.
+func (c *connectionCounter) gotConn(info httptrace.GotConnInfo) {
 	c.count()
-	c.current = i.Conn.(*countingConn)
+	c.current = info.Conn.(*countingConn)
 	c.writtenBefore = c.current.written.Load()
 }
 
-// count returns the number so far; the newest attempt must be over.
+// count returns the number of connections used so far. The newest attempt must have ended.
 func (c *connectionCounter) count() int {
 	if c.current != nil && c.current.written.Load() > c.writtenBefore {
 		c.used++
--- a/tests/fakes/message.go
+++ b/tests/fakes/message.go
@@ -7,7 +7,7 @@
 	"strconv"
 )
 
-// Headers by which the fakes check what arrives.
+// Headers with which the fakes verify that requests and answers arrive unchanged.
 const (
 	headerID       = "X-Proof-Id"
 	headerDigest   = "X-Proof-Digest"
@@ -15,7 +15,7 @@
 	headerInstance = "X-Proof-Instance"
 )
 
-// Headers of the system.
+// Headers defined by the system under test.
 const (
 	headerOutcome        = "Curlewwalk-Outcome"
 	headerCaller         = "Curlewwalk-Caller"
@@ -23,17 +23,19 @@
 	headerRetryAfter     = "Retry-After"
 )
 
-// digest is the fingerprint of a request, as its sender made it or as it arrived.
+// digest returns a hash of a message: its method, URI, checked headers and body. The sender and the
+// receiver both compute it, so that a changed message is detected.
 func digest(method, uri string, h http.Header, body []byte) string {
-	d := sha256.New()
+	hash := sha256.New()
 	for _, s := range []string{method, uri, h.Get(headerID), h.Get(headerExtra), strconv.Itoa(len(body))} {
-		d.Write([]byte(s + "\n"))
+		hash.Write([]byte(s + "\n"))
 	}
-	d.Write(body)
-	return hex.EncodeToString(d.Sum(nil)[:12])
+	hash.Write(body)
+	return hex.EncodeToString(hash.Sum(nil)[:12])
 }
 
-// deterministicBody makes n bytes that follow from a seed and from no other one.
+// deterministicBody returns n bytes that are derived from the seed. Different seeds give different
+// bytes.
 func deterministicBody(seed string, n int) []byte {
 	out := make([]byte, 0, n+32)
 	for i := 0; len(out) < n; i++ {
--- a/tests/fakes/resend_test.go
+++ b/tests/fakes/resend_test.go
@@ -21,9 +21,15 @@
 	writePlan = RequestPlan{Name: "order", Method: "POST", Prefix: "/order/", Service: "desk", BodySize: 50}
 )
 
-// fakeSidecar answers a request by its ID. "mute" is run, and its connection closed without an
-// answer; when it is sent again it is refused as not run, as "refused" is at once. "lie" is run
-// and refused as not run.
+// fakeSidecar starts a server that stands in for a sidecar and its backend. To run a request means to
+// record a run in the ledger. The ID of the request determines the answer:
+//   - "mute" is run and its connection is closed without an answer. A second send is refused as not
+//     run.
+//   - "refused" is refused as not run, and is not run.
+//   - "lie" is run and nevertheless refused as not run.
+//   - Any other request is run and answered.
+//
+// requestsMuted returns how often "mute" was received.
 func fakeSidecar(t *testing.T, l *ledger.Ledger) (addr string, requestsMuted func() int64) {
 	var muted atomic.Int64
 	run := func(r *http.Request) {
@@ -66,37 +72,40 @@
 	return srv.Listener.Addr().String(), muted.Load
 }
 
-// checkVerdict checks the counts of a verdict and, if breach is set, that it has such a breach.
+// checkVerdict checks the counts of the ledger's verdict. If breach is set, one of the breaches must
+// contain that text; otherwise there must be no breach.
 func checkVerdict(t *testing.T, l *ledger.Ledger, interrupted, notRun int, breach string) {
 	t.Helper()
 	v := l.Judge()
 	if got := fmt.Sprint(v.Breaches); v.Interrupted != interrupted || v.NotRun != notRun || (breach == "") != (len(v.Breaches) == 0) || !strings.Contains(got, breach) {
-		t.Errorf("interrupted %d %v, not run %d, breaches %q; want %d, %d, %q", v.Interrupted, v.Interruptions, v.NotRun, got, interrupted, notRun, breach)
+		t.Errorf("got interrupted %d %v, not run %d, breaches %q; want %d, %d, %q", v.Interrupted, v.Interruptions, v.NotRun, got, interrupted, notRun, breach)
 	}
 }
 
-// A GET that net/http sends a second time by itself, after the first one ran and was
-// interrupted, is not judged by the refusal of the second.
+// net/http resends a GET by itself when a reused connection ends without an answer. The refusal of
+// the second send as not run must not be applied to the first send, which was run: the request
+// counts as interrupted.
 func TestResendByHTTPClient(t *testing.T) {
 	l, c := ledger.New(), NewHTTPClient()
 	defer c.CloseIdleConnections()
-	addr, mute := fakeSidecar(t, l)
-	ask := func(p RequestPlan, id string) ledger.Answered {
+	addr, requestsMuted := fakeSidecar(t, l)
+	send := func(p RequestPlan, id string) ledger.Answered {
 		return sendRequest(context.Background(), c, l, request{address: addr, plan: p, zone: "north", id: id})
 	}
-	if a := ask(readPlan, "first"); a.Outcome != "" || a.Mismatch != "" {
-		t.Fatalf("%+v", a)
+	if a := send(readPlan, "first"); a.Outcome != "" || a.Mismatch != "" {
+		t.Fatalf("got answer %+v, want a correct one from the backend", a)
 	}
-	if a := ask(readPlan, "mute"); a.Outcome != ledger.OutcomeNotRun || a.UnansweredSends != 1 {
-		t.Errorf("%+v", a)
+	if a := send(readPlan, "mute"); a.Outcome != ledger.OutcomeNotRun || a.UnansweredSends != 1 {
+		t.Errorf("got answer %+v, want a refusal as not run after 1 unanswered send", a)
 	}
-	if n := mute(); n != 2 {
-		t.Fatalf("net/http sent it %d times", n)
+	if n := requestsMuted(); n != 2 {
+		t.Fatalf("net/http sent the request %d times, want 2", n)
 	}
 	checkVerdict(t, l, 1, 0, "")
 }
 
-// A refusal of the only send counts, on a new connection and on a used one.
+// A refusal as not run of the only send is final, on a new connection and on a reused one: it
+// counts as not run, and it is a breach if the request was run.
 func TestRefusalOfOnlySend(t *testing.T) {
 	for _, p := range []RequestPlan{readPlan, writePlan} {
 		l, c := ledger.New(), NewHTTPClient()
@@ -104,27 +113,28 @@
 		addr, _ := fakeSidecar(t, l)
 		for _, id := range []string{"refused", "first", "lie"} {
 			if a := sendRequest(context.Background(), c, l, request{address: addr, plan: p, zone: "north", id: id}); a.UnansweredSends != 0 || a.Mismatch != "" {
-				t.Errorf("%+v", a)
+				t.Errorf("got answer %+v, want no unanswered send and no mismatch", a)
 			}
 		}
 		checkVerdict(t, l, 0, 2, "lie was promised not to have run and ran 1 times")
 	}
 }
 
-// failingConn fails all writes after the first.
+// failingConn is a connection on which all writes after the first fail.
 type failingConn struct {
 	net.Conn
-	used atomic.Int64
+	writes atomic.Int64
 }
 
-func (d *failingConn) Write(b []byte) (int, error) {
-	if d.used.Add(1) > 1 {
-		return 0, errors.New("deaf")
+func (c *failingConn) Write(b []byte) (int, error) {
+	if c.writes.Add(1) > 1 {
+		return 0, errors.New("simulated write failure")
 	}
-	return d.Conn.Write(b)
+	return c.Conn.Write(b)
 }
 
-// A refusal of the second send also counts if nothing of the first was written.
+// If the first send failed before any byte was written, the refusal of the second send as not run
+// is final, as for a request that was sent once.
 func TestRefusalAfterUnwrittenSend(t *testing.T) {
 	for _, p := range []RequestPlan{readPlan, writePlan} {
 		l, c := ledger.New(), NewHTTPClient()
@@ -138,43 +148,43 @@
 		}
 		for _, id := range []string{"first", "lie"} {
 			if a := sendRequest(context.Background(), c, l, request{address: addr, plan: p, zone: "north", id: id}); a.UnansweredSends != 0 || a.Outcome == ledger.OutcomeInterrupted {
-				t.Errorf("%+v", a)
+				t.Errorf("got answer %+v, want no unanswered send and no interruption", a)
 			}
 		}
 		if dialled != 2 {
-			t.Errorf("%d connections", dialled)
+			t.Errorf("dialled %d connections, want 2", dialled)
 		}
 		checkVerdict(t, l, 0, 1, "lie was promised not to have run and ran 1 times")
 	}
 }
 
-// Nothing was sent where nobody listens; a request that was interrupted and then met nobody is
-// interrupted.
-func TestNobodyListens(t *testing.T) {
+// A request counts as not run if the connection is refused and nothing was sent. If a first send was
+// interrupted and the resend's connection is refused, the request counts as interrupted.
+func TestConnectionRefused(t *testing.T) {
 	l, c := ledger.New(), NewHTTPClient()
 	defer c.CloseIdleConnections()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	go func() {
-		conn, err := ln.Accept()
+		conn, err := listener.Accept()
 		if err != nil {
 			return
 		}
 		defer conn.Close()
-		in := bufio.NewReader(conn)
-		if r, err := http.ReadRequest(in); err == nil {
+		reader := bufio.NewReader(conn)
+		if r, err := http.ReadRequest(reader); err == nil {
 			body := "done"
 			h := http.Header{headerID: {r.Header.Get(headerID)}}
 			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\n%s: %s\r\n%s: %s\r\nContent-Length: 4\r\n\r\n%s", headerID, h.Get(headerID), headerDigest, digest("", "", h, []byte(body)), body)
 		}
-		http.ReadRequest(in)
-		ln.Close()
+		http.ReadRequest(reader)
+		listener.Close()
 	}()
 	for _, want := range []string{"", ledger.OutcomeInterrupted, ledger.OutcomeNotRun} {
-		if a := sendRequest(context.Background(), c, l, request{address: ln.Addr().String(), plan: readPlan, zone: "north", id: "to-" + want}); a.Outcome != want || a.Mismatch != "" {
-			t.Errorf("%+v, want outcome %q", a, want)
+		if a := sendRequest(context.Background(), c, l, request{address: listener.Addr().String(), plan: readPlan, zone: "north", id: "to-" + want}); a.Outcome != want || a.Mismatch != "" {
+			t.Errorf("got answer %+v, want outcome %q and no mismatch", a, want)
 		}
 	}
 }
--- a/tests/fakes/send.go
+++ b/tests/fakes/send.go
@@ -16,16 +16,16 @@
 
 // request is a request that a client or a backend sends to a sidecar.
 type request struct {
-	address string // of the sidecar
+	address string // address of the sidecar
 	plan    RequestPlan
-	caller  string // the sending service, or "" for a client
-	zone    string // of the sender
-	parent  string // the request that the sending backend works on, or ""
+	caller  string // service of the sender, empty for a client
+	zone    string // zone of the sender
+	parent  string // ID of the request that caused this inner call, or empty
 	id      string
-	key     string // idempotency key, or ""
+	key     string // idempotency key, or empty
 }
 
-// build makes the HTTP request, and the record of sending it now.
+// build returns the HTTP request and the ledger record of sending it at the current time.
 func (r request) build(ctx context.Context) (*http.Request, ledger.Sent) {
 	p := r.plan
 	body := deterministicBody("request "+r.id, p.BodySize)
@@ -46,10 +46,10 @@
 	}
 }
 
-// sendRequest sends one request, checks the answer, and records both.
+// sendRequest sends one request, checks the answer, and records both in the ledger.
 func sendRequest(ctx context.Context, client *http.Client, records *ledger.Ledger, r request) ledger.Answered {
-	// net/http sends some requests again by itself: a refusal then says nothing of the
-	// earlier ones.
+	// net/http resends some requests by itself. A refusal of the last send does not show whether
+	// an earlier send was run, so the sends are counted.
 	var connections connectionCounter
 	trace := &httptrace.ClientTrace{GotConn: connections.gotConn}
 	req, sent := r.build(httptrace.WithClientTrace(context.WithoutCancel(ctx), trace))
@@ -59,11 +59,11 @@
 	if err == nil {
 		err = readAnswer(resp, &answer)
 	}
-	used := connections.count()
-	answer.UnansweredSends = max(used-1, 0)
+	sends := connections.count()
+	answer.UnansweredSends = max(sends-1, 0)
 	switch {
-	case errors.Is(err, syscall.ECONNREFUSED) && used == 0:
-		answer.Outcome = ledger.OutcomeNotRun // no sidecar is there, so nothing was sent
+	case errors.Is(err, syscall.ECONNREFUSED) && sends == 0:
+		answer.Outcome = ledger.OutcomeNotRun // no sidecar is listening, so nothing was sent
 	case err != nil:
 		answer.Outcome, answer.ConnectionError = ledger.OutcomeInterrupted, r.plan.Method+" "+err.Error()
 	}
@@ -72,7 +72,7 @@
 	return answer
 }
 
-// readAnswer reads a response into an answer, and checks it.
+// readAnswer reads a response, stores it in an answer, and checks it.
 func readAnswer(resp *http.Response, answer *ledger.Answered) error {
 	answer.Status, answer.Outcome = resp.StatusCode, resp.Header.Get(headerOutcome)
 	body, err := io.ReadAll(resp.Body)
@@ -83,20 +83,21 @@
 	case answer.Outcome == "":
 		answer.Mismatch = checkAnswer(answer.ID, resp, body)
 	case answer.Status >= 500 && resp.Header.Get(headerRetryAfter) == "":
-		answer.Mismatch = "a refusal without Retry-After"
+		answer.Mismatch = "the refusal has no Retry-After header"
 	}
 	return nil
 }
 
-// checkAnswer returns what is wrong with the answer of a backend, or "".
+// checkAnswer returns a description of the fault in a backend's answer, or "" if the answer is
+// correct.
 func checkAnswer(id string, resp *http.Response, body []byte) string {
 	switch {
 	case resp.StatusCode != http.StatusOK:
-		return "status " + resp.Status
+		return "the answer has status " + resp.Status
 	case resp.Header.Get(headerID) != id:
-		return "it answers " + resp.Header.Get(headerID)
+		return "the answer is for request " + resp.Header.Get(headerID)
 	case resp.Header.Get(headerDigest) != digest("", "", http.Header{headerID: {id}}, body):
-		return "its body does not match its digest"
+		return "the body of the answer does not match its digest"
 	}
 	return ""
 }
--- a/tests/faultproxy/listen.go
+++ b/tests/faultproxy/listen.go
@@ -8,21 +8,21 @@
 )
 
 const (
-	// bindRetryInterval is how often Bind tries again.
+	// bindRetryInterval is the interval between attempts of Bind.
 	bindRetryInterval = 10 * time.Millisecond
-	// bindTimeout is for how long Bind tries.
+	// bindTimeout is the time after which Bind no longer retries.
 	bindTimeout = 5 * time.Second
 )
 
-// Bind listens on an address that may have been released just now. A process that is being
-// started by this one holds copies of all its sockets for a moment, so Bind retries while the
-// address is in use.
+// Bind listens on a TCP address that may have been released a moment ago. It retries while the
+// address is in use: when this process starts a child process, the child briefly holds copies of
+// all sockets of this process, also of those that have been closed here.
 func Bind(addr string) (net.Listener, error) {
-	tick := time.NewTicker(bindRetryInterval)
-	defer tick.Stop()
-	for begin := time.Now(); ; <-tick.C {
+	ticker := time.NewTicker(bindRetryInterval)
+	defer ticker.Stop()
+	for start := time.Now(); ; <-ticker.C {
 		listener, err := net.Listen("tcp", addr)
-		if !errors.Is(err, syscall.EADDRINUSE) || time.Since(begin) > bindTimeout {
+		if !errors.Is(err, syscall.EADDRINUSE) || time.Since(start) > bindTimeout {
 			return listener, err
 		}
 	}
--- a/tests/faultproxy/network.go
+++ b/tests/faultproxy/network.go
@@ -6,54 +6,58 @@
 	"sync"
 )
 
-// Blocks reports whether nothing passes from one machine to another.
+// Blocks reports whether a partition blocks the traffic from one machine to another.
 type Blocks func(from, to string) bool
 
-// Network is the network between machines. All its proxies obey its partitions. It is safe
-// for concurrent use.
+// Network is the simulated network between machines. Its partitions apply to all its proxies. It is
+// safe for concurrent use.
 type Network struct {
 	mu sync.Mutex
-	// partition is the one that the methods but AddPartition set; added are those that are
-	// in force beside it, until each is healed.
+	// partition is replaced by Partition, PartitionBetween, BlockOneWay and Heal. The partitions in
+	// added are in force at the same time, each until it is healed.
 	partition Blocks
 	added     map[*Blocks]bool
-	changed   chan struct{} // closed and replaced when a partition changes
+	changed   chan struct{} // closed and replaced at each change of a partition
 }
 
-// NewNetwork makes a network without partitions.
+// NewNetwork returns a network without partitions.
 func NewNetwork() *Network {
 	return &Network{partition: func(string, string) bool { return false }, added: map[*Blocks]bool{}, changed: make(chan struct{})}
 }
 
-// Partition separates the machines given from all others. What passes between the sides
-// queues up until the network is healed: nothing is refused, the other side just does not
-// answer.
+// Partition separates the given machines from all others. Data between the sides is queued until
+// the network is healed. Connections between the sides are neither refused nor reset; the other
+// side does not answer. Partition replaces the previous partition, as PartitionBetween and
+// BlockOneWay do.
 func (n *Network) Partition(machines ...string) {
 	n.setPartition(func(a, b string) bool { return slices.Contains(machines, a) != slices.Contains(machines, b) })
 }
 
-// PartitionBetween separates some machines from some others, and from no more.
-func (n *Network) PartitionBetween(some, others []string) {
-	between := func(a, b string) bool { return slices.Contains(some, a) && slices.Contains(others, b) }
-	n.setPartition(func(a, b string) bool { return between(a, b) || between(b, a) })
+// PartitionBetween separates one set of machines from another. Traffic with all other machines is
+// not affected.
+func (n *Network) PartitionBetween(left, right []string) {
+	leftToRight := func(a, b string) bool { return slices.Contains(left, a) && slices.Contains(right, b) }
+	n.setPartition(func(a, b string) bool { return leftToRight(a, b) || leftToRight(b, a) })
 }
 
-// BlockOneWay blocks what some machines send to some others, but not the other direction. No
-// new connection between them can be opened.
+// BlockOneWay blocks the traffic from one set of machines to another, but not in the other
+// direction. No new connection between the sets can be opened, because a TCP handshake needs both
+// directions.
 func (n *Network) BlockOneWay(from, to []string) {
 	n.setPartition(func(a, b string) bool { return slices.Contains(from, a) && slices.Contains(to, b) })
 }
 
-// Heal ends the partition, but not those of AddPartition; what was queued is delivered.
+// Heal removes the partition that Partition, PartitionBetween or BlockOneWay set. The partitions of
+// AddPartition stay in force. Queued data that no partition blocks any more is delivered.
 func (n *Network) Heal() { n.Partition() }
 
-// AddPartition adds a partition beside all others; heal ends it.
+// AddPartition adds a partition to those in force. The returned function removes it.
 func (n *Network) AddPartition(blocks Blocks) (heal func()) {
 	n.update(func() { n.added[&blocks] = true })
 	return func() { n.update(func() { delete(n.added, &blocks) }) }
 }
 
-// blocks reports whether any partition blocks what one machine sends to another. n.mu must
+// blocks reports whether any partition blocks the traffic from one machine to another. n.mu must
 // be held.
 func (n *Network) blocks(from, to string) bool {
 	if n.partition(from, to) {
@@ -67,12 +71,12 @@
 	return false
 }
 
-// setPartition replaces the partition.
+// setPartition replaces n.partition.
 func (n *Network) setPartition(blocks Blocks) {
 	n.update(func() { n.partition = blocks })
 }
 
-// update changes the partitions and wakes whoever waits for a change.
+// update applies a change to the partitions and wakes the goroutines that wait for one.
 func (n *Network) update(change func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -81,8 +85,8 @@
 	n.changed = make(chan struct{})
 }
 
-// waitPassable waits until nothing blocks what one machine sends to another. It returns
-// false if ctx ends before.
+// waitPassable blocks until no partition blocks the traffic from one machine to another. It returns
+// false if ctx is done first.
 func (n *Network) waitPassable(ctx context.Context, from, to string) bool {
 	for {
 		n.mu.Lock()
--- a/tests/faultproxy/proxy.go
+++ b/tests/faultproxy/proxy.go
@@ -8,17 +8,17 @@
 	"sync"
 )
 
-// bufferSize is how much a proxy forwards at a time.
+// bufferSize is the maximum number of bytes that a proxy forwards in one write.
 const bufferSize = 32 << 10
 
-// Proxy forwards the connections to one address to another.
+// Proxy forwards TCP connections from the address on which it listens to a target address.
 type Proxy struct {
 	network  *Network
 	listener net.Listener
 	target   string
-	host     string // the machine that the proxy stands for
+	host     string // machine of the process behind the proxy
 	address  string
-	// ctx ends when the present connections are dropped.
+	// ctx is canceled, and replaced, when the current connections are dropped.
 	ctx    context.Context
 	cancel context.CancelFunc
 }
@@ -36,11 +36,11 @@
 	return p, nil
 }
 
-// Refuse makes the address refuse connections, as that of a dead process does. Open
-// connections stay.
+// Refuse makes the address refuse new connections, like that of a dead process. Open connections
+// are not closed.
 func (p *Proxy) Refuse() { p.listener.Close() }
 
-// Accept ends Refuse.
+// Accept listens again after Refuse.
 func (p *Proxy) Accept() error {
 	listener, err := Bind(p.address)
 	if err != nil {
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// Drop closes all connections, and loses what was in flight.
+// Drop closes all connections and discards the data in flight.
 func (p *Proxy) Drop() {
 	p.network.mu.Lock()
 	defer p.network.mu.Unlock()
@@ -59,20 +59,20 @@
 	p.ctx, p.cancel = context.WithCancel(context.Background())
 }
 
-// Close ends the proxy and its connections.
+// Close stops the proxy and closes its connections.
 func (p *Proxy) Close() {
 	p.Drop()
 	p.listener.Close()
 }
 
-// connectionContext is the context of connections that are opened now.
+// connectionContext returns the context for new connections. Drop cancels it.
 func (p *Proxy) connectionContext() context.Context {
 	p.network.mu.Lock()
 	defer p.network.mu.Unlock()
 	return p.ctx
 }
 
-// acceptLoop forwards the connections of a listener until it is closed.
+// acceptLoop accepts and forwards connections until the listener is closed.
 func (p *Proxy) acceptLoop(listener net.Listener) {
 	for {
 		client, err := listener.Accept()
@@ -83,12 +83,13 @@
 	}
 }
 
-// forward forwards one connection until either end closes it or it is dropped.
+// forward forwards one connection until both directions are closed, one of them fails, or the
+// connection is dropped.
 func (p *Proxy) forward(client net.Conn) {
 	defer client.Close()
 	ctx := p.connectionContext()
 	clientHost, _, _ := net.SplitHostPort(client.RemoteAddr().String())
-	// Opening a connection needs both directions.
+	// A TCP handshake needs both directions.
 	if !p.network.waitPassable(ctx, clientHost, p.host) || !p.network.waitPassable(ctx, p.host, clientHost) {
 		return
 	}
@@ -99,14 +100,15 @@
 	defer server.Close()
 	stop := context.AfterFunc(ctx, func() { client.Close(); server.Close() })
 	defer stop()
-	var wg sync.WaitGroup
-	wg.Go(func() { p.forwardOneWay(ctx, server, client, clientHost, p.host) })
-	wg.Go(func() { p.forwardOneWay(ctx, client, server, p.host, clientHost) })
-	wg.Wait()
+	var directions sync.WaitGroup
+	directions.Go(func() { p.forwardOneWay(ctx, server, client, clientHost, p.host) })
+	directions.Go(func() { p.forwardOneWay(ctx, client, server, p.host, clientHost) })
+	directions.Wait()
 }
 
-// forwardOneWay forwards what one side sends. When that side closes its direction in order,
-// the other one's is closed too; after an error both connections are closed.
+// forwardOneWay forwards the data that one side sends. When that side closes its direction in order,
+// forwardOneWay closes the same direction on the other connection. After an error it closes both
+// connections.
 func (p *Proxy) forwardOneWay(ctx context.Context, to, from net.Conn, sender, receiver string) {
 	if err := p.copyWhilePassable(ctx, to, from, sender, receiver); err != nil {
 		to.Close()
@@ -116,8 +118,8 @@
 	to.(*net.TCPConn).CloseWrite()
 }
 
-// copyWhilePassable copies until from is closed in order. What it has read waits until the
-// network lets it pass.
+// copyWhilePassable copies data until the end of file on from. Before each write, and before the
+// end of file takes effect, it waits until the network does not block the traffic.
 func (p *Proxy) copyWhilePassable(ctx context.Context, to, from net.Conn, sender, receiver string) error {
 	buffer := make([]byte, bufferSize)
 	for {
