--- a/tests/day/events.go
+++ b/tests/day/events.go
@@ -13,31 +13,31 @@
 	"curlewwalk/tests/fleet"
 )
 
-// event is a failure, or a planned change.
+// event is a failure or a planned change.
 type event struct {
-	name string
+	name string // matched by Day.Only
 	run  func() error
 }
 
-// allEvents lists the events of a day.
+// allEvents returns all events of a day. Day.play draws their order.
 func (d *Day) allEvents() []event {
 	f := d.Fleet
 	anySidecar := func() *fleet.Program { return f.Sidecars[d.rng.IntN(len(f.Sidecars))] }
 	anyReplica := func() *fleet.Program { return f.Replicas[d.rng.IntN(len(f.Replicas))] }
-	kill := func(choose func() []*fleet.Program, down time.Duration) func() error {
+	kill := func(choose func() []*fleet.Program, downtime time.Duration) func() error {
 		return func() error {
 			programs := choose()
 			f.Kill(programs...)
-			d.sleep(down)
+			d.sleep(downtime)
 			return f.Restart(programs...)
 		}
 	}
-	one := func(choose func() *fleet.Program) func() []*fleet.Program {
+	single := func(choose func() *fleet.Program) func() []*fleet.Program {
 		return func() []*fleet.Program { return []*fleet.Program{choose()} }
 	}
 	return []event{
-		{"a sidecar is killed", kill(one(anySidecar), time.Second)},
-		{"a replica is killed", kill(one(anyReplica), time.Second)},
+		{"a sidecar is killed", kill(single(anySidecar), time.Second)},
+		{"a replica is killed", kill(single(anyReplica), time.Second)},
 		{"all sidecars are killed", kill(func() []*fleet.Program { return f.Sidecars }, time.Second)},
 		{"all replicas are killed", kill(func() []*fleet.Program { return f.Replicas }, 6*time.Second)},
 		{"everything is killed", kill(f.Programs, time.Second)},
@@ -51,9 +51,9 @@
 			}
 			return side
 		})},
-		{"a zone loses power", d.blackout},
+		{"a zone loses power", d.powerOffZone},
 		{"a rolling restart", d.rollingRestart},
-		{"a replica is replaced", d.replaceControlPlane},
+		{"a replica is replaced", d.replaceReplica},
 		{"a backend leaves and is replaced", d.replaceBackend},
 		{"a backend dies, its address is reused", d.reuseAddress},
 		{"configurations race and storm", d.raceOperators},
@@ -67,18 +67,19 @@
 	}
 }
 
-// freeze stops a process for a while, and continues it.
-func (d *Day) freeze(choose func() *fleet.Program, t time.Duration) func() error {
+// freeze returns an event that stops a process with SIGSTOP and continues it after a duration.
+func (d *Day) freeze(choose func() *fleet.Program, duration time.Duration) func() error {
 	return func() error {
 		p := choose()
 		p.Signal(syscall.SIGSTOP)
-		d.sleep(t)
+		d.sleep(duration)
 		p.Signal(syscall.SIGCONT)
 		return nil
 	}
 }
 
-// partition partitions machines while a configuration is put.
+// partition returns an event that partitions machines from all others, puts a configuration after 4 s,
+// and then heals the network.
 func (d *Day) partition(side func() []string) func() error {
 	return func() error {
 		d.Fleet.Network.Partition(side()...)
@@ -89,20 +90,21 @@
 	}
 }
 
-// blackout has one zone lose power for a while.
-func (d *Day) blackout() error {
-	return d.blackoutWhile(func() error { d.sleep(5 * time.Second); return nil })
+// powerOffZone powers a random zone off for 5 s.
+func (d *Day) powerOffZone() error {
+	return d.withZoneOff(func() error { d.sleep(5 * time.Second); return nil })
 }
 
-// blackoutWhile has one zone lose power, backends included, and starts it again after an action.
-func (d *Day) blackoutWhile(action func() error) error {
+// withZoneOff powers a random zone off, including its backends, runs an action, and starts the zone
+// again. The backends that it starts are new ones and half warm.
+func (d *Day) withZoneOff(action func() error) error {
 	zone := d.Fleet.Size.Zones[d.rng.IntN(len(d.Fleet.Size.Zones))]
 	programs, backends := d.Fleet.PowerOffZone(zone)
-	var again []int
+	var machines []int
 	for _, b := range backends {
 		if machine, ok := d.runningBackends[b]; ok {
 			delete(d.runningBackends, b)
-			again = append(again, machine)
+			machines = append(machines, machine)
 		}
 	}
 	if err := action(); err != nil {
@@ -111,7 +113,7 @@
 	if err := d.Fleet.Restart(programs...); err != nil {
 		return err
 	}
-	for _, machine := range again {
+	for _, machine := range machines {
 		if err := d.startBackend(machine, 0.5); err != nil {
 			return err
 		}
@@ -119,7 +121,7 @@
 	return nil
 }
 
-// startBackend starts a new backend on a machine.
+// startBackend starts a backend with a new name and port on a machine.
 func (d *Day) startBackend(machine int, warmth float64) error {
 	d.serial++
 	service := d.Fleet.Size.Backends[machine]
@@ -130,12 +132,13 @@
 	return err
 }
 
-// rollingRestart restarts every process in turn; no request may be dropped.
+// rollingRestart stops and restarts every process in turn. An interrupted request, or an exit code
+// other than 0, is a breach.
 func (d *Day) rollingRestart() error {
 	before := d.Fleet.Ledger.Judge()
 	for _, p := range d.Fleet.Programs() {
 		if code := p.Stop(); code != 0 {
-			d.breach("%s ended with %d", p.Name, code)
+			d.breach("%s exited with code %d, want 0", p.Name, code)
 		}
 		if err := d.Fleet.Restart(p); err != nil {
 			return err
@@ -146,13 +149,14 @@
 	}
 	after := d.Fleet.Ledger.Judge()
 	if n := after.Interrupted - before.Interrupted; n > 0 {
-		d.breach("planned restarts dropped %d requests: %v", n, slices.DeleteFunc(after.Interruptions, func(c string) bool { return slices.Contains(before.Interruptions, c) }))
+		d.breach("rolling restart interrupted %d requests: %v", n, slices.DeleteFunc(after.Interruptions, func(c string) bool { return slices.Contains(before.Interruptions, c) }))
 	}
 	return nil
 }
 
-// replaceControlPlane replaces a replica by one with an empty disk at a new address.
-func (d *Day) replaceControlPlane() error {
+// replaceReplica kills a random replica and replaces it by one with an empty data directory at a new
+// address.
+func (d *Day) replaceReplica() error {
 	i := d.rng.IntN(len(d.Fleet.Replicas))
 	d.serial++
 	old := d.Fleet.Replicas[i]
@@ -168,10 +172,10 @@
 	return p.AwaitReady(d.ctx)
 }
 
-// anyBackend draws a running backend; the machine is the one it runs on.
+// anyBackend draws a running backend and returns it with the number of its machine.
 func (d *Day) anyBackend() (*fakes.Backend, int) {
 	i := d.rng.IntN(len(d.runningBackends))
-	for _, b := range d.Fleet.Backends { // in the order of their start, so that a seed repeats the same draw
+	for _, b := range d.Fleet.Backends { // in start order rather than map order, so that a seed repeats the draw
 		if machine, ok := d.runningBackends[b]; ok {
 			if i == 0 {
 				return b, machine
@@ -182,7 +186,8 @@
 	panic("not reached")
 }
 
-// replaceBackend has a backend leave, and another take its place.
+// replaceBackend makes a random backend leave, starts another in its place, and kills the first one
+// after 3 s.
 func (d *Day) replaceBackend() error {
 	b, machine := d.anyBackend()
 	if err := b.Leave(d.ctx); err != nil {
@@ -197,7 +202,8 @@
 	return nil
 }
 
-// reuseAddress has a backend die, and its address used by one of another service.
+// reuseAddress kills a random backend and starts a backend of another service at its address. After
+// 2 s it replaces that backend by one of the original service at a new address.
 func (d *Day) reuseAddress() error {
 	b, machine := d.anyBackend()
 	addr := b.Addr()
@@ -216,7 +222,8 @@
 	return d.startBackend(machine, 0)
 }
 
-// raceOperators has operators race; then each sidecar must have the newest configuration in force in time.
+// raceOperators makes operators put configurations concurrently. Then it puts one more, which must
+// be in force on all sidecars within rolloutLimit.
 func (d *Day) raceOperators() error {
 	d.race(10)
 	if err := d.putConfiguration(); err != nil {
@@ -225,15 +232,16 @@
 	return d.awaitRollout()
 }
 
-// race has four operators put so many configurations each, all at once.
-func (d *Day) race(each int) {
+// race runs four operators concurrently. Each of them puts count different configurations, one after
+// another.
+func (d *Day) race(count int) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	for w := range 4 {
+	for operator := range 4 {
 		wg.Go(func() {
-			for i := range each {
-				body := append(d.Fleet.Configuration(), fmt.Sprintf("%*s", 1+w*100+i, " ")...)
-				r, err := d.Fleet.Operate(d.ctx, d.Fleet.Replicas[w%len(d.Fleet.Replicas)], http.MethodPut, "/v1/desired", body)
+			for i := range count {
+				body := append(d.Fleet.Configuration(), fmt.Sprintf("%*s", 1+operator*100+i, " ")...)
+				r, err := d.Fleet.Operate(d.ctx, d.Fleet.Replicas[operator%len(d.Fleet.Replicas)], http.MethodPut, "/v1/desired", body)
 				if err == nil && r.Status == http.StatusOK {
 					mu.Lock()
 					d.acknowledge(r.Revision, body)
@@ -245,22 +253,22 @@
 	wg.Wait()
 }
 
-// putInvalid puts an invalid configuration, which must be rejected.
+// putInvalid puts an invalid configuration, which must be rejected with status 422.
 func (d *Day) putInvalid() error {
 	r, err := d.Fleet.Operate(d.ctx, d.Fleet.Replicas[0], http.MethodPut, "/v1/desired", []byte(`{"ways":[{"name":"x"}]}`))
 	if err == nil && r.Status != http.StatusUnprocessableEntity {
-		d.breach("an invalid configuration got %d", r.Status)
+		d.breach("an invalid configuration got status %d, want 422", r.Status)
 	}
 	return err
 }
 
-// evacuate evacuates a zone for a while.
+// evacuate evacuates a random zone for 7 s.
 func (d *Day) evacuate() error {
-	return d.evacuateWhile(func() error { d.sleep(7 * time.Second); return nil })
+	return d.withZoneEvacuated(func() error { d.sleep(7 * time.Second); return nil })
 }
 
-// evacuateWhile evacuates a zone, and restores it after an action.
-func (d *Day) evacuateWhile(action func() error) error {
+// withZoneEvacuated evacuates a random zone, runs an action, and restores the zone.
+func (d *Day) withZoneEvacuated(action func() error) error {
 	zone := d.Fleet.Size.Zones[d.rng.IntN(len(d.Fleet.Size.Zones))]
 	if _, err := d.Fleet.EvacuateZone(d.ctx, d.Fleet.Replicas[0], zone); err != nil {
 		return err
@@ -272,7 +280,8 @@
 	return err
 }
 
-// jumpClocks has the wall clocks of some machines jump by hours, both ways.
+// jumpClocks shifts the wall clocks of a third of the processes by up to 100 hours, forwards or
+// backwards. After 2 s, the newest configuration must be in force on all sidecars within rolloutLimit.
 func (d *Day) jumpClocks() error {
 	programs := d.Fleet.Programs()
 	for _, i := range d.rng.Perm(len(programs))[:len(programs)/3] {
@@ -284,7 +293,8 @@
 	return d.awaitRollout()
 }
 
-// garbleAnswers has some backends lose a part of their answers, or send malformed ones, after the run.
+// garbleAnswers makes all running backends lose or garble 10 % of their answers for 4 s, after they have
+// run the requests.
 func (d *Day) garbleAnswers() error {
 	for b := range d.runningBackends {
 		b.GarblePercent.Store(10)
@@ -296,8 +306,9 @@
 	return nil
 }
 
-// leaveWhile has a backend leave and be replaced while an action goes on.
-func (d *Day) leaveWhile(action func() error) error {
+// withBackendLeaving makes a random backend leave, starts another in its place, runs an action, and
+// kills the first one.
+func (d *Day) withBackendLeaving(action func() error) error {
 	b, machine := d.anyBackend()
 	if err := b.Leave(d.ctx); err != nil {
 		return err
@@ -311,9 +322,10 @@
 	return err
 }
 
-// zoneLossDuringRollingRestart has a zone lose power half way through a rolling restart.
+// zoneLossDuringRollingRestart powers a zone off when half of the processes have been restarted in
+// turn, and restarts the other half before the zone is started again.
 func (d *Day) zoneLossDuringRollingRestart() error {
-	return d.leaveWhile(func() error {
+	return d.withBackendLeaving(func() error {
 		programs := d.Fleet.Programs()
 		restart := func(programs []*fleet.Program) error {
 			for _, p := range programs {
@@ -330,14 +342,14 @@
 		if err := restart(programs[:len(programs)/2]); err != nil {
 			return err
 		}
-		return d.blackoutWhile(func() error { return restart(programs[len(programs)/2:]) })
+		return d.withZoneOff(func() error { return restart(programs[len(programs)/2:]) })
 	})
 }
 
-// raceDuringPartition has operators race while the replicas are partitioned, and checks what is in force
-// afterwards.
+// raceDuringPartition makes operators put configurations concurrently while the replicas are
+// partitioned. A configuration that is put after healing must be in force within rolloutLimit.
 func (d *Day) raceDuringPartition() error {
-	return d.leaveWhile(func() error {
+	return d.withBackendLeaving(func() error {
 		var side []string
 		for _, i := range d.rng.Perm(len(d.Fleet.Replicas))[:len(d.Fleet.Replicas)/2] {
 			side = append(side, d.Fleet.Replicas[i].IP)
@@ -352,11 +364,11 @@
 	})
 }
 
-// replaceDuringEvacuation replaces a replica while a zone is being evacuated.
+// replaceDuringEvacuation replaces a replica while a zone is evacuated and a backend leaves.
 func (d *Day) replaceDuringEvacuation() error {
-	return d.evacuateWhile(func() error {
-		return d.leaveWhile(func() error {
-			if err := d.replaceControlPlane(); err != nil {
+	return d.withZoneEvacuated(func() error {
+		return d.withBackendLeaving(func() error {
+			if err := d.replaceReplica(); err != nil {
 				return err
 			}
 			d.sleep(6 * time.Second)
--- a/tests/fleet/await.go
+++ b/tests/fleet/await.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// sidecarNode is the part of GET /v1/nodes that is read.
+// sidecarNode contains the fields that the tests read from an entry of GET /v1/nodes.
 type sidecarNode struct {
 	Address  string `json:"address"`
 	Backends []struct {
@@ -14,16 +14,16 @@
 	} `json:"backends"`
 }
 
-// AwaitServing waits until every running sidecar has a revision in force and knows so many
-// backends that are not leaving.
+// AwaitServing waits until every running sidecar has at least the given revision in force and lists
+// exactly the given number of backends that are not leaving.
 func (f *Fleet) AwaitServing(ctx context.Context, revision uint64, backends int) error {
 	for _, p := range f.Sidecars {
 		if !p.Running() {
 			continue
 		}
 		err := Await(ctx, fmt.Sprintf("%s at revision %d with %d backends", p.Name, revision, backends), func(ctx context.Context) bool {
-			known, ok := servingBackends(ctx, p)
-			if !ok || known != backends {
+			serving, ok := servingBackends(ctx, p)
+			if !ok || serving != backends {
 				return false
 			}
 			current, err := f.Revision(ctx, p)
@@ -36,8 +36,8 @@
 	return nil
 }
 
-// servingBackends counts the backends that a sidecar knows and that are not leaving; ok is false
-// if it does not answer.
+// servingBackends returns the number of backends that a sidecar lists and that are not leaving. ok
+// is false if the sidecar does not answer.
 func servingBackends(ctx context.Context, p *Program) (count int, ok bool) {
 	var nodes []sidecarNode
 	if _, err := p.Get(ctx, "/v1/nodes", &nodes); err != nil {
@@ -53,11 +53,11 @@
 	return count, true
 }
 
-// Revision reads the revision that a sidecar has in force.
+// Revision returns the configuration revision that a sidecar has in force.
 func (*Fleet) Revision(ctx context.Context, p *Program) (uint64, error) {
-	var st struct {
+	var stats struct {
 		Revision uint64 `json:"stamp"`
 	}
-	_, err := p.Get(ctx, "/v1/stats", &st)
-	return st.Revision, err
+	_, err := p.Get(ctx, "/v1/stats", &stats)
+	return stats.Revision, err
 }
--- a/tests/fleet/binaries.go
+++ b/tests/fleet/binaries.go
@@ -9,19 +9,19 @@
 	"strings"
 )
 
-// Binaries is a directory with the built programs.
+// Binaries is the path of a directory with the built programs.
 type Binaries string
 
-// Build builds the programs into a new directory, with wall clocks that can be made to jump and
-// disks that can be made to fail. (DESIGN 17.2)
+// Build builds the programs into a new temporary directory. The build includes the injection of
+// clock jumps and disk faults. (DESIGN 17.2)
 func Build() (Binaries, error) { return BuildWith("", nil) }
 
-// SourceChange replaces Old, which must occur once in a file, by New. File is relative to the
-// root of the tree.
+// SourceChange replaces Old by New in a source file. Old must occur exactly once in the file. File is
+// relative to the root of the source tree.
 type SourceChange struct{ File, Old, New string }
 
-// BuildWith builds the programs from the tree at root with some source changes, as another
-// version of them. The tree itself is not touched.
+// BuildWith builds the programs from the source tree at root with source changes, which gives
+// another version of the programs. The files of the tree are not modified.
 func BuildWith(root string, changes []SourceChange) (Binaries, error) {
 	dir, err := os.MkdirTemp("", "curlewwalk-bin-")
 	if err != nil {
@@ -40,15 +40,15 @@
 	}
 	out, err := exec.Command("go", append(args, "curlewwalk/cmd/controlplane", "curlewwalk/cmd/sidecar", "curlewwalk/cmd/planner")...).CombinedOutput()
 	if err != nil {
-		return "", fmt.Errorf("build: %w\n%s", err, out)
+		return "", fmt.Errorf("go build: %w\n%s", err, out)
 	}
 	return Binaries(dir), nil
 }
 
-// overlay writes the changed files and the overlay file for the go command, whose path it
-// returns.
+// overlay writes the changed files and an overlay file for the go command into dir. It returns
+// the path of the overlay file.
 func overlay(root, dir string, changes []SourceChange) (string, error) {
-	texts, replace := map[string]string{}, map[string]string{}
+	texts, replacements := map[string]string{}, map[string]string{}
 	for i, c := range changes {
 		path, err := filepath.Abs(filepath.Join(root, c.File))
 		if err != nil {
@@ -59,7 +59,7 @@
 			if err != nil {
 				return "", err
 			}
-			texts[path], replace[path] = string(b), filepath.Join(dir, fmt.Sprintf("changed-%d.go", i))
+			texts[path], replacements[path] = string(b), filepath.Join(dir, fmt.Sprintf("changed-%d.go", i))
 		}
 		if strings.Count(texts[path], c.Old) != 1 {
 			return "", fmt.Errorf("%s: %q does not occur exactly once", c.File, c.Old)
@@ -67,19 +67,19 @@
 		texts[path] = strings.Replace(texts[path], c.Old, c.New, 1)
 	}
 	for path, text := range texts {
-		if err := os.WriteFile(replace[path], []byte(text), 0o640); err != nil {
+		if err := os.WriteFile(replacements[path], []byte(text), 0o640); err != nil {
 			return "", err
 		}
 	}
-	b, err := json.Marshal(map[string]any{"Replace": replace})
+	b, err := json.Marshal(map[string]any{"Replace": replacements})
 	if err != nil {
 		return "", err
 	}
-	list := filepath.Join(dir, "overlay.json")
-	return list, os.WriteFile(list, b, 0o640)
+	overlayFile := filepath.Join(dir, "overlay.json")
+	return overlayFile, os.WriteFile(overlayFile, b, 0o640)
 }
 
-// Path is the path of a program.
+// Path returns the path of a program.
 func (b Binaries) Path(program string) string { return filepath.Join(string(b), program) }
 
 // Remove deletes the directory.
--- a/tests/fleet/faults.go
+++ b/tests/fleet/faults.go
@@ -8,16 +8,16 @@
 	"curlewwalk/tests/faultproxy"
 )
 
-// The faults of a disk.
+// Disk states for SetDiskFault.
 const (
-	DiskHealthy = "well"
-	DiskStall   = "stall" // no write comes to an end
+	DiskHealthy = "well"  // no fault
+	DiskStall   = "stall" // writes do not return
 	DiskFull    = "full"  // each write fails
-	DiskSlow    = "slow"  // each write takes 0.3 s longer
+	DiskSlow    = "slow"  // each write takes an additional 0.3 s
 )
 
-// InterposeProxies puts a proxy before every process, so that machines can be partitioned. It
-// must come before Start.
+// InterposeProxies puts a proxy in front of every process, so that machines can be partitioned. It
+// must be called before Start.
 func (f *Fleet) InterposeProxies() error {
 	f.Network, f.proxies = faultproxy.NewNetwork(), map[string]*faultproxy.Proxy{}
 	for _, p := range f.Programs() {
@@ -28,39 +28,42 @@
 	return nil
 }
 
-// InterposeProxy puts a proxy before one process.
+// InterposeProxy puts a proxy in front of one process. It must be called before the process is
+// started.
 func (f *Fleet) InterposeProxy(p *Program) error {
-	r, err := f.Network.Listen(hostPort(p.IP, portTransport), hostPort(p.IP, portBehindProxy))
+	proxy, err := f.Network.Listen(hostPort(p.IP, portTransport), hostPort(p.IP, portBehindProxy))
 	if err != nil {
 		return err
 	}
-	f.proxies[p.IP] = r
+	f.proxies[p.IP] = proxy
 	p.AddArgs("--wire="+hostPort(p.IP, portBehindProxy), "--advertise="+hostPort(p.IP, portTransport))
 	return nil
 }
 
-// Kill kills processes; their addresses refuse connections from then on.
+// Kill kills processes. Afterwards their addresses refuse connections.
 func (f *Fleet) Kill(ps ...*Program) {
 	for _, p := range ps {
 		p.Kill()
-		if r := f.proxies[p.IP]; r != nil {
-			r.Refuse()
+		if proxy := f.proxies[p.IP]; proxy != nil {
+			proxy.Refuse()
 		}
 	}
 }
 
-// JumpClock puts the wall clock of a program off by so much from now on, also when it is started
-// again.
+// JumpClock sets the offset of the wall clock of a program. The offset takes effect at once and stays
+// in effect after a restart of the program.
 func (*Fleet) JumpClock(p *Program, by time.Duration) error {
 	return os.WriteFile(p.clockFile, []byte(by.String()), 0o640)
 }
 
-// SetDiskFault gives the disk of a replica a fault from now on.
+// SetDiskFault sets the state of the disk of a replica to one of the Disk constants. It takes effect
+// at once.
 func (*Fleet) SetDiskFault(p *Program, fault string) error {
 	return os.WriteFile(p.diskFile, []byte(fault), 0o640)
 }
 
-// PowerOff kills processes, and all that was in flight from or to them is lost.
+// PowerOff drops all connections through the proxies of processes and kills the processes. Data in
+// flight on these connections is lost. Each process must have a proxy.
 func (f *Fleet) PowerOff(ps ...*Program) {
 	for _, p := range ps {
 		f.proxies[p.IP].Drop()
@@ -68,14 +71,16 @@
 	f.Kill(ps...)
 }
 
-// ResetConnections closes all connections that others have to a process.
+// ResetConnections closes all connections that other processes have opened to a process. It has no
+// effect without a proxy.
 func (f *Fleet) ResetConnections(p *Program) {
 	if proxy := f.proxies[p.IP]; proxy != nil {
 		proxy.Drop()
 	}
 }
 
-// PowerOffZone kills all processes in one zone, backends included, and returns them.
+// PowerOffZone kills all sidecars, replicas and backends in one zone and returns them. It does not
+// drop connections at the proxies, as PowerOff does.
 func (f *Fleet) PowerOffZone(zone string) (programs []*Program, backends []*fakes.Backend) {
 	for i, p := range f.Sidecars {
 		if f.Zone(i) == zone {
@@ -97,12 +102,12 @@
 	return programs, backends
 }
 
-// Restart starts processes again that have ended.
+// Restart starts processes that have ended.
 func (f *Fleet) Restart(ps ...*Program) error {
 	for _, p := range ps {
-		if r := f.proxies[p.IP]; r != nil {
-			r.Refuse() // the proxy of one that stopped by itself still accepts
-			if err := r.Accept(); err != nil {
+		if proxy := f.proxies[p.IP]; proxy != nil {
+			proxy.Refuse() // the proxy still accepts if the process was not ended by Kill
+			if err := proxy.Accept(); err != nil {
 				return err
 			}
 		}
--- a/tests/fleet/fleet.go
+++ b/tests/fleet/fleet.go
@@ -15,7 +15,8 @@
 	"curlewwalk/tests/ledger"
 )
 
-// Fleet is a fleet of one size. Its exported fields may be changed before Start.
+// Fleet consists of replicas, sidecars and backends, and a ledger of the requests. Its exported
+// fields may be changed before Start.
 type Fleet struct {
 	Size     Size
 	Site     *Site
@@ -27,26 +28,26 @@
 	Backends []*fakes.Backend
 	Ledger   *ledger.Ledger
 	HTTP     *http.Client
-	// FirstRevision is that of the configuration that Start puts.
+	// FirstRevision is the revision of the configuration that Start puts.
 	FirstRevision uint64
-	// Network is set if proxies stand between the machines.
+	// Network controls the proxies between the machines. It is nil without proxies.
 	Network *faultproxy.Network
-	proxies map[string]*faultproxy.Proxy // by machine
+	proxies map[string]*faultproxy.Proxy // by IP address of the machine
 }
 
-// Ports on every machine.
+// Ports that the processes of every machine use.
 const (
 	portTransport   = 7400
-	portBehindProxy = 7399 // of the transport, when a proxy stands on portTransport
+	portBehindProxy = 7399 // transport port of a process whose proxy listens on portTransport
 	portControl     = 7401
 	portRequests    = 7402
 	portBackend     = 8000
 )
 
-// hostPort joins an address and a port.
+// hostPort returns the address in the form "ip:port".
 func hostPort(ip string, port int) string { return net.JoinHostPort(ip, strconv.Itoa(port)) }
 
-// New prepares a fleet without starting anything.
+// New prepares a fleet. It starts no process.
 func New(size Size, bin Binaries) (*Fleet, error) {
 	site, err := NewSite()
 	if err != nil {
@@ -69,11 +70,11 @@
 	return f, nil
 }
 
-// ReplicaIP is the machine on which a member first runs.
+// ReplicaIP returns the IP address of the machine on which a member first runs.
 func (f *Fleet) ReplicaIP(member int) string { return f.Site.IP(200 + member) }
 
-// Seeds are the addresses that every process is given to find the others: two replicas and a
-// sidecar.
+// Seeds returns the addresses at which every process looks for the other processes after its start.
+// They are the addresses of the first two replicas, or of the only one, and of the first sidecar.
 func (f *Fleet) Seeds() []string {
 	out := []string{hostPort(f.ReplicaIP(1), portTransport), hostPort(f.Site.IP(0), portTransport)}
 	if f.Size.Replicas != 1 {
@@ -82,38 +83,39 @@
 	return out
 }
 
-// program prepares a process with the settings that all have.
-func (f *Fleet) program(name, program, ip, zone string, more ...string) *Program {
+// program prepares a process with the settings that all processes have, and additional ones.
+func (f *Fleet) program(name, program, ip, zone string, extra ...string) *Program {
 	args := []string{"--wire=" + hostPort(ip, portTransport), "--control=" + hostPort(ip, portControl), "--locality=" + zone}
 	for _, s := range f.Seeds() {
 		args = append(args, "--seed="+s)
 	}
-	return &Program{Name: name, IP: ip, Control: hostPort(ip, portControl), path: f.Binaries.Path(program), args: append(args, more...), clockFile: filepath.Join(f.Dir, "clock-"+ip), diskFile: filepath.Join(f.Dir, "disk-"+ip)}
+	return &Program{Name: name, IP: ip, Control: hostPort(ip, portControl), path: f.Binaries.Path(program), args: append(args, extra...), clockFile: filepath.Join(f.Dir, "clock-"+ip), diskFile: filepath.Join(f.Dir, "disk-"+ip)}
 }
 
-// NewReplica prepares a replica with static membership, at any address and data directory.
+// NewReplica prepares a replica with static membership at the given address and data directory.
 func (f *Fleet) NewReplica(member int, ip, data string) *Program {
 	return f.program(fmt.Sprintf("replica-%d", member), "controlplane", ip, f.Zone(member-1), fmt.Sprintf("--slot=%d", member), fmt.Sprintf("--slots=%d", f.Size.Replicas), "--data="+data)
 }
 
-// NewJoiner prepares a replica with dynamic membership on the nth machine for replicas, which
-// asks the others to join. With founders it takes part in the first start of a cluster.
+// NewJoiner prepares a replica with dynamic membership on the nth machine for replicas. The replica
+// requests to join the other replicas. If founders are given, it takes part in the first start of a
+// cluster.
 func (f *Fleet) NewJoiner(n int, data string, founders ...string) *Program {
 	p := f.program(fmt.Sprintf("replica-%d", n), "controlplane", f.ReplicaIP(n), f.Zone(n-1), "--data="+data)
 	f.Replicas = append(f.Replicas, p)
 	if len(founders) > 0 {
 		p.AddArgs("--first")
 	}
-	for _, a := range founders {
-		p.AddArgs("--founders=" + a)
+	for _, address := range founders {
+		p.AddArgs("--founders=" + address)
 	}
 	return p
 }
 
-// ReplicaAddress is the transport address of the nth machine for replicas.
+// ReplicaAddress returns the transport address of the nth machine for replicas.
 func (f *Fleet) ReplicaAddress(n int) string { return hostPort(f.ReplicaIP(n), portTransport) }
 
-// Zone is the zone of the nth machine.
+// Zone returns the zone of the nth machine.
 func (f *Fleet) Zone(n int) string { return f.Size.Zones[n%len(f.Size.Zones)] }
 
 // newSidecar prepares the sidecar of the nth machine.
@@ -122,11 +124,11 @@
 	return f.program(fmt.Sprintf("sidecar-%d", i), "sidecar", ip, f.Zone(i), "--inquiries="+hostPort(ip, portRequests))
 }
 
-// RequestAddress is where clients of the nth machine send requests.
+// RequestAddress returns the address to which clients on the nth machine send requests.
 func (f *Fleet) RequestAddress(n int) string { return hostPort(f.Site.IP(n), portRequests) }
 
-// Start starts everything, puts the configuration, and waits until it is in force and all
-// sidecars know the backends.
+// Start starts all processes and backends and puts the configuration. It waits until the
+// configuration is in force on all sidecars and all sidecars list all backends.
 func (f *Fleet) Start(ctx context.Context) error {
 	var wg sync.WaitGroup
 	errs := make(chan error, len(f.Replicas)+len(f.Sidecars))
@@ -163,12 +165,12 @@
 	return f.AwaitServing(ctx, revision, len(f.Size.Backends))
 }
 
-// Programs are all processes of the system: the replicas, then the sidecars.
+// Programs returns all replicas and, after them, all sidecars.
 func (f *Fleet) Programs() []*Program {
 	return append(append([]*Program{}, f.Replicas...), f.Sidecars...)
 }
 
-// ReplicaIPs are the machines of the replicas.
+// ReplicaIPs returns the IP addresses of the machines of the replicas.
 func (f *Fleet) ReplicaIPs() (out []string) {
 	for _, p := range f.Replicas {
 		out = append(out, p.IP)
@@ -176,13 +178,13 @@
 	return out
 }
 
-// Close ends everything that is still running.
+// Close stops all backends, proxies and processes, releases the address range, and deletes Dir.
 func (f *Fleet) Close() {
 	for _, b := range f.Backends {
 		b.Kill()
 	}
-	for _, r := range f.proxies {
-		r.Close()
+	for _, proxy := range f.proxies {
+		proxy.Close()
 	}
 	for _, p := range f.Programs() {
 		if p.cmd != nil && p.Running() {
--- a/tests/fleet/links.go
+++ b/tests/fleet/links.go
@@ -5,24 +5,24 @@
 	"fmt"
 )
 
-// LinkCounts counts how backends' outgoing calls were linked to the requests that caused them,
-// compared with what the fakes recorded.
+// LinkCounts counts how the traces link the outgoing calls of backends to the requests that caused
+// them. The ledger of the fakes gives the true cause of each call.
 type LinkCounts struct {
-	// Calls counts the calls, Correct those linked to their cause, Unlinked those linked to
-	// none.
+	// Calls is the number of calls. Correct is the number linked to their true cause, and Unlinked
+	// the number that are not linked to any request.
 	Calls, Correct, Unlinked int
-	// Proven counts the links that are marked as proven, ProvenWrong those of them that are
-	// wrong.
+	// Proven is the number of links that are marked as proven. ProvenWrong is the number of these
+	// that are wrong.
 	Proven, ProvenWrong int
 }
 
-// String prints the counts.
+// String returns the counts as one line of text.
 func (n LinkCounts) String() string {
 	return fmt.Sprintf("%d calls, correct %.1f%%, unlinked %d, proven %.1f%%, proven and wrong %d",
 		n.Calls, 100*float64(n.Correct)/float64(max(1, n.Calls)), n.Unlinked, 100*float64(n.Proven)/float64(max(1, n.Calls)), n.ProvenWrong)
 }
 
-// CountLinks reads the traces of up to limit inner calls.
+// CountLinks reads the traces of at most limit inner calls and counts their links.
 func (f *Fleet) CountLinks(ctx context.Context, limit int) (counts LinkCounts, err error) {
 	calls := f.Ledger.InnerCalls()
 	for _, call := range calls[:min(len(calls), limit)] {
@@ -36,7 +36,7 @@
 	return counts, nil
 }
 
-// awaitSpan waits until a span can be read with its events.
+// awaitSpan waits until the first replica returns a span with its events.
 func (f *Fleet) awaitSpan(ctx context.Context, trace, id string) (span SpanNode, err error) {
 	err = Await(ctx, "span "+id+" in trace "+trace, func(ctx context.Context) bool {
 		var tree TraceTree
@@ -50,7 +50,7 @@
 	return span, err
 }
 
-// add counts the link of one call.
+// add adds the link of one call to the counts.
 func (n *LinkCounts) add(span SpanNode, correct bool) {
 	n.Calls++
 	switch {
--- a/tests/fleet/operate.go
+++ b/tests/fleet/operate.go
@@ -11,18 +11,19 @@
 	"time"
 )
 
-// Reply is an answer to an operator.
+// Reply is the answer to an operator's request.
 type Reply struct {
 	Status   int
 	Revision uint64
-	// Generation is the operator's own number of the configuration that was read.
+	// Generation is the operator's own version number of the configuration that was read.
 	Generation uint64
-	// Outcome is what became of a command; empty for a read.
+	// Outcome is the outcome of a command. It is empty for a read.
 	Outcome string
 	Body    []byte
 }
 
-// Operate sends an operator's request to a replica. header holds names and values in turn.
+// Operate sends an operator's request to a replica. header lists header names and values
+// alternately.
 func (f *Fleet) Operate(ctx context.Context, replica *Program, method, path string, body []byte, header ...string) (Reply, error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+replica.Control+path, bytes.NewReader(body))
 	if err != nil {
@@ -50,19 +51,21 @@
 	return r, nil
 }
 
-// EvacuateZone asks a replica to evacuate a zone; the ledger goes by when it was asked.
+// EvacuateZone requests the evacuation of a zone from a replica. The ledger records the time of the
+// request, not of the answer.
 func (f *Fleet) EvacuateZone(ctx context.Context, replica *Program, zone string) (Reply, error) {
 	f.Ledger.RecordEvacuation(zone, time.Now())
 	return f.operateOK(ctx, replica, http.MethodPut, "/v1/localities/"+zone+"/emptied", nil)
 }
 
-// RestoreZone asks a replica to restore an evacuated zone.
+// RestoreZone requests the restoration of an evacuated zone from a replica. The ledger records the
+// time of the request.
 func (f *Fleet) RestoreZone(ctx context.Context, replica *Program, zone string) (Reply, error) {
 	f.Ledger.RecordRestored(zone, time.Now())
 	return f.operateOK(ctx, replica, http.MethodDelete, "/v1/localities/"+zone+"/emptied", nil)
 }
 
-// operateOK is Operate for a request that must succeed.
+// operateOK is like Operate but returns an error if the status is not 200.
 func (f *Fleet) operateOK(ctx context.Context, replica *Program, method, path string, body []byte) (Reply, error) {
 	r, err := f.Operate(ctx, replica, method, path, body)
 	if err == nil && r.Status != http.StatusOK {
@@ -71,7 +74,7 @@
 	return r, err
 }
 
-// PutConfiguration puts a configuration at the nth replica and returns its revision.
+// PutConfiguration sends a configuration to the nth replica and returns its revision.
 func (f *Fleet) PutConfiguration(ctx context.Context, replica int, body []byte) (uint64, error) {
 	r, err := f.operateOK(ctx, f.Replicas[replica], http.MethodPut, "/v1/desired", body)
 	return r.Revision, err
--- a/tests/fleet/program.go
+++ b/tests/fleet/program.go
@@ -18,15 +18,15 @@
 	"time"
 )
 
-// Program is one process of the system. It can be started, ended and started again.
+// Program is a replica or sidecar process. It can be started again after it has ended.
 type Program struct {
 	Name      string
 	IP        string
 	Control   string
 	path      string
 	args      []string
-	clockFile string // holds by how much the wall clock has jumped
-	diskFile  string // holds the fault of the disk
+	clockFile string // file with the offset of the wall clock
+	diskFile  string // file with the disk fault
 
 	cmd    *exec.Cmd
 	stdout *output
@@ -34,10 +34,11 @@
 	exited chan struct{}
 }
 
-// maxOutput is how many bytes of a process's output are kept, about.
+// maxOutput is the size in bytes beyond which no further output of a process is kept.
 const maxOutput = 1 << 20
 
-// output keeps what a process writes, up to a limit.
+// output is a buffer for the output of a process. Once the buffer has reached maxOutput, further
+// writes are discarded.
 type output struct {
 	mu     sync.Mutex
 	buffer bytes.Buffer
@@ -53,20 +54,20 @@
 	return len(p), nil
 }
 
-// String is what was written.
+// String returns the output that was kept.
 func (o *output) String() string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.buffer.String()
 }
 
-// UseBinaries has the program come from other binaries at its next start.
+// UseBinaries sets the directory of the executable for the next start.
 func (p *Program) UseBinaries(b Binaries) { p.path = b.Path(filepath.Base(p.path)) }
 
-// AddArgs adds flags for the next start.
-func (p *Program) AddArgs(more ...string) { p.args = append(p.args, more...) }
+// AddArgs adds command-line flags for the next start.
+func (p *Program) AddArgs(flags ...string) { p.args = append(p.args, flags...) }
 
-// RemoveArgs removes flags, by their names, for the next start.
+// RemoveArgs removes all command-line flags with the given names for the next start.
 func (p *Program) RemoveArgs(names ...string) {
 	p.args = slices.DeleteFunc(p.args, func(a string) bool {
 		name, _, _ := strings.Cut(a, "=")
@@ -74,7 +75,8 @@
 	})
 }
 
-// Start starts the process and returns once it listens on its addresses.
+// Start starts the process. It returns when the process has printed that it listens on its
+// addresses, or has ended without that.
 func (p *Program) Start() error {
 	p.cmd = exec.Command(p.path, p.args...)
 	p.cmd.Env = append(os.Environ(), "CURLEWWALK_FAULT_CLOCK="+p.clockFile, "CURLEWWALK_FAULT_DISK="+p.diskFile)
@@ -108,20 +110,20 @@
 // Signal sends a signal to the process.
 func (p *Program) Signal(s syscall.Signal) { p.cmd.Process.Signal(s) }
 
-// Kill ends the process at once.
+// Kill sends SIGKILL and waits until the process has ended.
 func (p *Program) Kill() {
 	p.Signal(syscall.SIGKILL)
 	<-p.exited
 }
 
-// Stop sends SIGTERM and returns the exit code once the process has ended.
+// Stop sends SIGTERM, waits until the process has ended, and returns its exit code.
 func (p *Program) Stop() int {
 	p.Signal(syscall.SIGTERM)
 	<-p.exited
 	return p.cmd.ProcessState.ExitCode()
 }
 
-// Running reports whether the process has not ended.
+// Running reports whether the process was started and has not ended.
 func (p *Program) Running() bool {
 	select {
 	case <-p.exited:
@@ -131,7 +133,7 @@
 	}
 }
 
-// Stdout is what the process wrote to its standard output after its first line.
+// Stdout returns the standard output of the process after the first line.
 func (p *Program) Stdout() string {
 	if p.stdout == nil {
 		return ""
@@ -139,7 +141,7 @@
 	return p.stdout.String()
 }
 
-// Stderr is what the process wrote to its standard error.
+// Stderr returns the standard error of the process.
 func (p *Program) Stderr() string {
 	if p.stderr == nil {
 		return ""
@@ -147,8 +149,8 @@
 	return p.stderr.String()
 }
 
-// Get reads a JSON document from the process's control address and returns the status. With
-// a nil into only the status is read.
+// Get sends a GET request to the control address of the process and returns the status. It decodes
+// the JSON body into the value that into points to. If into is nil, the body is not read.
 func (p *Program) Get(ctx context.Context, path string, into any) (int, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.Control+path, nil)
 	if err != nil {
@@ -165,22 +167,22 @@
 	return resp.StatusCode, json.NewDecoder(resp.Body).Decode(into)
 }
 
-// Await calls ok again and again until it returns true, or fails when ctx ends. what says in the
-// error what was waited for.
-func Await(ctx context.Context, what string, ok func(ctx context.Context) bool) error {
-	tick := time.NewTicker(20 * time.Millisecond)
-	defer tick.Stop()
+// Await calls ok every 20 ms until it returns true. It returns an error if ctx is done first.
+// condition describes the awaited condition in the error.
+func Await(ctx context.Context, condition string, ok func(ctx context.Context) bool) error {
+	ticker := time.NewTicker(20 * time.Millisecond)
+	defer ticker.Stop()
 	for !ok(ctx) {
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("timed out waiting for %s", what)
-		case <-tick.C:
+			return fmt.Errorf("timed out waiting for %s", condition)
+		case <-ticker.C:
 		}
 	}
 	return nil
 }
 
-// AwaitReady waits until the process reports that it is ready.
+// AwaitReady waits until GET /ready of the process returns 200.
 func (p *Program) AwaitReady(ctx context.Context) error {
 	return Await(ctx, p.Name+" ready", func(ctx context.Context) bool {
 		status, err := p.Get(ctx, "/ready", nil)
--- a/tests/fleet/race_on.go
+++ b/tests/fleet/race_on.go
@@ -2,4 +2,5 @@
 
 package fleet
 
+// raceDetector reports whether the tests, and so the programs, are built with the race detector.
 const raceDetector = true
--- a/tests/fleet/site.go
+++ b/tests/fleet/site.go
@@ -7,22 +7,23 @@
 	"sync/atomic"
 )
 
-// Site is a range of loopback addresses that one fleet has to itself.
+// Site is a range of loopback addresses, 127.octet.0.0/16, that is reserved for one fleet.
 type Site struct {
-	octet int
-	lock  net.Listener
+	octet int          // second octet of the addresses
+	lock  net.Listener // marks the range as in use for all processes of the host
 }
 
-const firstOctet, octets = 10, 240
+// The second octets of the ranges are firstOctet to firstOctet+octetCount-1.
+const firstOctet, octetCount = 10, 240
 
-// nextSite lets each fleet of this process use the range after the one before it: sockets of a
-// fleet that has just ended may linger for a moment.
+// nextSite counts the ranges tried by this process. Each fleet starts at the range after that of the
+// previous fleet, because sockets of a fleet that has just ended may stay open for a moment.
 var nextSite atomic.Int64
 
-// NewSite reserves a range that no other fleet uses.
+// NewSite reserves an address range that no other fleet on this host uses.
 func NewSite() (*Site, error) {
-	for range octets {
-		octet := firstOctet + int(nextSite.Add(1)-1+int64(os.Getpid()))%octets
+	for range octetCount {
+		octet := firstOctet + int(nextSite.Add(1)-1+int64(os.Getpid()))%octetCount
 		ln, err := net.Listen("tcp", fmt.Sprintf("127.%d.255.254:7399", octet))
 		if err == nil {
 			return &Site{octet: octet, lock: ln}, nil
@@ -31,8 +32,8 @@
 	return nil, fmt.Errorf("no free range of loopback addresses")
 }
 
-// IP is the address of the nth machine.
+// IP returns the address of the nth machine.
 func (s *Site) IP(n int) string { return fmt.Sprintf("127.%d.%d.%d", s.octet, n/200, n%200+1) }
 
-// Close releases the range.
+// Close releases the address range.
 func (s *Site) Close() { s.lock.Close() }
--- a/tests/fleet/size.go
+++ b/tests/fleet/size.go
@@ -6,25 +6,26 @@
 	"curlewwalk/tests/fakes"
 )
 
-// Size is what a fleet is made of.
+// Size describes the composition and load of a fleet.
 type Size struct {
 	Name     string
 	Replicas int
 	Machines int
-	Zones    []string // machine i is in zone i modulo their number
-	// Backends lists services; backend i runs on machine i and serves Backends[i].
+	Zones    []string // machine i is in zone i modulo the number of zones
+	// Backends lists the service of each backend. Backend i runs on machine i.
 	Backends []string
-	Capacity int     // of each backend, in requests at a time
-	Rate     float64 // of all clients together, in requests a second
+	Capacity int     // of each backend, in concurrent requests
+	Rate     float64 // of all clients together, in requests per second
 	Plans    []fakes.RequestPlan
-	// SlowFactor is by how many times the backends of a zone are slower than planned.
+	// SlowFactor gives, by zone, the factor by which the backends work longer than planned. For a
+	// zone without an entry the planned work time applies.
 	SlowFactor map[string]float64
 }
 
-// fourZones are the zones of both deployments.
+// fourZones lists the zones of both deployments.
 var fourZones = []string{"north", "east", "south", "west"}
 
-// RepeatServices lists services in turn until there are n.
+// RepeatServices returns a list of n services that repeats the given ones in order.
 func RepeatServices(n int, services ...string) []string {
 	out := make([]string, n)
 	for i := range out {
@@ -33,7 +34,8 @@
 	return out
 }
 
-// Deployment is the size of a deployment by its name: heating, or association for any other.
+// Deployment returns the size of the named deployment: Heating for "heating", and Association for
+// any other name.
 func Deployment(name string) Size {
 	if name == "heating" {
 		return Heating()
@@ -41,7 +43,7 @@
 	return Association()
 }
 
-// Association is the size of the window and door association.
+// Association returns the size of the deployment of the window and door association.
 func Association() Size {
 	return Size{
 		Name: "association", Replicas: 3, Machines: 13, Zones: fourZones, Backends: RepeatServices(13, "orders", "stock", "surveys"), Capacity: 9, Rate: 210,
@@ -55,7 +57,7 @@
 	}
 }
 
-// Heating is the size of the heating firm.
+// Heating returns the size of the deployment of the heating firm.
 func Heating() Size {
 	return Size{
 		Name: "heating", Replicas: 5, Machines: 12, Zones: fourZones, Backends: RepeatServices(12, "setpoints", "meters", "firmware"), Capacity: 9, Rate: 140,
--- a/tests/fleet/trace.go
+++ b/tests/fleet/trace.go
@@ -1,6 +1,6 @@
 package fleet
 
-// TraceTree is the part of GET /v1/traces/ID that is read.
+// TraceTree contains the fields that the tests read from the answer to GET /v1/traces/ID.
 type TraceTree struct {
 	Spans   int        `json:"spans"`
 	Whole   bool       `json:"whole"`
@@ -8,7 +8,7 @@
 	Unasked []int      `json:"unasked"`
 }
 
-// SpanNode is one span of a trace, with the spans that it caused.
+// SpanNode is one span of a trace, with its child spans.
 type SpanNode struct {
 	Span       string   `json:"span"`
 	Parent     string   `json:"parent"`
@@ -29,14 +29,14 @@
 	Children []SpanNode `json:"children"`
 }
 
-// findSpan searches a tree for a span.
-func findSpan(in []SpanNode, span string) (SpanNode, bool) {
-	for _, b := range in {
-		if b.Span == span {
-			return b, true
+// findSpan returns the span with the given ID from a list of trees, and reports whether it was found.
+func findSpan(nodes []SpanNode, span string) (SpanNode, bool) {
+	for _, node := range nodes {
+		if node.Span == span {
+			return node, true
 		}
-		if c, ok := findSpan(b.Children, span); ok {
-			return c, true
+		if found, ok := findSpan(node.Children, span); ok {
+			return found, true
 		}
 	}
 	return SpanNode{}, false
--- a/tests/fleet/workload.go
+++ b/tests/fleet/workload.go
@@ -9,13 +9,13 @@
 	"curlewwalk/tests/fakes"
 )
 
-// StartBackend starts a warm backend on the nth machine.
+// StartBackend starts a fully warm backend on the nth machine.
 func (f *Fleet) StartBackend(n int, service, instance string, port int) (*fakes.Backend, error) {
 	return f.StartBackendOn(hostPort(f.Site.IP(n), port), n, service, instance, 0)
 }
 
-// StartBackendOn starts a backend at an address of the nth machine. warmth is the share of its
-// capacity that it announces; zero for all of it.
+// StartBackendOn starts a backend at an address of the nth machine. warmth is the share of the
+// capacity that is announced as warmed up. Zero means a fully warm backend.
 func (f *Fleet) StartBackendOn(addr string, n int, service, instance string, warmth float64) (*fakes.Backend, error) {
 	b := &fakes.Backend{
 		Instance: instance, Service: service, Zone: f.Zone(n), Capacity: f.Size.Capacity, Warmth: warmth, SlowFactor: f.Size.SlowFactor[f.Zone(n)],
@@ -25,7 +25,8 @@
 	return b, b.Start(addr)
 }
 
-// Configuration is the configuration of the fleet's request plans, as operators put it.
+// Configuration returns the JSON configuration of the routes and contracts for the fleet's request
+// plans, in the form that operators put.
 func (f *Fleet) Configuration() []byte {
 	var routes, contracts []map[string]any
 	for _, p := range f.Size.Plans {
@@ -36,12 +37,12 @@
 	return b
 }
 
-// NewClient makes a client on the nth machine that sends so many requests a second.
+// NewClient returns a client on the nth machine that sends rate requests per second.
 func (f *Fleet) NewClient(n int, rate float64) *fakes.Client {
 	return &fakes.Client{Name: fmt.Sprintf("caller-%d", n), Address: f.RequestAddress(n), Zone: f.Zone(n), Rate: rate, Plans: f.Size.Plans, Ledger: f.Ledger, HTTP: f.HTTP, Seed: uint64(n)}
 }
 
-// RunClients runs clients until ctx ends and all their answers are in.
+// RunClients runs clients until ctx is done and all their requests have been answered.
 func (*Fleet) RunClients(ctx context.Context, clients ...*fakes.Client) {
 	var wg sync.WaitGroup
 	for _, c := range clients {
@@ -50,7 +51,7 @@
 	wg.Wait()
 }
 
-// Clients makes a client for every machine; together they send at the fleet's rate.
+// Clients returns one client for each machine. Together the clients send at the fleet's rate.
 func (f *Fleet) Clients() []*fakes.Client {
 	var out []*fakes.Client
 	for i := range f.Sidecars {
