--- a/tests/cmd/day/main.go
+++ b/tests/cmd/day/main.go
@@ -1,5 +1,6 @@
-// Command day runs a day of either deployment at its size and rate, with failures in seeded
-// order and one last fault, and judges it. It ends with 1 if a rule was broken.
+// Command day runs a day of one of the two deployments at its size and request rate. It
+// injects failures in an order drawn from a seed and one last fault at the end, and judges the run.
+// It exits with 1 if a rule was broken or the run failed.
 package main
 
 import (
@@ -35,6 +36,7 @@
 	}
 }
 
+// run runs a day and prints its results. It reports whether no rule was broken.
 func run(size fleet.Size, seed uint64, events int, only string) (bool, error) {
 	bin, err := fleet.Build()
 	if err != nil {
@@ -54,9 +56,9 @@
 	if err != nil {
 		return false, err
 	}
-	service, spread := d.Slowest()
+	recovery, rollout := d.Slowest()
 	fmt.Printf("day of %s, seed %d: sent %d, ran %d, good %d, not-run %d, unknown %d, interrupted %d\n", size.Name, seed, v.Sent, v.Ran, v.Good, v.NotRun, v.Unknown, v.Interrupted)
-	fmt.Printf("slowest recovery %v, slowest rollout of a configuration %v\n", service.Round(time.Millisecond), spread.Round(time.Millisecond))
+	fmt.Printf("slowest recovery %v, slowest rollout of a configuration %v\n", recovery.Round(time.Millisecond), rollout.Round(time.Millisecond))
 	for _, line := range d.Recoveries() {
 		fmt.Println(line)
 	}
--- a/tests/cmd/fleet/main.go
+++ b/tests/cmd/fleet/main.go
@@ -1,5 +1,6 @@
-// Command fleet runs a fleet of the size of either deployment under load, prints what clients
-// got, and judges the run. It ends with 1 if a rule was broken.
+// Command fleet runs a fleet of the size of one of the two deployments under load, prints the
+// results of the clients, and judges the run. It exits with 1 if a rule was broken or the run
+// failed.
 package main
 
 import (
@@ -14,7 +15,7 @@
 	"curlewwalk/tests/ledger"
 )
 
-// options are the command line.
+// options are the command-line options.
 type options struct {
 	Deployment string             `long:"deployment" choice:"association" choice:"heating" default:"association" description:"whose size to run"`
 	For        time.Duration      `long:"for" default:"10s" description:"how long clients send"`
@@ -51,6 +52,7 @@
 	}
 }
 
+// run runs a fleet and prints its results. It returns an error if a rule was broken.
 func run(size fleet.Size, opt options) error {
 	bin := fleet.Binaries(opt.Bin)
 	if opt.Bin == "" {
@@ -74,18 +76,18 @@
 	fmt.Printf("fleet %s: %d machines, %d replicas; serving after %v\n", size.Name, size.Machines, size.Replicas, time.Since(start).Round(time.Millisecond))
 	load, stop := context.WithTimeout(context.Background(), opt.For)
 	defer stop()
-	r := &fleet.Report{}
-	callers := f.Clients()
-	for _, c := range callers {
-		c.OnAnswer, c.Retries, c.Keyed = r.Record, opt.Retry, opt.Keyed
+	report := &fleet.Report{}
+	clients := f.Clients()
+	for _, c := range clients {
+		c.OnAnswer, c.Retries, c.Keyed = report.Record, opt.Retry, opt.Keyed
 	}
 	if opt.Lose != "" {
 		half := time.AfterFunc(opt.For/2, func() { f.PowerOffZone(opt.Lose) })
 		defer half.Stop()
 	}
-	f.RunClients(load, callers...)
+	f.RunClients(load, clients...)
 	v := f.Ledger.Judge()
-	fmt.Print(r)
+	fmt.Print(report)
 	fmt.Printf("sent %d (inner calls included), ran %d, good %d, not-run %d, unknown %d\n", v.Sent, v.Ran, v.Good, v.NotRun, v.Unknown)
 	fmt.Printf("in another zone than the sender's: %.1f%%; runs by backend: %v\n", 100*float64(v.CrossZone)/float64(v.Ran), v.Spread)
 	read, cancel := context.WithTimeout(context.Background(), 30*time.Second)
@@ -100,13 +102,13 @@
 	return checkVerdict(v)
 }
 
-// checkVerdict prints the broken rules; it is an error if there are any.
+// checkVerdict prints the breaches of a verdict and returns an error if there are any.
 func checkVerdict(v ledger.Verdict) error {
 	for _, b := range v.Breaches {
 		fmt.Println("BROKEN:", b)
 	}
 	if len(v.Breaches) > 0 {
-		return fmt.Errorf("%d rules were broken", len(v.Breaches))
+		return fmt.Errorf("run of the fleet has %d breaches of rules", len(v.Breaches))
 	}
 	return nil
 }
--- a/tests/cmd/modelcheck/main.go
+++ b/tests/cmd/modelcheck/main.go
@@ -1,5 +1,5 @@
 // Command modelcheck explores the long runs of tests/modelcheck and prints the result of each. It
-// ends with 1 if an invariant is broken.
+// exits with 1 if an invariant is violated.
 package main
 
 import (
@@ -20,24 +20,24 @@
 	if _, err := flags.Parse(&opt); err != nil {
 		os.Exit(2)
 	}
-	broken := false
+	violated := false
 	for _, r := range modelcheck.LongRuns {
 		if opt.Only != "" && r.Name != opt.Only {
 			continue
 		}
 		r.States = opt.States
-		begin := time.Now()
+		start := time.Now()
 		result := modelcheck.Explore(r.Scenario, r.Bounds)
-		fmt.Printf("%s %s in %v: %s\n", r.Name, r.Bounds, time.Since(begin).Round(time.Second), result)
+		fmt.Printf("%s %s in %v: %s\n", r.Name, r.Bounds, time.Since(start).Round(time.Second), result)
 		if result.Violation != "" {
-			broken = true
+			violated = true
 			fmt.Printf("broken: %s, after\n", result.Violation)
-			for _, e := range result.Trace {
-				fmt.Println("  " + e)
+			for _, step := range result.Trace {
+				fmt.Println("  " + step)
 			}
 		}
 	}
-	if broken {
+	if violated {
 		os.Exit(1)
 	}
 }
--- a/tests/cmd/mutation/main.go
+++ b/tests/cmd/mutation/main.go
@@ -1,6 +1,6 @@
-// Command mutation applies each mutation of the catalogue to scratch copies of the tree, runs
-// the test that must fail there, and reports which mutations are killed. It ends with 1 if
-// one survives.
+// Command mutation applies each mutation of the catalogue to a scratch copy of the tree and runs
+// the test that must fail there. It reports which mutations are killed, and exits with 1 if one
+// survives and with 2 if the mutations cannot be run.
 package main
 
 import (
@@ -17,13 +17,13 @@
 
 func main() {
 	var opt struct {
-		Only  string `long:"only" description:"only mutations whose file, test or invariant contains this"`
-		Count int    `long:"copies" default:"3" description:"how many copies of the tree are used in parallel"`
+		Only   string `long:"only" description:"only mutations whose file, test or invariant contains this"`
+		Copies int    `long:"copies" default:"3" description:"how many copies of the tree are used in parallel"`
 	}
 	if _, err := flags.Parse(&opt); err != nil {
 		os.Exit(2)
 	}
-	tried, survived, err := runMutations(opt.Only, opt.Count)
+	tried, survived, err := runMutations(opt.Only, opt.Copies)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(2)
@@ -34,10 +34,11 @@
 	}
 }
 
-// runMutations applies the mutations that contain only to so many copies of the tree, and counts
-// those that were tried and those that survived.
+// runMutations runs the mutations whose file, test or invariant contains only, in parallel on the
+// given number of copies of the tree. It returns how many were tried and how many survived. A
+// mutation that could not be run counts as survived.
 func runMutations(only string, copies int) (tried, survived int, err error) {
-	work := make(chan mutation.Mutation)
+	queue := make(chan mutation.Mutation)
 	results := make(chan bool)
 	var workers sync.WaitGroup
 	for range copies {
@@ -47,31 +48,32 @@
 		}
 		defer os.RemoveAll(root)
 		workers.Go(func() {
-			for d := range work {
-				results <- runMutation(d, root)
+			for m := range queue {
+				results <- runMutation(m, root)
 			}
 		})
 	}
 	go func() {
-		for _, d := range mutation.All {
-			if strings.Contains(d.File+" "+d.Test+" "+d.Invariant, only) {
-				work <- d
+		for _, m := range mutation.All {
+			if strings.Contains(m.File+" "+m.Test+" "+m.Invariant, only) {
+				queue <- m
 			}
 		}
-		close(work)
+		close(queue)
 		workers.Wait()
 		close(results)
 	}()
-	for ok := range results {
+	for killed := range results {
 		tried++
-		if !ok {
+		if !killed {
 			survived++
 		}
 	}
 	return tried, survived, nil
 }
 
-// copyTree copies the files that git tracks to a temporary directory.
+// copyTree copies the files that git tracks to a temporary directory and returns its path. The
+// caller must remove the directory.
 func copyTree() (root string, err error) {
 	root, err = os.MkdirTemp("", "curlewwalk-mutation-")
 	if err != nil {
@@ -80,18 +82,18 @@
 	return root, exec.Command("sh", "-c", `git ls-files -z | xargs -0 cp --parents -t "$0"`, root).Run()
 }
 
-// runMutation tries one mutation in a copy of the tree, prints the result, and reports whether it
-// was killed.
-func runMutation(d mutation.Mutation, root string) bool {
-	ok, output, err := d.Killed(root)
+// runMutation runs one mutation in a copy of the tree, prints the result, and reports whether the
+// mutation was killed.
+func runMutation(m mutation.Mutation, root string) bool {
+	killed, output, err := m.Killed(root)
 	switch {
 	case err != nil:
-		fmt.Printf("ERROR  %-42s %-26s %v\n%s\n", d.Invariant, d.Test, err, output)
+		fmt.Printf("ERROR  %-42s %-26s %v\n%s\n", m.Invariant, m.Test, err, output)
 		return false
-	case ok:
-		fmt.Printf("killed %-42s %-26s %s\n", d.Invariant, d.Test, d.File)
+	case killed:
+		fmt.Printf("killed %-42s %-26s %s\n", m.Invariant, m.Test, m.File)
 	default:
-		fmt.Printf("SURVIVED %-42s %-26s %s: %s -> %s\n", d.Invariant, d.Test, d.File, d.Old, d.New)
+		fmt.Printf("SURVIVED %-42s %-26s %s: %s -> %s\n", m.Invariant, m.Test, m.File, m.Old, m.New)
 	}
-	return ok
+	return killed
 }
--- a/tests/cmd/soak/main.go
+++ b/tests/cmd/soak/main.go
@@ -1,6 +1,7 @@
-// Command soak runs whole fleets of either deployment under overlapping faults, drawn by seeds,
-// and judges what clients, backends and operators saw. It ends with 1 if a rule was broken.
-// (DESIGN 14.10)
+// Command soak runs whole fleets of one of the two deployments under overlapping faults, which are
+// drawn from seeds. It judges each run by the records of clients, backends and operators. It exits
+// with 1 if a rule was broken or a run failed, and with 2 if the command line or a plan is invalid
+// or the machine is too small. (DESIGN 14.10)
 package main
 
 import (
@@ -22,7 +23,7 @@
 	"curlewwalk/tests/soak"
 )
 
-// options are the command line.
+// options are the command-line options.
 type options struct {
 	Deployment string        `long:"deployment" default:"association" description:"association or heating"`
 	Seed       uint64        `long:"seed" default:"1" description:"the seed to play"`
@@ -73,7 +74,7 @@
 	}
 }
 
-// plans are the plans to be played.
+// plans returns the plans that the options select.
 func plans(opt options) ([]soak.Plan, error) {
 	if opt.Plan != "" {
 		text, err := os.ReadFile(opt.Plan)
@@ -98,7 +99,7 @@
 	return out, nil
 }
 
-// seedRange parses the seeds to be played.
+// seedRange returns the first and the last seed to be played.
 func seedRange(opt options) (first, last uint64, err error) {
 	if opt.Seeds == "" {
 		return opt.Seed, opt.Seed, nil
@@ -108,13 +109,13 @@
 		last, err = strconv.ParseUint(to, 10, 64)
 	}
 	if err != nil || last < first {
-		return 0, 0, fmt.Errorf("--seeds %q is no range, as 1-50", opt.Seeds)
+		return 0, 0, fmt.Errorf("--seeds %q is not a range such as 1-50", opt.Seeds)
 	}
 	return first, last, nil
 }
 
-// play plays plans one after the other, and counts those that broke a rule. The results so far are
-// kept when it is interrupted.
+// play plays plans one after the other and returns the number of those that broke a rule. An
+// interrupt ends it after the results so far have been printed.
 func play(opt options, plans []soak.Plan) (broken int, err error) {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
@@ -130,7 +131,7 @@
 			break
 		}
 		if err != nil {
-			return broken, fmt.Errorf("seed %d: %w", p.Seed, err)
+			return broken, fmt.Errorf("play plan of seed %d: %w", p.Seed, err)
 		}
 		table.Print(res)
 		if err := appendResult(opt.Results, res); err != nil {
@@ -145,7 +146,7 @@
 	return broken, nil
 }
 
-// playOne plays one plan.
+// playOne plays one plan. With --verbose it prints the lines of the run to standard error.
 func playOne(ctx context.Context, opt options, p soak.Plan, bin fleet.Binaries) (*soak.Result, error) {
 	out := io.Discard
 	if opt.Verbose {
@@ -158,10 +159,12 @@
 	return r.Play(ctx)
 }
 
-// reportBroken prints a plan that broke a rule: what was broken, the plan, and how to play it again.
+// reportBroken prints the first breaches of a plan that broke a rule, the plan, and the command
+// that draws the plan again from its seed and plays it. If --shorten is set, it prints the
+// shortened plan.
 func reportBroken(ctx context.Context, opt options, res *soak.Result, bin fleet.Binaries) {
-	for _, narrative := range res.Narratives {
-		fmt.Println(narrative)
+	for _, report := range res.BreachReports {
+		fmt.Println(report)
 	}
 	plan := res.Plan
 	if opt.Shorten > 0 {
@@ -175,7 +178,8 @@
 	fmt.Printf("again: go run ./tests/cmd/soak --deployment %s --seed %d --for %v --size %d --only %q\n", plan.Deployment, plan.Seed, opt.For, opt.Size, opt.Only)
 }
 
-// appendResult appends a result to a file, if there is one.
+// appendResult appends a result to the file at path as a line of JSON. It does nothing if path is
+// empty.
 func appendResult(path string, res *soak.Result) error {
 	if path == "" {
 		return nil
--- a/tests/soak/backends.go
+++ b/tests/soak/backends.go
@@ -11,7 +11,8 @@
 	"curlewwalk/tests/ledger"
 )
 
-// startBackend starts a new backend on a machine, at an address or, if that is empty, a new one.
+// startBackend starts a new backend on a machine and makes it the current one. If addr is empty,
+// the backend gets an unused port. Two of three backends number their announcements.
 func (r *Run) startBackend(m *machine, addr, service string) error {
 	m.serial++
 	f := r.Fleet
@@ -32,7 +33,8 @@
 	return nil
 }
 
-// startBackendRetrying starts a new backend, and retries while its address has not been released.
+// startBackendRetrying starts a new backend. It retries until ctx is done, because the address may
+// not have been released yet.
 func (r *Run) startBackendRetrying(ctx context.Context, m *machine, addr, service string) {
 	for ctx.Err() == nil {
 		err := r.startBackend(m, addr, service)
@@ -44,18 +46,18 @@
 	}
 }
 
-// departures counts the backends that left in order while their sidecars were in touch, and
-// those of them whose announcement was never acknowledged.
+// departures counts the backends that left in order while their sidecars were stable, and those of
+// them whose departure was not acknowledged. It is safe for concurrent use.
 type departures struct {
 	mu                     sync.Mutex
 	judged, unacknowledged int
 }
 
-// record records a departure; calm is whether the sidecar was in touch.
-func (d *departures) record(acknowledged, calm bool) {
+// record counts a departure if the sidecar of the backend was stable.
+func (d *departures) record(acknowledged, stable bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if !calm {
+	if !stable {
 		return
 	}
 	d.judged++
@@ -66,17 +68,17 @@
 
 // The variants of a departure.
 const (
-	variantAnnounce     = "leaving"        // it announces that it is leaving, and deregisters later
-	variantDeregister   = "gone"           // it only deregisters, and goes on serving
-	variantBoth         = "twice"          // it does both, each twice
-	variantReuseAddress = "address-passes" // it deregisters, and its address is used by the next one
+	variantAnnounce     = "leaving"        // announces that the backend is leaving, deregisters later
+	variantDeregister   = "gone"           // only deregisters; the backend continues to serve
+	variantBoth         = "twice"          // announces the departure twice, then deregisters
+	variantReuseAddress = "address-passes" // deregisters; the next backend uses the same address
 )
 
-// leaveVariants are all of them.
+// leaveVariants lists all variants of a departure.
 var leaveVariants = []string{variantAnnounce, variantDeregister, variantBoth, variantReuseAddress}
 
-// lockMachine locks the machine that an entry is for, until its mu is unlocked; false if something
-// is being done there already.
+// lockMachine locks the mu of the machine that is the target of an entry. The caller must unlock
+// it. If it is already locked, lockMachine skips the entry and returns false.
 func (r *Run) lockMachine(e Entry) (m *machine, ok bool) {
 	m = r.machines[e.Target%len(r.machines)]
 	if !m.mu.TryLock() {
@@ -86,8 +88,9 @@
 	return m, true
 }
 
-// leave has a backend leave in order, with announcements from before that come late. The next
-// backend starts beside it, or at its address once that may be used again.
+// leave makes a backend leave in order and starts the next backend. Announcements that were
+// captured before the departure are delivered late, once or twice each. The next backend starts at
+// another address at once, or at the same address when that may be reused.
 func leave(ctx context.Context, r *Run, e Entry, rng *rand.Rand) {
 	m, ok := r.lockMachine(e)
 	if !ok {
@@ -102,10 +105,10 @@
 	began := time.Now()
 	acknowledged := r.announceLeaving(ctx, b, e)
 	if !acknowledged {
-		r.logf("%s had no acknowledgement", b.Instance)
+		r.logf("departure of %s was not acknowledged", b.Instance)
 	}
 	announced := time.Now()
-	r.departures.record(acknowledged, r.faults.inTouch(r.Fleet.Site.IP(m.number), began, began.Add(acknowledgeLimit)))
+	r.departures.record(acknowledged, r.faults.machineStable(r.Fleet.Site.IP(m.number), began, began.Add(acknowledgeLimit)))
 	var sending sync.WaitGroup
 	for _, send := range late {
 		after := time.Duration(rng.Int64N(int64(seconds(e.For)) + 1))
@@ -125,8 +128,9 @@
 	sending.Wait()
 }
 
-// announceLeaving announces that a backend is leaving until that is acknowledged, or for as long
-// as backends wait for it.
+// announceLeaving announces that a backend is leaving, or deregisters it, as the variant says. It
+// retries until that is acknowledged or acknowledgeLimit is over, and reports whether it was
+// acknowledged.
 func (r *Run) announceLeaving(ctx context.Context, b *fakes.Backend, e Entry) (acknowledged bool) {
 	deregister := e.Variant == variantDeregister || e.Variant == variantReuseAddress
 	if deregister {
@@ -149,40 +153,44 @@
 	return false
 }
 
-// sendLateAnnouncement sends an announcement from before a backend left.
+// sendLateAnnouncement sends an announcement that was captured before a backend left, with a delay.
 func (r *Run) sendLateAnnouncement(ctx context.Context, b *fakes.Backend, after time.Duration, send func(context.Context) error) {
 	sleep(ctx, after)
 	call, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
 	if err := send(call); err == nil {
-		r.logf("%s: an announcement from before its departure came %v late", b.Instance, after.Round(time.Millisecond))
+		r.logf("%s: an announcement from before the departure was delivered after %v", b.Instance, after.Round(time.Millisecond))
 	}
 }
 
-// maxWorkOff is how long a backend that ends waits for what it is running.
-const maxWorkOff = 8 * time.Second
+// backendDrainTimeout is how long a backend that ends waits for its running requests.
+const backendDrainTimeout = 8 * time.Second
 
-// stopBackend deregisters a backend, and ends it once it runs nothing.
+// stopBackend deregisters a backend and ends it when it has no running requests, or after
+// backendDrainTimeout.
 func (r *Run) stopBackend(ctx context.Context, b *fakes.Backend, e Entry) {
 	if e.Variant == variantAnnounce {
 		b.AnnounceLeaving(ctx, true)
 	}
 	b.StopAnnouncing()
-	for began := time.Now(); b.Open() > 0 && time.Since(began) < maxWorkOff; {
+	for began := time.Now(); b.Open() > 0 && time.Since(began) < backendDrainTimeout; {
 		sleep(ctx, 20*time.Millisecond)
 	}
 	r.killBackend(b)
 }
 
-// killBackend ends a backend; what it is still running is interrupted.
+// killBackend ends a backend. If that interrupts running requests, it records a crash, so that they
+// do not count as lost in a planned change.
 func (r *Run) killBackend(b *fakes.Backend) {
 	if b.Open() > 0 {
-		defer r.faults.begin(Fault{Kind: kindCrash, Variant: "its work was not over", Machines: nil})()
+		defer r.faults.begin(Fault{Kind: kindCrash, Variant: "requests still running", Machines: nil})()
 	}
 	b.Kill()
 }
 
-// crash kills a backend; another one starts, at its address or a new one.
+// crash kills a backend and starts another one at a new address. In the variant variantReuseAddress
+// the new backend starts at the same address and is of a service drawn at random. Finally, crash
+// delivers an announcement that the killed backend had made.
 func crash(ctx context.Context, r *Run, e Entry, rng *rand.Rand) {
 	m, ok := r.lockMachine(e)
 	if !ok {
@@ -204,7 +212,7 @@
 	r.sendLateAnnouncement(ctx, b, time.Second, late)
 }
 
-// slow has a backend work many times as long for a while.
+// slow makes the work of a backend take 4 to 15 times as long for the duration of the entry.
 func slow(ctx context.Context, r *Run, e Entry, rng *rand.Rand) {
 	m := r.machines[e.Target%len(r.machines)]
 	b := m.backend.Load()
@@ -213,7 +221,8 @@
 	b.TemporarySlowFactor.Store(0)
 }
 
-// garble has a backend lose answers, or send malformed ones, for a while.
+// garble makes a backend drop 2 to 21 percent of its answers, or send malformed ones in their
+// place, for the duration of the entry.
 func garble(ctx context.Context, r *Run, e Entry, rng *rand.Rand) {
 	m := r.machines[e.Target%len(r.machines)]
 	b := m.backend.Load()
--- a/tests/soak/evacuation.go
+++ b/tests/soak/evacuation.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// evacuate evacuates a zone and restores it.
+// evacuate evacuates a zone and restores it after the duration of the entry. It retries the restore
+// until it is acknowledged, so that no zone stays evacuated.
 func evacuate(ctx context.Context, r *Run, e Entry, _ *rand.Rand) {
 	zone := r.Fleet.Size.Zones[e.Target%len(r.Fleet.Size.Zones)]
 	if !r.zoneLocks[zone].TryLock() {
@@ -28,7 +29,9 @@
 	}
 }
 
-// submitEvacuation sends a command on a zone until it is acknowledged, for commandTimeout at most.
+// submitEvacuation sends an evacuation command to one replica after the other until it is
+// acknowledged or commandTimeout is over. It returns the time of the acknowledgement and whether
+// there was one.
 func (r *Run) submitEvacuation(ctx context.Context, e Entry, method, path string) (acked time.Time, ok bool) {
 	sent := time.Now()
 	for attempt := e.Target; time.Since(sent) < commandTimeout && ctx.Err() == nil; attempt++ {
--- a/tests/soak/kinds.go
+++ b/tests/soak/kinds.go
@@ -5,10 +5,10 @@
 	"math/rand/v2"
 )
 
-// Kind is what an entry of a plan does.
+// Kind names the fault or the planned change of an entry.
 type Kind string
 
-// The kinds of entry.
+// The kinds of entries.
 const (
 	kindLeave            Kind = "backend-leaves"
 	kindCrash            Kind = "backend-crashes"
@@ -41,22 +41,23 @@
 	lastDiskLoss Kind = "disk-lost-and-power-off"
 )
 
-// lastKinds are all of them.
+// lastKinds lists all kinds of the last fault.
 var lastKinds = []Kind{lastPower, lastKill, lastDiskLoss}
 
-// kind is how entries of a Kind are drawn and played.
+// kind defines how the entries of a Kind are drawn and played.
 type kind struct {
-	// planned is set for planned work, around which nothing may be lost.
+	// planned is set for planned changes, during which no accepted request may be lost.
 	planned bool
-	// variants are the values of Entry.Variant; maxSeconds bounds how long an entry lasts, and
-	// maxCount on how many targets it is played.
+	// variants are the possible values of Entry.Variant. maxSeconds is the upper bound of
+	// Entry.For, and maxCount that of Entry.Count.
 	variants   []string
 	maxSeconds float64
 	maxCount   int
-	play       func(ctx context.Context, r *Run, e Entry, rng *rand.Rand)
+	// play carries out an entry and returns when its fault or change is over.
+	play func(ctx context.Context, r *Run, e Entry, rng *rand.Rand)
 }
 
-// kinds are the kinds by name.
+// kinds maps each kind to its definition.
 var kinds map[Kind]kind
 
 func init() {
@@ -86,7 +87,7 @@
 	}
 }
 
-// draw draws the variant, the duration and the count of an entry.
+// draw draws the variant, the duration and the count of an entry, in this order.
 func (k kind) draw(rng *rand.Rand, e *Entry) {
 	if len(k.variants) > 0 {
 		e.Variant = k.variants[rng.IntN(len(k.variants))]
--- a/tests/soak/lastfault.go
+++ b/tests/soak/lastfault.go
@@ -5,17 +5,19 @@
 	"math/rand/v2"
 )
 
-// lastOutage is how long what the last fault ends is away, in seconds.
-const lastOutage = 1.0
+// lastOutageSeconds is how long all processes stay down after the last fault.
+const lastOutageSeconds = 1.0
 
-// playLast plays the last fault, right after one more configuration was acknowledged.
+// playLast submits one more configuration and then plays the last fault. The fault strikes right
+// after the acknowledgement: a configuration that was acknowledged before it was stored durably
+// would be missing afterwards.
 func (r *Run) playLast(ctx context.Context) {
 	if r.Plan.Last == "" {
 		return
 	}
 	rng := rand.New(rand.NewPCG(r.Plan.Seed, 7))
 	r.submitConfiguration(ctx, r.operator.next(r), rng.IntN(len(r.Fleet.Replicas)), 0, false)
-	r.logf("at the end: %s", r.Plan.Last)
+	r.logf("last fault: %s", r.Plan.Last)
 	all := r.Fleet.Programs()
 	defer r.faults.begin(Fault{Kind: r.Plan.Last, Machines: ips(all), ControlPlane: true})()
 	if r.Plan.Last == lastKill {
@@ -26,6 +28,6 @@
 	if r.Plan.Last == lastDiskLoss {
 		r.eraseDisk(r.Fleet.Replicas[rng.IntN(len(r.Fleet.Replicas))])
 	}
-	sleep(ctx, seconds(lastOutage))
+	sleep(ctx, seconds(lastOutageSeconds))
 	r.revive(ctx, all...)
 }
--- a/tests/soak/network.go
+++ b/tests/soak/network.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// resetConnections resets all connections to the transport addresses of some sidecars.
+// resetConnections resets all connections to the transport addresses of the sidecars of an entry.
 func resetConnections(_ context.Context, r *Run, e Entry, _ *rand.Rand) {
 	programs := r.sidecars(e)
 	defer r.faults.begin(Fault{Kind: e.Kind, Machines: ips(programs)})()
@@ -17,21 +17,23 @@
 
 // The variants of a partition.
 const (
-	variantAll          = "all"     // from all machines
-	variantControlPlane = "cores"   // from the control plane
-	variantOneWay       = "one-way" // nothing passes from there to the control plane
+	variantAll          = "all"     // separates the machines from all other machines
+	variantControlPlane = "cores"   // separates the machines from the control plane
+	variantOneWay       = "one-way" // blocks traffic from the machines to the control plane, not back
 )
 
-// partitionVariants are all of them.
+// partitionVariants lists all variants of a partition.
 var partitionVariants = []string{variantAll, variantControlPlane, variantOneWay}
 
-// partitionSidecars partitions the machines of sidecars.
+// partitionSidecars partitions the machines of sidecars from other machines.
 func partitionSidecars(ctx context.Context, r *Run, e Entry, _ *rand.Rand) {
 	side := ips(r.sidecars(e))
 	r.partition(ctx, e, side, false)
 }
 
-// partitionReplica partitions the machine of a replica.
+// partitionReplica partitions the machine of a replica from other machines. It skips the entry if
+// too many replicas would have a fault at the same time. The replica counts as lost until
+// recoveryHold after the end of the partition.
 func partitionReplica(ctx context.Context, r *Run, e Entry, _ *rand.Rand) {
 	select {
 	case r.controlPlaneFaults <- true:
@@ -44,7 +46,8 @@
 	<-r.controlPlaneFaults
 }
 
-// partition partitions machines for a while.
+// partition partitions the machines of side from others, as the variant says, for the duration of
+// the entry.
 func (r *Run) partition(ctx context.Context, e Entry, side []string, controlPlane bool) {
 	replicas := r.Fleet.ReplicaIPs()
 	in := slices.Contains[[]string]
@@ -62,7 +65,8 @@
 	sleep(ctx, seconds(e.For))
 }
 
-// splitControlPlane partitions half of the replicas from the other half; sidecars reach both.
+// splitControlPlane partitions half of the replicas (rounded down) from the rest, for the duration
+// of the entry. Sidecars still reach all replicas.
 func splitControlPlane(ctx context.Context, r *Run, e Entry, _ *rand.Rand) {
 	replicas := r.Fleet.ReplicaIPs()
 	minority := replicas[:len(replicas)/2]
--- a/tests/soak/operator.go
+++ b/tests/soak/operator.go
@@ -14,37 +14,40 @@
 	"curlewwalk/tests/fleet"
 )
 
-// headerGeneration is the header of an operator's own number of a configuration.
+// headerGeneration is the header that carries the operator's number of a configuration.
 const headerGeneration = "Curlewwalk-Edition"
 
-// markersPerConfiguration is how many configurations in a row have one marker route: that of number n
-// is in n to n+markersPerConfiguration-1. So the answer to a request on a marker route shows which
-// configuration a sidecar has in force.
+// markersPerConfiguration is the number of consecutive configurations that contain a marker route.
+// The marker route of number n is in the configurations n to n+markersPerConfiguration-1. The
+// answer to a request on a marker route therefore shows which configurations a sidecar may have in
+// force.
 const markersPerConfiguration = 3
 
 const markerPathPrefix = "/mark/"
 
-// markerPlan is the plan of requests on marker routes: they go to the first service.
+// markerPlan returns the plan of requests on marker routes, which go to the first service.
 func markerPlan(size fleet.Size) fakes.RequestPlan {
 	return fakes.RequestPlan{Name: "mark", Method: http.MethodGet, Prefix: markerPathPrefix, Service: size.Backends[0], Idempotent: true, LatencyTarget: time.Second, Deadline: 3 * time.Second, Priority: 1, Work: time.Millisecond}
 }
 
-// configuration is a configuration that the operator sent.
+// configuration is a configuration that the operator has sent.
 type configuration struct {
 	number uint64
 	body   []byte
 	sent   time.Time
-	// acknowledged is when it was first acknowledged; zero if it was not.
+	// acknowledged is the time of the first acknowledgement. It is zero if there was none.
 	acknowledged time.Time
 }
 
-// operator records what was sent and acknowledged.
+// operator records the configurations that were sent and acknowledged. It is safe for concurrent
+// use.
 type operator struct {
 	mu   sync.Mutex
 	sent []*configuration // by number, from 1
 }
 
-// putFirst puts the first configuration.
+// putFirst puts the first configuration at the first replica, and retries until the configuration
+// is acknowledged or ctx is done.
 func (o *operator) putFirst(ctx context.Context, r *Run) error {
 	c := o.next(r)
 	for ctx.Err() == nil {
@@ -56,7 +59,7 @@
 	return ctx.Err()
 }
 
-// next makes a new configuration, with the next number.
+// next returns a new configuration with the next number and records it as sent.
 func (o *operator) next(r *Run) *configuration {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -66,7 +69,7 @@
 	return c
 }
 
-// configurationOf is the fleet's configuration with the marker routes of a number.
+// configurationOf returns the fleet's configuration with the marker routes of configuration number.
 func (r *Run) configurationOf(number uint64) []byte {
 	var all struct {
 		Routes    []map[string]any `json:"ways"`
@@ -95,7 +98,8 @@
 	return b
 }
 
-// putConfiguration puts a configuration at a replica and returns the status; zero without an answer.
+// putConfiguration puts a configuration at a replica. It returns the status of the answer, or zero
+// if there was none.
 func (r *Run) putConfiguration(ctx context.Context, c *configuration, replica *fleet.Program) (status int) {
 	call, cancel := context.WithTimeout(ctx, acknowledgeLimit)
 	defer cancel()
@@ -109,7 +113,7 @@
 	return reply.Status
 }
 
-// acknowledged records an acknowledgement.
+// acknowledged records the first acknowledgement of a configuration.
 func (o *operator) acknowledged(c *configuration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -118,7 +122,8 @@
 	}
 }
 
-// newestAcknowledged is the newest configuration that was acknowledged by a moment.
+// newestAcknowledged returns the newest configuration that was acknowledged at or before the time
+// by. It returns the zero value if there was none.
 func (o *operator) newestAcknowledged(by time.Time) (c configuration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -130,7 +135,8 @@
 	return c
 }
 
-// newestSent is the number of the newest configuration that was sent by a moment.
+// newestSent returns the number of the newest configuration that was sent at or before the time by.
+// It returns zero if there was none.
 func (o *operator) newestSent(by time.Time) (number uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -142,7 +148,7 @@
 	return number
 }
 
-// byNumber returns the configuration with a number.
+// byNumber returns the configuration with the number n and whether there is one.
 func (o *operator) byNumber(n uint64) (c configuration, ok bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -154,15 +160,15 @@
 
 // The variants of a series of configurations.
 const (
-	variantSeries = "series"
-	variantRace   = "race"   // two at a time, at two replicas
-	variantRepeat = "repeat" // each is sent once more after it was acknowledged, elsewhere
+	variantSeries = "series" // one after the other
+	variantRace   = "race"   // two at a time, at replicas drawn at random
+	variantRepeat = "repeat" // each is sent once more after its acknowledgement, at a replica drawn at random
 )
 
-// configureVariants are all of them.
+// configureVariants lists all variants of a series of configurations.
 var configureVariants = []string{variantSeries, variantRace, variantRepeat}
 
-// configure puts configurations, with a pause between them.
+// configure puts Count configurations, or pairs of racing ones, with a pause after each.
 func configure(ctx context.Context, r *Run, e Entry, rng *rand.Rand) {
 	for range max(1, e.Count) {
 		var racing sync.WaitGroup
@@ -175,12 +181,14 @@
 	}
 }
 
-// commandTimeout is for how long an operator retries a command that has no final answer.
+// commandTimeout is how long an operator retries a command that has no final answer.
 const commandTimeout = 12 * time.Second
 
-// submitConfiguration puts a configuration, first at one replica and then at the others from second
-// on, until there is a final answer. again has it put once more after that.
-func (r *Run) submitConfiguration(ctx context.Context, c *configuration, first, second int, again bool) {
+// submitConfiguration puts a configuration until there is a final answer or commandTimeout is over.
+// It tries the replica with the index first, and then the replicas in turn that follow the index
+// second. If repeat is set, it puts the configuration once more at the replica with the index
+// second after the acknowledgement. A refusal is a breach.
+func (r *Run) submitConfiguration(ctx context.Context, c *configuration, first, second int, repeat bool) {
 	replicas := r.Fleet.Replicas
 	for attempt := 0; time.Since(c.sent) < commandTimeout && ctx.Err() == nil; attempt++ {
 		replica := replicas[first]
@@ -190,13 +198,13 @@
 		began := time.Now()
 		switch status := r.putConfiguration(ctx, c, replica); {
 		case status == http.StatusOK:
-			if again {
+			if repeat {
 				r.putConfiguration(ctx, c, replicas[second])
 			}
 			r.judgeAcknowledgement("configuration "+strconv.FormatUint(c.number, 10), c.sent, time.Now())
 			return
 		case status >= 400 && status < 500:
-			r.breach(ruleConfig, "", "configuration %d was refused with %d by %s", c.number, status, replica.Name)
+			r.breach(ruleConfig, "", "configuration %d was refused with status %d by %s, want 200", c.number, status, replica.Name)
 			return
 		}
 		sleep(ctx, time.Duration(50*(1+attempt))*time.Millisecond-time.Since(began)/10)
@@ -204,13 +212,14 @@
 	r.judgeAcknowledgement("configuration "+strconv.FormatUint(c.number, 10), c.sent, time.Time{})
 }
 
-// judgeAcknowledgement judges how long the acknowledgement of a command took; acked is zero if there
-// was none. The limit only binds while the control plane is stable.
-func (r *Run) judgeAcknowledgement(what string, sent, acked time.Time) {
+// judgeAcknowledgement records a breach if the acknowledgement of a command took over
+// acknowledgeLimit while the control plane was stable. acked is zero if there was no
+// acknowledgement.
+func (r *Run) judgeAcknowledgement(command string, sent, acked time.Time) {
 	if !acked.IsZero() && acked.Sub(sent) <= acknowledgeLimit {
 		return
 	}
 	if r.faults.controlPlaneStable(sent, sent.Add(acknowledgeLimit)) {
-		r.breach(ruleAcknowledge, "", "%s had no acknowledgement within %v, though the control plane was stable", what, acknowledgeLimit)
+		r.breach(ruleAcknowledge, "", "%s was not acknowledged within %v, though the control plane was stable", command, acknowledgeLimit)
 	}
 }
--- a/tests/soak/plan.go
+++ b/tests/soak/plan.go
@@ -12,34 +12,35 @@
 	"curlewwalk/tests/fleet"
 )
 
-// Plan is what happens in a run. A plan of the same deployment, size and entries has the same
-// happen, as far as the machine's timing allows it.
+// Plan lists the faults and planned changes of a run. Two runs of the same plan carry out the
+// same entries, as far as the timing of the machine allows.
 type Plan struct {
 	Deployment string `toml:"deployment"`
 	Seed       uint64 `toml:"seed"`
-	// Machines is the number of sidecars; zero for the deployment's own.
+	// Machines is the number of sidecars. Zero selects the deployment's own number.
 	Machines int `toml:"machines"`
-	// Seconds is for how long entries may begin.
+	// Seconds is the length of the period in which entries begin.
 	Seconds float64 `toml:"seconds"`
 	// Clients is the number of clients on each machine.
 	Clients int `toml:"clients"`
 	// AbandonRate is the share of requests that clients abandon.
 	AbandonRate float64 `toml:"leaves"`
 	Entries     []Entry `toml:"entry"`
-	// Last is the last fault; empty for none.
+	// Last is the kind of the fault at the end of the run. It is empty if there is none.
 	Last Kind `toml:"last"`
 }
 
-// Entry is one fault, or one planned change.
+// Entry is one fault or one planned change.
 type Entry struct {
-	// At is when it begins, For how long it lasts; both in seconds.
+	// At is the start, counted from the start of the run. For is the duration. Both are in seconds.
 	At   float64 `toml:"at"`
 	For  float64 `toml:"for"`
 	Kind Kind    `toml:"kind"`
-	// Target chooses whom it is done to, Count to how many.
+	// Target selects the first process, machine or zone: it is taken modulo their number. Count is
+	// the number of targets, or of repetitions if the kind has a single target.
 	Target int `toml:"target"`
 	Count  int `toml:"count"`
-	// Variant is one of those of the kind.
+	// Variant is one of the variants of the kind. It is empty if the kind has none.
 	Variant string `toml:"how"`
 }
 
@@ -47,43 +48,43 @@
 const (
 	maxMachines = 240
 	maxSeconds  = 3600
-	maxClients  = 50
+	maxClients  = 50 // on each machine
 )
 
-// ReadPlan reads a plan from TOML and checks it.
+// ReadPlan parses a plan in TOML and checks it.
 func ReadPlan(text []byte) (p Plan, err error) {
 	if err := toml.Unmarshal(text, &p); err != nil {
-		return p, fmt.Errorf("read plan: %w", err)
+		return p, fmt.Errorf("parse plan: %w", err)
 	}
 	return p, p.Check()
 }
 
-// Check returns what is wrong with a plan, if anything.
+// Check returns an error if the plan is invalid.
 func (p Plan) Check() error {
 	switch {
 	case p.Deployment != "association" && p.Deployment != "heating":
-		return fmt.Errorf("deployment %q is neither association nor heating", p.Deployment)
+		return fmt.Errorf("plan has deployment %q, must be association or heating", p.Deployment)
 	case p.Machines < 0 || p.Machines > maxMachines:
-		return fmt.Errorf("%d machines: at most %d, or 0 for the deployment's own number", p.Machines, maxMachines)
+		return fmt.Errorf("plan has %d machines, must be 1 to %d, or 0 for the deployment's own number", p.Machines, maxMachines)
 	case p.Seconds <= 0 || p.Seconds > maxSeconds:
-		return fmt.Errorf("%v seconds: must be above 0 and at most %d", p.Seconds, maxSeconds)
+		return fmt.Errorf("plan lasts %v seconds, must be above 0 and at most %d", p.Seconds, maxSeconds)
 	case p.Clients < 1 || p.Clients > maxClients:
-		return fmt.Errorf("%d clients a machine: must be 1 to %d", p.Clients, maxClients)
+		return fmt.Errorf("plan has %d clients per machine, must be 1 to %d", p.Clients, maxClients)
 	case p.Last != "" && !slices.Contains(lastKinds, p.Last):
-		return fmt.Errorf("last = %q is none of %v", p.Last, lastKinds)
+		return fmt.Errorf("plan has last fault %q, must be one of %v", p.Last, lastKinds)
 	}
 	for _, e := range p.Entries {
 		if _, known := kinds[e.Kind]; !known {
-			return fmt.Errorf("entry at %v: unknown kind %q", e.At, e.Kind)
+			return fmt.Errorf("entry at %v s has unknown kind %q", e.At, e.Kind)
 		}
 		if e.At < 0 || e.For < 0 || e.Count < 0 || e.Target < 0 {
-			return fmt.Errorf("entry at %v: negative numbers", e.At)
+			return fmt.Errorf("entry at %v s has a negative number", e.At)
 		}
 	}
 	return nil
 }
 
-// Text is the plan as TOML, which ReadPlan reads.
+// Text returns the plan in TOML, as ReadPlan parses it.
 func (p Plan) Text() string {
 	b, err := toml.Marshal(p)
 	if err != nil {
@@ -92,7 +93,7 @@
 	return string(b)
 }
 
-// size is the fleet that the plan is for.
+// size returns the size of the fleet that the plan is played on.
 func (p Plan) size() fleet.Size {
 	s := fleet.Deployment(p.Deployment)
 	if p.Machines > 0 {
@@ -102,8 +103,9 @@
 	return s
 }
 
-// Draw draws a plan. One of four seeds has planned changes only, so that what is promised around
-// them is judged; the others have faults of every kind too.
+// Draw draws a plan from a seed. The plans of one in four seeds have planned changes only, because
+// some rules bind only while no unplanned fault occurs. The other plans have faults of every kind
+// as well.
 func Draw(deployment string, seed uint64, length time.Duration, machines int) Plan {
 	rng := rand.New(rand.NewPCG(seed, 26))
 	p := Plan{Deployment: deployment, Seed: seed, Machines: machines, Seconds: length.Seconds(), Clients: 2 + rng.IntN(3), AbandonRate: 0.15 * rng.Float64()}
@@ -122,10 +124,11 @@
 	return p
 }
 
-// round rounds seconds to hundredths, which keeps plans readable.
+// round truncates seconds to hundredths to keep plans readable.
 func round(seconds float64) float64 { return float64(int(seconds*100)) / 100 }
 
-// kindNames lists the kinds that may be drawn, in order.
+// kindNames returns the kinds that may be drawn in sorted order, so that a seed always draws the
+// same plan.
 func kindNames(plannedOnly bool) (names []Kind) {
 	for name, k := range kinds {
 		if k.planned || !plannedOnly {
@@ -136,7 +139,7 @@
 	return names
 }
 
-// Only is the plan with only the entries whose kinds contain a text.
+// Only returns a copy of the plan with only the entries whose kind contains text.
 func (p Plan) Only(text string) Plan {
 	p.Entries = slices.DeleteFunc(slices.Clone(p.Entries), func(e Entry) bool { return !strings.Contains(string(e.Kind), text) })
 	return p
--- a/tests/soak/processes.go
+++ b/tests/soak/processes.go
@@ -16,16 +16,16 @@
 
 // The variants of a stop.
 const (
-	variantPlain  = ""       // SIGTERM
-	variantAgain  = "again"  // SIGTERM, and once more
-	variantReload = "reload" // SIGTERM amid SIGHUPs
+	variantPlain        = ""       // SIGTERM
+	variantRepeatedTerm = "again"  // SIGTERM, repeated every 400 ms until the process ends
+	variantReload       = "reload" // SIGHUP, SIGTERM, then SIGHUP every 400 ms until the process ends
 )
 
-// stopVariants are all of them.
-var stopVariants = []string{variantPlain, variantAgain, variantReload}
+// stopVariants lists all variants of a stop.
+var stopVariants = []string{variantPlain, variantRepeatedTerm, variantReload}
 
-// lockProcesses locks processes for as long as something is done to them; false if one of them is
-// locked already.
+// lockProcesses locks processes while an entry acts on them. It returns false and locks nothing if
+// one of them is already locked.
 func (r *Run) lockProcesses(programs ...*fleet.Program) (release func(), ok bool) {
 	var unlocks []func()
 	release = func() {
@@ -43,8 +43,9 @@
 	return release, true
 }
 
-// lockControlPlane locks replicas, no more at a time than may be lost at once. Each counts as lost
-// until recoveryHold after its release.
+// lockControlPlane locks replicas. It returns false and locks nothing if one of them is already
+// locked, or if more replicas would be lost at once than controlPlaneFaults allows. A replica
+// counts as lost until recoveryHold after its release.
 func (r *Run) lockControlPlane(programs ...*fleet.Program) (release func(), ok bool) {
 	unlock, ok := r.lockProcesses(programs...)
 	if !ok {
@@ -75,7 +76,8 @@
 // isControlPlane reports whether a process is a replica.
 func (r *Run) isControlPlane(p *fleet.Program) bool { return slices.Contains(r.Fleet.Replicas, p) }
 
-// injectFault does something to processes, which are locked meanwhile.
+// injectFault locks processes, which must all be sidecars or all be replicas, records a fault and
+// calls action. It skips the entry if the processes cannot be locked.
 func (r *Run) injectFault(e Entry, planned bool, programs []*fleet.Program, action func()) {
 	lock := r.lockProcesses
 	controlPlane := r.isControlPlane(programs[0])
@@ -92,7 +94,7 @@
 	action()
 }
 
-// ips are the IP addresses of processes.
+// ips returns the IP addresses of processes.
 func ips(programs []*fleet.Program) (out []string) {
 	for _, p := range programs {
 		out = append(out, p.IP)
@@ -100,7 +102,8 @@
 	return out
 }
 
-// sidecars are as many sidecars as an entry counts, from its target on.
+// sidecars returns the sidecars of an entry: Count of them in a row, at least one, beginning with
+// Target.
 func (r *Run) sidecars(e Entry) (out []*fleet.Program) {
 	all := r.Fleet.Sidecars
 	for i := range min(max(1, e.Count), len(all)) {
@@ -109,13 +112,13 @@
 	return out
 }
 
-// replicaOf is the replica that is an entry's target.
+// replicaOf returns the replica that is the target of an entry, as a slice of one.
 func (r *Run) replicaOf(e Entry) []*fleet.Program {
 	return []*fleet.Program{r.Fleet.Replicas[e.Target%len(r.Fleet.Replicas)]}
 }
 
-// stop stops sidecars in turn, a second apart, whether the one before is back or not, and starts
-// each again when it has ended.
+// stop stops sidecars one second apart, without waiting for the restart of the previous one. Each
+// sidecar is started again when it has ended.
 func stop(ctx context.Context, r *Run, e Entry, _ *rand.Rand) {
 	var all sync.WaitGroup
 	for i, p := range r.sidecars(e) {
@@ -133,14 +136,15 @@
 	r.injectFault(e, true, programs, func() { r.restart(ctx, programs[0], e.Variant) })
 }
 
-// restart stops a process as a platform does, and starts it again.
+// restart stops a process by SIGTERM, as a platform does, and starts it again. An exit code other
+// than zero and a process that outlives its grace time are breaches. The latter is killed.
 func (r *Run) restart(ctx context.Context, p *fleet.Program, variant string) {
 	ended := make(chan int, 1)
 	if variant == variantReload {
 		p.Signal(syscall.SIGHUP)
 	}
 	go func() { ended <- p.Stop() }()
-	repeated := map[string]syscall.Signal{variantAgain: syscall.SIGTERM, variantReload: syscall.SIGHUP}[variant]
+	repeated := map[string]syscall.Signal{variantRepeatedTerm: syscall.SIGTERM, variantReload: syscall.SIGHUP}[variant]
 	tick := time.NewTicker(400 * time.Millisecond)
 	defer tick.Stop()
 	kill := time.After(stopGrace)
@@ -148,10 +152,10 @@
 		select {
 		case code := <-ended:
 			if exited = true; code != 0 {
-				r.breach(ruleStop, "", "%s ended with %d: %s", p.Name, code, p.Stderr())
+				r.breach(ruleStop, "", "%s ended with exit code %d, want 0: %s", p.Name, code, p.Stderr())
 			}
 		case <-kill:
-			r.breach(ruleStop, "", "%s was still running at the end of its grace time", p.Name)
+			r.breach(ruleStop, "", "%s was still running at the end of its grace time after SIGTERM", p.Name)
 			p.Signal(syscall.SIGKILL)
 			<-ended
 			exited = true
@@ -164,7 +168,7 @@
 	r.revive(ctx, p)
 }
 
-// revive starts processes again, and waits until they are ready.
+// revive starts processes again and waits until they are ready, at most recoveryLimit for each.
 func (r *Run) revive(ctx context.Context, programs ...*fleet.Program) {
 	if err := r.Fleet.Restart(programs...); err != nil {
 		r.breach(ruleStart, "", "%v", err)
@@ -172,12 +176,12 @@
 	}
 	for _, p := range programs {
 		call, cancel := context.WithTimeout(ctx, recoveryLimit)
-		p.AwaitReady(call) // a replica may be partitioned, or without a majority
+		p.AwaitReady(call) // the error is ignored: a replica may be partitioned or lack a majority
 		cancel()
 	}
 }
 
-// reload has sidecars reload their settings.
+// reload makes sidecars reload their settings. It leaves out sidecars that are locked.
 func reload(ctx context.Context, r *Run, e Entry, _ *rand.Rand) {
 	for _, p := range r.sidecars(e) {
 		if release, ok := r.lockProcesses(p); ok {
@@ -190,13 +194,13 @@
 	}
 }
 
-// kill kills sidecars for a while.
+// kill kills sidecars and starts them again after the duration of the entry.
 func kill(ctx context.Context, r *Run, e Entry, _ *rand.Rand) {
 	programs := r.sidecars(e)
 	r.injectFault(e, false, programs, func() { r.killFor(ctx, programs, e) })
 }
 
-// killReplica kills a replica for a while.
+// killReplica kills a replica and starts it again after the duration of the entry.
 func killReplica(ctx context.Context, r *Run, e Entry, _ *rand.Rand) {
 	programs := r.replicaOf(e)
 	r.injectFault(e, false, programs, func() { r.killFor(ctx, programs, e) })
@@ -204,14 +208,14 @@
 
 // The variants of a kill.
 const (
-	variantKill     = "kill"  // their connections are reset
-	variantPowerOff = "power" // what was in flight is lost too
+	variantKill     = "kill"  // the operating system resets the connections
+	variantPowerOff = "power" // data in flight is lost as well
 )
 
-// killVariants are all of them.
+// killVariants lists all variants of a kill.
 var killVariants = []string{variantKill, variantPowerOff}
 
-// killFor kills processes, and starts them again after a while.
+// killFor kills processes and starts them again after the duration of the entry.
 func (r *Run) killFor(ctx context.Context, programs []*fleet.Program, e Entry) {
 	if e.Variant == variantPowerOff {
 		r.Fleet.PowerOff(programs...)
@@ -222,7 +226,9 @@
 	r.revive(ctx, programs...)
 }
 
-// massKill kills many processes at the same moment, replicas among them; their disks stay.
+// massKill kills about two thirds of all processes at the same moment, replicas included, and
+// starts them again after the duration of the entry. Their disks are kept. It leaves out locked
+// processes.
 func massKill(ctx context.Context, r *Run, e Entry, rng *rand.Rand) {
 	var programs []*fleet.Program
 	for _, p := range r.Fleet.Programs() {
@@ -238,17 +244,17 @@
 	r.killFor(ctx, programs, e)
 }
 
-// freeze freezes sidecars.
+// freeze freezes sidecars for the duration of the entry.
 func freeze(ctx context.Context, r *Run, e Entry, _ *rand.Rand) {
 	r.freezeAll(ctx, e, r.sidecars(e))
 }
 
-// freezeReplica freezes a replica.
+// freezeReplica freezes a replica for the duration of the entry.
 func freezeReplica(ctx context.Context, r *Run, e Entry, _ *rand.Rand) {
 	r.freezeAll(ctx, e, r.replicaOf(e))
 }
 
-// freezeAll stops processes for a while, and continues them.
+// freezeAll suspends processes by SIGSTOP and resumes them after the duration of the entry.
 func (r *Run) freezeAll(ctx context.Context, e Entry, programs []*fleet.Program) {
 	r.injectFault(e, false, programs, func() {
 		for _, p := range programs {
@@ -261,7 +267,8 @@
 	})
 }
 
-// loseDisk has a replica come back with an empty disk.
+// loseDisk powers off a replica, erases its disk, and starts it again after the duration of the
+// entry.
 func loseDisk(ctx context.Context, r *Run, e Entry, _ *rand.Rand) {
 	replicas := r.replicaOf(e)
 	r.injectFault(e, false, replicas, func() {
@@ -272,7 +279,7 @@
 	})
 }
 
-// eraseDisk deletes the data of a replica.
+// eraseDisk deletes the data directory of a replica.
 func (r *Run) eraseDisk(p *fleet.Program) {
 	data := filepath.Join(r.Fleet.Dir, strings.ReplaceAll(p.Name, "/", "-"))
 	if err := os.RemoveAll(data); err != nil {
--- a/tests/soak/run.go
+++ b/tests/soak/run.go
@@ -14,11 +14,11 @@
 	"curlewwalk/tests/fleet"
 )
 
-// Run plays a plan once.
+// Run plays one plan on one fleet.
 type Run struct {
 	Plan  Plan
 	Fleet *fleet.Fleet
-	// Out gets a line for each thing that happens.
+	// Out receives a line for each entry, event and breach.
 	Out io.Writer
 
 	began      time.Time
@@ -28,7 +28,8 @@
 	exchanges  exchanges
 	departures departures
 	breaches   breaches
-	// controlPlaneFaults has room for as many replicas as may have a fault at a time.
+	// controlPlaneFaults is a semaphore. Its capacity is the number of replicas that may have a
+	// fault at the same time: fewer than half of them.
 	controlPlaneFaults chan bool
 	processLocks       map[*fleet.Program]*sync.Mutex
 	zoneLocks          map[string]*sync.Mutex
@@ -37,19 +38,20 @@
 	skipped int
 }
 
-// machine is a machine with its sidecar, and the backend that runs there now.
+// machine is a machine with a sidecar and the current backend.
 type machine struct {
-	mu      sync.Mutex // locked by whoever changes the backend
+	mu      sync.Mutex // held while the backend is being replaced
 	number  int
-	serial  int // of the backend
+	serial  int // serial number of the current backend, from 1
 	backend atomic.Pointer[fakes.Backend]
 }
 
-// stopSettings are the settings of a stop, as on the users' platform: what is open ends within the
-// grace time, and clients are served until they have learned that the sidecar is not ready.
+// stopSettings are the shutdown settings of the users' platform. Open requests end within the
+// platform's grace time. A sidecar serves new requests until clients have learned that the sidecar
+// is not ready. All processes get the first setting, and sidecars get the second one as well.
 var stopSettings = []string{"--drain=5500ms", "--serve-on=1830ms"}
 
-// New prepares a run. A nil out discards its lines.
+// New prepares a run. If out is nil, the lines of the run are discarded.
 func New(p Plan, bin fleet.Binaries, out io.Writer) (*Run, error) {
 	size := p.size()
 	size.Plans = slices.Concat([]fakes.RequestPlan{reportPlan(size)}, size.Plans, []fakes.RequestPlan{markerPlan(size)})
@@ -75,18 +77,18 @@
 	return r, nil
 }
 
-// logf writes a line, with the time since the run began.
+// logf writes a line that begins with the seconds since the start of the run.
 func (r *Run) logf(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	fmt.Fprintf(r.Out, "%8.2f  %s\n", time.Since(r.began).Seconds(), fmt.Sprintf(format, args...))
 }
 
-// Play plays the plan and judges the run. It closes the fleet.
+// Play plays the plan, judges the run and closes the fleet. A Run must not be played twice.
 func (r *Run) Play(ctx context.Context) (*Result, error) {
 	defer r.Fleet.Close()
 	if err := r.startFleet(ctx); err != nil {
-		return nil, fmt.Errorf("start the fleet: %w", err)
+		return nil, fmt.Errorf("start fleet: %w", err)
 	}
 	r.began = time.Now()
 	load, stop := context.WithCancel(ctx)
@@ -109,7 +111,8 @@
 	return r.judge(), nil
 }
 
-// startFleet starts the fleet behind proxies.
+// startFleet starts the fleet behind fault-injecting proxies and puts the first configuration. It
+// starts the backends by startBackend, as it does their replacements later.
 func (r *Run) startFleet(ctx context.Context) error {
 	f := r.Fleet
 	if err := f.InterposeProxies(); err != nil {
@@ -134,7 +137,8 @@
 	return r.operator.putFirst(ctx, r)
 }
 
-// playEntry plays one entry at its time.
+// playEntry waits until the time of an entry and plays it. Each entry has a random source of its
+// own, so that its draws do not depend on the other entries.
 func (r *Run) playEntry(ctx context.Context, number int, e Entry) {
 	sleep(ctx, time.Until(r.began.Add(time.Duration(e.At*float64(time.Second)))))
 	if ctx.Err() != nil {
@@ -145,15 +149,15 @@
 	kinds[e.Kind].play(ctx, r, e, rng)
 }
 
-// skip records that the target of an entry has another fault already.
+// skip records that an entry is skipped because its target already has a fault.
 func (r *Run) skip(e Entry) {
 	r.mu.Lock()
 	r.skipped++
 	r.mu.Unlock()
-	r.logf("%s target %d is skipped: it has another fault already", e.Kind, e.Target)
+	r.logf("%s target %d is skipped: the target already has a fault", e.Kind, e.Target)
 }
 
-// sleep waits for d, or until ctx ends.
+// sleep blocks for d or until ctx is done. It returns at once if d is negative.
 func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(max(0, d))
 	defer t.Stop()
@@ -163,5 +167,5 @@
 	}
 }
 
-// seconds converts a number of seconds.
+// seconds converts a number of seconds to a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/tests/soak/shorten.go
+++ b/tests/soak/shorten.go
@@ -10,8 +10,9 @@
 	"curlewwalk/tests/ledger"
 )
 
-// Shorten removes entries from a plan as long as it still breaks one of the rules, with so many plays
-// at most: first halves, then smaller parts.
+// Shorten returns a plan with fewer entries that still breaks one of the rules. It removes first
+// halves of the entries and then smaller parts, and keeps each removal after which the plan still
+// breaks a rule. It plays at most the given number of plans and writes its progress to out.
 func Shorten(ctx context.Context, p Plan, rules []ledger.Rule, bin fleet.Binaries, plays int, out io.Writer) Plan {
 	for parts := 2; parts <= 2*len(p.Entries) && plays > 0; parts *= 2 {
 		for part := 0; part < parts && plays > 0 && ctx.Err() == nil; part++ {
@@ -24,7 +25,7 @@
 			plays--
 			if breaks(ctx, shorter, rules, bin) {
 				p = shorter
-				fmt.Fprintf(out, "still broken with %d entries\n", len(p.Entries))
+				fmt.Fprintf(out, "plan with %d entries still breaks a rule\n", len(p.Entries))
 				part--
 			}
 		}
@@ -32,7 +33,8 @@
 	return p
 }
 
-// breaks plays a plan and reports whether it breaks one of the rules.
+// breaks plays a plan and reports whether it breaks one of the rules. A plan that cannot be played
+// counts as one that breaks none.
 func breaks(ctx context.Context, p Plan, rules []ledger.Rule, bin fleet.Binaries) bool {
 	r, err := New(p, bin, nil)
 	if err != nil {
--- a/tests/soak/soak_test.go
+++ b/tests/soak/soak_test.go
@@ -12,21 +12,24 @@
 	"curlewwalk/tests/ledger"
 )
 
-// The flags choose what TestSeeds plays; without any it is a short run of a few seeds.
+// The flags select the runs of TestSeeds. The defaults are short runs of two seeds.
 var (
 	first    = flag.Uint64("first", 3, "first seed")
-	seeds    = flag.Uint64("seeds", 2, "how many seeds")
-	duration = flag.Duration("length", 14*time.Second, "for how long faults may begin")
-	machines = flag.Int("machines", 5, "how many sidecars")
-	onlyRule = flag.String("rule", "", "fail for this rule only")
-	onlyKind = flag.String("kinds", "", "only entries whose kinds contain this")
+	seeds    = flag.Uint64("seeds", 2, "number of seeds")
+	duration = flag.Duration("length", 14*time.Second, "length of the period in which faults begin")
+	machines = flag.Int("machines", 5, "number of sidecars")
+	onlyRule = flag.String("rule", "", "fail only for breaches of this rule")
+	onlyKind = flag.String("kinds", "", "play only entries whose kind contains this text")
 )
 
-// limit is how long a run may take beyond its own length.
-const limit = 3 * time.Minute
+// extraTime is how long a run may take beyond the length of its plan.
+const extraTime = 3 * time.Minute
 
-// Whole fleets under overlapping faults keep every rule, as far as clients, backends and operators
-// see. The first seed has all kinds of fault, the second planned work only.
+// Whole fleets under overlapping faults and planned changes break no rule, as judged by the records
+// of clients, backends and operators. By default the first seed has all kinds of faults and the
+// second one planned changes only. The test guards against failures that only arise between
+// processes, such as requests that are lost, repeated or sent to departed backends while sidecars
+// restart.
 func TestSeeds(t *testing.T) {
 	bin, err := fleet.Build()
 	if err != nil {
@@ -36,14 +39,14 @@
 	for seed := *first; seed < *first+*seeds && !t.Failed(); seed++ {
 		deployment := []string{"association", "heating"}[seed%2]
 		res := play(t, Draw(deployment, seed, *duration, *machines).Only(*onlyKind), bin)
-		t.Logf("%s, seed %d: sent %d, ends %v, %d backends left, %d configurations", deployment, seed, res.Sent, res.Endings, res.Departures, res.Configurations)
+		t.Logf("%s, seed %d: sent %d, endings %v, %d departures, %d configurations", deployment, seed, res.Sent, res.Endings, res.Departures, res.Configurations)
 		for _, b := range res.Breaches {
 			if *onlyRule == "" || b.Rule == ledger.Rule(*onlyRule) {
 				t.Errorf("%v", b)
 			}
 		}
 		if t.Failed() {
-			t.Logf("%s\n%s", strings.Join(res.Narratives, "\n"), res.Plan.Text())
+			t.Logf("%s\n%s", strings.Join(res.BreachReports, "\n"), res.Plan.Text())
 		}
 	}
 }
@@ -54,7 +57,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, cancel := context.WithTimeout(t.Context(), seconds(p.Seconds)+limit)
+	ctx, cancel := context.WithTimeout(t.Context(), seconds(p.Seconds)+extraTime)
 	defer cancel()
 	res, err := r.Play(ctx)
 	if err != nil {
@@ -63,22 +66,23 @@
 	return res
 }
 
-// A plan that is printed is the same when it is read again, and invalid ones are rejected.
+// A plan survives printing and parsing unchanged, so that a failed run can be played again from its
+// printed plan. Plans with planned changes only contain no faults, and invalid plans are rejected.
 func TestPlans(t *testing.T) {
 	for seed := range uint64(200) {
 		p := Draw("heating", seed, 30*time.Second, 7)
-		if again, err := ReadPlan([]byte(p.Text())); err != nil || again.Text() != p.Text() || len(p.Entries) < 3 {
-			t.Errorf("seed %d: %v\n%s", seed, err, p.Text())
+		if parsed, err := ReadPlan([]byte(p.Text())); err != nil || parsed.Text() != p.Text() || len(p.Entries) < 3 {
+			t.Errorf("seed %d: plan changed when parsed (error %v) or has fewer than 3 entries:\n%s", seed, err, p.Text())
 		}
 		planned := seed%4 == 0
 		for _, e := range p.Entries {
 			if planned && !kinds[e.Kind].planned {
-				t.Errorf("seed %d has %s among planned work", seed, e.Kind)
+				t.Errorf("seed %d: got fault %s in a plan of planned changes only", seed, e.Kind)
 			}
 		}
 	}
-	good := Draw("association", 1, 10*time.Second, 5)
-	for name, spoil := range map[string]func(p *Plan){
+	valid := Draw("association", 1, 10*time.Second, 5)
+	for name, invalidate := range map[string]func(p *Plan){
 		"deployment": func(p *Plan) { p.Deployment = "x" },
 		"machines":   func(p *Plan) { p.Machines = 1 << 20 },
 		"seconds":    func(p *Plan) { p.Seconds = 0 },
@@ -88,18 +92,18 @@
 		"time":       func(p *Plan) { p.Entries[0].At = -1 },
 	} {
 		t.Run("invalid "+name, func(t *testing.T) {
-			p := good
-			p.Entries = append([]Entry{}, good.Entries...)
-			if spoil(&p); p.Check() == nil {
-				t.Error("an invalid plan passes the check")
+			p := valid
+			p.Entries = append([]Entry{}, valid.Entries...)
+			if invalidate(&p); p.Check() == nil {
+				t.Error("Check accepted an invalid plan, want an error")
 			}
 		})
 	}
 	if _, err := ReadPlan([]byte("entry = 3")); err == nil {
-		t.Error("a text that is no plan was read")
+		t.Error("ReadPlan accepted a text that is not a plan, want an error")
 	}
 	if err := CheckCapacity(Plan{Deployment: "association", Machines: maxProcesses}); err == nil {
-		t.Error("more processes than are allowed")
+		t.Error("CheckCapacity accepted more processes than allowed, want an error")
 	}
 }
 
--- a/tests/soak/table.go
+++ b/tests/soak/table.go
@@ -8,20 +8,20 @@
 	"curlewwalk/tests/ledger"
 )
 
-// Table prints results, one a line.
+// Table prints results, one per line.
 type Table struct {
 	out    io.Writer
 	played int
 }
 
-// NewTable prints the head of a table.
+// NewTable returns a table that prints to out, and prints its header.
 func NewTable(out io.Writer) *Table {
 	fmt.Fprintf(out, "%-12s %6s %5s %7s %8s %8s %7s %6s %6s %6s %6s %7s %7s  %s\n",
 		"deployment", "seed", "size", "entries", "sent", "answered", "refused", "interr.", "aband.", "depart", "config", "p50-ms", "p999-ms", "broken")
 	return &Table{out: out}
 }
 
-// Print prints a result.
+// Print prints the line of a result.
 func (t *Table) Print(r *Result) {
 	t.played++
 	counts := map[ledger.Rule]int{}
@@ -37,5 +37,5 @@
 		r.Endings[fakes.Interrupted], r.Endings[fakes.Abandoned], r.Departures, r.Configurations, r.MedianMS, r.P999MS, broken)
 }
 
-// Played is how many results were printed.
+// Played returns the number of results that were printed.
 func (t *Table) Played() int { return t.played }
--- a/tests/soak/zones.go
+++ b/tests/soak/zones.go
@@ -11,7 +11,8 @@
 	"curlewwalk/tests/fleet"
 )
 
-// loseZone has a zone lose power, its backends included; all comes back, with new backends.
+// loseZone cuts the power of a zone, including its backends, and restores it. New backends replace
+// the old ones.
 func loseZone(ctx context.Context, r *Run, e Entry, _ *rand.Rand) {
 	zone := r.Fleet.Size.Zones[e.Target%len(r.Fleet.Size.Zones)]
 	var sidecars, replicas []*fleet.Program
@@ -36,7 +37,9 @@
 	r.injectFault(e, false, sidecars, func() { r.powerOffZone(ctx, e, zone, slices.Concat(sidecars, replicas)) })
 }
 
-// powerOffZone ends all that runs in a zone, and starts it again.
+// powerOffZone powers off programs, which are the processes of a zone, and kills the zone's
+// backends. After the duration of the entry it restarts the processes and starts new backends. A
+// backend that another entry is replacing is left alone.
 func (r *Run) powerOffZone(ctx context.Context, e Entry, zone string, programs []*fleet.Program) {
 	defer r.faults.begin(Fault{Kind: e.Kind, Machines: ips(programs), ControlPlane: true})()
 	var affected []*machine
@@ -55,10 +58,11 @@
 	}
 }
 
-// maxClockJump is how far a wall clock jumps at most, either way.
+// maxClockJump bounds how far a wall clock jumps forward or backward.
 const maxClockJump = 100 * time.Hour
 
-// jumpClocks has the wall clocks of a third of all processes jump, and back after a while.
+// jumpClocks makes the wall clocks of a third of all processes jump, and resets them after the
+// duration of the entry.
 func jumpClocks(ctx context.Context, r *Run, e Entry, rng *rand.Rand) {
 	all := r.Fleet.Programs()
 	chosen := rng.Perm(len(all))[:len(all)/3]
@@ -75,14 +79,15 @@
 	}
 }
 
-// invalidConfigurations must be rejected for good.
+// invalidConfigurations are configurations that the control plane must never acknowledge.
 var invalidConfigurations = []string{
 	`{"ways":[{"name":"x"}]}`, `{"ways":`, `[]`,
 	`{"ways":[{"name":"x","prefix":"/x/","service":"s","contract":"none"}],"contracts":[]}`,
 }
 
-// sendInvalid puts invalid configurations; none may be acknowledged. That none is in force shows in
-// what is read and in the routes that are served.
+// sendInvalid puts invalid configurations and records a breach if one is acknowledged. Whether one
+// came into force is judged by the configurations that operators read and by the marker routes that
+// sidecars serve.
 func sendInvalid(ctx context.Context, r *Run, e Entry, rng *rand.Rand) {
 	for range max(1, e.Count) {
 		body := invalidConfigurations[rng.IntN(len(invalidConfigurations))]
@@ -92,7 +97,7 @@
 		reply, err := r.Fleet.Operate(call, replica, http.MethodPut, "/v1/desired", []byte(body), headerGeneration, number)
 		cancel()
 		if err == nil && reply.Status < http.StatusBadRequest {
-			r.breach(ruleConfig, "", "%s answered %d to an invalid configuration: %s", replica.Name, reply.Status, body)
+			r.breach(ruleConfig, "", "%s answered %d to an invalid configuration, want 400 or above: %s", replica.Name, reply.Status, body)
 		}
 		sleep(ctx, 200*time.Millisecond)
 	}
