--- a/tests/soak/soak_test.go
+++ b/tests/soak/soak_test.go
@@ -68,7 +68,7 @@
 
 // A plan survives printing and parsing unchanged, so that a failed run can be played again from its
 // printed plan. Plans with planned changes only contain no faults, and invalid plans are rejected.
-func TestPlans(t *testing.T) {
+func TestPlansRoundTripAndInvalidOnesAreRejected(t *testing.T) {
 	for seed := range uint64(200) {
 		p := Draw("heating", seed, 30*time.Second, 7)
 		if parsed, err := ReadPlan([]byte(p.Text())); err != nil || parsed.Text() != p.Text() || len(p.Entries) < 3 {
