--- a/tests/modelcheck/check.go
+++ b/tests/modelcheck/check.go
@@ -21,9 +21,10 @@
 	return digestOf(b)
 }
 
-// checkReads checks what a reader at any node may read at this moment: each quorum of replies
-// returns all that was acknowledged, and only disks with the identity of their member count.
-// It returns the violation, or "".
+// checkReads checks the result of a read by any node in this state. Each quorum of replies must
+// return a revision that is not older than any acknowledged one. A reply counts towards a quorum
+// only if it comes from the disk that the member set lists. checkReads returns the violation,
+// or "" if there is none.
 func (s *state) checkReads() string {
 	var revision uint64
 	for _, a := range s.acknowledged {
@@ -35,36 +36,37 @@
 	}
 	for reader := range s.nodes {
 		own := s.nodes[reader].memory.MemberSets()
-		for asked := 1; asked < 1<<len(s.nodes); asked++ {
-			received := s.repliesOf(replies, asked, own)
+		for subset := 1; subset < 1<<len(s.nodes); subset++ {
+			received := s.repliesOf(replies, subset, own)
 			counted := consensus.CurrentReplies(received)
 			if !consensus.HasReadQuorum(counted, own) {
 				continue
 			}
 			newest, sets := consensus.HighestReply(counted, own)
 			if !isQuorum(sets, counted) {
-				return fmt.Sprintf("node %d counts %v as majorities of %v and %v", reader+1, senders(counted), sets.Current, sets.Previous)
+				return fmt.Sprintf("node %d accepts %v as majorities of %v and %v", reader+1, senders(counted), sets.Current, sets.Previous)
 			}
 			if newest.Position.Revision < revision {
-				return fmt.Sprintf("node %d reads revision %d from %v after %d was acknowledged", reader+1, newest.Position.Revision, senders(counted), revision)
+				return fmt.Sprintf("node %d reads revision %d from %v after revision %d was acknowledged", reader+1, newest.Position.Revision, senders(counted), revision)
 			}
 		}
 	}
 	return ""
 }
 
-// repliesOf are the replies of some of the nodes, each as the reply of the member whose address
-// the node has, also if its disk is another one by now. asked has a bit for each node.
-func (s *state) repliesOf(all []consensus.Reply, asked int, own consensus.MemberSets) map[int]consensus.Reply {
+// repliesOf returns the replies of a subset of the nodes by member ID. A node's reply is assigned
+// to each member with the node's address, even if the node has a different disk by now. subset has
+// a bit for each node.
+func (s *state) repliesOf(all []consensus.Reply, subset int, own consensus.MemberSets) map[int]consensus.Reply {
 	out := map[int]consensus.Reply{}
 	known := own.Union()
 	for i := range all {
-		if asked&(1<<i) != 0 {
+		if subset&(1<<i) != 0 {
 			known = append(known, all[i].MemberSets.Union()...)
 		}
 	}
 	for i, reply := range all {
-		if asked&(1<<i) == 0 {
+		if subset&(1<<i) == 0 {
 			continue
 		}
 		for _, member := range known {
@@ -80,7 +82,8 @@
 	return out
 }
 
-// isQuorum counts once more, by itself: members whose own disk has replied.
+// isQuorum reports whether a majority of each non-empty member set has replied from the listed disks. It is
+// written independently of the production code that it checks.
 func isQuorum(sets consensus.MemberSets, replies map[int]consensus.Reply) bool {
 	for _, set := range [][]config.Member{sets.Current, sets.Previous} {
 		n := 0
@@ -96,7 +99,7 @@
 	return true
 }
 
-// senders are the senders of replies, by member ID.
+// senders returns the senders of replies, sorted by member ID.
 func senders(replies map[int]consensus.Reply) (out []consensus.Sender) {
 	for _, reply := range replies {
 		out = append(out, reply.Sender)
--- a/tests/modelcheck/doc.go
+++ b/tests/modelcheck/doc.go
@@ -1,6 +1,6 @@
-// Package modelcheck explores every interleaving of a small control plane: messages delivered
-// in any order, lost or delivered twice, crashes with each outcome of an unsynced write, lost
-// disks, and timeouts. The decisions are the production's (consensus.Acceptor,
-// consensus.Proposer and the member sets); only messages, disks and time are modelled.
-// States that behave alike from there on are merged. (DESIGN 14.9)
+// Package modelcheck explores every interleaving of a small control plane: messages that are
+// reordered, lost or delivered twice, crashes with each outcome of an unsynced write, lost
+// disks, and timeouts. The decisions are made by the production code (consensus.Acceptor,
+// consensus.Proposer and the member sets). Only messages, disks and time are modelled.
+// States with the same future behaviour are merged. (DESIGN 14.9)
 package modelcheck
--- a/tests/modelcheck/events.go
+++ b/tests/modelcheck/events.go
@@ -7,31 +7,31 @@
 	"curlewwalk/internal/controlplane/consensus"
 )
 
-// eventKind is what happens in an event.
+// eventKind is the kind of an event.
 type eventKind string
 
 // The kinds of event.
 const (
 	deliver            eventKind = "deliver"
 	deliverTwice       eventKind = "deliver and keep"
-	crashBetweenWrites eventKind = "deliver, and crash between the two writes to disk"
+	crashBetweenWrites eventKind = "deliver, crash between the two disk writes"
 	crash              eventKind = "crash"
-	loseDisk           eventKind = "lose the disk"
-	timeout            eventKind = "time out"
-	submit             eventKind = "submit a command"
-	beginQuorumRead    eventKind = "begin a quorum read"
-	answerQuorumRead   eventKind = "reply to the quorum read"
+	loseDisk           eventKind = "lose disk"
+	timeout            eventKind = "timeout"
+	submit             eventKind = "submit command"
+	beginQuorumRead    eventKind = "begin quorum read"
+	answerQuorumRead   eventKind = "reply to quorum read"
 )
 
-// event is one thing that may happen next.
+// event is a possible transition from one state to the next.
 type event struct {
 	kind    eventKind
 	node    int
-	index   int      // of the message or the command
-	message *message // that is delivered
+	index   int      // index of the message or the command
+	message *message // the delivered message
 }
 
-// String describes the event.
+// String returns a description of the event.
 func (e event) String() string {
 	out := fmt.Sprintf("%s: node %d", e.kind, e.node+1)
 	if e.message != nil {
@@ -40,7 +40,7 @@
 	return out
 }
 
-// String describes the message.
+// String returns a description of the message.
 func (m message) String() string {
 	if m.request != nil {
 		return fmt.Sprintf("from %d %s term %d position %v members %v", m.from+1, m.request.Type, m.request.Term, m.request.Position, consensus.MemberIDs(m.request.State.Members))
@@ -48,13 +48,14 @@
 	return fmt.Sprintf("from %d reply to %s term %d ok %v promised %d accepted %v", m.from+1, m.reply.Type, m.reply.Term, m.reply.Granted, m.reply.Promised, m.reply.Position)
 }
 
-// events lists all that may happen next. A lost message is one that is never delivered, and one
-// held up by a partition is one that is delivered late, so neither is an event of its own.
+// events returns all events that are possible in the state. Message loss and network partitions
+// need no events of their own: a lost message is never delivered, and a message delayed by a
+// partition is delivered late.
 func (s *state) events() []event {
 	return slices.Concat(s.messageEvents(), s.nodeEvents(), s.readEvents(), s.commandEvents())
 }
 
-// messageEvents lists what may happen next to messages in flight.
+// messageEvents returns the possible events of messages in flight.
 func (s *state) messageEvents() (out []event) {
 	for i, m := range s.inFlight {
 		out = append(out, event{kind: deliver, node: m.to, index: i, message: &s.inFlight[i]})
@@ -78,7 +79,7 @@
 	return next.StateDirty && next.PromiseDirty
 }
 
-// nodeEvents lists what may happen next to nodes.
+// nodeEvents returns the possible events of nodes.
 func (s *state) nodeEvents() (out []event) {
 	for i, n := range s.nodes {
 		if s.remaining.Crashes > 0 {
@@ -94,10 +95,10 @@
 	return out
 }
 
-// commandEvents lists the commands that may be submitted next.
+// commandEvents returns the possible submissions of commands.
 func (s *state) commandEvents() (out []event) {
 	for i, command := range s.scenario.Commands {
-		ready := !command.AfterDiskLoss || s.drawnIDs > 0
+		ready := !command.AfterDiskLoss || s.generatedIDs > 0
 		if s.openCommands&(1<<i) != 0 && ready && s.nodes[command.Node].memory.Phase == consensus.PhaseEstablished {
 			out = append(out, event{kind: submit, node: command.Node, index: i})
 		}
@@ -105,7 +106,7 @@
 	return out
 }
 
-// readEvents lists what may happen next of a quorum read.
+// readEvents returns the possible events of quorum reads.
 func (s *state) readEvents() (out []event) {
 	for i, n := range s.nodes {
 		if !s.read.active && s.remaining.QuorumReads > 0 && n.memory.Phase == consensus.PhaseEstablished {
--- a/tests/modelcheck/explore.go
+++ b/tests/modelcheck/explore.go
@@ -2,42 +2,44 @@
 
 import "fmt"
 
-// Bounds limit an exploration: how often each failure may happen, and how many events may
-// follow each other.
+// Bounds limits an exploration: the number of times that each failure may happen, and the number
+// of events in a sequence.
 type Bounds struct {
-	// Crashes, Timeouts, Duplicated and DisksLost are how often that may happen.
+	// Crashes, Timeouts, Duplicated and DisksLost are the maximum numbers of node crashes,
+	// timeouts, duplicated messages and lost disks.
 	Crashes, Timeouts, Duplicated, DisksLost int
-	// QuorumReads are reads whose replies are given at different moments.
+	// QuorumReads is the maximum number of quorum reads. Other events may happen between the
+	// replies to a quorum read.
 	QuorumReads int
-	// Depth is the longest sequence of events; zero: any.
+	// Depth is the maximum length of a sequence of events; zero means no limit.
 	Depth int
-	// States ends the exploration after so many states; zero: never.
+	// States is the number of states after which the exploration stops; zero means no limit.
 	States int
 }
 
-// String prints the bounds.
+// String returns the bounds as text.
 func (b Bounds) String() string {
 	return fmt.Sprintf("(crashes %d, timeouts %d, duplicated %d, disks lost %d, quorum reads %d, depth %d)", b.Crashes, b.Timeouts, b.Duplicated, b.DisksLost, b.QuorumReads, b.Depth)
 }
 
 // Result is the result of an exploration.
 type Result struct {
-	// States counts the different states, Steps the events tried, Merged the events that led
-	// to a known state, Deepest is the longest sequence of events.
+	// States counts the distinct states, Steps the events tried, and Merged the events that led
+	// to a known state. Deepest is the length of the longest sequence of events.
 	States, Steps, Merged, Deepest int
-	// Cut counts the states whose events were not tried since a bound was reached. Zero: the
-	// exploration is exhaustive under its bounds.
+	// Cut counts the states whose events were not tried because the limit on the depth or on the
+	// number of states was reached. If it is zero, the exploration is exhaustive under its bounds.
 	Cut int
 	// Answers counts the results of commands, by command and outcome.
 	Answers map[string]int
-	// Violation is the first broken invariant, Trace the events that led there.
+	// Violation describes the first violated invariant, and Trace lists the events that led to it.
 	Violation string
 	Trace     []string
 }
 
-// String sums the result up.
+// String returns a summary of the result.
 func (r Result) String() string {
-	return fmt.Sprintf("%d states, %d events, %d merged, %d deep, %d states not followed further; answers %v",
+	return fmt.Sprintf("%d states, %d events, %d merged, maximum depth %d, %d states not expanded; outcomes %v",
 		r.States, r.Steps, r.Merged, r.Deepest, r.Cut, r.Answers)
 }
 
@@ -49,7 +51,7 @@
 	depth  int
 }
 
-// trace lists the events that led to a branch.
+// trace returns the events that led to a branch, in order.
 func (b *branch) trace() (out []string) {
 	for ; b.parent != nil; b = b.parent {
 		out = append([]string{b.event.String()}, out...)
@@ -60,14 +62,14 @@
 // exploration is an exploration in progress.
 type exploration struct {
 	bounds  Bounds
-	seen    map[digest]struct{} // states
-	checked map[digest]struct{} // acceptor digests whose reads were checked
+	seen    map[digest]struct{} // digests of the states found
+	checked map[digest]struct{} // acceptor digests for which reads were checked
 	queue   []*branch
 	result  Result
 }
 
-// Explore tries all events in all states that a scenario reaches under bounds. It does so in
-// the order of depth, so that a violation is found by a shortest sequence of events.
+// Explore tries all events in all states that a scenario reaches under bounds. The search is
+// breadth-first, so the trace of a violation is a shortest one.
 func Explore(scenario Scenario, bounds Bounds) Result {
 	initial := newState(scenario, bounds)
 	e := &exploration{
@@ -92,7 +94,7 @@
 		return
 	}
 	now := current.state
-	current.state = nil // from now on only the way to it is needed
+	current.state = nil // frees memory: from here on only the trace is needed
 	for _, next := range now.events() {
 		e.result.Steps++
 		e.visit(&branch{state: now.step(next), parent: current, event: next, depth: current.depth + 1})
@@ -102,7 +104,7 @@
 	}
 }
 
-// visit takes in a state that an event led to.
+// visit adds the state that an event led to, unless it is known, and checks it.
 func (e *exploration) visit(to *branch) {
 	if key := to.state.digest(); to.state.violation == "" {
 		if contains(e.seen, key) {
@@ -116,8 +118,8 @@
 	for _, a := range to.state.results {
 		e.result.Answers[a]++
 	}
-	if view := to.state.acceptorDigest(); to.state.violation == "" && !contains(e.checked, view) {
-		e.checked[view] = struct{}{}
+	if acceptors := to.state.acceptorDigest(); to.state.violation == "" && !contains(e.checked, acceptors) {
+		e.checked[acceptors] = struct{}{}
 		to.state.violation = to.state.checkReads()
 	}
 	if to.state.violation != "" {
--- a/tests/modelcheck/invariants.go
+++ b/tests/modelcheck/invariants.go
@@ -10,7 +10,8 @@
 	"curlewwalk/internal/controlplane/consensus"
 )
 
-// recordProposal checks a proposal: a term has one proposer, and a position one state.
+// recordProposal checks and records a proposal: each term has one proposer, and each position has
+// one state. It also records the state of a commit message as committed.
 func (s *state) recordProposal(at int, message consensus.Message) {
 	if message.Type == consensus.MsgCommit {
 		s.recordCommit(message.Position.Revision, message.State)
@@ -21,7 +22,7 @@
 	proposed := proposal{position: message.Position, node: at, state: stateDigest(message.State)}
 	for _, other := range s.proposals {
 		if other.position.Term == proposed.position.Term && other.node != proposed.node {
-			s.violate("two proposers propose in term %d", proposed.position.Term)
+			s.violate("two proposers in term %d", proposed.position.Term)
 		}
 		if other.position == proposed.position && other.state != proposed.state {
 			s.violate("two states at position %v", proposed.position)
@@ -33,26 +34,26 @@
 	}
 }
 
-// stateDigest is the digest of a control state.
+// stateDigest returns the digest of a control state.
 func stateDigest(controlState config.ControlState) digest {
 	return digestOf(consensus.AppendControlState(nil, controlState))
 }
 
-// recordIfCommitted records the state of an acceptor if that takes it for committed.
+// recordIfCommitted records the state of an acceptor if the acceptor considers it committed.
 func (s *state) recordIfCommitted(acceptor consensus.Acceptor) {
 	if acceptor.Committed != 0 && acceptor.Committed == acceptor.Position.Revision {
 		s.recordCommit(acceptor.Committed, acceptor.State)
 	}
 }
 
-// recordCommit checks and records a state that a node takes for committed: there is one for each
-// revision.
+// recordCommit checks and records a state that a node considers committed: each revision has one
+// committed state.
 func (s *state) recordCommit(revision uint64, controlState config.ControlState) {
 	digest := stateDigest(controlState)
 	old, ok := s.committed[revision]
 	switch {
 	case ok && old != digest:
-		s.violate("two states are committed as revision %d", revision)
+		s.violate("two states committed at revision %d", revision)
 	case !ok:
 		s.committed = maps.Clone(s.committed)
 		s.committed[revision] = digest
@@ -71,30 +72,31 @@
 	ack := acknowledgement{generation: command.Generation, revision: result.State.Revision, digest: command.Text}
 	for _, other := range s.acknowledged {
 		if ack.generation != 0 && other.generation == ack.generation && other.digest != ack.digest {
-			s.violate("generation %d is acknowledged with %q and with %q", ack.generation, other.digest, ack.digest)
+			s.violate("generation %d was acknowledged with both %q and %q", ack.generation, other.digest, ack.digest)
 		}
 	}
 	if command.Generation != 0 && result.State.Generation == command.Generation && !bytes.Equal(result.State.Configuration, []byte(command.Text)) {
-		s.violate("generation %d with %q is acknowledged, and %q is in force", command.Generation, command.Text, result.State.Configuration)
+		s.violate("generation %d was acknowledged with %q, but %q is in force", command.Generation, command.Text, result.State.Configuration)
 	}
 	s.acknowledged = append(slices.Clone(s.acknowledged), ack)
 	slices.SortFunc(s.acknowledged, func(a, b acknowledgement) int { return bytes.Compare([]byte(fmt.Sprint(a)), []byte(fmt.Sprint(b))) })
 }
 
-// checkRefusal checks that a command that was not committed is no repeat of a configuration that was
-// acknowledged, unless the answer is that its generation has another one.
+// checkRefusal checks that a command that was not committed does not repeat an acknowledged
+// configuration. The outcome "conflict" is exempt: it says that the generation has another
+// configuration.
 func (s *state) checkRefusal(command Command, result consensus.CommandResult) {
 	if command.Generation == 0 || result.Outcome == consensus.OutcomeConflict {
 		return
 	}
 	for _, other := range s.acknowledged {
 		if other.generation == command.Generation && other.digest == command.Text {
-			s.violate("generation %d with %q was acknowledged, and its repeat is answered %s", other.generation, other.digest, result.Outcome)
+			s.violate("generation %d with %q was acknowledged, but its repetition got the outcome %s", other.generation, other.digest, result.Outcome)
 		}
 	}
 }
 
-// violate records the first violation.
+// violate records a violation, unless one was recorded before.
 func (s *state) violate(format string, args ...any) {
 	if s.violation == "" {
 		s.violation = fmt.Sprintf(format, args...)
--- a/tests/modelcheck/model_test.go
+++ b/tests/modelcheck/model_test.go
@@ -6,10 +6,11 @@
 	"testing"
 )
 
-// states limits each run.
-var states = flag.Int("states", 0, "end each run after so many states; zero: never")
+// states limits the number of states of each run.
+var states = flag.Int("states", 0, "number of states after which each run stops; zero means no limit")
 
-// Every interleaving of each scenario under its bounds keeps the invariants.
+// TestEveryInterleaving checks that the invariants hold in every interleaving of each scenario under
+// its bounds.
 func TestEveryInterleaving(t *testing.T) {
 	for _, run := range ShortRuns {
 		t.Run(run.Name, func(t *testing.T) {
@@ -23,7 +24,7 @@
 				t.Errorf("%s after\n%s", result.Violation, strings.Join(result.Trace, "\n"))
 			}
 			if len(result.Answers) == 0 {
-				t.Error("no command was answered")
+				t.Error("no command got a result")
 			}
 		})
 	}
--- a/tests/modelcheck/scenario.go
+++ b/tests/modelcheck/scenario.go
@@ -5,31 +5,32 @@
 	"curlewwalk/internal/controlplane/consensus"
 )
 
-// Scenario is what is explored: who founds the cluster, who may join, whose disk may be lost,
-// and the commands, each of which is submitted once, at any moment.
+// Scenario is a cluster to explore: the addresses of its initial members, of the nodes that may
+// join and of the nodes whose disks may be lost, and the commands. Each command is submitted at most
+// once, at any time.
 type Scenario struct {
 	Name                           string
 	Founders, Newcomers, DisksLost []string
 	Commands                       []Command
 }
 
-// Command is a command that an operator, or the coordinator, submits at a node.
+// Command is a command that an operator or the coordinator submits at a node.
 type Command struct {
 	Name string
 	Node int
 	// Generation and Text are the generation and content of a configuration.
 	Generation uint64
 	Text       string
-	// Joins is the address of the node that is to be added, Leaves the ID of the member that
-	// is to be removed. Without either the command puts a configuration.
+	// Joins is the address of the node to add, and Leaves is the ID of the member to remove. If
+	// neither is set, the command puts a configuration.
 	Joins  string
 	Leaves int
-	// AfterDiskLoss has the command wait until a disk was lost.
+	// AfterDiskLoss delays the command until a disk has been lost.
 	AfterDiskLoss bool
 }
 
-// command is what the proposer is given. A change of members is based on the member set that
-// the node knows of.
+// command returns the command that is passed to the proposer. A membership change is based on the
+// node's current member set.
 func (c Command) command(s *state) consensus.Command {
 	if c.Joins == "" && c.Leaves == 0 {
 		return consensus.Command{Kind: consensus.CommandPutConfiguration, Generation: c.Generation, Payload: []byte(c.Text)}
@@ -45,28 +46,31 @@
 
 var founders = []string{"a", "b", "c"}
 
-// The scenarios: two operators race with one generation, a configuration is repeated, a fourth
-// member is added beside a configuration, a live member is replaced, and one whose disk was
-// lost is replaced.
+// The scenarios that are explored.
 var (
+	// RaceScenario has two operators that submit different configurations of one generation.
 	RaceScenario = Scenario{Name: "race", Founders: founders, Commands: []Command{
-		{Name: "one", Node: 0, Generation: 1, Text: "x"},
-		{Name: "other", Node: 1, Generation: 1, Text: "y"},
+		{Name: "first", Node: 0, Generation: 1, Text: "x"},
+		{Name: "second", Node: 1, Generation: 1, Text: "y"},
 	}}
+	// RepeatScenario has a configuration that is submitted twice.
 	RepeatScenario = Scenario{Name: "repeat", Founders: founders, Commands: []Command{
-		{Name: "order", Node: 0, Generation: 1, Text: "x"},
+		{Name: "put", Node: 0, Generation: 1, Text: "x"},
 		{Name: "repeat", Node: 1, Generation: 1, Text: "x"},
 	}}
+	// GrowScenario adds a fourth member while a configuration is submitted.
 	GrowScenario = Scenario{Name: "grow", Founders: founders, Newcomers: []string{"d"}, Commands: []Command{
-		{Name: "order", Node: 0, Generation: 1, Text: "x"},
-		{Name: "grow", Node: 1, Joins: "d"},
+		{Name: "put", Node: 0, Generation: 1, Text: "x"},
+		{Name: "add", Node: 1, Joins: "d"},
 	}}
-	ReplaceScenario = Scenario{Name: "swap", Founders: founders, Newcomers: []string{"d"}, Commands: []Command{
-		{Name: "order", Node: 0, Generation: 1, Text: "x"},
-		{Name: "swap", Node: 1, Joins: "d", Leaves: 3},
+	// ReplaceScenario replaces a live member while a configuration is submitted.
+	ReplaceScenario = Scenario{Name: "replace", Founders: founders, Newcomers: []string{"d"}, Commands: []Command{
+		{Name: "put", Node: 0, Generation: 1, Text: "x"},
+		{Name: "replace", Node: 1, Joins: "d", Leaves: 3},
 	}}
-	DiskLossScenario = Scenario{Name: "wiped", Founders: founders, DisksLost: []string{"c"}, Commands: []Command{
-		{Name: "order", Node: 0, Generation: 1, Text: "x"},
+	// DiskLossScenario replaces a member whose disk was lost.
+	DiskLossScenario = Scenario{Name: "disk-loss", Founders: founders, DisksLost: []string{"c"}, Commands: []Command{
+		{Name: "put", Node: 0, Generation: 1, Text: "x"},
 		{Name: "replace", Node: 1, Joins: "c", Leaves: 3, AfterDiskLoss: true},
 	}}
 )
@@ -77,8 +81,8 @@
 	Bounds
 }
 
-// ShortRuns are run by the tests, LongRuns by tests/cmd/modelcheck. A run without a depth is
-// exhaustive.
+// The tests explore ShortRuns, and tests/cmd/modelcheck explores LongRuns. A run without a depth is
+// exhaustive under its bounds.
 var (
 	ShortRuns = []Run{
 		{RaceScenario, Bounds{Crashes: 1}},
--- a/tests/modelcheck/state.go
+++ b/tests/modelcheck/state.go
@@ -13,15 +13,15 @@
 // digest identifies a state, or a part of one.
 type digest [16]byte
 
-// digestOf is the digest of an encoding.
+// digestOf returns the digest of an encoding.
 func digestOf(b []byte) (d digest) {
 	sum := sha256.Sum256(b)
 	copy(d[:], sum[:])
 	return d
 }
 
-// node is a replica: its disk, its memory and its proposer. It is immutable; a step makes
-// another one.
+// node is a replica: its disk, its memory and its proposer. A node is immutable; a step makes a new
+// one.
 type node struct {
 	addr     string
 	disk     consensus.Acceptor
@@ -29,11 +29,11 @@
 	proposer *consensus.Proposer
 	now      time.Duration
 	key      digest
-	acceptor digest // of memory alone
+	acceptor digest // digest of memory alone
 }
 
-// sealed sets the digests of a new node.
-func (n *node) sealed() *node {
+// withDigests sets the digests of a new node.
+func (n *node) withDigests() *node {
 	b := n.memory.AppendState(make([]byte, 0, 512))
 	n.acceptor = digestOf(b)
 	b = n.disk.AppendState(b)
@@ -47,13 +47,13 @@
 	from, to int
 	request  *consensus.Message
 	reply    *consensus.Reply
-	memberID int // with diskID: the member that a request is meant for
+	memberID int // memberID and diskID identify the member that a request is addressed to
 	diskID   uint64
 	key      digest
 }
 
-// sealed sets the digest of a new message.
-func (m message) sealed() message {
+// withDigest sets the digest of a new message.
+func (m message) withDigest() message {
 	b := []byte{byte(m.from), byte(m.to), byte(m.memberID)}
 	b = binary.BigEndian.AppendUint64(b, m.diskID)
 	if m.request != nil {
@@ -72,32 +72,32 @@
 	state    digest
 }
 
-// acknowledgement is what an operator was answered.
+// acknowledgement is the successful result of a command.
 type acknowledgement struct {
 	generation, revision uint64
 	digest               string
 }
 
-// state is one moment of a run, with the history that the invariants need. It is immutable,
-// as are its parts; a step makes another one.
+// state is a state of the whole cluster, with the history that the invariants need. A state and its
+// parts are immutable; a step makes a new state.
 type state struct {
 	scenario     *Scenario
 	nodes        []*node
-	inFlight     []message  // sorted, each once
+	inFlight     []message  // sorted, without duplicates
 	remaining    Bounds     // the failures that may still happen
-	openCommands uint       // a bit for each command that was not submitted yet
-	drawnIDs     uint64     // how many disk identities were drawn
-	read         quorumRead // in progress
+	openCommands uint       // a bit for each command that has not been submitted yet
+	generatedIDs uint64     // number of disk IDs generated so far
+	read         quorumRead // the quorum read in progress
 
 	proposals    []proposal        // sorted by position
 	committed    map[uint64]digest // the state of each committed revision
 	acknowledged []acknowledgement
 
-	results   []string // of commands, by the last step
-	violation string   // the first one
+	results   []string // results of commands that the last step completed
+	violation string   // the first violation
 }
 
-// newState is the initial state of a scenario.
+// newState returns the initial state of a scenario.
 func newState(scenario Scenario, bounds Bounds) *state {
 	s := &state{scenario: &scenario, remaining: bounds, openCommands: 1<<len(scenario.Commands) - 1, committed: map[uint64]digest{}}
 	s.remaining.Depth, s.remaining.States = 0, 0
@@ -111,29 +111,30 @@
 	return s
 }
 
-// newcomerID is the disk identity of the nth node that may join, drawnID the nth one drawn after
-// a disk was lost.
+// newcomerID returns the disk ID of the nth node that may join.
 func newcomerID(n int) uint64 { return uint64(1001 + 2*n) }
-func drawnID(n uint64) uint64 { return 2001 + 2*n }
 
-// clone is a copy to make the next state of.
+// generatedID returns the nth disk ID that is generated for a lost disk or a removed member.
+func generatedID(n uint64) uint64 { return 2001 + 2*n }
+
+// clone returns a copy of the state, from which a step makes the next state.
 func (s *state) clone() *state {
 	c := *s
 	c.nodes, c.results = slices.Clone(s.nodes), nil
 	return &c
 }
 
-// startNode starts a replica from its disk.
+// startNode returns a replica that has just started from its disk.
 func startNode(addr string, disk consensus.Acceptor, now time.Duration) *node {
 	disk.PromiseDirty, disk.StateDirty = false, false
 	n := &node{addr: addr, disk: disk, memory: disk, proposer: &consensus.Proposer{}, now: now}
 	n.memory.Committed = 0
 	n.memory.Promised = max(disk.Promised, disk.Position.Term)
 	n.proposer.FollowAcceptor(n.memory, now)
-	return n.sealed()
+	return n.withDigests()
 }
 
-// digest identifies the state: equal ones behave alike from there on.
+// digest identifies the state: states with equal digests have the same future behaviour.
 func (s *state) digest() digest {
 	b := make([]byte, 0, 1024)
 	for _, n := range s.nodes {
@@ -142,7 +143,7 @@
 	for _, m := range s.inFlight {
 		b = append(b, m.key[:]...)
 	}
-	b = append(b, 0xff, byte(s.remaining.Crashes), byte(s.remaining.Timeouts), byte(s.remaining.Duplicated), byte(s.remaining.DisksLost), byte(s.remaining.QuorumReads), byte(s.openCommands), byte(s.drawnIDs))
+	b = append(b, 0xff, byte(s.remaining.Crashes), byte(s.remaining.Timeouts), byte(s.remaining.Duplicated), byte(s.remaining.DisksLost), byte(s.remaining.QuorumReads), byte(s.openCommands), byte(s.generatedIDs))
 	b = s.read.appendState(b)
 	for _, p := range s.proposals {
 		b = binary.AppendUvarint(b, p.position.Term)
@@ -163,11 +164,11 @@
 	return digestOf(b)
 }
 
-// post adds messages to those in flight; one that is there already is not added.
+// post adds messages to those in flight, except messages that are already in flight.
 func (s *state) post(ms ...message) {
 	s.inFlight = slices.Clone(s.inFlight)
 	for _, m := range ms {
-		m = m.sealed()
+		m = m.withDigest()
 		at, found := slices.BinarySearchFunc(s.inFlight, m, func(a, b message) int { return bytes.Compare(a.key[:], b.key[:]) })
 		if !found {
 			s.inFlight = slices.Insert(s.inFlight, at, m)
@@ -175,7 +176,7 @@
 	}
 }
 
-// nodeAt is the index of the node at an address.
+// nodeAt returns the index of the node with an address.
 func (s *state) nodeAt(addr string) int {
 	return slices.IndexFunc(s.nodes, func(n *node) bool { return n.addr == addr })
 }
--- a/tests/modelcheck/step.go
+++ b/tests/modelcheck/step.go
@@ -8,13 +8,13 @@
 	"curlewwalk/internal/controlplane/consensus"
 )
 
-// timeoutStep is longer than each time-out of the proposer.
+// timeoutStep is longer than every timeout of the proposer.
 const timeoutStep = time.Minute
 
 // noDeadline is a deadline that is never reached.
 const noDeadline = 1 << 62
 
-// step is the state after an event.
+// step returns the state after an event.
 func (s *state) step(e event) *state {
 	next := s.clone()
 	switch e.kind {
@@ -32,8 +32,8 @@
 		next.nodes[e.node] = startNode(n.addr, n.disk, n.now)
 	case loseDisk:
 		next.remaining.DisksLost--
-		next.nodes[e.node] = startNode(s.nodes[e.node].addr, consensus.Bootstrap{}.InitialState(drawnID(s.drawnIDs)), s.nodes[e.node].now)
-		next.drawnIDs++
+		next.nodes[e.node] = startNode(s.nodes[e.node].addr, consensus.Bootstrap{}.InitialState(generatedID(s.generatedIDs)), s.nodes[e.node].now)
+		next.generatedIDs++
 	case timeout:
 		next.remaining.Timeouts--
 		next.runProposer(e.node, func(n *node) []consensus.Ready {
@@ -54,8 +54,8 @@
 	return next
 }
 
-// deliver has a node handle a message. torn has it crash between its two writes to disk, that
-// of the accepted state and that of the promise.
+// deliver delivers a message to its receiver. If torn is set, the receiver crashes between its two
+// disk writes: after that of the accepted state and before that of the promise.
 func (s *state) deliver(m message, torn bool) {
 	if m.reply != nil {
 		s.runProposer(m.to, func(n *node) []consensus.Ready {
@@ -82,7 +82,8 @@
 	}
 }
 
-// save writes to disk what an acceptor says must be there, and goes on with it.
+// save makes acceptor the node's acceptor, and writes its changed parts to the node's disk. A node
+// that was removed from the member set gets a new disk ID with which it can rejoin.
 func (s *state) save(at int, acceptor consensus.Acceptor) {
 	old := s.nodes[at]
 	n := &node{addr: old.addr, disk: old.disk, memory: acceptor, proposer: old.proposer.Clone(), now: old.now}
@@ -94,19 +95,20 @@
 	}
 	n.memory.StateDirty, n.memory.PromiseDirty = false, false
 	n.proposer.FollowAcceptor(n.memory, n.now)
-	s.nodes[at] = n.sealed()
+	s.nodes[at] = n.withDigests()
 	if n.memory.Removed() {
-		s.save(at, n.memory.Rejoining(drawnID(s.drawnIDs)))
-		s.drawnIDs++
+		s.save(at, n.memory.Rejoining(generatedID(s.generatedIDs)))
+		s.generatedIDs++
 	}
 }
 
-// runProposer lets the proposer of a node do something, and carries out what it wants.
+// runProposer runs an action on a node's proposer, then records the results and sends the messages
+// that the proposer returns.
 func (s *state) runProposer(at int, action func(*node) []consensus.Ready) {
 	n := *s.nodes[at]
 	n.proposer = n.proposer.Clone()
 	ready := action(&n)
-	s.nodes[at] = n.sealed()
+	s.nodes[at] = n.withDigests()
 	for _, item := range ready {
 		if item.Result != nil {
 			s.recordResult(*item.Result)
@@ -130,8 +132,9 @@
 	}
 }
 
-// deliverToSelf has a node's own acceptor handle a message of its proposer, and the proposer the
-// reply, at once: both are in one process, and no other message needs to come between.
+// deliverToSelf delivers a proposer's message to the acceptor of the same node, and the reply to
+// the proposer, in one step. Both are in one process, so no interleaving with other messages needs to
+// be explored.
 func (s *state) deliverToSelf(at int, message consensus.Message, member config.Member) {
 	acceptor, reply := s.nodes[at].memory.Step(message)
 	s.save(at, acceptor)
@@ -141,8 +144,8 @@
 	}
 }
 
-// nodeOf is the index of the node that a member's messages reach: the sender itself, or whoever
-// is at the member's address now.
+// nodeOf returns the index of the node that receives messages to a member: the sender if it is that
+// member, otherwise the node that has the member's address now.
 func (s *state) nodeOf(at int, member config.Member) int {
 	if self := s.nodes[at].memory.Self; self.MemberID == member.MemberID && self.DiskID == member.DiskID {
 		return at
@@ -150,10 +153,11 @@
 	return s.nodeAt(member.Addr)
 }
 
-// dropIgnored drops messages that change nothing any more, so that states merge: requests that
-// would be refused when nobody waits for the refusal, and replies for a term that is over.
+// dropIgnored drops the messages that can no longer change anything, so that more states merge.
+// These are commits that the receiver already has, requests whose rejection the sender's proposer
+// would ignore, and replies that the receiving proposer would ignore.
 func (s *state) dropIgnored() {
-	matters := func(m message) bool {
+	hasEffect := func(m message) bool {
 		if m.reply != nil {
 			return s.nodes[m.to].proposer.CanAffect(*m.reply)
 		}
@@ -167,7 +171,7 @@
 		}
 		return to.Promised <= request.Term || s.nodes[m.from].proposer.HoldsTerm(request.Term)
 	}
-	if slices.ContainsFunc(s.inFlight, func(m message) bool { return !matters(m) }) {
-		s.inFlight = slices.DeleteFunc(slices.Clone(s.inFlight), func(m message) bool { return !matters(m) })
+	if slices.ContainsFunc(s.inFlight, func(m message) bool { return !hasEffect(m) }) {
+		s.inFlight = slices.DeleteFunc(slices.Clone(s.inFlight), func(m message) bool { return !hasEffect(m) })
 	}
 }
--- a/tests/mutation/catalogue.go
+++ b/tests/mutation/catalogue.go
@@ -2,30 +2,30 @@
 
 import "slices"
 
-// The invariants: the lines of the users' "What must never happen".
+// The invariants, each named by the failure that must never happen.
 const (
-	duplicateRun        = "an order runs twice"
-	runAfterRefusal     = "not run, and then it runs"
-	wrongAnswer         = "an answer not wholly its own, or cut short"
-	alteredRequest      = "never sent, altered, or of a wrong caller"
-	sentAfterLeaving    = "reached 2 s after leaving"
-	sentAfterEvacuation = "reached 5 s after emptying"
-	staleConfiguration  = "not in force in 2 s, or slides back"
-	staleRead           = "read back older, or other bytes"
-	retryExcess         = "extra tries over a fifth"
-	slowStartExceeded   = "a cold backend flooded"
+	duplicateRun        = "a non-idempotent request runs twice"
+	runAfterRefusal     = "a request reported as not run is run"
+	wrongAnswer         = "a response is mixed up or truncated"
+	alteredRequest      = "a backend gets a request that no client sent, an altered one, or one with a wrong caller"
+	sentAfterLeaving    = "a backend gets requests 2 s after it left"
+	sentAfterEvacuation = "a zone gets requests 5 s after its evacuation"
+	staleConfiguration  = "a configuration is not in force within 2 s, or an older one returns"
+	staleRead           = "a read returns an older state or other bytes"
+	retryExcess         = "extra attempts exceed a fifth of the first attempts"
+	slowStartExceeded   = "a backend in slow start is overloaded"
 	droppedInRestart    = "a planned restart drops a request"
-	slowRecovery        = "no service after 15 s"
-	tracingDelays       = "tracing makes a request wait"
-	badInput            = "bad input ends or stalls a process"
-	blockedRequest      = "a request is held though it could be refused or go elsewhere"
-	abandonedWork       = "work goes on for a client that has left"
+	slowRecovery        = "service has not recovered after 15 s"
+	tracingDelays       = "tracing delays a request"
+	badInput            = "invalid input stops or blocks a process"
+	blockedRequest      = "a request waits though it could be rejected or sent elsewhere"
+	abandonedWork       = "work continues for a client that has disconnected"
 )
 
-// All lists all mutations.
+// All contains all mutations.
 var All = slices.Concat(testMutations, soakMutations)
 
-// testMutations are killed by one test each.
+// testMutations are the mutations that one test each must kill.
 var testMutations = []Mutation{
 	{duplicateRun, "internal/dataplane/routing/decision.go", "past.outcome == Unknown && !d.Route.Idempotent", "false", "./tests/e2e", "TestRetry", nil},
 	{duplicateRun, "internal/dataplane/proxy/attemptlog.go", "return !known", "return !known || true", "./tests/simulation", "TestRequests", nil},
--- a/tests/mutation/mutation.go
+++ b/tests/mutation/mutation.go
@@ -10,26 +10,26 @@
 	"strings"
 )
 
-// Mutation is one change for the worse.
+// Mutation is a deliberate defect in one source file.
 type Mutation struct {
-	// Invariant is the line of the users' "What must never happen" that the mutation breaks.
+	// Invariant names the failure that must never happen and that the mutation causes.
 	Invariant string
-	// File is the file that is changed, relative to the root of the tree. Old, which must
-	// occur once in it, is replaced by New.
+	// File is the mutated file, relative to the root of the tree. Old must occur exactly once in
+	// it and is replaced by New.
 	File, Old, New string
-	// Package and Test name the test that must fail; Args are more arguments for it.
+	// Package and Test name the test that must fail. Args are additional arguments of go test.
 	Package, Test string
 	Args          []string
 }
 
-// Check reports an error unless the mutation can be applied to the tree at root.
+// Check returns an error if the mutation cannot be applied to the tree at root.
 func (m Mutation) Check(root string) error {
 	b, err := os.ReadFile(filepath.Join(root, m.File))
 	if err != nil {
 		return err
 	}
 	if n := strings.Count(string(b), m.Old); n != 1 {
-		return fmt.Errorf("%s: %q occurs %d times, not once", m.File, m.Old, n)
+		return fmt.Errorf("%s: %q occurs %d times, want once", m.File, m.Old, n)
 	}
 	return nil
 }
@@ -39,8 +39,8 @@
 	return bytes.Replace(original, []byte(m.Old), []byte(m.New), 1)
 }
 
-// Builds builds the mutated package, and returns the output of the build. The tree is not
-// touched: dir takes the mutated file.
+// Builds builds the mutated package and returns the output of the build. It does not change the
+// tree: the mutated file is written to dir.
 func (m Mutation) Builds(root, dir string) (output string, err error) {
 	path, err := filepath.Abs(filepath.Join(root, m.File))
 	if err != nil {
@@ -67,9 +67,9 @@
 	return string(out), err
 }
 
-// Killed applies the mutation to a tree, runs its test there, and takes it back. The mutation is
-// killed if the tree still builds and the test fails; output is that of the test, or of the
-// build that failed.
+// Killed applies the mutation to the tree at root, runs its test there, and restores the file. The
+// mutation is killed if the mutated tree builds and the test fails. output is the output of the
+// test, or of the build if it failed.
 func (m Mutation) Killed(root string) (killed bool, output string, err error) {
 	if err := m.Check(root); err != nil {
 		return false, "", err
@@ -90,7 +90,7 @@
 		return string(out), err
 	}
 	if out, err := run("build", "./..."); err != nil {
-		return false, out, fmt.Errorf("the mutated tree does not build")
+		return false, out, fmt.Errorf("mutated tree does not build")
 	}
 	output, err = run(append([]string{"test", "-count=1", m.Package, "-run", "^" + m.Test + "$"}, m.Args...)...)
 	return err != nil, output, nil
--- a/tests/mutation/mutation_test.go
+++ b/tests/mutation/mutation_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// Each mutation still applies, so that none is forgotten as the code changes. That each is killed
-// is shown by tests/cmd/mutation.
+// TestMutationsApply checks that each mutation still applies: a change of the code could otherwise
+// disable one unnoticed. tests/cmd/mutation checks that each mutation is killed.
 func TestMutationsApply(t *testing.T) {
 	for _, m := range All {
 		if err := m.Check("../.."); err != nil {
@@ -18,20 +18,21 @@
 	}
 }
 
-// Each mutation builds: one that does not would seem to be killed, and shows nothing.
+// TestMutationsBuild checks that each mutated package builds. A mutation that does not build says
+// nothing about its test.
 func TestMutationsBuild(t *testing.T) {
 	for _, m := range All {
 		t.Run(m.File+"/"+m.Test, func(t *testing.T) {
 			t.Parallel()
 			if output, err := m.Builds("../..", t.TempDir()); err != nil {
-				t.Errorf("%q for %q: %v\n%s", m.New, m.Old, err, output)
+				t.Errorf("new text %q for old text %q does not build: %v\n%s", m.New, m.Old, err, output)
 			}
 		})
 	}
 }
 
-// The test of each mutation exists in its package. go test passes if -run matches no test, and
-// the mutation would survive unnoticed until somebody runs the whole catalogue.
+// TestMutationsNameTests checks that the test of each mutation exists in its package. go test passes
+// if -run matches no test, so a missing test would be noticed only when the whole catalogue runs.
 func TestMutationsNameTests(t *testing.T) {
 	for _, m := range All {
 		files, err := filepath.Glob(filepath.Join("../..", m.Package, "*_test.go"))
@@ -43,7 +44,7 @@
 			return err == nil && strings.Contains(string(text), "\nfunc "+m.Test+"(t *testing.T)")
 		})
 		if !found {
-			t.Errorf("%s: %s has no %s", m.File, m.Package, m.Test)
+			t.Errorf("mutation of %s: package %s has no test %s", m.File, m.Package, m.Test)
 		}
 	}
 }
--- a/tests/mutation/soak_catalogue.go
+++ b/tests/mutation/soak_catalogue.go
@@ -1,6 +1,7 @@
 package mutation
 
-// soakMutations must be found by the soak within ten seeds; there is one for each of its rules.
+// soakMutations are the mutations that the soak test must detect within ten seeds. There is one for
+// each of its rules.
 var soakMutations = []Mutation{
 	soakMutation(sentAfterLeaving, "DRAIN", "internal/dataplane/endpoints/stale.go", "return !a.Draining", "return false"),
 	soakMutation(alteredRequest, "ROUTE", "internal/dataplane/endpoints/stale.go", "return r.displaced.Contains(a.Instance) && r.addressTaken(a, now)", "return false"),
@@ -20,7 +21,7 @@
 	soakMutation(droppedInRestart, "STOP", "internal/dataplane/shutdown.go", "\ts.process.Close()\n", "\ts.process.Close()\n\tselect {}\n"),
 }
 
-// soakMutation is a mutation that breaks a rule of the soak.
+// soakMutation returns a mutation that violates a rule of the soak test.
 func soakMutation(invariant, rule, file, old, changed string) Mutation {
 	return Mutation{
 		Invariant: invariant, File: file, Old: old, New: changed, Package: "./tests/soak", Test: "TestSeeds",
