--- a/tests/golden/constants_test.go
+++ b/tests/golden/constants_test.go
@@ -19,8 +19,8 @@
 	"curlewwalk/tests/golden"
 )
 
-// Texts and numbers that are sent, stored or shown in place of a choice are what they have
-// always been.
+// TestConstants checks that the values of constants that are sent, stored or shown to operators have
+// not changed.
 func TestConstants(t *testing.T) {
 	for name, values := range map[string][]any{
 		"message-kinds": {
--- a/tests/golden/documents_test.go
+++ b/tests/golden/documents_test.go
@@ -16,8 +16,8 @@
 	"curlewwalk/tests/golden"
 )
 
-// The documents for operators and backends, and the planner's, have the keys that they have
-// always had. Those of types that are not exported are in their packages' own tests.
+// TestDocuments checks that the keys of the JSON documents for operators, backends and the planner
+// have not changed. Documents of unexported types are checked by the tests of their packages.
 func TestDocuments(t *testing.T) {
 	for name, sample := range map[string]any{
 		"announcement":   &endpoints.Announcement{},
@@ -36,8 +36,8 @@
 	}
 }
 
-// The operator's configuration is written, and what was written is read and written again, as
-// it always has been.
+// TestConfiguration checks that the encoding of the operator's configuration has not changed, and
+// that an encoding from before is read back and written with the same bytes.
 func TestConfiguration(t *testing.T) {
 	const name = "documents/configuration.json"
 	var whole config.Configuration
@@ -49,9 +49,9 @@
 	}
 	read, _, ok := config.Parse(stored)
 	if !ok {
-		t.Fatal("the golden file is not read")
+		t.Fatal("config.Parse rejects the golden file")
 	}
 	if string(read.Bytes()) != string(stored) {
-		t.Errorf("read and written again: %s", read.Bytes())
+		t.Errorf("configuration re-encoded as %s, want the bytes of the golden file", read.Bytes())
 	}
 }
--- a/tests/golden/fill.go
+++ b/tests/golden/fill.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// maxDepth bounds how often a type that contains itself is filled again.
+// maxDepth limits the depth of nesting, so that filling a type that contains itself ends.
 const maxDepth = 8
 
-// Fill sets every exported field that value points to, through structs, pointers, slices,
-// arrays and maps, to a value that is not zero. What a field is set to depends only on the
-// path of keys that leads to it, as the struct tags of that name give them: Go names and the
-// order of fields don't matter. A slice or map gets one element, so that its encoding
-// has one order.
+// Fill sets every exported field of the value that value points to, through structs, pointers,
+// slices, arrays and maps, to a non-zero value. The value of a field depends only on the path of
+// the keys that lead to the field. The keys are taken from the struct tags named tag, so renaming or
+// reordering Go fields changes nothing. Each slice and map gets one element, so that its encoding
+// has a single possible order.
 func Fill(value any, tag string) {
 	f := filler{tag: tag}
 	f.fill(reflect.ValueOf(value).Elem(), "", 0)
@@ -53,13 +53,13 @@
 	case reflect.Struct:
 		f.fillStruct(v, path, depth)
 	default:
-		panic(fmt.Sprintf("%s: a sample of %v can't be made", path, v.Type()))
+		panic(fmt.Sprintf("%s: cannot fill a value of type %v", path, v.Type()))
 	}
 }
 
 func (f filler) fillSlice(v reflect.Value, path string, depth int) {
 	if v.Type().Name() == "RawMessage" {
-		v.SetBytes([]byte("7")) // a whole value in JSON and in MessagePack alike
+		v.SetBytes([]byte("7")) // a complete value in both JSON and MessagePack
 		return
 	}
 	if v.Type().Elem().Kind() == reflect.Uint8 {
@@ -93,7 +93,7 @@
 		case key == "-":
 			continue
 		case key == "" && field.Anonymous:
-			key = path // the fields of an embedded struct stand beside those around it
+			key = path // the fields of an embedded struct are encoded at the level of the enclosing struct
 		case key == "":
 			key = path + "." + field.Name
 		default:
--- a/tests/golden/golden.go
+++ b/tests/golden/golden.go
@@ -1,9 +1,9 @@
-// Package golden holds encodings fixed: tests compare what the code writes today with files
-// that were written before, read these files back, and check that the same bytes come out.
+// Package golden detects changes of encodings. Its tests compare the bytes that the code writes with
+// golden files, read these files back, and check that they are re-encoded as the same bytes.
 //
-// A golden file stands in the testdata/golden folder of the package whose test names it. It
-// is only ever written under the flag -update, and a changed golden file is a changed
-// encoding: processes and disks of earlier versions no longer understand it.
+// Golden files are in the testdata/golden folder of the package whose test uses them. They are
+// written only under the flag -update. A changed golden file means a changed encoding, which
+// processes of earlier versions, and data stored by them, are not compatible with.
 package golden
 
 import (
@@ -18,18 +18,17 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-var update = flag.Bool("update", false, "write the golden files in place of comparing with them")
+var update = flag.Bool("update", false, "write the golden files instead of comparing with them")
 
-// Codec is an encoding: how values are written and read, and the struct tag that names the
-// keys of their fields.
+// Codec is an encoding: its functions, and the struct tag that holds the keys of fields.
 type Codec struct {
 	Tag       string
 	Marshal   func(value any) ([]byte, error)
 	Unmarshal func(data []byte, into any) error
 }
 
-// The encodings in use: messages on the wire are MessagePack; files, and documents for
-// operators, backends and clients, are JSON.
+// The encodings in use. Messages on the wire are MessagePack. Files, and documents for operators,
+// backends and clients, are JSON.
 var (
 	Msgpack = Codec{Tag: "msgpack", Marshal: msgpack.Marshal, Unmarshal: msgpack.Unmarshal}
 	JSON    = Codec{Tag: "json", Marshal: marshalIndent, Unmarshal: json.Unmarshal}
@@ -40,13 +39,13 @@
 	return append(b, '\n'), err
 }
 
-// folder is where a package's golden files are.
+// folder is the folder of a package's golden files, relative to the package.
 var folder = filepath.Join("testdata", "golden")
 
-// Path is the path of a golden file, for tests that run in its package.
+// Path returns the path of a golden file, relative to the package under test.
 func Path(name string) string { return filepath.Join(folder, name) }
 
-// Check compares bytes with a golden file, or writes the file under -update.
+// Check compares got with a golden file, or writes the file under -update.
 func Check(t *testing.T, name string, got []byte) {
 	t.Helper()
 	path := Path(name)
@@ -64,13 +63,13 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(got, want) {
-		t.Errorf("%s: the bytes are not those of the golden file\ngot:  %q\nwant: %q", name, got, want)
+		t.Errorf("%s: the encoding differs from the golden file\ngot:  %q\nwant: %q", name, got, want)
 	}
 }
 
-// Value checks one type: a sample of it that has every field set is encoded as the golden
-// file says, and the golden file, read and encoded again, is the same bytes. sample is
-// a pointer to the type's zero value.
+// Value checks the encoding of one type. A sample with every field set must be encoded as the bytes
+// of the golden file, and the golden file must be re-encoded as the same bytes after it was read.
+// sample is a pointer to the type's zero value.
 func Value(t *testing.T, codec Codec, name string, sample any) {
 	t.Helper()
 	Fill(sample, codec.Tag)
@@ -85,13 +84,13 @@
 	}
 	read := reflect.New(reflect.TypeOf(sample).Elem()).Interface()
 	if err := codec.Unmarshal(stored, read); err != nil {
-		t.Fatalf("%s: reading the golden file: %v", name, err)
+		t.Fatalf("%s: decode the golden file: %v", name, err)
 	}
 	again, err := codec.Marshal(read)
 	if err != nil {
 		t.Fatalf("%s: %v", name, err)
 	}
 	if !bytes.Equal(again, stored) {
-		t.Errorf("%s: read and written again, the golden file is other bytes:\n%q\nnot\n%q", name, again, stored)
+		t.Errorf("%s: the golden file is re-encoded as other bytes\ngot:  %q\nwant: %q", name, again, stored)
 	}
 }
--- a/tests/golden/live_test.go
+++ b/tests/golden/live_test.go
@@ -21,7 +21,7 @@
 	"curlewwalk/tests/golden"
 )
 
-// freePort is an address that nothing listens at.
+// freePort returns a loopback address on which nothing listens.
 func freePort(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -32,13 +32,13 @@
 	return l.Addr().String()
 }
 
-// keys lists the keys of a document, of its elements if it is a list. What is in them is held
-// by the golden files of their types.
+// keys returns the keys at the top level of a document, or of its elements if it is a list. Nested
+// values are checked by the golden files of their types.
 func keys(document any) (out []string) {
 	switch v := document.(type) {
 	case map[string]any:
 		for key := range v {
-			if !slices.Contains(passing, key) {
+			if !slices.Contains(optionalKeys, key) {
 				out = append(out, key)
 			}
 		}
@@ -52,34 +52,34 @@
 	return out
 }
 
-// passing are the keys that are there or not as the moment wills.
-var passing = []string{"behind", "fault", "done_for"}
+// optionalKeys are the keys whose presence depends on timing.
+var optionalKeys = []string{"behind", "fault", "done_for"}
 
-// ask sends a request until it is answered with a status; headers are given as name and value
-// in turn.
-func ask(t *testing.T, method, url, body string, status int, headers ...string) (header http.Header, answer []byte) {
+// request repeats an HTTP request until the response has the wanted status, for at most 10 s. headers
+// alternates names and values.
+func request(t *testing.T, method, url, body string, status int, headers ...string) (header http.Header, content []byte) {
 	t.Helper()
 	poll := time.NewTicker(20 * time.Millisecond)
 	defer poll.Stop()
 	for end := time.Now().Add(10 * time.Second); ; <-poll.C {
-		request, err := http.NewRequestWithContext(t.Context(), method, url, strings.NewReader(body))
+		req, err := http.NewRequestWithContext(t.Context(), method, url, strings.NewReader(body))
 		if err != nil {
 			t.Fatal(err)
 		}
 		for i := 0; i+1 < len(headers); i += 2 {
-			request.Header.Set(headers[i], headers[i+1])
+			req.Header.Set(headers[i], headers[i+1])
 		}
-		response, err := http.DefaultClient.Do(request)
+		response, err := http.DefaultClient.Do(req)
 		if err != nil {
 			t.Fatal(err)
 		}
-		answer, _ = io.ReadAll(response.Body)
+		content, _ = io.ReadAll(response.Body)
 		response.Body.Close()
 		switch {
 		case response.StatusCode == status:
-			return response.Header, answer
+			return response.Header, content
 		case time.Now().After(end):
-			t.Fatalf("%s %s: status %d: %s", method, url, response.StatusCode, answer)
+			t.Fatalf("%s %s: unexpected status %d: %s", method, url, response.StatusCode, content)
 		}
 	}
 }
@@ -89,48 +89,48 @@
 	anyCalendar      = "BEGIN:VCALENDAR\r\nVERSION:2.0\r\nPRODID:-//x//x//EN\r\nEND:VCALENDAR\r\n"
 )
 
-// program is a running program: its name in the golden file, and its control address.
+// program is a running program: its name in the golden file and its control address.
 type program struct{ name, control string }
 
-// served notes what running programs serve.
-type served struct {
+// recorder records what running programs serve, as lines of the golden file.
+type recorder struct {
 	t     *testing.T
 	lines map[string]bool
 }
 
-// look notes the answer to a request: its status, the headers that are our own, and the keys.
-func (s *served) look(p program, method, path, body string, status int, headers ...string) {
-	s.t.Helper()
-	header, answer := ask(s.t, method, "http://"+p.control+path, body, status, headers...)
+// record sends a request and records the status, content type, project-specific headers and keys of
+// the response.
+func (r *recorder) record(p program, method, path, body string, status int, headers ...string) {
+	r.t.Helper()
+	header, content := request(r.t, method, "http://"+p.control+path, body, status, headers...)
 	at := fmt.Sprintf("%s %s %s %d", p.name, method, path, status)
 	if len(headers) > 0 {
 		at += " with " + headers[0]
 	}
-	s.lines[at+" "+header.Get("Content-Type")] = true
+	r.lines[at+" "+header.Get("Content-Type")] = true
 	for name := range header {
 		if strings.HasPrefix(name, "Curlewwalk") || name == "Etag" || name == "Retry-After" {
-			s.lines[at+" header "+name] = true
+			r.lines[at+" header "+name] = true
 		}
 	}
 	var document any
-	if json.Unmarshal(answer, &document) == nil {
+	if json.Unmarshal(content, &document) == nil {
 		for _, key := range keys(document) {
-			s.lines[at+" key "+key] = true
+			r.lines[at+" key "+key] = true
 		}
 	}
 }
 
-// scrape notes the types of the metrics, and the values of their labels where these are not
-// names of routes, services and messages, nor depend on what was asked so far.
-func (s *served) scrape(p program) {
-	s.t.Helper()
-	_, text := ask(s.t, "GET", "http://"+p.control+"/metrics", "", 200)
+// scrape records the types and labels of a program's metrics. Metrics in variableMetrics are left out.
+func (r *recorder) scrape(p program) {
+	r.t.Helper()
+	_, text := request(r.t, "GET", "http://"+p.control+"/metrics", "", 200)
 	families, err := (&expfmt.TextParser{}).TextToMetricFamilies(bytes.NewReader(text))
 	if err != nil {
-		s.t.Fatal(err)
+		r.t.Fatal(err)
 	}
 	for name, family := range families {
-		if !strings.HasPrefix(name, "curlewwalk_") || slices.Contains(open, strings.TrimPrefix(name, "curlewwalk_")) {
+		if !strings.HasPrefix(name, "curlewwalk_") || slices.Contains(variableMetrics, strings.TrimPrefix(name, "curlewwalk_")) {
 			continue
 		}
 		for _, m := range family.GetMetric() {
@@ -138,16 +138,17 @@
 			for _, label := range m.GetLabel() {
 				line += fmt.Sprintf(" %s=%s", label.GetName(), label.GetValue())
 			}
-			s.lines[line] = true
+			r.lines[line] = true
 		}
 	}
 }
 
-// open are the metrics whose samples depend on what was asked so far.
-var open = []string{"writes_total", "quorum_reads_total", "route_requests_total", "retry_budget", "wire_messages_total", "wire_bytes_total"}
+// variableMetrics are the metrics whose label values are names of routes, services or messages, or
+// depend on the requests received so far.
+var variableMetrics = []string{"writes_total", "quorum_reads_total", "route_requests_total", "retry_budget", "wire_messages_total", "wire_bytes_total"}
 
-// Running programs serve the paths under /v1 that they always have, and the documents there
-// have the keys that they always had; so have the metrics their labels.
+// TestServedDocuments checks that running programs serve the same paths under /v1 as before, and that
+// the keys of the documents and the labels of the metrics have not changed.
 func TestServedDocuments(t *testing.T) {
 	common := func() settings.Common {
 		wire := freePort(t)
@@ -162,16 +163,16 @@
 	sidecarSettings.Seeds = []string{replicaSettings.Wire}
 	dataplane.New(sidecarSettings, nil)
 
-	s := &served{t, map[string]bool{}}
+	served := &recorder{t, map[string]bool{}}
 	replica := program{"core", replicaSettings.Control}
 	sidecar := program{"sidecar", sidecarSettings.Control}
 	onReplica := func(method, path, body string, status int, headers ...string) {
 		t.Helper()
-		s.look(replica, method, path, body, status, headers...)
+		served.record(replica, method, path, body, status, headers...)
 	}
 	onSidecar := func(method, path, body string, status int) {
 		t.Helper()
-		s.look(sidecar, method, path, body, status)
+		served.record(sidecar, method, path, body, status)
 	}
 	onReplica("GET", "/live", "", 200)
 	onReplica("GET", "/ready", "", 200)
@@ -209,8 +210,8 @@
 	onReplica("GET", "/v1/traces/0123456789abcdef", "", 404)
 	onReplica("GET", "/v1/traces/none", "", 400)
 
-	s.scrape(replica)
-	s.scrape(sidecar)
+	served.scrape(replica)
+	served.scrape(sidecar)
 
-	golden.Check(t, "documents/served.txt", []byte(strings.Join(slices.Sorted(maps.Keys(s.lines)), "\n")+"\n"))
+	golden.Check(t, "documents/served.txt", []byte(strings.Join(slices.Sorted(maps.Keys(served.lines)), "\n")+"\n"))
 }
--- a/tests/golden/metrics.go
+++ b/tests/golden/metrics.go
@@ -9,11 +9,11 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// described is how a description of a metric prints itself: its name and its labels are kept
-// fixed, its help text is not.
-var described = regexp.MustCompile(`fqName: "([^"]*)".*variableLabels: \{([^}]*)\}`)
+// descriptionPattern matches the text of a prometheus.Desc and captures the metric's name and labels.
+// The help text is not checked here.
+var descriptionPattern = regexp.MustCompile(`fqName: "([^"]*)".*variableLabels: \{([^}]*)\}`)
 
-// Metrics checks the names and labels of metrics.
+// Metrics compares the names and labels of metrics with a golden file.
 func Metrics[M prometheus.Collector](t *testing.T, name string, all []M) {
 	t.Helper()
 	descriptions := make(chan *prometheus.Desc, len(all))
@@ -23,9 +23,9 @@
 	close(descriptions)
 	var lines []string
 	for d := range descriptions {
-		found := described.FindStringSubmatch(d.String())
+		found := descriptionPattern.FindStringSubmatch(d.String())
 		if found == nil {
-			t.Fatalf("%s is no description", d)
+			t.Fatalf("unexpected format of a metric description: %s", d)
 		}
 		lines = append(lines, found[1]+" {"+found[2]+"}\n")
 	}
--- a/tests/golden/settings.go
+++ b/tests/golden/settings.go
@@ -9,8 +9,8 @@
 	"github.com/jessevdk/go-flags"
 )
 
-// Settings checks the names, kinds and defaults of settings, a pointer to a struct with tags
-// as go-flags reads them.
+// Settings compares the names, kinds and defaults of settings with a golden file. set is a pointer to a
+// struct with the tags of go-flags.
 func Settings(t *testing.T, name string, set any) {
 	t.Helper()
 	parser := flags.NewNamedParser("program", flags.None)
@@ -23,7 +23,7 @@
 	Check(t, name, []byte(strings.Join(lines, "\n")+"\n"))
 }
 
-// options lists the options of a group and those within it, a line each.
+// options returns one line for each option of a group and of the groups within it.
 func options(group *flags.Group) (lines []string) {
 	for _, o := range group.Options() {
 		short := ""
--- a/tests/golden/settings_test.go
+++ b/tests/golden/settings_test.go
@@ -7,7 +7,7 @@
 	"curlewwalk/tests/golden"
 )
 
-// Every setting has the names and the default that it has always had.
+// TestSettings checks that the names, kinds and defaults of the settings have not changed.
 func TestSettings(t *testing.T) {
 	for name, set := range map[string]any{"core": &settings.ControlPlane{}, "sidecar": &settings.Sidecar{}} {
 		golden.Settings(t, "settings/"+name+".txt", set)
--- a/tests/golden/tags_test.go
+++ b/tests/golden/tags_test.go
@@ -12,71 +12,74 @@
 	"golang.org/x/tools/go/packages"
 )
 
-// module is the path that all of the project's packages begin with.
+// module is the path prefix of all of the project's packages.
 const module = "curlewwalk"
 
-// The encodings whose keys are names of fields, unless a tag says otherwise.
+// The struct tags of the encodings that use the Go names of fields as keys, unless a tag is set.
 const (
-	asMsgpack = "msgpack"
-	asJSON    = "json"
+	msgpackTag = "msgpack"
+	jsonTag    = "json"
 )
 
-// encoders are the libraries' functions that read or write a value by the names of its
-// fields: the encoding, and which argument is the value.
+// encoders are the library functions that encode or decode a value by the keys of its fields.
 var encoders = map[string]encoder{
-	"encoding/json.Marshal":                               {asJSON, 0},
-	"encoding/json.MarshalIndent":                         {asJSON, 0},
-	"encoding/json.Unmarshal":                             {asJSON, 1},
-	"(*encoding/json.Encoder).Encode":                     {asJSON, 0},
-	"(*encoding/json.Decoder).Decode":                     {asJSON, 0},
-	"github.com/vmihailenco/msgpack/v5.Marshal":           {asMsgpack, 0},
-	"github.com/vmihailenco/msgpack/v5.Unmarshal":         {asMsgpack, 1},
-	"(*github.com/vmihailenco/msgpack/v5.Encoder).Encode": {asMsgpack, 0},
-	"(*github.com/vmihailenco/msgpack/v5.Decoder).Decode": {asMsgpack, 0},
+	"encoding/json.Marshal":                               {jsonTag, 0},
+	"encoding/json.MarshalIndent":                         {jsonTag, 0},
+	"encoding/json.Unmarshal":                             {jsonTag, 1},
+	"(*encoding/json.Encoder).Encode":                     {jsonTag, 0},
+	"(*encoding/json.Decoder).Decode":                     {jsonTag, 0},
+	"github.com/vmihailenco/msgpack/v5.Marshal":           {msgpackTag, 0},
+	"github.com/vmihailenco/msgpack/v5.Unmarshal":         {msgpackTag, 1},
+	"(*github.com/vmihailenco/msgpack/v5.Encoder).Encode": {msgpackTag, 0},
+	"(*github.com/vmihailenco/msgpack/v5.Decoder).Decode": {msgpackTag, 0},
 }
 
+// encoder describes a function that encodes or decodes a value.
 type encoder struct {
-	tag      string
-	argument int
+	tag      string // struct tag of the encoding
+	argument int    // index of the argument that holds the value
 }
 
-// scan finds the types that are encoded anywhere in the project, and the fields of theirs
-// that have no tag.
+// scan finds the types that are encoded anywhere in the project, and their fields without a tag.
 type scan struct {
 	packages []*packages.Package
-	// encoders are those of the libraries, and the functions of ours that hand an argument of
-	// an interface type on to one.
+	// encoders are the library functions, and the project's functions that pass a parameter of an
+	// interface type on to an encoder.
 	encoders map[string]encoder
-	// seen are the types looked at, by encoding.
-	seen   map[string]bool
-	faults map[string]bool
+	// visited are the types examined, each with its encoding.
+	visited map[string]bool
+	// missingTags are the messages about fields without a tag.
+	missingTags map[string]bool
 }
 
-// Every exported field of a struct that is encoded has a tag for that encoding, and every
-// setting one for its name: no key comes from the name of a field in Go, which may be
-// renamed at any time.
+// TestEveryFieldHasTag checks that every exported field of an encoded struct has a tag for that
+// encoding, and that every setting has a tag for its name. A key derived from a Go field name would
+// change when the field is renamed.
 func TestEveryFieldHasTag(t *testing.T) {
 	const mode = packages.NeedName | packages.NeedFiles | packages.NeedSyntax | packages.NeedTypes | packages.NeedTypesInfo | packages.NeedImports | packages.NeedDeps
 	loaded, err := packages.Load(&packages.Config{Mode: mode, Dir: "../.."}, module+"/...")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &scan{packages: loaded, encoders: encoders, seen: map[string]bool{}, faults: map[string]bool{}}
+	s := &scan{packages: loaded, encoders: encoders, visited: map[string]bool{}, missingTags: map[string]bool{}}
 	for s.findWrappers() {
 	}
 	s.eachNode(s.visit)
-	for fault := range s.faults {
-		t.Error(fault)
+	for message := range s.missingTags {
+		t.Error(message)
 	}
-	if len(s.seen) < leastTypes {
-		t.Errorf("only %d encoded types were found: the search misses calls that it found before", len(s.seen))
+	if len(s.visited) < minEncodedTypes {
+		t.Errorf("found only %d encoded types: the scan misses calls of encoders", len(s.visited))
 	}
-	t.Logf("%d encoded types", len(s.seen))
+	t.Logf("%d encoded types", len(s.visited))
 }
 
-// leastTypes is how many encoded types there are at least.
-const leastTypes = 100
+// minEncodedTypes is a lower bound of the number of encoded types. Finding fewer means that the scan
+// misses calls of encoders.
+const minEncodedTypes = 100
 
+// eachNode calls visit for each syntax node of the project, with the enclosing function declaration or
+// nil.
 func (s *scan) eachNode(visit func(p *packages.Package, n ast.Node, within *ast.FuncDecl)) {
 	for _, p := range s.packages {
 		for _, file := range p.Syntax {
@@ -91,7 +94,7 @@
 	}
 }
 
-// called is the function that is called, by its full name.
+// called returns the full name of the function that is called, or "" if it is not a declared function.
 func called(info *types.Info, call *ast.CallExpr) string {
 	var name *ast.Ident
 	switch f := ast.Unparen(call.Fun).(type) {
@@ -109,7 +112,8 @@
 	return function.FullName()
 }
 
-// encoded is the value that a call encodes or decodes, nil if it does neither.
+// encoded returns the value that a call encodes or decodes and the struct tag of the encoding, or nil if
+// the node is no such call.
 func (s *scan) encoded(info *types.Info, n ast.Node) (value ast.Expr, tag string) {
 	call, ok := n.(*ast.CallExpr)
 	if !ok {
@@ -122,8 +126,8 @@
 	return call.Args[e.argument], e.tag
 }
 
-// findWrappers adds the functions that hand a parameter on to an encoder; false if there
-// are no more.
+// findWrappers adds the functions that pass a parameter on to a known encoder. It reports whether it
+// added any.
 func (s *scan) findWrappers() (found bool) {
 	s.eachNode(func(p *packages.Package, n ast.Node, within *ast.FuncDecl) {
 		value, tag := s.encoded(p.TypesInfo, n)
@@ -145,19 +149,19 @@
 	return found
 }
 
-// visit looks at what is encoded at one place.
+// visit examines the types that a syntax node encodes.
 func (s *scan) visit(p *packages.Package, n ast.Node, _ *ast.FuncDecl) {
 	if value, tag := s.encoded(p.TypesInfo, n); value != nil {
-		s.look(p, value, tag)
+		s.checkExpression(p, value, tag)
 	}
 	switch n := n.(type) {
 	case *ast.FuncDecl:
-		if handles(p.TypesInfo.Defs[n.Name].(*types.Func).Signature()) {
-			s.returned(p, n.Body)
+		if isMessageHandler(p.TypesInfo.Defs[n.Name].(*types.Func).Signature()) {
+			s.checkResponses(p, n.Body)
 		}
 	case *ast.FuncLit:
-		if handles(p.TypesInfo.TypeOf(n).(*types.Signature)) {
-			s.returned(p, n.Body)
+		if isMessageHandler(p.TypesInfo.TypeOf(n).(*types.Signature)) {
+			s.checkResponses(p, n.Body)
 		}
 	case *ast.CompositeLit:
 		if types.TypeString(p.TypesInfo.TypeOf(n), nil) != "map[string]any" {
@@ -165,21 +169,22 @@
 		}
 		for _, element := range n.Elts {
 			if pair, ok := element.(*ast.KeyValueExpr); ok {
-				s.look(p, pair.Value, asJSON)
+				s.checkExpression(p, pair.Value, jsonTag)
 			}
 		}
 	case *ast.TypeSpec:
-		s.declared(p, n)
+		s.checkDeclaration(p, n)
 	}
 }
 
-// handles reports whether a function answers messages: what it returns is sent.
-func handles(f *types.Signature) bool {
+// isMessageHandler reports whether a function has the results of a message handler, whose first result
+// is sent as the response.
+func isMessageHandler(f *types.Signature) bool {
 	return f.Results().Len() == 2 && types.IsInterface(f.Results().At(0).Type()) && f.Results().At(1).Type() == types.Typ[types.String]
 }
 
-// returned looks at what a function that answers messages returns.
-func (s *scan) returned(p *packages.Package, body *ast.BlockStmt) {
+// checkResponses examines the types that a message handler returns.
+func (s *scan) checkResponses(p *packages.Package, body *ast.BlockStmt) {
 	if body == nil {
 		return
 	}
@@ -188,20 +193,20 @@
 			return false
 		}
 		if r, ok := n.(*ast.ReturnStmt); ok && len(r.Results) == 2 {
-			s.look(p, r.Results[0], asMsgpack)
+			s.checkExpression(p, r.Results[0], msgpackTag)
 		}
 		return true
 	})
 }
 
-// declared looks at types that have generated JSON code, and at settings.
-func (s *scan) declared(p *packages.Package, spec *ast.TypeSpec) {
+// checkDeclaration examines a type that has generated JSON code or holds settings.
+func (s *scan) checkDeclaration(p *packages.Package, spec *ast.TypeSpec) {
 	named, ok := p.TypesInfo.Defs[spec.Name].Type().(*types.Named)
 	if !ok {
 		return
 	}
 	if _, generated := ownMethod(p, named, "MarshalEasyJSON"); generated {
-		s.walk(named, asJSON, p)
+		s.checkType(named, jsonTag, p)
 	}
 	fields, ok := named.Underlying().(*types.Struct)
 	if !ok {
@@ -214,52 +219,54 @@
 	}
 	for i := range fields.NumFields() {
 		if _, has := reflect.StructTag(fields.Tag(i)).Lookup("long"); settings && !has && !fields.Field(i).Embedded() {
-			s.fault(p, fields.Field(i).Pos(), named.String(), fields.Field(i).Name(), "long")
+			s.reportMissing(p, fields.Field(i).Pos(), named.String(), fields.Field(i).Name(), "long")
 		}
 	}
 }
 
-func (s *scan) fault(p *packages.Package, at token.Pos, in, field, tag string) {
-	s.faults[fmt.Sprintf("%s: %s.%s has no %s tag", p.Fset.Position(at), in, field, tag)] = true
+// reportMissing records that a field has no tag.
+func (s *scan) reportMissing(p *packages.Package, at token.Pos, in, field, tag string) {
+	s.missingTags[fmt.Sprintf("%s: %s.%s has no %s tag", p.Fset.Position(at), in, field, tag)] = true
 }
 
-// look looks at the type of an expression.
-func (s *scan) look(p *packages.Package, value ast.Expr, tag string) {
+// checkExpression examines the type of an expression.
+func (s *scan) checkExpression(p *packages.Package, value ast.Expr, tag string) {
 	if t := p.TypesInfo.TypeOf(value); t != nil {
-		s.walk(t, tag, p)
+		s.checkType(t, tag, p)
 	}
 }
 
-// walk looks at a type and all that it is made of.
-func (s *scan) walk(t types.Type, tag string, p *packages.Package) {
+// checkType examines a type and the types of its elements and fields.
+func (s *scan) checkType(t types.Type, tag string, p *packages.Package) {
 	switch t := t.(type) {
 	case *types.Alias:
-		s.walk(types.Unalias(t), tag, p)
+		s.checkType(types.Unalias(t), tag, p)
 	case *types.Pointer:
-		s.walk(t.Elem(), tag, p)
+		s.checkType(t.Elem(), tag, p)
 	case *types.Slice:
-		s.walk(t.Elem(), tag, p)
+		s.checkType(t.Elem(), tag, p)
 	case *types.Array:
-		s.walk(t.Elem(), tag, p)
+		s.checkType(t.Elem(), tag, p)
 	case *types.Map:
-		s.walk(t.Key(), tag, p)
-		s.walk(t.Elem(), tag, p)
+		s.checkType(t.Key(), tag, p)
+		s.checkType(t.Elem(), tag, p)
 	case *types.Named:
 		key := tag + " " + t.String()
-		if s.seen[key] || t.Obj().Pkg() == nil || !strings.HasPrefix(t.Obj().Pkg().Path(), module) || custom(p, t, tag) {
+		if s.visited[key] || t.Obj().Pkg() == nil || !strings.HasPrefix(t.Obj().Pkg().Path(), module) || hasCustomEncoding(p, t, tag) {
 			return
 		}
-		s.seen[key] = true
+		s.visited[key] = true
 		if fields, ok := t.Underlying().(*types.Struct); ok {
 			s.fields(fields, t.String(), tag, p)
 			return
 		}
-		s.walk(t.Underlying(), tag, p)
+		s.checkType(t.Underlying(), tag, p)
 	case *types.Struct:
 		s.fields(t, "an unnamed struct", tag, p)
 	}
 }
 
+// fields examines the tags and types of a struct's fields.
 func (s *scan) fields(t *types.Struct, name, tag string, p *packages.Package) {
 	for i := range t.NumFields() {
 		field := t.Field(i)
@@ -267,15 +274,15 @@
 		if key == "-" || !field.Exported() && !field.Embedded() {
 			continue
 		}
-		// What is embedded has no key of its own: its fields have.
+		// An embedded field has no key: its own fields have keys.
 		if !field.Embedded() && (!has || strings.HasPrefix(key, ",")) {
-			s.fault(p, field.Pos(), name, field.Name(), tag)
+			s.reportMissing(p, field.Pos(), name, field.Name(), tag)
 		}
-		s.walk(field.Type(), tag, p)
+		s.checkType(field.Type(), tag, p)
 	}
 }
 
-// ownMethod finds whether a type has a method, and whether it was generated.
+// ownMethod reports whether a type has a method, and whether easyjson generated it.
 func ownMethod(p *packages.Package, t *types.Named, name string) (has, generated bool) {
 	for i := range t.NumMethods() {
 		if m := t.Method(i); m.Name() == name {
@@ -285,12 +292,12 @@
 	return false, false
 }
 
-// custom reports whether a type encodes itself by code that is written by hand, and does not
-// go by its fields' names.
-func custom(p *packages.Package, t *types.Named, tag string) bool {
+// hasCustomEncoding reports whether a type has hand-written code for an encoding, which does not use
+// the names of fields.
+func hasCustomEncoding(p *packages.Package, t *types.Named, tag string) bool {
 	methods := map[string][]string{
-		asJSON:    {"MarshalJSON", "MarshalEasyJSON", "MarshalText"},
-		asMsgpack: {"MarshalMsgpack", "EncodeMsgpack"},
+		jsonTag:    {"MarshalJSON", "MarshalEasyJSON", "MarshalText"},
+		msgpackTag: {"MarshalMsgpack", "EncodeMsgpack"},
 	}
 	for _, name := range methods[tag] {
 		if has, generated := ownMethod(p, t, name); has && !generated {
--- a/tests/golden/wire_test.go
+++ b/tests/golden/wire_test.go
@@ -14,8 +14,8 @@
 	"curlewwalk/tests/golden"
 )
 
-// Every message that processes send one another is the bytes that it has always been.
-// Those of types that are not exported are in their packages' own tests.
+// TestMessages checks that the encodings of the messages between processes have not changed. Messages
+// of unexported types are checked by the tests of their packages.
 func TestMessages(t *testing.T) {
 	for name, sample := range map[string]any{
 		"greeting":         &transport.Hello{},
--- a/tests/messages/messages_test.go
+++ b/tests/messages/messages_test.go
@@ -1,5 +1,5 @@
-// Package messages fuzzes what the processes read from one another: each kind of message is
-// parsed as its receiver does, and handed to the production code that acts on it.
+// Package messages fuzzes the messages between processes. Each kind of message is parsed in the same
+// way as by its receiver, and passed to the production code that handles it.
 package messages
 
 import (
@@ -23,15 +23,15 @@
 	"curlewwalk/internal/watch"
 )
 
-// kind is one kind of message, with a sample and what handles it.
+// kind is a kind of message, with a sample and its handler.
 type kind struct {
 	name   string
 	sample any
-	// handle parses a message and acts on it; false if it can't be parsed.
+	// handle parses and handles a message. It reports whether the message could be parsed.
 	handle func(b []byte) bool
 }
 
-// newKind makes a kind from a sample and the code that acts on such messages.
+// newKind returns a kind of message, given a sample and the code that handles a parsed message.
 func newKind[M any](name string, sample M, act func(m M)) kind {
 	return kind{name, sample, func(b []byte) bool {
 		var m M
@@ -56,8 +56,8 @@
 	sender       = consensus.Sender{MemberID: 1}
 )
 
-// kinds are all messages on the wire, in both directions. The corpus under testdata refers to them by
-// index, so new ones are added at the end.
+// kinds are all kinds of messages on the wire: requests and responses. The corpus under testdata
+// refers to them by index, so new kinds must be added at the end.
 var kinds = []kind{
 	newKind("hello", transport.Hello{Version: 1, Node: "n", Incarnation: 7}, func(transport.Hello) {}),
 	newKind(membership.KindHeartbeat, membership.Heartbeat{Node: &node, Replica: &replica, KnownReplicas: []membership.Replica{replica}, TableDigest: 3, KnownDigest: 8}, handleHeartbeat),
@@ -81,10 +81,10 @@
 	newKind(proxy.KindAttempt, proxy.Attempt{ID: "x", Service: "s", Instance: "i", Incarnation: 7, Method: "GET", URI: "/", Timeout: time.Second}, func(proxy.Attempt) {}),
 	newKind("attempt response", proxy.AttemptResponse{ID: "x", Outcome: routing.Answered, Status: 200, Body: []byte("ok")}, func(proxy.AttemptResponse) {}),
 	newKind(proxy.KindCancel, proxy.CancelRequest{ID: "x", Incarnation: 7}, func(proxy.CancelRequest) {}),
-	newKind("receipt", proxy.Response{Status: 200, Body: []byte("ok"), Outcome: routing.Answered}, func(proxy.Response) {}),
+	newKind("response", proxy.Response{Status: 200, Body: []byte("ok"), Outcome: routing.Answered}, func(proxy.Response) {}),
 }
 
-// buildView makes a view of nodes.
+// buildView builds a view of nodes.
 func buildView(nodes ...membership.Node) {
 	all := map[string]membership.Node{}
 	for _, n := range nodes {
@@ -93,7 +93,7 @@
 	membership.NewView(all, nil).Nodes()
 }
 
-// handleHeartbeat does what replicas and sidecars do with a heartbeat.
+// handleHeartbeat handles a heartbeat as replicas and sidecars do.
 func handleHeartbeat(h membership.Heartbeat) {
 	now := time.Now()
 	replicas, _ := membership.ReplicaTable{}.ObserveHeartbeat(h, now)
@@ -102,97 +102,97 @@
 	replicas.QuorumLost(now)
 	replicas.MedianClock(now, 1, now)
 	replicas.Respond(h, &replica, replicas.Digest(&replica))
-	f := watch.NewEventLog(1, 0)
+	events := watch.NewEventLog(1, 0)
 	if h.Node != nil {
-		f.ObserveNode(*h.Node, 0)
-		f.ObserveDepartures(*h.Node, 0)
+		events.ObserveNode(*h.Node, 0)
+		events.ObserveDepartures(*h.Node, 0)
 	}
 	if h.NodeStatus != nil {
-		f.ObserveStatus(*h.NodeStatus, time.Second)
+		events.ObserveStatus(*h.NodeStatus, time.Second)
 	}
-	f.Tick(time.Second)
-	f.Suspected()
-	retrybudget.Merge(f.Budgets())
-	f.DrainStatus("north", time.Second)
+	events.Tick(time.Second)
+	events.Suspected()
+	retrybudget.Merge(events.Budgets())
+	events.DrainStatus("north", time.Second)
 	budgets := retrybudget.NewLatencyBudgets()
 	budgets.SetGlobal(h.Budgets)
 	budgets.Totals()
 }
 
-// handleProbe does what a sidecar does with the answer to a probe.
+// handleProbe handles the response to a probe as a sidecar does.
 func handleProbe(p membership.Probe) {
-	w := membership.NewFailureDetector("127.0.0.1:2")
-	w.Monitored([]string{"127.0.0.1:3"})
-	w.ObserveProbe("127.0.0.1:3", &p, false)
-	w.Suspects(map[string]membership.Node{"127.0.0.1:3": {}})
+	detector := membership.NewFailureDetector("127.0.0.1:2")
+	detector.Monitored([]string{"127.0.0.1:3"})
+	detector.ObserveProbe("127.0.0.1:3", &p, false)
+	detector.Suspects(map[string]membership.Node{"127.0.0.1:3": {}})
 }
 
-// handleGossipReply does what a sidecar does with the answer to a gossip request.
+// handleGossipReply handles the response to a gossip request as a sidecar does.
 func handleGossipReply(g membership.GossipResponse) {
 	now := time.Now()
-	s := membership.PeerStatusTable{}.Observe("127.0.0.1:9", g.Peers, now, now)
+	statuses := membership.PeerStatusTable{}.Observe("127.0.0.1:9", g.Peers, now, now)
 	view := membership.NewView(map[string]membership.Node{node.Addr: node}, nil)
-	s.Outdated(view, g.Peers)
-	s.Report(peer, view, now.Add(membership.HeartbeatInterval))
-	s.NewestAbove(1)
-	s.ConfirmedAsOf("127.0.0.1:9", 5, []string{node.Addr}, now)
-	c := watch.NewMirror()
-	c.MergeNodes(g.Nodes, map[string]uint64{node.Addr: 7})
+	statuses.Outdated(view, g.Peers)
+	statuses.Report(peer, view, now.Add(membership.HeartbeatInterval))
+	statuses.NewestAbove(1)
+	statuses.ConfirmedAsOf("127.0.0.1:9", 5, []string{node.Addr}, now)
+	mirror := watch.NewMirror()
+	mirror.MergeNodes(g.Nodes, map[string]uint64{node.Addr: 7})
 	buildView(g.Nodes...)
 	handleHeartbeat(membership.Heartbeat{KnownReplicas: g.KnownReplicas})
 	applyState(g.State)
 }
 
-// applyState does what a sidecar does with a new control state.
+// applyState applies a new control state as a sidecar does.
 func applyState(state *config.ControlState) {
 	if state == nil {
 		return
 	}
 	state.EvacuatedZones()
-	if t, ok := routing.NewTable(*state); ok {
-		t.Match("x", "/", "GET")
+	if table, ok := routing.NewTable(*state); ok {
+		table.Match("x", "/", "GET")
 	}
 }
 
-// handleWatch does what a replica does with a watch request.
-func handleWatch(q watch.Request) {
-	f := watch.NewEventLog(1, 0)
-	f.ObserveNode(node, 0)
-	f.ObserveCommitted(controlState)
-	for _, feedID := range []uint64{q.LogID, 1} {
-		q.LogID = feedID
-		f.Since(q)
+// handleWatch handles a watch request as a replica does.
+func handleWatch(r watch.Request) {
+	events := watch.NewEventLog(1, 0)
+	events.ObserveNode(node, 0)
+	events.ObserveCommitted(controlState)
+	for _, logID := range []uint64{r.LogID, 1} {
+		r.LogID = logID
+		events.Since(r)
 	}
 }
 
-// handleUpdates does what a sidecar does with updates.
-func handleUpdates(n watch.Updates) {
-	c := watch.NewMirror()
-	state, _ := c.Apply(n)
+// handleUpdates applies updates twice, as a sidecar does when they are repeated.
+func handleUpdates(u watch.Updates) {
+	mirror := watch.NewMirror()
+	state, _ := mirror.Apply(u)
 	applyState(state)
-	c.Apply(n)
+	mirror.Apply(u)
 }
 
-// acceptor is a member that has accepted a state.
+// acceptor returns the acceptor of a member that has accepted a state.
 func acceptor() consensus.Acceptor {
 	return consensus.Acceptor{Self: sender, Position: position, State: controlState, MemberRecords: map[int]consensus.MemberRecord{}}
 }
 
-// handleMessage does what a member does with a consensus message.
-func handleMessage(b consensus.Message) {
-	next, _ := acceptor().Step(b)
-	next, _ = next.Step(b)
+// handleMessage handles a consensus message, and its duplicate, as a member does.
+func handleMessage(m consensus.Message) {
+	next, _ := acceptor().Step(m)
+	next, _ = next.Step(m)
 	next.MemberSets()
 	applyState(&next.State)
 }
 
-// handleReply does what a proposer does with a reply.
-func handleReply(v consensus.Reply) {
-	v.FromMember(controlState.Members[0])
-	consensus.HighestReply(map[int]consensus.Reply{1: v}, acceptor().MemberSets())
+// handleReply handles a reply as a proposer does.
+func handleReply(r consensus.Reply) {
+	r.FromMember(controlState.Members[0])
+	consensus.HighestReply(map[int]consensus.Reply{1: r}, acceptor().MemberSets())
 }
 
-// handlePatch does what a receiver of a patch does.
+// handlePatch applies a patch as its receiver does, with an unknown and with a matching base.
 func handlePatch(p config.Patch) {
 	base, err := config.NewVersion(controlState)
 	if err != nil {
@@ -201,50 +201,50 @@
 	base.Apply(p)
 	p.Base = base.Fingerprint
 	base.Apply(p)
-	var kept config.VersionHistory
-	kept.Add(base)
-	kept.Apply(p)
+	var history config.VersionHistory
+	history.Add(base)
+	history.Apply(p)
 }
 
-// handleJoinRequest does what the coordinator does with a request to join.
-func handleJoinRequest(a consensus.JoinRequest) {
-	u := consensus.MembershipPlanner{RemovalDelay: time.Second}
-	u = u.Observe(controlState.Members, nil, time.Second)
-	u.PlanJoin(a, acceptor(), map[int]consensus.MemberStatus{1: {Addr: a.Addr}}, 2*time.Second)
+// handleJoinRequest handles a join request as the coordinator does.
+func handleJoinRequest(r consensus.JoinRequest) {
+	planner := consensus.MembershipPlanner{RemovalDelay: time.Second}
+	planner = planner.Observe(controlState.Members, nil, time.Second)
+	planner.PlanJoin(r, acceptor(), map[int]consensus.MemberStatus{1: {Addr: r.Addr}}, 2*time.Second)
 }
 
-// handleBatch does what the trace store does with events.
+// handleBatch handles a batch of trace events as the trace store does.
 func handleBatch(b tracestore.Batch) {
 	for _, e := range b.Events {
 		tracestore.BuildTree(e.Trace, b.Events)
 	}
 }
 
-// handleRecord does what a replica of a key does with its record.
-func handleRecord(e keyreplication.Record) {
-	h := keyreplication.NewReplicaStore()
-	h.Store(e, 0)
-	h.Store(e, time.Second)
-	h.Handover(keyreplication.HandoverRequest{Owner: e.Owner}, time.Second)
-	h.Release(e)
-	if n, completed := h.Count(); n < 0 || completed < 0 || completed > n {
-		panic("the count of claims is wrong")
+// handleRecord handles the record of a key as a replica of the key does.
+func handleRecord(r keyreplication.Record) {
+	store := keyreplication.NewReplicaStore()
+	store.Store(r, 0)
+	store.Store(r, time.Second)
+	store.Handover(keyreplication.HandoverRequest{Owner: r.Owner}, time.Second)
+	store.Release(r)
+	if n, completed := store.Count(); n < 0 || completed < 0 || completed > n {
+		panic("replica store counts are inconsistent")
 	}
 }
 
-// handleHandover does what the owner of keys does with a handover.
+// handleHandover handles a handover reply as the owner of the keys does.
 func handleHandover(h keyreplication.HandoverReply) {
-	t := keyreplication.NewReplicationTracker("o", "north")
-	for _, e := range h.Records {
-		t.AddReplica(e, node, 0)
-		t.Complete(e, time.Second)
-		t.MissingReplicas([]membership.Node{node}, 9, time.Second)
-		t.Remove(e)
+	tracker := keyreplication.NewReplicationTracker("o", "north")
+	for _, r := range h.Records {
+		tracker.AddReplica(r, node, 0)
+		tracker.Complete(r, time.Second)
+		tracker.MissingReplicas([]membership.Node{node}, 9, time.Second)
+		tracker.Remove(r)
 	}
 }
 
-// Each sample can be parsed again, and none of its truncations can, so that the seeds of the
-// fuzzing reach the code that they are for.
+// TestSamples checks that each sample can be parsed, so that the seeds of the fuzz test reach the
+// handlers. It also checks that no truncated sample can be parsed.
 func TestSamples(t *testing.T) {
 	for _, k := range kinds {
 		t.Run(k.name, func(t *testing.T) {
@@ -258,14 +258,14 @@
 			}
 			for length := range b {
 				if k.handle(b[:length]) {
-					t.Errorf("it was parsed though truncated to %d of %d bytes", length, len(b))
+					t.Errorf("message truncated to %d of %d bytes was parsed, want an error", length, len(b))
 				}
 			}
 		})
 	}
 }
 
-// FuzzMessage: whatever bytes a message holds, they can't be parsed, or what acts on them does not panic.
+// FuzzMessage checks that no bytes of a message make its parser or its handler panic.
 func FuzzMessage(f *testing.F) {
 	for i, k := range kinds {
 		b, err := msgpack.Marshal(k.sample)
--- a/tests/outernames/outernames.go
+++ b/tests/outernames/outernames.go
@@ -1,7 +1,7 @@
-// Package outernames lists the names that leave a process: fields and kinds of messages,
-// keys of stored data, settings, headers, paths, metrics, log attributes, and texts that
-// clients and operators read. The list in testdata/OUTER-NAMES is a compatibility contract;
-// its test fails when the code no longer has one of the names.
+// Package outernames collects the names that are visible outside a process: fields and kinds of
+// messages, keys of stored data, settings, headers, paths, metrics, log attributes, and texts
+// that clients and operators read. The list in testdata/OUTER-NAMES is a compatibility contract.
+// The test of this package fails if the code no longer has one of the listed names.
 package outernames
 
 import (
@@ -18,18 +18,18 @@
 	"strings"
 )
 
-// Name is one outer name: where it is declared, what it is, and its text.
+// Name is an outer name: its kind, the directory that declares it, and its text.
 type Name struct {
-	// Kind is one of the kinds below.
+	// Kind is one of the constants below.
 	Kind string
 	// Directory is the slash-separated directory of the file, relative to the root of the
 	// tree.
 	Directory string
-	// Text is the name itself, quoted as in Go.
+	// Text is the name, quoted as a Go string literal.
 	Text string
 }
 
-// String is the line of the name in the list, without its count.
+// String returns the line of the name in the list, without the count.
 func (n Name) String() string {
 	return n.Kind + "\t" + n.Directory + "\t" + n.Text
 }
@@ -47,14 +47,14 @@
 	value        = "value, key or file name"
 )
 
-// Count tells how often each name occurs.
+// Count maps each name to the number of its occurrences.
 type Count map[Name]int
 
-// sourceDirectories hold the code of the programs.
+// sourceDirectories are the directories of the programs' code.
 var sourceDirectories = []string{"internal", "cmd", "platform"}
 
-// Collect returns the outer names in the programs' code below root. Generated files, which
-// repeat the struct tags that they are made from, are left out, as are tests.
+// Collect returns the outer names in the programs' code below root. It skips tests, and generated
+// files, which repeat the struct tags from which they are generated.
 func Collect(root string) (Count, error) {
 	names := Count{}
 	for _, directory := range sourceDirectories {
@@ -75,7 +75,7 @@
 	return names, nil
 }
 
-// addFile adds the names of one file; source may hold its text, as in go/parser.ParseFile.
+// addFile adds the names of one file. source may hold its text, as in go/parser.ParseFile.
 func (c Count) addFile(directory, file string, source any) error {
 	syntax, err := parser.ParseFile(token.NewFileSet(), file, source, parser.ParseComments|parser.SkipObjectResolution)
 	if err != nil {
@@ -93,12 +93,13 @@
 type visitor struct {
 	names     Count
 	directory string
-	// enclosing are the nodes around the one that is visited.
+	// enclosing are the ancestors of the visited node, outermost first.
 	enclosing []ast.Node
-	// tags are the literals that are struct tags: they are read where their field is.
+	// tags are the literals that are struct tags. addField handles them.
 	tags map[*ast.BasicLit]bool
 }
 
+// visit adds the names of one syntax node.
 func (v *visitor) visit(node ast.Node) bool {
 	switch n := node.(type) {
 	case nil:
@@ -119,10 +120,10 @@
 	v.names[Name{Kind: kind, Directory: v.directory, Text: strconv.Quote(text)}]++
 }
 
-// tagPairs matches the key and the value of each pair of a struct tag.
+// tagPairs matches each key-value pair of a struct tag and captures the key and the quoted value.
 var tagPairs = regexp.MustCompile(`(\w[\w-]*):("(?:[^"\\]|\\.)*")`)
 
-// addField adds the names in the tag of a field.
+// addField adds the names in the tag of a field, and the field's name if it is a setting.
 func (v *visitor) addField(field *ast.Field) {
 	if field.Tag == nil {
 		return
@@ -154,7 +155,7 @@
 	return setting
 }
 
-// addLiteral adds a string literal, unless it is the wording of an error or of a log line.
+// addLiteral adds a string literal, unless it is the text of an error or a log message.
 func (v *visitor) addLiteral(literal *ast.BasicLit) {
 	if literal.Kind != token.STRING || v.tags[literal] {
 		return
@@ -168,7 +169,8 @@
 	}
 }
 
-// kindOf returns the kind of a literal by the call it is in, "" if it is no outer name.
+// kindOf returns the kind of a literal, which depends on its content and on the enclosing call. It
+// returns "" if the literal is not an outer name.
 func (v *visitor) kindOf(content string) string {
 	hasBlank := strings.ContainsAny(content, " \n")
 	call := v.enclosingCall()
@@ -191,18 +193,19 @@
 }
 
 var (
-	// errorCalls make errors, whose wording is free.
+	// errorCalls create errors. The text of an error may change.
 	errorCalls = []string{"errors.New", "eris.New", "eris.Wrap", "eris.Wrapf", "eris.Errorf", "fmt.Errorf"}
-	// logCalls write log lines; the wording is free, attribute keys are not.
+	// logCalls write log lines. The message may change, but attribute keys may not.
 	logCalls = []string{"Debug", "Info", "Warn", "Error", "Notice", "notice"}
 	// metricCalls declare metrics.
 	metricCalls = []string{"Gauge", "Counter"}
-	// routePattern matches a pattern of net/http.ServeMux with its method.
+	// routePattern matches a net/http.ServeMux pattern that has a method.
 	routePattern = regexp.MustCompile(`^[A-Z]+ /\S*$`)
 )
 
-// enclosingCall names the function of the innermost call around the visited node, as
-// written in the source; "" if the node is in a function literal or in no call.
+// enclosingCall returns the name of the function of the innermost call that encloses the visited
+// node, as written in the source. It returns "" if there is no such call within the innermost
+// function literal.
 func (v *visitor) enclosingCall() string {
 	for _, node := range slices.Backward(v.enclosing) {
 		switch n := node.(type) {
@@ -215,8 +218,8 @@
 	return ""
 }
 
-// functionName returns the name of a called function, qualified if its receiver or package
-// is an identifier.
+// functionName returns the name of a called function. A method or a function of a package is
+// qualified if its receiver or package is an identifier.
 func functionName(function ast.Expr) string {
 	switch f := function.(type) {
 	case *ast.Ident:
@@ -230,7 +233,7 @@
 	return ""
 }
 
-// methodOf returns the last part of a qualified name.
+// methodOf returns the part of a qualified name after the last dot.
 func methodOf(name string) string {
 	return name[strings.LastIndexByte(name, '.')+1:]
 }
--- a/tests/outernames/outernames_test.go
+++ b/tests/outernames/outernames_test.go
@@ -10,16 +10,16 @@
 	"testing"
 )
 
-// root is the top of the tree, seen from this package.
+// root is the root of the tree, relative to this package.
 const root = "../.."
 
-// listFile lists the names, one a line: kind, directory, quoted text and count, between tabs.
+// listFile lists the names, one per line: kind, directory, quoted text and count, separated by tabs.
 const listFile = "testdata/OUTER-NAMES"
 
-var update = flag.Bool("update", false, "add new names to the list; none is ever taken out")
+var update = flag.Bool("update", false, "add new names to the list; names are never removed")
 
-// TestOuterNamesRemain fails when the code has lost a name that other processes, stored data,
-// operators or their tools know.
+// TestOuterNamesRemain fails if the code no longer has a name on which other processes, stored data,
+// operators or their tools depend.
 func TestOuterNamesRemain(t *testing.T) {
 	names, err := Collect(root)
 	if err != nil {
@@ -40,16 +40,17 @@
 	for _, problem := range missing(listed, names) {
 		t.Error(problem)
 	}
-	if len(listed) < leastNames {
-		t.Errorf("the list has %d names, fewer than the %d that there were at first", len(listed), leastNames)
+	if len(listed) < minNames {
+		t.Errorf("the list has %d names, want at least %d", len(listed), minNames)
 	}
 }
 
-// leastNames is how many names the first list had, rounded down.
-const leastNames = 1000
+// minNames is the number of names of the first list, rounded down. Names are never removed, so a
+// shorter list is truncated.
+const minNames = 1000
 
-// TestMissingNameIsFound shows that a name that goes missing is reported, for each kind of
-// name, and that free wording is none.
+// TestMissingNameIsFound checks that a missing name of each kind is reported, and that the text of
+// an error or a log message may change.
 func TestMissingNameIsFound(t *testing.T) {
 	const source = `package p
 
@@ -94,7 +95,7 @@
 				t.Fatal(err)
 			}
 			if problems := missing(before, after); len(problems) != 1 {
-				t.Errorf("problems %v, want one", problems)
+				t.Errorf("got problems %v, want exactly one", problems)
 			}
 		})
 	}
@@ -104,12 +105,12 @@
 			t.Fatal(err)
 		}
 		if problems := missing(before, after); len(problems) != 0 {
-			t.Errorf("problems %v, want none", problems)
+			t.Errorf("got problems %v, want none", problems)
 		}
 	})
 }
 
-// missing describes each name that occurs less often than the list has it.
+// missing returns a message for each name that occurs less often than listed.
 func missing(listed, found Count) (problems []string) {
 	for name, count := range listed {
 		if found[name] < count {
@@ -120,6 +121,7 @@
 	return problems
 }
 
+// readList reads the list of names.
 func readList(file string) (Count, error) {
 	content, err := os.ReadFile(file)
 	if err != nil {
@@ -129,17 +131,18 @@
 	for line := range strings.Lines(string(content)) {
 		cells := strings.Split(strings.TrimSuffix(line, "\n"), "\t")
 		if len(cells) != 4 {
-			return nil, fmt.Errorf("%s: %q has %d cells, want 4", file, line, len(cells))
+			return nil, fmt.Errorf("%s: line %q has %d columns, want 4", file, line, len(cells))
 		}
 		count, err := strconv.Atoi(cells[3])
 		if err != nil {
-			return nil, fmt.Errorf("%s: %q: %w", file, line, err)
+			return nil, fmt.Errorf("%s: count in line %q: %w", file, line, err)
 		}
 		listed[Name{Kind: cells[0], Directory: cells[1], Text: cells[2]}] = count
 	}
 	return listed, nil
 }
 
+// writeList writes the list of names, sorted.
 func writeList(file string, listed Count) error {
 	var lines []string
 	for name, count := range listed {
