--- a/tests/docs/citations_test.go
+++ b/tests/docs/citations_test.go
@@ -11,17 +11,19 @@
 )
 
 var (
-	// heading matches the number of a chapter or a section.
+	// heading matches the number of a chapter or section at the start of a line.
 	heading = regexp.MustCompile(`(?m)^(?:## ([0-9]+) |([0-9]+\.[0-9]+) )`)
-	// citation matches a list of numbers behind the page's name, also over the end of a line.
+	// citation matches a list of section numbers after the name of the design page. A citation may
+	// continue on the next line.
 	citation = regexp.MustCompile(`DESIGN(?:\s|//)+([0-9]+(?:\.[0-9]+)?(?:(?:,| and)(?:\s|//)+[0-9]+(?:\.[0-9]+)?)*)`)
-	// ownCitation matches a list of sections between brackets, as the page cites its own.
+	// ownCitation matches a list of section numbers in parentheses, the form in which the design
+	// page cites its own sections.
 	ownCitation = regexp.MustCompile(`\(([0-9]+\.[0-9]+(?:, [0-9]+\.[0-9]+)*)\)`)
-	// number matches a chapter or a section in a list.
+	// number matches one number in such a list.
 	number = regexp.MustCompile(`[0-9]+(?:\.[0-9]+)?`)
 )
 
-// sections lists the chapters and sections of the design page.
+// sections returns the numbers of the chapters and sections of the design page.
 func sections(page string) (numbers []string) {
 	for _, match := range heading.FindAllStringSubmatch(page, -1) {
 		numbers = append(numbers, match[1]+match[2])
@@ -29,8 +31,8 @@
 	return numbers
 }
 
-// unknownCitations lists the sections that a text cites and that are not among the known
-// ones; cited is how many it cites. designPage is set for the design page itself.
+// unknownCitations returns the cited sections that are not among the known ones, and the number of
+// citations. designPage must be set for the design page itself.
 func unknownCitations(text string, designPage bool, known []string) (unknown []string, cited int) {
 	lists := citation.FindAllStringSubmatch(text, -1)
 	if designPage {
@@ -46,8 +48,8 @@
 	return unknown, cited
 }
 
-// The sections of the design page that sources and pages cite exist, and no number stands
-// twice.
+// TestCitations checks that the sections of the design page that sources and pages cite exist, and
+// that no section number is used twice.
 func TestCitations(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join(root, "docs/DESIGN.md"))
 	if err != nil {
@@ -56,7 +58,7 @@
 	known := sections(string(page))
 	for i, section := range known {
 		if slices.Contains(known[:i], section) {
-			t.Errorf("section %s stands twice", section)
+			t.Errorf("section %s: number is used twice", section)
 		}
 	}
 	files, citations := 0, 0
@@ -71,7 +73,7 @@
 			}
 			return nil
 		}
-		// This file has wrong ones on purpose.
+		// This file contains citations of unknown sections as test data.
 		if !strings.HasSuffix(rel, ".go") && !strings.HasSuffix(rel, ".md") || rel == "tests/docs/citations_test.go" {
 			return nil
 		}
@@ -81,17 +83,17 @@
 		}
 		unknown, cited := unknownCitations(string(text), rel == "docs/DESIGN.md", known)
 		for _, section := range unknown {
-			t.Errorf("%s cites section %s, which the design page does not have", rel, section)
+			t.Errorf("%s cites section %s, which is not in the design page", rel, section)
 		}
 		files, citations = files+1, citations+cited
 		return nil
 	})
 	if err != nil || files < 100 || citations < 100 || len(known) < 60 {
-		t.Errorf("%d files, %d citations, %d sections: %v", files, citations, len(known), err)
+		t.Errorf("found %d files, %d citations, %d sections, want more (error: %v)", files, citations, len(known), err)
 	}
 }
 
-// The check fails on each form of a citation.
+// TestCitationsCanFail checks that an unknown section is found in each form of citation.
 func TestCitationsCanFail(t *testing.T) {
 	known := sections("## 1 One\n\n1.1 First.\n1.2 Second.\n")
 	for text, want := range map[string][]string{
@@ -103,7 +105,7 @@
 		"as told (1.1, 1.9), 1.5 s":   {"1.9"},
 	} {
 		if got, _ := unknownCitations(text, true, known); !slices.Equal(got, want) {
-			t.Errorf("%q: %v, not %v", text, got, want)
+			t.Errorf("%q: got unknown sections %v, want %v", text, got, want)
 		}
 	}
 }
--- a/tests/docs/log_table_test.go
+++ b/tests/docs/log_table_test.go
@@ -13,15 +13,15 @@
 	"testing"
 )
 
-// The part of OPERATING.md that lists log lines.
+// The headings before and after the table of log lines in OPERATING.md.
 const (
 	logTableStart = "### Log lines"
 	logTableEnd   = "### Reasons of refused requests"
 )
 
-// loggedSentences are the sentences that the programs log: the first arguments, as literals, of
-// calls of a logger's methods and of notices.
-func loggedSentences(t *testing.T) map[string]bool {
+// loggedMessages returns the log messages of the programs: the string literals that are the first
+// argument of a call to a logger's method or to a notice function.
+func loggedMessages(t *testing.T) map[string]bool {
 	t.Helper()
 	all := map[string]bool{}
 	err := filepath.WalkDir(filepath.Join(root, "internal"), func(path string, entry fs.DirEntry, err error) error {
@@ -33,8 +33,8 @@
 			return err
 		}
 		ast.Inspect(file, func(n ast.Node) bool {
-			if sentence, ok := loggedSentence(n); ok {
-				all[sentence] = true
+			if message, ok := loggedMessage(n); ok {
+				all[message] = true
 			}
 			return true
 		})
@@ -46,8 +46,8 @@
 	return all
 }
 
-// loggedSentence is the sentence of a call that logs one.
-func loggedSentence(n ast.Node) (string, bool) {
+// loggedMessage returns the message of a log call, and whether n is a log call with a literal message.
+func loggedMessage(n ast.Node) (string, bool) {
 	call, ok := n.(*ast.CallExpr)
 	if !ok || len(call.Args) == 0 {
 		return "", false
@@ -60,12 +60,12 @@
 	if !ok || literal.Kind != token.STRING {
 		return "", false
 	}
-	sentence, err := strconv.Unquote(literal.Value)
-	return sentence, err == nil
+	message, err := strconv.Unquote(literal.Value)
+	return message, err == nil
 }
 
-// tabledSentences are the sentences that the table of log lines quotes in its first column.
-func tabledSentences(page string) (out []string) {
+// listedMessages returns the log messages that the table quotes in its first column.
+func listedMessages(page string) (out []string) {
 	_, table, _ := strings.Cut(page, logTableStart)
 	table, _, _ = strings.Cut(table, logTableEnd)
 	for line := range strings.Lines(table) {
@@ -80,24 +80,25 @@
 	return out
 }
 
-// TestLogTable holds the on-call table to the log lines, both ways.
+// TestLogTable checks that the on-call table lists every log message, and no message that the programs
+// do not log.
 func TestLogTable(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join(root, "docs/OPERATING.md"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	logged, tabled := loggedSentences(t), tabledSentences(string(page))
-	for _, sentence := range tabled {
-		if !logged[sentence] {
-			t.Errorf("the table lists %q, which nothing logs", sentence)
+	logged, listed := loggedMessages(t), listedMessages(string(page))
+	for _, message := range listed {
+		if !logged[message] {
+			t.Errorf("the table lists %q, which no program logs", message)
 		}
 	}
-	for sentence := range logged {
-		if !slices.Contains(tabled, sentence) {
-			t.Errorf("%q is logged, and the table does not list it", sentence)
+	for message := range logged {
+		if !slices.Contains(listed, message) {
+			t.Errorf("the table does not list the log message %q", message)
 		}
 	}
 	if len(logged) < 10 {
-		t.Errorf("only %d log lines were found", len(logged))
+		t.Errorf("found only %d log messages", len(logged))
 	}
 }
--- a/tests/docs/names_test.go
+++ b/tests/docs/names_test.go
@@ -13,24 +13,25 @@
 	"testing"
 )
 
-// root is the module's root, seen from this package.
+// root is the root of the module, relative to this package.
 const root = "../.."
 
 // pages are the pages whose quoted names are checked.
 var pages = []string{"docs/ARCHITECTURE.md", "docs/GLOSSARY.md"}
 
 var (
+	// quoted matches inline code of Markdown.
 	quoted = regexp.MustCompile("`([^`\n]+)`")
-	// qualified is a name of a package's: pkg.Name, or pkg.Type.Member.
+	// qualified matches a qualified Go name: pkg.Name or pkg.Type.Member.
 	qualified = regexp.MustCompile(`^[a-z]+\.[A-Za-z]\w*(?:\.[A-Za-z]\w*)?$`)
-	// located is a path of a package, folder or file of this module.
-	located = regexp.MustCompile(`^(?:cmd|deploy|docs|internal|platform|tests)/[\w/.-]*$`)
+	// modulePath matches the path of a package, folder or file of this module.
+	modulePath = regexp.MustCompile(`^(?:cmd|deploy|docs|internal|platform|tests)/[\w/.-]*$`)
 )
 
-// declarations are the names that a module declares, as pkg.Name and pkg.Type.Member.
+// declarations is the set of names that the module declares, as pkg.Name and pkg.Type.Member.
 type declarations map[string]bool
 
-// add notes what a file declares; fields and interface methods count as members.
+// add adds the declarations of a file. Fields and interface methods are members of their type.
 func (d declarations) add(file *ast.File) {
 	pkg := file.Name.Name
 	for _, decl := range file.Decls {
@@ -49,6 +50,7 @@
 	}
 }
 
+// addSpec adds the names that a constant, variable or type specification declares.
 func (d declarations) addSpec(pkg string, spec ast.Spec) {
 	switch spec := spec.(type) {
 	case *ast.ValueSpec:
@@ -63,7 +65,7 @@
 	}
 }
 
-// members are the names of a struct's fields or of an interface's methods.
+// members returns the names of a struct's fields or an interface's methods.
 func members(of ast.Expr) (out []string) {
 	var list *ast.FieldList
 	switch of := of.(type) {
@@ -82,7 +84,7 @@
 	return out
 }
 
-// receiverName is the name of a receiver's type, without pointer and type parameters.
+// receiverName returns the name of a receiver's type, without pointer and type parameters.
 func receiverName(of ast.Expr) string {
 	switch of := of.(type) {
 	case *ast.StarExpr:
@@ -95,7 +97,7 @@
 	return ""
 }
 
-// declared reads all Go files of the module.
+// declared returns the declarations of all Go files of the module.
 func declared(t *testing.T) declarations {
 	t.Helper()
 	all := declarations{}
@@ -121,12 +123,13 @@
 	return all
 }
 
-// missing lists what a page quotes that does not exist, and counts what it checked.
+// missing returns the names and paths that a page quotes and that do not exist, and the number of names
+// and paths checked.
 func missing(page string, all declarations) (out []string, checked int) {
 	for _, match := range quoted.FindAllStringSubmatch(page, -1) {
 		name := match[1]
 		switch {
-		case located.MatchString(name):
+		case modulePath.MatchString(name):
 			if _, err := os.Stat(filepath.Join(root, name)); err != nil {
 				out = append(out, name)
 			}
@@ -142,7 +145,7 @@
 	return out, checked
 }
 
-// TestQuotedNamesExist holds the pages to the code as it is.
+// TestQuotedNamesExist checks that the names and paths that the pages quote exist.
 func TestQuotedNamesExist(t *testing.T) {
 	all := declared(t)
 	for _, path := range pages {
@@ -155,12 +158,12 @@
 			t.Errorf("%s quotes %s, which does not exist", path, name)
 		}
 		if checked < 20 {
-			t.Errorf("%s: only %d names were checked", path, checked)
+			t.Errorf("%s: found only %d names and paths to check", path, checked)
 		}
 	}
 }
 
-// TestMissingNamesAreFound shows that the check can fail.
+// TestMissingNamesAreFound checks that a quoted name or path that does not exist is reported.
 func TestMissingNamesAreFound(t *testing.T) {
 	all := declarations{"proxy.Outbound": true, "proxy.Outbound.Handler": true}
 	for _, c := range []struct {
@@ -169,15 +172,15 @@
 	}{
 		{"type", "`proxy.Outbound`", nil},
 		{"method", "`proxy.Outbound.Handler`", nil},
-		{"type that is gone", "`proxy.Near`", []string{"proxy.Near"}},
-		{"method that is gone", "`proxy.Outbound.serveNear`", []string{"proxy.Outbound.serveNear"}},
+		{"missing type", "`proxy.Near`", []string{"proxy.Near"}},
+		{"missing method", "`proxy.Outbound.serveNear`", []string{"proxy.Outbound.serveNear"}},
 		{"folder", "`tests/docs`", nil},
-		{"folder that is gone", "`internal/relay`", []string{"internal/relay"}},
-		{"no name", "`PUT /v1/desired`", nil},
+		{"missing folder", "`internal/relay`", []string{"internal/relay"}},
+		{"neither name nor path", "`PUT /v1/desired`", nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got, _ := missing(c.page, all); !slices.Equal(got, c.want) {
-				t.Errorf("%v, not %v", got, c.want)
+				t.Errorf("got missing names %v, want %v", got, c.want)
 			}
 		})
 	}
