--- a/tests/style/names.go
+++ b/tests/style/names.go
@@ -1,8 +1,11 @@
-// Package style checks the names of the whole tree. The project's first vocabulary
-// (word, stamp, seat, keeper, ...) has been replaced by the standard terms of the field;
-// Scan finds declared identifiers and log lines that still use, or bring back, one of the
-// withdrawn words. What is still left is listed in testdata/leftovers.txt, and the list
-// may only get shorter.
+// Package style checks names and comments in the whole tree.
+//
+// The project's first vocabulary (word, stamp, seat, keeper, ...) has been replaced by the
+// standard terms of the field. Scan finds declared identifiers and log lines that contain one
+// of the withdrawn words. The names that still contain one are listed in
+// testdata/leftovers.txt, and the list may only get shorter.
+//
+// FindOriginMarks finds comments with a mark that says only that a value was measured or chosen.
 package style
 
 import (
@@ -23,24 +26,35 @@
 	// Directory is the slash-separated directory of the file, relative to the root of
 	// the tree.
 	Directory string
-	// Name is the identifier, or the text of the log line in quotes.
+	// Name is the identifier, or the quoted text of the log line.
 	Name string
-	// Term is the withdrawn word that it contains.
+	// Term is the withdrawn word that the name contains.
 	Term string
-	// Position is the file and line.
+	// Position is the position of the name.
 	Position token.Position
 }
 
-// String describes the finding in one line.
+// String returns a one-line description of the finding.
 func (f Finding) String() string {
 	return fmt.Sprintf("%s: %s contains the withdrawn word %q", f.Position, f.Name, f.Term)
 }
 
-// Scan parses each Go file below root, apart from generated ones, and returns the uses of
-// withdrawn words in declared identifiers and in log lines.
+// Scan returns the uses of withdrawn words in declared identifiers and log lines of the Go files
+// below root. It skips generated files.
 func Scan(root string) ([]Finding, error) {
 	var findings []Finding
-	scanned := 0
+	err := eachGoFile(root, func(name, path string) error {
+		found, err := scanFile(name, path, nil)
+		findings = append(findings, found...)
+		return err
+	})
+	return findings, err
+}
+
+// eachGoFile calls visit for each Go file below root, with its name relative to root, separated by
+// slashes, and its path. It returns an error if there are no Go files.
+func eachGoFile(root string, visit func(name, path string) error) error {
+	visited := 0
 	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
 		switch {
 		case err != nil:
@@ -54,24 +68,22 @@
 		if err != nil {
 			return err
 		}
-		found, err := scanFile(filepath.ToSlash(relative), path, nil)
-		findings = append(findings, found...)
-		scanned++
-		return err
+		visited++
+		return visit(filepath.ToSlash(relative), path)
 	})
-	if err == nil && scanned == 0 {
+	if err == nil && visited == 0 {
 		err = fmt.Errorf("no Go files below %s", root)
 	}
-	return findings, err
+	return err
 }
 
-// skipDirectory reports whether a directory holds no source of the project.
+// skipDirectory reports whether a directory contains no source code of the project.
 func skipDirectory(name string) bool {
 	return name == "testdata" || len(name) > 1 && name[0] == '.'
 }
 
-// scanFile scans one file. name is what findings call it; source may hold its text, as in
-// go/parser.ParseFile.
+// scanFile returns the findings in one file. name is the file name in findings. source may hold the
+// text of the file, as in go/parser.ParseFile.
 func scanFile(name, path string, source any) ([]Finding, error) {
 	files := token.NewFileSet()
 	file, err := parser.ParseFile(files, path, source, parser.ParseComments|parser.SkipObjectResolution)
@@ -94,7 +106,7 @@
 	findings        []Finding
 }
 
-// visit looks at one node of the syntax tree.
+// visit checks one node of the syntax tree.
 func (s *scanner) visit(node ast.Node) bool {
 	switch n := node.(type) {
 	case *ast.FuncDecl:
@@ -124,7 +136,7 @@
 	return true
 }
 
-// declared checks identifiers at their declaration; nil ones are passed over.
+// declared checks identifiers at their declaration. It skips nil identifiers.
 func (s *scanner) declared(names ...*ast.Ident) {
 	for _, name := range names {
 		if name == nil || compatibilityNames[name.Name] != "" {
@@ -136,7 +148,7 @@
 	}
 }
 
-// declaredExpressions checks those expressions that are identifiers.
+// declaredExpressions checks the expressions that are identifiers.
 func (s *scanner) declaredExpressions(expressions ...ast.Expr) {
 	for _, expression := range expressions {
 		if name, ok := expression.(*ast.Ident); ok {
@@ -145,15 +157,15 @@
 	}
 }
 
-// logCall checks the message and the attribute keys of a log call, as far as they are
-// literals.
+// logCall checks the message and the attribute keys of a log call if they are literals.
 func (s *scanner) logCall(call *ast.CallExpr) {
 	if isLogCall(call) {
 		s.logTexts(call.Args...)
 	}
 }
 
-// logKeys checks constants for attribute keys, which are named logZone, logRevision, ...
+// logKeys checks the values of constants for attribute keys. The names of these constants begin with
+// "log": logZone, logRevision, ...
 func (s *scanner) logKeys(spec *ast.ValueSpec) {
 	for _, name := range spec.Names {
 		if parts := splitName(name.Name); len(parts) > 1 && parts[0] == "log" {
@@ -163,7 +175,7 @@
 	}
 }
 
-// logTexts checks those expressions that are string literals.
+// logTexts checks the expressions that are string literals.
 func (s *scanner) logTexts(expressions ...ast.Expr) {
 	for _, expression := range expressions {
 		literal, ok := expression.(*ast.BasicLit)
@@ -180,6 +192,7 @@
 	}
 }
 
+// report adds a finding.
 func (s *scanner) report(position token.Pos, name, term string) {
 	at := s.files.Position(position)
 	at.Filename = s.file
@@ -189,11 +202,11 @@
 // logMethods are the methods that write a log line.
 var logMethods = []string{"Debug", "Info", "Warn", "Error", "DebugContext", "InfoContext", "WarnContext", "ErrorContext", "Log", "LogAttrs", "Notice"}
 
-// loggers are the names that the project gives to loggers, in lower case.
+// loggers are the names of loggers in the project, in lower case.
 var loggers = []string{"log", "logger", "notices", "slog"}
 
-// isLogCall reports whether a call writes a log line: a method of logMethods on something
-// that is named as a logger.
+// isLogCall reports whether a call writes a log line: a call of one of logMethods on a variable or
+// field whose name is one of loggers, or any call of a method named Notice.
 func isLogCall(call *ast.CallExpr) bool {
 	method, ok := call.Fun.(*ast.SelectorExpr)
 	if !ok || !slices.Contains(logMethods, method.Sel.Name) {
@@ -211,8 +224,8 @@
 	return false
 }
 
-// splitName splits an identifier into its words, in lower case: MemberID, member_id and
-// memberId are "member", "id".
+// splitName splits an identifier into words in lower case. MemberID, member_id and memberId are all
+// split into "member" and "id".
 func splitName(name string) []string {
 	var parts []string
 	var part []rune
@@ -239,12 +252,12 @@
 	return parts
 }
 
-// splitText splits a text into its words, in lower case.
+// splitText splits a text into words in lower case.
 func splitText(text string) []string {
 	return strings.FieldsFunc(strings.ToLower(text), func(r rune) bool { return !unicode.IsLetter(r) })
 }
 
-// withdrawnTerm returns the first of parts that is withdrawn, or "".
+// withdrawnTerm returns the first withdrawn word in parts, or "". A trailing "s" is ignored.
 func withdrawnTerm(parts []string) string {
 	for _, part := range parts {
 		if slices.Contains(withdrawn, part) || slices.Contains(withdrawn, strings.TrimSuffix(part, "s")) {
--- a/tests/style/names_test.go
+++ b/tests/style/names_test.go
@@ -12,11 +12,11 @@
 	"testing"
 )
 
-// root is the top of the tree, seen from this package.
+// root is the root of the tree, relative to this package.
 const root = "../.."
 
-// leftoversFile lists the names that still contain a withdrawn word, one "directory name
-// count" a line, where count is how often the name is declared in that directory.
+// leftoversFile lists the names that still contain a withdrawn word. Each line is "directory name
+// count", where count is the number of declarations of the name in the directory.
 const leftoversFile = "testdata/leftovers.txt"
 
 // leftoversHeader is the comment at the top of that file.
@@ -24,11 +24,11 @@
 # The list may only get shorter: go test ./tests/style -update takes out what has gone.
 `
 
-var update = flag.Bool("update", false, "take names that have gone out of the list of leftovers; none is ever added")
+var update = flag.Bool("update", false, "remove names that no longer exist from the list of leftovers; names are never added")
 
-// TestNames fails on a name with a withdrawn word that is not among the leftovers, and on a
-// leftover that has gone: its line, or its count, is to be lowered, so that it can't come
-// back.
+// TestNames fails if a name contains a withdrawn word and is not listed as a leftover. It also fails
+// if a leftover no longer exists as often as listed, because the name could then be reintroduced
+// unnoticed: its count must be lowered, or its line deleted.
 func TestNames(t *testing.T) {
 	findings, err := Scan(root)
 	if err != nil {
@@ -49,8 +49,8 @@
 	}
 }
 
-// TestPlantedNames shows that the linter finds a withdrawn word in each kind of
-// declaration and in log lines, and nothing where there is none.
+// TestPlantedNames checks that Scan finds a withdrawn word in each kind of declaration and in log
+// lines, and finds nothing elsewhere.
 func TestPlantedNames(t *testing.T) {
 	withdrawnIn := func(t *testing.T, source string) (terms []string) {
 		t.Helper()
@@ -94,7 +94,7 @@
 		{"timestamp is one word", "var Timestamp, heartbeat, bootstrap, keyword int", nil},
 		{"use without declaration", "var x = other.Keeper", nil},
 		{"comment", "// The keeper takes the seat.\nvar x int", nil},
-		{"string that is no log line", "var key = \"stamp\"", nil},
+		{"string outside a log line", "var key = \"stamp\"", nil},
 		{"struct tag", "type T struct { Revision int `json:\"stamp\"` }", nil},
 		{"error of a test", "func f() { t.Error(\"no word\") }", nil},
 		{"compatibility name", "var maxWaitersPerSlot int", nil},
@@ -112,8 +112,8 @@
 	}
 }
 
-// TestLeftoversOnlyShrink shows that a name beyond the list fails, that a line of the list
-// that is not needed any more fails, and that an update adds nothing.
+// TestLeftoversOnlyShrink checks that a name that is not listed is a problem, that a listed name that
+// no longer exists is a problem, and that an update never adds a name.
 func TestLeftoversOnlyShrink(t *testing.T) {
 	use := func(name string) Finding { return Finding{Directory: "pkg", Name: name, Term: "keeper"} }
 	key := func(name string) leftover { return leftover{"pkg", name} }
@@ -127,24 +127,24 @@
 		{"nothing", nil, map[leftover]int{}, 0, map[leftover]int{}},
 		{"as allowed", []Finding{use("a"), use("a")}, map[leftover]int{key("a"): 2}, 0, map[leftover]int{key("a"): 2}},
 		{"new name", []Finding{use("a")}, map[leftover]int{}, 1, map[leftover]int{}},
-		{"once more", []Finding{use("a"), use("a")}, map[leftover]int{key("a"): 1}, 2, map[leftover]int{key("a"): 1}},
-		{"gone", nil, map[leftover]int{key("a"): 1}, 1, map[leftover]int{}},
-		{"once less", []Finding{use("a")}, map[leftover]int{key("a"): 2}, 1, map[leftover]int{key("a"): 1}},
+		{"one use too many", []Finding{use("a"), use("a")}, map[leftover]int{key("a"): 1}, 2, map[leftover]int{key("a"): 1}},
+		{"name no longer used", nil, map[leftover]int{key("a"): 1}, 1, map[leftover]int{}},
+		{"one use fewer", []Finding{use("a")}, map[leftover]int{key("a"): 2}, 1, map[leftover]int{key("a"): 1}},
 		{"another directory", []Finding{use("a")}, map[leftover]int{{"other", "a"}: 1}, 2, map[leftover]int{}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if problems := compare(test.findings, test.allowed); len(problems) != test.problems {
-				t.Errorf("%d problems, want %d: %q", len(problems), test.problems, problems)
+				t.Errorf("got %d problems, want %d: %q", len(problems), test.problems, problems)
 			}
 			if updated := shrink(test.findings, test.allowed); !maps.Equal(updated, test.updated) {
-				t.Errorf("the update makes %v, want %v", updated, test.updated)
+				t.Errorf("updated list is %v, want %v", updated, test.updated)
 			}
 		})
 	}
 }
 
-// TestCompatibilityNamesAreUsed keeps the list of exceptions short: each has a reason, holds
-// a withdrawn word, and is a name in the tree.
+// TestCompatibilityNamesAreUsed checks that each exception has a reason, contains a withdrawn word and
+// is a name in the tree, so that the list contains no obsolete exceptions.
 func TestCompatibilityNamesAreUsed(t *testing.T) {
 	exceptions := maps.Clone(compatibilityNames)
 	clear(compatibilityNames)
@@ -156,7 +156,7 @@
 	for name, reason := range exceptions {
 		used := slices.ContainsFunc(findings, func(f Finding) bool { return f.Name == name || f.Name == strconv.Quote(name) })
 		if !used || reason == "" {
-			t.Errorf("the exception %q has no use in the tree, or no reason (%q)", name, reason)
+			t.Errorf("exception %q is not used in the tree, or has no reason (reason: %q)", name, reason)
 		}
 	}
 }
@@ -164,7 +164,7 @@
 // leftover identifies a name in a directory.
 type leftover struct{ directory, name string }
 
-// readLeftovers reads the file of leftovers.
+// readLeftovers reads a list of leftovers.
 func readLeftovers(path string) (map[leftover]int, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -181,21 +181,22 @@
 		last := strings.LastIndexByte(rest, ' ')
 		var count int
 		if last < 0 {
-			return nil, fmt.Errorf("%s: %q is not \"directory name count\"", path, line)
+			return nil, fmt.Errorf("%s: line %q is not \"directory name count\"", path, line)
 		}
 		if _, err := fmt.Sscan(rest[last:], &count); err != nil || count < 1 {
-			return nil, fmt.Errorf("%s: %q has no count", path, line)
+			return nil, fmt.Errorf("%s: line %q has no valid count", path, line)
 		}
 		key := leftover{directory, rest[:last]}
 		if allowed[key] != 0 {
-			return nil, fmt.Errorf("%s: %q is there twice", path, line)
+			return nil, fmt.Errorf("%s: line %q repeats a name", path, line)
 		}
 		allowed[key] = count
 	}
 	return allowed, nil
 }
 
-// compare returns what is wrong with findings under a list of allowed leftovers.
+// compare returns the problems: findings that are not allowed, and allowed leftovers that no longer
+// exist.
 func compare(findings []Finding, allowed map[leftover]int) (problems []string) {
 	found := map[leftover][]Finding{}
 	for _, finding := range findings {
@@ -213,14 +214,14 @@
 		return strings.Compare(a.directory+" "+a.name, b.directory+" "+b.name)
 	}) {
 		if count := len(found[key]); count < allowed[key] {
-			problems = append(problems, fmt.Sprintf("%s: %s %s is allowed %d times and is there %d times: lower the count, or delete the line", leftoversFile, key.directory, key.name, allowed[key], count))
+			problems = append(problems, fmt.Sprintf("%s: %s %s is listed %d times and found %d times: lower the count, or delete the line", leftoversFile, key.directory, key.name, allowed[key], count))
 		}
 	}
 	slices.Sort(problems)
 	return problems
 }
 
-// shrink returns the list of leftovers without what findings do not need any more.
+// shrink returns the list of leftovers without the names that findings no longer contain.
 func shrink(findings []Finding, allowed map[leftover]int) map[leftover]int {
 	found := map[leftover]int{}
 	for _, finding := range findings {
@@ -235,7 +236,7 @@
 	return shrunk
 }
 
-// writeLeftovers writes the file of leftovers, sorted.
+// writeLeftovers writes a list of leftovers, sorted.
 func writeLeftovers(path string, allowed map[leftover]int) error {
 	var lines []string
 	for key, count := range allowed {
--- a/tests/style/terms.go
+++ b/tests/style/terms.go
@@ -1,9 +1,9 @@
 package style
 
-// withdrawn are the words of the earlier vocabulary that names must not use any more; a
-// plural counts as well. Words that are also ordinary terms of the field (mark, place,
-// hold, line, copy, ...) are not among them: whether they fit is for review. The terms
-// that replace these are in docs/GLOSSARY.md.
+// withdrawn are the words of the earlier vocabulary that names must not contain, in the singular or
+// the plural. Words that are also ordinary terms of the field (mark, place, hold, line, copy,
+// ...) are not listed, because only a review can tell whether they fit. The terms that
+// replace the withdrawn words are in docs/GLOSSARY.md.
 var withdrawn = []string{
 	// Configuration and its revisions: control state, revision, endpoint group.
 	"word", "stamp", "heed", "portion", "emptied", "emptying", "aim",
@@ -20,16 +20,18 @@
 	"roster", "drip", "desk", "purse", "climb", "tally", "shun", "locality", "localitie",
 	// Faults and repair.
 	"trouble", "mishap", "standin", "herd", "mend", "mended",
+	// Figurative words of various parts.
+	"riddle", "cutshort",
 }
 
-// compatibilityNames are the identifiers, log messages and log attribute keys that keep a
+// compatibilityNames are the identifiers, log messages and log attribute keys that may contain a
 // withdrawn word, each with the reason.
 var compatibilityNames = map[string]string{
-	"Beat":                "a setting's field, which --check prints by its name",
-	"Shun":                "a setting's field, which --check prints by its name",
-	"Slot":                "a setting's field, which --check prints by its name",
-	"Slots":               "a setting's field, which --check prints by its name",
+	"Beat":                "the field of a setting, printed by --check under this name",
+	"Shun":                "the field of a setting, printed by --check under this name",
+	"Slot":                "the field of a setting, printed by --check under this name",
+	"Slots":               "the field of a setting, printed by --check under this name",
 	"letter":              "a letter of the alphabet",
-	"maxWaitersPerSlot":   "a backend's slot for one request, the usual word for it",
-	"TestCancelFreesSlot": "a backend's slot for one request, the usual word for it",
+	"maxWaitersPerSlot":   "a backend's capacity for one request, for which slot is the usual term",
+	"TestCancelFreesSlot": "a backend's capacity for one request, for which slot is the usual term",
 }
