--- a/tests/docs/log_table_test.go
+++ b/tests/docs/log_table_test.go
@@ -46,7 +46,8 @@
 	return all
 }
 
-// loggedMessage returns the message of a log call, and whether n is a log call with a literal message.
+// loggedMessage returns the message of a log call. It reports false if n is not a log call or the
+// message is not a literal.
 func loggedMessage(n ast.Node) (string, bool) {
 	call, ok := n.(*ast.CallExpr)
 	if !ok || len(call.Args) == 0 {
@@ -80,8 +81,8 @@
 	return out
 }
 
-// TestLogTable checks that the on-call table lists every log message, and no message that the programs
-// do not log.
+// TestLogTable checks that the on-call table lists every log message, and that the programs log every
+// listed message.
 func TestLogTable(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join(root, "docs/OPERATING.md"))
 	if err != nil {
--- a/tests/docs/names_test.go
+++ b/tests/docs/names_test.go
@@ -123,8 +123,8 @@
 	return all
 }
 
-// missing returns the names and paths that a page quotes and that do not exist, and the number of names
-// and paths checked.
+// missing returns the quoted names and paths of a page that do not exist, and the number of names and
+// paths checked.
 func missing(page string, all declarations) (out []string, checked int) {
 	for _, match := range quoted.FindAllStringSubmatch(page, -1) {
 		name := match[1]
--- a/tests/golden/constants_test.go
+++ b/tests/golden/constants_test.go
@@ -19,7 +19,7 @@
 	"curlewwalk/tests/golden"
 )
 
-// TestConstants checks that the values of constants that are sent, stored or shown to operators have
+// TestConstants checks that the enumerated texts and the numbers that are sent, stored or shown have
 // not changed.
 func TestConstants(t *testing.T) {
 	for name, values := range map[string][]any{
--- a/tests/golden/documents_test.go
+++ b/tests/golden/documents_test.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// TestConfiguration checks that the encoding of the operator's configuration has not changed, and
-// that an encoding from before is read back and written with the same bytes.
+// TestConfiguration checks that the encoding of the operator's configuration has not changed, and that
+// the golden file is re-encoded as the same bytes after it was read.
 func TestConfiguration(t *testing.T) {
 	const name = "documents/configuration.json"
 	var whole config.Configuration
--- a/tests/golden/fill.go
+++ b/tests/golden/fill.go
@@ -11,11 +11,11 @@
 // maxDepth limits the depth of nesting, so that filling a type that contains itself ends.
 const maxDepth = 8
 
-// Fill sets every exported field of the value that value points to, through structs, pointers,
-// slices, arrays and maps, to a non-zero value. The value of a field depends only on the path of
-// the keys that lead to the field. The keys are taken from the struct tags named tag, so renaming or
-// reordering Go fields changes nothing. Each slice and map gets one element, so that its encoding
-// has a single possible order.
+// Fill sets every exported field of *value, through structs, pointers, slices, arrays and maps, to
+// a non-zero value. The value of a field depends only on the path of the keys that lead to the
+// field. The keys are taken from the struct tags named tag, so renaming or reordering Go fields
+// changes nothing. Each slice and map gets one element, so that its encoding has a single possible
+// order.
 func Fill(value any, tag string) {
 	f := filler{tag: tag}
 	f.fill(reflect.ValueOf(value).Elem(), "", 0)
@@ -93,7 +93,7 @@
 		case key == "-":
 			continue
 		case key == "" && field.Anonymous:
-			key = path // the fields of an embedded struct are encoded at the level of the enclosing struct
+			key = path // fields of an embedded struct are encoded among those of the enclosing struct
 		case key == "":
 			key = path + "." + field.Name
 		default:
--- a/tests/golden/golden.go
+++ b/tests/golden/golden.go
@@ -3,7 +3,7 @@
 //
 // Golden files are in the testdata/golden folder of the package whose test uses them. They are
 // written only under the flag -update. A changed golden file means a changed encoding, which
-// processes of earlier versions, and data stored by them, are not compatible with.
+// is incompatible with the processes and the stored data of earlier versions.
 package golden
 
 import (
--- a/tests/golden/live_test.go
+++ b/tests/golden/live_test.go
@@ -55,8 +55,8 @@
 // optionalKeys are the keys whose presence depends on timing.
 var optionalKeys = []string{"behind", "fault", "done_for"}
 
-// request repeats an HTTP request until the response has the wanted status, for at most 10 s. headers
-// alternates names and values.
+// request repeats an HTTP request until the response has the wanted status. It fails the test after
+// 10 s. headers alternates names and values.
 func request(t *testing.T, method, url, body string, status int, headers ...string) (header http.Header, content []byte) {
 	t.Helper()
 	poll := time.NewTicker(20 * time.Millisecond)
@@ -121,7 +121,7 @@
 	}
 }
 
-// scrape records the types and labels of a program's metrics. Metrics in variableMetrics are left out.
+// scrape records the types and labels of a program's metrics, except those in variableMetrics.
 func (r *recorder) scrape(p program) {
 	r.t.Helper()
 	_, text := request(r.t, "GET", "http://"+p.control+"/metrics", "", 200)
--- a/tests/golden/metrics.go
+++ b/tests/golden/metrics.go
@@ -10,7 +10,7 @@
 )
 
 // descriptionPattern matches the text of a prometheus.Desc and captures the metric's name and labels.
-// The help text is not checked here.
+// It ignores the help text, which the golden files do not contain.
 var descriptionPattern = regexp.MustCompile(`fqName: "([^"]*)".*variableLabels: \{([^}]*)\}`)
 
 // Metrics compares the names and labels of metrics with a golden file.
--- a/tests/golden/settings.go
+++ b/tests/golden/settings.go
@@ -9,8 +9,8 @@
 	"github.com/jessevdk/go-flags"
 )
 
-// Settings compares the names, kinds and defaults of settings with a golden file. set is a pointer to a
-// struct with the tags of go-flags.
+// Settings compares the names, kinds and defaults of settings with a golden file. set is a pointer to
+// a struct with the tags of go-flags.
 func Settings(t *testing.T, name string, set any) {
 	t.Helper()
 	parser := flags.NewNamedParser("program", flags.None)
--- a/tests/golden/tags_test.go
+++ b/tests/golden/tags_test.go
@@ -74,12 +74,12 @@
 	t.Logf("%d encoded types", len(s.visited))
 }
 
-// minEncodedTypes is a lower bound of the number of encoded types. Finding fewer means that the scan
-// misses calls of encoders.
+// minEncodedTypes is a lower bound of the number of encoded types. If the scan finds fewer, it misses
+// calls of encoders.
 const minEncodedTypes = 100
 
-// eachNode calls visit for each syntax node of the project, with the enclosing function declaration or
-// nil.
+// eachNode calls visit for each syntax node of the project, with the function declaration that
+// encloses the node, or nil.
 func (s *scan) eachNode(visit func(p *packages.Package, n ast.Node, within *ast.FuncDecl)) {
 	for _, p := range s.packages {
 		for _, file := range p.Syntax {
@@ -94,7 +94,7 @@
 	}
 }
 
-// called returns the full name of the function that is called, or "" if it is not a declared function.
+// called returns the full name of the called function, or "" if it is not a declared function.
 func called(info *types.Info, call *ast.CallExpr) string {
 	var name *ast.Ident
 	switch f := ast.Unparen(call.Fun).(type) {
@@ -112,8 +112,8 @@
 	return function.FullName()
 }
 
-// encoded returns the value that a call encodes or decodes and the struct tag of the encoding, or nil if
-// the node is no such call.
+// encoded returns the value that a call encodes or decodes, and the struct tag of the encoding. The
+// value is nil if the node is not such a call.
 func (s *scan) encoded(info *types.Info, n ast.Node) (value ast.Expr, tag string) {
 	call, ok := n.(*ast.CallExpr)
 	if !ok {
@@ -177,8 +177,8 @@
 	}
 }
 
-// isMessageHandler reports whether a function has the results of a message handler, whose first result
-// is sent as the response.
+// isMessageHandler reports whether a function has the result types of a message handler. The first
+// result of a message handler is sent as the response.
 func isMessageHandler(f *types.Signature) bool {
 	return f.Results().Len() == 2 && types.IsInterface(f.Results().At(0).Type()) && f.Results().At(1).Type() == types.Typ[types.String]
 }
--- a/tests/messages/messages_test.go
+++ b/tests/messages/messages_test.go
@@ -32,13 +32,13 @@
 }
 
 // newKind returns a kind of message, given a sample and the code that handles a parsed message.
-func newKind[M any](name string, sample M, act func(m M)) kind {
+func newKind[M any](name string, sample M, handle func(m M)) kind {
 	return kind{name, sample, func(b []byte) bool {
 		var m M
 		if transport.Unmarshal(b, &m) != nil {
 			return false
 		}
-		act(m)
+		handle(m)
 		return true
 	}}
 }
@@ -165,7 +165,7 @@
 	}
 }
 
-// handleUpdates applies updates twice, as a sidecar does when they are repeated.
+// handleUpdates applies updates, and their repetition, as a sidecar does.
 func handleUpdates(u watch.Updates) {
 	mirror := watch.NewMirror()
 	state, _ := mirror.Apply(u)
@@ -192,7 +192,8 @@
 	consensus.HighestReply(map[int]consensus.Reply{1: r}, acceptor().MemberSets())
 }
 
-// handlePatch applies a patch as its receiver does, with an unknown and with a matching base.
+// handlePatch applies a patch as its receiver does: with the base that the patch names, and with a
+// matching base.
 func handlePatch(p config.Patch) {
 	base, err := config.NewVersion(controlState)
 	if err != nil {
--- a/tests/modelcheck/check.go
+++ b/tests/modelcheck/check.go
@@ -82,8 +82,8 @@
 	return out
 }
 
-// isQuorum reports whether a majority of each non-empty member set has replied from the listed disks. It is
-// written independently of the production code that it checks.
+// isQuorum reports whether a majority of each non-empty member set has replied from the listed disks.
+// It is written independently of the production code that it checks.
 func isQuorum(sets consensus.MemberSets, replies map[int]consensus.Reply) bool {
 	for _, set := range [][]config.Member{sets.Current, sets.Previous} {
 		n := 0
--- a/tests/modelcheck/explore.go
+++ b/tests/modelcheck/explore.go
@@ -27,11 +27,11 @@
 	// States counts the distinct states, Steps the events tried, and Merged the events that led
 	// to a known state. Deepest is the length of the longest sequence of events.
 	States, Steps, Merged, Deepest int
-	// Cut counts the states whose events were not tried because the limit on the depth or on the
+	// Unexpanded counts the states whose events were not tried because the limit on the depth or on the
 	// number of states was reached. If it is zero, the exploration is exhaustive under its bounds.
-	Cut int
-	// Answers counts the results of commands, by command and outcome.
-	Answers map[string]int
+	Unexpanded int
+	// Outcomes counts the results of commands, by the command's name and its outcome.
+	Outcomes map[string]int
 	// Violation describes the first violated invariant, and Trace lists the events that led to it.
 	Violation string
 	Trace     []string
@@ -40,7 +40,7 @@
 // String returns a summary of the result.
 func (r Result) String() string {
 	return fmt.Sprintf("%d states, %d events, %d merged, maximum depth %d, %d states not expanded; outcomes %v",
-		r.States, r.Steps, r.Merged, r.Deepest, r.Cut, r.Answers)
+		r.States, r.Steps, r.Merged, r.Deepest, r.Unexpanded, r.Outcomes)
 }
 
 // branch is a state with the events that led to it.
@@ -74,7 +74,7 @@
 	initial := newState(scenario, bounds)
 	e := &exploration{
 		bounds: bounds, seen: map[digest]struct{}{initial.digest(): {}}, checked: map[digest]struct{}{},
-		queue: []*branch{{state: initial}}, result: Result{States: 1, Answers: map[string]int{}},
+		queue: []*branch{{state: initial}}, result: Result{States: 1, Outcomes: map[string]int{}},
 	}
 	for len(e.queue) > 0 && e.result.Violation == "" {
 		current := e.queue[0]
@@ -90,7 +90,7 @@
 	deep := e.bounds.Depth > 0 && current.depth >= e.bounds.Depth
 	full := e.bounds.States > 0 && e.result.States >= e.bounds.States
 	if deep || full {
-		e.result.Cut++
+		e.result.Unexpanded++
 		return
 	}
 	now := current.state
@@ -116,7 +116,7 @@
 		e.result.Deepest = max(e.result.Deepest, to.depth)
 	}
 	for _, a := range to.state.results {
-		e.result.Answers[a]++
+		e.result.Outcomes[a]++
 	}
 	if acceptors := to.state.acceptorDigest(); to.state.violation == "" && !contains(e.checked, acceptors) {
 		e.checked[acceptors] = struct{}{}
--- a/tests/modelcheck/model_test.go
+++ b/tests/modelcheck/model_test.go
@@ -9,7 +9,7 @@
 // states limits the number of states of each run.
 var states = flag.Int("states", 0, "number of states after which each run stops; zero means no limit")
 
-// TestEveryInterleaving checks that the invariants hold in every interleaving of each scenario under
+// TestEveryInterleaving checks that the invariants hold in every interleaving of each scenario, within
 // its bounds.
 func TestEveryInterleaving(t *testing.T) {
 	for _, run := range ShortRuns {
@@ -23,7 +23,7 @@
 			if result.Violation != "" {
 				t.Errorf("%s after\n%s", result.Violation, strings.Join(result.Trace, "\n"))
 			}
-			if len(result.Answers) == 0 {
+			if len(result.Outcomes) == 0 {
 				t.Error("no command got a result")
 			}
 		})
--- a/tests/modelcheck/quorumread.go
+++ b/tests/modelcheck/quorumread.go
@@ -71,9 +71,9 @@
 		return append(b, 0)
 	}
 	b = append(b, 1, byte(read.reader), byte(read.minRevision), byte(read.answered))
-	for i, v := range read.replies {
+	for i, reply := range read.replies {
 		if read.answered&(1<<i) != 0 {
-			b = v.AppendState(b)
+			b = reply.AppendState(b)
 		}
 	}
 	return b
--- a/tests/mutation/catalogue.go
+++ b/tests/mutation/catalogue.go
@@ -2,14 +2,15 @@
 
 import "slices"
 
-// The invariants, each named by the failure that must never happen.
+// The invariants, each named by the failure that violates it. They are the entries of the users'
+// list "What must never happen".
 const (
 	duplicateRun        = "a non-idempotent request runs twice"
 	runAfterRefusal     = "a request reported as not run is run"
 	wrongAnswer         = "a response is mixed up or truncated"
 	alteredRequest      = "a backend gets a request that no client sent, an altered one, or one with a wrong caller"
-	sentAfterLeaving    = "a backend gets requests 2 s after it left"
-	sentAfterEvacuation = "a zone gets requests 5 s after its evacuation"
+	sentAfterLeaving    = "a backend gets requests more than 2 s after it left"
+	sentAfterEvacuation = "a zone gets requests more than 5 s after its evacuation"
 	staleConfiguration  = "a configuration is not in force within 2 s, or an older one returns"
 	staleRead           = "a read returns an older state or other bytes"
 	retryExcess         = "extra attempts exceed a fifth of the first attempts"
--- a/tests/mutation/mutation.go
+++ b/tests/mutation/mutation.go
@@ -12,7 +12,8 @@
 
 // Mutation is a deliberate defect in one source file.
 type Mutation struct {
-	// Invariant names the failure that must never happen and that the mutation causes.
+	// Invariant is the failure that the mutation causes, an entry of the users' list "What must
+	// never happen".
 	Invariant string
 	// File is the mutated file, relative to the root of the tree. Old must occur exactly once in
 	// it and is replaced by New.
--- a/tests/mutation/mutation_test.go
+++ b/tests/mutation/mutation_test.go
@@ -18,8 +18,8 @@
 	}
 }
 
-// TestMutationsBuild checks that each mutated package builds. A mutation that does not build says
-// nothing about its test.
+// TestMutationsBuild checks that each mutated package builds. A mutation that does not build would
+// appear to be killed, but would say nothing about its test.
 func TestMutationsBuild(t *testing.T) {
 	for _, m := range All {
 		t.Run(m.File+"/"+m.Test, func(t *testing.T) {
