--- a/internal/dataplane/agent.go
+++ b/internal/dataplane/agent.go
@@ -21,7 +21,8 @@
 	Incarnation uint64
 	Zone        string
 	// HeartbeatInterval is the interval at which own backends are expected to announce
-	// themselves.
+	// themselves. It is not membership.HeartbeatInterval, at which processes send heartbeats
+	// to each other.
 	HeartbeatInterval time.Duration
 	// SlowStart controls how traffic returns to a zone that has recovered.
 	SlowStart routing.SlowStart
@@ -153,6 +154,8 @@
 
 // handleHeartbeatResponse processes a control plane replica's response to a heartbeat. It
 // runs on the heartbeat's goroutine. It refutes a suspicion of this incarnation immediately.
+// A response with RequestFull means that the replica does not have the state to which the
+// heartbeat referred, so it does not acknowledge pending departures.
 func (a *agent) handleHeartbeatResponse(ctx context.Context, sent, response membership.Heartbeat) {
 	if len(response.Departed) > 0 {
 		a.mailbox.Send(ctx, msgDeparted{response.Departed})
--- a/internal/dataplane/agent_backends.go
+++ b/internal/dataplane/agent_backends.go
@@ -10,7 +10,8 @@
 func (a *agent) announce(m msgAnnounce, now time.Time) {
 	if a.resumeDetector.RecentlyResumed(now) && !m.announcement.Draining {
 		// The announcement may have been queued while the process was frozen, and the backend
-		// may have stopped since. Only the backend's next announcement is applied.
+		// may have stopped since. The first announcement of the backend after this period is
+		// applied.
 		m.reply <- nil
 		return
 	}
--- a/internal/dataplane/doc.go
+++ b/internal/dataplane/doc.go
@@ -4,7 +4,7 @@
 // A sidecar runs on the same machine as the clients and backends that it serves. A client's
 // request arrives at proxy.Outbound. Outbound chooses a backend from the routing table and
 // sends an attempt to the sidecar on that backend's machine. There, proxy.Inbound admits the
-// attempt and runs it.
+// attempt and runs it. The backends on the sidecar's machine are its own backends.
 //
 // The agent, an actor, owns all control state of the process. Configuration updates, gossip,
 // and announcements of the sidecar's own backends reach the agent as messages. In response
--- a/internal/dataplane/endpoints/admission.go
+++ b/internal/dataplane/endpoints/admission.go
@@ -20,10 +20,12 @@
 	BackendDraining  Rejection = "backend-leaving"
 	ZoneDrained      Rejection = "locality-emptied"
 	BackendFull      Rejection = "backend-full"
+	// WrongIncarnation rejects an attempt that is meant for another run of this sidecar's process.
 	WrongIncarnation Rejection = "wrong-incarnation"
 	DeadlineExpired  Rejection = "expired"
-	NodeDraining     Rejection = "node-draining"
-	LeaseExpired     Rejection = "claim-lapsed"
+	// NodeDraining rejects an attempt because this sidecar is stopping.
+	NodeDraining Rejection = "node-draining"
+	LeaseExpired Rejection = "claim-lapsed"
 	// Canceled rejects an attempt that its sender has canceled. It also ends a running attempt if
 	// that attempt may be stopped.
 	Canceled Rejection = "recalled"
--- a/internal/dataplane/endpoints/announcement.go
+++ b/internal/dataplane/endpoints/announcement.go
@@ -41,7 +41,7 @@
 // its request rate is limited to the warm-up rate of its service for a time.
 type Warmup struct {
 	// Share is the fraction of its capacity that the backend can use now: greater than 0, at most
-	// 1.
+	// 1. If Remaining is set, 0 means 1.
 	Share float64 `json:"share"`
 	// Ramp is the time until the backend can use its full capacity, as a Go duration.
 	Ramp string `json:"ramp"`
@@ -50,7 +50,8 @@
 	Remaining string `json:"left"`
 }
 
-// slowStart is the parsed warm-up state of an announcement.
+// slowStart is the parsed warm-up state of an announcement. It concerns one backend, whereas
+// routing.SlowStart concerns a zone.
 type slowStart struct {
 	// share is the fraction of the capacity that the backend can use now. ramp is the time until
 	// the share is 1.
--- a/internal/dataplane/endpoints/doc.go
+++ b/internal/dataplane/endpoints/doc.go
@@ -3,9 +3,12 @@
 //
 // Backends announce themselves to their sidecar at every heartbeat. Registry is the immutable table
 // of the known backends. A stale announcement, for example of a backend that has left, does not
-// change the table. Each Endpoint has an AdmissionController, which bounds the number of requests
-// running at the backend (AdmissionQueue) and the request rate of a backend that is warming up
-// (SlowStartLimiter).
+// change the table. A backend departs by announcing that it is draining, or by a removal request.
+// The departure of an instance is final: a later announcement does not restore it. The backends of
+// a stopping sidecar are reported as draining too, but have not departed.
+//
+// Each Endpoint has an AdmissionController, which bounds the number of requests running at the
+// backend (AdmissionQueue) and the request rate of a backend that is warming up (SlowStartLimiter).
 //
 // A sidecar admits requests only while it holds a Lease. For a short time after its process was
 // suspended, the sidecar ignores announcements, since they may have been queued for a long time
--- a/internal/dataplane/endpoints/endpoint.go
+++ b/internal/dataplane/endpoints/endpoint.go
@@ -26,7 +26,8 @@
 	// confirmed means that more than one announcement of the backend has arrived. A single
 	// announcement may be stale.
 	confirmed bool
-	// Admission admits requests to the backend. It is shared by all registries.
+	// Admission admits requests to the backend. Successive registries share it, so that the count of
+	// open requests survives a change of the registry.
 	Admission *AdmissionController
 }
 
@@ -50,7 +51,7 @@
 // ConcurrencyLimit returns the number of requests that may run at the backend, at least 1.
 // zoneShare is the fraction of its capacity that the zone may use. recentlyStarted means that
 // requests admitted by an earlier incarnation of this sidecar may still be running; the limit is
-// then halved. (DESIGN 15.2)
+// then halved. An incarnation is one run of the sidecar's process. (DESIGN 15.2)
 func (e Endpoint) ConcurrencyLimit(zoneShare float64, recentlyStarted bool, now time.Time) int64 {
 	usable := float64(e.Capacity) * e.ShareAt(now) * zoneShare
 	if recentlyStarted {
--- a/internal/dataplane/endpoints/heartbeat.go
+++ b/internal/dataplane/endpoints/heartbeat.go
@@ -5,7 +5,9 @@
 // DefaultHeartbeatInterval is the interval of backend announcements if the settings define none.
 const DefaultHeartbeatInterval = 500 * time.Millisecond
 
-// HeartbeatPolicy derives the timeouts for silent backends from the announcement interval.
+// HeartbeatPolicy derives the timeouts for silent backends from the announcement interval. These
+// heartbeats go from a backend to its sidecar. The heartbeats between processes are those of
+// package membership.
 type HeartbeatPolicy struct {
 	// Interval is the announcement interval. If it is not positive, DefaultHeartbeatInterval
 	// applies.
@@ -14,6 +16,7 @@
 
 // Freshness returns the maximum age of the latest announcement of a backend that may receive
 // requests. The address of a stopped backend may be reassigned to another service after about 2 s.
+// At DefaultHeartbeatInterval, the maximum age is 1.5 s.
 func (p HeartbeatPolicy) Freshness() time.Duration { return 3 * p.interval() }
 
 // DiscoveryDelay returns the time after the start of a sidecar by which it has received an
--- a/internal/dataplane/endpoints/registry.go
+++ b/internal/dataplane/endpoints/registry.go
@@ -22,7 +22,8 @@
 	// departures holds the instances that have announced their departure, including instances that
 	// were not known before.
 	departures membership.Departures
-	// displaced holds the instances whose address has been taken over by another instance.
+	// displaced holds the instances whose address has been taken over by another instance. They need
+	// not have departed.
 	displaced membership.Departures
 	// unconfirmed holds announcements that may be stale; see needsConfirmation.
 	unconfirmed []unconfirmedAnnouncement
--- a/internal/dataplane/endpoints/stale.go
+++ b/internal/dataplane/endpoints/stale.go
@@ -41,7 +41,8 @@
 }
 
 // isNewer reports whether an announcement was sent after the previous one of its instance, and is
-// not a duplicate of it.
+// not a duplicate of it. Without a sequence number, an announcement counts as newer if it arrives
+// at least half a heartbeat interval after the previous one.
 func (r Registry) isNewer(previous Endpoint, a Announcement, now time.Time) bool {
 	if a.Sequence != 0 {
 		return a.Sequence > previous.sequence
@@ -50,9 +51,11 @@
 }
 
 // needsConfirmation reports whether the announcement of an unknown instance may have been sent
-// before this process started, and so may be stale. This is possible if the announcement is not the
-// first of the instance, and either all running instances have been discovered by now or another
-// instance has the address. A later announcement of the instance confirms it.
+// before this process started, and so may be stale. A first announcement, or one without a sequence
+// number, needs no confirmation. Any other announcement needs it in two cases. After the discovery
+// delay, this process knows every instance that was running at its start, so an instance that is
+// still unknown may have stopped before. At any time, another instance may already have the
+// address. A later announcement of the instance confirms it.
 func (r Registry) needsConfirmation(a Announcement, now time.Time) bool {
 	discovered := !r.Started.IsZero() && now.Sub(r.Started) > r.Heartbeats.DiscoveryDelay()
 	if a.Sequence <= 1 || !discovered && !r.addressTaken(a, now) {
--- a/internal/dataplane/freshness.go
+++ b/internal/dataplane/freshness.go
@@ -7,7 +7,9 @@
 )
 
 // configurationTrustedFor is how long after its last confirmation a configuration is assumed
-// to be the newest. An acknowledged change is in force on all sidecars within this time.
+// to be the newest. An acknowledged change is in force on all sidecars within this time. It is
+// shorter than endpoints.LeaseDuration, the time for which a sidecar may admit requests after
+// the last confirmation.
 const configurationTrustedFor = 2 * time.Second
 
 // leaseValid reports whether this sidecar may admit requests to its backends. It may do so
--- a/internal/dataplane/routing/conditions.go
+++ b/internal/dataplane/routing/conditions.go
@@ -14,15 +14,16 @@
 	// MaxLateness is the maximum lateness of the request: the time from TargetTime to its deadline.
 	MaxLateness time.Duration
 	// LatenessBudget is the lateness that may be planned for the request while its contract still
-	// meets the latency target on average.
+	// meets its objective on average; see retrybudget.LatencyBudgets.AllowedLateness.
 	LatenessBudget time.Duration
 	// Latency returns the measured latency of the request's route at a backend.
 	Latency func(t membership.Target) LatencyHistogram
 	// CrossZoneCost is the cost of sending the request to another zone, as a fraction of the value
-	// of an answer in time. It is weighed against the probability of a late answer. Zero means
-	// nearly no cost.
+	// of an answer in time. The request leaves the local zone if that increases the probability of
+	// an answer in time by more than CrossZoneCost. If it is zero, utilization and expected
+	// lateness decide instead; see spillUtilization and crossZoneDivisor.
 	CrossZoneCost float64
-	// WaitUntil is the time until which the request may wait for a backend with free capacity. The
+	// WaitUntil is the time until which the request may wait while no backend can be chosen. The
 	// request does not wait if it is zero.
 	WaitUntil time.Time
 	// AcceptLate means that an answer after TargetTime is better than none. The queue at the
@@ -95,9 +96,10 @@
 }
 
 // prefer chooses between two targets, of which a is the less utilized. It returns a if the
-// latencies are unreliable or similar, or if a is the faster target. A request whose lateness
-// budget allows a slower target takes a, which leaves the faster target to other requests. A
-// request whose budget does not allow this takes the faster target unless that is full.
+// latencies are unreliable or similar, or if a is the faster target. Medians that both fall among
+// the attempts that missed the deadline count as similar. A request whose lateness budget allows a
+// slower target takes a, which leaves the faster target to other requests. A request whose budget
+// does not allow this takes the faster target unless that is full.
 func (c *Conditions) prefer(a, b membership.Target, now time.Time) membership.Target {
 	latencyA, latencyB := c.Latency(a), c.Latency(b)
 	medianA, okA := latencyA.Quantile(0.5)
--- a/internal/dataplane/routing/histogram.go
+++ b/internal/dataplane/routing/histogram.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// bucketCount is the number of buckets. The upper bound of each bucket but the first is
-	// bucketGrowth times that of the previous bucket.
+	// bucketCount is the number of buckets for attempts that were answered. The upper bound of each
+	// bucket but the first is bucketGrowth times that of the previous bucket.
 	bucketCount  = 64
 	bucketGrowth = 1.2
 	// firstBucketBound is the upper bound of the first bucket in nanoseconds.
@@ -21,8 +21,9 @@
 )
 
 // LatencyHistogram is a histogram, with exponential decay, of the durations of attempts of a route.
-// A duration includes the wait in the backend's queue and the calls that the attempt causes. The
-// last bucket counts the attempts that were not answered in time.
+// A duration includes the wait in the backend's queue and the calls that the attempt causes. One
+// more bucket, at index bucketCount, counts the attempts that missed the deadline of their request
+// ("not answered in time").
 type LatencyHistogram struct {
 	weights [bucketCount + 1]float64
 	total   float64
@@ -88,7 +89,8 @@
 }
 
 // Quantile returns the duration within which the given share of the attempts is answered. ok is
-// false if the quantile falls among the attempts that were not answered in time.
+// false if the quantile falls among the attempts that were not answered in time. d is then above
+// the duration of every bucket. The same applies if there are no observations.
 func (h *LatencyHistogram) Quantile(share float64) (d time.Duration, ok bool) {
 	remaining := share * h.total
 	for i, weight := range h.weights[:bucketCount] {
--- a/internal/dataplane/routing/latencies.go
+++ b/internal/dataplane/routing/latencies.go
@@ -10,7 +10,8 @@
 )
 
 const (
-	// maxHistograms is the number of histograms at which unreliable histograms are evicted.
+	// maxHistograms is the number of histograms from which unreliable histograms are evicted before
+	// another one is added. It is no strict bound, since reliable histograms are kept.
 	maxHistograms = 4096
 	// minReportedWeight is the minimum total weight of a histogram in Reports.
 	minReportedWeight = 0.01
@@ -38,7 +39,7 @@
 	Instance     string `json:"instance,omitempty"`
 	Median       string `json:"half"`
 	Percentile95 string `json:"95%"`
-	// Missed is the fraction of attempts that were not answered in time.
+	// Missed is the fraction of attempts that were not answered before the deadline.
 	Missed float64 `json:"missed"`
 	// Weight is the number of observations, with decayed observations counted by their remaining
 	// weight.
@@ -51,7 +52,7 @@
 }
 
 // Observe adds an attempt with the duration took or, if missed is set, an attempt that was not
-// answered in time.
+// answered before the deadline of its request.
 func (t *LatencyTable) Observe(route string, target membership.Target, took time.Duration, missed bool) {
 	now := time.Since(t.start)
 	t.mu.Lock()
--- a/internal/dataplane/routing/slowstart.go
+++ b/internal/dataplane/routing/slowstart.go
@@ -3,7 +3,8 @@
 import "time"
 
 // SlowStart describes how the usable capacity of the backends of a zone rises after an evacuation:
-// linearly from an initial share to the full capacity.
+// linearly from an initial share to the full capacity. It is independent of the warm-up of a single
+// backend, which package endpoints handles.
 type SlowStart struct {
 	// Duration is the time until the full capacity is reached.
 	Duration time.Duration
--- a/internal/dataplane/routing/table.go
+++ b/internal/dataplane/routing/table.go
@@ -13,8 +13,8 @@
 
 const (
 	// minEarlierRun and maxEarlierRun bound the time for which requests admitted by an earlier
-	// process of this node are assumed to be running. That time is the longest deadline within
-	// these bounds.
+	// process of this node are assumed to be running. That time is the longest deadline of the
+	// contracts, raised to minEarlierRun or cut to maxEarlierRun.
 	minEarlierRun = 2 * time.Second
 	maxEarlierRun = 10 * time.Second
 )
@@ -28,11 +28,12 @@
 	// ContinueSlowStart has been called.
 	SlowStart SlowStart
 
-	routes       []config.Route
-	index        index
-	contracts    map[string]config.Contract
-	services     map[string]config.Service
-	limits       config.Limits
+	routes    []config.Route
+	index     index
+	contracts map[string]config.Contract
+	services  map[string]config.Service
+	limits    config.Limits
+	// drainedZones holds the evacuated zones.
 	drainedZones map[string]bool
 	// restoredZones maps the zones in a slow start to the time at which their evacuation ended.
 	restoredZones map[string]time.Time
--- a/internal/dataplane/routing/target.go
+++ b/internal/dataplane/routing/target.go
@@ -65,7 +65,8 @@
 	return d.Conditions.prefer(a, b, now), true
 }
 
-// utilization returns the fraction of the capacity of a backend that is in use.
+// utilization returns the open requests of a backend as a fraction of its usable capacity. Waiting
+// requests count as open, so the fraction may exceed 1.
 func utilization(t membership.Target) float64 {
 	return float64(t.Load.EstimateOpen()) / max(1, float64(t.Capacity)*t.CapacityShare)
 }
--- a/internal/dataplane/stats.go
+++ b/internal/dataplane/stats.go
@@ -13,8 +13,8 @@
 	membership.Backend
 	// Age is the time since the backend's last announcement.
 	Age string `json:"age"`
-	// Open is the number of requests that the backend is running. Limit is the number that it
-	// may currently run at the same time.
+	// Open is the number of requests that are running at the backend or waiting for it. Limit
+	// is the number that it may currently run at the same time.
 	Open  int64 `json:"open"`
 	Limit int64 `json:"limit"`
 	// Outgoing is the address to which the backend sends its own calls.
--- a/internal/retrybudget/counts.go
+++ b/internal/retrybudget/counts.go
@@ -8,7 +8,7 @@
 
 // Counts are the totals of a contract's requests over the rolling window.
 type Counts struct {
-	// Requests is the number of completed requests.
+	// Requests is the number of requests that have ended, whether or not they were answered.
 	Requests int64 `msgpack:"n" json:"inquiries"`
 	// Lateness is the total time by which the requests exceeded their latency target.
 	Lateness time.Duration `msgpack:"l" json:"lateness"`
--- a/internal/retrybudget/latency_budgets.go
+++ b/internal/retrybudget/latency_budgets.go
@@ -40,8 +40,9 @@
 	return b
 }
 
-// Observe counts a completed request of a contract. duration, target and deadline are measured from
-// the arrival of the request. A request that was not answered counts with the maximum lateness.
+// Observe counts a request of a contract that has ended. duration, target and deadline are measured
+// from the arrival of the request. A request that was not answered counts with the maximum
+// lateness.
 func (b *LatencyBudgets) Observe(contract string, duration, target, deadline time.Duration, answered bool) {
 	lateness := min(max(0, duration-target), deadline-target)
 	if !answered {
--- a/internal/retrybudget/service_budgets.go
+++ b/internal/retrybudget/service_budgets.go
@@ -12,7 +12,8 @@
 const DefaultAllowance = 20
 
 // shrinkDelay is the time for which a smaller number of nodes is ignored. A lost node may have
-// spent its share within the last 10 s, the period over which retries are bounded.
+// spent its share within the last 10 s. The allowance bounds the retries over any 10 s, so the
+// other nodes must not receive that share earlier.
 const shrinkDelay = 12 * time.Second
 
 // ServiceBudgets holds the retry budgets of a sidecar by service. All sidecars together may make
@@ -40,7 +41,8 @@
 }
 
 // SetNodes sets the addresses of the sidecars that share the allowance, including this one. It must
-// be called at every heartbeat, by a single goroutine.
+// be called every membership.HeartbeatInterval, by a single goroutine. A smaller number of nodes
+// takes effect only after shrinkDelay.
 func (s *ServiceBudgets) SetNodes(nodes []string, now time.Time) {
 	if len(nodes) >= s.largestCount || now.Sub(s.largestAt) > shrinkDelay {
 		s.largestCount, s.largestAt = len(nodes), now
