--- a/internal/dataplane/causality/call_pattern.go
+++ b/internal/dataplane/causality/call_pattern.go
@@ -46,7 +46,9 @@
 	p.delays[bucket(delay)] += share
 }
 
-// density returns the likelihood density of a call at a delay, up to a constant factor. If p
+// density returns the likelihood density of a call at a delay, up to a constant factor. It
+// divides the likelihood of a bucket by the delay, to which the bucket's width is roughly
+// proportional. If p
 // is nil or has fewer than minPatternCalls calls, density treats all buckets as equally
 // likely.
 func (p *callPattern) density(delay time.Duration) float64 {
--- a/internal/dataplane/causality/correlator.go
+++ b/internal/dataplane/causality/correlator.go
@@ -13,7 +13,8 @@
 	openRequests map[trace.ID]*OpenRequest
 	patterns     patterns
 	// inferences holds the calls that were linked by inference and have at least one open
-	// candidate, oldest first.
+	// candidate, oldest first. Beyond maxInferences, the oldest is discarded and its call is not
+	// added to the patterns.
 	inferences map[callKind][]*inference
 	mixed      map[callKind]*mixedTraffic
 }
@@ -63,7 +64,8 @@
 }
 
 // Link links a call that a service makes by a route. carried is the span that the call
-// carries, or the zero span.
+// carries, or the zero span. A request whose deadline has passed is linked only to calls that
+// carry its span.
 func (c *Correlator) Link(service, route string, carried trace.Span, now time.Time) Cause {
 	if request := c.carriedRequest(service, carried); request != nil {
 		return c.linkProven(request, route, now)
--- a/internal/dataplane/causality/mixed_traffic.go
+++ b/internal/dataplane/causality/mixed_traffic.go
@@ -34,7 +34,8 @@
 // A request that carries the span of an open request is linked to that request as proven. For
 // other requests, LinkMixed relies on the fact that a call ends before its cause does. A
 // request therefore certainly comes from a client if no request of the service is open, or if
-// it has more time left (remaining) than every open request of the service. If more than
+// it has more time left (remaining) than every open request of the service. Open requests of
+// the same route as the request are disregarded in both cases. If more than
 // maxClientShare of a route's requests certainly come from clients, none of the route's
 // requests is linked. The other requests are linked by inference, even if there is only one
 // candidate.
--- a/internal/dataplane/idempotency/decision.go
+++ b/internal/dataplane/idempotency/decision.go
@@ -25,6 +25,6 @@
 	// otherwise.
 	Response T
 	// Retry reports that the first request released its reservation while this request was
-	// waiting for the response. The caller must reserve the key again.
+	// waiting for the response. The caller must reserve the key again, and ignore Decision.
 	Retry bool
 }
--- a/internal/dataplane/idempotency/table.go
+++ b/internal/dataplane/idempotency/table.go
@@ -20,17 +20,17 @@
 	Text string `msgpack:"Text"`
 }
 
-// Fingerprint is a digest of a request. It distinguishes a replay from a different request
-// that uses the same key.
+// Fingerprint is a digest of a request's method, host, target and body. It distinguishes a
+// replay from a different request that uses the same key.
 type Fingerprint [32]byte
 
 // Table holds the reservations of one sidecar. It is not safe for concurrent use. The caller
 // passes in the time, which is the reading of a monotonic clock with an arbitrary origin.
 //
-// A reservation is never removed before its retention has passed. A full table refuses new
-// reservations. If the stored responses exceed maxResponseBytes, the oldest responses are
-// evicted but their reservations are kept; replays then get ResponseEvicted. T is the type of
-// a response.
+// Unless it is released, a reservation is never removed before its retention has passed. The
+// next Reserve of any key then removes it. A full table refuses new reservations. If the
+// stored responses exceed maxResponseBytes, the oldest responses are evicted but their
+// reservations are kept; replays then get ResponseEvicted. T is the type of a response.
 type Table[T any] struct {
 	responseSize func(T) int
 	reservations map[Key]*entry[T]
--- a/internal/dataplane/keyreplication/owner.go
+++ b/internal/dataplane/keyreplication/owner.go
@@ -80,8 +80,9 @@
 func (o *Owner) RepairComplete() bool { return o.repairComplete.Load() }
 
 // Run recovers the records of earlier incarnations and repairs the replication of current
-// records until ctx ends. It requests a handover from every peer that appears in the view,
-// for as long as peers may still store records of an earlier incarnation.
+// records until ctx ends. It requests a handover from every peer that appears in the view
+// within idempotency.Retention after the view became ready, because peers may still store
+// records of an earlier incarnation.
 func (o *Owner) Run(ctx context.Context) {
 	var viewReadyAt time.Time
 	recovering := recovery{owner: o, answered: map[string]uint64{}}
--- a/internal/dataplane/keyreplication/replicate.go
+++ b/internal/dataplane/keyreplication/replicate.go
@@ -49,7 +49,8 @@
 // there are fewer. remaining is the time until the request's deadline.
 //
 // If Replicate returns an error, the request must not be executed. The error is
-// ErrNotReplicated, in which case the reservation has been released, or a *ReservedError.
+// ErrNotReplicated, in which case the reservation has been released, or a *ReservedError. In
+// the latter case, the record stays on the peers that accepted it.
 func (o *Owner) Replicate(ctx context.Context, key idempotency.Key, fingerprint idempotency.Fingerprint, remaining time.Duration) (Reservation, error) {
 	reservation := Reservation{Record: Record{
 		Owner: o.config.Addr, Incarnation: o.config.Incarnation, Sequence: o.sequence.Add(1),
@@ -131,7 +132,8 @@
 	o.sendToReplicas(ctx, KindRelease, reservation)
 }
 
-// sendToReplicas sends a record to its replicas. The calls continue after ctx ends.
+// sendToReplicas sends a record to the replicas that Replicate selected, not to those that repair
+// added later. The calls continue after ctx ends.
 func (o *Owner) sendToReplicas(ctx context.Context, kind string, reservation Reservation) {
 	for _, addr := range reservation.replicas {
 		o.deps.Actors.Go(context.WithoutCancel(ctx), goroutineName, func(ctx context.Context) {
--- a/internal/process/http_server.go
+++ b/internal/process/http_server.go
@@ -93,7 +93,8 @@
 	}
 }
 
-// Shutdown waits for running requests until ctx ends, then closes the remaining connections.
+// Shutdown waits for running requests until ctx ends, then closes the remaining connections. Unlike
+// CloseIdle, it sends no closing response.
 func (s *HTTPServer) Shutdown(ctx context.Context) {
 	if s.server.Shutdown(ctx) != nil {
 		s.server.Close()
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -21,7 +21,9 @@
 
 // Exit codes in addition to those of settings.Exit.
 const (
-	codeFatal           = 1
+	// codeFatal is the exit code of Fatal: a resource that the settings require is not available.
+	codeFatal = 1
+	// codeBrokenInvariant is the exit code after a panic in a goroutine or actor.
 	codeBrokenInvariant = 3
 )
 
--- a/internal/process/tracked_conn.go
+++ b/internal/process/tracked_conn.go
@@ -49,7 +49,7 @@
 	return c.closing
 }
 
-// Write implements net.Conn.
+// Write implements net.Conn. It holds mu while it writes, so closeIfIdle blocks until it returns.
 func (c *trackedConn) Write(b []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/settings/control_plane.go
+++ b/internal/settings/control_plane.go
@@ -16,7 +16,7 @@
 	Slots int `long:"slots" ini-name:"slots" default:"3" description:"how many slots a system of static seats begins with: 1, 3, 5 or 7"`
 	// Founders are the transport addresses of the initial members, in the order of their member IDs.
 	Founders []string `long:"founders" ini-name:"founders" description:"wire address of a core that founds the system, in order; one a line, or several with commas"`
-	// First is true at the first start of a new cluster.
+	// First is true at the first start of a new cluster. It is valid only together with Founders.
 	First bool `long:"first" ini-name:"first" description:"this is the first start of the whole system, on empty disks"`
 	// GoneAfter is how long a member may be unresponsive before it is removed or replaced.
 	GoneAfter time.Duration `long:"gone-after" ini-name:"gone-after" default:"2500ms" description:"how long a core may be unheard before its seat is given to another"`
--- a/internal/settings/sidecar.go
+++ b/internal/settings/sidecar.go
@@ -31,7 +31,8 @@
 	BodyMemory int64 `long:"body-memory" ini-name:"body-memory" description:"bodies of inquiries that are held at a time, in bytes; if it is not given, 268435456 or a quarter of memory"`
 	// Memory is the process's memory limit, in MiB. Zero means no limit.
 	Memory int64 `long:"memory" ini-name:"memory" default:"0" description:"memory that the process may have, in MiB; 0: no bound"`
-	// ServeOn is how long new requests are still accepted during a graceful shutdown.
+	// ServeOn is how long new requests are still accepted during a graceful shutdown. If it is more
+	// than half of Drain, half of Drain is used instead.
 	ServeOn time.Duration `long:"serve-on" ini-name:"serve-on" default:"0s" description:"how long clients' inquiries are still taken after a warning to stop, at most half of drain"`
 	// Hold is the share of a request's latency target for which it may wait in the admission queue.
 	Hold float64 `long:"hold" ini-name:"hold" default:"0" description:"part of its aim for which an inquiry may be held for a place when there is none, 0 to 0.5"`
@@ -54,7 +55,7 @@
 	Halving time.Duration `long:"fresh-halving" ini-name:"fresh-halving" default:"10s" description:"how long after the start, at most, backends are given half of what they bear, as runs that a killed sidecar let in may go on; 0s: never"`
 	// Shun is how long a backend stays ejected after a failure.
 	Shun time.Duration `long:"shun" ini-name:"shun" default:"1s" description:"how long a backend that failed is left out of the choice"`
-	// Ramp is the duration of the slow start of a restored zone.
+	// Ramp is the duration of the slow start of a zone's backends after an evacuation of the zone.
 	Ramp time.Duration `long:"ramp" ini-name:"ramp" default:"10s" description:"how long a locality that is taken back takes to be given all that its backends bear"`
 	// RampFrom is the share of the zone's capacity at the beginning of the slow start.
 	RampFrom float64 `long:"ramp-from" ini-name:"ramp-from" default:"0.2" description:"the share that it begins with"`
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -1,7 +1,8 @@
-// Package storage stores versions of documents as plain files in one directory. Each version is
-// one file, which begins with a checksum. Save writes a version to a temporary file, syncs the
-// file, renames it and syncs the directory. After a power failure each version is either complete
-// or absent, and each version whose Save has returned is present. (DESIGN 6.1)
+// Package storage stores versions of documents as plain files in one directory. Each document is
+// identified by its kind, a name that its user chooses. Each version is one file with the name
+// "<kind>.<version>", which begins with a checksum. Save writes a version to a temporary file,
+// syncs the file, renames it and syncs the directory. After a power failure each version is either
+// complete or absent, and each version whose Save has returned is present. (DESIGN 6.1)
 package storage
 
 import (
@@ -26,7 +27,8 @@
 type Store struct {
 	directory Directory
 	// BeforeWrite, if set, is called before each version is written. If it returns an error,
-	// the write fails. Tests use it to simulate disk faults.
+	// the write fails. Open sets it in builds with the faultinjection tag, if a fault file is set.
+	// Tests set it to simulate disk faults.
 	BeforeWrite func() error
 }
 
@@ -128,7 +130,8 @@
 	return s.syncDirectory()
 }
 
-// Prune removes all but the latest keep versions of a kind.
+// Prune removes all but the latest keep versions of a kind. It does not sync the directory, so a
+// removed version may be present again after a power failure.
 func (s *Store) Prune(kind string, keep int) error {
 	names, err := s.listVersions(kind)
 	if err != nil || len(names) <= keep {
--- a/internal/trace/event.go
+++ b/internal/trace/event.go
@@ -29,15 +29,19 @@
 	Incarnation uint64        `msgpack:"b"`
 	At          time.Duration `msgpack:"at"`
 
+	// Route and Service are those of the request. Caller is the service that sent it. Instance is
+	// the backend instance that an attempt is sent to.
 	Route    string `msgpack:"w,omitempty"`
 	Service  string `msgpack:"sv,omitempty"`
 	Caller   string `msgpack:"cl,omitempty"`
 	Instance string `msgpack:"i,omitempty"`
-	// Status is the HTTP status.
+	// Status is the HTTP status. Outcome is a value of routing.Outcome. Reason is the reason why the
+	// request or attempt failed.
 	Status  int    `msgpack:"st,omitempty"`
 	Outcome string `msgpack:"o,omitempty"`
 	Reason  string `msgpack:"r,omitempty"`
-	// Attempt is the number of the attempt within its request.
+	// Attempt is the number of the attempt within its request. The last event of a request's own
+	// span has the number of its attempts instead.
 	Attempt int `msgpack:"lg,omitempty"`
 
 	// Link is how the cause of an outgoing call was determined. Candidates are the spans of all
--- a/internal/trace/link.go
+++ b/internal/trace/link.go
@@ -4,7 +4,8 @@
 type Link string
 
 const (
-	// LinkNone means that the span has no parent.
+	// LinkNone means that no cause was determined. The span may still have a parent: the events
+	// of an attempt have no link either.
 	LinkNone Link = ""
 	// LinkProven means that the parent is certain.
 	LinkProven Link = "proven"
--- a/internal/trace/publisher.go
+++ b/internal/trace/publisher.go
@@ -11,8 +11,8 @@
 // SendFunc sends a batch of events to a collector, and reports whether the collector accepted it.
 type SendFunc func(ctx context.Context, collector string, batch []Event) bool
 
-// Publisher sends the events of a queue to the collectors of their traces. Several publishers may
-// share a queue.
+// Publisher sends the events of a queue to the collectors of their traces. The collector of a trace
+// is the control plane replica that stores its events. Several publishers may share a queue.
 type Publisher struct {
 	Queue *Queue
 	// CollectorFor returns the address of a trace's collector. ok is false if the trace has no
--- a/internal/trace/queue.go
+++ b/internal/trace/queue.go
@@ -32,7 +32,7 @@
 }
 
 // NewQueue returns an empty queue for up to size events. node and incarnation identify the process
-// that records them.
+// that records them. The times of the events count from this call.
 func NewQueue(node string, incarnation uint64, size int) *Queue {
 	return &Queue{node: node, incarnation: incarnation, start: time.Now(), events: make(chan Event, size)}
 }
--- a/internal/transport/connection.go
+++ b/internal/transport/connection.go
@@ -25,7 +25,8 @@
 //
 // One goroutine reads frames. Another owns the pending calls and writes frames. Both end with
 // the connection. The connection ends when the peer closes it, when the peer times out, when
-// the peer sends an invalid frame or an unexpected response, or when Close is called.
+// the peer sends an invalid frame or an unexpected response, when a write fails, or when Close is
+// called.
 type Connection struct {
 	conn     *countingConn
 	peer     Hello
--- a/internal/transport/counters.go
+++ b/internal/transport/counters.go
@@ -7,7 +7,8 @@
 
 // CallCounts counts the frames of one kind on one side of the connections. A Client counts
 // the calls sent and the responses received. A Server counts the calls received and the
-// responses sent. Byte counts include the frame headers.
+// responses sent. Byte counts include the frame headers. Pings and Hellos are counted like calls
+// in the direction of calls, and like responses in the other direction.
 type CallCounts struct {
 	Calls         uint64 `json:"calls"`
 	CallBytes     uint64 `json:"call_bytes"`
@@ -15,7 +16,7 @@
 	ResponseBytes uint64 `json:"receipt_bytes"`
 }
 
-// Kinds that are counted in addition to the kinds of calls.
+// Kinds that are counted in addition to the kinds of calls. Like these, they are keys of Snapshot.
 const (
 	// KindPing is the kind of pings and of their responses.
 	KindPing = "ping"
--- a/internal/transport/hello.go
+++ b/internal/transport/hello.go
@@ -22,7 +22,7 @@
 // Hello is the first message that each side of a connection sends. Unknown fields are ignored,
 // so that different versions interoperate.
 type Hello struct {
-	// Version is the sender's ProtocolVersion.
+	// Version is the sender's ProtocolVersion. The handshake does not compare the versions.
 	Version int `msgpack:"v"`
 	// Node is the address under which the sender's server is reachable.
 	Node string `msgpack:"n"`
--- a/internal/transport/idle_detector.go
+++ b/internal/transport/idle_detector.go
@@ -40,8 +40,8 @@
 	return d.idle >= idleTimeout
 }
 
-// suspected reports whether the peer sent nothing for two ping intervals: it did not answer a
-// ping before the next one was due.
+// suspected reports whether the peer sent nothing for two ping intervals. The first ping is sent
+// after one interval, so the peer did not answer it before the next one was due.
 func (d *idleDetector) suspected() bool { return d.idle >= 2*pingInterval }
 
 // countingConn counts the bytes read from a connection, including those of incomplete frames.
--- a/internal/transport/response.go
+++ b/internal/transport/response.go
@@ -42,7 +42,8 @@
 func (r Response) HasErrorText(err error) bool { return r.ErrorText == err.Error() }
 
 // Decode decodes the body of a successful response into v. It reports whether there is such a
-// body and it fits the type of v.
+// body and it fits the type of v. The body is known to be well-formed, because it was checked as a
+// part of its message.
 func (r Response) Decode(v any) bool {
 	return r.Delivery == Answered && r.ErrorText == "" && msgpack.Unmarshal(r.body, v) == nil
 }
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -17,7 +17,8 @@
 	body msgpack.RawMessage
 }
 
-// Decode decodes the body of the call into v. It reports whether the body fits the type of v.
+// Decode decodes the body of the call into v. It reports whether the body fits the type of v. The
+// body is known to be well-formed, because it was checked as a part of its message.
 func (r Request) Decode(v any) bool { return msgpack.Unmarshal(r.body, v) == nil }
 
 // Handler handles the calls of one kind and returns the body of the response. ctx has the
