--- a/internal/membership/departures.go
+++ b/internal/membership/departures.go
@@ -2,13 +2,13 @@
 
 import "slices"
 
-// MaxDepartures is the number of departures of its backends that a sidecar remembers. It is far
-// above the number of instances that leave a machine while their late announcements may still be in
-// transit. There is no time limit, since an announcement may arrive arbitrarily late.
+// MaxDepartures is the maximum number of departures of its backends that a sidecar remembers. It is
+// far above the number of instances that leave a machine while their late announcements may still
+// be in transit. There is no time limit, since an announcement may arrive arbitrarily late.
 const MaxDepartures = 256
 
-// MaxReportedDepartures is the number of departures, the newest ones, that a sidecar reports to the
-// control plane.
+// MaxReportedDepartures is the maximum number of departures that a sidecar reports to the control
+// plane. It reports the newest ones.
 const MaxReportedDepartures = 32
 
 // Departures holds the newest MaxDepartures backend instances that announced their shutdown. An
--- a/internal/membership/discovery.go
+++ b/internal/membership/discovery.go
@@ -16,8 +16,8 @@
 const HeartbeatInterval = 500 * time.Millisecond
 
 const (
-	// budgetRoundInterval is the number of heartbeat rounds from one exchange of budgets to the
-	// next.
+	// budgetRoundInterval is the number of regular heartbeat rounds from one exchange of budgets to
+	// the next. Rounds that HeartbeatNow requests do not count and exchange no budgets.
 	budgetRoundInterval = 4
 	// minRoundInterval is the minimum time from a round to the next one that HeartbeatNow requests,
 	// so that a burst of changes causes a single round.
@@ -32,13 +32,14 @@
 type DiscoveryDeps struct {
 	Client *transport.Client
 	Actors *actor.System
-	// Local returns the process's own state: its Node or its Replica.
+	// Local returns a heartbeat with only the process's own state set: Node in a sidecar, Replica
+	// in a control plane replica.
 	Local func() Heartbeat
-	// OnReplica, if set, is called with each status received from the replica itself. It must not
-	// block.
+	// OnReplica, if set, is called with each status that a replica sent of itself, in full or as a
+	// digest. It is not called with statuses that another process passed on. It must not block.
 	OnReplica func(ctx context.Context, replica Replica)
 	// OnResponse, if set, is called with each heartbeat that got a response, and with that
-	// response, before the responder counts as live. It must not block.
+	// response, before the response is recorded in the table of replicas. It must not block.
 	OnResponse func(ctx context.Context, sent, response Heartbeat)
 }
 
--- a/internal/membership/gossiper.go
+++ b/internal/membership/gossiper.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// maxUpdateAge is the time without updates from the replicas after which the sidecar queries
-	// other sidecars.
+	// maxUpdateAge is the time without a response from the watched replica after which the sidecar
+	// queries other sidecars.
 	maxUpdateAge = time.Second
 	// GossipFanout is the number of other sidecars queried in a round. It does not grow with the
 	// number of sidecars.
@@ -39,13 +39,14 @@
 	State func() *config.ControlState
 	// Seeds returns the addresses to query while no other node is known.
 	Seeds func() []string
-	// UpdateAge returns the time since the last updates from a replica.
+	// UpdateAge returns the time since the arrival of the last watch response from a replica. It is
+	// not the Age in watch.Updates.
 	UpdateAge func(now time.Time) time.Duration
 	// OnUpdate is called once per round with everything that the round found, unless it found
 	// nothing.
 	OnUpdate func(ctx context.Context, update GossipUpdate)
-	// OnConfirmed is called after each round in which a majority confirms that no newer control
-	// state existed at the time asOf.
+	// OnConfirmed is called after each round in which a majority of the sidecars confirms that it
+	// had no newer control state in force at the time asOf (see PeerStatusTable.ConfirmedAsOf).
 	OnConfirmed func(asOf time.Time)
 }
 
--- a/internal/membership/heartbeat.go
+++ b/internal/membership/heartbeat.go
@@ -24,12 +24,14 @@
 	Node       *Node       `msgpack:"n,omitempty"`
 	NodeStatus *NodeStatus `msgpack:"p,omitempty"`
 	// Replica is the sender's status, if the sender is a replica. ReplicaDigest is the digest of
-	// that status and replaces it if the receiver has the status. WallClock is then set in a
-	// message to a replica: it is the sender's wall clock, in nanoseconds since the Unix epoch.
+	// that status and replaces it if the receiver has the status. A message to a replica that has
+	// ReplicaDigest also has WallClock, since the digest does not cover it: the sender's wall
+	// clock, in nanoseconds since the Unix epoch.
 	Replica       *Replica `msgpack:"s,omitempty"`
 	ReplicaDigest uint64   `msgpack:"sm,omitempty"`
 	WallClock     int64    `msgpack:"w,omitempty"`
-	// KnownDigest is the digest of the receiver's status that the sender has.
+	// KnownDigest is the digest of the newest status of the receiver that the sender has. The
+	// receiver omits its status from the response if that digest is current.
 	KnownDigest uint64 `msgpack:"hv,omitempty"`
 	// KnownReplicas are all replicas that the sender knows.
 	KnownReplicas []Replica `msgpack:"k,omitempty"`
--- a/internal/membership/load.go
+++ b/internal/membership/load.go
@@ -11,12 +11,13 @@
 // processStart is the origin of the times in a Load.
 var processStart = time.Now()
 
-// Load holds what this sidecar knows about the load of a backend. It is safe for concurrent use.
-// Times in it are durations since processStart.
+// Load holds what this sidecar knows about the load of a backend, which may belong to another
+// sidecar. It is safe for concurrent use. Times in it are durations since processStart.
 type Load struct {
 	// Attempts counts this sidecar's own attempts that are currently open at the backend.
 	Attempts atomic.Int64
-	// reported is the number of open requests in the last response, which arrived at reportedAt.
+	// reported is the number of requests that were running or queued at the backend according to
+	// the last response to an attempt. That response arrived at reportedAt.
 	reported   atomic.Int64
 	reportedAt atomic.Int64
 	// ejectedUntil is the time until which the backend is not chosen.
--- a/internal/membership/node.go
+++ b/internal/membership/node.go
@@ -17,8 +17,9 @@
 	Backends        []Backend `msgpack:"be,omitempty" json:"backends"`
 	// Departed are the newest instances that have announced their shutdown.
 	Departed []string `msgpack:"d,omitempty" json:"departed,omitempty"`
-	// Refutation increases when the node refutes a suspicion against it. Suspects lists the nodes
-	// that this node suspects. Both change without Version.
+	// Refutation increases when the node refutes a suspicion against it. Its JSON name is
+	// "incarnation", whereas Incarnation has the JSON name "boot". Suspects lists the nodes that
+	// this node suspects. Both change without Version.
 	Refutation uint64      `msgpack:"in,omitempty" json:"incarnation"`
 	Suspects   []Suspicion `msgpack:"ac,omitempty" json:"accuses,omitempty"`
 	// OpenRequests counts the requests that are in progress or queued at the node's own backends,
--- a/internal/membership/peer_status_table.go
+++ b/internal/membership/peer_status_table.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// PeerStatusTTL is how long a status is kept and passed on. It is the time for which a lease that
-// depends on the status could be valid.
+// PeerStatusTTL is how long a status is kept and passed on. It equals the duration of a sidecar's
+// lease, so a status is kept as long as a lease that depends on it could be valid.
 const PeerStatusTTL = 4 * time.Second
 
 // PeerStatusTable holds the statuses that sidecars reported of themselves, received directly or
--- a/internal/membership/replica.go
+++ b/internal/membership/replica.go
@@ -14,7 +14,7 @@
 	// Incarnation identifies the replica's process. Each start draws a new value.
 	Incarnation uint64 `msgpack:"b" json:"boot"`
 	Zone        string `msgpack:"l" json:"locality"`
-	// Established is set once the replica has joined and may vote.
+	// Established is set once the replica has joined and may vote in the consensus.
 	Established bool `msgpack:"e" json:"established"`
 	// CommittedRevision is the newest revision of the control state that the replica knows
 	// to be committed.
--- a/internal/membership/replica_queries.go
+++ b/internal/membership/replica_queries.go
@@ -110,7 +110,8 @@
 }
 
 // HeartbeatTargets returns the addresses to send heartbeats to: those of all known replicas and
-// candidates, and also the seeds while any member has no live replica.
+// candidates, and also the seeds while no replica is live or fewer replicas are live than there are
+// members. The result is sorted and does not contain own, the address of the calling process.
 func (t ReplicaTable) HeartbeatTargets(own string, seeds []string, now time.Time) []string {
 	addrs := map[string]bool{}
 	for _, replica := range t.All() {
--- a/internal/membership/replica_table.go
+++ b/internal/membership/replica_table.go
@@ -16,7 +16,8 @@
 
 // ReplicaTable holds the information that one process has about the control plane replicas: which
 // replica is which member, and when it last sent its status. Only a message from the replica itself
-// makes it the member. A report by another process makes the address a candidate for heartbeats.
+// makes it the member. A report by another process makes the address a candidate: the process sends
+// heartbeats to it to find out whether a replica runs there.
 //
 // The table is an immutable value: methods that change it return the next table. The zero value is
 // an empty table.
--- a/internal/watch/departures.go
+++ b/internal/watch/departures.go
@@ -11,8 +11,9 @@
 const maxDepartures = 65536
 
 // departureLog stores the departures that sidecars reported, also after the sidecars' processes
-// have ended. A sidecar that restarts receives the departures that an earlier process at its
-// address had acknowledged. (DESIGN 9.1)
+// have ended. A sidecar that restarts receives the departures that earlier processes at its address
+// had reported. Only the newest membership.MaxReportedDepartures of each address are stored.
+// (DESIGN 9.1)
 type departureLog struct {
 	byNode map[string]nodeDepartures
 	// count is the number of departures of all nodes.
--- a/internal/watch/event_log.go
+++ b/internal/watch/event_log.go
@@ -42,7 +42,7 @@
 	// drainedSince holds when each evacuated zone became drained.
 	drainedSince map[string]time.Duration
 
-	// readyAt is when delivery to watchers may start.
+	// readyAt is when delivery to watchers may start. lastTick is when Tick was last called.
 	readyAt  time.Duration
 	lastTick time.Duration
 }
@@ -58,10 +58,10 @@
 	}
 }
 
-// DetectPause must be called before any other method processes a message. If there were no ticks
-// for a while, the process was suspended or starved of CPU time and could not receive heartbeats.
-// The log then restarts without nodes and events, under a new ID. The control state and the
-// departures are kept.
+// DetectPause must be called before any other method processes a message. If there was no tick for
+// more than half of nodeTimeout, the process was suspended or starved of CPU time and could not
+// receive heartbeats. The log then restarts without nodes and events, under a new ID. The control
+// state and the departures are kept.
 func (l *EventLog) DetectPause(now time.Duration) {
 	if now-l.lastTick <= nodeTimeout/2 {
 		return
@@ -131,10 +131,10 @@
 	return events
 }
 
-// withStatePatch replaces the control state in events by a patch if the patch is much shorter. The
-// patch is relative to the control state that the watcher has, identified by its fingerprint. If
-// the watcher already has the newest control state, withStatePatch removes it from events. It
-// modifies events in place.
+// withStatePatch replaces the control state in events by a patch if the patch is at most half as
+// long. The patch is relative to the control state that the watcher has, identified by its
+// fingerprint. If the watcher already has the newest control state, withStatePatch removes it from
+// events. It modifies events in place.
 func (l *EventLog) withStatePatch(events []Event, fingerprint []byte) []Event {
 	i := slices.IndexFunc(events, func(event Event) bool { return event.State != nil })
 	if i < 0 || len(fingerprint) != len(l.version.Fingerprint) {
--- a/internal/watch/nodes.go
+++ b/internal/watch/nodes.go
@@ -36,8 +36,9 @@
 }
 
 // ObserveStatus records the status received in a heartbeat in place of the node. It returns false
-// if the log does not have the node in that version; the sender then has to send the full node.
-// Until that arrives, the node is kept unchanged, with its backends.
+// if the log lacks the node in that incarnation or has it in an older version; the sender then has
+// to send the full node. Until that arrives, the node is kept unchanged, with its backends. A
+// status that is older than the log's node has arrived late and only counts as a heartbeat.
 func (l *EventLog) ObserveStatus(status membership.NodeStatus, now time.Duration) bool {
 	n, ok := l.nodes[status.Addr]
 	if !ok || n.Incarnation != status.Incarnation {
--- a/internal/watch/replica_selector.go
+++ b/internal/watch/replica_selector.go
@@ -13,12 +13,13 @@
 	// initialTimeout is how long a watcher initially waits for a response. The replica itself may
 	// wait for maxWait; the rest is for the network and the processing.
 	initialTimeout = 900 * time.Millisecond
-	// maxTimeout is the upper limit of the timeout. It is below 4 s, because a sidecar's lease
-	// expires 4 s after the last response.
+	// maxTimeout is the upper limit of the timeout. It is below 4 s, the duration of a sidecar's
+	// lease. The lease counts from a moment before the last response (see Updates.Age).
 	maxTimeout = 3600 * time.Millisecond
 	// initialBackoff is the pause after a call without a response, or if no replica is live. It
-	// doubles each time, up to maxBackoff. Without it, a hundred watchers that send ten requests
-	// per second would keep a replica that has just started from becoming ready.
+	// doubles with each such failure, up to maxBackoff, and is reset by a response. Without it, a
+	// hundred watchers that send ten requests per second would keep a replica that has just started
+	// from becoming ready.
 	initialBackoff = 100 * time.Millisecond
 	maxBackoff     = 400 * time.Millisecond
 	// avoidFailedFor is how long a failed replica is chosen only after the others. After that time
@@ -38,7 +39,8 @@
 	// failedAt holds when each replica last failed, by address.
 	failedAt map[string]time.Time
 	// current is the replica of the last request. answered reports whether it responded, even if
-	// its confirmation was too old.
+	// its confirmation was older than maxConfirmationAge, which also counts as a failure in
+	// failedAt.
 	current  membership.Replica
 	answered bool
 	timeout  time.Duration
@@ -49,9 +51,11 @@
 	return &replicaSelector{own: own, zone: zone, failedAt: map[string]time.Time{}, timeout: initialTimeout}
 }
 
-// choose returns the replica for the next request. Replicas that failed recently rank last. Among
-// the others, those in the watcher's zone rank first. Rendezvous hashing decides between equal
-// replicas. ok is false if no replica is live.
+// choose returns the replica for the next request. Replicas that failed within avoidFailedFor rank
+// last, in the order of their failures. Among the others, those in the watcher's zone rank first.
+// Rendezvous hashing decides between equal replicas. If every live replica failed within
+// maxConfirmationAge, choose keeps the current one if that is live and responded to its last
+// request. ok is false if no replica is live.
 func (s *replicaSelector) choose(live []membership.Replica, now time.Time) (chosen membership.Replica, ok bool) {
 	if len(live) == 0 {
 		return membership.Replica{}, false
@@ -68,7 +72,7 @@
 	first := ranked[0]
 	failedRecently := now.Sub(s.failedAt[first.Addr]) < maxConfirmationAge
 	if s.answered && failedRecently && slices.ContainsFunc(live, s.isCurrent) {
-		first = s.current // every other replica failed recently too
+		first = s.current // every live replica failed within maxConfirmationAge
 	}
 	s.current = first
 	return first, true
@@ -96,8 +100,9 @@
 }
 
 // recordFailure records that the current replica did not respond. If the request timed out, the
-// next timeout is twice as long. Otherwise, over a slow link or in a process starved of CPU time,
-// the watcher would request and discard the same response again and again.
+// timeout of the next one is doubled, up to maxTimeout. With a constant timeout, a watcher on a
+// slow link or in a process starved of CPU time would request and discard the same response again
+// and again.
 func (s *replicaSelector) recordFailure(timedOut bool, now time.Time) {
 	s.answered = false
 	s.failedAt[s.current.Addr] = now
--- a/internal/watch/server.go
+++ b/internal/watch/server.go
@@ -18,7 +18,7 @@
 	// callers.
 	tickInterval = 100 * time.Millisecond
 	// neverConfirmed is the Age of updates from a replica that has never confirmed its control
-	// state.
+	// state. It is far above maxConfirmationAge, so the watcher prefers another replica.
 	neverConfirmed = time.Hour
 )
 
@@ -36,8 +36,8 @@
 	eventLog      *EventLog
 	watches       []pendingWatch
 	revisionWaits []revisionWait
-	// confirmedAt is the latest time at which no newer control state was acknowledged. It is zero
-	// if the control state was never confirmed.
+	// confirmedAt is the start of the last reported quorum read that confirmed that no control
+	// state newer than the log's had been acknowledged. It is zero if there was none.
 	confirmedAt time.Time
 }
 
@@ -74,7 +74,7 @@
 }
 
 // ObserveStatus records the status received in a heartbeat in place of a node. It returns false if
-// the sender has to send the full node.
+// the sender has to send the full node. It returns true if the actor has stopped.
 func (s *Server) ObserveStatus(ctx context.Context, status membership.NodeStatus) bool {
 	known, ok := actor.Ask(ctx, s.mailbox, func(r chan<- bool) any { return msgNodeStatus{status, r} })
 	return known || !ok
@@ -119,7 +119,8 @@
 	return lagging, ok && lagging != nil
 }
 
-// The following errors are responses to a Request. Their texts are part of the protocol.
+// The following errors are responses to a Request. Their texts are part of the protocol. errNoUpdates
+// means that the log is not ready or that the actor has stopped.
 var (
 	errNotRequest = errors.New("not a follow")
 	errNoUpdates  = errors.New("not settled in")
--- a/internal/watch/updates.go
+++ b/internal/watch/updates.go
@@ -11,7 +11,8 @@
 	// not in Events, except for a control state that it already has.
 	Snapshot bool    `msgpack:"s"`
 	Events   []Event `msgpack:"i"`
-	// Age is an upper bound of the time since the replica confirmed that no control state newer
-	// than its own was acknowledged.
+	// Age is an upper bound of the time since the moment as of which a quorum read of the replicas
+	// confirmed that no control state newer than the responding replica's had been acknowledged.
+	// The sidecar's lease counts from that moment.
 	Age time.Duration `msgpack:"a"`
 }
