--- a/internal/membership/doc.go
+++ b/internal/membership/doc.go
@@ -7,8 +7,8 @@
 //     change of it has a higher revision. It is in force in a sidecar that has applied it.
 //   - A member is a participant of the consensus. It is identified by its member ID. A replica is
 //     the process that runs as a member.
-//   - A sidecar is also called a node, since [Node] holds its state. A [Peer] is a sidecar as
-//     another sidecar knows it.
+//   - A sidecar is also called a node. [Node] holds its state. A [Peer] is a sidecar as another
+//     sidecar knows it.
 //   - An incarnation is a random number that identifies one run of a process. Incarnations can only
 //     be compared for equality. The member incarnation of a [Replica] is a counter instead.
 //   - A departure is the final shutdown of a backend instance, as the instance announced it.
--- a/internal/watch/doc.go
+++ b/internal/watch/doc.go
@@ -1,5 +1,5 @@
 // Package watch delivers the committed control state and the nodes of the data plane from the
-// control plane replicas to the sidecars.
+// control plane replicas to the sidecars. The comment of package membership defines the terms.
 //
 // On a replica, a [Server] owns an [EventLog]. It holds the newest committed control state, the
 // nodes that send heartbeats to this replica, and the numbered changes of both. A sidecar's
--- a/internal/watch/event.go
+++ b/internal/watch/event.go
@@ -9,7 +9,7 @@
 // control state that a newer one superseded.
 type Event struct {
 	// State is a newly committed control state. StatePatch is its difference from the control state
-	// that the receiver has.
+	// that the receiver has. It replaces State only in responses; an EventLog stores State.
 	State *config.ControlState `msgpack:"w,omitempty"`
 	// Node is a node that was added or changed. RemovedNode is the address of a node that was
 	// removed.
--- a/internal/watch/server.go
+++ b/internal/watch/server.go
@@ -119,8 +119,8 @@
 	return lagging, ok && lagging != nil
 }
 
-// The following errors are responses to a Request. Their texts are part of the protocol. errNoUpdates
-// means that the log is not ready or that the actor has stopped.
+// The following errors are responses to a Request. Their texts are part of the protocol.
+// errNoUpdates means that the log is not ready or that the actor has stopped.
 var (
 	errNotRequest = errors.New("not a follow")
 	errNoUpdates  = errors.New("not settled in")
