--- a/internal/config/control_state.go
+++ b/internal/config/control_state.go
@@ -17,24 +17,27 @@
 	// Generation is the highest generation of an accepted configuration. Zero means that no
 	// configuration had a generation.
 	Generation uint64 `msgpack:"n,omitempty"`
-	// Submitted is the document that the operator submitted, byte for byte, if Configuration was
-	// translated from it. Replicas only.
+	// Submitted is the document that the operator submitted, byte for byte, if an adapter
+	// translated it to Configuration and the configuration has a generation. Replicas only.
 	Submitted []byte `msgpack:"st,omitempty"`
 	// AcceptedGenerations lists the newest accepted generations, in ascending order. Replicas only.
 	AcceptedGenerations []AcceptedGeneration `msgpack:"tk,omitempty"`
-	// Evacuations lists the newest order on each zone, the newest last. CompactedRevision is the
-	// highest revision of the orders that were dropped from the list. Replicas only.
+	// Evacuations lists the newest order on each zone, the newest last, for at most MaxEvacuations
+	// zones. CompactedRevision is the highest revision of the orders that were dropped from the
+	// list. Replicas only.
 	Evacuations       []Evacuation `msgpack:"ev,omitempty"`
 	CompactedRevision uint64       `msgpack:"ef,omitempty"`
 	// Calendar is the calendar of maintenance windows as the operator submitted it.
-	// CalendarRevision is the revision that set it. Closures lists the closures of the active
-	// windows.
+	// CalendarRevision is the revision that set it. Closures lists the windows that were begun by
+	// a command and not yet ended by one.
 	CalendarRevision uint64        `msgpack:"cs,omitempty"`
 	Calendar         []byte        `msgpack:"c,omitempty"`
 	Closures         []ZoneClosure `msgpack:"cl,omitempty"`
-	// Members lists the members in force, by ID. An empty list stands for the initial members of
-	// the control plane. PreviousMembers lists the members before the last membership change, as
-	// long as that is the newest change. HighestMemberID is the highest ID ever used. (DESIGN 6.5)
+	// Members lists the current members, sorted by ID. It is empty until the first membership
+	// change. Until then, the members are the static members or, in a dynamic cluster, the initial
+	// members. PreviousMembers lists the members before a membership change. It is set only in the
+	// revision that makes the change; the next revision clears it. HighestMemberID is the highest
+	// ID ever used, or zero before the first membership change. (DESIGN 6.5)
 	Members         []Member `msgpack:"sl,omitempty"`
 	PreviousMembers []Member `msgpack:"fo,omitempty"`
 	HighestMemberID int      `msgpack:"to,omitempty"`
--- a/internal/config/evacuation.go
+++ b/internal/config/evacuation.go
@@ -6,7 +6,8 @@
 const MaxEvacuations = 64
 
 // Evacuation records the newest order of the operator on a zone: to evacuate it, or to revoke the
-// evacuation. (DESIGN 6.3)
+// evacuation. It does not record which of the two: ControlState.EvacuatedByOperator lists the zones
+// whose newest order is to evacuate. (DESIGN 6.3)
 type Evacuation struct {
 	Zone string `msgpack:"l" json:"locality"`
 	// Revision is the revision of the control state that the order created.
@@ -14,7 +15,8 @@
 }
 
 // EvacuationRevision returns the revision of the newest order on a zone. If the state stores no
-// order on the zone, known is false and the revision is an upper bound.
+// order on the zone, known is false. The revision is then an upper bound on that of an order that
+// was dropped from the state.
 func (s ControlState) EvacuationRevision(zone string) (revision uint64, known bool) {
 	for _, e := range s.Evacuations {
 		if e.Zone == zone {
--- a/internal/config/generations.go
+++ b/internal/config/generations.go
@@ -41,8 +41,8 @@
 			return bytes.Equal(t.Digest, digest), true
 		}
 	}
-	// A control state of an older version has no records. It stores only the last submitted
-	// document.
+	// A control state that an older version of the software wrote has no records. It stores only
+	// the last submitted document.
 	if generation == s.Generation && s.Submitted != nil {
 		return bytes.Equal(SubmissionDigest(s.Submitted, nil), digest), true
 	}
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -1,6 +1,7 @@
 package config
 
-// Limits bounds the requests of clients. A zero field selects the default of the sidecar.
+// Limits bounds the requests of clients. A zero field selects the default of the sidecar. The
+// limits are validated and passed to the routing table, but the sidecar does not apply them.
 //
 //easyjson:json
 type Limits struct {
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -8,7 +8,8 @@
 	"github.com/mailru/easyjson/jwriter"
 )
 
-// MaxBytes bounds the JSON encoding of a configuration.
+// MaxBytes bounds the size of the JSON encoding of a configuration in bytes. Parse does not check
+// it. The control plane checks it before it parses a submitted configuration.
 const MaxBytes = 4 << 20
 
 // Parse decodes and validates a configuration. ok is false if b is not valid JSON. Otherwise
--- a/internal/config/scanner.go
+++ b/internal/config/scanner.go
@@ -190,7 +190,8 @@
 	}
 }
 
-// pathAt returns the path of the value at an offset that the decoder reported.
+// pathAt returns the path of the first value that ends after an offset that the decoder reported,
+// or "$" if there is none.
 func (sc *scanner) pathAt(offset int) string {
 	if !sc.indexing {
 		sc.offset, sc.indexing = 0, true
--- a/internal/config/service.go
+++ b/internal/config/service.go
@@ -6,7 +6,9 @@
 type Service struct {
 	UnknownFields
 	Name string `json:"name"`
-	// MaxConnections bounds the connections to one backend. Zero means no bound.
+	// MaxConnections bounds the concurrent connections to one backend, and thereby the requests
+	// that it runs concurrently. The capacity of the backend is a bound too. Zero means that only
+	// the capacity counts.
 	MaxConnections int `json:"connections,omitempty"`
 	// SlowStart limits the requests to backends that have just started. Nil means no limit.
 	SlowStart *SlowStart `json:"cold,omitempty"`
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -13,10 +13,10 @@
 const MaxAttempts = 10
 
 const (
-	maxDuration    = 10 * time.Minute
-	maxWeight      = 1_000_000 // of one service in a split
-	maxConnections = 1_000_000 // to one backend
-	maxRequestRate = 1e6       // requests per second
+	maxDuration    = 10 * time.Minute // of each duration in a configuration
+	maxWeight      = 1_000_000        // of one service in a split
+	maxConnections = 1_000_000        // to one backend
+	maxRequestRate = 1e6              // requests per second
 	maxHeaderBytes = 16 << 20
 	maxBodyBytes   = 1 << 40
 )
--- a/internal/config/version.go
+++ b/internal/config/version.go
@@ -20,7 +20,8 @@
 	return Fingerprint(sum[:fingerprintBytes])
 }
 
-// Version is one version of a document: its encoding and the fingerprint of the encoding. A Patch
+// Version is one version of a document: its encoding and the fingerprint of the encoding. The
+// document is usually a ControlState, but may be any value, such as a consensus.Command. A Patch
 // describes the difference between two versions. The zero value is not a valid version.
 // (DESIGN 8.3)
 type Version struct {
--- a/internal/controlplane/api_response.go
+++ b/internal/controlplane/api_response.go
@@ -21,8 +21,9 @@
 type writeResponse struct {
 	Revision uint64            `json:"stamp,omitempty"`
 	Result   consensus.Outcome `json:"taken"`
-	// Applied is true if every sidecar known to this replica has applied the revision. Behind lists
-	// the sidecars that have not applied it.
+	// Applied is true if this replica knows all sidecars and they have applied the revision. It is
+	// nil if the command was not committed. Behind lists the addresses of the sidecars that have
+	// not applied the revision.
 	Applied *bool    `json:"in_force,omitempty"`
 	Behind  []string `json:"behind,omitempty"`
 	Error   string   `json:"error,omitempty"`
@@ -60,8 +61,10 @@
 	return nil, false
 }
 
-// parseIfMatch reads the revision that the If-Match header requires. It returns nil if there is no
-// header. If the header is malformed, parseIfMatch writes an error response and returns false.
+// parseIfMatch reads the revision that the If-Match header requires: that of the calendar for a
+// command that replaces the calendar, and that of the configuration for all others. It returns nil
+// if there is no header. If the header is malformed, parseIfMatch writes an error response and
+// returns false.
 func parseIfMatch(w http.ResponseWriter, r *http.Request) (revision *uint64, ok bool) {
 	header := r.Header.Get("If-Match")
 	if header == "" {
--- a/internal/controlplane/doc.go
+++ b/internal/controlplane/doc.go
@@ -1,6 +1,13 @@
-// Package controlplane implements one replica of the control plane. The replica stores the
-// operator's configuration in a replicated register on its own disk, serves it to the sidecars that
-// watch it, and offers operators the /v1 API. (DESIGN 1)
+// Package controlplane implements one replica of the control plane. The replica stores the control
+// state (config.ControlState), which contains the operator's configuration, on its own disk. The
+// replicas keep the control state as a single register that is written by Paxos; see package
+// consensus. The replica serves the control state to the sidecars that watch it, and offers
+// operators the /v1 API. (DESIGN 1)
+//
+// Texts and JSON names for operators use other words than the code: a replica is a core, the
+// coordinator is the core on duty, a member ID is a slot, a revision is a stamp, a generation is an
+// edition, the configuration is the desired one, a zone is a locality, an evacuated zone is
+// emptied, a route is a way, and an attempt is a leg.
 //
 // Node combines these components:
 //
--- a/internal/controlplane/heartbeat.go
+++ b/internal/controlplane/heartbeat.go
@@ -24,7 +24,8 @@
 		sidecar = h.NodeStatus.Addr
 		response.RequestFull = !n.watchServer.ObserveStatus(ctx, *h.NodeStatus)
 	}
-	if sidecar != "" && (h.WantBudgets || h.TableDigest == 0) { // older versions do not set WantBudgets
+	// TableDigest is zero only in heartbeats of older versions, which do not set WantBudgets.
+	if sidecar != "" && (h.WantBudgets || h.TableDigest == 0) {
 		response.Budgets = n.watchServer.Budgets()
 	}
 	if incarnation, ok := n.watchServer.Suspected(sidecar); ok {
--- a/internal/controlplane/join_request.go
+++ b/internal/controlplane/join_request.go
@@ -25,7 +25,9 @@
 	stopping *atomic.Bool
 }
 
-// Run sends join requests until ctx ends. A replica with a static member ID sends none.
+// Run sends join requests until ctx ends: one per joinInterval while the replica is joining. At
+// other times it checks once per heartbeat interval whether the replica is joining again. A replica
+// with a static member ID sends none.
 func (j *joinRequester) Run(ctx context.Context) {
 	if j.cluster.cfg.HasStaticMember() {
 		return
--- a/internal/controlplane/leave.go
+++ b/internal/controlplane/leave.go
@@ -19,8 +19,9 @@
 )
 
 // leaveMembership removes this stopping replica from the membership, unless the remaining members
-// would tolerate fewer failures. It returns once the change is in force. From then on, no majority
-// that remains after the next failure needs this replica. (DESIGN 6.5)
+// would tolerate fewer failures. It returns once the change is in force, if the replica stays a
+// member, or after leaveTimeout. Once the change is in force, no majority needs this replica, not
+// even after a further failure. (DESIGN 6.5)
 func (n *Node) leaveMembership(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
 	defer cancel()
--- a/internal/controlplane/operator.go
+++ b/internal/controlplane/operator.go
@@ -89,8 +89,8 @@
 }
 
 // AwaitApplied waits, for a bounded time, until all sidecars have applied a revision. It returns
-// the sidecars that have not applied it. known is false while this replica does not know all
-// sidecars. (DESIGN 6.6)
+// the addresses of the sidecars that have not applied it. known is false while this replica does
+// not know all sidecars. (DESIGN 6.6)
 func (n *Node) AwaitApplied(ctx context.Context, revision uint64) (behind []string, known bool) {
 	return n.watchServer.AwaitApplied(ctx, revision)
 }
--- a/internal/delta/delta.go
+++ b/internal/delta/delta.go
@@ -16,10 +16,12 @@
 )
 
 const (
-	// blockSize is the length in bytes of the blocks of the base that Diff indexes. Shorter matches
-	// between the common prefix and the common suffix are not found.
+	// blockSize is the length in bytes of the blocks of the base that Diff indexes. The blocks do
+	// not overlap. Between the common prefix and the common suffix, Diff finds only matches that
+	// contain a whole block.
 	blockSize = 16
-	// maxOutput bounds the result of Apply in bytes, as frames of the transport are bounded.
+	// maxOutput bounds the result of Apply in bytes. The frames of the transport are bounded too
+	// (transport.MaxFrameSize).
 	maxOutput = 64 << 20
 )
 
@@ -126,8 +128,8 @@
 	}
 }
 
-// indexBlocks returns a map from the blocks of the base to their offsets. It returns nil if base or
-// target is shorter than a block.
+// indexBlocks returns a map from the blocks of the base to their offsets. Of equal blocks, it holds
+// the first. It returns nil if base or target is shorter than a block.
 func indexBlocks(base, target []byte) map[[blockSize]byte]int {
 	if len(base) < blockSize || len(target) < blockSize {
 		return nil
--- a/internal/maintenance/calendar.go
+++ b/internal/maintenance/calendar.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// MaxBytes bounds the size of a calendar file.
+	// MaxBytes bounds the size of a calendar file in bytes.
 	MaxBytes = 256 << 10
 	// maxEvents bounds the number of events in a calendar.
 	maxEvents = 200
@@ -66,7 +66,7 @@
 	}
 }
 
-// decode decodes the first calendar in a file.
+// decode decodes the first calendar in a file. The rest of the file is ignored.
 func decode(file []byte) (*ical.Calendar, error) {
 	return ical.NewDecoder(bytes.NewReader(file)).Decode()
 }
--- a/internal/maintenance/parse.go
+++ b/internal/maintenance/parse.go
@@ -147,8 +147,8 @@
 	return text
 }
 
-// parseTimes parses the start and the duration of the current event. It returns false if they
-// cannot be parsed.
+// parseTimes parses the start and the duration of the current event. Times without a time zone are
+// in UTC. It returns false if they cannot be parsed.
 func (p *parser) parseTimes(component ical.Event, parsed *event) bool {
 	if component.Props.Get(ical.PropDateTimeStart) == nil {
 		p.addViolation(p.eventLine, "the event has no DTSTART")
@@ -171,7 +171,8 @@
 	return true
 }
 
-// parseRecurrence parses the recurrence rule of the current event, if it has one.
+// parseRecurrence parses the recurrence rule of the current event, if it has one. Rules that recur
+// more often than daily are violations; the library orders frequencies from yearly to secondly.
 func (p *parser) parseRecurrence(component ical.Event, parsed *event) {
 	if component.Props.Get(ical.PropRecurrenceRule) == nil {
 		return
--- a/internal/plan/assignment.go
+++ b/internal/plan/assignment.go
@@ -9,7 +9,8 @@
 )
 
 const (
-	// traceSamples is the number of trace IDs from which the share of moved traces is estimated.
+	// traceSamples is the number of trace IDs, from 1 up, from which the share of moved traces is
+	// estimated.
 	traceSamples = 4096
 	// noReplica is the name that stands for a missing replica.
 	noReplica = "none"
@@ -48,7 +49,9 @@
 	return moved
 }
 
-// watchedReplica returns the address of the replica that a sidecar watches.
+// watchedReplica returns the address of the replica that a sidecar watches. It assumes that all
+// replicas are live and in one zone: unlike the sidecar, it does not prefer replicas in the zone of
+// the sidecar.
 func (f fleet) watchedReplica(sidecar string) string {
 	return f.highestRanked(sidecar, func(r membership.Replica) string { return r.Addr })
 }
@@ -66,7 +69,8 @@
 	return float64(moved) / traceSamples
 }
 
-// collector returns the address of the replica to which a trace is published.
+// collector returns the address of the replica to which a trace is published. Like watchedReplica,
+// it does not consider zones, whereas a sidecar prefers replicas in its own zone.
 func (f fleet) collector(traceID string) string {
 	return f.highestRanked(traceID, func(r membership.Replica) string { return fmt.Sprint(r.MemberID) })
 }
--- a/internal/plan/capacity.go
+++ b/internal/plan/capacity.go
@@ -54,8 +54,9 @@
 	return changes
 }
 
-// findRisks returns the contracts of routes to a service that has no backends after the change, or
-// less than half of its capacity.
+// findRisks returns the contracts of routes to a service that has no capacity after the change,
+// even if it had none before, or less than half of its earlier capacity. A contract is listed once
+// for each such route and service.
 func findRisks(before, after fleet) (risks []Risk) {
 	for _, route := range after.configuration.Routes {
 		for _, service := range route.Services() {
--- a/internal/plan/snapshot.go
+++ b/internal/plan/snapshot.go
@@ -10,7 +10,8 @@
 type Snapshot struct {
 	// Configuration is the JSON document of a config.Configuration. It is empty if no configuration
 	// was submitted.
-	Configuration  string   `json:"desired"`
+	Configuration string `json:"desired"`
+	// EvacuatedZones lists the zones that are evacuated by the operator or by a maintenance window.
 	EvacuatedZones []string `json:"emptied"`
 	// Nodes lists the sidecars with their backends.
 	Nodes []membership.Node `json:"nodes"`
--- a/internal/tracestore/store.go
+++ b/internal/tracestore/store.go
@@ -23,7 +23,8 @@
 
 // PublishReply is the response to a published Batch.
 type PublishReply struct {
-	// Stored is the number of received events.
+	// Stored is the number of received events. It includes events that the store drops because
+	// their trace already has maxEvents events.
 	Stored int `msgpack:"n"`
 }
 
@@ -69,7 +70,7 @@
 var (
 	errNotBatch = errors.New("not a batch")
 	errNotQuery = errors.New("not a query")
-	errStopping = errors.New("stopping")
+	errStopping = errors.New("stopping") // the context of the request ended before Run received it
 )
 
 // HandlePublish stores a Batch and replies with a PublishReply.
--- a/internal/tracestore/tree.go
+++ b/internal/tracestore/tree.go
@@ -11,14 +11,17 @@
 type Tree struct {
 	Trace string `json:"trace"`
 	Spans int    `json:"spans"`
-	// Complete is true if all spans have all their events and parents, and all replicas answered.
+	// Complete is true if there are events, all spans have all their events and parents, and all
+	// replicas answered. BuildTree does not know the replicas: its caller clears Complete if one
+	// did not answer, and sets Unreachable.
 	Complete bool        `json:"whole"`
 	Roots    []*SpanNode `json:"roots"`
 	// Unreachable lists the member IDs of the replicas that did not answer.
 	Unreachable []int `json:"unasked,omitempty"`
 }
 
-// SpanNode is one span with its events and children, both in the order of the logical counters.
+// SpanNode is one span with its events and children, both in the order of the logical counters
+// (trace.Event.Counter). Link and Candidates are described at trace.Event.
 type SpanNode struct {
 	Span   string `json:"span"`
 	Parent string `json:"parent,omitempty"`
