--- a/tests/ledger/doc.go
+++ b/tests/ledger/doc.go
@@ -1,4 +1,4 @@
-// Package ledger keeps what the fakes (clients and backends) recorded of a run, and judges it
-// against the rules of what must never happen. It trusts nothing that the system reports of
-// itself. (DESIGN 14.2)
+// Package ledger stores the records that the fake clients and backends make during a test run
+// and checks them against the safety rules. The checks use only these records, never what
+// the system under test reports about itself. (DESIGN 14.2)
 package ledger
--- a/tests/ledger/ledger.go
+++ b/tests/ledger/ledger.go
@@ -6,25 +6,25 @@
 	"time"
 )
 
-// Outcomes of an answer that is the sidecar's own. An answer of a backend has none.
+// Outcomes of answers that the sidecar generates. An answer from a backend has no outcome.
 const (
-	OutcomeNotRun  = "not-run" // the request was not run, and will not be
-	OutcomeUnknown = "unknown" // it may have run
-	// OutcomeInterrupted is recorded for a request whose connection ended without an answer.
+	OutcomeNotRun  = "not-run" // the request has not run and will not run
+	OutcomeUnknown = "unknown" // the request may have run
+	// OutcomeInterrupted marks a request whose connection ended before an answer arrived.
 	OutcomeInterrupted = "cut"
 )
 
-// Sent is a request that a client, or a backend, sent.
+// Sent is a request that a client or a backend sent.
 type Sent struct {
 	ID         string
-	Parent     string // the request that the sending backend was working on, or ""
+	Parent     string // the request that the sending backend was processing, or "" for a client
 	Caller     string // the sending service, or "" for a client
 	Service    string
 	Zone       string // of the sender
 	Digest     string
 	Idempotent bool
-	// Keyed is set if it had an idempotency key. An answer to such a request holds for every
-	// time that it was sent.
+	// Keyed reports whether the request had an idempotency key. The answer to a keyed
+	// request applies to every send of it.
 	Keyed bool
 	At    time.Time
 }
@@ -35,9 +35,9 @@
 	Service  string
 	Instance string
 	Zone     string
-	Caller   string // as the sidecar reported it to the backend
+	Caller   string // the sending service as the sidecar reported it to the backend
 	Digest   string
-	// Trace and Span are the identifiers that the backend got.
+	// Trace and Span are the trace identifiers that the backend received.
 	Trace, Span string
 	At          time.Time
 }
@@ -46,25 +46,25 @@
 type Answered struct {
 	ID     string
 	Status int
-	// Outcome is one of the outcomes above, or empty for the answer of a backend.
+	// Outcome is one of the Outcome constants, or empty for an answer from a backend.
 	Outcome string
-	// Mismatch is what is wrong with the answer, or "".
+	// Mismatch describes how the answer differs from the expected one, or is "".
 	Mismatch string
-	// ConnectionError is how the connection ended, if it ended without an answer.
+	// ConnectionError describes how the connection ended, if it ended without an answer.
 	ConnectionError string
-	// UnansweredSends counts the times that the sender's HTTP client sent the request by
-	// itself before, without getting an answer.
+	// UnansweredSends counts the earlier sends of the request that got no answer. The
+	// sender's HTTP client resends such requests automatically.
 	UnansweredSends int
 	At              time.Time
 }
 
-// Leaving is a backend that announced that it is leaving.
+// Leaving records that a backend announced that it is leaving.
 type Leaving struct {
 	Instance string
 	At       time.Time
 }
 
-// Ledger collects the records of one run. It is safe for concurrent use.
+// Ledger collects the records of one test run. It is safe for concurrent use.
 type Ledger struct {
 	mu        sync.Mutex
 	sent      map[string]Sent
@@ -75,28 +75,28 @@
 	evacuated map[string][]span
 }
 
-// span is a time span; a zero end means that it has not ended.
+// span is a time span. A zero end means that the span has not ended.
 type span struct{ from, to time.Time }
 
-// New makes an empty ledger.
+// New returns an empty ledger.
 func New() *Ledger {
 	return &Ledger{sent: map[string]Sent{}, ran: map[string][]Ran{}, work: map[string][]Work{}, answered: map[string]Answered{}, leaving: map[string]time.Time{}, evacuated: map[string][]span{}}
 }
 
-// locked calls fn with the ledger locked.
+// locked calls fn while it holds the ledger's mutex.
 func (l *Ledger) locked(fn func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	fn()
 }
 
-// RecordSent records a request before it is sent.
+// RecordSent records a request. It must be called before the request is sent.
 func (l *Ledger) RecordSent(s Sent) { l.locked(func() { l.sent[s.ID] = s }) }
 
-// RecordRun records a run when it begins.
+// RecordRun records the start of a run.
 func (l *Ledger) RecordRun(r Ran) { l.locked(func() { l.ran[r.ID] = append(l.ran[r.ID], r) }) }
 
-// Work is the work of a backend on a request.
+// Work is the time that a backend spent on a request.
 type Work struct {
 	ID       string
 	Instance string
@@ -105,7 +105,8 @@
 	Ended    time.Time
 }
 
-// RecordWork records the work of a run; ended must be called at its end.
+// RecordWork returns a function that records the work with the current time as its end. The
+// caller must call that function when the work ends.
 func (l *Ledger) RecordWork(p Work) (ended func()) {
 	return func() {
 		p.Ended = time.Now()
@@ -113,23 +114,24 @@
 	}
 }
 
-// Runs lists the runs of a request, and the work on it that has ended.
+// Runs returns the runs of a request and the completed work on it.
 func (l *Ledger) Runs(id string) (runs []Ran, work []Work) {
 	l.locked(func() { runs, work = slices.Clone(l.ran[id]), slices.Clone(l.work[id]) })
 	return runs, work
 }
 
-// LeavingSince is when a backend's first announcement of leaving was acknowledged.
+// LeavingSince returns when a backend's first announcement of leaving was acknowledged. ok
+// reports whether there was one.
 func (l *Ledger) LeavingSince(instance string) (at time.Time, ok bool) {
 	l.locked(func() { at, ok = l.leaving[instance] })
 	return at, ok
 }
 
-// RecordAnswer records an answer.
+// RecordAnswer records the answer to a request and replaces an earlier one.
 func (l *Ledger) RecordAnswer(a Answered) { l.locked(func() { l.answered[a.ID] = a }) }
 
-// RecordLeaving records that a backend's announcement of leaving was acknowledged; the first one
-// counts.
+// RecordLeaving records that a backend's announcement of leaving was acknowledged. Later
+// announcements of the same backend are ignored.
 func (l *Ledger) RecordLeaving(x Leaving) {
 	l.locked(func() {
 		if _, known := l.leaving[x.Instance]; !known {
@@ -138,22 +140,23 @@
 	})
 }
 
-// RecordEvacuation records that the evacuation of a zone was requested.
+// RecordEvacuation records that an operator requested the evacuation of a zone.
 func (l *Ledger) RecordEvacuation(zone string, at time.Time) {
 	l.locked(func() { l.evacuated[zone] = append(l.evacuated[zone], span{from: at}) })
 }
 
-// RecordRestored records that an evacuated zone was requested to be restored.
+// RecordRestored records that an operator requested an evacuated zone to be restored.
 func (l *Ledger) RecordRestored(zone string, at time.Time) {
 	l.locked(func() { s := l.evacuated[zone]; s[len(s)-1].to = at })
 }
 
-// InnerCall is a call that a backend made while it worked on a request, as the fakes know it.
+// InnerCall is a call that a backend made while it processed the request Parent, as recorded
+// by the fakes.
 type InnerCall struct {
 	ID, Parent, Trace, Span string
 }
 
-// InnerCalls lists the inner calls that ran.
+// InnerCalls returns the inner calls that ran, with the trace identifiers of their first runs.
 func (l *Ledger) InnerCalls() (out []InnerCall) {
 	l.locked(func() {
 		for id, runs := range l.ran {
@@ -165,7 +168,7 @@
 	return out
 }
 
-// FirstRun is the first run of a request.
+// FirstRun returns the first run of a request. ok reports whether the request ran.
 func (l *Ledger) FirstRun(id string) (r Ran, ok bool) {
 	l.locked(func() {
 		if runs := l.ran[id]; len(runs) > 0 {
--- a/tests/ledger/ledger_test.go
+++ b/tests/ledger/ledger_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Each rule of the ledger can fail: good records pass, and each defect in them is reported.
+// Guards against a rule that never reports a breach: correct records pass, and each defect in the
+// records is reported as the breach of its rule.
 func TestEachRuleCanFail(t *testing.T) {
 	base := time.Now()
 	at := func(s float64) time.Time { return base.Add(time.Duration(s * float64(time.Second))) }
@@ -15,35 +16,35 @@
 	answered := Answered{ID: "a", Status: 200}
 	for name, test := range map[string]struct {
 		defect func(l *Ledger)
-		want   string // part of the breach; "" for none
+		want   string // a part of the breach's text; "" if no breach is expected
 	}{
-		"nothing":       {func(*Ledger) {}, ""},
-		"run twice":     {func(l *Ledger) { l.RecordRun(ran) }, "must run once and ran 2"},
-		"never sent":    {func(l *Ledger) { r := ran; r.ID = "b"; l.RecordRun(r) }, "nobody sent it"},
-		"altered":       {func(l *Ledger) { r := ran; r.Digest = "x"; l.ran["a"] = []Ran{r} }, "altered"},
-		"wrong caller":  {func(l *Ledger) { r := ran; r.Caller = "forged"; l.ran["a"] = []Ran{r} }, "reported to be from"},
-		"wrong service": {func(l *Ledger) { r := ran; r.Service = "stock"; l.ran["a"] = []Ran{r} }, "ran at o-1 of stock"},
-		"false promise": {func(l *Ledger) { l.RecordAnswer(Answered{ID: "a", Status: 503, Outcome: "not-run"}) }, "promised not to have run"},
-		"refused again": {func(l *Ledger) {
+		"no defect":           {func(*Ledger) {}, ""},
+		"run twice":           {func(l *Ledger) { l.RecordRun(ran) }, "must run once and ran 2"},
+		"never sent":          {func(l *Ledger) { r := ran; r.ID = "b"; l.RecordRun(r) }, "it was never sent"},
+		"altered":             {func(l *Ledger) { r := ran; r.Digest = "x"; l.ran["a"] = []Ran{r} }, "altered"},
+		"wrong caller":        {func(l *Ledger) { r := ran; r.Caller = "forged"; l.ran["a"] = []Ran{r} }, "reported to be from"},
+		"wrong service":       {func(l *Ledger) { r := ran; r.Service = "stock"; l.ran["a"] = []Ran{r} }, "ran at o-1 of stock"},
+		"refused after a run": {func(l *Ledger) { l.RecordAnswer(Answered{ID: "a", Status: 503, Outcome: "not-run"}) }, "promised not to have run"},
+		"refused after an unanswered send": {func(l *Ledger) {
 			l.RecordAnswer(Answered{ID: "a", Status: 503, Outcome: "not-run", UnansweredSends: 1})
 		}, ""},
-		"false promise to the last of two": {func(l *Ledger) {
+		"refused after two sends and two runs": {func(l *Ledger) {
 			l.RecordRun(ran)
 			l.RecordAnswer(Answered{ID: "a", Status: 503, Outcome: "not-run", UnansweredSends: 1})
 		}, "promised not to have run and ran 2"},
-		"sent twice": {func(l *Ledger) { l.RecordRun(ran); l.RecordAnswer(Answered{ID: "a", Status: 200, UnansweredSends: 1}) }, ""},
-		"more than sent": {func(l *Ledger) {
+		"two runs for two sends": {func(l *Ledger) { l.RecordRun(ran); l.RecordAnswer(Answered{ID: "a", Status: 200, UnansweredSends: 1}) }, ""},
+		"three runs for two sends": {func(l *Ledger) {
 			l.RecordRun(ran)
 			l.RecordRun(ran)
 			l.RecordAnswer(Answered{ID: "a", Status: 200, UnansweredSends: 1})
 		}, "must run once and ran 3"},
-		"false promise under a key": {func(l *Ledger) {
+		"keyed request refused after a run": {func(l *Ledger) {
 			s := sent
 			s.Keyed = true
 			l.RecordSent(s)
 			l.RecordAnswer(Answered{ID: "a", Status: 503, Outcome: "not-run", UnansweredSends: 1})
 		}, "promised not to have run and ran 1"},
-		"twice under a key": {func(l *Ledger) {
+		"keyed request run twice": {func(l *Ledger) {
 			s := sent
 			s.Keyed = true
 			l.RecordSent(s)
@@ -79,7 +80,7 @@
 	}
 }
 
-// breachText joins the descriptions of breaches.
+// breachText returns the descriptions of all breaches, joined by semicolons.
 func breachText(all []Breach) string {
 	var out []string
 	for _, b := range all {
--- a/tests/ledger/retries.go
+++ b/tests/ledger/retries.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// The users' bound on retries: in any window of ten seconds a fifth of a service's first
-// attempts, and a small allowance.
+// The users' limit on retries: in any window of 10 s a service may get retries for a fifth of its
+// first attempts, plus a fixed allowance of 20 retries.
 const (
 	retryWindow    = 10 * time.Second
 	retryShare     = 0.2
 	retryAllowance = 20
 )
 
-// judgeRetries judges the retries to each service: the runs of a request beyond its first.
+// judgeRetries checks the retry limit of each service. Every run of a request after its first is a
+// retry.
 func (l *Ledger) judgeRetries(v *Verdict) {
 	for service, runs := range l.runsByService() {
 		slices.SortFunc(runs, func(a, b run) int { return a.at.Compare(b.at) })
@@ -21,13 +22,14 @@
 	}
 }
 
-// run is a run as the windows count it.
+// run is a run of a request, reduced to the fields that the window needs.
 type run struct {
 	at    time.Time
 	retry bool
 }
 
-// runsByService lists all runs by service, those of one request in the order of recording.
+// runsByService returns all runs by service. Runs of one request are in the order in which they
+// were recorded.
 func (l *Ledger) runsByService() map[string][]run {
 	byService := map[string][]run{}
 	for _, runs := range l.ran {
@@ -38,8 +40,8 @@
 	return byService
 }
 
-// judgeRetryWindows slides a window over the runs of a service, which are in the order of time.
-// Only the first window with too many retries is reported.
+// judgeRetryWindows moves a window over the runs of a service, which must be sorted by time. It
+// reports only the first window with too many retries.
 func judgeRetryWindows(v *Verdict, service string, runs []run) {
 	first, retries, from := 0, 0, 0
 	count := func(r run, n int) {
@@ -56,7 +58,7 @@
 			from++
 		}
 		if float64(retries) > retryShare*float64(first)+retryAllowance {
-			v.breach(RuleRetryBudget, "", "%d retries to %s beside %d first attempts in 10 s", retries, service, first)
+			v.breach(RuleRetryBudget, "", "%d retries to %s with %d first attempts in 10 s", retries, service, first)
 			return
 		}
 	}
--- a/tests/ledger/spread.go
+++ b/tests/ledger/spread.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// spread describes, for each service, how evenly its backends were used.
+// spread returns, by service, the highest and the mean number of runs of its backends, as text.
 func (l *Ledger) spread() map[string]string {
 	runs := map[string]map[string]int{}
 	for _, list := range l.ran {
--- a/tests/ledger/verdict.go
+++ b/tests/ledger/verdict.go
@@ -6,42 +6,44 @@
 	"time"
 )
 
-// Verdict is the judgement of a run.
+// Verdict is the result of checking the records of a test run.
 type Verdict struct {
-	// Sent, Ran and Answered count all requests, runs and answers. Good answers came from a
-	// backend, NotRun and Unknown are the outcomes of the others.
+	// Sent, Ran and Answered count all requests, runs and answers. Good counts the answers
+	// from backends. NotRun and Unknown count the answers of sidecars with these outcomes.
 	Sent, Ran, Answered, Good, NotRun, Unknown int
-	// LostEarly counts the unknown outcomes that came before the deadline.
+	// LostEarly counts the unknown outcomes that were reported before the request's deadline.
 	LostEarly int
-	// Interrupted counts requests that got no answer at all; Interruptions says how.
+	// Interrupted counts the requests that got no answer, and the refused ones of which an
+	// earlier send got no answer. Interruptions describes each of them.
 	Interrupted   int
 	Interruptions []string
-	// CrossZone counts runs in another zone than their sender's.
+	// CrossZone counts the runs in a zone other than the sender's.
 	CrossZone int
-	// Spread is the most and the mean that one backend ran, by service.
+	// Spread is the highest and the mean number of runs of a backend, by service.
 	Spread map[string]string
-	// Breaches lists the broken rules.
+	// Breaches lists the violations of rules.
 	Breaches []Breach
 }
 
-// The users' limits of how long a backend or a zone may still get requests.
+// The users' limits on how long requests may still run at a backend after it announced leaving,
+// and in a zone after its evacuation was requested.
 const (
 	drainLimit      = 2 * time.Second
 	evacuationLimit = 5 * time.Second
 )
 
-// breach records a broken rule.
+// breach records the violation of a rule.
 func (v *Verdict) breach(rule Rule, id, format string, args ...any) {
 	v.Breaches = append(v.Breaches, Breach{Rule: rule, ID: id, Text: fmt.Sprintf(format, args...)})
 }
 
-// interrupted counts a request that got no answer.
+// interrupted counts a request in Interrupted and adds its description to Interruptions.
 func (v *Verdict) interrupted(how string) {
 	v.Interrupted++
 	v.Interruptions = append(v.Interruptions, how)
 }
 
-// Judge judges the records once all clients have stopped.
+// Judge checks all records against the rules. It must be called after all clients have stopped.
 func (l *Ledger) Judge() Verdict {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -57,12 +59,12 @@
 	return v
 }
 
-// judgeRuns judges all runs of a request.
+// judgeRuns checks all runs of a request.
 func (l *Ledger) judgeRuns(v *Verdict, id string, runs []Ran) {
 	v.Ran += len(runs)
 	sent, ok := l.sent[id]
 	if !ok {
-		v.breach(RuleUnrequested, id, "%s ran at %s, but nobody sent it", id, runs[0].Instance)
+		v.breach(RuleUnrequested, id, "%s ran at %s, but it was never sent", id, runs[0].Instance)
 		return
 	}
 	if len(runs) > 1+l.unansweredSends(id) && !sent.Idempotent {
@@ -76,7 +78,7 @@
 	}
 }
 
-// judgeAnswer judges an answer by the runs of its request.
+// judgeAnswer checks an answer against the runs of its request.
 func (l *Ledger) judgeAnswer(v *Verdict, id string, answer Answered) {
 	switch {
 	case answer.Outcome == OutcomeNotRun:
@@ -99,7 +101,7 @@
 	}
 }
 
-// judgeRefusal judges a request that was promised not to have run.
+// judgeRefusal checks a request whose answer said that it was not run.
 func (l *Ledger) judgeRefusal(v *Verdict, id string) {
 	unanswered := l.unansweredSends(id)
 	if unanswered > 0 {
@@ -107,13 +109,14 @@
 	} else {
 		v.NotRun++
 	}
-	// An idempotent request may have run any number of times for one send.
+	// An unanswered send of an idempotent request may have caused any number of runs.
 	if ran := len(l.ran[id]); ran > unanswered && (unanswered == 0 || !l.sent[id].Idempotent) {
 		v.breach(RuleRefused, id, "%s was promised not to have run and ran %d times", id, ran)
 	}
 }
 
-// unansweredSends is how many sends of a request its answer says nothing of.
+// unansweredSends returns how many sends of a request its answer does not cover. The answer to a
+// request with an idempotency key covers all sends.
 func (l *Ledger) unansweredSends(id string) int {
 	if l.sent[id].Keyed {
 		return 0
@@ -121,7 +124,7 @@
 	return l.answered[id].UnansweredSends
 }
 
-// judgeRun judges one run.
+// judgeRun checks the service, digest, caller, backend and zone of one run.
 func (l *Ledger) judgeRun(v *Verdict, s Sent, r Ran) {
 	if r.Service != s.Service {
 		v.breach(RuleRoute, s.ID, "%s was for %s and ran at %s of %s", s.ID, s.Service, r.Instance, r.Service)
