--- a/tests/simulation/clock.go
+++ b/tests/simulation/clock.go
@@ -7,26 +7,26 @@
 	"time"
 )
 
-// forever is a time that no run reaches.
+// forever is a time that no simulation reaches.
 const forever = time.Duration(math.MaxInt64)
 
-// clock runs events in the order of simulated time. Time counts from the beginning of the
-// run.
+// clock runs events in the order of simulated time. Time is measured from the start of the
+// simulation.
 type clock struct {
 	now      time.Duration
 	sequence int
 	queue    eventQueue
 }
 
-// event is an action that is due at a moment; those of one moment run in the order in which
-// they were scheduled.
+// event is an action scheduled for a time. Events scheduled for the same time run in the order
+// in which they were scheduled.
 type event struct {
 	at       time.Duration
 	sequence int
 	action   func()
 }
 
-// eventQueue is a heap of events, the next one first.
+// eventQueue is a heap of events, ordered by time.
 type eventQueue []event
 
 func (e eventQueue) Len() int { return len(e) }
@@ -46,13 +46,13 @@
 	return x
 }
 
-// after runs an action once delay has passed.
+// after schedules an action to run after a delay.
 func (c *clock) after(delay time.Duration, action func()) {
 	c.sequence++
 	heap.Push(&c.queue, event{at: c.now + delay, sequence: c.sequence, action: action})
 }
 
-// run runs all events that are due until a moment, and ends there.
+// run runs all events that are due at or before until, and sets the time to until.
 func (c *clock) run(until time.Duration) {
 	for len(c.queue) > 0 && c.queue[0].at <= until {
 		next := heap.Pop(&c.queue).(event)
@@ -62,25 +62,25 @@
 	c.now = until
 }
 
-// randomClock is a clock with the random source of the run.
+// randomClock is a clock with the random source of the simulation.
 type randomClock struct {
 	clock
 	rng *rand.Rand
 }
 
-// newRandomClock makes the clock of a run. stream keeps the kinds of run apart that are
-// given the same seed.
+// newRandomClock returns the clock of a simulation. Each kind of simulation has its own
+// stream, so that different kinds draw different numbers from the same seed.
 func newRandomClock(seed, stream uint64) randomClock {
 	return randomClock{rng: rand.New(rand.NewPCG(seed, stream))}
 }
 
-// randomDuration draws a duration from zero to longest, which is included.
+// randomDuration draws a duration between zero and longest, inclusive.
 func (c *randomClock) randomDuration(longest time.Duration) time.Duration {
 	return time.Duration(c.rng.Int64N(int64(longest) + 1))
 }
 
-// repeat runs an action again and again, at intervals that are drawn around interval, until
-// a moment. An interval of zero means never.
+// repeat runs an action repeatedly until the time until. The intervals are drawn between zero
+// and twice interval. With an interval of zero the action never runs.
 func (c *randomClock) repeat(interval, until time.Duration, action func()) {
 	if interval == 0 {
 		return
--- a/tests/simulation/consensus.go
+++ b/tests/simulation/consensus.go
@@ -7,100 +7,107 @@
 	"curlewwalk/internal/controlplane/consensus"
 )
 
-// Faults says which failures a run brings about, and how often. An interval is a mean; zero
-// means never.
+// Faults configures which faults a simulation injects and how often. Intervals are means. An
+// interval of zero disables the fault.
 type Faults struct {
-	// Loss and Duplicate are the shares of messages that are lost or delivered twice.
+	// Loss and Duplicate are the probabilities that a message is lost or duplicated.
 	Loss, Duplicate float64
-	// Delay is the longest that a message is on its way.
+	// Delay is the maximum random delay of a message.
 	Delay time.Duration
-	// Kill is how often a replica is killed.
+	// Kill is the interval between kills of a replica.
 	Kill time.Duration
-	// ReplaceDisk is how often a replica's disk is lost for good (static membership).
+	// ReplaceDisk is the interval between permanent losses of a replica's disk (static
+	// membership).
 	ReplaceDisk time.Duration
-	// Freeze is how often a replica stands still for a while.
-	Freeze time.Duration
-	// Partition is how often the network between the replicas is partitioned.
+	// Pause is the interval between pauses of a replica.
+	Pause time.Duration
+	// Partition is the interval between partitions of the network between the replicas.
 	Partition time.Duration
-	// ChangeMembers is how often a replica joins, leaves for good, is replaced, or loses its
-	// disk (dynamic membership).
+	// ChangeMembers is the interval between events in which a replica joins, leaves
+	// permanently, is replaced, or loses its disk (dynamic membership).
 	ChangeMembers time.Duration
-	// Until is when the faults stop.
+	// Until is the time at which faults stop.
 	Until time.Duration
 }
 
-// HarshFaults are the faults of runs with static membership.
-var HarshFaults = Faults{
+// StaticMembershipFaults are the faults of simulations with static membership.
+var StaticMembershipFaults = Faults{
 	Loss: 0.1, Duplicate: 0.1, Delay: 120 * time.Millisecond, Kill: 3 * time.Second, ReplaceDisk: 9 * time.Second,
-	Freeze: 4 * time.Second, Partition: 5 * time.Second, Until: 40 * time.Second,
+	Pause: 4 * time.Second, Partition: 5 * time.Second, Until: 40 * time.Second,
 }
 
-// MembershipFaults are the faults of runs whose replicas join and leave.
-var MembershipFaults = Faults{
+// DynamicMembershipFaults are the faults of simulations in which replicas join and leave.
+var DynamicMembershipFaults = Faults{
 	Loss: 0.1, Duplicate: 0.1, Delay: 120 * time.Millisecond, Kill: 6 * time.Second,
-	Freeze: 6 * time.Second, Partition: 8 * time.Second, ChangeMembers: 4 * time.Second, Until: 60 * time.Second,
+	Pause: 6 * time.Second, Partition: 8 * time.Second, ChangeMembers: 4 * time.Second, Until: 60 * time.Second,
 }
 
-// Limits of what a run must achieve after its faults.
+// Limits on the recovery after the last fault.
 const (
-	// recoveryLimit is how long after the last fault the control plane may take to serve.
+	// recoveryLimit is how long the control plane has to recover after the last fault before
+	// checkRecovery starts its checks.
 	recoveryLimit = 15 * time.Second
-	// serveAttempts and rejoinAttempts are for how many seconds after that the run looks
-	// for a write and a read, and for all replicas to be members.
+	// serveAttempts is how many times checkRecovery tries a write and a read, once a second.
+	// rejoinAttempts is how many times it checks that all replicas are members, once a
+	// second.
 	serveAttempts  = 40
 	rejoinAttempts = 30
 )
 
-// Consensus is a run of the control plane's replicated state under faults, with operators
-// that write, read and evacuate zones.
+// Consensus simulates the replicated state of the control plane under faults, with operators
+// that write and read configurations and evacuate zones.
 type Consensus struct {
 	randomClock
-	// members is how many members there are with static membership, or how many founded
-	// the cluster.
+	// members is the number of members with static membership, and the number of founding
+	// members with dynamic membership.
 	members int
 	faults  Faults
-	// replicas are all that have ever run; of those with one member ID the last one is
-	// the current one.
+	// replicas are all replicas that have ever run. If several have the same static member
+	// ID, the last of them is current.
 	replicas    []*replica
 	nextCommand uint64
 
 	commands map[uint64]consensus.Command
 	pending  map[uint64]func(consensus.CommandResult)
-	// committed is the content of each committed revision, generations its generation.
+	// committed and generations are the content and the generation of each committed
+	// revision.
 	committed   map[uint64][]byte
 	generations map[uint64]uint64
-	// ackedRevision and ackedGeneration are the highest that were acknowledged.
+	// ackedRevision and ackedGeneration are the highest acknowledged revision and generation.
 	ackedRevision   uint64
 	ackedGeneration uint64
-	// dynamicMembership is set if no member is fixed by settings: replicas ask to join.
+	// dynamicMembership reports whether replicas join by request, rather than being fixed in
+	// the settings.
 	dynamicMembership bool
 	founders          []string
-	// proposedSets are the member sets of proposals that may still be committed, by
-	// revision.
+	// proposedSets are the member sets of the proposals sent so far, by revision. Those above
+	// the newest committed revision may still be committed.
 	proposedSets map[uint64][]consensus.MemberSets
-	newestState  config.ControlState // of the highest committed revision
-	// highestGeneration is the highest that any operator used.
+	newestState  config.ControlState // state of the highest committed revision
+	// highestGeneration is the highest generation that any operator has used.
 	highestGeneration uint64
 
-	// Operators race with numbered configurations and evacuations.
+	// Operators submit conflicting configurations with generations, and evacuations.
 	Operators *Operators
-	// Trace, if set, gets a line for each step.
+	// Trace, if not nil, is called with a line for each traced step.
 	Trace func(string)
-	// Violations lists what must never happen and did.
+	// Violations describes each violation of an invariant.
 	Violations []string
-	// History is what operators requested and what they were answered.
+	// History records the operators' calls and their results.
 	History History
-	// Acked, Reads, Refused, DiskLosses and Kills count what the run did.
+	// Acked and Refused count writes, Reads completed reads, DiskLosses and Kills faults.
 	Acked, Reads, Refused, DiskLosses, Kills int
-	// Joins counts replicas that were added; Grown, Shrunk and Replaced count committed
-	// changes of the member set; Removed the replicas that learned that they are no member
-	// any more; Blackouts the losses of several disks at once.
-	Joins, Grown, Shrunk, Replaced, Removed, Blackouts int
-	// SlowestRejoin is how long after recoveryLimit all replicas were members again.
+	// Joins counts the new replicas that were started. Grown, Shrunk and Replaced count
+	// committed changes of the member set. Removed counts the replicas that learned that they
+	// are no longer members. MinorityLosses counts the simultaneous losses of as many replicas as
+	// the member sets tolerate.
+	Joins, Grown, Shrunk, Replaced, Removed, MinorityLosses int
+	// SlowestRejoin is the longest time, beyond recoveryLimit, until all replicas were members
+	// again.
 	SlowestRejoin time.Duration
 }
 
-// NewConsensus prepares a run with static membership of so many members.
+// NewConsensus returns a simulation with the given number of static members.
 func NewConsensus(seed uint64, members int, faults Faults) *Consensus {
 	sim := &Consensus{
 		randomClock: newRandomClock(seed, 7), members: members, faults: faults, commands: map[uint64]consensus.Command{},
@@ -115,13 +122,13 @@
 	return sim
 }
 
-// emptyAcceptor is the state of a static member with an empty disk.
+// emptyAcceptor returns the initial state of a static member whose disk is empty.
 func (sim *Consensus) emptyAcceptor(memberID int) consensus.Acceptor {
 	return consensus.Acceptor{Self: consensus.Sender{MemberID: memberID, DiskID: sim.rng.Uint64() | 1}, StaticSize: sim.members, Phase: consensus.PhaseEmpty, MemberRecords: map[int]consensus.MemberRecord{}}
 }
 
-// Run brings faults about for a while, then none, and checks that the control plane serves
-// again.
+// Run injects faults until faults.Until, then stops them and checks that the control plane
+// recovers.
 func (sim *Consensus) Run() {
 	sim.repeat(250*time.Millisecond, sim.faults.Until, sim.write)
 	sim.repeat(300*time.Millisecond, sim.faults.Until, sim.read)
@@ -132,7 +139,7 @@
 	} else {
 		sim.repeat(sim.faults.ReplaceDisk, sim.faults.Until, sim.replaceDisk)
 	}
-	sim.repeat(sim.faults.Freeze, sim.faults.Until, sim.freezeRandom)
+	sim.repeat(sim.faults.Pause, sim.faults.Until, sim.pauseRandom)
 	sim.repeat(sim.faults.Partition, sim.faults.Until, sim.partition)
 	sim.run(sim.faults.Until)
 	for _, r := range sim.replicas {
@@ -145,8 +152,8 @@
 	sim.Operators.checkFinal()
 }
 
-// checkRecovery checks that a write and a read succeed after the faults, and that all
-// replicas become members.
+// checkRecovery checks that a write and a read succeed after the faults. With dynamic
+// membership it also checks that all replicas become members.
 func (sim *Consensus) checkRecovery() {
 	quiet := sim.now + recoveryLimit
 	sim.run(quiet)
@@ -158,22 +165,23 @@
 		sim.run(sim.now + time.Second)
 	}
 	if sim.Acked == before || sim.Reads == reads {
-		sim.violation("it does not serve %v after the last fault: %s", recoveryLimit, sim.describe())
+		sim.violation("writes or reads still fail more than %v after the last fault: %s", recoveryLimit, sim.describe())
 	}
 	for attempt := 0; sim.dynamicMembership && attempt < rejoinAttempts; attempt++ {
-		why := sim.disagreement()
-		if why == "" {
+		problem := sim.disagreement()
+		if problem == "" {
 			sim.SlowestRejoin = max(sim.SlowestRejoin, sim.now-quiet)
 			break
 		}
 		if attempt == rejoinAttempts-1 {
-			sim.violation("%v after the last fault %s: %s", recoveryLimit+rejoinAttempts*time.Second, why, sim.describe())
+			sim.violation("%v after the last fault, %s: %s", recoveryLimit+rejoinAttempts*time.Second, problem, sim.describe())
 		}
 		sim.run(sim.now + time.Second)
 	}
 }
 
-// shouldRun reports whether a replica is to be up: it is, unless it was removed or replaced.
+// shouldRun reports whether a replica should be running. Removed and replaced replicas should
+// not.
 func (sim *Consensus) shouldRun(r *replica) bool {
 	if sim.dynamicMembership {
 		return !r.removed
@@ -181,7 +189,7 @@
 	return r == sim.current(r.memberID)
 }
 
-// current is the replica that has a static member ID now.
+// current returns the replica that now has a static member ID.
 func (sim *Consensus) current(memberID int) (last *replica) {
 	for _, r := range sim.replicas {
 		if r.memberID == memberID {
@@ -191,5 +199,5 @@
 	return last
 }
 
-// randomReplica draws one of all replicas, also of those that are down.
+// randomReplica draws one of all replicas, including those that are down.
 func (sim *Consensus) randomReplica() *replica { return sim.replicas[sim.rng.IntN(len(sim.replicas))] }
--- a/tests/simulation/consensus_checks.go
+++ b/tests/simulation/consensus_checks.go
@@ -10,23 +10,23 @@
 	"curlewwalk/internal/controlplane/consensus"
 )
 
-// recordCommitted checks each state that a replica takes for committed.
+// recordCommitted checks the state that a replica considers committed, once per revision.
 func (sim *Consensus) recordCommitted(r *replica) {
 	acceptor := r.acceptor
 	if acceptor.Committed != acceptor.Position.Revision || acceptor.Committed <= r.reported {
 		return
 	}
 	r.reported = acceptor.Committed
-	sim.trace(r, "takes revision %d for committed", acceptor.Committed)
+	sim.trace(r, "considers revision %d committed", acceptor.Committed)
 	sim.checkState(acceptor.State, fmt.Sprintf("member %d", r.acceptor.Self.MemberID))
 }
 
-// checkState checks a committed state that an observer has seen: one revision has one content,
-// and generations never fall.
+// checkState checks a committed state that an observer has received. Each revision must have a
+// single content, and generations must not decrease as revisions increase.
 func (sim *Consensus) checkState(state config.ControlState, observer string) {
 	encoded := fmt.Appendf(nil, "%s %v", state.Configuration, state.Members)
 	if old, ok := sim.committed[state.Revision]; ok && !bytes.Equal(old, encoded) {
-		sim.violation("%s has %q for revision %d that was %q", observer, encoded, state.Revision, old)
+		sim.violation("%s has %q for revision %d, which was %q before", observer, encoded, state.Revision, old)
 	}
 	sim.committed[state.Revision] = encoded
 	if state.Revision > sim.newestState.Revision {
@@ -35,14 +35,14 @@
 	}
 	for revision, generation := range sim.generations {
 		if revision <= state.Revision && generation > state.Generation || revision >= state.Revision && generation < state.Generation {
-			sim.violation("%s has generation %d at revision %d and there was %d at %d", observer, state.Generation, state.Revision, generation, revision)
+			sim.violation("%s has generation %d at revision %d, but generation %d was seen at revision %d", observer, state.Generation, state.Revision, generation, revision)
 		}
 	}
 	sim.generations[state.Revision] = state.Generation
 	sim.Operators.recordCommitted(state)
 }
 
-// describe prints the state of all replicas, for the message of a violation.
+// describe returns the state of all replicas that were not removed, for violation messages.
 func (sim *Consensus) describe() (s string) {
 	for _, r := range sim.replicas {
 		if !r.removed {
@@ -53,7 +53,7 @@
 	return s
 }
 
-// trace writes a line on what a replica does.
+// trace passes a line about a replica's step to Trace.
 func (sim *Consensus) trace(r *replica, format string, args ...any) {
 	if sim.Trace != nil {
 		sim.Trace(fmt.Sprintf("%12v %s member %d.%d/%x ", sim.now, r.addr, r.acceptor.Self.MemberID, r.acceptor.Self.Incarnation, r.acceptor.Self.DiskID>>52) + fmt.Sprintf(format, args...))
@@ -64,7 +64,7 @@
 	sim.Violations = append(sim.Violations, fmt.Sprintf("%v: ", sim.now)+fmt.Sprintf(format, args...))
 }
 
-// countChange counts changes of the member set.
+// countChange counts a committed change of the member set by its kind.
 func (sim *Consensus) countChange(state config.ControlState) {
 	switch {
 	case len(state.PreviousMembers) == 0:
@@ -77,9 +77,10 @@
 	}
 }
 
-// disagreement says what is still wrong with the member set, or "": all replicas that are up
-// must be members of the same set, and no more of its members may be missing than an odd set
-// tolerates.
+// disagreement describes what is wrong with the member set, or returns "". All replicas that
+// were not removed must be members of the same set. A set of up to max(3, founders) members may
+// lack a minority of them. A larger set may lack one member if its size is odd, and none if its
+// size is even.
 func (sim *Consensus) disagreement() string {
 	var live, set []int
 	sets := map[string]bool{}
--- a/tests/simulation/consensus_clients.go
+++ b/tests/simulation/consensus_clients.go
@@ -8,11 +8,11 @@
 	"curlewwalk/internal/controlplane/consensus"
 )
 
-// write has an operator put a configuration at a replica that is up; every other one has a
-// generation, some of which come late.
+// write puts a configuration at a replica that is up. About half of the configurations have a
+// generation, and some of these arrive after a higher generation.
 func (sim *Consensus) write() {
 	r := sim.randomReplica()
-	if !r.up || r.frozenUntil > sim.now || r.acceptor.Phase != consensus.PhaseEstablished {
+	if !r.up || r.pausedUntil > sim.now || r.acceptor.Phase != consensus.PhaseEstablished {
 		return
 	}
 	text := fmt.Appendf(nil, "configuration %d", sim.nextCommand+1)
@@ -28,10 +28,10 @@
 		}
 		sim.Acked++
 		if superseded := command.Generation != 0 && result.State.Generation >= command.Generation; !bytes.Equal(result.State.Configuration, text) && result.State.ConfigurationRevision == result.State.Revision && !superseded {
-			sim.violation("%q was acknowledged as %q", text, result.State.Configuration)
+			sim.violation("put of %q was acknowledged with configuration %q", text, result.State.Configuration)
 		}
 		if result.State.Generation < command.Generation {
-			sim.violation("generation %d was acknowledged as %d", command.Generation, result.State.Generation)
+			sim.violation("put of generation %d was acknowledged with generation %d", command.Generation, result.State.Generation)
 		}
 		sim.ackedGeneration = max(sim.ackedGeneration, command.Generation)
 		sim.checkState(result.State, "an operator")
@@ -39,11 +39,11 @@
 	})
 }
 
-// read has an operator read the configuration, which must not be older than what was
-// acknowledged before.
+// read reads the configuration by a quorum read. The result must not be older than any revision
+// or generation that was acknowledged before the read began.
 func (sim *Consensus) read() {
 	r := sim.randomReplica()
-	if !r.up || r.frozenUntil > sim.now {
+	if !r.up || r.pausedUntil > sim.now {
 		return
 	}
 	leastRevision, generation, began := sim.ackedRevision, sim.ackedGeneration, sim.now
@@ -52,18 +52,19 @@
 		sim.History.read(began, state, sim.now)
 		sim.checkState(state, "a reader")
 		if state.Revision < leastRevision {
-			sim.violation("revision %d was read after %d was acknowledged", state.Revision, leastRevision)
+			sim.violation("read returned revision %d after revision %d was acknowledged", state.Revision, leastRevision)
 		}
 		if state.Generation < generation {
-			sim.violation("generation %d was read after %d was acknowledged", state.Generation, generation)
+			sim.violation("read returned generation %d after generation %d was acknowledged", state.Generation, generation)
 		}
 	}
 	sim.quorumRead(r, consensus.MsgRead, func(_ uint64, state config.ControlState) { receive(state) })
 }
 
-// quorumRead reads from a quorum of the members that a replica knows of, by MsgRead or
-// MsgReadIndex, and passes on the newest committed revision. state is only set for MsgRead,
-// or if the read had to commit what it found.
+// quorumRead sends MsgRead or MsgReadIndex from a replica to the members it knows, and calls
+// receive with the newest committed revision once a quorum has replied. If the newest state is
+// not known to be committed, an established replica commits it first. state is set only for
+// MsgRead, or if the state had to be committed.
 func (sim *Consensus) quorumRead(r *replica, kind consensus.MessageType, receive func(revision uint64, state config.ControlState)) {
 	replies, done := map[int]consensus.Reply{}, false
 	own := r.acceptor.MemberSets()
--- a/tests/simulation/consensus_faults.go
+++ b/tests/simulation/consensus_faults.go
@@ -9,7 +9,7 @@
 	"curlewwalk/internal/controlplane/consensus"
 )
 
-// crash kills a replica, which starts again within 3 s if it should run.
+// crash kills a replica. The replica restarts within 3 s if it should run.
 func (sim *Consensus) crash(r *replica) {
 	sim.trace(r, "is killed")
 	r.up = false
@@ -24,7 +24,7 @@
 	}
 }
 
-// killRandom kills a replica, and one time of eight all of them.
+// killRandom kills a random replica and, with probability 1/8, all replicas.
 func (sim *Consensus) killRandom() {
 	if r := sim.randomReplica(); r.up {
 		sim.crash(r)
@@ -38,9 +38,9 @@
 	}
 }
 
-// replaceDisk puts a replica with an empty disk in the place of a member while all others
-// are established: losing more than a minority of the disks at a time is beyond what the
-// protocol tolerates. The old replica may go on running.
+// replaceDisk replaces a static member by a replica with an empty disk. It does so only while
+// all members are established, because the protocol does not tolerate the loss of more than a
+// minority of the disks at a time. The old replica keeps running with probability 1/2.
 func (sim *Consensus) replaceDisk() {
 	memberID := sim.rng.IntN(sim.members) + 1
 	for id := 1; id <= sim.members; id++ {
@@ -60,14 +60,14 @@
 	sim.start(r)
 }
 
-// freezeRandom stops a replica for up to 5 s.
-func (sim *Consensus) freezeRandom() {
+// pauseRandom pauses a random replica for up to 5 s.
+func (sim *Consensus) pauseRandom() {
 	if r := sim.randomReplica(); r.up {
-		r.frozenUntil = sim.now + sim.randomDuration(5*time.Second)
+		r.pausedUntil = sim.now + sim.randomDuration(5*time.Second)
 	}
 }
 
-// partition splits the replicas into two partitions for up to 4 s.
+// partition splits the replicas into two random partitions for up to 4 s.
 func (sim *Consensus) partition() {
 	for _, r := range sim.replicas {
 		r.partition = sim.rng.IntN(2)
@@ -79,8 +79,9 @@
 	})
 }
 
-// toleratesLoss reports whether a majority of each member set that may still decide would have
-// its disks without those of the replicas given.
+// toleratesLoss reports whether a majority of each member set keeps its disks if the given
+// replicas lose theirs. It considers the newest committed member sets and those of all
+// proposals that may still be committed.
 func (sim *Consensus) toleratesLoss(lost ...*replica) bool {
 	sets := []consensus.MemberSets{{Current: sim.newestState.Members, Previous: sim.newestState.PreviousMembers}}
 	for _, r := range sim.replicas {
@@ -101,8 +102,8 @@
 	return true
 }
 
-// hasMajorityWithout reports whether a majority of a member set has its disks without those of
-// the lost replicas. An empty set needs none.
+// hasMajorityWithout reports whether a majority of a member set keeps its disks if the lost
+// replicas lose theirs. It returns true for an empty set.
 func (sim *Consensus) hasMajorityWithout(lost []*replica, set []config.Member) bool {
 	remaining := 0
 	for _, member := range set {
@@ -115,8 +116,9 @@
 	return len(set) == 0 || remaining >= consensus.Majority(len(set))
 }
 
-// changeMembers has a replica join, leave for good, be replaced or lose its disk, or has
-// several disks be lost at once.
+// changeMembers makes a replica join, leave permanently, be replaced or lose its disk, or makes
+// several replicas lose their disks at once. It never loses more disks than the member sets
+// tolerate.
 func (sim *Consensus) changeMembers() {
 	present := sim.present()
 	pick := func() *replica { return present[sim.rng.IntN(len(present))] }
@@ -127,24 +129,24 @@
 		}
 	case 1:
 		if r := pick(); len(present) > 3 && sim.toleratesLoss(r) {
-			sim.removeForGood(r)
+			sim.removePermanently(r)
 		}
 	case 2:
 		if r := pick(); sim.toleratesLoss(r) {
-			sim.removeForGood(r)
+			sim.removePermanently(r)
 			sim.join()
 		}
 	case 3:
 		if r := pick(); sim.toleratesLoss(r) {
-			sim.wipe(r)
+			sim.loseDisk(r)
 		}
 	default:
 		sim.loseMinority(present)
 	}
 }
 
-// loseMinority has as many disks as the member sets tolerate be lost at once, one time of two
-// together with the power of all other replicas.
+// loseMinority makes as many replicas lose their disks at once as the member sets tolerate.
+// With probability 1/2 it also kills all other replicas.
 func (sim *Consensus) loseMinority(present []*replica) {
 	lost := []*replica{}
 	for _, i := range sim.rng.Perm(len(present)) {
@@ -155,22 +157,22 @@
 	if len(lost) == 0 {
 		return
 	}
-	sim.Blackouts++
+	sim.MinorityLosses++
 	all := sim.rng.IntN(2) == 0
 	for _, r := range present {
 		switch {
 		case slices.Contains(lost, r) && sim.rng.IntN(2) == 0:
-			sim.removeForGood(r)
+			sim.removePermanently(r)
 			sim.join()
 		case slices.Contains(lost, r):
-			sim.wipe(r)
+			sim.loseDisk(r)
 		case all && r.up:
 			sim.crash(r)
 		}
 	}
 }
 
-// present lists the replicas that were not removed for good.
+// present returns the replicas that were not removed permanently.
 func (sim *Consensus) present() (out []*replica) {
 	for _, r := range sim.replicas {
 		if !r.removed {
@@ -188,17 +190,18 @@
 	sim.start(r)
 }
 
-// removeForGood ends a replica and loses its disk.
-func (sim *Consensus) removeForGood(r *replica) {
-	sim.trace(r, "is removed for good")
+// removePermanently stops a replica permanently and discards its disk.
+func (sim *Consensus) removePermanently(r *replica) {
+	sim.trace(r, "is removed permanently")
 	sim.DiskLosses++
 	r.removed, r.up = true, false
 	r.incarnation++
 	r.disk = consensus.Acceptor{}
 }
 
-// wipe has a replica start again at its address with an empty disk.
-func (sim *Consensus) wipe(r *replica) {
+// loseDisk kills a replica that is up and replaces its disk by an empty one. The replica restarts
+// at the same address.
+func (sim *Consensus) loseDisk(r *replica) {
 	sim.trace(r, "loses its disk")
 	sim.DiskLosses++
 	if r.up {
--- a/tests/simulation/consensus_network.go
+++ b/tests/simulation/consensus_network.go
@@ -7,8 +7,9 @@
 	"curlewwalk/internal/controlplane/consensus"
 )
 
-// broadcast sends a message to all members that a replica knows of, and to those that the
-// replies name. It gathers the replies and calls received after each.
+// broadcast sends a message to all members that a replica knows, and to the members in the
+// member sets of the replies. With othersOnly it skips the sender. It stores the replies by
+// member ID and calls received after each.
 func (sim *Consensus) broadcast(r *replica, message consensus.Message, othersOnly bool, replies map[int]consensus.Reply, received func(consensus.Reply)) {
 	sent := map[int]bool{}
 	var sendTo func(set []config.Member)
@@ -28,7 +29,8 @@
 	sendTo(r.acceptor.MemberSets().Union())
 }
 
-// request sends a message to a member and passes its reply to done, if one comes.
+// request sends a message to a member and calls done with the reply. done is not called if the
+// message or the reply is lost, or if the sender has restarted.
 func (sim *Consensus) request(from *replica, member config.Member, message consensus.Message, done func(consensus.Reply)) {
 	if message.Position.Revision > sim.newestState.Revision && len(message.State.Members) > 0 {
 		sim.proposedSets[message.Position.Revision] = append(sim.proposedSets[message.Position.Revision], consensus.MemberSets{Current: message.State.Members, Previous: message.State.PreviousMembers})
@@ -40,7 +42,7 @@
 	incarnation := from.incarnation
 	sim.send(from, to, func() {
 		next, reply := to.acceptor.Step(message)
-		if sim.rng.IntN(400) == 0 && sim.now < sim.faults.Until { // power is lost during the write
+		if sim.rng.IntN(400) == 0 && sim.now < sim.faults.Until { // the replica loses power during the disk write
 			if sim.rng.IntN(2) == 0 {
 				to.disk = next
 			}
@@ -57,7 +59,8 @@
 	})
 }
 
-// replicaFor is the replica that another one reaches for a member.
+// replicaFor returns the replica that a message from another replica to a member reaches, or
+// nil. With static membership it may be the replica that the member has replaced.
 func (sim *Consensus) replicaFor(from *replica, member config.Member) *replica {
 	memberID := member.MemberID
 	if from.acceptor.Self.MemberID == memberID && (member.DiskID == 0 || member.DiskID == from.acceptor.Self.DiskID) {
@@ -69,7 +72,7 @@
 		}
 		return sim.replicaAt(member.Addr)
 	}
-	if sim.rng.IntN(5) == 0 { // it has not learned of the replacement
+	if sim.rng.IntN(5) == 0 { // the sender may still use the address of a replaced replica
 		for _, r := range sim.replicas {
 			if r.memberID == memberID {
 				return r
@@ -79,10 +82,11 @@
 	return sim.current(memberID)
 }
 
-// send delivers a message, which may be lost, late or duplicated.
+// send delivers a message, which may be lost, delayed or duplicated. Messages between partitions
+// are lost.
 func (sim *Consensus) send(from, to *replica, deliver func()) {
 	if from == to {
-		sim.after(time.Microsecond, func() { sim.whenAwake(to, deliver) })
+		sim.after(time.Microsecond, func() { sim.whenRunning(to, deliver) })
 		return
 	}
 	copies := 1
@@ -96,7 +100,7 @@
 		}
 		sim.after(time.Millisecond+sim.randomDuration(sim.faults.Delay), func() {
 			if from.partition == to.partition {
-				sim.whenAwake(to, deliver)
+				sim.whenRunning(to, deliver)
 			}
 		})
 	}
--- a/tests/simulation/history.go
+++ b/tests/simulation/history.go
@@ -7,23 +7,24 @@
 	"curlewwalk/internal/controlplane/consensus"
 )
 
-// Call is an operator's call with its answer.
+// Call is an operator's call and its result.
 type Call struct {
-	// Write is set if the call puts Text under Generation (zero: without one); otherwise
-	// both are what was read.
+	// Write reports whether the call puts Text with Generation (zero if it has none). For a
+	// read, Text and Generation are the result.
 	Write      bool
 	Generation uint64
 	Text       string
-	// From and To are when the call was sent and answered. An open call has no answer, or
-	// none that says what became of it: it may take effect at any time after From.
+	// From and To are the times of the call and of its result. An open call has no result,
+	// or one that does not say whether the call took effect. It may take effect at any time
+	// after From.
 	From, To time.Duration
 	Open     bool
 }
 
-// History records operators' calls.
+// History records the operators' calls.
 type History struct{ calls []*Call }
 
-// Calls lists the calls that were answered and those that are open.
+// Calls returns the completed and the open calls. Rejected writes are left out.
 func (h *History) Calls() (out []Call) {
 	for _, c := range h.calls {
 		out = append(out, *c)
@@ -31,15 +32,15 @@
 	return out
 }
 
-// put records that a configuration is put.
+// put records the start of a put of a configuration.
 func (h *History) put(command consensus.Command, now time.Duration) *Call {
 	c := &Call{Write: true, Generation: command.Generation, Text: string(command.Payload), From: now, Open: true}
 	h.calls = append(h.calls, c)
 	return c
 }
 
-// answered records the outcome of a put. One that was rejected never takes effect: it is taken
-// out, so that a read which shows it has no write to come from.
+// answered records the outcome of a put. A rejected put never takes effect, so it is removed from
+// the history. A read that returns its configuration then fails the check.
 func (h *History) answered(c *Call, outcome consensus.Outcome, now time.Duration) {
 	switch outcome {
 	case consensus.OutcomeCommitted:
@@ -54,12 +55,13 @@
 	}
 }
 
-// read records what a read that began at a moment returned.
+// read records the result of a read that began at from.
 func (h *History) read(from time.Duration, state config.ControlState, now time.Duration) {
 	h.calls = append(h.calls, &Call{Generation: state.Generation, Text: string(state.Configuration), From: from, To: now})
 }
 
-// recordHistory wraps done so that the outcome of a put is recorded.
+// recordHistory records a put in the history and returns done wrapped so that it also records
+// the outcome. It returns done unchanged for other commands.
 func (sim *Consensus) recordHistory(command consensus.Command, done func(consensus.CommandResult)) func(consensus.CommandResult) {
 	if command.Kind != consensus.CommandPutConfiguration {
 		return done
--- a/tests/simulation/history_test.go
+++ b/tests/simulation/history_test.go
@@ -11,16 +11,16 @@
 	"curlewwalk/internal/controlplane/consensus"
 )
 
-// configuration is the state of the sequential model: one text, a generation that never
-// falls, and the text that was put under that generation.
+// configuration is the state of the sequential model: the current text, the highest generation,
+// and the text that was put with that generation.
 type configuration struct {
 	generation     uint64
 	text, numbered string
 }
 
-// sequential is the behaviour of the control plane if calls come one after the other. A
-// lower generation than the current one is acknowledged and changes nothing, and so does a
-// repeat of the current one with the same text.
+// sequential models the control plane with one call at a time. A write with a generation lower
+// than the current one is acknowledged and has no effect. The same holds for a write that
+// repeats the current generation with the same text.
 var sequential = porcupine.Model{
 	Init: func() any { return configuration{} },
 	Step: func(state, input, _ any) (bool, any) {
@@ -39,25 +39,25 @@
 	},
 }
 
-// judgeTimeout bounds the search for an order of one history's calls. It is wall clock time: a
-// busy machine gets less done in it, and more histories stay without a verdict.
-const judgeTimeout = 6 * time.Second
+// searchTimeout limits the search for a linearization of one history. It is wall-clock time, so on
+// a busy machine more histories end without a result.
+const searchTimeout = 6 * time.Second
 
-// linearizable reports whether calls have an order in which each takes effect between its
-// sending and its answer; Unknown if that was not found out in time. Open calls that no read
-// shows are left out first, as if they had never taken effect: if there is an order without
-// them, there is one. Only if there is none are they put back.
+// linearizable reports whether calls are linearizable: there is an order in which each call takes
+// effect between its start and its result. It returns Unknown if the search times out. The first
+// search leaves out open writes that no read returned, as if they had not taken effect. An order
+// found without them is sufficient. If there is none, a second search includes them.
 func linearizable(calls []Call) porcupine.CheckResult {
 	calls = withoutDuplicates(withoutSuperseded(calls))
-	result := checkLinearizable(withoutUnseen(calls))
+	result := checkLinearizable(withoutUnobserved(calls))
 	if result == porcupine.Illegal {
 		return checkLinearizable(calls)
 	}
 	return result
 }
 
-// withoutSuperseded leaves out writes that change nothing in any order: before they were
-// sent a higher generation was acknowledged, or they repeat what was acknowledged already.
+// withoutSuperseded removes writes that have no effect in any order: a higher generation, or the
+// same generation and text, was acknowledged before they were sent.
 func withoutSuperseded(calls []Call) []Call {
 	superseded := func(c Call) bool {
 		return slices.ContainsFunc(calls, func(before Call) bool {
@@ -70,15 +70,15 @@
 	})
 }
 
-// withoutDuplicates leaves out open writes of a generation and text that an earlier call has
-// too: whenever such a copy takes effect, the earlier one may have done so.
+// withoutDuplicates removes open writes with the generation and text of an earlier write. Whenever
+// the duplicate takes effect, the earlier write could have taken effect instead.
 func withoutDuplicates(calls []Call) (kept []Call) {
 	type numbered struct {
 		generation uint64
 		text       string
 	}
 	earlier := map[numbered]bool{}
-	for _, c := range calls { // in the order of sending
+	for _, c := range calls { // calls are in the order in which they were sent
 		key := numbered{c.Generation, c.Text}
 		if c.Write && c.Open && c.Generation != 0 && earlier[key] {
 			continue
@@ -89,8 +89,8 @@
 	return kept
 }
 
-// withoutUnseen leaves out open writes whose text and generation no read shows.
-func withoutUnseen(calls []Call) []Call {
+// withoutUnobserved removes open writes whose text and generation no read returned.
+func withoutUnobserved(calls []Call) []Call {
 	texts, generations := map[string]bool{}, map[uint64]bool{}
 	for _, c := range calls {
 		if !c.Write {
@@ -103,7 +103,7 @@
 	})
 }
 
-// checkLinearizable searches for an order of calls.
+// checkLinearizable searches for a linearization of calls.
 func checkLinearizable(calls []Call) porcupine.CheckResult {
 	var operations []porcupine.Operation
 	for i, c := range calls {
@@ -113,11 +113,11 @@
 		}
 		operations = append(operations, porcupine.Operation{ClientId: i, Input: c, Call: int64(c.From), Return: end})
 	}
-	return porcupine.CheckOperationsTimeout(sequential, operations, judgeTimeout)
+	return porcupine.CheckOperationsTimeout(sequential, operations, searchTimeout)
 }
 
-// latestEffect is the latest moment at which an open write took effect: the end of the first
-// read that shows it, if no other write has its text.
+// latestEffect returns the latest time at which an open write can have taken effect. This is the
+// earliest end of a read that returned its text, unless several writes have that text.
 func latestEffect(calls []Call, write Call) int64 {
 	latest, writers := int64(math.MaxInt64), 0
 	for _, c := range calls {
@@ -135,7 +135,8 @@
 	return latest
 }
 
-// The check of a history accepts what may happen and finds what must not.
+// Guards against a history check that accepts stale, lost or invented results, or rejects correct
+// ones. Each case is a history and the expected result of the check.
 func TestLinearizable(t *testing.T) {
 	put := func(generation uint64, text string, from, to time.Duration) Call {
 		return Call{Write: true, Generation: generation, Text: text, From: from, To: to}
@@ -151,38 +152,40 @@
 		want  porcupine.CheckResult
 	}{
 		{"read after a write", []Call{put(0, "a", 1, 2), read(0, "a", 3, 4)}, porcupine.Ok},
-		{"an old read", []Call{put(0, "a", 1, 2), put(0, "b", 3, 4), read(0, "a", 5, 6)}, porcupine.Illegal},
-		{"a read that goes back", []Call{put(0, "a", 1, 2), put(0, "b", 3, 9), read(0, "b", 4, 5), read(0, "a", 6, 7)}, porcupine.Illegal},
-		{"an open write that shows late", []Call{put(0, "a", 1, 2), open, read(0, "a", 5, 6), read(0, "open", 8, 9)}, porcupine.Ok},
-		{"an open write that shows and is gone", []Call{put(0, "a", 1, 2), open, read(0, "open", 5, 6), read(0, "a", 8, 9)}, porcupine.Illegal},
-		{"a read of what was never written", []Call{read(0, "a", 5, 6)}, porcupine.Illegal},
-		{"a superseded generation", []Call{put(2, "b", 1, 2), put(1, "a", 3, 4), read(2, "b", 5, 6)}, porcupine.Ok},
-		{"a repeat", []Call{put(2, "b", 1, 2), put(0, "c", 3, 4), put(2, "b", 5, 6), read(2, "c", 7, 8)}, porcupine.Ok},
-		{"another text under the same generation", []Call{put(2, "b", 1, 2), put(2, "c", 3, 4)}, porcupine.Illegal},
-		{"a superseded generation in force", []Call{put(2, "b", 1, 2), put(1, "a", 3, 4), read(1, "a", 5, 6)}, porcupine.Illegal},
+		{"stale read", []Call{put(0, "a", 1, 2), put(0, "b", 3, 4), read(0, "a", 5, 6)}, porcupine.Illegal},
+		{"reads in decreasing order", []Call{put(0, "a", 1, 2), put(0, "b", 3, 9), read(0, "b", 4, 5), read(0, "a", 6, 7)}, porcupine.Illegal},
+		{"open write that takes effect late", []Call{put(0, "a", 1, 2), open, read(0, "a", 5, 6), read(0, "open", 8, 9)}, porcupine.Ok},
+		{"open write that is undone", []Call{put(0, "a", 1, 2), open, read(0, "open", 5, 6), read(0, "a", 8, 9)}, porcupine.Illegal},
+		{"read of a text that was never written", []Call{read(0, "a", 5, 6)}, porcupine.Illegal},
+		{"superseded generation", []Call{put(2, "b", 1, 2), put(1, "a", 3, 4), read(2, "b", 5, 6)}, porcupine.Ok},
+		{"repeated write", []Call{put(2, "b", 1, 2), put(0, "c", 3, 4), put(2, "b", 5, 6), read(2, "c", 7, 8)}, porcupine.Ok},
+		{"different text with the same generation", []Call{put(2, "b", 1, 2), put(2, "c", 3, 4)}, porcupine.Illegal},
+		{"superseded generation takes effect", []Call{put(2, "b", 1, 2), put(1, "a", 3, 4), read(1, "a", 5, 6)}, porcupine.Illegal},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := linearizable(test.calls); got != test.want {
-				t.Errorf("%s, want %s", got, test.want)
+				t.Errorf("got %s, want %s", got, test.want)
 			}
 		})
 	}
 }
 
-// A write that was rejected is taken out of the history.
+// Guards against a rejected write that stays in the history. A read that wrongly returns the text of
+// such a write would then pass the check.
 func TestHistoryOfRejectedWrite(t *testing.T) {
 	h := &History{}
 	refused := h.put(consensus.Command{Payload: []byte("a")}, 1)
 	h.answered(refused, consensus.OutcomeRejected, 2)
 	if calls := h.Calls(); slices.ContainsFunc(calls, func(c Call) bool { return c.Write }) {
-		t.Errorf("a rejected write is still there: %+v", calls)
+		t.Errorf("got history %+v with a rejected write, want none", calls)
 	}
 }
 
-// historyCounts counts the histories that were checked, and those that took too long to check.
+// historyCounts counts the linearizable histories, the ones whose check timed out, and the calls
+// in all histories.
 type historyCounts struct{ linearizable, unknown, calls int }
 
-// check holds a run's history against the sequential model.
+// check checks the history of a simulation against the sequential model.
 func (h *historyCounts) check(t *testing.T, seed uint64, sim *Consensus) {
 	t.Helper()
 	calls := sim.History.Calls()
@@ -193,16 +196,16 @@
 	case porcupine.Unknown:
 		h.unknown++
 	default:
-		t.Errorf("seed %d with %d members: the answers to operators fit no order of their calls", seed, sim.members)
+		t.Errorf("seed %d with %d members: the operators' calls are not linearizable", seed, sim.members)
 	}
 }
 
-// checkJudged fails the test unless the histories were checked: for each oneIn of them one may
-// have taken too long.
-func (h *historyCounts) checkJudged(t *testing.T, oneIn int) {
+// checkCoverage fails the test if no history was found linearizable, or if more than one check timed
+// out per oneIn linearizable histories.
+func (h *historyCounts) checkCoverage(t *testing.T, oneIn int) {
 	t.Helper()
-	t.Logf("%d histories of %d calls are linearizable, %d were not judged in time", h.linearizable, h.calls, h.unknown)
+	t.Logf("%d linearizable histories (%d calls in all histories), %d checks timed out", h.linearizable, h.calls, h.unknown)
 	if h.linearizable == 0 || h.unknown > h.linearizable/oneIn {
-		t.Error("the histories are not judged")
+		t.Error("too few histories were checked in time")
 	}
 }
--- a/tests/simulation/leases_replica.go
+++ b/tests/simulation/leases_replica.go
@@ -9,31 +9,32 @@
 	"curlewwalk/internal/controlplane/consensus"
 )
 
-// write commits the next revision: each replica accepts it when the message comes, and it is
-// acknowledged once a majority has accepted it and the sidecars had time to apply it.
+// write proposes the next revision. Each replica accepts the revision when the message arrives.
+// The revision is acknowledged once a majority of the replicas has accepted it and the sidecars
+// have applied it or the wait for them has ended.
 func (sim *ServingLeases) write() {
 	if sim.controlPlaneDown() {
 		return
 	}
 	revision := uint64(len(sim.ackedAt) + 1)
 	if revision > 1 && sim.ackedAt[revision-2] == 0 {
-		return // the one before is still in flight
+		return // the previous revision is not acknowledged yet
 	}
 	sim.ackedAt = append(sim.ackedAt, 0)
 	from := sim.replicas[sim.rng.IntN(len(sim.replicas))]
 	sim.propose(from, revision, map[*leaseReplica]bool{})
 }
 
-// propose sends a revision to all replicas, again and again until it is acknowledged.
-// accepted collects those that have accepted it.
+// propose sends a revision to all replicas repeatedly until the revision is acknowledged. accepted
+// collects the replicas that have accepted it.
 func (sim *ServingLeases) propose(from *leaseReplica, revision uint64, accepted map[*leaseReplica]bool) {
 	if sim.ackedAt[revision-1] != 0 {
 		return
 	}
 	for _, replica := range sim.replicas {
-		sim.send(&from.partition, &replica.partition, &replica.frozenUntil, func() {
+		sim.send(&from.partition, &replica.partition, &replica.pausedUntil, func() {
 			replica.accepted = max(replica.accepted, revision)
-			sim.send(&replica.partition, &from.partition, &from.frozenUntil, func() {
+			sim.send(&replica.partition, &from.partition, &from.pausedUntil, func() {
 				accepted[replica] = true
 				sim.commit(revision, len(accepted))
 			})
@@ -42,7 +43,7 @@
 	sim.after(400*time.Millisecond, func() { sim.propose(from, revision, accepted) })
 }
 
-// commit commits a revision if a majority has accepted it, and has it acknowledged.
+// commit commits a revision if a majority has accepted it, and starts its acknowledgement.
 func (sim *ServingLeases) commit(revision uint64, accepted int) {
 	if accepted >= consensus.Majority(len(sim.replicas)) && len(sim.committedAt) < int(revision) {
 		sim.committedAt = append(sim.committedAt, sim.now)
@@ -50,8 +51,9 @@
 	}
 }
 
-// acknowledge acknowledges a revision once all sidecars have applied it; after until, once most
-// of them have; and ackMajorityTimeout later in any case.
+// acknowledge acknowledges a revision once all sidecars have applied it. From until on, a majority
+// of the sidecars suffices. From ackMajorityTimeout after until on, the revision is acknowledged in
+// any case.
 func (sim *ServingLeases) acknowledge(revision uint64, until time.Duration) {
 	applied := 0
 	for _, sidecar := range sim.sidecars {
@@ -74,15 +76,15 @@
 	}
 }
 
-// quorumRead reads from a majority. As in production, a replica learns only later that what it
-// read is committed.
+// quorumRead reads the newest accepted revision from a majority. As in production, the replica
+// learns only later that this revision is committed.
 func (sim *ServingLeases) quorumRead(replica *leaseReplica) {
 	began := sim.now
 	replies := map[*leaseReplica]uint64{}
 	for _, peer := range sim.replicas {
-		sim.send(&replica.partition, &peer.partition, &peer.frozenUntil, func() {
+		sim.send(&replica.partition, &peer.partition, &peer.pausedUntil, func() {
 			accepted := peer.accepted
-			sim.send(&peer.partition, &replica.partition, &replica.frozenUntil, func() {
+			sim.send(&peer.partition, &replica.partition, &replica.pausedUntil, func() {
 				replies[peer] = accepted
 				if len(replies) == consensus.Majority(len(sim.replicas)) {
 					sim.completeRead(replica, began, slices.Max(slices.Collect(maps.Values(replies))))
@@ -92,20 +94,20 @@
 	}
 }
 
-// completeRead ends a read that began at a moment, in which a majority has replied with newest
-// as the newest revision.
+// completeRead handles the replies of a majority to a read that began at began. newest is the
+// newest revision in the replies.
 func (sim *ServingLeases) completeRead(replica *leaseReplica, began time.Duration, newest uint64) {
 	if !replica.reading || began > replica.readBegan && newest <= replica.readRevision {
 		replica.reading, replica.readBegan, replica.readRevision = true, began, newest
 	}
-	// That revision is committed here some time later.
+	// The replica learns that the revision is committed once a majority has accepted it.
 	if newest > 0 && len(sim.committedAt) >= int(newest) {
 		replica.watch.ObserveCommitted(config.ControlState{Revision: newest})
 	}
 	sim.confirmRead(replica)
 }
 
-// confirmRead ends a quorum read once its revision is committed here.
+// confirmRead completes the pending quorum read if its revision is committed at the replica.
 func (*ServingLeases) confirmRead(replica *leaseReplica) {
 	var committed uint64
 	if state := replica.watch.State(); state != nil {
--- a/tests/simulation/leases_sidecar.go
+++ b/tests/simulation/leases_sidecar.go
@@ -10,8 +10,8 @@
 	"curlewwalk/internal/watch"
 )
 
-// isolated reports whether a sidecar can tell that no majority of the replicas is alive: their
-// machines refuse its connections.
+// isolated reports whether a sidecar can tell that no majority of the replicas is alive, because
+// the machines of a majority refuse its connections.
 func (sim *ServingLeases) isolated(sidecar *leaseSidecar) bool {
 	refused := 0
 	for _, replica := range sim.replicas {
@@ -22,9 +22,9 @@
 	return refused >= consensus.Majority(len(sim.replicas))
 }
 
-// queryPeers asks some other sidecars for their status, and for what they know of others, while
-// no replica answers. Enough of them that have lost the control plane too, and have applied no
-// newer revision, confirm the sidecar's own.
+// queryPeers queries random sidecars for their status and for the status of others that they know,
+// while no replica answers. The lease is renewed if enough sidecars report that they have lost the
+// control plane too and have not applied a newer revision.
 func (sim *ServingLeases) queryPeers(sidecar *leaseSidecar) {
 	if sim.now-sidecar.updatedAt < queryAfter {
 		return
@@ -38,9 +38,9 @@
 		if peer == sidecar {
 			continue
 		}
-		sim.send(&sidecar.partition, &peer.partition, &peer.frozenUntil, func() {
+		sim.send(&sidecar.partition, &peer.partition, &peer.pausedUntil, func() {
 			reports, revision := peer.peers.Report(sim.peer(peer), membership.NewView(nil, nil), sim.base.Add(sim.now)), peer.revision
-			sim.send(&peer.partition, &sidecar.partition, &sidecar.frozenUntil, func() {
+			sim.send(&peer.partition, &sidecar.partition, &sidecar.pausedUntil, func() {
 				if revision > sidecar.revision {
 					sim.fetch(sidecar, peer)
 				}
@@ -50,8 +50,9 @@
 	}
 }
 
-// observeReports takes in what another sidecar reported to a query that began at a moment, and
-// renews the lease if enough sidecars confirm it. known are all sidecars.
+// observeReports records the reports that another sidecar returned to a query that began at began,
+// and renews the lease if enough sidecars confirm the applied revision. known are the addresses of
+// all sidecars.
 func (sim *ServingLeases) observeReports(sidecar *leaseSidecar, reports []membership.Peer, known []string, began time.Duration) {
 	if sim.now-began > queryTimeout {
 		return
@@ -63,21 +64,21 @@
 	}
 }
 
-// peer is the status that a sidecar reports of itself.
+// peer returns the status that a sidecar reports about itself.
 func (sim *ServingLeases) peer(sidecar *leaseSidecar) membership.Peer {
 	return membership.Peer{Addr: sidecar.addr, Incarnation: 1, Status: &membership.PeerStatus{AppliedRevision: sidecar.revision, QuorumLost: sim.isolated(sidecar)}}
 }
 
-// fetch gets the revision of another sidecar.
+// fetch copies the applied revision of another sidecar.
 func (sim *ServingLeases) fetch(sidecar, peer *leaseSidecar) {
-	sim.send(&sidecar.partition, &peer.partition, &peer.frozenUntil, func() {
+	sim.send(&sidecar.partition, &peer.partition, &peer.pausedUntil, func() {
 		revision := peer.revision
-		sim.send(&peer.partition, &sidecar.partition, &sidecar.frozenUntil, func() { sidecar.revision = max(sidecar.revision, revision) })
+		sim.send(&peer.partition, &sidecar.partition, &sidecar.pausedUntil, func() { sidecar.revision = max(sidecar.revision, revision) })
 	})
 }
 
-// watchReplica asks the watched replica for updates. The lease counts from when the replica was
-// last confirmed, as of the moment it was asked.
+// watchReplica requests updates from the watched replica. The lease is renewed as of the time of
+// the request minus the age of the replica's last confirmed quorum read.
 func (sim *ServingLeases) watchReplica(sidecar *leaseSidecar) {
 	sentAt, replicaIndex := sim.now, sidecar.replica
 	replica := sim.replicas[replicaIndex]
@@ -85,7 +86,7 @@
 		sidecar.replica, sidecar.offset = sim.rng.IntN(len(sim.replicas)), watch.Request{}
 		return
 	}
-	sim.send(&sidecar.partition, &replica.partition, &replica.frozenUntil, func() {
+	sim.send(&sidecar.partition, &replica.partition, &replica.pausedUntil, func() {
 		replica.watch.DetectPause(sim.now)
 		if !replica.watch.Ready(sim.now) {
 			return
@@ -95,7 +96,7 @@
 		if replica.confirmedAt >= 0 {
 			age = sim.now - replica.confirmedAt
 		}
-		sim.send(&replica.partition, &sidecar.partition, &sidecar.frozenUntil, func() {
+		sim.send(&replica.partition, &sidecar.partition, &sidecar.pausedUntil, func() {
 			if sidecar.replica == replicaIndex {
 				sim.applyUpdates(sidecar, updates, sim.base.Add(sentAt-age))
 			}
@@ -103,7 +104,7 @@
 	})
 }
 
-// applyUpdates applies updates of the watched replica, which confirms them as of a moment.
+// applyUpdates applies updates of the watched replica and renews the lease as of asOf.
 func (sim *ServingLeases) applyUpdates(sidecar *leaseSidecar, updates watch.Updates, asOf time.Time) {
 	sidecar.offset = watch.Request{LogID: updates.LogID, Offset: updates.Offset}
 	for _, event := range updates.Events {
@@ -115,8 +116,9 @@
 	sidecar.lease.Renew(asOf)
 }
 
-// checkAdmission checks what a lease promises, at a moment at which the sidecar would admit a
-// request: no revision that it lacks was committed more than LeaseDuration ago.
+// checkAdmission checks the guarantee of a lease if the sidecar would admit a request now: no
+// revision that the sidecar has not applied was committed more than LeaseDuration ago. After the
+// outage, revisions in unconfirmed are counted rather than reported.
 func (sim *ServingLeases) checkAdmission(sidecar *leaseSidecar) {
 	now := sim.base.Add(sim.now)
 	switch {
--- a/tests/simulation/membership.go
+++ b/tests/simulation/membership.go
@@ -10,45 +10,46 @@
 	"curlewwalk/internal/watch"
 )
 
-// Membership is a run of membership and watch: sidecars send heartbeats, probe, suspect,
-// refute and watch, and replicas merge what they observe, under losses, delays, partitions,
-// freezes and kills. The event logs, mirrors, failure detectors and replica tables are the
-// production's.
+// Membership simulates membership and the watch for updates. Sidecars send heartbeats, probe
+// each other, report and refute suspicions, and watch replicas. Replicas merge the heartbeats.
+// Messages are lost and delayed, and processes are partitioned, paused and killed. The event
+// logs, mirrors, failure detectors and replica tables are production code.
 type Membership struct {
 	randomClock
-	base     time.Time // wall time at the beginning
+	base     time.Time // wall-clock time at the start
 	replicas []*gossipReplica
 	sidecars []*gossipSidecar
-	until    time.Duration // the faults stop here
-	// Violations lists what must never happen and did.
+	until    time.Duration // time at which faults stop
+	// Violations describes each violation of an invariant.
 	Violations []string
-	// Revisions and the others count what happened: suspicions sent and refuted, nodes
-	// missing from a view in the end, and changes of the watched replica.
+	// Revisions counts written revisions, Suspected and Refuted suspicions that were sent and
+	// refuted, Missing nodes that sidecars lack after recovery, and Redirected changes of the
+	// watched replica.
 	Revisions, Suspected, Refuted, Missing, Redirected int
-	// DeltaHeartbeats counts heartbeats that sent a difference, FullHeartbeats those that
-	// were requested in full.
+	// DeltaHeartbeats counts heartbeats sent as a difference, FullHeartbeats the full
+	// heartbeats that replicas requested.
 	DeltaHeartbeats, FullHeartbeats int
-	// Patched counts states that were sent as a patch, Unreadable the patches that could
-	// not be applied.
+	// Patched counts states sent as a patch, Unreadable the updates that could not be
+	// decoded.
 	Patched, Unreadable int
 }
 
-// gossipHost is a process with its place in the network.
+// gossipHost is a process and its state in the network.
 type gossipHost struct {
 	addr        string
-	incarnation int // counts its starts
+	incarnation int // number of kills, to discard events of earlier processes
 	up          bool
-	frozenUntil time.Duration
-	partition   int // messages only pass between processes of one partition
+	pausedUntil time.Duration
+	partition   int // messages are delivered only within a partition
 }
 
 // gossipReplica is a control plane replica.
 type gossipReplica struct {
 	gossipHost
 	memberID int
-	startID  uint64 // its incarnation as the production compares it
+	startID  uint64 // the incarnation that the production code compares
 	watch    *watch.EventLog
-	revision uint64 // the newest that is committed here
+	revision uint64 // the newest revision committed at this replica
 }
 
 // gossipSidecar is a sidecar.
@@ -61,14 +62,14 @@
 	sequence       uint
 	mirror         *watch.Mirror
 	revision       uint64
-	replica        *gossipReplica // that it watches
+	replica        *gossipReplica // the watched replica
 	replicaStartID uint64
 	offset         watch.Request
 	decoder        watch.StateDecoder
 	failedAt       map[string]time.Duration // by replica address
 }
 
-// NewMembership prepares a run of so many replicas and sidecars.
+// NewMembership returns a simulation with the given numbers of replicas and sidecars.
 func NewMembership(seed uint64, replicas, sidecars int) *Membership {
 	sim := &Membership{randomClock: newRandomClock(seed, 23), base: time.Now(), until: 40 * time.Second}
 	for i := range replicas {
@@ -84,7 +85,7 @@
 	return sim
 }
 
-// startReplica starts a replica; the newest committed revision is on its disk.
+// startReplica starts a replica. The newest revision committed at the replica survives restarts.
 func (sim *Membership) startReplica(replica *gossipReplica) {
 	replica.up, replica.startID = true, sim.rng.Uint64()
 	replica.watch = watch.NewEventLog(replica.startID, sim.now)
@@ -95,7 +96,7 @@
 	sim.every(&replica.gossipHost, 300*time.Millisecond, func() { sim.catchUp(replica) })
 }
 
-// startSidecar starts a sidecar with empty memory.
+// startSidecar starts a sidecar without any state of an earlier start.
 func (sim *Membership) startSidecar(sidecar *gossipSidecar) {
 	sidecar.up, sidecar.revision, sidecar.replica = true, 0, nil
 	sidecar.node = membership.Node{Addr: sidecar.addr, Incarnation: sim.rng.Uint64()}
@@ -108,7 +109,8 @@
 	sim.every(&sidecar.gossipHost, 200*time.Millisecond, func() { sim.watchReplica(sidecar) })
 }
 
-// every runs an action at an interval as long as a process lives, but not while it is frozen.
+// every runs an action at an interval until its process is killed, except while the process is
+// paused.
 func (sim *Membership) every(h *gossipHost, interval time.Duration, action func()) {
 	incarnation := h.incarnation
 	var next func()
@@ -116,7 +118,7 @@
 		if h.incarnation != incarnation || !h.up {
 			return
 		}
-		if h.frozenUntil <= sim.now {
+		if h.pausedUntil <= sim.now {
 			action()
 		}
 		sim.after(interval, next)
@@ -124,12 +126,12 @@
 	sim.after(sim.randomDuration(interval), next)
 }
 
-// call carries a call and its answer; done gets nil when it is lost or late. refused tells that
-// the target is down.
+// call delivers a call and its answer. done is called with a nil answer if the call or its answer
+// is lost or later than timeout. refused reports that the target is down.
 func (sim *Membership) call(from, to *gossipHost, timeout time.Duration, handle func() any, done func(answer any, refused bool)) {
 	incarnation, finished := from.incarnation, false
 	finish := func(answer any, refused bool) {
-		sim.after(max(0, from.frozenUntil-sim.now), func() {
+		sim.after(max(0, from.pausedUntil-sim.now), func() {
 			if !finished && from.incarnation == incarnation && from.up {
 				finished = true
 				done(answer, refused)
@@ -147,7 +149,7 @@
 			return
 		}
 		targetIncarnation := to.incarnation
-		sim.after(max(0, to.frozenUntil-sim.now), func() {
+		sim.after(max(0, to.pausedUntil-sim.now), func() {
 			if to.incarnation != targetIncarnation || !to.up || sim.lost(from, to, quiet) {
 				return
 			}
@@ -157,13 +159,14 @@
 	})
 }
 
-// lost draws whether a message is lost. Of a call that is quiet, as those after the faults are,
-// none is lost but by a partition.
+// lost reports whether a message is lost, at random or by a partition. Messages of a quiet call,
+// which starts after the faults have stopped, are lost only by a partition.
 func (sim *Membership) lost(from, to *gossipHost, quiet bool) bool {
 	return !quiet && sim.rng.IntN(12) == 0 || from.partition != to.partition
 }
 
-// delay draws how long a message is on its way; one of thirty is late, unless its call is quiet.
+// delay draws the delay of a message. One message in 30 takes up to 2 s, unless its call is
+// quiet.
 func (sim *Membership) delay(quiet bool) time.Duration {
 	if !quiet && sim.rng.IntN(30) == 0 {
 		return sim.randomDuration(2 * time.Second)
@@ -171,7 +174,7 @@
 	return sim.randomDuration(10 * time.Millisecond)
 }
 
-// heartbeat sends a heartbeat to all replicas.
+// heartbeat sends a heartbeat with the current suspicions to all replicas.
 func (sim *Membership) heartbeat(sidecar *gossipSidecar) {
 	sidecar.node.AppliedRevision = sidecar.revision
 	sidecar.node.Suspects = sidecar.monitor.Suspects(sidecar.mirror.Nodes)
@@ -182,8 +185,9 @@
 	}
 }
 
-// sendHeartbeat sends what a replica lacks, and takes in its reply: its status, suspicions of
-// this node, or a request for a full heartbeat.
+// sendHeartbeat sends a heartbeat, reduced to the difference if the replica has the rest, and
+// handles the reply. The reply marks the replica as live, and may report a suspicion of this node
+// or request a full heartbeat.
 func (sim *Membership) sendHeartbeat(sidecar *gossipSidecar, replica *gossipReplica) {
 	full := sidecar.node
 	full.Sequence = sidecar.sequence
@@ -203,17 +207,17 @@
 			sidecar.node.Refutation = *reply.Suspected + 1
 			sim.Refuted++
 		}
-		nextState, again := sidecar.heartbeats[replica.addr].Acknowledge(sent, reply)
+		nextState, fullRequested := sidecar.heartbeats[replica.addr].Acknowledge(sent, reply)
 		sidecar.heartbeats[replica.addr] = nextState
-		if again {
+		if fullRequested {
 			sim.FullHeartbeats++
 			sim.sendHeartbeat(sidecar, replica)
 		}
 	})
 }
 
-// receiveHeartbeat has a replica take in a heartbeat, and returns its reply. It checks that the
-// replica shows no node with the backends of another version.
+// receiveHeartbeat records a heartbeat at a replica and returns the reply. It checks that the
+// replica lists every node with the backends of the node's incarnation and version.
 func (sim *Membership) receiveHeartbeat(replica *gossipReplica, sender string, heartbeat membership.Heartbeat) membership.Heartbeat {
 	replica.watch.DetectPause(sim.now)
 	reply := membership.Heartbeat{TableDigest: 1}
@@ -224,7 +228,7 @@
 	}
 	for _, n := range replica.watch.Nodes() {
 		if !slices.Equal(n.Backends, backends(n)) {
-			sim.violation("%s shows %+v", replica.addr, n)
+			sim.violation("%s lists a node with the backends of another version: %+v", replica.addr, n)
 		}
 	}
 	if refutation, ok := replica.watch.Suspected()[sender]; ok {
@@ -233,23 +237,23 @@
 	return reply
 }
 
-// backends are the backends of a node, different in each incarnation and version.
+// backends returns the backends of a node, which differ in each incarnation and version.
 func backends(n membership.Node) []membership.Backend {
 	return []membership.Backend{{Instance: fmt.Sprint(n.Addr, " ", n.Incarnation, " ", n.Version)}}
 }
 
-// changeBackends gives a sidecar the backends of its next version.
+// changeBackends increments the version of a sidecar's node and sets its backends to match.
 func (*Membership) changeBackends(sidecar *gossipSidecar) {
 	sidecar.node.Version++
 	sidecar.node.Backends = backends(sidecar.node)
 }
 
-// sidecarAt is the sidecar at an address.
+// sidecarAt returns the sidecar at an address, which must exist.
 func (sim *Membership) sidecarAt(addr string) *gossipSidecar {
 	return sim.sidecars[slices.IndexFunc(sim.sidecars, func(sidecar *gossipSidecar) bool { return sidecar.addr == addr })]
 }
 
-// probe probes the nodes that a sidecar monitors.
+// probe probes the nodes that a sidecar monitors and records the results in its failure detector.
 func (sim *Membership) probe(sidecar *gossipSidecar) {
 	for _, addr := range sidecar.monitor.Monitored(slices.Sorted(maps.Keys(sidecar.mirror.Nodes))) {
 		target := sim.sidecarAt(addr)
@@ -267,31 +271,32 @@
 	}
 }
 
-// Run brings faults about for a while, then none, and checks that all agree.
+// Run injects faults for 40 s, then stops them and checks that all sidecars agree.
 func (sim *Membership) Run() {
 	sim.repeat(800*time.Millisecond, sim.until, sim.write)
 	sim.repeat(time.Second, sim.until, sim.injectFault)
 	sim.repeat(300*time.Millisecond, sim.until, func() {
-		if sidecar := sim.sidecars[sim.rng.IntN(len(sim.sidecars))]; sidecar.up && sidecar.frozenUntil <= sim.now {
+		if sidecar := sim.sidecars[sim.rng.IntN(len(sim.sidecars))]; sidecar.up && sidecar.pausedUntil <= sim.now {
 			sim.changeBackends(sidecar)
 		}
 	})
 	sim.run(sim.until)
 	for _, h := range sim.hosts() {
-		h.partition, h.frozenUntil = 0, min(h.frozenUntil, sim.now)
+		h.partition, h.pausedUntil = 0, min(h.pausedUntil, sim.now)
 		if !h.up {
 			sim.restart(h)
 		}
 	}
-	// A replica that has just started only listens for StartupDelay; then 2 s.
+	// A replica that has just started serves no updates during StartupDelay. The sidecars then
+	// have 2 s to apply the newest revision.
 	sim.run(sim.until + watch.StartupDelay + 2*time.Second)
 	sim.checkAgreement("2 s after recovery", false)
 	sim.run(sim.until + 8*time.Second)
 	sim.checkAgreement("8 s after recovery", true)
 }
 
-// checkAgreement checks that all sidecars have applied the newest revision and, if nodes is set,
-// that all know exactly the nodes that are up.
+// checkAgreement checks that all sidecars have applied the newest revision. If nodes is set, it
+// also checks that all sidecars list exactly the nodes that exist, at their current versions.
 func (sim *Membership) checkAgreement(when string, nodes bool) {
 	var newest uint64
 	for _, replica := range sim.replicas {
@@ -304,20 +309,20 @@
 	}
 	for _, sidecar := range sim.sidecars {
 		if sidecar.revision < newest {
-			sim.violation("%s: %s is at revision %d, the newest is %d", when, sidecar.addr, sidecar.revision, newest)
+			sim.violation("%s: %s is at revision %d, want %d", when, sidecar.addr, sidecar.revision, newest)
 		}
 		got := map[string]version{}
 		for _, n := range sidecar.mirror.Nodes {
 			got[n.Addr] = version{n.Incarnation, n.Version}
 		}
 		if nodes && !maps.Equal(got, want) {
-			sim.violation("%s: %s knows %v, there are %v", when, sidecar.addr, got, want)
+			sim.violation("%s: %s lists nodes %v, want %v", when, sidecar.addr, got, want)
 		}
 		sim.Missing += len(want) - len(got)
 	}
 }
 
-// hosts lists all processes.
+// hosts returns all processes, the replicas first.
 func (sim *Membership) hosts() (out []*gossipHost) {
 	for _, replica := range sim.replicas {
 		out = append(out, &replica.gossipHost)
@@ -328,7 +333,7 @@
 	return out
 }
 
-// restart starts a process that was killed.
+// restart starts a killed process.
 func (sim *Membership) restart(h *gossipHost) {
 	for _, replica := range sim.replicas {
 		if h == &replica.gossipHost {
@@ -342,7 +347,8 @@
 	}
 }
 
-// injectFault kills, freezes, partitions or heals.
+// injectFault kills, pauses or moves a random process to a random partition, or ends all
+// partitions.
 func (sim *Membership) injectFault() {
 	all := sim.hosts()
 	h := all[sim.rng.IntN(len(all))]
@@ -358,7 +364,7 @@
 			})
 		}
 	case 1:
-		h.frozenUntil = sim.now + sim.randomDuration(5*time.Second)
+		h.pausedUntil = sim.now + sim.randomDuration(5*time.Second)
 	case 2, 3:
 		h.partition = sim.rng.IntN(2)
 	default:
--- a/tests/simulation/membership_watch.go
+++ b/tests/simulation/membership_watch.go
@@ -13,8 +13,8 @@
 	"curlewwalk/internal/watch"
 )
 
-// watchReplica asks the first live replica in rendezvous order for updates; one that failed
-// lately comes last.
+// watchReplica requests updates from the first live replica in rendezvous order. Replicas that
+// failed recently are tried last.
 func (sim *Membership) watchReplica(sidecar *gossipSidecar) {
 	if !sim.chooseReplica(sidecar) {
 		return
@@ -34,13 +34,13 @@
 			return
 		}
 		if sidecar.replica != replica || sidecar.offset.LogID != offset.LogID || sidecar.offset.Offset != offset.Offset {
-			return // a later call was answered first
+			return // the answer to a later call has already been applied
 		}
 		sim.applyUpdates(sidecar, updates)
 	})
 }
 
-// chooseReplica has a sidecar choose the replica that it watches; false if none is live.
+// chooseReplica selects the replica that a sidecar watches. It reports whether a replica is live.
 func (sim *Membership) chooseReplica(sidecar *gossipSidecar) bool {
 	live := rendezvous.Rank(sidecar.addr, sidecar.replicas.Live(sim.base.Add(sim.now)), func(r membership.Replica) string { return r.Addr })
 	if len(live) == 0 {
@@ -57,18 +57,18 @@
 	return true
 }
 
-// applyUpdates has a sidecar apply updates, and checks that it does not go back and that each
-// revision has its own content.
+// applyUpdates applies updates at a sidecar. It checks that the applied revision does not decrease
+// and has the content that was committed.
 func (sim *Membership) applyUpdates(sidecar *gossipSidecar, updates watch.Updates) {
 	for _, event := range updates.Events {
 		if event.StatePatch != nil {
 			sim.Patched++
 		}
 	}
-	updates.Events = slices.Clone(updates.Events) // the replica owns them
+	updates.Events = slices.Clone(updates.Events) // the replica still uses the original slice
 	if !sidecar.decoder.Decode(&updates) {
 		sim.Unreadable++
-		return // the next request is for the full state
+		return // the next request asks for the full state
 	}
 	sidecar.offset = watch.Request{LogID: updates.LogID, Offset: updates.Offset}
 	state, _ := sidecar.mirror.Apply(updates)
@@ -80,11 +80,11 @@
 	}
 	sidecar.revision = state.Revision
 	if !bytes.Equal(state.Configuration, stateOf(state.Revision).Configuration) {
-		sim.violation("%s applied another content as revision %d", sidecar.addr, state.Revision)
+		sim.violation("%s applied wrong content for revision %d", sidecar.addr, state.Revision)
 	}
 }
 
-// catchUp copies what another replica has committed, as the heartbeats between replicas do.
+// catchUp copies newer revisions from the other replicas, as heartbeats between replicas do.
 func (sim *Membership) catchUp(replica *gossipReplica) {
 	for _, peer := range sim.replicas {
 		sim.call(&replica.gossipHost, &peer.gossipHost, time.Second, func() any { return peer.revision }, func(answer any, _ bool) {
@@ -96,7 +96,8 @@
 	}
 }
 
-// stateOf is the state of a revision; states differ in a small part.
+// stateOf returns the state of a revision. The states of two revisions differ in a small part, so
+// that patches are worth sending.
 func stateOf(revision uint64) config.ControlState {
 	text := strings.Repeat("a route that stays as it is; ", 10)
 	return config.ControlState{Revision: revision, Configuration: fmt.Appendf([]byte(text), "a route as of revision %d; %s", revision, text)}
@@ -105,7 +106,7 @@
 // write commits a new revision at a replica that is up.
 func (sim *Membership) write() {
 	replica := sim.replicas[sim.rng.IntN(len(sim.replicas))]
-	if !replica.up || replica.frozenUntil > sim.now {
+	if !replica.up || replica.pausedUntil > sim.now {
 		return
 	}
 	sim.Revisions++
--- a/tests/simulation/operators.go
+++ b/tests/simulation/operators.go
@@ -11,57 +11,60 @@
 )
 
 const (
-	operators = 2
-	// callInterval is about how often each operator submits something.
+	operatorCount = 2
+	// callInterval is the mean interval between the submissions of an operator.
 	callInterval = 500 * time.Millisecond
-	// responseTimeout is after how long an operator tries another replica.
+	// responseTimeout is how long an operator waits before it tries another replica.
 	responseTimeout = 2500 * time.Millisecond
-	// maxCalls bounds how often one command is submitted.
+	// maxCalls is the maximum number of times that a command is submitted.
 	maxCalls = 5
-	// answerLossRate is the share of answers that operators do not get.
+	// answerLossRate is the probability that an answer to an operator is lost.
 	answerLossRate = 0.3
-	// maxForwardDelay is the longest that a command is on its way to the coordinator.
+	// maxForwardDelay is the maximum delay of a command that is forwarded to another replica.
 	maxForwardDelay = 8 * time.Second
 )
 
-// zones are evacuated and restored, each by turns.
+// zones are the zones that operators alternately evacuate and restore.
 var zones = []string{"east", "north", "south", "west"}
 
-// Operators are two operators that take the generations of their configurations from one
-// sequence, sometimes the same one, lose answers and repeat commands at other replicas, while
-// zones are evacuated and restored. (DESIGN 6.3)
+// Operators simulates two operators that take the generations of their configurations from one
+// sequence and sometimes use the same generation. Some answers to the operators are lost, and
+// the operators repeat commands at other replicas. Zones are evacuated and restored at the same
+// time. (DESIGN 6.3)
 type Operators struct {
 	simulation  *Consensus
-	generations []uint64 // that were used, in order
-	// sent are the configurations that were sent under a generation; acked and refused
-	// those that any replica acknowledged or refused, whether the operator got the answer
-	// or not; committed is the digest that the committed state has on record.
+	generations []uint64 // the generations that were used, in order of use
+	// sent are the configurations that were sent with each generation. acked and refused are
+	// those that a replica acknowledged or refused, whether or not the operator got the
+	// answer. committed is the digest that the committed state records for each generation.
 	sent           map[uint64][][]byte
 	acked, refused map[uint64][][]byte
 	committed      map[uint64][]byte
-	evacuatedAt    map[uint64][]string   // the evacuated zones, by committed revision
+	evacuatedAt    map[uint64][]string   // the evacuated zones of each committed revision
 	evacuations    map[string]evacuation // the newest command on each zone
-	// Acked and the others count what happened.
+	// Acked and Conflicts count configurations that were acknowledged or refused, Repeats
+	// those that were sent again later. Evacuations counts acknowledged commands on zones,
+	// Superseded commands on zones that a newer one had superseded.
 	Acked, Repeats, Conflicts, Evacuations, Superseded int
 }
 
-// evacuation is a command on a zone.
+// evacuation is a command to evacuate or restore a zone.
 type evacuation struct {
 	zone     string
-	number   int  // counts the commands on the zone
-	evacuate bool // else it restores the zone
+	number   int  // position in the sequence of commands on the zone
+	evacuate bool // false to restore the zone
 	acked    bool
-	revision uint64 // of its acknowledgement
+	revision uint64 // the revision of the acknowledgement
 }
 
-// newOperators makes the operators of a run.
+// newOperators returns the operators of a simulation.
 func newOperators(sim *Consensus) *Operators {
 	return &Operators{simulation: sim, sent: map[uint64][][]byte{}, acked: map[uint64][][]byte{}, refused: map[uint64][][]byte{}, committed: map[uint64][]byte{}, evacuatedAt: map[uint64][]string{}, evacuations: map[string]evacuation{}}
 }
 
-// run has the operators work until a moment.
+// run schedules the operators' submissions until the time until.
 func (o *Operators) run(until time.Duration) {
-	for n := range operators {
+	for n := range operatorCount {
 		o.simulation.repeat(callInterval, until, func() { o.configure(n) })
 	}
 	for _, zone := range zones {
@@ -69,17 +72,17 @@
 	}
 }
 
-// randomReplica draws a replica that an operator can reach, or returns nil.
+// randomReplica draws a replica. It returns nil if an operator cannot reach that replica.
 func (o *Operators) randomReplica() *replica {
 	r := o.simulation.randomReplica()
-	if !r.up || r.frozenUntil > o.simulation.now || r.acceptor.Phase != consensus.PhaseEstablished {
+	if !r.up || r.pausedUntil > o.simulation.now || r.acceptor.Phase != consensus.PhaseEstablished {
 		return nil
 	}
 	return r
 }
 
-// configure sends a configuration under a new generation, under one that was used lately, or
-// repeats an earlier one.
+// configure submits a configuration with a new generation or the one used last, or repeats one of
+// the last 20 configurations.
 func (o *Operators) configure(operator int) {
 	rng := o.simulation.rng
 	if len(o.generations) > 0 && rng.IntN(4) == 0 {
@@ -99,22 +102,23 @@
 	o.submit(number, text, maxCalls)
 }
 
-// submit sends a configuration to a replica, and to others until the answer is final.
+// submit sends a configuration to a replica. It retries at other replicas until the operator gets a
+// final answer, with calls attempts in all.
 func (o *Operators) submit(number uint64, text []byte, calls int) {
 	if calls == 0 {
 		return
 	}
 	final := false
-	again := func() {
+	retry := func() {
 		if !final {
 			final = true
 			o.submit(number, text, calls-1)
 		}
 	}
-	o.simulation.after(responseTimeout, again)
+	o.simulation.after(responseTimeout, retry)
 	r := o.randomReplica()
 	if r == nil {
-		o.simulation.after(o.simulation.randomDuration(100*time.Millisecond), again)
+		o.simulation.after(o.simulation.randomDuration(100*time.Millisecond), retry)
 		return
 	}
 	command := consensus.Command{Kind: consensus.CommandPutConfiguration, Generation: number, Payload: text, Submitted: text}
@@ -125,12 +129,12 @@
 		case result.Outcome == consensus.OutcomeCommitted || result.Outcome == consensus.OutcomeConflict:
 			final = true
 		default:
-			o.simulation.after(o.simulation.randomDuration(100*time.Millisecond), again)
+			o.simulation.after(o.simulation.randomDuration(100*time.Millisecond), retry)
 		}
 	})
 }
 
-// receiveResult checks the result of a configuration.
+// receiveResult records and checks the result of a submitted configuration.
 func (o *Operators) receiveResult(number uint64, text []byte, result consensus.CommandResult) {
 	switch result.Outcome {
 	case consensus.OutcomeCommitted:
@@ -140,7 +144,7 @@
 		o.simulation.ackedRevision = max(o.simulation.ackedRevision, result.State.Revision)
 		o.simulation.ackedGeneration = max(o.simulation.ackedGeneration, number)
 		if result.State.Generation < number {
-			o.simulation.violation("generation %d was acknowledged while %d was in force", number, result.State.Generation)
+			o.simulation.violation("generation %d was acknowledged at lower generation %d", number, result.State.Generation)
 		}
 	case consensus.OutcomeConflict:
 		o.Conflicts++
@@ -148,24 +152,24 @@
 		o.recordCommitted(result.State)
 	case consensus.OutcomeRejected, consensus.OutcomeUnknown:
 	default:
-		o.simulation.violation("a valid configuration got %q", result.Outcome)
+		o.simulation.violation("a valid configuration got outcome %q", result.Outcome)
 	}
 	if contains(o.acked[number], text) && contains(o.refused[number], text) {
-		o.simulation.violation("%q was acknowledged and refused", text)
+		o.simulation.violation("%q was both acknowledged and refused", text)
 	}
 	o.checkGeneration(number)
 }
 
-// contains reports whether a text is among texts.
+// contains reports whether texts contains text.
 func contains(texts [][]byte, text []byte) bool {
 	return slices.ContainsFunc(texts, func(t []byte) bool { return bytes.Equal(t, text) })
 }
 
-// recordCommitted checks and records a committed state.
+// recordCommitted checks and records the generations and the evacuated zones of a committed state.
 func (o *Operators) recordCommitted(state config.ControlState) {
 	for _, accepted := range state.AcceptedGenerations {
 		if old, ok := o.committed[accepted.Generation]; ok && !bytes.Equal(old, accepted.Digest) {
-			o.simulation.violation("two configurations were committed under %d", accepted.Generation)
+			o.simulation.violation("two configurations were committed with generation %d", accepted.Generation)
 		}
 		if _, ok := o.committed[accepted.Generation]; !ok {
 			o.committed[accepted.Generation] = accepted.Digest
@@ -174,14 +178,14 @@
 	}
 	if state.Submitted != nil {
 		if digest, ok := o.committed[state.Generation]; !ok || !bytes.Equal(digest, config.SubmissionDigest(state.Submitted, nil)) {
-			o.simulation.violation("%q is in force under %d, and another is on record", state.Submitted, state.Generation)
+			o.simulation.violation("%q is committed with generation %d, whose recorded digest is of another configuration", state.Submitted, state.Generation)
 		}
 	}
 	o.evacuatedAt[state.Revision] = state.EvacuatedByOperator
 }
 
-// checkGeneration checks a generation that was committed: no other configuration is acknowledged
-// under it, and its own is never refused.
+// checkGeneration checks a committed generation: no other configuration was acknowledged with that
+// generation, and the committed configuration was never refused.
 func (o *Operators) checkGeneration(number uint64) {
 	digest, ok := o.committed[number]
 	if !ok {
@@ -189,21 +193,22 @@
 	}
 	for _, text := range o.acked[number] {
 		if !bytes.Equal(digest, config.SubmissionDigest(text, nil)) {
-			o.simulation.violation("%q was acknowledged, and another was committed under %d", text, number)
+			o.simulation.violation("%q was acknowledged, but another configuration was committed with generation %d", text, number)
 		}
 	}
 	for _, text := range o.refused[number] {
 		if bytes.Equal(digest, config.SubmissionDigest(text, nil)) {
-			o.simulation.violation("%q was refused, and it was committed", text)
+			o.simulation.violation("%q was refused, but it was committed", text)
 		}
 	}
 }
 
-// checkFinal checks what can only be judged at the end.
+// checkFinal makes the checks that are possible only after the simulation: each refused generation
+// was committed, and the last acknowledged command on each zone is in effect.
 func (o *Operators) checkFinal() {
 	for number, texts := range o.refused {
 		if _, ok := o.committed[number]; !ok {
-			o.simulation.violation("%q was refused, and nothing was committed under %d", texts[0], number)
+			o.simulation.violation("%q was refused, but nothing was committed with generation %d", texts[0], number)
 		}
 	}
 	for _, zone := range zones {
@@ -211,8 +216,8 @@
 	}
 }
 
-// evacuate evacuates a zone, or restores it if it was evacuated last, once the last command
-// was acknowledged or given up; and goes on.
+// evacuate evacuates a zone, or restores the zone if the last command evacuated it. The next command
+// follows once this one is acknowledged or its attempts are used up, until the time until.
 func (o *Operators) evacuate(zone string, until time.Duration) {
 	o.checkEvacuation(zone)
 	if o.simulation.now >= until {
@@ -226,24 +231,25 @@
 	})
 }
 
-// submitEvacuation sends the command to a replica, and to others until it is acknowledged. The
-// replica does a read index and forwards the command to another replica.
+// submitEvacuation sends a command on a zone to a replica, and retries at other replicas until the
+// command is acknowledged. The replica does a read index and forwards the command to another
+// replica.
 func (o *Operators) submitEvacuation(e evacuation, calls int, done func()) {
 	if calls == 0 {
 		done()
 		return
 	}
 	finished := false
-	again := func() {
+	retry := func() {
 		if !finished {
 			finished = true
 			o.submitEvacuation(e, calls-1, done)
 		}
 	}
-	o.simulation.after(responseTimeout, again)
+	o.simulation.after(responseTimeout, retry)
 	r := o.randomReplica()
 	if r == nil {
-		o.simulation.after(o.simulation.randomDuration(100*time.Millisecond), again)
+		o.simulation.after(o.simulation.randomDuration(100*time.Millisecond), retry)
 		return
 	}
 	command := consensus.Command{Kind: consensus.CommandEvacuate, Zone: e.zone}
@@ -252,7 +258,7 @@
 	}
 	o.simulation.quorumRead(r, consensus.MsgReadIndex, func(revision uint64, _ config.ControlState) {
 		if finished {
-			return // the replica sees that its caller has gone
+			return // the replica notices that the operator has closed the connection
 		}
 		command.SinceRevision = &revision
 		o.forward(command, func(result consensus.CommandResult) {
@@ -266,7 +272,8 @@
 	})
 }
 
-// forward has a command submitted at some replica, after a while.
+// forward submits a command at a random replica after a delay. The command is lost if that replica
+// cannot be reached.
 func (o *Operators) forward(command consensus.Command, done func(consensus.CommandResult)) {
 	o.simulation.after(o.forwardDelay(), func() {
 		if target := o.randomReplica(); target != nil {
@@ -275,8 +282,8 @@
 	})
 }
 
-// forwardDelay draws how long a command is on its way to another replica; half of them are
-// late.
+// forwardDelay draws the delay of a forwarded command. Half of the commands take up to
+// maxForwardDelay.
 func (o *Operators) forwardDelay() time.Duration {
 	delay := o.simulation.randomDuration(50 * time.Millisecond)
 	if o.simulation.rng.IntN(2) == 0 {
@@ -285,7 +292,8 @@
 	return delay
 }
 
-// receiveEvacuationResult checks the result of a command on a zone.
+// receiveEvacuationResult records and checks the result of a command on a zone. byOperator reports
+// whether the operator received the result.
 func (o *Operators) receiveEvacuationResult(order evacuation, result consensus.CommandResult, byOperator bool) {
 	switch result.Outcome {
 	case consensus.OutcomeCommitted:
@@ -294,7 +302,7 @@
 		o.Superseded++
 	case consensus.OutcomeRejected, consensus.OutcomeUnknown:
 	default:
-		o.simulation.violation("a command on a zone got %q", result.Outcome)
+		o.simulation.violation("a command on a zone got outcome %q", result.Outcome)
 	}
 	if byOperator && result.Outcome == consensus.OutcomeCommitted && order.number == o.evacuations[order.zone].number {
 		o.Evacuations++
@@ -303,8 +311,8 @@
 	}
 }
 
-// checkEvacuation checks, before the operator submits another command on a zone, that the last
-// one that was acknowledged is still in force.
+// checkEvacuation checks that no revision since the acknowledgement of the newest command on a zone
+// undoes the command. It is called before the next command on that zone and at the end.
 func (o *Operators) checkEvacuation(zone string) {
 	e := o.evacuations[zone]
 	if !e.acked {
@@ -312,24 +320,24 @@
 	}
 	for revision, evacuated := range o.evacuatedAt {
 		if revision >= e.revision && slices.Contains(evacuated, zone) != e.evacuate {
-			o.simulation.violation("%v are evacuated at revision %d, and for %s %v was acknowledged at %d", evacuated, revision, zone, e.evacuate, e.revision)
+			o.simulation.violation("zones %v are evacuated at revision %d, but for %s evacuated=%v was acknowledged at revision %d", evacuated, revision, zone, e.evacuate, e.revision)
 		}
 	}
 }
 
-// add adds the counts of another run.
+// add adds the counts of another simulation.
 func (o *Operators) add(other *Operators) {
 	o.Acked, o.Repeats, o.Conflicts = o.Acked+other.Acked, o.Repeats+other.Repeats, o.Conflicts+other.Conflicts
 	o.Evacuations, o.Superseded = o.Evacuations+other.Evacuations, o.Superseded+other.Superseded
 }
 
-// incomplete reports whether a run lacked one of the things that it is to try.
+// incomplete reports whether one of the counts is zero, so that a case was not exercised.
 func (o Operators) incomplete() bool {
 	return o.Acked == 0 || o.Repeats == 0 || o.Conflicts == 0 || o.Evacuations == 0 || o.Superseded == 0
 }
 
-// String prints the counts.
+// String returns the counts in one line.
 func (o Operators) String() string {
-	return fmt.Sprintf("%d configurations acknowledged, %d refused, %d repeated long after, %d commands on a zone acknowledged, %d copies superseded",
+	return fmt.Sprintf("%d configurations acknowledged, %d refused, %d repeated later, %d commands on zones acknowledged, %d copies superseded",
 		o.Acked, o.Conflicts, o.Repeats, o.Evacuations, o.Superseded)
 }
--- a/tests/simulation/reconfiguration.go
+++ b/tests/simulation/reconfiguration.go
@@ -9,13 +9,14 @@
 	"curlewwalk/internal/membership"
 )
 
-// wallClockBase is the wall time at the beginning of a run.
+// wallClockBase is the wall-clock time at the start of a simulation.
 var wallClockBase = time.Unix(1_700_000_000, 0)
 
-// maxReplicas bounds how many replicas are present at a time.
+// maxReplicas is the number of present replicas at which changeMembers adds no further replica.
 const maxReplicas = 9
 
-// NewDynamicMembership prepares a run whose replicas join and leave, founded by so many.
+// NewDynamicMembership returns a simulation in which replicas join and leave. The given number of
+// founders bootstrap the cluster.
 func NewDynamicMembership(seed uint64, founders int, faults Faults) *Consensus {
 	sim := NewConsensus(seed, 0, faults)
 	sim.dynamicMembership, sim.members = true, founders
@@ -30,7 +31,7 @@
 	return sim
 }
 
-// replicaAt is the replica at an address, or nil.
+// replicaAt returns the replica at an address, or nil.
 func (sim *Consensus) replicaAt(addr string) *replica {
 	i := slices.IndexFunc(sim.replicas, func(r *replica) bool { return r.addr == addr })
 	if i < 0 {
@@ -39,23 +40,23 @@
 	return sim.replicas[i]
 }
 
-// wallTime is the wall time now.
+// wallTime returns the simulated wall-clock time.
 func (sim *Consensus) wallTime() time.Time { return wallClockBase.Add(sim.now) }
 
-// startHeartbeats has a replica send heartbeats as long as it lives.
+// startHeartbeats makes a replica send heartbeats until it is killed.
 func (sim *Consensus) startHeartbeats(r *replica, incarnation int) {
 	var heartbeat func()
 	heartbeat = func() {
 		if !r.up || r.incarnation != incarnation {
 			return
 		}
-		sim.whenAwake(r, func() { sim.heartbeat(r) })
+		sim.whenRunning(r, func() { sim.heartbeat(r) })
 		sim.after(membership.HeartbeatInterval, heartbeat)
 	}
 	heartbeat()
 }
 
-// status is what a replica says of itself in heartbeats.
+// status returns the status that a replica reports about itself in heartbeats.
 func (r *replica) status() membership.Replica {
 	acceptor := r.acceptor
 	status := membership.Replica{
@@ -68,8 +69,8 @@
 	return status
 }
 
-// heartbeat exchanges status with all other replicas, and has the coordinator remove members
-// that are gone.
+// heartbeat exchanges status with all other replicas. If the replica is the coordinator, it also
+// removes members that have been unreachable long enough.
 func (sim *Consensus) heartbeat(r *replica) {
 	known, status := r.members.Observed(), r.status()
 	for _, to := range sim.replicas {
@@ -85,8 +86,8 @@
 	}
 }
 
-// exchangeStatus sends the status of a replica, and of those that it knows, to another one,
-// which replies with the same.
+// exchangeStatus sends the status of a replica and of the replicas it knows to another replica,
+// which replies with its own.
 func (sim *Consensus) exchangeStatus(r, to *replica, status membership.Replica, known []membership.Replica) {
 	sim.send(r, to, func() {
 		sim.observeReplicas(to, status, known)
@@ -95,7 +96,8 @@
 	})
 }
 
-// observeReplicas takes in the status of the sender of a heartbeat, and of those that it knows.
+// observeReplicas records the status of the sender of a heartbeat and of the replicas that the
+// sender knows.
 func (sim *Consensus) observeReplicas(r *replica, sender membership.Replica, known []membership.Replica) {
 	r.members = r.members.AddReported(known, sim.wallTime())
 	if sender.Established {
@@ -103,7 +105,8 @@
 	}
 }
 
-// receiveStatus takes in the status of another replica, and fetches its state if that is newer.
+// receiveStatus records the status of another replica, and fetches the state of that replica if it
+// has committed a newer revision.
 func (sim *Consensus) receiveStatus(r *replica, status membership.Replica) {
 	r.members = r.members.Observe(status, sim.wallTime())
 	acceptor := r.acceptor
@@ -123,7 +126,7 @@
 	}
 }
 
-// knownMembers is the status of each member that a replica knows of, by member ID.
+// knownMembers returns the status of each member that a replica knows, by member ID.
 func (r *replica) knownMembers(now time.Time) map[int]consensus.MemberStatus {
 	out := map[int]consensus.MemberStatus{}
 	live := r.members.Live(now)
@@ -136,8 +139,8 @@
 	return out
 }
 
-// coordinatorOf is the replica that another one takes for the coordinator: the live member
-// with the lowest ID.
+// coordinatorOf returns the replica that r considers the coordinator: the live member with the
+// lowest ID. It returns r if r knows no such member.
 func (sim *Consensus) coordinatorOf(r *replica) *replica {
 	set := consensus.MemberIDs(r.acceptor.MemberSets().Current)
 	if members, _, revision := r.members.Members(); len(members) > 0 && (revision > r.acceptor.Position.Revision || len(set) == 0) {
@@ -152,10 +155,11 @@
 	return r
 }
 
-// requestMembership lets a replica that is no member ask to join; true if it is not one yet.
+// requestMembership lets a replica that is not a member request to join. It reports whether the
+// replica is still waiting to join.
 func (sim *Consensus) requestMembership(r *replica) bool {
 	if r.acceptor.Removed() {
-		sim.trace(r, "is no member any more")
+		sim.trace(r, "is no longer a member")
 		sim.Removed++
 		sim.save(r, r.acceptor.Rejoining(sim.rng.Uint64()|1))
 	}
@@ -164,14 +168,14 @@
 	}
 	if !r.leaving && sim.rng.IntN(4) == 0 {
 		if coordinator := sim.coordinatorOf(r); coordinator != r {
-			sim.askToJoin(r, coordinator)
+			sim.sendJoinRequest(r, coordinator)
 		}
 	}
 	return true
 }
 
-// askToJoin asks the coordinator to add a replica to the member set.
-func (sim *Consensus) askToJoin(r, coordinator *replica) {
+// sendJoinRequest asks the coordinator to add a replica to the member set.
+func (sim *Consensus) sendJoinRequest(r, coordinator *replica) {
 	request := consensus.JoinRequest{DiskID: r.acceptor.Self.DiskID, Addr: r.addr}
 	sim.send(r, coordinator, func() {
 		if !coordinator.acceptor.IsMember() || sim.coordinatorOf(coordinator) != coordinator {
@@ -183,7 +187,8 @@
 	})
 }
 
-// reconfigure submits a change of the member set, one at a time.
+// reconfigure submits a change of the member set, unless a change by the same replica is in
+// progress.
 func (sim *Consensus) reconfigure(r *replica, command consensus.Command) {
 	if r.reconfiguring {
 		return
--- a/tests/simulation/replica.go
+++ b/tests/simulation/replica.go
@@ -7,31 +7,31 @@
 	"curlewwalk/internal/membership"
 )
 
-// replica is a simulated control plane replica with its disk.
+// replica is a simulated control plane replica and its disk.
 type replica struct {
 	memberID    int
 	up          bool
-	frozenUntil time.Duration // messages queue up until then
-	partition   int           // messages only pass between replicas of one partition
-	// disk survives a crash; acceptor is the state in memory.
+	pausedUntil time.Duration // messages are delivered after this time
+	partition   int           // messages are delivered only within a partition
+	// disk is the state that survives a crash, acceptor the state in memory.
 	disk         consensus.Acceptor
 	acceptor     consensus.Acceptor
 	proposer     *consensus.Proposer
-	incarnation  int
-	reported     uint64                  // the newest committed revision that was checked
-	replies      map[int]consensus.Reply // of the current attempt to join
-	joinIdentity consensus.Sender        // that of that attempt; zero while it only reads
+	incarnation  int                     // number of starts and crashes, to discard events of earlier processes
+	reported     uint64                  // newest committed revision that was checked
+	replies      map[int]consensus.Reply // replies to the current attempt to join, by member ID
+	joinIdentity consensus.Sender        // identity of that attempt; zero while the attempt only reads
 
-	// The rest is used with dynamic membership only.
+	// The remaining fields are used only with dynamic membership.
 	addr          string
-	removed       bool // for good
+	removed       bool // permanently removed
 	members       membership.ReplicaTable
 	reconfigurer  consensus.MembershipPlanner
-	reconfiguring bool // a change of the member set is in flight
-	leaving       bool // it is being stopped, and does not ask to join
+	reconfiguring bool // a change of the member set is in progress
+	leaving       bool // the replica is being stopped and does not request to join
 }
 
-// start starts a replica from its disk.
+// start starts a replica with the state on its disk.
 func (sim *Consensus) start(r *replica) {
 	r.up, r.reported = true, 0
 	sim.trace(r, "starts")
@@ -45,7 +45,7 @@
 	var tick func()
 	tick = func() {
 		if r.up && r.incarnation == incarnation {
-			sim.whenAwake(r, func() { sim.tick(r) })
+			sim.whenRunning(r, func() { sim.tick(r) })
 			sim.after(50*time.Millisecond, tick)
 		}
 	}
@@ -55,11 +55,12 @@
 	}
 }
 
-// whenAwake runs an action once a replica is not frozen, unless it has died by then.
-func (sim *Consensus) whenAwake(r *replica, action func()) {
+// whenRunning runs an action as soon as a replica is not paused. The action is dropped if the replica
+// has been killed by then.
+func (sim *Consensus) whenRunning(r *replica, action func()) {
 	incarnation := r.incarnation
-	if r.frozenUntil > sim.now {
-		sim.after(r.frozenUntil-sim.now, func() {
+	if r.pausedUntil > sim.now {
+		sim.after(r.pausedUntil-sim.now, func() {
 			if r.up && r.incarnation == incarnation {
 				action()
 			}
@@ -71,8 +72,8 @@
 	}
 }
 
-// tick is what a replica does regularly: it joins, commits what was left uncommitted, and
-// lets its proposer act on timeouts.
+// tick does the periodic work of a replica: it joins the member set, commits a state or a change of
+// the member set that was left incomplete, and lets the proposer handle timeouts.
 func (sim *Consensus) tick(r *replica) {
 	if sim.dynamicMembership && sim.requestMembership(r) {
 		return
@@ -85,11 +86,11 @@
 	if (r.acceptor.Position.Revision > r.acceptor.Committed || len(r.acceptor.State.PreviousMembers) > 0) && sim.rng.IntN(20) == 0 && (!sim.dynamicMembership || sim.coordinatorOf(r) == r) {
 		sim.submit(r, consensus.Command{Kind: consensus.CommandRefresh}, func(consensus.CommandResult) {})
 	}
-	sim.carryOut(r, r.proposer.Tick(sim.now))
+	sim.processReady(r, r.proposer.Tick(sim.now))
 }
 
-// joinAsMember lets a static member with an empty disk establish itself: by what a majority
-// replies, or by joining in a new incarnation.
+// joinAsMember lets a replica that is not established become an established member, either from the
+// replies of a majority or by joining in a new incarnation.
 func (sim *Consensus) joinAsMember(r *replica) {
 	if sim.rng.IntN(6) != 0 {
 		return
@@ -122,7 +123,7 @@
 	})
 }
 
-// save writes the next state of a replica to its disk.
+// save stores the next state of a replica in memory and on its disk.
 func (sim *Consensus) save(r *replica, next consensus.Acceptor) {
 	if next.Position != r.acceptor.Position || next.Promised != r.acceptor.Promised || next.Phase != r.acceptor.Phase {
 		sim.trace(r, "%s, promised %d, accepted %v %q of %v", next.Phase, next.Promised, next.Position, next.State.Configuration, consensus.MemberIDs(next.MemberSets().Current))
@@ -131,8 +132,9 @@
 	r.proposer.FollowAcceptor(next, sim.now)
 }
 
-// carryOut sends the messages that a proposer wants sent, and passes results on.
-func (sim *Consensus) carryOut(r *replica, ready []consensus.Ready) {
+// processReady sends the messages of a proposer and passes the results of commands to their
+// callers.
+func (sim *Consensus) processReady(r *replica, ready []consensus.Ready) {
 	for _, item := range ready {
 		if item.Result != nil {
 			if done, ok := sim.pending[item.Result.ID]; ok {
@@ -141,12 +143,12 @@
 			}
 		}
 		for _, member := range item.To {
-			sim.request(r, member, *item.Message, func(reply consensus.Reply) { sim.carryOut(r, r.proposer.HandleReply(reply, sim.now)) })
+			sim.request(r, member, *item.Message, func(reply consensus.Reply) { sim.processReady(r, r.proposer.HandleReply(reply, sim.now)) })
 		}
 	}
 }
 
-// submit gives a replica a command; done gets the result.
+// submit enqueues a command at a replica's proposer. done is called with the result.
 func (sim *Consensus) submit(r *replica, command consensus.Command, done func(consensus.CommandResult)) {
 	sim.nextCommand++
 	command.ID, command.Deadline = sim.nextCommand, sim.now+3*time.Second
@@ -154,5 +156,5 @@
 		command.Deadline = sim.now + 2*time.Second
 	}
 	sim.pending[command.ID] = sim.recordHistory(command, done)
-	sim.carryOut(r, r.proposer.Enqueue(command, sim.now))
+	sim.processReady(r, r.proposer.Enqueue(command, sim.now))
 }
--- a/tests/simulation/requests.go
+++ b/tests/simulation/requests.go
@@ -12,38 +12,38 @@
 	"curlewwalk/internal/membership"
 )
 
-// Requests is a run of requests through sidecars that reserve and replicate idempotency
-// keys, decide, attempt, cancel and refuse, under lost, late and duplicated messages, kills
-// and freezes. The routing decision, the attempt log, the reservations and the replication
-// of keys are the production's; the run only carries messages between them.
+// Requests simulates requests through sidecars that reserve and replicate idempotency keys,
+// route, send and refuse attempts. Messages are lost, delayed and duplicated, and sidecars are
+// killed and paused. The routing decision, the attempt log, the reservations and the
+// replication of keys are production code. The simulation only delivers messages between them.
 type Requests struct {
 	randomClock
-	base  time.Time // wall time at the beginning
+	base  time.Time // wall-clock time at the start
 	nodes []*requestNode
 	view  *membership.View
 	table *routing.Table
-	until time.Duration // clients send until then
+	until time.Duration // time at which clients stop sending
 
 	serial int
-	// runs counts the runs of each request; promisedNotRun holds the client attempts whose
+	// runs counts the runs of each request. promisedNotRun holds the client attempts whose
 	// answer said that the request had not run.
 	runs           map[string]int
 	promisedNotRun map[string]bool
-	// Violations lists what must never happen and did. The other counts show that the run
-	// had work and faults.
+	// Violations describes each violation of an invariant. The counts show that the
+	// simulation processed requests and injected faults.
 	Violations                                           []string
 	Sent, Ran, Answered, NotRun, Unknown, Kills, Retries int
 }
 
-// requestNode is a sidecar, with a backend beside it if its Node has one.
+// requestNode is a sidecar, with a local backend if its Node lists one.
 type requestNode struct {
 	membership.Node
-	// incarnation counts the process's starts in the simulation; Node.Incarnation is the
-	// random number that the production code compares.
+	// incarnation counts the kills of the process. Node.Incarnation is the random number that
+	// the production code compares.
 	incarnation int
 	up          bool
-	frozenUntil time.Duration
-	// ready is set once the reservations of an earlier incarnation have been recovered.
+	pausedUntil time.Duration
+	// ready reports whether the reservations of earlier incarnations have been recovered.
 	ready        bool
 	nextRecord   uint64
 	attempts     int
@@ -53,23 +53,24 @@
 	replication  *keyreplication.ReplicationTracker
 }
 
-// clientAnswer is the answer that a client gets.
+// clientAnswer is the answer that a client receives.
 type clientAnswer struct {
 	Outcome routing.Outcome
 	Text    string
 }
 
-// Bounds and rates of a run.
+// Limits of a simulation.
 const (
-	// requestDeadline is a request's time limit.
+	// requestDeadline is the time limit of a request.
 	requestDeadline = 2 * time.Second
-	// requestDrain is how long a run goes on after clients have stopped sending.
+	// requestDrain is how long the simulation continues after clients have stopped sending.
 	requestDrain = 30 * time.Second
-	// maxClientAttempts bounds how often a client sends one request.
+	// maxClientAttempts is the maximum number of times that a client sends a request.
 	maxClientAttempts = 8
 )
 
-// NewRequests prepares a run of so many sidecars, with backends beside the last two.
+// NewRequests returns a simulation with the given number of sidecars. The last two have local
+// backends.
 func NewRequests(seed uint64, nodes int) *Requests {
 	sim := &Requests{randomClock: newRandomClock(seed, 19), base: time.Now(), runs: map[string]int{}, promisedNotRun: map[string]bool{}}
 	sim.table, _ = routing.NewTable(config.ControlState{})
@@ -86,18 +87,19 @@
 	return sim
 }
 
-// Run has clients send for d of simulated time, and goes on until all is answered.
+// Run lets clients send requests for d of simulated time, and then continues for requestDrain so
+// that all requests are answered.
 func (sim *Requests) Run(d time.Duration) {
 	sim.until = d
 	sim.repeat(40*time.Millisecond, sim.until, sim.sendRequest)
 	sim.repeat(900*time.Millisecond, sim.until, sim.injectFault)
 	for _, n := range sim.nodes {
-		sim.repeat(250*time.Millisecond, sim.until, func() { sim.whenAwake(n, func() { sim.repairReplicas(n) }) })
+		sim.repeat(250*time.Millisecond, sim.until, func() { sim.whenRunning(n, func() { sim.repairReplicas(n) }) })
 	}
 	sim.run(d + requestDrain)
 }
 
-// start starts a node with empty memory.
+// start starts a node without any state of an earlier start.
 func (sim *Requests) start(n *requestNode) {
 	n.up, n.ready = true, false
 	n.Incarnation = sim.rng.Uint64()
@@ -106,7 +108,7 @@
 	n.replication = keyreplication.NewReplicationTracker(n.Addr, n.Zone)
 }
 
-// refreshView gives all nodes the same new view: the nodes that are up.
+// refreshView sets the view of all nodes to the nodes that are up.
 func (sim *Requests) refreshView() {
 	nodes := map[string]membership.Node{}
 	for _, n := range sim.nodes {
@@ -127,8 +129,8 @@
 	panic("no such node")
 }
 
-// injectFault kills or freezes a node. Keys survive one death after another, so the next
-// kill waits until reservations have been recovered and each key is fully replicated again.
+// injectFault kills or pauses a random node. Keys survive only one kill at a time, so no fault is
+// injected until all reservations have been recovered and each key is fully replicated again.
 func (sim *Requests) injectFault() {
 	n := sim.nodes[sim.rng.IntN(len(sim.nodes))]
 	for _, peer := range sim.nodes {
@@ -140,7 +142,7 @@
 		return
 	}
 	if sim.rng.IntN(3) == 0 {
-		n.frozenUntil = sim.now + sim.randomDuration(2*time.Second)
+		n.pausedUntil = sim.now + sim.randomDuration(2*time.Second)
 		return
 	}
 	sim.Kills++
@@ -154,14 +156,15 @@
 	})
 }
 
-// recordRun records that a backend ran a request, and checks that it may.
+// recordRun records that a backend ran a request. It checks that the request has not run before and
+// that no answer said that this attempt was not run.
 func (sim *Requests) recordRun(id, name string) {
 	sim.Ran++
 	if sim.runs[id]++; sim.runs[id] > 1 {
 		sim.violation("%s ran %d times", id, sim.runs[id])
 	}
 	if sim.promisedNotRun[name] {
-		sim.violation("%s was promised not to run, and ran", name)
+		sim.violation("%s ran after its answer said that it was not run", name)
 	}
 }
 
--- a/tests/simulation/requests_client.go
+++ b/tests/simulation/requests_client.go
@@ -7,16 +7,17 @@
 	"curlewwalk/internal/dataplane/routing"
 )
 
-// clientRequest is a request as its client sees it: it may be sent several times.
+// clientRequest is a request of a client, which may send it several times.
 type clientRequest struct {
 	sim   *Requests
-	node  *requestNode // the sidecar that the client sends to
+	node  *requestNode // the sidecar that receives the request
 	id    string
-	keyed bool // it bears an idempotency key
+	keyed bool // the request has an idempotency key
 }
 
-// sendRequest has a client send a request, and retry it as clients do: one without a key
-// only when it was promised not to have run, one with a key also when its connection broke.
+// sendRequest makes a client send a request and retry it. A request without a key is retried only
+// if the answer said that it was not run. A request with a key is also retried if its connection
+// broke.
 func (sim *Requests) sendRequest() {
 	sim.serial++
 	sim.Sent++
@@ -26,7 +27,7 @@
 	request.send(1)
 }
 
-// send sends the request for the nth time.
+// send sends the request. attempt counts the sends, starting at 1.
 func (r *clientRequest) send(attempt int) {
 	sim := r.sim
 	if attempt > maxClientAttempts {
@@ -43,7 +44,7 @@
 	}
 	name := fmt.Sprintf("%s/%d", r.id, attempt)
 	incarnation, answered := r.node.incarnation, false
-	sim.whenAwake(r.node, func() {
+	sim.whenRunning(r.node, func() {
 		sim.serveOutbound(r.node, r.id, name, r.keyed, func(answer clientAnswer) {
 			if !answered {
 				answered = true
@@ -51,7 +52,7 @@
 			}
 		})
 	})
-	// A broken connection is noticed when the sidecar has died.
+	// The client notices that the connection is broken after the sidecar was killed.
 	sim.watchConnection(r.node, incarnation, func() bool { return answered }, func() {
 		answered = true
 		if r.keyed {
@@ -60,19 +61,19 @@
 	})
 }
 
-// retry sends the request again after a moment.
+// retry sends the request again after up to 50 ms.
 func (r *clientRequest) retry(attempt int) {
 	r.sim.after(r.sim.randomDuration(50*time.Millisecond), func() { r.send(attempt + 1) })
 }
 
-// receive checks the answer to the nth attempt, and retries what was not run.
+// receive checks the answer to an attempt, and retries the request if it was not run.
 func (r *clientRequest) receive(answer clientAnswer, name string, attempt int) {
 	sim := r.sim
 	switch answer.Outcome {
 	case routing.Answered:
 		sim.Answered++
 		if answer.Text != r.id {
-			sim.violation("%s was answered with the response of %q", r.id, answer.Text)
+			sim.violation("%s got the response to %q", r.id, answer.Text)
 		}
 	case routing.Unknown:
 		sim.Unknown++
@@ -80,14 +81,14 @@
 		sim.NotRun++
 		sim.promisedNotRun[name] = true
 		if !r.keyed && sim.runs[r.id] > 0 {
-			sim.violation("%s was promised not to have run, and had", name)
+			sim.violation("the answer to %s said that it was not run, but it had run", name)
 		}
 		r.retry(attempt)
 	}
 }
 
-// watchConnection calls broken once the sidecar has died, unless done says before that there
-// is nothing to wait for any more.
+// watchConnection calls broken once the sidecar has been killed. It stops as soon as done returns
+// true, or 20 s after the clients have stopped sending.
 func (sim *Requests) watchConnection(n *requestNode, incarnation int, done func() bool, broken func()) {
 	sim.after(20*time.Millisecond, func() {
 		switch {
--- a/tests/simulation/requests_keys.go
+++ b/tests/simulation/requests_keys.go
@@ -8,31 +8,31 @@
 	"curlewwalk/internal/dataplane/routing"
 )
 
-// Time limits of the calls between a key's owner and its replicas.
+// Time limits of the calls between the owner of a key and its replicas.
 const (
 	storeTimeout    = 150 * time.Millisecond
 	completeTimeout = time.Second
 	handoverTimeout = 400 * time.Millisecond
 )
 
-// keyedRequest is a request whose key is being replicated, and that runs once enough replicas
-// hold it.
+// keyedRequest is a request whose key is being replicated. The request runs once enough replicas
+// have stored the key.
 type keyedRequest struct {
 	sim    *Requests
 	owner  *requestNode
 	record keyreplication.Record
-	// ranked are the candidates for replicas, next the first that was not asked yet, want
-	// how many replicas are needed.
+	// ranked are the candidate replicas in order of preference, next is the index of the first
+	// that has not been asked, and want is the required number of replicas.
 	ranked     []*requestNode
 	next, want int
-	replicas   []*requestNode // that hold the key
+	replicas   []*requestNode // replicas that have stored the key
 	finished   bool
 	run        func(done func(clientAnswer))
 	done       func(answer clientAnswer, keep bool)
 }
 
-// replicateKey has the replicas of a key store it, then runs its request. done gets the
-// answer, and whether it is to be kept for repeats.
+// replicateKey stores a key at its replicas and then runs the request. done is called with the
+// answer and whether to keep the answer for repeats of the request.
 func (sim *Requests) replicateKey(n *requestNode, key idempotency.Key, run func(done func(clientAnswer)), done func(answer clientAnswer, keep bool)) {
 	n.nextRecord++
 	ranked := keyreplication.RankReplicas(n.Addr, n.Zone, key, keyreplication.Peers(sim.view, n.Addr))
@@ -44,13 +44,13 @@
 		k.ranked = append(k.ranked, sim.node(candidate.Addr))
 	}
 	for range k.want {
-		k.askNext()
+		k.storeAtNext()
 	}
 }
 
-// askNext asks the next candidate to store the key. Without any more candidates the request
-// is not run.
-func (k *keyedRequest) askNext() {
+// storeAtNext asks the next candidate to store the key. If no candidate is left, the request is not
+// run.
+func (k *keyedRequest) storeAtNext() {
 	if k.next == len(k.ranked) {
 		k.complete(nil, true)
 		k.finish(clientAnswer{Outcome: routing.NotRun}, false)
@@ -69,13 +69,12 @@
 		case ok && stored.Accepted:
 			k.stored(candidate)
 		default:
-			k.askNext()
+			k.storeAtNext()
 		}
 	})
 }
 
-// stored notes a replica that holds the key, and runs the request if it is the last one
-// needed.
+// stored records that a replica has stored the key, and runs the request if enough replicas have.
 func (k *keyedRequest) stored(replica *requestNode) {
 	k.owner.replication.AddReplica(k.record, replica.Node, k.sim.now)
 	if k.replicas = append(k.replicas, replica); len(k.replicas) != k.want {
@@ -92,7 +91,7 @@
 	})
 }
 
-// complete sends the response to the replicas, or has them release the key.
+// complete sends the response to the replicas, or makes them release the key.
 func (k *keyedRequest) complete(response []byte, release bool) {
 	if final := k.record; release {
 		k.owner.replication.Remove(final)
@@ -113,7 +112,7 @@
 	}
 }
 
-// finish gives the answer, once.
+// finish calls done with the answer, unless it was called before.
 func (k *keyedRequest) finish(answer clientAnswer, keep bool) {
 	if !k.finished {
 		k.finished = true
@@ -121,8 +120,8 @@
 	}
 }
 
-// recoverReservations has all other nodes hand over the keys of a node's earlier
-// incarnations; the node is ready once all have answered.
+// recoverReservations requests the keys of a node's earlier incarnations from all other nodes. The
+// node is ready once all have answered. The requests are repeated every 500 ms until then.
 func (sim *Requests) recoverReservations(n *requestNode) {
 	pending := 0
 	for _, peer := range sim.nodes {
@@ -135,7 +134,7 @@
 		}, func(answer any, _ bool) {
 			handover, ok := answer.(keyreplication.HandoverReply)
 			if !ok {
-				pending = -1 // all are asked again
+				pending = -1 // all nodes are asked again in the next round
 				return
 			}
 			sim.restore(n, peer, handover)
@@ -152,7 +151,7 @@
 	})
 }
 
-// restore takes over the keys that a replica has handed over.
+// restore restores the reservations of the keys that a replica has handed over.
 func (sim *Requests) restore(n, replica *requestNode, handover keyreplication.HandoverReply) {
 	for _, record := range handover.Records {
 		n.reservations.Restore(record.Key, record.Fingerprint, restoredAnswer(record), sim.now)
@@ -160,7 +159,7 @@
 	}
 }
 
-// repairReplicas stores anew what replicas that have gone had held.
+// repairReplicas stores keys at new replicas where replicas are missing.
 func (sim *Requests) repairReplicas(n *requestNode) {
 	for _, missing := range n.replication.MissingReplicas(keyreplication.Peers(sim.view, n.Addr), 1000, sim.now) {
 		replica := sim.node(missing.Target.Addr)
@@ -174,7 +173,7 @@
 	}
 }
 
-// fullyReplicated reports whether each key has as many replicas as it should.
+// fullyReplicated reports whether no key lacks a replica.
 func (sim *Requests) fullyReplicated() bool {
 	for _, n := range sim.nodes {
 		if len(n.replication.MissingReplicas(keyreplication.Peers(sim.view, n.Addr), 1, sim.now)) > 0 {
@@ -184,8 +183,8 @@
 	return true
 }
 
-// restoredAnswer is the answer to a repeat of a request whose key was recovered: unknown if
-// it had no response yet.
+// restoredAnswer returns the answer to a repeat of a request whose key was recovered. The outcome
+// is unknown if the record has no response yet.
 func restoredAnswer(record keyreplication.Record) clientAnswer {
 	if record.Response == nil {
 		return clientAnswer{Outcome: routing.Unknown}
--- a/tests/simulation/requests_network.go
+++ b/tests/simulation/requests_network.go
@@ -2,22 +2,24 @@
 
 import "time"
 
-// whenAwake runs an action on a node once it is not frozen, unless it has died by then.
-func (sim *Requests) whenAwake(n *requestNode, action func()) {
+// whenRunning runs an action as soon as a node is not paused. The action is dropped if the node has
+// been killed by then.
+func (sim *Requests) whenRunning(n *requestNode, action func()) {
 	incarnation := n.incarnation
-	sim.after(max(0, n.frozenUntil-sim.now), func() {
+	sim.after(max(0, n.pausedUntil-sim.now), func() {
 		if n.up && n.incarnation == incarnation {
 			action()
 		}
 	})
 }
 
-// call carries a call and its answer. done is called once: with the answer, or with nil when
-// the call times out. unsent tells that nobody listens at the target.
+// call delivers a call and its answer. done is called once, with the answer, or with nil if the call
+// times out. unsent reports that the target is down, so that the call was not sent. done is not
+// called if the caller is killed.
 func (sim *Requests) call(from, to *requestNode, timeout time.Duration, handle func(reply func(any)), done func(answer any, unsent bool)) {
 	finished, callerIncarnation := false, from.incarnation
 	finish := func(answer any, unsent bool) {
-		sim.whenAwake(from, func() {
+		sim.whenRunning(from, func() {
 			if !finished && from.incarnation == callerIncarnation {
 				finished = true
 				done(answer, unsent)
@@ -31,7 +33,7 @@
 	}
 	copies := 1
 	if sim.rng.IntN(20) == 0 {
-		copies = 2 // the transport drops duplicates; the attempt log must not rely on it
+		copies = 2 // the transport drops duplicates, but the attempt log must not rely on that
 	}
 	for range copies {
 		if sim.rng.IntN(20) == 0 {
@@ -41,7 +43,7 @@
 	}
 }
 
-// deliver delivers one copy of a call. Its answer may be lost.
+// deliver delivers one copy of a call. The answer may be lost.
 func (sim *Requests) deliver(to *requestNode, handle func(reply func(any)), answered func(answer any)) {
 	incarnation := to.incarnation
 	reply := func(answer any) {
@@ -50,13 +52,13 @@
 		}
 	}
 	sim.after(sim.delay(), func() {
-		if to.incarnation == incarnation { // else its connection died with it
-			sim.whenAwake(to, func() { handle(reply) })
+		if to.incarnation == incarnation { // otherwise the connection broke when the target was killed
+			sim.whenRunning(to, func() { handle(reply) })
 		}
 	})
 }
 
-// delay draws how long a message is on its way; one of twenty is late.
+// delay draws the delay of a message. One message in 20 takes up to 3 s.
 func (sim *Requests) delay() time.Duration {
 	if sim.rng.IntN(20) == 0 {
 		return sim.randomDuration(3 * time.Second)
--- a/tests/simulation/requests_sidecar.go
+++ b/tests/simulation/requests_sidecar.go
@@ -11,11 +11,12 @@
 	"curlewwalk/internal/membership"
 )
 
-// refusalTimeout bounds the call that asks an inbound sidecar whether an attempt never ran.
+// refusalTimeout is the time limit of the call that asks an inbound sidecar to refuse an attempt
+// and report whether the attempt never ran.
 const refusalTimeout = 300 * time.Millisecond
 
-// serveOutbound serves a client's request as proxy.Outbound does. name tells the client's
-// sends of one request apart.
+// serveOutbound serves a client's request as proxy.Outbound does. name identifies one send of the
+// request.
 func (sim *Requests) serveOutbound(n *requestNode, id, name string, keyed bool, done func(clientAnswer)) {
 	run := func(done func(clientAnswer)) { sim.runAttempts(n, id, name, done) }
 	if !keyed {
@@ -32,7 +33,7 @@
 		n.reservations.Reserve(key, idempotency.Fingerprint{}, sim.now, func(result idempotency.Result[clientAnswer]) {
 			switch {
 			case result.Retry:
-				sim.whenAwake(n, reserve)
+				sim.whenRunning(n, reserve)
 			case result.Decision == idempotency.Replay:
 				done(result.Response)
 			case result.Decision == idempotency.Proceed:
@@ -45,14 +46,14 @@
 					done(answer)
 				})
 			default:
-				panic("the table is neither full nor the request another one")
+				panic("unexpected decision on a reservation: the table cannot be full and fingerprints are equal")
 			}
 		})
 	}
 	reserve()
 }
 
-// runAttempts makes the attempts that the routing decision asks for, as proxy.Outbound does.
+// runAttempts sends the attempts that the routing decision returns, as proxy.Outbound does.
 func (sim *Requests) runAttempts(n *requestNode, id, name string, done func(clientAnswer)) {
 	deadline := sim.now + requestDeadline
 	decision := &routing.Decision{
@@ -82,8 +83,8 @@
 	next()
 }
 
-// attempt sends an attempt to the sidecar beside its target and reports what became of it.
-// Without a response, only that sidecar's word that the attempt never ran proves it.
+// attempt sends an attempt to the sidecar of its target and reports the outcome. If there is no
+// response, the attempt counts as not run only if that sidecar confirms that it never ran.
 func (sim *Requests) attempt(n *requestNode, attempt proxy.Attempt, target membership.Target, id, name string, report func(proxy.AttemptResponse)) {
 	inbound := sim.node(target.Node)
 	outcome := func(outcome routing.Outcome) {
@@ -112,13 +113,13 @@
 	})
 }
 
-// serveInbound serves an attempt as proxy.Inbound does. Once the backend was written to, it
-// goes on whatever happens to its sidecar.
+// serveInbound serves an attempt as proxy.Inbound does. Once the request has been written to the
+// backend, the backend runs it even if the sidecar is killed.
 func (sim *Requests) serveInbound(n *requestNode, attempt proxy.Attempt, id, name string, reply func(any)) {
 	respond := func(outcome routing.Outcome, body []byte) {
 		reply(proxy.AttemptResponse{ID: attempt.ID, Outcome: outcome, Body: body})
 	}
-	if attempt.Incarnation != n.Incarnation || sim.rng.IntN(12) == 0 { // another incarnation, or at capacity
+	if attempt.Incarnation != n.Incarnation || sim.rng.IntN(12) == 0 { // for another incarnation, or the backend is at capacity
 		if n.attemptLog.Refuse(attempt.ID, sim.now) {
 			respond(routing.NotRun, nil)
 		} else {
@@ -131,10 +132,10 @@
 		return
 	}
 	began := sim.now
-	sim.after(sim.randomDuration(20*time.Millisecond), func() { // the backend is dialed
-		sim.whenAwake(n, func() {
+	sim.after(sim.randomDuration(20*time.Millisecond), func() { // delay of connecting to the backend
+		sim.whenRunning(n, func() {
 			if sim.now-began > attempt.Timeout || sim.rng.IntN(20) == 0 {
-				respond(routing.NotRun, nil) // closed before the write
+				respond(routing.NotRun, nil) // the connection was closed before the write
 				return
 			}
 			sim.runBackend(n, id, name, respond)
@@ -142,11 +143,11 @@
 	})
 }
 
-// runBackend has the backend run a request. Its answer may be lost.
+// runBackend runs a request at the backend. The response may be lost.
 func (sim *Requests) runBackend(n *requestNode, id, name string, respond func(outcome routing.Outcome, body []byte)) {
 	sim.recordRun(id, name)
 	sim.after(sim.randomDuration(60*time.Millisecond), func() {
-		sim.whenAwake(n, func() {
+		sim.whenRunning(n, func() {
 			if sim.rng.IntN(20) == 0 {
 				respond(routing.Unknown, nil)
 				return
--- a/tests/simulation/simulator_test.go
+++ b/tests/simulation/simulator_test.go
@@ -7,19 +7,19 @@
 )
 
 var (
-	seeds = flag.Int("seeds", 60, "how many seeds to run")
+	seeds = flag.Int("seeds", 60, "number of seeds to run")
 	first = flag.Uint64("first", 1, "the first seed")
 )
 
-// forEachSeed calls run for each seed that the flags choose.
+// forEachSeed calls run for each seed that the flags select.
 func forEachSeed(run func(seed uint64)) {
 	for seed := *first; seed < *first+uint64(*seeds); seed++ {
 		run(seed)
 	}
 }
 
-// checkViolations fails the test if a run has violations: it prints the first ones, and the
-// command that repeats the run. format and args say what else tells the run from others.
+// checkViolations fails the test if a simulation has violations. It prints the first ones and the
+// command that repeats the simulation. format and args describe the parameters other than the seed.
 func checkViolations(t *testing.T, violations []string, seed uint64, format string, args ...any) {
 	t.Helper()
 	const printed = 3
@@ -31,26 +31,26 @@
 	}
 }
 
-// traceSingle has a run log its steps if it is the only one.
+// traceSingle logs the steps of a simulation if the flags select a single seed.
 func traceSingle(t *testing.T, sim *Consensus) {
 	if *seeds == 1 {
 		sim.Trace = func(line string) { t.Log(line) }
 	}
 }
 
-// The replicated state under lost, late, duplicated and reordered messages, kills during
-// writes to disk, kills of all replicas, lost disks, partitions and freezes, with operators
-// that race: nothing acknowledged is lost, no revision has two contents, no read is stale,
-// and it serves again within 15 s. The answers to the operators fit one order of their calls.
-// A generation has one configuration, which is never refused; no old copy of a command on a
-// zone undoes a newer one.
+// Guards against lost acknowledged writes, revisions with two contents, stale reads and failure to
+// serve again after the last fault. The check for the latter starts 15 s after that fault. Messages are
+// lost, delayed, duplicated and reordered. Replicas are killed, also all at once and during disk
+// writes. They lose their disks, and are partitioned and paused. Two operators submit conflicting
+// commands. The operators' calls must be linearizable. A generation must have a single configuration,
+// which is never refused. No delayed copy of a command on a zone may undo a newer command.
 func TestConsensus(t *testing.T) {
 	var acked, reads, refused, lost, kills int
 	var operators Operators
 	var histories historyCounts
 	for _, members := range []int{3, 5} {
 		forEachSeed(func(seed uint64) {
-			sim := NewConsensus(seed, members, HarshFaults)
+			sim := NewConsensus(seed, members, StaticMembershipFaults)
 			traceSingle(t, sim)
 			sim.Run()
 			checkViolations(t, sim.Violations, seed, "%d members", members)
@@ -59,16 +59,16 @@
 			acked, reads, refused, lost, kills = acked+sim.Acked, reads+sim.Reads, refused+sim.Refused, lost+sim.DiskLosses, kills+sim.Kills
 		})
 	}
-	histories.checkJudged(t, 10)
+	histories.checkCoverage(t, 10)
 	t.Logf("%d writes acknowledged, %d refused, %d reads, %d disks lost, %d kills; two operators: %s", acked, refused, reads, lost, kills, operators)
 	if acked == 0 || reads == 0 || lost == 0 || refused == 0 || operators.incomplete() {
-		t.Error("the faults or the work did not come about")
+		t.Error("a count of faults or of work is zero, so a case was not exercised")
 	}
 }
 
-// Serving leases under delays up to seconds, losses, partitions and freezes of replicas and
-// sidecars and, with every other seed, the death of all replicas: a sidecar admits requests
-// for at most 4 s after a revision that it lacks was committed.
+// Guards against a sidecar that admits requests more than 4 s after the commit of a revision that it
+// has not applied. Messages are delayed by up to seconds and lost, replicas and sidecars are
+// partitioned and paused, and with every other seed all replicas lose power permanently.
 func TestServingLeases(t *testing.T) {
 	admitted, admittedByPeers, lapsed, unconfirmed := 0, 0, 0, 0
 	forEachSeed(func(seed uint64) {
@@ -79,15 +79,16 @@
 			admitted, admittedByPeers, lapsed, unconfirmed = admitted+sim.Admitted, admittedByPeers+sim.AdmittedByPeers, lapsed+sim.Lapsed, unconfirmed+sim.Unconfirmed
 		}
 	})
-	t.Logf("admitted %d times, confirmed by other sidecars %d, lapsed %d; at a revision older than one that most sidecars had not applied when the replicas died %d", admitted, admittedByPeers, lapsed, unconfirmed)
+	t.Logf("%d admissions under a lease from a replica, %d under a lease from other sidecars, %d checks without a lease; %d times a revision that no majority of the sidecars had confirmed was missing at an admission", admitted, admittedByPeers, lapsed, unconfirmed)
 	if admitted == 0 || admittedByPeers == 0 || lapsed == 0 {
-		t.Error("the faults or the work did not come about")
+		t.Error("a count of faults or of work is zero, so a case was not exercised")
 	}
 }
 
-// Requests under lost, late and duplicated messages, kills and freezes: none runs twice, none
-// that was promised not to run does, and no answer belongs to another request. A key survives
-// its sidecar, and one replica beside it.
+// Guards against a request that runs twice, a request that runs after its answer said that it was not
+// run, and an answer to another request. Messages are lost, delayed and duplicated, and sidecars are
+// killed and paused. An idempotency key must survive the loss of its sidecar and of one of
+// its replicas.
 func TestRequests(t *testing.T) {
 	var sum Requests
 	forEachSeed(func(seed uint64) {
@@ -101,13 +102,14 @@
 	})
 	t.Logf("%d requests sent, %d retries, %d ran; %d answered, %d not run, %d unknown; %d kills", sum.Sent, sum.Retries, sum.Ran, sum.Answered, sum.NotRun, sum.Unknown, sum.Kills)
 	if sum.Ran == 0 || sum.NotRun == 0 || sum.Unknown == 0 || sum.Kills == 0 || sum.Retries == 0 {
-		t.Error("the faults or the work did not come about")
+		t.Error("a count of faults or of work is zero, so a case was not exercised")
 	}
 }
 
-// Membership and watch under losses, delays, partitions, freezes and kills of replicas and
-// sidecars: no sidecar goes back to an older revision; after recovery each has applied the
-// newest within 2 s, and soon knows exactly the nodes that are up.
+// Guards against sidecars that return to an older revision, or that do not converge once faults stop.
+// Messages are lost and delayed, and replicas and sidecars are partitioned, paused and killed. After
+// recovery each sidecar must have applied the newest revision within 2 s of the startup delay of a
+// replica, and must list exactly the existing nodes within 8 s.
 func TestMembership(t *testing.T) {
 	var sum Membership
 	forEachSeed(func(seed uint64) {
@@ -120,17 +122,17 @@
 			sum.Patched, sum.Unreadable = sum.Patched+sim.Patched, sum.Unreadable+sim.Unreadable
 		}
 	})
-	t.Logf("%d revisions, %d suspicions sent, %d refuted, another replica was watched %d times, %d heartbeats by difference, %d requested in full, %d states sent as a patch, %d of them in vain",
+	t.Logf("%d revisions, %d suspicions sent, %d refuted, %d changes of the watched replica, %d heartbeats sent as a difference, %d requested in full, %d states sent as a patch, %d updates that could not be decoded",
 		sum.Revisions, sum.Suspected, sum.Refuted, sum.Redirected, sum.DeltaHeartbeats, sum.FullHeartbeats, sum.Patched, sum.Unreadable)
 	if sum.Patched == 0 || sum.Revisions == 0 || sum.Suspected == 0 || sum.Refuted == 0 || sum.Redirected == 0 || sum.DeltaHeartbeats == 0 || sum.FullHeartbeats == 0 {
-		t.Error("the faults or the work did not come about")
+		t.Error("a count of faults or of work is zero, so a case was not exercised")
 	}
 }
 
-// The replicated state without static members: founders bootstrap at once, and replicas join,
-// leave for good, are replaced at other addresses or lose their disks, singly and as many at
-// once as a minority allows, also while all others lose power. Nothing acknowledged is lost;
-// in the end all replicas that are up are members, and it serves.
+// Guards against lost acknowledged writes and failure to recover while the member set changes. The
+// founders bootstrap concurrently. Replicas join, leave permanently, are replaced at other addresses
+// or lose their disks, one at a time or a minority at once, also while all others lose power. At the
+// end all replicas that were not removed must be members, and reads and writes must succeed.
 func TestMembershipChanges(t *testing.T) {
 	var sum Consensus
 	var operators Operators
@@ -139,7 +141,7 @@
 	forEachSeed(func(seed uint64) {
 		for i := range uint64(2) {
 			founders := sizes[(2*seed+i)%uint64(len(sizes))]
-			sim := NewDynamicMembership(seed, founders, MembershipFaults)
+			sim := NewDynamicMembership(seed, founders, DynamicMembershipFaults)
 			traceSingle(t, sim)
 			sim.Run()
 			checkViolations(t, sim.Violations, seed, "%d founders", founders)
@@ -147,26 +149,27 @@
 			operators.add(sim.Operators)
 			sum.Acked, sum.Reads, sum.Kills, sum.DiskLosses, sum.Joins = sum.Acked+sim.Acked, sum.Reads+sim.Reads, sum.Kills+sim.Kills, sum.DiskLosses+sim.DiskLosses, sum.Joins+sim.Joins
 			sum.SlowestRejoin = max(sum.SlowestRejoin, sim.SlowestRejoin)
-			sum.Grown, sum.Shrunk, sum.Replaced, sum.Removed, sum.Blackouts = sum.Grown+sim.Grown, sum.Shrunk+sim.Shrunk, sum.Replaced+sim.Replaced, sum.Removed+sim.Removed, sum.Blackouts+sim.Blackouts
+			sum.Grown, sum.Shrunk, sum.Replaced, sum.Removed, sum.MinorityLosses = sum.Grown+sim.Grown, sum.Shrunk+sim.Shrunk, sum.Replaced+sim.Replaced, sum.Removed+sim.Removed, sum.MinorityLosses+sim.MinorityLosses
 		}
 	})
-	histories.checkJudged(t, 5)
-	t.Logf("%d writes acknowledged, %d reads, %d kills, %d disks lost, %d joined, %d grown, %d shrunk, %d replaced, %d removed, %d blackouts; all were members %v after the first 15 s at the latest; two operators: %s",
-		sum.Acked, sum.Reads, sum.Kills, sum.DiskLosses, sum.Joins, sum.Grown, sum.Shrunk, sum.Replaced, sum.Removed, sum.Blackouts, sum.SlowestRejoin, operators)
-	if sum.Acked == 0 || sum.Grown == 0 || sum.Shrunk == 0 || sum.Replaced == 0 || sum.Removed == 0 || sum.Blackouts == 0 || operators.incomplete() {
-		t.Error("the faults or the work did not come about")
+	histories.checkCoverage(t, 5)
+	t.Logf("%d writes acknowledged, %d reads, %d kills, %d disks lost, %d joined, %d grown, %d shrunk, %d replaced, %d removed, %d losses of a minority; all replicas were members within 15 s plus %v; two operators: %s",
+		sum.Acked, sum.Reads, sum.Kills, sum.DiskLosses, sum.Joins, sum.Grown, sum.Shrunk, sum.Replaced, sum.Removed, sum.MinorityLosses, sum.SlowestRejoin, operators)
+	if sum.Acked == 0 || sum.Grown == 0 || sum.Shrunk == 0 || sum.Replaced == 0 || sum.Removed == 0 || sum.MinorityLosses == 0 || operators.incomplete() {
+		t.Error("a count of faults or of work is zero, so a case was not exercised")
 	}
 }
 
-// As many replicas as the member set tolerates are lost at once, come back or are replaced,
-// and 4 s later as many others are lost, also right after a planned replacement. Each time
-// writes and reads go on, nothing acknowledged is lost, and within those 4 s all replicas are
-// full members of a set that tolerates the next loss.
+// Guards against a member set that does not recover from one tolerated loss in time for the next. As
+// many replicas as the member set tolerates are lost at once, return or are replaced, and 4 s later as
+// many are lost again, also right after a planned replacement. After each loss writes and reads must
+// succeed, and no acknowledged write may be lost. Within these 4 s all replicas must be full members of
+// a set that tolerates the next loss.
 func TestSecondLoss(t *testing.T) {
 	lost, planned, slowest := 0, 0, time.Duration(0)
 	var histories historyCounts
-	const share = 10 // a seed is four runs of six rounds, so one of ten seeds is run
-	for seed := *first; seed < *first+uint64(*seeds+share-1)/share; seed++ {
+	const seedDivisor = 10 // a seed means four simulations of six rounds each, so only a tenth of the seeds is run
+	for seed := *first; seed < *first+uint64(*seeds+seedDivisor-1)/seedDivisor; seed++ {
 		for _, size := range []int{3, 4, 5, 11} {
 			sim := NewLosses(seed, size)
 			traceSingle(t, sim.Consensus)
@@ -176,9 +179,9 @@
 			lost, planned, slowest = lost+sim.LostReplicas, planned+sim.PlannedReplacements, max(slowest, sim.Slowest)
 		}
 	}
-	t.Logf("%d replicas lost, %d replaced as planned; writes and reads waited %v at most", lost, planned, slowest)
+	t.Logf("%d replicas lost, %d replaced as planned; writes and reads were interrupted for at most %v", lost, planned, slowest)
 	if lost == 0 || planned == 0 {
-		t.Error("the losses did not come about")
+		t.Error("no replica was lost, or none was replaced as planned")
 	}
-	histories.checkJudged(t, 10)
+	histories.checkCoverage(t, 10)
 }
--- a/tests/simulation/slowstart_test.go
+++ b/tests/simulation/slowstart_test.go
@@ -11,19 +11,18 @@
 )
 
 const (
-	// slowStartCapacity is how many requests the backend can bear once it is warm.
+	// slowStartCapacity is how many concurrent requests the backend can handle once warm.
 	slowStartCapacity = 20
-	// slowStartRamp is how long it takes to get warm, from a fifth of its capacity.
+	// slowStartRamp is how long the backend takes to warm up from a fifth of its capacity.
 	slowStartRamp = 20 * time.Second
-	// longestRun is the longest time that the backend works on a request.
-	longestRun = 4 * time.Second
-	// overrunFactor is how many times its present capacity the backend may run at most.
-	overrunFactor = 1.5
+	// maxServiceTime is the maximum time that the backend takes to process a request.
+	maxServiceTime = 4 * time.Second
+	// overloadFactor is the maximum ratio of running requests to the current capacity.
+	overloadFactor = 1.5
 )
 
-// slowStart is a run of a backend that warms up behind a sidecar that is killed again and
-// again, while requests come in bursts. The admission queue and the concurrency limit are
-// the production's.
+// slowStart simulates a backend that warms up behind a sidecar that is killed repeatedly, while
+// requests arrive in bursts. The admission queue and the concurrency limit are production code.
 type slowStart struct {
 	randomClock
 	t        *testing.T
@@ -33,29 +32,30 @@
 	endpoint endpoints.Endpoint
 	running  int
 
-	// The state of the sidecar's present incarnation.
+	// State of the sidecar's current incarnation.
 	queue       *endpoints.AdmissionQueue
 	incarnation int
 	started     time.Duration
 	waiting     map[uint64]func()
 
 	kills, ran int
-	highest    float64 // of running requests over the present capacity
+	highest    float64 // highest ratio of running requests to the current capacity
 }
 
-// restart starts the sidecar with an empty queue. What runs at the backend goes on.
+// restart starts the sidecar with an empty queue. The backend keeps processing its requests.
 func (s *slowStart) restart() {
 	s.queue, s.started, s.waiting = &endpoints.AdmissionQueue{}, s.now, map[uint64]func(){}
 	s.incarnation++
 }
 
-// limit is the concurrency limit as of now, by the capacity share that the backend reports.
+// limit updates the capacity share that the backend reports and returns the current concurrency
+// limit.
 func (s *slowStart) limit() int64 {
 	s.endpoint.CapacityShare = min(1, 0.2+0.8*float64(s.now)/float64(slowStartRamp))
 	return s.endpoint.ConcurrencyLimit(1, s.table.EarlierRequestsMayRun(s.now-s.started), s.base.Add(s.now))
 }
 
-// apply starts the requests that the queue lets go, and drops those that it rejects.
+// apply starts the requests that the queue has admitted and drops those that it has rejected.
 func (s *slowStart) apply(transition endpoints.Transition) {
 	for _, id := range transition.Started {
 		s.waiting[id]()
@@ -66,7 +66,7 @@
 	}
 }
 
-// request asks the queue to admit a request.
+// request submits a request to the queue.
 func (s *slowStart) request() {
 	incarnation := s.incarnation
 	run := func() { s.serve(incarnation) }
@@ -80,15 +80,16 @@
 	s.apply(enqueued.Transition)
 }
 
-// serve has the backend run a request for a while.
+// serve runs a request at the backend and checks the number of running requests against the
+// current capacity.
 func (s *slowStart) serve(incarnation int) {
 	s.running++
 	s.ran++
 	capacity := slowStartCapacity * s.endpoint.CapacityShare
-	if s.highest = max(s.highest, float64(s.running)/capacity); float64(s.running) > overrunFactor*capacity+1 {
-		s.t.Errorf("seed %d at %v: %d run, the backend can bear %.1f; repeat: go test ./tests/simulation -run %s -first %d -seeds 1", s.seed, s.now, s.running, capacity, s.t.Name(), s.seed)
+	if s.highest = max(s.highest, float64(s.running)/capacity); float64(s.running) > overloadFactor*capacity+1 {
+		s.t.Errorf("seed %d at %v: got %d running requests with a capacity of %.1f, want at most 1.5 times the capacity plus 1; repeat: go test ./tests/simulation -run %s -first %d -seeds 1", s.seed, s.now, s.running, capacity, s.t.Name(), s.seed)
 	}
-	took := longestRun - s.randomDuration(longestRun/4)
+	took := maxServiceTime - s.randomDuration(maxServiceTime/4)
 	s.after(took, func() {
 		s.running--
 		if s.incarnation == incarnation {
@@ -97,7 +98,7 @@
 	})
 }
 
-// burst sends requests all at once, again and again.
+// burst submits up to 59 requests at once, and schedules the next burst.
 func (s *slowStart) burst() {
 	for range s.rng.IntN(60) {
 		s.request()
@@ -105,20 +106,21 @@
 	s.after(s.randomDuration(400*time.Millisecond), s.burst)
 }
 
-// kill kills the sidecar, again and again.
+// kill restarts the sidecar and schedules the next kill.
 func (s *slowStart) kill() {
 	s.kills++
 	s.restart()
-	s.after(longestRun+s.randomDuration(6*time.Second), s.kill)
+	s.after(maxServiceTime+s.randomDuration(6*time.Second), s.kill)
 }
 
-// A cold backend that gets bursts of requests, and whose sidecar is killed again and again
-// while its runs go on, never runs more than one and a half times what it can bear at that
-// moment; in between it is used.
+// Guards against overload of a cold backend after its sidecar restarts. A restarted sidecar does not
+// know which requests of its earlier incarnation are still running at the backend. With bursts of
+// requests and repeated kills, the backend must never run more than 1.5 times its current capacity
+// plus one request. It must reach its current capacity at least once.
 func TestSlowStartThroughKills(t *testing.T) {
 	table, ok := routing.NewTable(config.ControlState{Revision: 1, ConfigurationRevision: 1, Configuration: []byte(`{"contracts": [{"name":"c","aim":"1s","expiry":"4s","rank":1}], "ways": [{"name":"w","prefix":"/","service":"s","contract":"c"}]}`)})
 	if !ok {
-		t.Fatal("no table")
+		t.Fatal("the routing table was not built from the configuration")
 	}
 	kills, ran, highest := 0, 0, 0.0
 	forEachSeed(func(seed uint64) {
@@ -136,8 +138,8 @@
 		sim.run(40 * time.Second)
 		kills, ran, highest = kills+sim.kills, ran+sim.ran, max(highest, sim.highest)
 	})
-	t.Logf("%d runs, %d kills, at most %.2f of what it could bear", ran, kills, highest)
+	t.Logf("%d runs, %d kills, at most %.2f times the current capacity", ran, kills, highest)
 	if ran == 0 || kills == 0 || highest < 1 {
-		t.Error("the faults or the work did not come about")
+		t.Error("no run, no kill, or the backend never reached its capacity")
 	}
 }
