--- a/tests/simulation/losses.go
+++ b/tests/simulation/losses.go
@@ -36,8 +36,7 @@
 	PlannedReplacements, LostReplicas int
 }
 
-// NewLosses returns a simulation with size replicas. The first three of them, or fewer, found
-// the cluster.
+// NewLosses returns a simulation with size replicas. Up to three of them found the cluster.
 func NewLosses(seed uint64, size int) *Losses {
 	return &Losses{Consensus: NewDynamicMembership(seed, min(size, 3), NoFaults), replicaCount: size}
 }
