--- a/internal/controlplane/consensus/delta_codec_test.go
+++ b/internal/controlplane/consensus/delta_codec_test.go
@@ -79,21 +79,21 @@
 		for _, kind := range []string{KindDeltaMessage, KindDeltaCommand, KindCommand} {
 			total += counts[kind].CallBytes + counts[kind].ResponseBytes
 		}
-		whole := counts[KindMessage]
-		total += whole.CallBytes - min(whole.CallBytes, readIndexSize*whole.Calls)
+		messages := counts[KindMessage]
+		total += messages.CallBytes - min(messages.CallBytes, readIndexSize*messages.Calls)
 	}
 	return total
 }
 
 // A change of one route costs the replicas only a fraction of the size of the configuration, at
-// whichever replica it is submitted. Only the first change after a restart costs the whole
+// whichever replica it is submitted. Only the first change after a restart costs the full
 // size.
 func TestConfigurationChangeIsSentAsDelta(t *testing.T) {
 	c := newTestCluster(t)
 	for memberID := 1; memberID <= 3; memberID++ {
 		c.start(memberID, false)
 	}
-	whole := uint64(len(configuration(1, 60)) + len(configuration(1, 30)))
+	full := uint64(len(configuration(1, 60)) + len(configuration(1, 30)))
 	for n := 1; n <= 5; n++ {
 		c.put(1+n%3, n)
 	}
@@ -102,13 +102,13 @@
 		c.put(1+n%3, n)
 	}
 	each := (c.bytesSent() - before) / uint64(changes)
-	t.Logf("%d bytes per change of a configuration of %d bytes", each, whole)
-	if each > whole/2 {
-		t.Errorf("%d bytes per change of a configuration of %d bytes, want at most half", each, whole)
+	t.Logf("%d bytes per change of a configuration of %d bytes", each, full)
+	if each > full/2 {
+		t.Errorf("%d bytes per change of a configuration of %d bytes, want at most half", each, full)
 	}
 }
 
-// Members of an earlier version do not support deltas and are sent whole states. No member may
+// Members of an earlier version do not support deltas and are sent full states. No member may
 // ever hold a state other than the submitted one, also while versions are mixed and change with
 // restarts.
 func TestMixedReplicaVersions(t *testing.T) {
--- a/tests/cmd/day/main.go
+++ b/tests/cmd/day/main.go
@@ -57,7 +57,7 @@
 		return false, err
 	}
 	recovery, rollout := d.Slowest()
-	fmt.Printf("day of %s, seed %d: sent %d, ran %d, good %d, not-run %d, unknown %d, interrupted %d\n", size.Name, seed, v.Sent, v.Ran, v.Good, v.NotRun, v.Unknown, v.Interrupted)
+	fmt.Printf("day of %s, seed %d: sent %d, ran %d, succeeded %d, not-run %d, unknown %d, interrupted %d\n", size.Name, seed, v.Sent, v.Ran, v.Succeeded, v.NotRun, v.Unknown, v.Interrupted)
 	fmt.Printf("slowest recovery %v, slowest rollout of a configuration %v\n", recovery.Round(time.Millisecond), rollout.Round(time.Millisecond))
 	for _, line := range d.Recoveries() {
 		fmt.Println(line)
--- a/tests/cmd/fleet/main.go
+++ b/tests/cmd/fleet/main.go
@@ -88,7 +88,7 @@
 	f.RunClients(load, clients...)
 	v := f.Ledger.Judge()
 	fmt.Print(report)
-	fmt.Printf("sent %d (inner calls included), ran %d, good %d, not-run %d, unknown %d\n", v.Sent, v.Ran, v.Good, v.NotRun, v.Unknown)
+	fmt.Printf("sent %d (inner calls included), ran %d, succeeded %d, not-run %d, unknown %d\n", v.Sent, v.Ran, v.Succeeded, v.NotRun, v.Unknown)
 	fmt.Printf("in another zone than the sender's: %.1f%%; runs by backend: %v\n", 100*float64(v.CrossZone)/float64(v.Ran), v.Spread)
 	read, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
--- a/tests/e2e/budget_test.go
+++ b/tests/e2e/budget_test.go
@@ -11,8 +11,8 @@
 
 // budgets holds the fields of GET /v1/budgets that the test reads.
 type budgets struct {
-	Whole   bool
-	Budgets []struct {
+	Complete bool `json:"whole"`
+	Budgets  []struct {
 		Contract, Left string
 		Requests       int64 `json:"inquiries"`
 		Kept           bool
@@ -32,7 +32,7 @@
 			must(t, fleet.Await(r.ctx, p.Name+" to report the budget", func(ctx context.Context) bool {
 				var b budgets
 				_, err := p.Get(ctx, "/v1/budgets", &b)
-				if err != nil || !b.Whole {
+				if err != nil || !b.Complete {
 					return false
 				}
 				for _, c := range b.Budgets {
--- a/tests/e2e/day_test.go
+++ b/tests/e2e/day_test.go
@@ -21,7 +21,7 @@
 	for _, b := range v.Breaches {
 		t.Error("broken rule: ", b)
 	}
-	if v.Good == 0 {
+	if v.Succeeded == 0 {
 		t.Error("no request succeeded")
 	}
 }
--- a/tests/e2e/drain_test.go
+++ b/tests/e2e/drain_test.go
@@ -180,8 +180,8 @@
 	must(t, awaitRuns(ctx, f.Backends[3].Runs.Load, runsInForce+5))
 	stop()
 	checkLedger(t, f)
-	if v := f.Ledger.Judge(); v.Good != v.Sent {
-		t.Errorf("of %d requests sent only %d succeeded, want all", v.Sent, v.Good)
+	if v := f.Ledger.Judge(); v.Succeeded != v.Sent {
+		t.Errorf("of %d requests sent only %d succeeded, want all", v.Sent, v.Succeeded)
 	}
 }
 
--- a/tests/e2e/loss_test.go
+++ b/tests/e2e/loss_test.go
@@ -135,8 +135,8 @@
 			t.Errorf("%s ran %d requests at a time, want at most 1.5 times its cold capacity of %.1f", b.Instance, b.Peak.Load(), capacity)
 		}
 	}
-	if v := checkLedger(t, f); v.Interrupted > 0 || v.LostEarly > 0 {
-		t.Errorf("%d requests were interrupted, and %d had an unknown outcome before the deadline; want 0", v.Interrupted, v.LostEarly)
+	if v := checkLedger(t, f); v.Interrupted > 0 || v.UnknownBeforeDeadline > 0 {
+		t.Errorf("%d requests were interrupted, and %d had an unknown outcome before the deadline; want 0", v.Interrupted, v.UnknownBeforeDeadline)
 	}
 }
 
--- a/tests/e2e/main_test.go
+++ b/tests/e2e/main_test.go
@@ -107,12 +107,12 @@
 	for _, breach := range v.Breaches[:min(len(v.Breaches), maxReported)] {
 		t.Error("broken rule: ", breach)
 	}
-	if v.Good == 0 {
+	if v.Succeeded == 0 {
 		t.Error("no request succeeded")
 	}
 	for _, interruption := range v.Interruptions[:min(len(v.Interruptions), maxReported)] {
 		t.Log("request without an answer: ", interruption)
 	}
-	t.Logf("sent %d, ran %d, good %d, not-run %d, unknown %d, interrupted %d, broken rules %d", v.Sent, v.Ran, v.Good, v.NotRun, v.Unknown, v.Interrupted, len(v.Breaches))
+	t.Logf("sent %d, ran %d, succeeded %d, not-run %d, unknown %d, interrupted %d, broken rules %d", v.Sent, v.Ran, v.Succeeded, v.NotRun, v.Unknown, v.Interrupted, len(v.Breaches))
 	return v
 }
--- a/tests/e2e/mixed_test.go
+++ b/tests/e2e/mixed_test.go
@@ -69,8 +69,8 @@
 				applyChanges(t, ctx, f)
 			}
 			stop()
-			if v := checkLedger(t, f); v.Interrupted > 0 || v.LostEarly > 0 {
-				t.Errorf("%d requests were interrupted, and %d had an unknown outcome before the deadline; want 0", v.Interrupted, v.LostEarly)
+			if v := checkLedger(t, f); v.Interrupted > 0 || v.UnknownBeforeDeadline > 0 {
+				t.Errorf("%d requests were interrupted, and %d had an unknown outcome before the deadline; want 0", v.Interrupted, v.UnknownBeforeDeadline)
 			}
 		})
 	}
--- a/tests/e2e/restart_test.go
+++ b/tests/e2e/restart_test.go
@@ -28,8 +28,8 @@
 		must(t, f.AwaitServing(ctx, revision, len(f.Size.Backends)))
 	}
 	stop()
-	if v := checkLedger(t, f); v.Interrupted > 0 || v.LostEarly > 0 {
-		t.Errorf("%d requests were interrupted, and %d had an unknown outcome before the deadline; want 0", v.Interrupted, v.LostEarly)
+	if v := checkLedger(t, f); v.Interrupted > 0 || v.UnknownBeforeDeadline > 0 {
+		t.Errorf("%d requests were interrupted, and %d had an unknown outcome before the deadline; want 0", v.Interrupted, v.UnknownBeforeDeadline)
 	}
 }
 
@@ -97,7 +97,7 @@
 		must(t, f.AwaitServing(ctx, revision, len(f.Size.Backends)))
 	}
 	stop()
-	if v := checkLedger(t, f); v.Interrupted > 0 || v.LostEarly > 0 {
-		t.Errorf("%d requests were interrupted, and %d had an unknown outcome before the deadline; want 0", v.Interrupted, v.LostEarly)
+	if v := checkLedger(t, f); v.Interrupted > 0 || v.UnknownBeforeDeadline > 0 {
+		t.Errorf("%d requests were interrupted, and %d had an unknown outcome before the deadline; want 0", v.Interrupted, v.UnknownBeforeDeadline)
 	}
 }
--- a/tests/e2e/trace_test.go
+++ b/tests/e2e/trace_test.go
@@ -14,7 +14,7 @@
 	"curlewwalk/tests/fleet"
 )
 
-// TestTraceTree checks that any replica returns the whole tree of a request and its nested calls. Each
+// TestTraceTree checks that any replica returns the complete tree of a request and its nested calls. Each
 // hop must have identifiers, and each span its four events in logical order. An answer must contain
 // identifiers only if the client sent some.
 func TestTraceTree(t *testing.T) {
@@ -58,8 +58,8 @@
 func checkTraceTree(t *testing.T, tree fleet.TraceTree) {
 	t.Helper()
 	root, child := tree.Roots[0], tree.Roots[0].Children[0]
-	if root.Parent != "00000000000000ff" || root.Route != "order-read" || root.Caller != "" || tree.Whole {
-		t.Errorf("got root %+v, whole %v; want a root of order-read in an incomplete tree, since the client's own span is missing", root, tree.Whole)
+	if root.Parent != "00000000000000ff" || root.Route != "order-read" || root.Caller != "" || tree.Complete {
+		t.Errorf("got root %+v, complete %v; want a root of order-read in an incomplete tree, since the client's own span is missing", root, tree.Complete)
 	}
 	if child.Parent != root.Span || child.Route != "stock-read" || child.Caller != "orders" || child.Link != "proven" || len(child.Candidates) != 1 {
 		t.Errorf("got child %+v, want a proven call of stock-read by orders", child)
--- a/tests/fleet/trace.go
+++ b/tests/fleet/trace.go
@@ -2,10 +2,10 @@
 
 // TraceTree contains the fields that the tests read from the answer to GET /v1/traces/ID.
 type TraceTree struct {
-	Spans   int        `json:"spans"`
-	Whole   bool       `json:"whole"`
-	Roots   []SpanNode `json:"roots"`
-	Unasked []int      `json:"unasked"`
+	Spans      int        `json:"spans"`
+	Complete   bool       `json:"whole"`
+	Roots      []SpanNode `json:"roots"`
+	NotQueried []int      `json:"unasked"`
 }
 
 // SpanNode is one span of a trace, with its child spans.
--- a/tests/golden/documents_test.go
+++ b/tests/golden/documents_test.go
@@ -40,9 +40,9 @@
 // the golden file is re-encoded as the same bytes after it was read.
 func TestConfiguration(t *testing.T) {
 	const name = "documents/configuration.json"
-	var whole config.Configuration
-	golden.Fill(&whole, golden.JSON.Tag)
-	golden.Check(t, name, whole.Bytes())
+	var complete config.Configuration
+	golden.Fill(&complete, golden.JSON.Tag)
+	golden.Check(t, name, complete.Bytes())
 	stored, err := os.ReadFile(golden.Path(name))
 	if err != nil {
 		t.Fatal(err)
--- a/tests/ledger/verdict.go
+++ b/tests/ledger/verdict.go
@@ -8,11 +8,12 @@
 
 // Verdict is the result of checking the records of a test run.
 type Verdict struct {
-	// Sent, Ran and Answered count all requests, runs and answers. Good counts the answers
+	// Sent, Ran and Answered count all requests, runs and answers. Succeeded counts the answers
 	// from backends. NotRun and Unknown count the answers of sidecars with these outcomes.
-	Sent, Ran, Answered, Good, NotRun, Unknown int
-	// LostEarly counts the unknown outcomes that were reported before the request's deadline.
-	LostEarly int
+	Sent, Ran, Answered, Succeeded, NotRun, Unknown int
+	// UnknownBeforeDeadline counts the unknown outcomes that were reported before the request's
+	// deadline.
+	UnknownBeforeDeadline int
 	// Interrupted counts the requests that got no answer, and the refused ones of which an
 	// earlier send got no answer. Interruptions describes each of them.
 	Interrupted   int
@@ -88,10 +89,10 @@
 	case answer.Outcome != "":
 		v.Unknown++
 		if answer.Status != http.StatusGatewayTimeout {
-			v.LostEarly++
+			v.UnknownBeforeDeadline++
 		}
 	default:
-		v.Good++
+		v.Succeeded++
 		if len(l.ran[id]) == 0 {
 			v.breach(RuleWrongAnswer, id, "%s got an answer and never ran", id)
 		}
--- a/tests/simulation/consensus.go
+++ b/tests/simulation/consensus.go
@@ -155,8 +155,8 @@
 // checkRecovery checks that a write and a read succeed after the faults. With dynamic
 // membership it also checks that all replicas become members.
 func (sim *Consensus) checkRecovery() {
-	quiet := sim.now + recoveryLimit
-	sim.run(quiet)
+	recoveryDeadline := sim.now + recoveryLimit
+	sim.run(recoveryDeadline)
 	before := sim.Acked
 	reads := sim.Reads
 	for attempt := 0; attempt < serveAttempts && (sim.Acked == before || sim.Reads == reads); attempt++ {
@@ -170,7 +170,7 @@
 	for attempt := 0; sim.dynamicMembership && attempt < rejoinAttempts; attempt++ {
 		problem := sim.disagreement()
 		if problem == "" {
-			sim.SlowestRejoin = max(sim.SlowestRejoin, sim.now-quiet)
+			sim.SlowestRejoin = max(sim.SlowestRejoin, sim.now-recoveryDeadline)
 			break
 		}
 		if attempt == rejoinAttempts-1 {
--- a/tests/simulation/consensus_network.go
+++ b/tests/simulation/consensus_network.go
@@ -90,12 +90,12 @@
 		return
 	}
 	copies := 1
-	quiet := sim.now >= sim.faults.Until
-	if !quiet && sim.rng.Float64() < sim.faults.Duplicate {
+	faultsEnded := sim.now >= sim.faults.Until
+	if !faultsEnded && sim.rng.Float64() < sim.faults.Duplicate {
 		copies = 2
 	}
 	for range copies {
-		if !quiet && sim.rng.Float64() < sim.faults.Loss {
+		if !faultsEnded && sim.rng.Float64() < sim.faults.Loss {
 			continue
 		}
 		sim.after(time.Millisecond+sim.randomDuration(sim.faults.Delay), func() {
--- a/tests/simulation/membership.go
+++ b/tests/simulation/membership.go
@@ -139,36 +139,36 @@
 		})
 	}
 	sim.after(timeout, func() { finish(nil, false) })
-	quiet := sim.now >= sim.until
-	if sim.lost(from, to, quiet) {
+	faultsEnded := sim.now >= sim.until
+	if sim.lost(from, to, faultsEnded) {
 		return
 	}
-	sim.after(sim.delay(quiet), func() {
+	sim.after(sim.delay(faultsEnded), func() {
 		if !to.up {
 			finish(nil, true)
 			return
 		}
 		targetIncarnation := to.incarnation
 		sim.after(max(0, to.pausedUntil-sim.now), func() {
-			if to.incarnation != targetIncarnation || !to.up || sim.lost(from, to, quiet) {
+			if to.incarnation != targetIncarnation || !to.up || sim.lost(from, to, faultsEnded) {
 				return
 			}
 			answer := handle()
-			sim.after(sim.delay(quiet), func() { finish(answer, false) })
+			sim.after(sim.delay(faultsEnded), func() { finish(answer, false) })
 		})
 	})
 }
 
-// lost reports whether a message is lost, at random or by a partition. Messages of a quiet call,
-// which starts after the faults have stopped, are lost only by a partition.
-func (sim *Membership) lost(from, to *gossipHost, quiet bool) bool {
-	return !quiet && sim.rng.IntN(12) == 0 || from.partition != to.partition
+// lost reports whether a message is lost, at random or by a partition. Messages of a call
+// that starts after the faults have ended are lost only by a partition.
+func (sim *Membership) lost(from, to *gossipHost, faultsEnded bool) bool {
+	return !faultsEnded && sim.rng.IntN(12) == 0 || from.partition != to.partition
 }
 
-// delay draws the delay of a message. One message in 30 takes up to 2 s, unless its call is
-// quiet.
-func (sim *Membership) delay(quiet bool) time.Duration {
-	if !quiet && sim.rng.IntN(30) == 0 {
+// delay draws the delay of a message. One message in 30 takes up to 2 s, unless its call starts
+// after the faults have ended.
+func (sim *Membership) delay(faultsEnded bool) time.Duration {
+	if !faultsEnded && sim.rng.IntN(30) == 0 {
 		return sim.randomDuration(2 * time.Second)
 	}
 	return sim.randomDuration(10 * time.Millisecond)
--- a/tests/style/names_test.go
+++ b/tests/style/names_test.go
@@ -89,6 +89,7 @@
 		{"log attribute key", "func f() { s.Log.Warn(\"joined\", \"stamp\", 1) }", []string{"stamp"}},
 		{"notice", "func f() { p.Notice(\"the keeper started\") }", []string{"keeper"}},
 		{"constant for a log attribute key", "const logZone = \"locality\"", []string{"locality"}},
+		{"figurative word", "func isHopeless() {}", []string{"hopeless"}},
 		{"two in one line", "func f(vote, boot int) {}", []string{"vote", "boot"}},
 
 		{"timestamp is one word", "var Timestamp, heartbeat, bootstrap, keyword int", nil},
--- a/tests/style/terms.go
+++ b/tests/style/terms.go
@@ -21,7 +21,8 @@
 	// Faults and repair.
 	"trouble", "mishap", "standin", "herd", "mend", "mended",
 	// Figurative words of various parts.
-	"riddle", "cutshort",
+	"riddle", "cutshort", "hopeless", "postpone", "stranger", "briefly", "faithful", "bearable", "foreign",
+	"overtaken", "doubted", "narrative", "blackout", "whole", "quiet",
 }
 
 // compatibilityNames are the identifiers, log messages and log attribute keys that may contain a
