--- a/internal/config/evacuation.go
+++ b/internal/config/evacuation.go
@@ -15,8 +15,8 @@
 }
 
 // EvacuationRevision returns the revision of the newest order on a zone. If the state stores no
-// order on the zone, known is false. The revision is then an upper bound on that of an order that
-// was dropped from the state.
+// order on the zone, known is false. In that case, no order on the zone that was dropped from the
+// state has a revision above the returned one.
 func (s ControlState) EvacuationRevision(zone string) (revision uint64, known bool) {
 	for _, e := range s.Evacuations {
 		if e.Zone == zone {
--- a/internal/config/fuzz_test.go
+++ b/internal/config/fuzz_test.go
@@ -27,7 +27,7 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		configuration, violations, ok := config.Parse(b)
 		if ok != json.Valid(b) {
-			t.Errorf("got ok %v, want the opposite", ok)
+			t.Errorf("Parse returned ok %v, but json.Valid returns the opposite", ok)
 		}
 		if !ok || len(violations) > 0 {
 			return
--- a/internal/config/validate_test.go
+++ b/internal/config/validate_test.go
@@ -95,7 +95,7 @@
 				want[path] = true
 			}
 			if d := cmp.Diff(want, violationPaths(violations)); d != "" || !ok {
-				t.Errorf("unexpected violation paths: %s from %v", d, violations)
+				t.Errorf("violation paths (-want +got): %s; got violations %v", d, violations)
 			}
 		})
 	}
--- a/internal/controlplane/leave.go
+++ b/internal/controlplane/leave.go
@@ -20,8 +20,8 @@
 
 // leaveMembership removes this stopping replica from the membership, unless the remaining members
 // would tolerate fewer failures. It returns once the change is in force, if the replica stays a
-// member, or after leaveTimeout. Once the change is in force, no majority needs this replica, not
-// even after a further failure. (DESIGN 6.5)
+// member, or after leaveTimeout. Once the change is in force, the other members do not need this
+// replica for a majority, even after a further failure. (DESIGN 6.5)
 func (n *Node) leaveMembership(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
 	defer cancel()
--- a/internal/delta/delta.go
+++ b/internal/delta/delta.go
@@ -144,8 +144,8 @@
 	return blocks
 }
 
-// findMatch returns a run of the base that equals the bytes of the target from offset at on. A
-// length of zero means that there is no match.
+// findMatch returns a run of the base that equals the bytes of the target that begin at offset at.
+// A length of zero means that there is no match.
 func findMatch(base, target []byte, at int, blocks map[[blockSize]byte]int) (from, length int) {
 	if at+blockSize > len(target) || blocks == nil {
 		return 0, 0
--- a/internal/maintenance/parse.go
+++ b/internal/maintenance/parse.go
@@ -148,7 +148,7 @@
 }
 
 // parseTimes parses the start and the duration of the current event. Times without a time zone are
-// in UTC. It returns false if they cannot be parsed.
+// in UTC. parseTimes returns false if the start or the end cannot be parsed.
 func (p *parser) parseTimes(component ical.Event, parsed *event) bool {
 	if component.Props.Get(ical.PropDateTimeStart) == nil {
 		p.addViolation(p.eventLine, "the event has no DTSTART")
--- a/internal/membership/departures_test.go
+++ b/internal/membership/departures_test.go
@@ -20,7 +20,7 @@
 		d = next
 	}
 	if got := len(d.List()); got != MaxDepartures || d.Contains("9") || !d.Contains("10") {
-		t.Errorf("%d instances kept, or not the newest ones", got)
+		t.Errorf("got %d kept instances, want MaxDepartures, and these the newest", got)
 	}
 	if _, changed := d.Add("10", fmt.Sprint(MaxDepartures)); changed {
 		t.Error("adding known instances reports a change")
--- a/internal/membership/failure_detector_test.go
+++ b/internal/membership/failure_detector_test.go
@@ -71,7 +71,7 @@
 	} {
 		detector.ObserveProbe(nodes[1], c.response, c.refused)
 		if got := detector.Suspects(known); len(got) != c.suspects {
-			t.Errorf("%s: got unexpected suspicions %+v", c.name, got)
+			t.Errorf("%s: got the wrong number of suspicions: %+v", c.name, got)
 		}
 	}
 	suspicion := detector.Suspects(known)[0]
--- a/internal/membership/gossiper_test.go
+++ b/internal/membership/gossiper_test.go
@@ -297,7 +297,7 @@
 		sidecars[i].round(t.Context())
 		after := sidecars[i].Client.Counters.Snapshot()[KindGossip]
 		if state := sidecars[i].state; state == nil || state.Revision != 8 || string(state.Configuration) != string(configuration) {
-			t.Errorf("sidecar %d has revision 8: %v, or has another configuration", i, state != nil && state.Revision == 8)
+			t.Errorf("sidecar %d: got revision 8: %v, want true and the complete configuration", i, state != nil && state.Revision == 8)
 		}
 		if got := after.ResponseBytes - before.ResponseBytes; got > maxBytes {
 			t.Errorf("sidecar %d received responses of %d bytes, above the limit", i, got)
--- a/internal/watch/departures.go
+++ b/internal/watch/departures.go
@@ -12,8 +12,9 @@
 
 // departureLog stores the departures that sidecars reported, also after the sidecars' processes
 // have ended. A sidecar that restarts receives the departures that earlier processes at its address
-// had reported. Only the newest membership.MaxReportedDepartures of each address are stored.
-// (DESIGN 9.1)
+// had reported. For a limited time, sidecars delay the acknowledgment of a departure until a replica
+// has stored it, so that the departure survives the process. Only the newest
+// membership.MaxReportedDepartures of each address are stored. (DESIGN 9.1)
 type departureLog struct {
 	byNode map[string]nodeDepartures
 	// count is the number of departures of all nodes.
--- a/internal/watch/drain.go
+++ b/internal/watch/drain.go
@@ -17,7 +17,7 @@
 	// LaggingNodes lists the addresses of the nodes that have not applied Revision yet.
 	LaggingNodes []string `json:"behind"`
 	// Done is set while the zone is evacuated, no request is open and no node lags. DoneFor is how
-	// long that has been so, in the format of time.Duration.
+	// long Done has been set, in the format of time.Duration.String.
 	Done    bool   `json:"done"`
 	DoneFor string `json:"done_for,omitempty"`
 }
--- a/internal/watch/heartbeat_test.go
+++ b/internal/watch/heartbeat_test.go
@@ -159,7 +159,7 @@
 }
 
 // TestHeartbeatsConverge checks two properties while heartbeats and responses are lost, delayed and
-// reordered, replicas and sidecars restart, and the replica may run an older version. The replica
+// reordered, the replica and sidecars restart, and the replica may run an older version. The replica
 // never has a node with other backends than the node announced. After two heartbeats with responses
 // it has the newest state of the node, even if older heartbeats arrive later.
 func TestHeartbeatsConverge(t *testing.T) {
--- a/internal/watch/replica_selector.go
+++ b/internal/watch/replica_selector.go
@@ -13,11 +13,11 @@
 	// initialTimeout is how long a watcher initially waits for a response. The replica itself may
 	// wait for maxWait; the rest is for the network and the processing.
 	initialTimeout = 900 * time.Millisecond
-	// maxTimeout is the upper limit of the timeout. It is below 4 s, the duration of a sidecar's
-	// lease. The lease counts from a moment before the last response (see Updates.Age).
+	// maxTimeout is the upper limit of the timeout. No response may take longer, since a sidecar's
+	// lease lasts 4 s. The lease counts from a moment before the last response (see Updates.Age).
 	maxTimeout = 3600 * time.Millisecond
 	// initialBackoff is the pause after a call without a response, or if no replica is live. It
-	// doubles with each such failure, up to maxBackoff, and is reset by a response. Without it, a
+	// doubles with each such failure, up to maxBackoff, and is reset by a response. Without the pause, a
 	// hundred watchers that send ten requests per second would keep a replica that has just started
 	// from becoming ready.
 	initialBackoff = 100 * time.Millisecond
