--- a/internal/watch/replica_selector.go
+++ b/internal/watch/replica_selector.go
@@ -16,10 +16,11 @@
 	// maxTimeout is the upper limit of the timeout. No response may take longer, since a sidecar's
 	// lease lasts 4 s. The lease counts from a moment before the last response (see Updates.Age).
 	maxTimeout = 3600 * time.Millisecond
-	// initialBackoff is the pause after a call without a response, or if no replica is live. It
-	// doubles with each such failure, up to maxBackoff, and is reset by a response. Without the pause, a
-	// hundred watchers that send ten requests per second would keep a replica that has just started
-	// from becoming ready.
+	// initialBackoff is the pause after a call without a response, or if no replica is live. The
+	// pause doubles with each such failure, up to maxBackoff, and is reset by a response. Without
+	// the pause, a hundred watchers that send ten requests per second would keep a replica that has
+	// just started from becoming ready. The watcher also pauses for initialBackoff after a response
+	// with a confirmation older than maxConfirmationAge.
 	initialBackoff = 100 * time.Millisecond
 	maxBackoff     = 400 * time.Millisecond
 	// avoidFailedFor is how long a failed replica is chosen only after the others. After that time
