--- a/internal/dataplane/agent.go
+++ b/internal/dataplane/agent.go
@@ -28,7 +28,7 @@
 	SlowStart routing.SlowStart
 }
 
-// agentDeps holds the collaborators of the agent.
+// agentDeps holds the dependencies of the agent.
 type agentDeps struct {
 	Actors         *actor.System
 	RetryBudgets   *retrybudget.ServiceBudgets
--- a/internal/dataplane/causality/call_pattern.go
+++ b/internal/dataplane/causality/call_pattern.go
@@ -48,9 +48,8 @@
 
 // density returns the likelihood density of a call at a delay, up to a constant factor. It
 // divides the likelihood of a bucket by the delay, to which the bucket's width is roughly
-// proportional. If p
-// is nil or has fewer than minPatternCalls calls, density treats all buckets as equally
-// likely.
+// proportional. If p is nil or has fewer than minPatternCalls calls, density treats all
+// buckets as equally likely.
 func (p *callPattern) density(delay time.Duration) float64 {
 	width := float64(max(delay, lowestBucket))
 	if p == nil || p.calls < minPatternCalls {
--- a/internal/dataplane/causality/inference.go
+++ b/internal/dataplane/causality/inference.go
@@ -10,9 +10,9 @@
 	maxInferences = 256
 	// minCandidateShare is the share below which a candidate is not reported.
 	minCandidateShare = 0.01
-	// minExpected is the minimum number of calls that a request is expected to make, and the
-	// minimum of the number or fraction of these calls that are outstanding, so that learned
-	// patterns never exclude a candidate entirely.
+	// minExpected is the lower bound of the number of calls that a request is expected to
+	// make. It is also the lower bound of the number, and of the fraction, of these calls that
+	// are still outstanding. Learned patterns therefore never exclude a candidate entirely.
 	minExpected = 0.02
 )
 
--- a/internal/dataplane/egress.go
+++ b/internal/dataplane/egress.go
@@ -27,7 +27,7 @@
 	Fixed map[string]string
 }
 
-// egressDeps holds the collaborators of the egress listeners.
+// egressDeps holds the dependencies of the egress listeners.
 type egressDeps struct {
 	// Services returns the services that are known to this node.
 	Services func() []string
--- a/internal/dataplane/freshness.go
+++ b/internal/dataplane/freshness.go
@@ -29,8 +29,9 @@
 	return s.agent.peerLease.Age(now) <= endpoints.LeaseDuration && s.discovery.Replicas().QuorumLost(now)
 }
 
-// configurationUnconfirmed reports whether a newer configuration may already be in force on
-// other sidecars. In that case, this sidecar must not reject a request for lack of a route.
+// configurationUnconfirmed reports whether this sidecar's configuration has been unconfirmed for
+// so long that a newer one may already be in force on other sidecars. In that case, this sidecar
+// must not report that a request has no route.
 // (DESIGN 7.2)
 func (s *Sidecar) configurationUnconfirmed() bool {
 	now := time.Now()
--- a/internal/dataplane/idempotency/decision.go
+++ b/internal/dataplane/idempotency/decision.go
@@ -24,7 +24,7 @@
 	// Response is the response to the first request if Decision is Replay, and the zero value
 	// otherwise.
 	Response T
-	// Retry reports that the first request released its reservation while this request was
+	// Retry reports whether the first request released its reservation while this request was
 	// waiting for the response. The caller must reserve the key again, and ignore Decision.
 	Retry bool
 }
--- a/internal/dataplane/idempotency/table.go
+++ b/internal/dataplane/idempotency/table.go
@@ -47,7 +47,7 @@
 type entry[T any] struct {
 	fingerprint Fingerprint
 	completed   bool
-	// evicted reports that the response is no longer stored.
+	// evicted reports whether the response is no longer stored.
 	evicted     bool
 	completedAt time.Duration
 	response    T
--- a/internal/dataplane/keyreplication/messages.go
+++ b/internal/dataplane/keyreplication/messages.go
@@ -43,8 +43,8 @@
 
 // StoreReply is the reply to KindStore and KindRelease.
 type StoreReply struct {
-	// Accepted reports that the record is stored, or that a later one has already superseded
-	// it. It is always set in the reply to KindRelease.
+	// Accepted reports whether the record is stored, or a later one has already superseded it.
+	// It is always set in the reply to KindRelease.
 	Accepted bool `msgpack:"t"`
 	// Existing is a record of an earlier incarnation of the owner with the same key. The new
 	// record does not replace it.
--- a/internal/dataplane/keyreplication/owner.go
+++ b/internal/dataplane/keyreplication/owner.go
@@ -31,7 +31,7 @@
 	Zone        string
 }
 
-// OwnerDeps holds the collaborators of an Owner.
+// OwnerDeps holds the dependencies of an Owner.
 type OwnerDeps struct {
 	// View returns the current view of the nodes.
 	View func() *membership.View
--- a/internal/dataplane/keyreplication/replica_store.go
+++ b/internal/dataplane/keyreplication/replica_store.go
@@ -48,7 +48,7 @@
 //
 // If there is no room for a response, the record is stored without it. Without the response,
 // a replay learns that the outcome is unknown. Without the record, the replay would be
-// executed.
+// executed again.
 func (s *ReplicaStore) Store(record Record, now time.Duration) StoreReply {
 	if len(s.records) >= maxRecords || s.responseBytes+len(record.Response) > maxResponseBytes {
 		s.removeExpired(now)
--- a/internal/dataplane/metrics.go
+++ b/internal/dataplane/metrics.go
@@ -9,8 +9,8 @@
 	"curlewwalk/internal/metrics"
 )
 
-// Values of the label "side". The client side handles requests from clients. The server side
-// handles attempts for own backends.
+// Values of the label "side". The client side handles requests of callers, which are clients and
+// own backends. The server side handles attempts for own backends.
 const (
 	clientSide = "client"
 	serverSide = "server"
--- a/internal/dataplane/proxy/admit.go
+++ b/internal/dataplane/proxy/admit.go
@@ -73,7 +73,7 @@
 func (in *Inbound) refuse(ctx context.Context, attempt *Attempt, r refusal) AttemptResponse {
 	response := AttemptResponse{ID: attempt.ID, Outcome: routing.NotRun, Reason: string(r.rejection), InFlight: int(r.inFlight), RetryAfter: r.retryAfter}
 	if !in.attemptLog.refuse(context.WithoutCancel(ctx), attempt.ID) {
-		response.Outcome = routing.Unknown // an earlier copy of the attempt has begun
+		response.Outcome = routing.Unknown // an earlier copy of the attempt has begun, or the log has ended
 	}
 	return response
 }
--- a/internal/dataplane/proxy/clientrequest_test.go
+++ b/internal/dataplane/proxy/clientrequest_test.go
@@ -69,7 +69,7 @@
 				t.Fatalf("got response %+v, want a rejection as not run", resp)
 			}
 			if resp, body := conn.receive(); resp != nil && body != "/once/next " {
-				t.Errorf("second response is %+v %q", resp, body)
+				t.Errorf("got second response %+v %q, want the one to /once/next or none", resp, body)
 			}
 			for uri := range p.receivedURIs() {
 				if uri != "/once/next" {
@@ -162,11 +162,11 @@
 		c.send("POST /once/x HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n%s\r\n", fields)
 		resp, body := c.receive()
 		if resp == nil || resp.StatusCode != 200 || body != "ok" {
-			t.Errorf("trailer %q: got response %+v %q", fields, resp, body)
+			t.Errorf("trailer %q: got response %+v %q, want status 200 with body ok", fields, resp, body)
 			continue
 		}
 		if h := <-got; len(h) != 1 || h.Get("X-Sum") != "7" {
-			t.Errorf("trailer %q reached the backend as %v", fields, h)
+			t.Errorf("trailer %q reached the backend as %v, want X-Sum: 7 only", fields, h)
 		}
 	}
 }
--- a/internal/dataplane/proxy/clientwatch_test.go
+++ b/internal/dataplane/proxy/clientwatch_test.go
@@ -150,11 +150,11 @@
 	waitFor(t, "the second request to leave the queue", outstanding(1))
 	close(release)
 	if resp, _ := first.receive(); resp == nil || resp.StatusCode != http.StatusOK {
-		t.Errorf("response to the first request: %+v", resp)
+		t.Errorf("got response %+v to the first request, want status 200", resp)
 	}
 	first.send("POST /once/third HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n")
 	if resp, _ := first.receive(); resp == nil || resp.StatusCode != http.StatusOK {
-		t.Errorf("response to the third request: %+v", resp)
+		t.Errorf("got response %+v to the third request, want status 200", resp)
 	}
 	if n := p.receivedURIs()[uri]; n != 0 {
 		t.Errorf("the request reached the backend %d times, want 0", n)
@@ -174,7 +174,7 @@
 	waitFor(t, "the request to end", func() bool { return p.outbound.Counters.InFlight.Load() == 0 })
 	view.Store(full)
 	if resp, _ := p.get(t, "/look/other"); resp == nil || resp.StatusCode != http.StatusOK {
-		t.Errorf("response to another request: %+v", resp)
+		t.Errorf("got response %+v to another request, want status 200", resp)
 	}
 	if n := p.receivedURIs()["/look/waiting"]; n != 0 {
 		t.Errorf("the request reached the backend %d times, want 0", n)
--- a/internal/dataplane/proxy/connpool.go
+++ b/internal/dataplane/proxy/connpool.go
@@ -105,7 +105,7 @@
 	return nil
 }
 
-// dial opens a connection. It fails when ctx ends.
+// dial opens a connection. It fails if ctx ends or dialTimeout passes before the connection is open.
 func (p *connPool) dial(ctx context.Context, address backendAddress) (*backendConn, error) {
 	dialer := net.Dialer{Timeout: dialTimeout, KeepAlive: -1} // no TCP keep-alive probes
 	tcp, err := dialer.DialContext(ctx, "tcp", address.address)
--- a/internal/dataplane/proxy/exchange_test.go
+++ b/internal/dataplane/proxy/exchange_test.go
@@ -43,7 +43,7 @@
 			want = routing.NotRun
 		}
 		if response.Outcome != want || response.Outcome == routing.Answered && response.Header.Get("For") != attempt.ID || response.ReachedBackend != (n == 3) {
-			t.Fatalf("attempt %d: got response %+v", i, response)
+			t.Fatalf("attempt %d: got response %+v, want its own response, or a declined attempt for each third response of six", i, response)
 		}
 		if n == 2 && (string(response.Body) != "ok" || response.Trailer.Get("Sum") != "7") {
 			t.Fatalf("got body %q, trailer %v, want ok with Sum: 7", response.Body, response.Trailer)
@@ -141,11 +141,11 @@
 		attempt := Attempt{ID: "second"}
 		response := b.send(attempt, nil)
 		if response.Outcome != want || want == routing.Answered && (response.Header.Get("For") != attempt.ID || string(response.Body) != "ok") {
-			t.Errorf("%d mismatched responses: got outcome %v, reason %q, body %q", mismatched, response.Outcome, response.Reason, response.Body)
+			t.Errorf("%d mismatched responses: got outcome %v, reason %q, body %q, want the attempt's own response, or an unknown outcome if there are too many", mismatched, response.Outcome, response.Reason, response.Body)
 		}
 		b.mustAnswer(t, Attempt{})
 		if n := b.connections.Load(); n != int64(min(mismatched, 1)+1) {
-			t.Errorf("%d mismatched responses: got %d connections", mismatched, n)
+			t.Errorf("%d mismatched responses: got %d connections, want 1 without mismatched responses and 2 otherwise", mismatched, n)
 		}
 	}
 }
@@ -321,7 +321,8 @@
 }
 
 // TestNothingWritten checks that if a reused connection fails before a byte was written, the
-// attempt is sent on a new connection after another admission check.
+// attempt is sent on a new connection after another admission check. Such a failure proves that the
+// backend has received nothing.
 func TestNothingWritten(t *testing.T) {
 	release := make(chan struct{})
 	b := newFakeBackend(t, func(r receivedRequest) bool {
--- a/internal/dataplane/proxy/faults_test.go
+++ b/internal/dataplane/proxy/faults_test.go
@@ -200,7 +200,7 @@
 				status, outcome = 502, routing.Unknown
 			}
 			if resp == nil || resp.StatusCode != status || resp.Header.Get(HeaderOutcome) != string(outcome) {
-				t.Errorf("got response %+v %s", resp, body)
+				t.Errorf("got response %+v %s, want 503 and not-run if the cancellation arrives, 502 and unknown otherwise", resp, body)
 			}
 			close(release)
 			response := <-replies
--- a/internal/dataplane/proxy/request_test.go
+++ b/internal/dataplane/proxy/request_test.go
@@ -50,7 +50,7 @@
 			unconfirmed = c.unconfirmed
 			response := serve(o, http.MethodGet, "http://orders.example/new")
 			if retryAfter := response.Header().Get("Retry-After"); response.Code != c.status || (retryAfter != "") != c.unconfirmed {
-				t.Errorf("got status %d, Retry-After %q", response.Code, retryAfter)
+				t.Errorf("got status %d, Retry-After %q, want 404 without Retry-After if the configuration is confirmed, 503 with it otherwise", response.Code, retryAfter)
 			}
 		})
 	}
@@ -66,7 +66,7 @@
 	response := serve(o, http.MethodPost, "http://orders.example/old/1")
 	header := response.Header()
 	if response.Code != http.StatusServiceUnavailable || header.Get(HeaderOutcome) != string(routing.NotRun) || header.Get("Retry-After") == "" {
-		t.Errorf("got status %d, outcome %q, Retry-After %q", response.Code, header.Get(HeaderOutcome), header.Get("Retry-After"))
+		t.Errorf("got status %d, outcome %q, Retry-After %q, want 503, not-run and a Retry-After", response.Code, header.Get(HeaderOutcome), header.Get("Retry-After"))
 	}
 }
 
--- a/internal/dataplane/proxy/warmup_test.go
+++ b/internal/dataplane/proxy/warmup_test.go
@@ -114,6 +114,6 @@
 		}
 	}
 	if got := f.countAnswered(); got != 20 {
-		t.Errorf("after the warm-up, %d of 20 attempts were answered", got)
+		t.Errorf("after the warm-up, %d of 20 attempts were answered, want all", got)
 	}
 }
--- a/internal/dataplane/report_limiter_test.go
+++ b/internal/dataplane/report_limiter_test.go
@@ -30,7 +30,7 @@
 		}
 	}
 	if maxReports := int(burst/reportInterval) + 1; reported > maxReports || last != newest {
-		t.Errorf("%d of %d changes were reported, the last of them number %d; want fewer reports, or the newest change reported last", reported, newest, last)
+		t.Errorf("%d of %d changes were reported, the last of them number %d; want no more reports than the limit allows, and the newest change reported last", reported, newest, last)
 	}
 	if now = now.Add(time.Second); !r.changed(now) {
 		t.Error("a change after the burst was not reported at once")
--- a/internal/dataplane/shutdown.go
+++ b/internal/dataplane/shutdown.go
@@ -90,7 +90,7 @@
 	awaitZero(ctx, func() int64 { return s.inbound.Counters.InFlight.Load() + s.outbound.Counters.InFlight.Load() })
 }
 
-// awaitAnswered blocks until all requests of clients have been answered, or until ctx ends.
+// awaitAnswered blocks until all requests of callers have been answered, or until ctx ends.
 func (s *Sidecar) awaitAnswered(ctx context.Context) {
 	awaitZero(ctx, s.outbound.Counters.InFlight.Load)
 }
@@ -108,7 +108,7 @@
 	}
 }
 
-// closeIdleConnections closes the idle connections of clients. A client may be sending a
+// closeIdleConnections closes the idle connections of callers. A caller may be sending a
 // request on such a connection at the same time, and it could not tell whether the sidecar
 // has read that request. Therefore a response that says that the request was not executed is
 // written to the connection before it is closed.
@@ -130,7 +130,7 @@
 
 // reportShutdown prints the outcomes of the requests that arrived since the stop signal. They
 // are printed because the log ring and the metrics are lost when the process ends.
-// abandonedRequests is the number of client requests that were still open at abandonAt.
+// abandonedRequests is the number of requests of callers that were still open at abandonAt.
 // abandonedAttempts is the number of attempts for own backends that were open then.
 func (s *Sidecar) reportShutdown(signaledAt time.Time, before proxy.Totals, abandonedRequests, abandonedAttempts int64) {
 	total := s.outbound.Counters.Snapshot()
--- a/internal/dataplane/sidecar.go
+++ b/internal/dataplane/sidecar.go
@@ -22,7 +22,7 @@
 
 // Adapter connects a sidecar to a platform with its own protocol. (DESIGN 18)
 type Adapter struct {
-	// Dialect translates requests from clients and responses of backends.
+	// Dialect translates requests of callers and responses of backends.
 	Dialect proxy.Dialect
 	// Open opens the platform's own listeners. New calls it once, after all parts have been
 	// started.
