--- a/internal/controlplane/consensus/acceptor.go
+++ b/internal/controlplane/consensus/acceptor.go
@@ -44,10 +44,10 @@
 	return a, a.reply(message, granted)
 }
 
-// admits reports whether the acceptor may process a message. An acceptor that is not
-// established answers only reads, except that a joining one also accepts all messages other
-// than MsgJoin. An established acceptor rejects senders whose disk has been replaced by another
-// one.
+// admits reports whether the acceptor may process a message. Every acceptor admits reads. A
+// joining acceptor also admits all messages other than MsgJoin. An established acceptor admits
+// MsgJoin if the membership is static, and other messages unless another disk has replaced the
+// sender's. An acceptor in any other phase admits only reads.
 func (a Acceptor) admits(message Message) bool {
 	if message.Type == MsgRead || message.Type == MsgReadIndex {
 		return true
--- a/internal/controlplane/consensus/acceptor_join.go
+++ b/internal/controlplane/consensus/acceptor_join.go
@@ -12,8 +12,8 @@
 // replies of the other static members to a MsgRead. All of them must have answered, and none
 // may hold a state or have lost one. Members that are already established must have recorded
 // this disk when they were established. Otherwise this disk replaces another one and must
-// request the membership by MsgJoin. An acceptor that is established adopts the highest promise
-// among the replies. (DESIGN 6.5)
+// request the membership by MsgJoin. If established is true, next has adopted the highest
+// promise among the replies. (DESIGN 6.5)
 func (a Acceptor) Establish(replies map[int]Reply) (next Acceptor, established bool) {
 	if a.Phase != PhaseEmpty || len(replies) < a.StaticSize-1 {
 		return a, false
--- a/internal/controlplane/consensus/commit_tracker_test.go
+++ b/internal/controlplane/consensus/commit_tracker_test.go
@@ -22,7 +22,7 @@
 		want     bool
 	}{{3, true}, {3, false}, {2, false}, {5, true}, {4, false}} {
 		if got := tracker.deliver(c.revision); got != c.want {
-			t.Errorf("unexpected result of deliver(%d): %v", c.revision, got)
+			t.Errorf("deliver(%d) = %v, want the opposite", c.revision, got)
 		}
 	}
 }
--- a/internal/controlplane/consensus/evacuation_test.go
+++ b/internal/controlplane/consensus/evacuation_test.go
@@ -71,7 +71,7 @@
 			network.expect(duplicate, OutcomeCommitted)
 		}
 		if got := len(network.newestState().EvacuatedByOperator); got != map[string]int{"west": 0, "east": 1}[zone] {
-			t.Errorf("newer command on %s: %d zones are evacuated", zone, got)
+			t.Errorf("newer command on %s: %d zones are evacuated, want 0 for west and 1 for east", zone, got)
 		}
 	}
 }
--- a/internal/controlplane/consensus/health.go
+++ b/internal/controlplane/consensus/health.go
@@ -71,8 +71,8 @@
 }
 
 // RecentlyResumed reports whether the process has recently been suspended. Incoming requests
-// may then be old, and their senders may have given up without the replica having learned of
-// it.
+// may then be old: their senders may have disconnected, and the replica may not have detected
+// that yet.
 func (h Health) RecentlyResumed(now time.Duration) bool {
 	return now-h.lastTick > suspensionGap || h.resumed > 0 && now-h.resumed < resumeGracePeriod
 }
--- a/internal/controlplane/consensus/health_test.go
+++ b/internal/controlplane/consensus/health_test.go
@@ -14,7 +14,7 @@
 	expectHealthy := func(at time.Duration, want bool) {
 		t.Helper()
 		if got := h.Healthy(at); got != want {
-			t.Errorf("at %v: unexpected result of Healthy: %v", at, got)
+			t.Errorf("at %v: Healthy() = %v, want the opposite", at, got)
 		}
 	}
 	expectHealthy(10*second, true)
--- a/internal/controlplane/consensus/proposer.go
+++ b/internal/controlplane/consensus/proposer.go
@@ -10,9 +10,9 @@
 	// resendAfter is the time without a quorum of replies after which the proposer sends a
 	// message again.
 	resendAfter = 250 * time.Millisecond
-	// termBackoff is the delay before a new term after the proposer has lost one. It is
-	// multiplied by the proposer's rank among the member IDs, so that two competing proposers
-	// do not start again at the same time.
+	// termBackoff is the delay before a new term after the proposer has lost one. It applies
+	// once for the proposer itself and once for each member with a lower ID, so that two
+	// competing proposers do not start again at the same time.
 	termBackoff = 100 * time.Millisecond
 	// probeTimeout bounds the wait for the members that a reconfiguration needs. Other commands
 	// are delayed during that wait.
--- a/internal/controlplane/consensus/reconfiguration_test.go
+++ b/internal/controlplane/consensus/reconfiguration_test.go
@@ -185,7 +185,7 @@
 			}
 		}
 		if !finalizing || committed != answered {
-			t.Errorf("replies delivered %v: finalization proposed %v, committed %v", answered, finalizing, committed)
+			t.Errorf("replies delivered %v: finalization proposed %v, committed %v; want proposed, and committed only if delivered", answered, finalizing, committed)
 		}
 		p.Tick(now + finishTimeout)
 		if p.phase != proposerIdle {
--- a/internal/controlplane/consensus/replica_test.go
+++ b/internal/controlplane/consensus/replica_test.go
@@ -138,7 +138,8 @@
 }
 
 // A replica whose last quorum contact is old, for example after a suspension or a scheduling
-// delay, contacts a majority before it rejects a command, and then executes the command.
+// delay, contacts a majority when it receives a command. If a majority answers, the replica
+// executes the command instead of rejecting it.
 func TestCommandRegainsContact(t *testing.T) {
 	h := newReplicaHarness(t, Position{1 << 17, 5}, map[int]Position{2: {1 << 17, 5}})
 	h.coordinator.Store(true)
--- a/internal/controlplane/consensus/state_store.go
+++ b/internal/controlplane/consensus/state_store.go
@@ -108,7 +108,8 @@
 func newDiskID() uint64 { return rand.Uint64() | 1 }
 
 // save writes the dirty parts of an acceptor. The control state is written first, since the
-// phase and the member ID in the promise may result from that state.
+// phase and the member ID in the promise may result from that state. A promise on disk
+// therefore implies that the state is on disk as well.
 func (s *stateStore) save(acceptor Acceptor) error {
 	if acceptor.StateDirty {
 		if err := s.saveState(acceptor); err != nil {
--- a/internal/controlplane/consensus/state_store_crash_test.go
+++ b/internal/controlplane/consensus/state_store_crash_test.go
@@ -14,8 +14,9 @@
 
 func (crashFile) Close() error { return nil }
 
-// storeModel tracks which states of an acceptor were saved, so that replies for them may have
-// been sent.
+// storeModel tracks the last saved state of an acceptor and the configuration of every proposed
+// state. Replies for a saved state may have been sent. A state that was not saved successfully
+// may or may not be on disk.
 type storeModel struct {
 	t         *testing.T
 	bootstrap Bootstrap
@@ -122,7 +123,7 @@
 	t.Logf("%d steps, %d restarts", completed.steps, model.restarts)
 }
 
-// The disk is full from any step on, and may have free space again after the restart. The
+// The disk is full from any step on, and has free space again after the restart. The
 // acceptor must not reply for a state that is not on disk, and a power loss at the end must not
 // lose a state for which a reply may have been sent.
 func TestStoreSurvivesFullDiskAnywhere(t *testing.T) {
--- a/internal/controlplane/consensus/term_test.go
+++ b/internal/controlplane/consensus/term_test.go
@@ -25,7 +25,7 @@
 }
 
 // Member IDs suffice for one replacement every ten seconds for thirty years. Terms suffice for
-// ten competing proposals a second during that time.
+// competing proposers that start ten terms a second during that time.
 func TestMemberIDsOutlastYears(t *testing.T) {
 	const year = 365 * 24 * 3600
 	const replacements, terms = 30 * year / 10, 30 * year * 10
--- a/internal/controlplane/consensus/transition.go
+++ b/internal/controlplane/consensus/transition.go
@@ -22,7 +22,8 @@
 	// done is called once the next state is on disk, or with false if the transition was not
 	// applied.
 	done func(ctx context.Context, ok bool)
-	// deadline is the time, since the replica's start, after which the transition is discarded.
+	// deadline is the time, since the replica's start, after which the transition is discarded,
+	// because no caller waits for it any more.
 	deadline time.Duration
 }
 
