--- a/internal/controlplane/consensus/crash_directory_test.go
+++ b/internal/controlplane/consensus/crash_directory_test.go
@@ -143,8 +143,8 @@
 	return next
 }
 
-// visitRestarts visits every directory that the next process may find. After a kill, the files are
-// as they were. After a power loss, each unsynced change of a name is independently kept or
+// visitRestarts visits every directory that the next process may find. After a kill, the files
+// are as they were. After a power loss, each unsynced change of a name is independently kept or
 // lost, and the unsynced content of a file is present, missing, or truncated in the middle. The
 // caller varies the byte at which the crash occurs.
 func (d *crashDirectory) visitRestarts(t *testing.T, visit func(next *crashDirectory)) {
--- a/internal/controlplane/consensus/membership_planner_test.go
+++ b/internal/controlplane/consensus/membership_planner_test.go
@@ -7,8 +7,8 @@
 	"curlewwalk/internal/config"
 )
 
-// liveMembers returns an acceptor with size initial members, and statuses that report all of them
-// as live.
+// liveMembers returns an acceptor with size initial members, and statuses that report all of
+// them as live.
 func liveMembers(size int) (Acceptor, map[int]MemberStatus) {
 	acceptor := Acceptor{Phase: PhaseEstablished}
 	statuses := map[int]MemberStatus{}
--- a/internal/controlplane/consensus/reconfiguration.go
+++ b/internal/controlplane/consensus/reconfiguration.go
@@ -33,9 +33,10 @@
 	return state
 }
 
-// resolveReconfiguration returns the result of a reconfiguration that is already in effect, or
-// that must be rejected, for example because it was planned on another member set than the
-// current one. It returns false if the reconfiguration has to be proposed.
+// resolveReconfiguration returns the result of a reconfiguration that is already in effect or
+// must be rejected. A reconfiguration is rejected if it was planned on another member set than
+// the current one, if its joining member may reuse a member ID, or if it would remove the last
+// member. resolveReconfiguration returns false if the reconfiguration has to be proposed.
 func resolveReconfiguration(base config.ControlState, current []config.Member, command Command) (result CommandResult, resolved bool) {
 	if command.Kind != CommandReconfigure {
 		return CommandResult{}, false
