--- a/internal/dataplane/endpoints/heartbeat.go
+++ b/internal/dataplane/endpoints/heartbeat.go
@@ -15,8 +15,8 @@
 }
 
 // Freshness returns the maximum age of the latest announcement of a backend that may receive
-// requests. The address of a stopped backend may be reassigned to another service after about 2 s.
-// At DefaultHeartbeatInterval, the maximum age is 1.5 s.
+// requests. The maximum age is 1.5 s at DefaultHeartbeatInterval. That is below 2 s because the
+// address of a stopped backend passes to another service after about 2 s.
 func (p HeartbeatPolicy) Freshness() time.Duration { return 3 * p.interval() }
 
 // DiscoveryDelay returns the time after the start of a sidecar by which it has received an
--- a/internal/dataplane/endpoints/queue.go
+++ b/internal/dataplane/endpoints/queue.go
@@ -53,9 +53,9 @@
 //
 // The limit is the number of slots of the backend. It is passed with each call, since it changes.
 // Requests with a higher priority go first. Within a priority, shorter requests go first, and then
-// requests that must start earlier. A request that can no longer be completed by its target is not
-// kept waiting with the others. If a late response to it is still useful, it becomes overdue.
-// Overdue requests get the slots that no other request waits for. (DESIGN 15.2)
+// requests that must start earlier. A request that can no longer be completed by its target becomes
+// overdue if a late response to it is still useful, and is rejected otherwise. Overdue requests get
+// the slots that no other request waits for. (DESIGN 15.2)
 type AdmissionQueue struct {
 	running int64
 	// waiting and overdue are sorted by waiter.compare.
--- a/internal/dataplane/endpoints/registry.go
+++ b/internal/dataplane/endpoints/registry.go
@@ -78,7 +78,7 @@
 
 // continueFrom copies the state that an announcement does not change from the previous endpoint of
 // the instance, which may be the zero value. This state is the AdmissionController, if the address
-// and service are the same, and the share set by ScaleShares.
+// and service are the same, and the share set by ScaleShares, if the announced share is the same.
 func (e *Endpoint) continueFrom(previous Endpoint) {
 	e.Admission = previous.Admission
 	if e.Admission == nil || previous.Address != e.Address || previous.Service != e.Service {
--- a/internal/dataplane/endpoints/slow_start_test.go
+++ b/internal/dataplane/endpoints/slow_start_test.go
@@ -27,7 +27,7 @@
 				}
 			}
 			if want := int(12 * min(rate, float64(burst))); rate <= 3 && len(admitted) < want/2 {
-				t.Errorf("got only %d requests admitted in 20 s at %v per second, want at least 6 s of the rate", len(admitted), rate)
+				t.Errorf("got only %d requests admitted in 20 s at %v per second, want at least 6 times the smaller of the rate and the burst", len(admitted), rate)
 			}
 		})
 	}
--- a/internal/dataplane/endpoints/stale.go
+++ b/internal/dataplane/endpoints/stale.go
@@ -52,10 +52,10 @@
 
 // needsConfirmation reports whether the announcement of an unknown instance may have been sent
 // before this process started, and so may be stale. A first announcement, or one without a sequence
-// number, needs no confirmation. Any other announcement needs it in two cases. After the discovery
-// delay, this process knows every instance that was running at its start, so an instance that is
-// still unknown may have stopped before. At any time, another instance may already have the
-// address. A later announcement of the instance confirms it.
+// number, needs no confirmation. Any other announcement needs confirmation in two cases. In the
+// first case, the discovery delay has passed. This process then knows every instance that was
+// running at its start, so an instance that is still unknown may have stopped before. In the second
+// case, another instance has the address. A later announcement of the instance confirms it.
 func (r Registry) needsConfirmation(a Announcement, now time.Time) bool {
 	discovered := !r.Started.IsZero() && now.Sub(r.Started) > r.Heartbeats.DiscoveryDelay()
 	if a.Sequence <= 1 || !discovered && !r.addressTaken(a, now) {
--- a/internal/dataplane/routing/action.go
+++ b/internal/dataplane/routing/action.go
@@ -14,7 +14,7 @@
 	Respond ActionKind = iota
 	// Send sends an attempt to Target.
 	Send
-	// Wait calls Next again after Action.Wait has elapsed.
+	// Wait sends nothing. The proxy calls Next again after Action.Wait has elapsed.
 	Wait
 	// Fail ends the request without a backend response, as described by Failure.
 	Fail
--- a/internal/dataplane/routing/conditions.go
+++ b/internal/dataplane/routing/conditions.go
@@ -20,8 +20,9 @@
 	Latency func(t membership.Target) LatencyHistogram
 	// CrossZoneCost is the cost of sending the request to another zone, as a fraction of the value
 	// of an answer in time. The request leaves the local zone if that increases the probability of
-	// an answer in time by more than CrossZoneCost. If it is zero, utilization and expected
-	// lateness decide instead; see spillUtilization and crossZoneDivisor.
+	// an answer in time by more than CrossZoneCost. Zero means that leaving the zone costs nearly
+	// nothing. Utilization and expected lateness then decide instead; see spillUtilization and
+	// crossZoneDivisor.
 	CrossZoneCost float64
 	// WaitUntil is the time until which the request may wait while no backend can be chosen. The
 	// request does not wait if it is zero.
@@ -55,8 +56,8 @@
 	// crossZoneDivisor is the divisor of MaxLateness that gives the lateness that leaving the local
 	// zone must save if CrossZoneCost is zero.
 	crossZoneDivisor = 100
-	// spillUtilization is the utilization of the local zone from which requests are sent to other
-	// zones.
+	// spillUtilization is the utilization of the local target from which a less utilized target in
+	// another zone is preferred if CrossZoneCost is zero.
 	spillUtilization = 0.8
 	// minFinishProbability is the minimum probability of an answer before the deadline for an
 	// attempt to be sent.
--- a/internal/dataplane/routing/histogram.go
+++ b/internal/dataplane/routing/histogram.go
@@ -88,9 +88,9 @@
 	return within / h.total
 }
 
-// Quantile returns the duration within which the given share of the attempts is answered. ok is
-// false if the quantile falls among the attempts that were not answered in time. d is then above
-// the duration of every bucket. The same applies if there are no observations.
+// Quantile returns the duration within which the given share of the attempts is answered. If the
+// quantile falls among the attempts that were not answered in time, or if there are no observations,
+// ok is false and d is above the duration of every bucket.
 func (h *LatencyHistogram) Quantile(share float64) (d time.Duration, ok bool) {
 	remaining := share * h.total
 	for i, weight := range h.weights[:bucketCount] {
--- a/internal/transport/counters.go
+++ b/internal/transport/counters.go
@@ -16,7 +16,7 @@
 	ResponseBytes uint64 `json:"receipt_bytes"`
 }
 
-// Kinds that are counted in addition to the kinds of calls. Like these, they are keys of Snapshot.
+// The kinds that are counted in addition to the kinds of calls. Snapshot includes both.
 const (
 	// KindPing is the kind of pings and of their responses.
 	KindPing = "ping"
