--- a/tests/fakes/resend_test.go
+++ b/tests/fakes/resend_test.go
@@ -82,9 +82,9 @@
 	}
 }
 
-// net/http resends a GET by itself when a reused connection ends without an answer. The refusal of
-// the second send as not run must not be applied to the first send, which was run: the request
-// counts as interrupted.
+// TestResendByHTTPClient checks a GET that net/http resends by itself because a reused connection
+// ends without an answer. The refusal of the second send as not run must not be applied to the
+// first send, which was run: the request counts as interrupted.
 func TestResendByHTTPClient(t *testing.T) {
 	l, c := ledger.New(), NewHTTPClient()
 	defer c.CloseIdleConnections()
@@ -104,8 +104,8 @@
 	checkVerdict(t, l, 1, 0, "")
 }
 
-// A refusal as not run of the only send is final, on a new connection and on a reused one: it
-// counts as not run, and it is a breach if the request was run.
+// TestRefusalOfOnlySend checks that a refusal as not run of the only send is final, on a new
+// connection and on a reused one: it counts as not run, and it is a breach if the request was run.
 func TestRefusalOfOnlySend(t *testing.T) {
 	for _, p := range []RequestPlan{readPlan, writePlan} {
 		l, c := ledger.New(), NewHTTPClient()
@@ -133,8 +133,8 @@
 	return c.Conn.Write(b)
 }
 
-// If the first send failed before any byte was written, the refusal of the second send as not run
-// is final, as for a request that was sent once.
+// TestRefusalAfterUnwrittenSend checks that, if the first send failed before any byte was written,
+// the refusal of the second send as not run is final, as for a request that was sent once.
 func TestRefusalAfterUnwrittenSend(t *testing.T) {
 	for _, p := range []RequestPlan{readPlan, writePlan} {
 		l, c := ledger.New(), NewHTTPClient()
@@ -158,8 +158,9 @@
 	}
 }
 
-// A request counts as not run if the connection is refused and nothing was sent. If a first send was
-// interrupted and the resend's connection is refused, the request counts as interrupted.
+// TestConnectionRefused checks that a request counts as not run if the connection is refused and
+// nothing was sent. If a first send was interrupted and the resend's connection is refused, the
+// request counts as interrupted.
 func TestConnectionRefused(t *testing.T) {
 	l, c := ledger.New(), NewHTTPClient()
 	defer c.CloseIdleConnections()
--- a/tests/ledger/ledger_test.go
+++ b/tests/ledger/ledger_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Guards against a rule that never reports a breach: correct records pass, and each defect in the
-// records is reported as the breach of its rule.
+// TestEachRuleCanFail guards against a rule that never reports a breach: correct records pass, and
+// each defect in the records is reported as the breach of its rule.
 func TestEachRuleCanFail(t *testing.T) {
 	base := time.Now()
 	at := func(s float64) time.Time { return base.Add(time.Duration(s * float64(time.Second))) }
--- a/tests/simulation/history_test.go
+++ b/tests/simulation/history_test.go
@@ -135,8 +135,8 @@
 	return latest
 }
 
-// Guards against a history check that accepts stale, lost or invented results, or rejects correct
-// ones. Each case is a history and the expected result of the check.
+// TestLinearizable guards against a history check that accepts stale, lost or invented results, or
+// rejects correct ones. Each case is a history and the expected result of the check.
 func TestLinearizable(t *testing.T) {
 	put := func(generation uint64, text string, from, to time.Duration) Call {
 		return Call{Write: true, Generation: generation, Text: text, From: from, To: to}
@@ -170,8 +170,8 @@
 	}
 }
 
-// Guards against a rejected write that stays in the history. A read that wrongly returns the text of
-// such a write would then pass the check.
+// TestHistoryOfRejectedWrite guards against a rejected write that stays in the history. A read that
+// wrongly returns the text of such a write would then pass the check.
 func TestHistoryOfRejectedWrite(t *testing.T) {
 	h := &History{}
 	refused := h.put(consensus.Command{Payload: []byte("a")}, 1)
--- a/tests/simulation/simulator_test.go
+++ b/tests/simulation/simulator_test.go
@@ -38,12 +38,13 @@
 	}
 }
 
-// Guards against lost acknowledged writes, revisions with two contents, stale reads and failure to
-// serve again after the last fault. The check for the latter starts 15 s after that fault. Messages are
-// lost, delayed, duplicated and reordered. Replicas are killed, also all at once and during disk
-// writes. They lose their disks, and are partitioned and paused. Two operators submit conflicting
-// commands. The operators' calls must be linearizable. A generation must have a single configuration,
-// which is never refused. No delayed copy of a command on a zone may undo a newer command.
+// TestConsensus guards against lost acknowledged writes, revisions with two contents, stale reads
+// and failure to serve again after the last fault. The check for the latter starts 15 s after that
+// fault. Messages are lost, delayed, duplicated and reordered. Replicas are killed, also all at
+// once and during disk writes. They lose their disks, and are partitioned and paused. Two operators
+// submit conflicting commands. The operators' calls must be linearizable. A generation must have a
+// single configuration, which is never refused. No delayed copy of a command on a zone may undo a
+// newer command.
 func TestConsensus(t *testing.T) {
 	var acked, reads, refused, lost, kills int
 	var operators Operators
@@ -66,9 +67,10 @@
 	}
 }
 
-// Guards against a sidecar that admits requests more than 4 s after the commit of a revision that it
-// has not applied. Messages are delayed by up to seconds and lost, replicas and sidecars are
-// partitioned and paused, and with every other seed all replicas lose power permanently.
+// TestServingLeases guards against a sidecar that admits requests more than 4 s after the commit of
+// a revision that it has not applied. Messages are delayed by up to seconds and lost, replicas and
+// sidecars are partitioned and paused, and with every other seed all replicas lose power
+// permanently.
 func TestServingLeases(t *testing.T) {
 	admitted, admittedByPeers, lapsed, unconfirmed := 0, 0, 0, 0
 	forEachSeed(func(seed uint64) {
@@ -85,10 +87,10 @@
 	}
 }
 
-// Guards against a request that runs twice, a request that runs after its answer said that it was not
-// run, and an answer to another request. Messages are lost, delayed and duplicated, and sidecars are
-// killed and paused. An idempotency key must survive the loss of its sidecar and of one of
-// its replicas.
+// TestRequests guards against a request that runs twice, a request that runs after its answer said
+// that it was not run, and an answer to another request. Messages are lost, delayed and duplicated,
+// and sidecars are killed and paused. An idempotency key must survive the loss of its sidecar and
+// of one of its replicas.
 func TestRequests(t *testing.T) {
 	var sum Requests
 	forEachSeed(func(seed uint64) {
@@ -106,10 +108,11 @@
 	}
 }
 
-// Guards against sidecars that return to an older revision, or that do not converge once faults stop.
-// Messages are lost and delayed, and replicas and sidecars are partitioned, paused and killed. After
-// recovery each sidecar must have applied the newest revision within 2 s of the startup delay of a
-// replica, and must list exactly the existing nodes within 8 s.
+// TestMembership guards against sidecars that return to an older revision, or that do not converge
+// once faults stop. Messages are lost and delayed, and replicas and sidecars are partitioned,
+// paused and killed. Each sidecar must have applied the newest revision once the startup delay of a
+// replica plus 2 s have passed since the faults stopped. It must list exactly the existing nodes 8 s
+// after the faults stopped.
 func TestMembership(t *testing.T) {
 	var sum Membership
 	forEachSeed(func(seed uint64) {
@@ -129,10 +132,11 @@
 	}
 }
 
-// Guards against lost acknowledged writes and failure to recover while the member set changes. The
-// founders bootstrap concurrently. Replicas join, leave permanently, are replaced at other addresses
-// or lose their disks, one at a time or a minority at once, also while all others lose power. At the
-// end all replicas that were not removed must be members, and reads and writes must succeed.
+// TestMembershipChanges guards against lost acknowledged writes and failure to recover while the
+// member set changes. The founders bootstrap concurrently. Replicas join, leave permanently, are
+// replaced at other addresses or lose their disks, one at a time or a minority at once, also while
+// all others lose power. At the end all replicas that were not removed must be members, and reads
+// and writes must succeed.
 func TestMembershipChanges(t *testing.T) {
 	var sum Consensus
 	var operators Operators
@@ -160,11 +164,11 @@
 	}
 }
 
-// Guards against a member set that does not recover from one tolerated loss in time for the next. As
-// many replicas as the member set tolerates are lost at once, return or are replaced, and 4 s later as
-// many are lost again, also right after a planned replacement. After each loss writes and reads must
-// succeed, and no acknowledged write may be lost. Within these 4 s all replicas must be full members of
-// a set that tolerates the next loss.
+// TestSecondLoss guards against a member set that does not recover from one tolerated loss in time
+// for the next. As many replicas as the member set tolerates are lost at once, return or are
+// replaced, and 4 s later as many are lost again, also right after a planned replacement. After
+// each loss writes and reads must succeed, and no acknowledged write may be lost. Within these 4 s
+// all replicas must be full members of a set that tolerates the next loss.
 func TestSecondLoss(t *testing.T) {
 	lost, planned, slowest := 0, 0, time.Duration(0)
 	var histories historyCounts
--- a/tests/simulation/slowstart_test.go
+++ b/tests/simulation/slowstart_test.go
@@ -113,10 +113,11 @@
 	s.after(maxServiceTime+s.randomDuration(6*time.Second), s.kill)
 }
 
-// Guards against overload of a cold backend after its sidecar restarts. A restarted sidecar does not
-// know which requests of its earlier incarnation are still running at the backend. With bursts of
-// requests and repeated kills, the backend must never run more than 1.5 times its current capacity
-// plus one request. The number of running requests must reach the current capacity at least once.
+// TestSlowStartThroughKills guards against overload of a cold backend after its sidecar restarts. A
+// restarted sidecar does not know which requests of its earlier incarnation are still running at
+// the backend. With bursts of requests and repeated kills, the backend must never run more than 1.5
+// times its current capacity plus one request. The number of running requests must reach the
+// current capacity at least once.
 func TestSlowStartThroughKills(t *testing.T) {
 	table, ok := routing.NewTable(config.ControlState{Revision: 1, ConfigurationRevision: 1, Configuration: []byte(`{"contracts": [{"name":"c","aim":"1s","expiry":"4s","rank":1}], "ways": [{"name":"w","prefix":"/","service":"s","contract":"c"}]}`)})
 	if !ok {
--- a/tests/soak/soak_test.go
+++ b/tests/soak/soak_test.go
@@ -25,11 +25,11 @@
 // extraTime is how long a run may take beyond the length of its plan.
 const extraTime = 3 * time.Minute
 
-// Whole fleets under overlapping faults and planned changes break no rule, as judged by the records
-// of clients, backends and operators. By default the first seed has all kinds of faults and the
-// second one planned changes only. The test guards against failures that only arise between
-// processes, such as requests that are lost, repeated or sent to departed backends while sidecars
-// restart.
+// TestSeeds checks that whole fleets under overlapping faults and planned changes break no rule, as
+// judged by the records of clients, backends and operators. By default the first seed has all kinds
+// of faults and the second one planned changes only. The test guards against failures that only
+// arise between processes, such as requests that are lost, repeated or sent to departed backends
+// while sidecars restart.
 func TestSeeds(t *testing.T) {
 	bin, err := fleet.Build()
 	if err != nil {
@@ -66,8 +66,9 @@
 	return res
 }
 
-// A plan survives printing and parsing unchanged, so that a failed run can be played again from its
-// printed plan. Plans with planned changes only contain no faults, and invalid plans are rejected.
+// TestPlansRoundTripAndInvalidOnesAreRejected checks that a plan survives printing and parsing
+// unchanged, so that a failed run can be played again from its printed plan. Plans with planned
+// changes only contain no faults, and invalid plans are rejected.
 func TestPlansRoundTripAndInvalidOnesAreRejected(t *testing.T) {
 	for seed := range uint64(200) {
 		p := Draw("heating", seed, 30*time.Second, 7)
