--- a/internal/dataplane/proxy/fuzz_test.go
+++ b/internal/dataplane/proxy/fuzz_test.go
@@ -117,11 +117,16 @@
 	})
 }
 
-// lateRequests counts the requests of earlier inputs that the backend has not received, but may
-// still receive once: those without a response, and those with an unknown outcome. There are such
-// requests because the client closes its side of the connection after its last request. The
-// sidecar then cancels the request, which may already be on its way to the backend.
-type lateRequests map[plainRequest]int
+// lateLimit is how long after its input a request may still arrive at the backend: the deadline
+// of the contract in proxyPairConfiguration, 3 s, and a second for the backend to read it.
+const lateLimit = 4 * time.Second
+
+// lateRequests holds the requests of earlier inputs that the backend has not received, but may
+// still receive once until the time given for each: those without a response, and those with an
+// unknown outcome. There are such requests because the client closes its side of the connection
+// after its last request. The sidecar then cancels the request, which may already be on its way
+// to the backend.
+type lateRequests map[plainRequest][]time.Time
 
 // match finds a received request among the pending requests of the present input, which arrive
 // in their order, or else among the late ones. It returns the requests that are pending
@@ -131,19 +136,22 @@
 	if i := slices.Index(pending, received); i >= 0 {
 		return pending[i+1:]
 	}
-	if l[received] == 0 {
+	now := time.Now()
+	l[received] = slices.DeleteFunc(l[received], now.After)
+	if len(l[received]) == 0 {
 		t.Fatalf("the backend got %q, which the client did not send", received)
 	}
-	l[received]--
+	l[received] = l[received][1:]
 	return pending
 }
 
 // add adds the pending requests of an input that may still be received. outcomes are those of
 // the pending requests that got a response.
 func (l lateRequests) add(pending []plainRequest, outcomes []string) {
+	until := time.Now().Add(lateLimit)
 	for i, r := range pending {
 		if i >= len(outcomes) || outcomes[i] == string(routing.Unknown) {
-			l[r]++
+			l[r] = append(l[r], until)
 		}
 	}
 }
