--- a/internal/controlplane/api_state.go
+++ b/internal/controlplane/api_state.go
@@ -49,7 +49,7 @@
 	process.WriteJSON(w, http.StatusOK, state)
 }
 
-// getBudgets handles GET /v1/budgets. The response holds the retry budgets, summed over the
+// getBudgets handles GET /v1/budgets. The response holds the latency budgets, summed over the
 // sidecars known to this replica.
 func (n *Node) getBudgets(w http.ResponseWriter, r *http.Request) {
 	status, ok := n.watchServer.Status(r.Context())
--- a/tests/outernames/outernames.go
+++ b/tests/outernames/outernames.go
@@ -1,7 +1,8 @@
 // Package outernames collects the names that are visible outside a process: fields and kinds of
 // messages, keys of stored data, settings, headers, paths, metrics, log attributes, and texts
 // that clients and operators read. The list in testdata/OUTER-NAMES is a compatibility contract.
-// The test of this package fails if the code no longer has one of the listed names.
+// The test of this package fails if the code no longer has one of the listed names. Names are
+// counted by directory: two tags swapped between fields are found by the golden files only.
 package outernames
 
 import (
--- a/tests/outernames/outernames_test.go
+++ b/tests/outernames/outernames_test.go
@@ -45,9 +45,9 @@
 	}
 }
 
-// minNames is the number of names of the first list, rounded down. Names are never removed, so a
-// shorter list is truncated.
-const minNames = 1000
+// minNames is the number of names of the first list. Names are never removed, so a shorter list is
+// truncated.
+const minNames = 1355
 
 // TestMissingNameIsFound checks that a missing name of each kind is reported, and that the text of
 // an error or a log message may change.
