--- a/tests/mutation/catalogue.go
+++ b/tests/mutation/catalogue.go
@@ -38,7 +38,7 @@
 	{duplicateRun, "internal/transport/server_connection.go", "if call.ID <= lastID {", "if call.ID <= lastID && false {", "./internal/transport", "TestDuplicateCall", nil},
 	{runAfterRefusal, "internal/dataplane/proxy/attemptlog.go", "return record.refused", "return record.refused || true", "./tests/simulation", "TestRequests", nil},
 	{runAfterRefusal, "internal/dataplane/proxy/admit.go", "response.Outcome == routing.Unknown && guard.close()", "response.Outcome == routing.Unknown", "./tests/e2e", "TestWrongAnswers", nil},
-	{runAfterRefusal, "internal/dataplane/proxy/admit.go", "response.Outcome = routing.Unknown // an earlier copy of the attempt has begun", "", "./internal/dataplane/proxy", "TestDuplicateAttempt", nil},
+	{runAfterRefusal, "internal/dataplane/proxy/admit.go", "response.Outcome = routing.Unknown // an earlier copy of the attempt has begun, or the log has ended", "", "./internal/dataplane/proxy", "TestDuplicateAttempt", nil},
 	{runAfterRefusal, "internal/dataplane/proxy/writeguard.go", "return g.state.CompareAndSwap(guardOpen, guardWritten)", "g.state.Store(guardWritten)\n\treturn true", "./internal/dataplane/proxy", "TestWriteGuard", nil},
 	{wrongAnswer, "internal/dataplane/proxy/readresponse.go", "case err != nil:\n\t\treturn nil, nil, errResponseIncomplete", "case err != nil && false:", "./tests/e2e", "TestWrongAnswers", nil},
 	{wrongAnswer, "internal/transport/frame.go", "if crc32.Checksum(payload, castagnoli) != binary.BigEndian.Uint32(header[4:]) {", "if false {", "./internal/transport", "TestBadFramesBreakTheConnection", nil},
